--- a/cmd/sparnotch-bench/fleet.go
+++ b/cmd/sparnotch-bench/fleet.go
@@ -290,7 +290,7 @@
 			racing.Add(1)
 			go func() {
 				defer racing.Done()
-				rows := append(f.profile.Rows(), &schema.Row{Kind: "fleet", Key: "cache_every", Value: strconv.Itoa(32 + 16*k)})
+				rows := append(f.profile.Rows(), &schema.ConfigurationRow{Kind: "fleet", Key: "cache_every", Value: strconv.Itoa(32 + 16*k)})
 				// The loser reads the winner's table and puts its own on that.
 				if err := putPlan(ctx, f.platform, f.history, who, rows); err != nil && ctx.Err() == nil {
 					fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
--- a/cmd/sparnotch-bench/hollow_part.go
+++ b/cmd/sparnotch-bench/hollow_part.go
@@ -141,7 +141,7 @@
 		for _, lost := range counts.Lost {
 			r.LostMails += lost
 		}
-		if real.Member.Stores {
+		if real.Member.HasStorage {
 			r.Belief, _ = real.Run(ctx, "replica", eventloop.Second, func(id uint64, _ eventloop.Micros) any { return replica.Belief{Request: id} }).(*replica.NodeBelief)
 		}
 	}
@@ -247,7 +247,7 @@
 
 func (p *part) startFronts(isStore bool) error {
 	for k := p.first; k < p.first+p.count; k++ {
-		options := &schema.Options{
+		options := &schema.Settings{
 			Cell: p.setup.cell(k), Inner: p.setup.address(k, 7400), Outer: p.setup.address(k, 8400), Seeds: p.setup.seeds(), WarnUs: 1_000_000,
 		}
 		if isStore {
@@ -300,8 +300,8 @@
 	clock := eventloop.RealClock()
 	seed := rand.Uint64()
 	member := &schema.Member{
-		Id: fmt.Sprintf("%016x", seed), Boot: 1, Role: schema.Role_ROLE_CONTROLLER, Cell: p.setup.cell(k),
-		Inner: p.setup.address(host, 7400), Outer: p.setup.address(host, 8400),
+		Id: fmt.Sprintf("%016x", seed), Incarnation: 1, Role: schema.Role_ROLE_CONTROLLER, Zone: p.setup.cell(k),
+		InternalAddress: p.setup.address(host, 7400), HttpAddress: p.setup.address(host, 8400),
 	}
 	book := &membership.Book{}
 	papers := &process.Papers{Member: member, Seeds: p.setup.seeds(), Book: book, Wall: clock.Wall, Seed: seed, Now: clock.Now()}
@@ -331,7 +331,7 @@
 	rack := fmt.Sprintf("r%d", k/p.setup.PerRack)
 	room := hollow.Room{Cores: 64_000, Memory: 128_000}
 	running.Add(hollow.Name, hollow.New(clock.Now(), name, rack, room, uint64(time.Now().UnixMicro()), rand.New(rand.NewPCG(seed, 2)), watch), hollow.Pace)
-	net, err := transport.Listen(transport.Identity{ID: member.Id, Boot: member.Boot}, member.Inner, out.deliver)
+	net, err := transport.Listen(transport.Identity{ID: member.Id, Boot: member.Incarnation}, member.InternalAddress, out.deliver)
 	if err != nil {
 		return err
 	}
@@ -425,15 +425,15 @@
 func queueName(k int) string { return fmt.Sprintf("l%03d", k) }
 
 // rows is the plan: its queues, racks to fill it up, and one row that changes.
-func (s *hollowSetup) rows(change int) []*schema.Row {
-	rows := []*schema.Row{{Kind: "fleet", Key: "live_jobs", Value: "1000000"}, {Kind: "fleet", Key: "window", Value: "65536"}}
+func (s *hollowSetup) rows(change int) []*schema.ConfigurationRow {
+	rows := []*schema.ConfigurationRow{{Kind: "fleet", Key: "live_jobs", Value: "1000000"}, {Kind: "fleet", Key: "window", Value: "65536"}}
 	for k := 0; k < s.Queues; k++ {
-		rows = append(rows, &schema.Row{Kind: "queue", Name: queueName(k), Key: "urgency", Value: "50"})
+		rows = append(rows, &schema.ConfigurationRow{Kind: "queue", Name: queueName(k), Key: "urgency", Value: "50"})
 	}
 	for k := len(rows); k < s.Rows; k++ {
-		rows = append(rows, &schema.Row{Kind: "rack", Name: fmt.Sprintf("x%04d", k), Key: "weight", Value: "100"})
+		rows = append(rows, &schema.ConfigurationRow{Kind: "rack", Name: fmt.Sprintf("x%04d", k), Key: "weight", Value: "100"})
 	}
-	return append(rows, &schema.Row{Kind: "fleet", Key: "weight_rack", Value: strconv.Itoa(30 + change%10)})
+	return append(rows, &schema.ConfigurationRow{Kind: "fleet", Key: "weight_rack", Value: strconv.Itoa(30 + change%10)})
 }
 
 // operate puts the plan, and then changes it at the wanted pace.
@@ -446,13 +446,13 @@
 	for change := 0; ctx.Err() == nil; change++ {
 		for ctx.Err() == nil {
 			code, data := p.send(ctx, client, "GET", "/v1/plan", nil)
-			plan := &schema.Plan{}
+			plan := &schema.Configuration{}
 			if code == 200 && protojson.Unmarshal(data, plan) == nil {
-				body, _ := json.Marshal(map[string]any{"generation": plan.Generation, "rows": p.setup.rows(change)})
+				body, _ := json.Marshal(map[string]any{"generation": plan.Revision, "rows": p.setup.rows(change)})
 				sent := time.Now().UnixMicro()
 				if code, _ = p.send(ctx, client, "PUT", "/v1/plan", body); code == 200 {
 					p.mu.Lock()
-					p.put[plan.Generation+1] = sent
+					p.put[plan.Revision+1] = sent
 					p.mu.Unlock()
 					break
 				}
--- a/cmd/sparnotch-bench/outside.go
+++ b/cmd/sparnotch-bench/outside.go
@@ -71,7 +71,7 @@
 func (p *platform) learn(ctx context.Context) {
 	eventloop.NewRing[int](1).Drain(ctx, 3*eventloop.Second, nil, func() {
 		_, data, err := p.call(ctx, 2*time.Second, "GET", p.pick(""), "/v1/fronts", nil, "")
-		list := &schema.FrontList{}
+		list := &schema.GatewayList{}
 		if err != nil || json.Unmarshal(data, list) != nil {
 			return
 		}
@@ -81,11 +81,11 @@
 		for _, g := range p.fronts {
 			known[g.address] = g
 		}
-		for _, note := range list.Fronts {
+		for _, note := range list.Gateways {
 			if known[note.Address] == nil {
-				p.fronts = append(p.fronts, &gate{address: note.Address, cell: note.Cell, isReady: !note.Leaving})
+				p.fronts = append(p.fronts, &gate{address: note.Address, cell: note.Zone, isReady: !note.Draining})
 			} else {
-				known[note.Address].cell, known[note.Address].isReady = note.Cell, !note.Leaving
+				known[note.Address].cell, known[note.Address].isReady = note.Zone, !note.Draining
 			}
 		}
 	})
@@ -189,7 +189,7 @@
 		now := w.history.now()
 		w.worker.Tick(now)
 		isDue := w.worker.Due(now)
-		var announce *schema.Announce
+		var announce *schema.WorkerHeartbeat
 		if isDue {
 			select {
 			case open <- struct{}{}:
@@ -226,7 +226,7 @@
 	}
 }
 
-func (w *workerRunner) announce(ctx context.Context, front string, a *schema.Announce, sent eventloop.Micros) bool {
+func (w *workerRunner) announce(ctx context.Context, front string, a *schema.WorkerHeartbeat, sent eventloop.Micros) bool {
 	body, err := json.Marshal(a)
 	if err != nil {
 		return false
@@ -248,7 +248,7 @@
 	if ctx.Err() != nil {
 		return false
 	}
-	orders := &schema.Orders{}
+	orders := &schema.WorkerOrders{}
 	if w.isOff || err != nil || code != 200 || json.Unmarshal(data, orders) != nil {
 		w.worker.Unanswered(now)
 		return false
@@ -396,17 +396,17 @@
 // --- operator ---
 
 // putPlan sends the table until it is taken, and notes it.
-func putPlan(ctx context.Context, p *platform, h *history, who string, rows []*schema.Row) error {
+func putPlan(ctx context.Context, p *platform, h *history, who string, rows []*schema.ConfigurationRow) error {
 	var last string
 	for ctx.Err() == nil {
 		address := p.pick("")
 		code, data, err := p.call(ctx, 5*time.Second, "GET", address, "/v1/plan", nil, "")
 		if err == nil && code == 200 {
-			plan := &schema.Plan{}
+			plan := &schema.Configuration{}
 			if err := protojson.Unmarshal(data, plan); err != nil {
 				return err
 			}
-			body, err := json.Marshal(map[string]any{"generation": plan.Generation, "rows": rows})
+			body, err := json.Marshal(map[string]any{"generation": plan.Revision, "rows": rows})
 			if err != nil {
 				return err
 			}
@@ -419,9 +419,9 @@
 			if ctx.Err() != nil {
 				break
 			}
-			e := checker.Event{Kind: checker.PlanPut, Who: who, Code: code, Built: plan.Generation, Rows: rows, Front: address, Sent: sent}
+			e := checker.Event{Kind: checker.PlanPut, Who: who, Code: code, Built: plan.Revision, Rows: rows, Front: address, Sent: sent}
 			if code == 200 {
-				e.Generation = plan.Generation + 1
+				e.Generation = plan.Revision + 1
 			}
 			h.add(e)
 			if code == 200 {
@@ -441,9 +441,9 @@
 	if ctx.Err() != nil {
 		return
 	}
-	plan := &schema.Plan{}
+	plan := &schema.Configuration{}
 	if err != nil || code == 200 && protojson.Unmarshal(data, plan) != nil {
 		code = 0
 	}
-	h.add(checker.Event{Kind: checker.PlanRead, Who: "reader", Front: address, Sent: sent, Code: code, Generation: plan.Generation, Rows: plan.Rows})
+	h.add(checker.Event{Kind: checker.PlanRead, Who: "reader", Front: address, Sent: sent, Code: code, Generation: plan.Revision, Rows: plan.Rows})
 }
--- a/cmd/sparnotch-bench/whole_test.go
+++ b/cmd/sparnotch-bench/whole_test.go
@@ -124,16 +124,16 @@
 		Reset(func() { So(f.down(), ShouldBeTrue) })
 		So(f.up(ctx), ShouldBeNil)
 		front := f.fronts[4].outer
-		call := func(method, path, body string) (int32, *schema.Fault) {
+		call := func(method, path, body string) (int32, *schema.Error) {
 			for {
 				code, data, err := f.platform.call(ctx, 10*time.Second, method, front, path, []byte(body), "")
 				if err == nil && code != http.StatusServiceUnavailable && code != http.StatusGatewayTimeout {
-					fault := &schema.Fault{}
+					fault := &schema.Error{}
 					_ = json.Unmarshal(data, fault)
 					return code, fault
 				}
 				if ctx.Err() != nil {
-					return 0, &schema.Fault{}
+					return 0, &schema.Error{}
 				}
 				rest(ctx, 50*time.Millisecond)
 			}
--- a/cmd/sparnotchctl/call.go
+++ b/cmd/sparnotchctl/call.go
@@ -96,7 +96,7 @@
 }
 
 func explain(code int, data []byte) {
-	fault := &schema.Fault{}
+	fault := &schema.Error{}
 	if json.Unmarshal(data, fault) != nil || fault.Code == "" {
 		complain("turned away (%d): %s", code, strings.TrimSpace(string(data)))
 		return
--- a/cmd/sparnotchctl/folder.go
+++ b/cmd/sparnotchctl/folder.go
@@ -58,7 +58,7 @@
 	if content == nil {
 		return code
 	}
-	fmt.Printf("store %s, started %d times, belongs to a system: %v\n", content.Self.GetId(), content.Self.GetBoots(), content.Self.GetBelongs())
+	fmt.Printf("store %s, started %d times, belongs to a system: %v\n", content.Self.GetId(), content.Self.GetStarts(), content.Self.GetJoined())
 	isBroken := false
 	for _, group := range slices.Sorted(maps.Keys(content.Groups)) {
 		image := content.Groups[group]
@@ -92,8 +92,8 @@
 	if group == clusterstate.Group {
 		machine, err := clusterstate.Restore(image.Checkpoint.GetData())
 		for k := 0; err == nil && k < len(image.Records); k++ {
-			if record := image.Records[k]; record.Kind == schema.RecordKind_RECORD_COMMAND {
-				if _, err = machine.Apply(record.AtUs, record.Data); err != nil {
+			if record := image.Records[k]; record.Kind == schema.EntryKind_ENTRY_COMMAND {
+				if _, err = machine.Apply(record.TimeUs, record.Data); err != nil {
 					err = fmt.Errorf("record %d: %w", record.Index, err)
 				}
 			}
@@ -105,7 +105,7 @@
 }
 
 // replay runs a queue's records through its machine up to an index, 0 for all.
-func replay(group string, image *storage.Image, to uint64, see func(*schema.Record, *schema.QueueCommand, *queue.Effects)) (*queue.Machine, uint64, error) {
+func replay(group string, image *storage.Image, to uint64, see func(*schema.Entry, *schema.QueueCommand, *queue.Effects)) (*queue.Machine, uint64, error) {
 	machine, err := queue.Restore(replica.QueueOf(group), image.Checkpoint.GetIndex(), image.Checkpoint.GetData())
 	if err != nil {
 		return nil, 0, fmt.Errorf("checkpoint at %d: %w", image.Checkpoint.GetIndex(), err)
@@ -116,14 +116,14 @@
 			break
 		}
 		at = record.Index
-		if record.Kind != schema.RecordKind_RECORD_COMMAND {
+		if record.Kind != schema.EntryKind_ENTRY_COMMAND {
 			continue
 		}
 		command := &schema.QueueCommand{}
 		if err := proto.Unmarshal(record.Data, command); err != nil {
 			return nil, 0, fmt.Errorf("record %d: %w", record.Index, err)
 		}
-		effects, err := machine.Apply(record.Index, record.AtUs, record.Data)
+		effects, err := machine.Apply(record.Index, record.TimeUs, record.Data)
 		if err != nil {
 			return nil, 0, fmt.Errorf("record %d: %w", record.Index, err)
 		}
@@ -195,7 +195,7 @@
 
 var standings = map[queue.Standing]string{queue.Gone: "is closed", queue.Ready: "is ready", queue.Out: "is out", queue.Stopping: "is to stop"}
 
-func (c *replayCommand) show(record *schema.Record, command *schema.QueueCommand, effects *queue.Effects) {
+func (c *replayCommand) show(record *schema.Entry, command *schema.QueueCommand, effects *queue.Effects) {
 	var lines []string
 	if e := command.GetEnqueue(); e != nil && (c.job == "" || c.job == e.Name) {
 		lines = append(lines, fmt.Sprintf("  %s, number %d of %s", e.Name, e.Number, e.Session.GetClient()))
@@ -223,9 +223,9 @@
 	}
 	what := strings.TrimPrefix(fmt.Sprintf("%T", command.Body), "*schema.QueueCommand_")
 	if back := command.GetReturn(); back != nil {
-		what += " " + strings.ToLower(strings.TrimPrefix(back.Cause.String(), "CAUSE_"))
+		what += " " + strings.ToLower(strings.TrimPrefix(back.Cause.String(), "RETURN_CAUSE_"))
 	}
-	fmt.Printf("%d term %d at %d us: %s\n", record.Index, record.Term, record.AtUs, what)
+	fmt.Printf("%d term %d at %d us: %s\n", record.Index, record.Term, record.TimeUs, what)
 	for _, line := range lines {
 		fmt.Println(line)
 	}
--- a/cmd/sparnotchctl/folder_test.go
+++ b/cmd/sparnotchctl/folder_test.go
@@ -36,39 +36,39 @@
 }
 
 // fill writes a store with one queue, in which one task fails and is run again.
-func fill(path string, change func([]*schema.Record) []*schema.Record) (*storage.Folder, *queue.Machine) {
+func fill(path string, change func([]*schema.Entry) []*schema.Entry) (*storage.Folder, *queue.Machine) {
 	key := &schema.TaskKey{Job: 1}
-	pick := &schema.QueueCommand{Body: &schema.QueueCommand_Checkout{Checkout: &schema.Checkout{Picks: []*schema.Pick{{Key: key, Worker: "w1", Incarnation: 1}}}}}
+	pick := &schema.QueueCommand{Body: &schema.QueueCommand_Checkout{Checkout: &schema.Checkout{Placements: []*schema.Placement{{Key: key, Worker: "w1", Incarnation: 1}}}}}
 	commands := []*schema.QueueCommand{
 		{Body: &schema.QueueCommand_Enqueue{Enqueue: &schema.Enqueue{
-			Session: &schema.Session{Gateway: "f", Boot: 1, Client: "c"}, Number: 1, Lowest: 1, Name: "first", Digest: []byte("d"),
+			Session: &schema.Session{Gateway: "f", Incarnation: 1, Client: "c"}, Number: 1, LowestUnconfirmed: 1, Name: "first", Digest: []byte("d"),
 			Job: &schema.Job{Text: "x", Steps: []*schema.Step{{Name: "s", Tasks: 1, CoresMilli: 1, AllowedFailures: 1}}},
 		}}},
 		pick,
-		{Body: &schema.QueueCommand_Return{Return: &schema.Return{Key: key, Attempt: 1, Cause: schema.Cause_CAUSE_FAILED}}},
+		{Body: &schema.QueueCommand_Return{Return: &schema.Return{Key: key, Attempt: 1, Cause: schema.ReturnCause_RETURN_CAUSE_FAILED}}},
 		pick,
 		{Body: &schema.QueueCommand_Settle{Settle: &schema.Settle{Key: key, Attempt: 2}}},
 	}
 	machine := queue.New("quotes")
-	records := []*schema.Record{{Index: 1, Term: 1, Kind: schema.RecordKind_RECORD_FIRST}}
+	records := []*schema.Entry{{Index: 1, Term: 1, Kind: schema.EntryKind_ENTRY_NO_OP}}
 	for k, command := range commands {
 		data, err := proto.Marshal(command)
 		So(err, ShouldBeNil)
-		record := &schema.Record{Index: uint64(k + 2), Term: 1, AtUs: int64(k+1) * 1000, Data: data}
+		record := &schema.Entry{Index: uint64(k + 2), Term: 1, TimeUs: int64(k+1) * 1000, Data: data}
 		records = append(records, record)
-		_, err = machine.Apply(record.Index, record.AtUs, record.Data)
+		_, err = machine.Apply(record.Index, record.TimeUs, record.Data)
 		So(err, ShouldBeNil)
 	}
 	folder, err := storage.OpenFolder(path)
 	So(err, ShouldBeNil)
 	store, err := storage.Open(folder)
 	So(err, ShouldBeNil)
-	So(store.Commit([]*schema.Change{
-		{Self: &schema.Self{Id: "a", Boots: 1, Belongs: true}},
-		{Group: "quotes#2", Hard: &schema.Hard{Term: 1}, Records: change(records)},
+	So(store.Commit([]*schema.StoreChange{
+		{Identity: &schema.StoreIdentity{Id: "a", Starts: 1, Joined: true}},
+		{Group: "quotes#2", HardState: &schema.HardState{Term: 1}, Entries: change(records)},
 	}), ShouldBeNil)
 	// Another, so that damage of the first can't be taken for a torn end.
-	So(store.Commit([]*schema.Change{{Self: &schema.Self{Id: "a", Boots: 2, Belongs: true}}}), ShouldBeNil)
+	So(store.Commit([]*schema.StoreChange{{Identity: &schema.StoreIdentity{Id: "a", Starts: 2, Joined: true}}}), ShouldBeNil)
 	return folder, machine
 }
 
@@ -85,7 +85,7 @@
 }
 
 func TestFolders(t *testing.T) {
-	whole := func(records []*schema.Record) []*schema.Record { return records }
+	whole := func(records []*schema.Entry) []*schema.Entry { return records }
 	Convey("A whole folder is told as such and replayed to the state it stands for, and not written to", t, func() {
 		path := t.TempDir()
 		folder, machine := fill(path, whole)
@@ -132,10 +132,10 @@
 		})
 	})
 	Convey("Records that don't fit together are found", t, func() {
-		for what, change := range map[string]func([]*schema.Record) []*schema.Record{
-			"follows record": func(list []*schema.Record) []*schema.Record { return append(list[:2:2], list[3:]...) },
-			"record 4":       func(list []*schema.Record) []*schema.Record { list[3].Data = []byte("x"); return list },
-			"knows of 1":     func(list []*schema.Record) []*schema.Record { list[5].Term = 9; return list },
+		for what, change := range map[string]func([]*schema.Entry) []*schema.Entry{
+			"follows record": func(list []*schema.Entry) []*schema.Entry { return append(list[:2:2], list[3:]...) },
+			"record 4":       func(list []*schema.Entry) []*schema.Entry { list[3].Data = []byte("x"); return list },
+			"knows of 1":     func(list []*schema.Entry) []*schema.Entry { list[5].Term = 9; return list },
 		} {
 			path := t.TempDir()
 			folder, _ := fill(path, change)
--- a/cmd/sparnotchctl/nodes.go
+++ b/cmd/sparnotchctl/nodes.go
@@ -126,7 +126,7 @@
 	for k, belief := range []*replica.NodeBelief{a, b} {
 		for _, ward := range belief.Wards {
 			pair := wards[ward.Worker]
-			pair[k] = fmt.Sprintf("%s@%d", ward.Scheduler, ward.Generation)
+			pair[k] = fmt.Sprintf("%s@%d", ward.Scheduler, ward.FencingToken)
 			wards[ward.Worker] = pair
 		}
 	}
@@ -137,9 +137,9 @@
 	members := map[string][2]bool{}
 	for k, belief := range []*replica.NodeBelief{a, b} {
 		for _, member := range belief.Members {
-			pair := members[member.Id+" at "+member.Inner]
+			pair := members[member.Id+" at "+member.InternalAddress]
 			pair[k] = true
-			members[member.Id+" at "+member.Inner] = pair
+			members[member.Id+" at "+member.InternalAddress] = pair
 		}
 	}
 	ids := slices.Sorted(maps.Keys(members))
--- a/cmd/sparnotchctl/plan.go
+++ b/cmd/sparnotchctl/plan.go
@@ -32,11 +32,11 @@
 
 var head = []string{"kind", "name", "key", "value"}
 
-func writeSheet(out io.Writer, plan *schema.Plan) error {
+func writeSheet(out io.Writer, plan *schema.Configuration) error {
 	w := csv.NewWriter(out)
-	first := []string{generationMark, strconv.FormatUint(plan.Generation, 10), "", ""}
-	if plan.Edition > 0 {
-		first[2], first[3] = editionMark, strconv.FormatUint(plan.Edition, 10)
+	first := []string{generationMark, strconv.FormatUint(plan.Revision, 10), "", ""}
+	if plan.Version > 0 {
+		first[2], first[3] = editionMark, strconv.FormatUint(plan.Version, 10)
 	}
 	if err := w.Write(first); err != nil {
 		return err
@@ -54,15 +54,15 @@
 }
 
 // readSheet reads CSV, as a spreadsheet writes it, or JSON.
-func readSheet(data []byte) (*schema.Sheet, error) {
+func readSheet(data []byte) (*schema.ConfigurationUpdate, error) {
 	data = bytes.TrimPrefix(data, []byte("\xef\xbb\xbf"))
 	if trimmed := bytes.TrimSpace(data); len(trimmed) > 0 && trimmed[0] == '{' {
-		sheet := &schema.Sheet{}
+		sheet := &schema.ConfigurationUpdate{}
 		err := protojson.Unmarshal(trimmed, sheet)
-		if sheet.Generation != nil {
+		if sheet.BaseRevision != nil {
 			// An edit of what plan-get has shown. Under the edition shown with it, it
 			// would pass for that edition sent again, and nothing of it be taken.
-			sheet.Edition, sheet.BaseEdition, sheet.Document = 0, 0, nil
+			sheet.Version, sheet.BaseVersion, sheet.Document = 0, 0, nil
 		}
 		return sheet, err
 	}
@@ -71,7 +71,7 @@
 	if first, _, _ := strings.Cut(string(data), "\n"); strings.Count(first, ";") > strings.Count(first, ",") {
 		reader.Comma = ';' // what spreadsheets write where the comma is the decimal sign
 	}
-	sheet := &schema.Sheet{}
+	sheet := &schema.ConfigurationUpdate{}
 	for {
 		fields, err := reader.Read()
 		if errors.Is(err, io.EOF) {
@@ -97,16 +97,16 @@
 			if err != nil {
 				return nil, fmt.Errorf("line %d: %q is no generation", line, fields[1])
 			}
-			sheet.Generation = proto.Uint64(number)
+			sheet.BaseRevision = proto.Uint64(number)
 		case len(fields) != 4:
 			return nil, fmt.Errorf("line %d: %d fields, a row has kind, name, key and value", line, len(fields))
 		default:
-			sheet.Rows = append(sheet.Rows, &schema.Row{Kind: fields[0], Name: fields[1], Key: fields[2], Value: fields[3]})
+			sheet.Rows = append(sheet.Rows, &schema.ConfigurationRow{Kind: fields[0], Name: fields[1], Key: fields[2], Value: fields[3]})
 		}
 	}
 }
 
-func loadSheet(set *flag.FlagSet) (*schema.Sheet, subcommands.ExitStatus) {
+func loadSheet(set *flag.FlagSet) (*schema.ConfigurationUpdate, subcommands.ExitStatus) {
 	if set.NArg() != 1 {
 		complain("one sheet is needed, - for standard input")
 		return nil, exitUsage
@@ -134,12 +134,12 @@
 	return sheet, subcommands.ExitSuccess
 }
 
-func (n *nodes) plan() (*schema.Plan, subcommands.ExitStatus) {
+func (n *nodes) plan() (*schema.Configuration, subcommands.ExitStatus) {
 	data, status := n.call("GET", "/v1/plan", nil)
 	if status != subcommands.ExitSuccess {
 		return nil, status
 	}
-	plan := &schema.Plan{}
+	plan := &schema.Configuration{}
 	if err := protojson.Unmarshal(data, plan); err != nil {
 		complain("%v", err)
 		return nil, exitFailed
@@ -148,11 +148,11 @@
 }
 
 // numbers are a plan's generation, and its edition if its author has them.
-func numbers(plan *schema.Plan) string {
-	if plan.Edition == 0 {
-		return fmt.Sprintf("generation %d", plan.Generation)
+func numbers(plan *schema.Configuration) string {
+	if plan.Version == 0 {
+		return fmt.Sprintf("generation %d", plan.Revision)
 	}
-	return fmt.Sprintf("generation %d, edition %d", plan.Generation, plan.Edition)
+	return fmt.Sprintf("generation %d, edition %d", plan.Revision, plan.Version)
 }
 
 // --- get ---
@@ -177,7 +177,7 @@
 		return status
 	}
 	if c.isJSON {
-		fmt.Println(protojson.MarshalOptions{UseProtoNames: true, Multiline: true, EmitUnpopulated: true}.Format(plan))
+		fmt.Println(protojson.MarshalOptions{Multiline: true, EmitUnpopulated: true}.Format(plan))
 		return status
 	}
 	if err := writeSheet(os.Stdout, plan); err != nil {
@@ -200,15 +200,15 @@
 	if status != subcommands.ExitSuccess {
 		return status
 	}
-	if sheet.Edition > 0 {
-		fmt.Printf("good: %d rows, edition %d built on %d, queues %s\n", len(sheet.Rows), sheet.Edition, sheet.BaseEdition, strings.Join(clusterstate.QueueNames(&schema.Plan{Rows: sheet.Rows}), " "))
+	if sheet.Version > 0 {
+		fmt.Printf("good: %d rows, edition %d built on %d, queues %s\n", len(sheet.Rows), sheet.Version, sheet.BaseVersion, strings.Join(clusterstate.QueueNames(&schema.Configuration{Rows: sheet.Rows}), " "))
 		return status
 	}
-	if sheet.Generation == nil {
+	if sheet.BaseRevision == nil {
 		complain("%s: the line %q is missing: get the sheet with plan-get", set.Arg(0), generationMark)
 		return exitTurnedAway
 	}
-	fmt.Printf("good: %d rows, built on generation %d, queues %s\n", len(sheet.Rows), sheet.GetGeneration(), strings.Join(clusterstate.QueueNames(&schema.Plan{Rows: sheet.Rows}), " "))
+	fmt.Printf("good: %d rows, built on generation %d, queues %s\n", len(sheet.Rows), sheet.GetBaseRevision(), strings.Join(clusterstate.QueueNames(&schema.Configuration{Rows: sheet.Rows}), " "))
 	return status
 }
 
@@ -236,7 +236,7 @@
 	if status != subcommands.ExitSuccess {
 		return status
 	}
-	plan := &schema.Plan{}
+	plan := &schema.Configuration{}
 	if err := protojson.Unmarshal(data, plan); err != nil {
 		complain("%v", err)
 		return exitFailed
@@ -264,10 +264,10 @@
 	if status != subcommands.ExitSuccess {
 		return status
 	}
-	if sheet.Edition > 0 {
-		fmt.Printf("the sheet is edition %d built on %d, the plan is at %s\n", sheet.Edition, sheet.BaseEdition, numbers(plan))
-	} else if sheet.Generation == nil || sheet.GetGeneration() != plan.Generation {
-		fmt.Printf("the sheet was built on generation %d, the plan is at %d\n", sheet.GetGeneration(), plan.Generation)
+	if sheet.Version > 0 {
+		fmt.Printf("the sheet is edition %d built on %d, the plan is at %s\n", sheet.Version, sheet.BaseVersion, numbers(plan))
+	} else if sheet.BaseRevision == nil || sheet.GetBaseRevision() != plan.Revision {
+		fmt.Printf("the sheet was built on generation %d, the plan is at %d\n", sheet.GetBaseRevision(), plan.Revision)
 	}
 	if lines := diff(plan.Rows, sheet.Rows); len(lines) > 0 {
 		fmt.Println(strings.Join(lines, "\n"))
@@ -276,8 +276,8 @@
 	return status
 }
 
-func diff(old, fresh []*schema.Row) []string {
-	values := func(rows []*schema.Row) map[string]string {
+func diff(old, fresh []*schema.ConfigurationRow) []string {
+	values := func(rows []*schema.ConfigurationRow) map[string]string {
 		m := map[string]string{}
 		for _, row := range rows {
 			m[row.Kind+","+row.Name+","+row.Key] = row.Value
@@ -320,9 +320,9 @@
 		complain("%v", err)
 		return exitFailed
 	}
-	last := &schema.Plan{}
+	last := &schema.Configuration{}
 	for k, part := range parts {
-		plan := &schema.Plan{}
+		plan := &schema.Configuration{}
 		if err := protojson.Unmarshal(part, plan); err != nil {
 			complain("%v", err)
 			return exitFailed
--- a/cmd/sparnotchctl/plan_test.go
+++ b/cmd/sparnotchctl/plan_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestSheets(t *testing.T) {
-	plan := &schema.Plan{Generation: 3, Edition: 7, Document: []byte("x"), Rows: []*schema.Row{{Kind: "queue", Name: "l", Key: "prefix", Value: "/a,b/"}}}
+	plan := &schema.Configuration{Revision: 3, Version: 7, Document: []byte("x"), Rows: []*schema.ConfigurationRow{{Kind: "queue", Name: "l", Key: "prefix", Value: "/a,b/"}}}
 	Convey("A sheet shows generation and edition, and goes back by its generation", t, func() {
 		text := &bytes.Buffer{}
 		So(writeSheet(text, plan), ShouldBeNil)
@@ -21,8 +21,8 @@
 		for _, data := range [][]byte{text.Bytes(), asJSON} {
 			sheet, err := readSheet(data)
 			So(err, ShouldBeNil)
-			So(sheet.GetGeneration(), ShouldEqual, 3)
-			So(sheet.Edition, ShouldEqual, 0)
+			So(sheet.GetBaseRevision(), ShouldEqual, 3)
+			So(sheet.Version, ShouldEqual, 0)
 			So(sheet.Document, ShouldBeEmpty)
 			So(sheet.Rows[0].Value, ShouldEqual, "/a,b/")
 		}
@@ -30,13 +30,13 @@
 	})
 	Convey("Without editions nothing is said of them", t, func() {
 		text := &bytes.Buffer{}
-		So(writeSheet(text, &schema.Plan{Generation: 3}), ShouldBeNil)
+		So(writeSheet(text, &schema.Configuration{Revision: 3}), ShouldBeNil)
 		So(text.String(), ShouldStartWith, "#generation,3,,\n")
-		So(numbers(&schema.Plan{Generation: 3}), ShouldEqual, "generation 3")
+		So(numbers(&schema.Configuration{Revision: 3}), ShouldEqual, "generation 3")
 	})
 	Convey("An author's own sheet keeps its edition", t, func() {
 		sheet, err := readSheet([]byte(`{"edition":"8","base_edition":"7","rows":[]}`))
 		So(err, ShouldBeNil)
-		So([]uint64{sheet.Edition, sheet.BaseEdition}, ShouldResemble, []uint64{8, 7})
+		So([]uint64{sheet.Version, sheet.BaseVersion}, ShouldResemble, []uint64{8, 7})
 	})
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -103,7 +103,7 @@
 // end is one that the scheduler hasn't noted.
 type end struct {
 	number  uint64 // 0: the worker never listed it
-	note    *schema.TaskNote
+	note    *schema.TaskStatus
 	isNoted bool
 }
 
@@ -229,9 +229,9 @@
 		t.departed(now, body)
 	case Reply:
 		t.replied(now, body)
-	case *schema.ClusterStateTell:
+	case *schema.ClusterStateResponse:
 		t.clusterState(now, body)
-	case *schema.PollReply:
+	case *schema.WorkerPollResponse:
 		t.answered(now, mail.From, body)
 	}
 	t.act(now, out)
@@ -360,7 +360,7 @@
 	return l.clockBy(now) + t.couldHold(now, l) - now
 }
 
-func (t *Table) clusterState(now eventloop.Micros, m *schema.ClusterStateTell) {
+func (t *Table) clusterState(now eventloop.Micros, m *schema.ClusterStateResponse) {
 	if leader := m.Leaders[clusterstate.Group]; leader != "" {
 		t.leader = leader
 	}
@@ -376,10 +376,10 @@
 // takeWard takes over what the cluster state says of the worker's ward.
 func (t *Table) takeWard(l *life) {
 	ward := clusterstate.WardOf(t.state, l.worker)
-	if ward == nil || ward.Generation < l.fence {
+	if ward == nil || ward.FencingToken < l.fence {
 		return
 	}
-	l.raise(ward.Generation)
+	l.raise(ward.FencingToken)
 	if ward.Scheduler != l.scheduler {
 		l.scheduler, l.poll, l.isDirty, l.unansweredSince = ward.Scheduler, nil, true, 0
 	}
@@ -416,6 +416,6 @@
 		return
 	}
 	l.metAt = now
-	command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Meet{Meet: &schema.Meet{Worker: l.worker}}}
+	command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_RegisterWorker{RegisterWorker: &schema.RegisterWorker{Worker: l.worker}}}
 	out.Send(t.leader, &schema.Request{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.ClusterStateBody(command)})
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -29,12 +29,12 @@
 	isSilent   bool
 	isBehind   bool        // it orders what has ended and was noted, as it hasn't heard of that yet
 	loses      func() bool // tells of each answer whether it is lost
-	starts     []*schema.Order
-	stops      []*schema.Order
-	announces  []*schema.Announce
+	starts     []*schema.TaskOrder
+	stops      []*schema.TaskOrder
+	announces  []*schema.WorkerHeartbeat
 	heard      map[string]eventloop.Micros // ends, by name
 	ends       []string
-	poll       *schema.Poll
+	poll       *schema.WorkerPollRequest
 	pollUntil  eventloop.Micros
 	seq        uint64
 	refused    int
@@ -49,11 +49,15 @@
 	return fmt.Sprintf("%s.%d.%d.%d/%d", job, round, part, task, attempt)
 }
 
-func noteName(n *schema.TaskNote) string { return name(n.Name, n.Round, n.Part, n.Task, n.Attempt) }
-func orderName(o *schema.Order) string   { return name(o.Name, o.Round, o.Part, o.Task, o.Attempt) }
+func noteName(n *schema.TaskStatus) string {
+	return name(n.Name, n.Round, n.StepInRound, n.Task, n.Attempt)
+}
+func orderName(o *schema.TaskOrder) string {
+	return name(o.Name, o.Round, o.StepInRound, o.Task, o.Attempt)
+}
 
-func order(act, job string, task, attempt uint32, text string) *schema.Order {
-	return &schema.Order{Act: act, Name: job, Task: task, Attempt: attempt, Text: text, CoresMilli: 100}
+func order(act, job string, task, attempt uint32, text string) *schema.TaskOrder {
+	return &schema.TaskOrder{Action: act, Name: job, Task: task, Attempt: attempt, Text: text, CoresMilli: 100}
 }
 
 // bench joins an agent, a called worker and wards in virtual time.
@@ -122,17 +126,17 @@
 func (b *bench) move(id string, generation uint64, worker string) {
 	state := proto.Clone(b.state).(*schema.ClusterState)
 	state.Version++
-	state.Wards = slices.DeleteFunc(state.Wards, func(w *schema.Ward) bool { return w.Worker == worker })
-	state.Wards = append(state.Wards, &schema.Ward{Worker: worker, Scheduler: id, Generation: generation})
+	state.WorkerLeases = slices.DeleteFunc(state.WorkerLeases, func(w *schema.WorkerLease) bool { return w.Worker == worker })
+	state.WorkerLeases = append(state.WorkerLeases, &schema.WorkerLease{Worker: worker, Scheduler: id, FencingToken: generation})
 	// The cluster state lists them by worker, and they are searched for so.
-	slices.SortFunc(state.Wards, func(x, y *schema.Ward) int { return cmp.Compare(x.Worker, y.Worker) })
+	slices.SortFunc(state.WorkerLeases, func(x, y *schema.WorkerLease) int { return cmp.Compare(x.Worker, y.Worker) })
 	b.state = state
 	b.tellClusterState()
 }
 
 func (b *bench) tellClusterState() {
 	b.after(hop, func() {
-		b.mail("", &schema.ClusterStateTell{State: b.state, Version: b.state.Version, Leaders: map[string]string{clusterstate.Group: "p1"}})
+		b.mail("", &schema.ClusterStateResponse{State: b.state, Version: b.state.Version, Leaders: map[string]string{clusterstate.Group: "p1"}})
 	})
 }
 
@@ -200,24 +204,24 @@
 	switch m := body.(type) {
 	case *schema.Request:
 		b.meets++
-	case *schema.Poll:
-		b.log = append(b.log, fmt.Sprintf("announce %s ward %d", to, m.Announce.Ward))
+	case *schema.WorkerPollRequest:
+		b.log = append(b.log, fmt.Sprintf("announce %s ward %d", to, m.Heartbeat.FencingToken))
 		b.sent[m.Id] = b.now
 		if w := b.wards[to]; w != nil {
-			m = proto.Clone(m).(*schema.Poll)
+			m = proto.Clone(m).(*schema.WorkerPollRequest)
 			b.after(b.takes(m), func() { b.polled(w, m) })
 		}
 	}
 }
 
-func (b *bench) polled(w *ward, m *schema.Poll) {
+func (b *bench) polled(w *ward, m *schema.WorkerPollRequest) {
 	if w.isSilent {
 		return
 	}
-	a := m.Announce
-	if a.Seq <= w.seq || a.Ward > w.generation {
+	a := m.Heartbeat
+	if a.Seq <= w.seq || a.FencingToken > w.generation {
 		w.refused++
-		b.after(hop, func() { b.mail(w.id, &schema.PollReply{Id: m.Id, Scheduler: w.id}) })
+		b.after(hop, func() { b.mail(w.id, &schema.WorkerPollResponse{Id: m.Id, Scheduler: w.id}) })
 		return
 	}
 	w.seq = a.Seq
@@ -228,7 +232,7 @@
 			w.ends = append(w.ends, key+" "+note.State)
 		}
 	}
-	w.poll, w.pollUntil = m, b.now+eventloop.Micros(a.WaitUs)
+	w.poll, w.pollUntil = m, b.now+eventloop.Micros(a.MaxWaitUs)
 }
 
 // answer holds the open announce back until there is something to say.
@@ -236,8 +240,8 @@
 	if w.poll == nil || w.isSilent {
 		return
 	}
-	a := w.poll.Announce
-	orders := &schema.Orders{Ward: w.generation, LeaseUs: int64(w.lease), Scheduler: w.id}
+	a := w.poll.Heartbeat
+	orders := &schema.WorkerOrders{FencingToken: w.generation, LeaseUs: int64(w.lease), Scheduler: w.id}
 	isRunning, hasEnded := map[string]bool{}, map[string]bool{}
 	for _, note := range a.Running {
 		isRunning[noteName(note)] = true
@@ -246,7 +250,7 @@
 		key := noteName(note)
 		hasEnded[key] = true
 		if w.noteAfter >= 0 && b.now-w.heard[key] >= w.noteAfter {
-			orders.Noted = append(orders.Noted, &schema.TaskNote{Name: note.Name, Round: note.Round, Part: note.Part, Task: note.Task, Attempt: note.Attempt})
+			orders.Acknowledged = append(orders.Acknowledged, &schema.TaskStatus{Name: note.Name, Round: note.Round, StepInRound: note.StepInRound, Task: note.Task, Attempt: note.Attempt})
 		}
 	}
 	for _, o := range w.starts {
@@ -259,7 +263,7 @@
 			orders.Orders = append(orders.Orders, o)
 		}
 	}
-	if len(orders.Orders)+len(orders.Noted) == 0 && b.now < w.pollUntil {
+	if len(orders.Orders)+len(orders.Acknowledged) == 0 && b.now < w.pollUntil {
 		return
 	}
 	id := w.poll.Id
@@ -268,7 +272,7 @@
 		return
 	}
 	w.granted = b.sent[id] + w.lease
-	reply := &schema.PollReply{Id: id, Code: 200, Orders: orders, Scheduler: w.id}
+	reply := &schema.WorkerPollResponse{Id: id, Code: 200, Orders: orders, Scheduler: w.id}
 	b.after(b.takes(reply), func() { b.mail(w.id, reply) })
 }
 
@@ -285,7 +289,7 @@
 // first is where a line stands in the log.
 func (b *bench) first(line string) int { return slices.Index(b.log, line) }
 
-func (w *ward) last() *schema.Announce { return w.announces[len(w.announces)-1] }
+func (w *ward) last() *schema.WorkerHeartbeat { return w.announces[len(w.announces)-1] }
 
 // faults gives each call of one act the fault of its turn, and none after.
 func faults(act agent.Act, list ...fakeworker.Fault) func(eventloop.Micros, agent.Call) fakeworker.Fault {
@@ -316,13 +320,13 @@
 		So(b.meets, ShouldBeBetweenOrEqual, 2, 3)
 		So(b.calls, ShouldBeEmpty)
 		w := b.ward("p1", 5, "w1")
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=300000")}
-		w.starts[0].Round, w.starts[0].Part = 2, 1
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=300000")}
+		w.starts[0].Round, w.starts[0].StepInRound = 2, 1
 		b.run(100 * eventloop.Milli)
 		So(b.first("call 3 fence 5"), ShouldEqual, 0)
 		a := w.announces[0]
-		So(a.Named && a.Gathers, ShouldBeTrue)
-		So([]any{a.Pool, a.Rack, a.Labels[0], a.CoresMilli, a.Incarnation, a.Ward}, ShouldResemble, []any{"pool", "r1", "a", int64(1000), uint64(1), uint64(5)})
+		So(a.TasksByName && a.GangBarrier, ShouldBeTrue)
+		So([]any{a.Pool, a.Rack, a.Labels[0], a.CoresMilli, a.Incarnation, a.FencingToken}, ShouldResemble, []any{"pool", "r1", "a", int64(1000), uint64(1), uint64(5)})
 		So(b.worker.Running(), ShouldEqual, 1)
 		So(noteName(w.last().Running[0]), ShouldEqual, "j.2.1.0/1")
 		start := b.calls[slices.IndexFunc(b.calls, func(c agent.Call) bool { return c.Act == agent.Start })]
@@ -338,7 +342,7 @@
 	})
 	Convey("An end is announced within a few messages of when it happened", t, func() {
 		b, w := usual(fakeworker.Setup{}, nil)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=700000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=700000")}
 		b.run(300 * eventloop.Milli)
 		b.run(b.began["j.0.0.0/1"] + 700*eventloop.Milli + 8*hop - b.now)
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 done"})
@@ -349,7 +353,7 @@
 	for _, drift := range []float64{1, 0.98} {
 		Convey(fmt.Sprintf("The hold ends with the lease, whatever the worker's clock shows, drift %v", drift), t, func() {
 			b, w := usual(fakeworker.Setup{Drift: drift}, nil)
-			w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")}
+			w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 			b.run(5 * eventloop.Second)
 			So(b.worker.Running(), ShouldEqual, 1)
 			for k := 0; k < 1000; k++ {
@@ -366,7 +370,7 @@
 	}
 	Convey("Without an answered announce nothing is renewed: the worker ends everything, and that is told later", t, func() {
 		b, w := usual(fakeworker.Setup{}, nil)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(2 * eventloop.Second)
 		w.isSilent, w.starts = true, nil
 		silentAt := b.now
@@ -380,7 +384,7 @@
 	})
 	Convey("A hold that the worker cuts short is renewed in time", t, func() {
 		b, w := usual(fakeworker.Setup{}, &schema.Bounds{HoldMostUs: int64(1500 * eventloop.Milli)})
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(10 * eventloop.Second)
 		So(b.worker.Running(), ShouldEqual, 1)
 	})
@@ -393,7 +397,7 @@
 		before := b.count(agent.Look)
 		b.run(10 * eventloop.Second)
 		So(b.count(agent.Look)-before, ShouldBeLessThanOrEqualTo, 6)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(2 * eventloop.Second)
 		before = b.count(agent.Look)
 		b.run(10 * eventloop.Second)
@@ -413,7 +417,7 @@
 	Convey("While an end waits to be noted, the worker isn't asked again and again", t, func() {
 		b, w := usual(fakeworker.Setup{}, nil)
 		w.noteAfter = -1
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=100000"), order("start", "j", 1, 1, "run_us=60000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=100000"), order("start", "j", 1, 1, "run_us=60000000")}
 		b.run(eventloop.Second)
 		before, announces := b.count(agent.Look), len(w.announces)
 		b.run(10 * eventloop.Second)
@@ -485,7 +489,7 @@
 }
 
 func TestStarts(t *testing.T) {
-	long := func(w *ward) { w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")} }
+	long := func(w *ward) { w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")} }
 	Convey("A start that was done though nothing came back is found done", t, func() {
 		b, w := usual(fakeworker.Setup{Fault: faults(agent.Start, fakeworker.Unheard)}, nil)
 		long(w)
@@ -522,7 +526,7 @@
 	})
 	Convey("What finds no room is told as stopped", t, func() {
 		b, w := usual(fakeworker.Setup{IsGuarding: true}, nil)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "cores=1001")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "cores=1001")}
 		b.run(eventloop.Second)
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 stopped"})
 		So(b.begun, ShouldBeEmpty)
@@ -531,7 +535,7 @@
 		b, w := usual(fakeworker.Setup{IsGuarding: true, Fault: faults(agent.Start, fakeworker.Belated)}, nil)
 		b.run(12 * eventloop.Second)
 		So(b.count(agent.Stop), ShouldEqual, 0)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "cores=1001")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "cores=1001")}
 		b.run(2 * eventloop.Second)
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 stopped"})
 		So(b.count(agent.Stop), ShouldEqual, 1)
@@ -567,7 +571,7 @@
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 stopped"})
 		So(b.count(agent.Start), ShouldBeLessThan, 20)
 		So(b.begun, ShouldBeEmpty)
-		w.starts = []*schema.Order{order("start", "j", 0, 2, "run_us=60000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 2, "run_us=60000000")}
 		b.run(2 * eventloop.Second)
 		So(b.begun["j.0.0.0/2"], ShouldEqual, 1)
 	})
@@ -586,10 +590,10 @@
 	bounds := &schema.Bounds{StopUs: int64(2 * eventloop.Second), SaveUs: int64(eventloop.Second)}
 	Convey("A stopped run is told when the worker lists its end, with what was saved", t, func() {
 		b, w := usual(fakeworker.Setup{Stops: func(agent.TaskName, uint32) eventloop.Micros { return 600 * eventloop.Milli }}, bounds)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000 saves=1")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000 saves=1")}
 		b.run(2500 * eventloop.Milli)
-		So(w.last().Running[0].Saved, ShouldStartWith, "work=")
-		w.starts, w.stops = nil, []*schema.Order{order("stop", "j", 0, 1, "")}
+		So(w.last().Running[0].Checkpoint, ShouldStartWith, "work=")
+		w.starts, w.stops = nil, []*schema.TaskOrder{order("stop", "j", 0, 1, "")}
 		b.run(500 * eventloop.Milli)
 		So(w.ends, ShouldBeEmpty)
 		b.run(300 * eventloop.Milli)
@@ -598,9 +602,9 @@
 	})
 	Convey("A stop that isn't heard is sent until it is", t, func() {
 		b, w := usual(fakeworker.Setup{Fault: faults(agent.Stop, fakeworker.Lost, fakeworker.Refused, fakeworker.Lost)}, bounds)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(eventloop.Second)
-		w.starts, w.stops = nil, []*schema.Order{order("stop", "j", 0, 1, "")}
+		w.starts, w.stops = nil, []*schema.TaskOrder{order("stop", "j", 0, 1, "")}
 		b.run(3 * eventloop.Second)
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 stopped"})
 		So(b.count(agent.Stop), ShouldEqual, 4)
@@ -608,7 +612,7 @@
 	Convey("A stop of what was never there is told as stopped, and nothing of it can begin any more", t, func() {
 		b, w := usual(fakeworker.Setup{}, bounds)
 		b.run(eventloop.Second)
-		w.stops = []*schema.Order{order("stop", "j", 0, 1, "")}
+		w.stops = []*schema.TaskOrder{order("stop", "j", 0, 1, "")}
 		b.run(100 * eventloop.Milli)
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 stopped"})
 		So(b.count(agent.Stop), ShouldEqual, 1)
@@ -618,7 +622,7 @@
 func TestWardChange(t *testing.T) {
 	Convey("The new ward hears an inventory that was taken under its fence, and work goes on", t, func() {
 		b, first := usual(fakeworker.Setup{}, nil)
-		first.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")}
+		first.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(2 * eventloop.Second)
 		second := b.ward("p2", 9, "w1")
 		b.run(100 * eventloop.Milli)
@@ -626,10 +630,10 @@
 		So(b.first("call 3 fence 9"), ShouldBeBetween, -1, b.first("announce p2 ward 9"))
 		So(second.announces[0].Running, ShouldHaveLength, 1)
 		// The former ward's word counts for nothing any more.
-		orders := &schema.Orders{Ward: 5, LeaseUs: int64(9 * eventloop.Second), Orders: []*schema.Order{order("start", "x", 0, 1, "")}}
+		orders := &schema.WorkerOrders{FencingToken: 5, LeaseUs: int64(9 * eventloop.Second), Orders: []*schema.TaskOrder{order("start", "x", 0, 1, "")}}
 		for id := uint64(1000); id < 1100; id++ {
-			b.mail("p1", &schema.PollReply{Id: id, Code: 200, Orders: orders})
-			b.mail("p2", &schema.PollReply{Id: id, Code: 200, Orders: orders})
+			b.mail("p1", &schema.WorkerPollResponse{Id: id, Code: 200, Orders: orders})
+			b.mail("p2", &schema.WorkerPollResponse{Id: id, Code: 200, Orders: orders})
 		}
 		b.run(2 * eventloop.Second)
 		So(b.begun, ShouldHaveLength, 1)
@@ -637,7 +641,7 @@
 	})
 	Convey("An old ward's start that is still on its way does nothing, and the new ward's order begins it once", t, func() {
 		b, first := usual(fakeworker.Setup{Fault: faults(agent.Start, fakeworker.Belated), Belated: 700 * eventloop.Milli}, nil)
-		first.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")}
+		first.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(100 * eventloop.Milli)
 		So(b.count(agent.Start), ShouldEqual, 1)
 		first.isSilent = true
@@ -656,7 +660,7 @@
 		b, w := usual(fakeworker.Setup{}, nil)
 		b.run(eventloop.Second)
 		w.generation = 7
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(eventloop.Second)
 		So(b.first("call 3 fence 7"), ShouldBeBetween, -1, b.first("call 1 fence 7"))
 		So(b.first("call 1 fence 5"), ShouldEqual, -1)
@@ -678,14 +682,14 @@
 		}
 		isBack := b.callAt[len(b.callAt)-1] + look.Wait + hop
 		b.run(isBack + 10*eventloop.Milli - b.now)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(eventloop.Second)
 		So(w.ends, ShouldBeEmpty)
 		So(w.last().Running, ShouldHaveLength, 1)
 	})
 	Convey("An older look that comes after a newer one doesn't bring back what has ended", t, func() {
 		b, w := usual(fakeworker.Setup{}, nil)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=1400000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=1400000")}
 		b.run(200 * eventloop.Milli)
 		// The first look that lists the run is held up until its end is noted.
 		isHeldUp := false
@@ -696,9 +700,9 @@
 			}
 			return hop
 		}
-		w.stops = []*schema.Order{order("stop", "x", 9, 1, "")} // has the worker looked at besides
+		w.stops = []*schema.TaskOrder{order("stop", "x", 9, 1, "")} // has the worker looked at besides
 		b.run(1600 * eventloop.Milli)
-		w.stops = []*schema.Order{order("stop", "y", 9, 1, "")}
+		w.stops = []*schema.TaskOrder{order("stop", "y", 9, 1, "")}
 		b.run(400 * eventloop.Milli)
 		So(isHeldUp, ShouldBeTrue)
 		So(w.ends, ShouldContain, "j.0.0.0/1 done")
@@ -711,7 +715,7 @@
 	})
 	Convey("After a pause, a list from before it doesn't count as the look that is due", t, func() {
 		b, w := usual(fakeworker.Setup{}, nil)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(2 * eventloop.Second)
 		b.isFrozen = true
 		b.run(8 * eventloop.Second)
@@ -727,7 +731,7 @@
 	Convey("An agent that has forgotten all learns it from the worker", t, func() {
 		b, w := usual(fakeworker.Setup{}, nil)
 		w.noteAfter = -1
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000"), order("start", "j", 1, 1, "run_us=100000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000"), order("start", "j", 1, 1, "run_us=100000")}
 		b.run(eventloop.Second)
 		So(w.ends, ShouldHaveLength, 1)
 		b.table = agent.New(nil, 2000)
@@ -748,7 +752,7 @@
 func TestWorkerRestart(t *testing.T) {
 	Convey("A new life tells of the one that is over, until a scheduler has answered that", t, func() {
 		b, w := usual(fakeworker.Setup{}, nil)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(2 * eventloop.Second)
 		late := b.worker.Beat(b.now)
 		late.Number += 100
@@ -765,17 +769,17 @@
 		b.run(2 * eventloop.Second)
 		So(len(w.announces), ShouldBeGreaterThan, 1)
 		for _, a := range w.announces {
-			So(a.Over, ShouldResemble, []string{"w1"})
+			So(a.ReplacedWorkers, ShouldResemble, []string{"w1"})
 			So(a.Running, ShouldBeEmpty)
 		}
 		w.loses = nil
 		b.run(2 * eventloop.Second)
-		So(w.last().Over, ShouldBeEmpty)
+		So(w.last().ReplacedWorkers, ShouldBeEmpty)
 		// A late word of the dead changes nothing.
 		b.mail("", late)
 		looks := b.count(agent.Look)
 		b.run(2 * eventloop.Second)
-		So(w.last().Over, ShouldBeEmpty)
+		So(w.last().ReplacedWorkers, ShouldBeEmpty)
 		So(b.count(agent.Look)-looks, ShouldBeLessThanOrEqualTo, 2)
 		for _, call := range b.calls[len(b.calls)-2:] {
 			So(call.Worker, ShouldEqual, "w2")
@@ -789,7 +793,7 @@
 			}
 			return fakeworker.NoFault
 		}}, nil)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(2 * eventloop.Second)
 		isDeaf = true
 		// When what it held is over, whatever its clock, that alone is told, and that
@@ -817,7 +821,7 @@
 			}
 			return fakeworker.NoFault
 		}}, nil)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		for k := eventloop.Micros(0); k < 10; k++ {
 			isDeaf = false
 			b.run(3*eventloop.Second + k*100*eventloop.Milli)
@@ -836,12 +840,12 @@
 		b.beatAt, w.generation = 0, 6
 		b.move("p1", 6, "w2")
 		b.run(eventloop.Second)
-		So(w.last().Ward, ShouldEqual, 6)
+		So(w.last().FencingToken, ShouldEqual, 6)
 		from, calls := len(w.announces), len(b.calls)
 		b.mail("", late)
 		b.run(3 * eventloop.Second)
 		for _, a := range w.announces[from:] {
-			So(a.Over, ShouldBeEmpty)
+			So(a.ReplacedWorkers, ShouldBeEmpty)
 		}
 		for _, call := range b.calls[calls:] {
 			So(call.Worker, ShouldEqual, "w2")
@@ -849,12 +853,12 @@
 	})
 	Convey("A late word of the dead doesn't push the living aside for good, nor has it told as dead", t, func() {
 		b, w := usual(fakeworker.Setup{}, nil)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(2 * eventloop.Second)
 		for _, address := range []string{"side:1", "nowhere"} {
 			b.mail("", agent.Beat{Worker: "w0-" + address, Number: 99, Clock: eventloop.Second, Address: address})
 			b.run(3 * eventloop.Second)
-			So(w.last().Over, ShouldNotContain, "w1")
+			So(w.last().ReplacedWorkers, ShouldNotContain, "w1")
 			So(w.last().Running, ShouldHaveLength, 1)
 			So(b.calls[len(b.calls)-1].Worker, ShouldEqual, "w1")
 		}
@@ -868,28 +872,28 @@
 		b.mail("", old)
 		b.run(eventloop.Second)
 		So(w.last().CoresMilli, ShouldEqual, 1000)
-		So(w.last().ColdUs, ShouldBeBetween, int64(6*eventloop.Second), int64(8*eventloop.Second))
+		So(w.last().WarmUpUs, ShouldBeBetween, int64(6*eventloop.Second), int64(8*eventloop.Second))
 	})
 }
 
 func TestLeaving(t *testing.T) {
 	Convey("A worker that leaves is told of at once and given nothing more; its runs go on until it departs", t, func() {
 		b, w := usual(fakeworker.Setup{}, nil)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(2 * eventloop.Second)
 		b.worker.Leave(b.now, 5*eventloop.Second)
 		beat := b.worker.Beat(b.now)
 		b.mail("", beat)
 		b.run(4 * hop)
-		So(w.last().Leaving, ShouldBeTrue)
-		So(w.last().DepartureUs, ShouldBeBetween, int64(4900*eventloop.Milli), int64(5000*eventloop.Milli)+1)
+		So(w.last().Draining, ShouldBeTrue)
+		So(w.last().DepartsInUs, ShouldBeBetween, int64(4900*eventloop.Milli), int64(5000*eventloop.Milli)+1)
 		w.starts = append(w.starts, order("start", "j", 1, 1, "run_us=60000000"))
 		b.run(2 * eventloop.Second)
 		So(b.count(agent.Start), ShouldEqual, 1)
 		So(w.ends, ShouldResemble, []string{"j.0.0.1/1 stopped"})
 		So(b.worker.Running(), ShouldEqual, 1)
 		// The last announce may be as old as its answer may be held back.
-		So(w.last().DepartureUs, ShouldBeBetween, int64(3*eventloop.Second), int64(3450*eventloop.Milli))
+		So(w.last().DepartsInUs, ShouldBeBetween, int64(3*eventloop.Second), int64(3450*eventloop.Milli))
 		w.starts = nil
 		b.run(3 * eventloop.Second)
 		b.mail("", agent.Departed{Worker: "w1"})
@@ -905,7 +909,7 @@
 func TestFrozenAgent(t *testing.T) {
 	Convey("After a pause that its lease outlasts, the hold is renewed before it ends", t, func() {
 		b, w := usual(fakeworker.Setup{}, nil)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=600000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=600000000")}
 		b.run(eventloop.Second)
 		for k := eventloop.Micros(0); k < 20; k++ {
 			b.run(3*eventloop.Second + k*70*eventloop.Milli)
@@ -920,7 +924,7 @@
 	})
 	Convey("After a pause the worker is looked at before anything is announced or begun", t, func() {
 		b, w := usual(fakeworker.Setup{}, nil)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000"), order("start", "j", 1, 1, "run_us=3000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000"), order("start", "j", 1, 1, "run_us=3000000")}
 		b.run(2 * eventloop.Second)
 		b.isFrozen = true
 		w.starts = append(w.starts, order("start", "j", 2, 1, "run_us=60000000"))
--- a/internal/agent/announce.go
+++ b/internal/agent/announce.go
@@ -22,11 +22,11 @@
 		return
 	}
 	t.seq++
-	a := &schema.Announce{
+	a := &schema.WorkerHeartbeat{
 		Incarnation: 1, Seq: t.seq, CoresMilli: l.beat.Cores, MemoryMb: l.beat.Memory, Accelerators: l.beat.Accelerators,
-		Rack: l.beat.Rack, Labels: l.beat.Labels, Pool: l.beat.Pool, Leaving: l.isLeaving, Ward: l.fence,
-		WaitUs: int64(waitSpan), Gathers: true, Named: true, Over: slices.Clone(t.over),
-		ColdUs: int64(max(0, l.beat.Cold-(now-l.heard))),
+		Rack: l.beat.Rack, Labels: l.beat.Labels, Pool: l.beat.Pool, Draining: l.isLeaving, FencingToken: l.fence,
+		MaxWaitUs: int64(waitSpan), GangBarrier: true, TasksByName: true, ReplacedWorkers: slices.Clone(t.over),
+		WarmUpUs: int64(max(0, l.beat.Cold-(now-l.heard))),
 	}
 	if l.unansweredSince == 0 {
 		l.unansweredSince = now
@@ -38,10 +38,10 @@
 	}
 	if l.lease-now < l.span/2 {
 		// What runs there may not wait for the answer to be worth something.
-		a.WaitUs = 0
+		a.MaxWaitUs = 0
 	}
 	if l.isLeaving {
-		a.DepartureUs = int64(max(0, l.beat.Departure-(now-l.leftAt)))
+		a.DepartsInUs = int64(max(0, l.beat.Departure-(now-l.leftAt)))
 	}
 	for _, key := range sortedKeys(l.runs) {
 		r := l.runs[key]
@@ -55,14 +55,14 @@
 	for _, key := range sortedKeys(l.ended) {
 		a.Ended = append(a.Ended, l.ended[key].note)
 	}
-	l.poll = &poll{seq: t.seq, sent: now, scheduler: l.scheduler, over: a.Over}
+	l.poll = &poll{seq: t.seq, sent: now, scheduler: l.scheduler, over: a.ReplacedWorkers}
 	l.polledAt, l.isDirty = now, false
-	out.Send(l.scheduler, &schema.Poll{Id: t.seq, Worker: l.worker, Announce: a})
+	out.Send(l.scheduler, &schema.WorkerPollRequest{Id: t.seq, Worker: l.worker, Heartbeat: a})
 }
 
 // answered takes the answer to the announce that stands; whatever an older one
 // says, the next says again.
-func (t *Table) answered(now eventloop.Micros, from string, m *schema.PollReply) {
+func (t *Table) answered(now eventloop.Micros, from string, m *schema.WorkerPollResponse) {
 	l := t.life
 	if l != nil && from == l.scheduler {
 		l.unansweredSince = 0
@@ -72,7 +72,7 @@
 	}
 	p := l.poll
 	l.poll = nil
-	if m.Orders == nil || m.Orders.Ward < l.fence {
+	if m.Orders == nil || m.Orders.FencingToken < l.fence {
 		l.pollAt = now + refusedSpan
 		if l.refusals++; l.refusals%refusedMost == 0 {
 			// Should a forerunner's number have been higher, it would stay so.
@@ -81,9 +81,9 @@
 		return
 	}
 	l.refusals = 0
-	if m.Orders.Ward > l.fence {
+	if m.Orders.FencingToken > l.fence {
 		// Its inventory was taken before older orders were shut out.
-		l.raise(m.Orders.Ward)
+		l.raise(m.Orders.FencingToken)
 		return
 	}
 	for _, worker := range p.over {
@@ -94,7 +94,7 @@
 	if span := eventloop.Micros(m.Orders.LeaseUs); span > 0 {
 		l.lease, l.span = max(l.lease, p.sent+span), span
 	}
-	isNews := t.noted(now, l, m.Orders.Noted)
+	isNews := t.noted(now, l, m.Orders.Acknowledged)
 	for _, order := range m.Orders.Orders {
 		isNews = t.obey(now, l, order) || isNews
 	}
@@ -104,10 +104,10 @@
 	}
 }
 
-func (t *Table) noted(now eventloop.Micros, l *life, notes []*schema.TaskNote) bool {
+func (t *Table) noted(now eventloop.Micros, l *life, notes []*schema.TaskStatus) bool {
 	isNews := false
 	for _, note := range notes {
-		key := runKey{TaskName{note.Name, note.Round, note.Part, note.Task}, note.Attempt}
+		key := runKey{TaskName{note.Name, note.Round, note.StepInRound, note.Task}, note.Attempt}
 		if e := l.ended[key]; e != nil {
 			e.isNoted, isNews = true, true
 			delete(l.ended, key)
@@ -124,13 +124,13 @@
 
 // obey takes an order, a difference that repeats until we announce that it is
 // none any more; it tells whether that was new.
-func (t *Table) obey(now eventloop.Micros, l *life, order *schema.Order) bool {
-	key := runKey{TaskName{order.Name, order.Round, order.Part, order.Task}, order.Attempt}
+func (t *Table) obey(now eventloop.Micros, l *life, order *schema.TaskOrder) bool {
+	key := runKey{TaskName{order.Name, order.Round, order.StepInRound, order.Task}, order.Attempt}
 	r := l.runs[key]
 	if l.ended[key] != nil || l.departedAt > 0 {
 		return false
 	}
-	switch order.Act {
+	switch order.Action {
 	case "start":
 		if r != nil {
 			return false
@@ -138,12 +138,12 @@
 		if _, isSpent := l.spent[key]; isSpent {
 			// A scheduler that hasn't heard yet what became of it: others may have
 			// the task by now.
-			l.ended[key] = &end{note: l.note(key, "stopped", order.Saved)}
+			l.ended[key] = &end{note: l.note(key, "stopped", order.Checkpoint)}
 			l.isDirty = true
 			return true
 		}
 		l.runs[key] = &run{
-			key: key, standing: starting, text: order.Text, saved: order.Saved, cores: order.CoresMilli, memory: order.MemoryMb,
+			key: key, standing: starting, text: order.Text, saved: order.Checkpoint, cores: order.CoresMilli, memory: order.MemoryMb,
 			began: now, isCounted: true,
 		}
 		return true
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -348,10 +348,10 @@
 	return true
 }
 
-func (l *life) note(key runKey, state, saved string) *schema.TaskNote {
-	note := &schema.TaskNote{
-		Name: key.task.Job, Round: key.task.Round, Part: key.task.Part, Task: key.task.Task, Attempt: key.attempt,
-		State: state, Saved: saved,
+func (l *life) note(key runKey, state, saved string) *schema.TaskStatus {
+	note := &schema.TaskStatus{
+		Name: key.task.Job, Round: key.task.Round, StepInRound: key.task.Part, Task: key.task.Task, Attempt: key.attempt,
+		State: state, Checkpoint: saved,
 	}
 	if r := l.runs[key]; r != nil {
 		note.CoresMilli, note.MemoryMb, note.Percent = r.cores, r.memory, r.percent
--- a/internal/agent/late_test.go
+++ b/internal/agent/late_test.go
@@ -16,7 +16,7 @@
 func TestAnswersToCallsThatAreOver(t *testing.T) {
 	Convey("Given calls that were answered long ago", t, func() {
 		b, w := usual(fakeworker.Setup{}, nil)
-		w.starts = []*schema.Order{order("start", "j", 0, 1, "run_us=60000000")}
+		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(3 * eventloop.Second)
 		var over []agent.Call
 		for k, call := range b.calls {
@@ -51,7 +51,7 @@
 			b.move("p1", 6, "w2")
 			w.generation = 6
 			b.run(2 * eventloop.Second)
-			So(w.last().Ward, ShouldEqual, 6)
+			So(w.last().FencingToken, ShouldEqual, 6)
 			again(func(reply *agent.Reply) {
 				reply.Running = []agent.Running{{Task: agent.TaskName{Job: "j"}, Attempt: 1}}
 				reply.Ended = []agent.Ending{{Number: 1, Task: agent.TaskName{Job: "k"}, Attempt: 1, How: "done"}}
@@ -72,8 +72,8 @@
 		numbers := slices.Sorted(maps.Keys(b.sent))
 		open := numbers[len(numbers)-1]
 		answer := func(from string, number uint64, task uint32) {
-			b.mail(from, &schema.PollReply{Id: number, Code: 200, Scheduler: from, Orders: &schema.Orders{
-				Ward: 5, LeaseUs: int64(4 * eventloop.Second), Scheduler: from, Orders: []*schema.Order{order("start", "j", task, 1, "run_us=60000000")},
+			b.mail(from, &schema.WorkerPollResponse{Id: number, Code: 200, Scheduler: from, Orders: &schema.WorkerOrders{
+				FencingToken: 5, LeaseUs: int64(4 * eventloop.Second), Scheduler: from, Orders: []*schema.TaskOrder{order("start", "j", task, 1, "run_us=60000000")},
 			}})
 			b.run(30 * eventloop.Milli)
 		}
--- a/internal/checker/called.go
+++ b/internal/checker/called.go
@@ -43,7 +43,7 @@
 	if s.saved != "" && !a.hasSaved(id, step, s.saved, s.begin) {
 		j.breach(3, s.begin, "%s step %d task %d starts from %q, which isn't its progress", name, id.step, id.task, s.saved)
 	}
-	if step.Together {
+	if step.Gang {
 		for t := uint32(0); t < id.task; t++ {
 			for _, other := range a.stints[taskId{id.jobKey, id.job, id.step, t}] {
 				if other.attempt == s.attempt && other.saved != s.saved {
@@ -52,7 +52,7 @@
 			}
 		}
 	}
-	if step.Lasting {
+	if step.RunUntilCancelled {
 		return
 	}
 	// 2: an end that was noted, or is later, holds for good.
@@ -179,8 +179,8 @@
 				}
 			}
 			count[e.Who][id]++
-			if step.PerWorker > 0 && count[e.Who][id] > int(step.PerWorker) {
-				j.breach(6, e.At, "%s/%s step %d: %d tasks run on %s, %d may", e.Queue, e.Name, e.Step, count[e.Who][id], e.Who, step.PerWorker)
+			if step.MaxPerWorker > 0 && count[e.Who][id] > int(step.MaxPerWorker) {
+				j.breach(6, e.At, "%s/%s step %d: %d tasks run on %s, %d may", e.Queue, e.Name, e.Step, count[e.Who][id], e.Who, step.MaxPerWorker)
 			}
 		case End:
 			if count[e.Who] != nil {
--- a/internal/checker/called_test.go
+++ b/internal/checker/called_test.go
@@ -43,10 +43,10 @@
 	closed := Event{At: 300 * s, Kind: Close}
 	one := job(&schema.Step{Name: "a", Tasks: 2, AllowedFailures: 1})
 	single := job(&schema.Step{Name: "a", Tasks: 1, AllowedFailures: 1})
-	group := job(&schema.Step{Name: "g", Tasks: 2, Together: true, AllowedFailures: 1, Saves: true})
-	rounds := &schema.Job{Text: "t", DelayUs: int64(s), Rounds: 2, EveryUs: int64(5 * s), Steps: []*schema.Step{{Name: "a", Tasks: 1}, {Name: "b", Tasks: 1, After: []string{"a"}}}}
-	lasting := job(&schema.Step{Name: "a", Tasks: 1, Lasting: true})
-	fitted := job(&schema.Step{Name: "a", Tasks: 2, PerWorker: 1, Labels: []string{"x"}})
+	group := job(&schema.Step{Name: "g", Tasks: 2, Gang: true, AllowedFailures: 1, Checkpoints: true})
+	rounds := &schema.Job{Text: "t", DelayUs: int64(s), Rounds: 2, PeriodUs: int64(5 * s), Steps: []*schema.Step{{Name: "a", Tasks: 1}, {Name: "b", Tasks: 1, Dependencies: []string{"a"}}}}
+	lasting := job(&schema.Step{Name: "a", Tasks: 1, RunUntilCancelled: true})
+	fitted := job(&schema.Step{Name: "a", Tasks: 2, MaxPerWorker: 1, Labels: []string{"x"}})
 	taken := func(spec *schema.Job, more ...Event) []Event {
 		return append([]Event{calledUp(0, "w", "", "x"), calledUp(0, "v", "", "x"), calledUp(0, "y", ""), in(1*s, spec), reply(1*s+1, 201)}, more...)
 	}
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -12,8 +12,8 @@
 
 const s = eventloop.Second
 
-var twoSteps = &schema.Job{Steps: []*schema.Step{{Name: "a", Tasks: 1, AllowedFailures: 1}, {Name: "b", Tasks: 1, After: []string{"a"}}}}
-var gang = &schema.Job{Steps: []*schema.Step{{Name: "g", Tasks: 2, Together: true}}}
+var twoSteps = &schema.Job{Steps: []*schema.Step{{Name: "a", Tasks: 1, AllowedFailures: 1}, {Name: "b", Tasks: 1, Dependencies: []string{"a"}}}}
+var gang = &schema.Job{Steps: []*schema.Step{{Name: "g", Tasks: 2, Gang: true}}}
 var timed = &schema.Job{DelayUs: int64(5 * s), Steps: []*schema.Step{{Name: "a", Tasks: 1}}}
 
 func in(at eventloop.Micros, spec *schema.Job) Event {
@@ -101,20 +101,20 @@
 func answer(kind string, sent, at eventloop.Micros, front string, code int32, state string) Event {
 	return Event{At: at, Sent: sent, Kind: kind, Queue: "l", Name: "j", Front: front, Code: code, State: state}
 }
-func rows(list ...string) (table []*schema.Row) {
+func rows(list ...string) (table []*schema.ConfigurationRow) {
 	for _, each := range list {
 		part := strings.Split(each, " ")
-		table = append(table, &schema.Row{Kind: part[0], Name: part[1], Key: part[2], Value: part[3]})
+		table = append(table, &schema.ConfigurationRow{Kind: part[0], Name: part[1], Key: part[2], Value: part[3]})
 	}
 	return table
 }
-func sent(at eventloop.Micros, table []*schema.Row) Event {
+func sent(at eventloop.Micros, table []*schema.ConfigurationRow) Event {
 	return Event{At: at, Kind: PlanSent, Rows: table}
 }
-func put(at eventloop.Micros, generation uint64, table []*schema.Row) Event {
+func put(at eventloop.Micros, generation uint64, table []*schema.ConfigurationRow) Event {
 	return Event{At: at, Kind: PlanPut, Code: 200, Generation: generation, Built: generation - 1, Rows: table}
 }
-func read(sent eventloop.Micros, front string, generation uint64, table []*schema.Row) Event {
+func read(sent eventloop.Micros, front string, generation uint64, table []*schema.ConfigurationRow) Event {
 	return Event{At: sent + 5, Sent: sent, Kind: PlanRead, Front: front, Code: 200, Generation: generation, Rows: table}
 }
 func trouble(at eventloop.Micros, kind, who string) Event { return Event{At: at, Kind: kind, Who: who} }
@@ -130,7 +130,7 @@
 	queue, rack := rows("queue l urgency 5"), rows("queue l urgency 5", "rack r weight 0")
 	wide := rows("queue l urgency 5", "queue l running 1")
 	many := &schema.Job{Steps: []*schema.Step{{Name: "a", Tasks: 2, AllowedFailures: 1}}}
-	wall := &schema.Job{StartWallUs: int64(1000 * s), Steps: []*schema.Step{{Name: "a", Tasks: 1}}}
+	wall := &schema.Job{StartUnixUs: int64(1000 * s), Steps: []*schema.Step{{Name: "a", Tasks: 1}}}
 	runs := []Event{begin(2*s, "w", 0, 0, 1), end(3*s, "w", 0, 0, 1, "done"), begin(4*s, "w", 1, 0, 1), end(5*s, "w", 1, 0, 1, "done")}
 	done := func(list ...Event) []Event {
 		return job(append([]Event{reply(1*s+1, 201)}, append(runs[:4:4], list...)...)...)
--- a/internal/checker/groups.go
+++ b/internal/checker/groups.go
@@ -10,7 +10,7 @@
 func (j *judge) judgeGroups(a *account, name string, closed eventloop.Micros) {
 	for k := range a.steps() {
 		step := a.step(uint32(k))
-		if !step.Together || step.Tasks < 2 || a.isCalled {
+		if !step.Gang || step.Tasks < 2 || a.isCalled {
 			continue
 		}
 		for job := range a.ids {
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -69,12 +69,12 @@
 	Incarnation uint64           `json:"incarnation,omitempty"`
 	Spec        *schema.Job      `json:"spec,omitempty"`
 
-	Front string           `json:"front,omitempty"` // through which a request went
-	Sent  eventloop.Micros `json:"sent,omitempty"`  // when the request was sent that this answers
-	Rack  string           `json:"rack,omitempty"`
-	Built uint64           `json:"built,omitempty"` // the generation a sheet was built on
-	Rows  []*schema.Row    `json:"rows,omitempty"`  // of a table that was put or read
-	Wall  int64            `json:"wall,omitempty"`
+	Front string                     `json:"front,omitempty"` // through which a request went
+	Sent  eventloop.Micros           `json:"sent,omitempty"`  // when the request was sent that this answers
+	Rack  string                     `json:"rack,omitempty"`
+	Built uint64                     `json:"built,omitempty"` // the generation a sheet was built on
+	Rows  []*schema.ConfigurationRow `json:"rows,omitempty"`  // of a table that was put or read
+	Wall  int64                      `json:"wall,omitempty"`
 
 	IsCalled     bool     `json:"called,omitempty"` // of a worker that is called: its groups gather, its ends are noted
 	IsLate       bool     `json:"late,omitempty"`   // carried out late by the worker
@@ -152,7 +152,7 @@
 
 // isGathered tells whether one end of a member stands for the whole group.
 func (a *account) isGathered(step *schema.Step) bool {
-	return a.isCalled && step.Together && step.Tasks > 1
+	return a.isCalled && step.Gang && step.Tasks > 1
 }
 
 func (j *judge) account(e *Event) *account {
--- a/internal/checker/idle.go
+++ b/internal/checker/idle.go
@@ -37,8 +37,8 @@
 			times = min(times, max(0, each[0]/each[1]))
 		}
 	}
-	if step.PerWorker > 0 {
-		times = min(times, int64(step.PerWorker))
+	if step.MaxPerWorker > 0 {
+		times = min(times, int64(step.MaxPerWorker))
 	}
 	return times
 }
@@ -159,13 +159,13 @@
 		isLeft := false
 		for t := uint32(0); t < step.Tasks; t++ {
 			id.task = t
-			isLeft = isLeft || step.Lasting || !a.doneBy(id, at)
+			isLeft = isLeft || step.RunUntilCancelled || !a.doneBy(id, at)
 		}
 		if !isLeft {
 			continue
 		}
 		need, room := int64(2), int64(0)
-		if step.Together {
+		if step.Gang {
 			need *= int64(step.Tasks)
 		}
 		for _, w := range shops {
@@ -192,16 +192,16 @@
 
 // isDue tells whether a round's time has surely come.
 func (j *judge) isDue(a *account, round int, at eventloop.Micros) bool {
-	later := eventloop.Micros(int64(round) * a.spec.EveryUs)
-	if a.spec.StartWallUs > 0 {
+	later := eventloop.Micros(int64(round) * a.spec.PeriodUs)
+	if a.spec.StartUnixUs > 0 {
 		wall, isKnown := j.wallAt(at)
-		return isKnown && wall >= a.spec.StartWallUs+int64(later)
+		return isKnown && wall >= a.spec.StartUnixUs+int64(later)
 	}
 	return at >= a.accepted+eventloop.Micros(a.spec.DelayUs)+later
 }
 
 func (a *account) isReady(step *schema.Step, round int, index map[string]int, at eventloop.Micros) bool {
-	for _, dependency := range step.After {
+	for _, dependency := range step.Dependencies {
 		d := index[dependency]
 		for t := uint32(0); t < a.spec.Steps[d].Tasks; t++ {
 			if !a.doneBy(taskId{jobKey: a.key, step: uint32(round*len(a.spec.Steps) + d), task: t}, at) {
--- a/internal/checker/jobs.go
+++ b/internal/checker/jobs.go
@@ -94,7 +94,7 @@
 	sort.SliceStable(list, func(x, y int) bool { return list[x].begin < list[y].begin })
 	failures := uint32(0)
 	allowed := ^uint32(0)
-	if step := a.step(id.step); step != nil && !step.Lasting {
+	if step := a.step(id.step); step != nil && !step.RunUntilCancelled {
 		allowed = step.AllowedFailures
 	}
 	for k, s := range list {
@@ -154,15 +154,15 @@
 		}
 		round := int(id.step) / len(a.spec.Steps)
 		for _, s := range a.stints[id] {
-			due := a.firstSent + eventloop.Micros(a.spec.DelayUs+int64(round)*a.spec.EveryUs)
-			if due > a.firstSent && a.spec.StartWallUs == 0 && s.begin < due-j.bounds.Early {
+			due := a.firstSent + eventloop.Micros(a.spec.DelayUs+int64(round)*a.spec.PeriodUs)
+			if due > a.firstSent && a.spec.StartUnixUs == 0 && s.begin < due-j.bounds.Early {
 				j.breach(4, s.begin, "%s starts round %d %d us early", name, round, due-s.begin)
 			}
-			moment := a.spec.StartWallUs + int64(round)*a.spec.EveryUs
-			if wall, isKnown := j.wallAt(s.begin); a.spec.StartWallUs > 0 && isKnown && wall < moment-int64(j.bounds.Early) {
+			moment := a.spec.StartUnixUs + int64(round)*a.spec.PeriodUs
+			if wall, isKnown := j.wallAt(s.begin); a.spec.StartUnixUs > 0 && isKnown && wall < moment-int64(j.bounds.Early) {
 				j.breach(4, s.begin, "%s starts round %d %d us before its moment", name, round, moment-wall)
 			}
-			for _, dependency := range step.After {
+			for _, dependency := range step.Dependencies {
 				d := index[dependency]
 				for t := uint32(0); t < a.spec.Steps[d].Tasks; t++ {
 					if !a.doneBy(taskId{a.key, id.job, uint32(round*len(a.spec.Steps) + d), t}, s.begin) {
--- a/internal/checker/plans.go
+++ b/internal/checker/plans.go
@@ -128,7 +128,7 @@
 }
 
 // value finds a row's value.
-func value(rows []*schema.Row, kind, name, key string) string {
+func value(rows []*schema.ConfigurationRow, kind, name, key string) string {
 	for _, row := range rows {
 		if row.Kind == kind && row.Name == name && row.Key == key {
 			return row.Value
@@ -137,7 +137,7 @@
 	return ""
 }
 
-func hasQueue(rows []*schema.Row, queue string) bool {
+func hasQueue(rows []*schema.ConfigurationRow, queue string) bool {
 	for _, row := range rows {
 		if row.Kind == "queue" && row.Name == queue {
 			return true
@@ -163,7 +163,7 @@
 	// holds tells whether something is so in every table that may count at a
 	// moment: those of the last span, and the newest before it. A table whose
 	// answer was late counts from when it was sent.
-	holds := func(from, to eventloop.Micros, isSo func(rows []*schema.Row) bool) bool {
+	holds := func(from, to eventloop.Micros, isSo func(rows []*schema.ConfigurationRow) bool) bool {
 		isAny := false
 		for k, p := range puts {
 			isStill := k+1 == len(puts) || puts[k+1].At+j.bounds.Plan > from
@@ -189,10 +189,10 @@
 		case Up:
 			racks[e.Who], pools[e.Who] = e.Rack, e.Pool
 		case HandInReply:
-			if e.Code == 404 && !isUnclear && holds(e.sent(), e.At, func(rows []*schema.Row) bool { return hasQueue(rows, e.Queue) }) {
+			if e.Code == 404 && !isUnclear && holds(e.sent(), e.At, func(rows []*schema.ConfigurationRow) bool { return hasQueue(rows, e.Queue) }) {
 				j.breach(11, e.At, "%s doesn't know the queue %s, which the table has", e.Front, e.Queue)
 			}
-			if e.Code == 201 && !isUnclear && holds(e.sent(), e.At, func(rows []*schema.Row) bool { return !hasQueue(rows, e.Queue) }) {
+			if e.Code == 201 && !isUnclear && holds(e.sent(), e.At, func(rows []*schema.ConfigurationRow) bool { return !hasQueue(rows, e.Queue) }) {
 				j.breach(11, e.At, "%s takes a job for the queue %s, which the table hasn't", e.Front, e.Queue)
 			}
 		case Begin:
@@ -200,16 +200,16 @@
 				running[e.Queue] = map[taskId]bool{}
 			}
 			rack := racks[e.Who]
-			if holds(e.At, e.At, func(rows []*schema.Row) bool { return value(rows, "rack", rack, "weight") == "0" }) {
+			if holds(e.At, e.At, func(rows []*schema.ConfigurationRow) bool { return value(rows, "rack", rack, "weight") == "0" }) {
 				j.breach(11, e.At, "work starts on %s in rack %s, whose weight is 0", e.Who, rack)
 			}
 			pool := pools[e.Who]
-			if e.IsCalled && holds(e.At, e.At, func(rows []*schema.Row) bool { return value(rows, "queue", e.Queue, "pool") != pool }) {
+			if e.IsCalled && holds(e.At, e.At, func(rows []*schema.ConfigurationRow) bool { return value(rows, "queue", e.Queue, "pool") != pool }) {
 				j.breach(11, e.At, "work of the queue %s starts on %s, whose pool is %q", e.Queue, e.Who, pool)
 			}
 			running[e.Queue][e.id()] = true
 			count := len(running[e.Queue])
-			isTooMany := func(rows []*schema.Row) bool {
+			isTooMany := func(rows []*schema.ConfigurationRow) bool {
 				most, err := strconv.Atoi(value(rows, "queue", e.Queue, "running"))
 				return err == nil && count > most
 			}
--- a/internal/checker/service.go
+++ b/internal/checker/service.go
@@ -127,7 +127,7 @@
 				}
 			}
 		}
-		isPlain := a.spec != nil && a.spec.DelayUs == 0 && a.spec.StartWallUs == 0 && a.askedEnd == 0
+		isPlain := a.spec != nil && a.spec.DelayUs == 0 && a.spec.StartUnixUs == 0 && a.askedEnd == 0
 		if isPlain && a.isTaken && a.accepted > at && a.accepted < until-3*eventloop.Second && (first == 0 || first > at) {
 			waits[key.queue] = key.name
 			if since[key.queue] == 0 || a.accepted < since[key.queue] {
--- a/internal/clusterstate/clusterstate.go
+++ b/internal/clusterstate/clusterstate.go
@@ -33,9 +33,9 @@
 // Result is what a command came to, in HTTP's numbers.
 type Result struct {
 	Code  int32
-	Fault *schema.Fault
+	Fault *schema.Error
 	Lease uint64
-	Plan  *schema.Plan
+	Plan  *schema.Configuration
 }
 
 // Machine is the cluster state's state.
@@ -43,15 +43,15 @@
 	state     *schema.ClusterState
 	isChanged bool // by the command in hand; renewals change nothing others need
 	values    *Values
-	read      *schema.Plan // of which the values and the bare plan were made
-	bare      *schema.Plan
-	packed    []byte       // rows of a plan as they are told
-	packedOf  *schema.Plan // and of which
+	read      *schema.Configuration // of which the values and the bare plan were made
+	bare      *schema.Configuration
+	packed    []byte                // rows of a plan as they are told
+	packedOf  *schema.Configuration // and of which
 }
 
 // New makes an empty cluster state; Restore one from a checkpoint.
 func New() *Machine {
-	return &Machine{state: &schema.ClusterState{Plan: &schema.Plan{}, Controller: &schema.Controller{}, Next: 1}}
+	return &Machine{state: &schema.ClusterState{Configuration: &schema.Configuration{}, ControllerLease: &schema.ControllerLease{}, NextToken: 1}}
 }
 
 // Restore makes the cluster state that a snapshot holds; none is an empty one.
@@ -82,10 +82,10 @@
 }
 
 // Plan is the plan with its document, not to be changed.
-func (m *Machine) Plan() *schema.Plan { return m.state.Plan }
+func (m *Machine) Plan() *schema.Configuration { return m.state.Configuration }
 
 // History is the old plans, the oldest first, not to be changed.
-func (m *Machine) History() []*schema.Plan { return m.state.History }
+func (m *Machine) History() []*schema.Configuration { return m.state.PreviousConfigurations }
 
 // Values are the plan's weights and limits.
 func (m *Machine) Values() *Values {
@@ -99,30 +99,30 @@
 func (m *Machine) Copy() *schema.ClusterState {
 	m.readPlan()
 	s := m.state
-	shown := &schema.ClusterState{Version: s.Version, Plan: m.bare, Voters: s.Voters, NowUs: s.NowUs, Next: s.Next}
-	shown.Controller = proto.Clone(s.Controller).(*schema.Controller)
+	shown := &schema.ClusterState{Version: s.Version, Configuration: m.bare, Voters: s.Voters, NowUs: s.NowUs, NextToken: s.NextToken}
+	shown.ControllerLease = proto.Clone(s.ControllerLease).(*schema.ControllerLease)
 	for _, place := range s.Queues {
-		shown.Queues = append(shown.Queues, proto.Clone(place).(*schema.QueuePlace))
+		shown.Queues = append(shown.Queues, proto.Clone(place).(*schema.QueuePlacement))
 	}
-	for _, ward := range s.Wards {
-		shown.Wards = append(shown.Wards, proto.Clone(ward).(*schema.Ward))
+	for _, ward := range s.WorkerLeases {
+		shown.WorkerLeases = append(shown.WorkerLeases, proto.Clone(ward).(*schema.WorkerLease))
 	}
 	return shown
 }
 
 func (m *Machine) readPlan() {
-	if m.values == nil || m.read != m.state.Plan {
-		m.read, m.values, m.bare = m.state.Plan, Read(m.state.Plan), Bare(m.state.Plan)
+	if m.values == nil || m.read != m.state.Configuration {
+		m.read, m.values, m.bare = m.state.Configuration, Read(m.state.Configuration), Bare(m.state.Configuration)
 	}
 }
 
 // Bare is a plan without its document.
-func Bare(plan *schema.Plan) *schema.Plan {
-	return &schema.Plan{Generation: plan.GetGeneration(), Rows: plan.GetRows(), Edition: plan.GetEdition()}
+func Bare(plan *schema.Configuration) *schema.Configuration {
+	return &schema.Configuration{Revision: plan.GetRevision(), Rows: plan.GetRows(), Version: plan.GetVersion()}
 }
 
 // ControllerUntil is when the controller's lease ends, in the group's time.
-func (m *Machine) ControllerUntil() int64 { return m.state.Controller.GetUntilUs() }
+func (m *Machine) ControllerUntil() int64 { return m.state.ControllerLease.GetExpiresUs() }
 
 // Version goes up by one with each change of the cluster state.
 func (m *Machine) Version() uint64 { return m.state.Version }
@@ -138,16 +138,16 @@
 	}
 	var result *Result
 	switch body := command.Body.(type) {
-	case *schema.ClusterStateCommand_Put:
-		result = m.put(body.Put.Sheet)
-	case *schema.ClusterStateCommand_Claim:
-		result = m.claim(body.Claim.Id)
-	case *schema.ClusterStateCommand_Queues:
-		result = m.placeQueues(body.Queues)
-	case *schema.ClusterStateCommand_Wards:
-		result = m.moveWards(body.Wards)
-	case *schema.ClusterStateCommand_Meet:
-		result = m.meet(body.Meet.Worker)
+	case *schema.ClusterStateCommand_UpdateConfiguration:
+		result = m.put(body.UpdateConfiguration.Update)
+	case *schema.ClusterStateCommand_ClaimControllerLease:
+		result = m.claim(body.ClaimControllerLease.Holder)
+	case *schema.ClusterStateCommand_PlaceQueues:
+		result = m.placeQueues(body.PlaceQueues)
+	case *schema.ClusterStateCommand_AssignWorkers:
+		result = m.moveWards(body.AssignWorkers)
+	case *schema.ClusterStateCommand_RegisterWorker:
+		result = m.meet(body.RegisterWorker.Worker)
 	default:
 		result = &Result{Code: 400}
 	}
@@ -159,43 +159,43 @@
 }
 
 func (m *Machine) next() uint64 {
-	m.state.Next++
-	return m.state.Next - 1
+	m.state.NextToken++
+	return m.state.NextToken - 1
 }
 
 func (m *Machine) claim(id string) *Result {
-	s := m.state.Controller
-	isFree := s.Id == "" || s.UntilUs <= m.state.NowUs
-	if s.Id != id && !isFree {
-		return &Result{Code: 409, Fault: &schema.Fault{Code: "controller_taken", Message: "another controller holds the lease"}}
+	s := m.state.ControllerLease
+	isFree := s.Holder == "" || s.ExpiresUs <= m.state.NowUs
+	if s.Holder != id && !isFree {
+		return &Result{Code: 409, Fault: &schema.Error{Code: "controller_taken", Message: "another controller holds the lease"}}
 	}
-	lease := s.Lease
+	lease := s.FencingToken
 	// Whoever let it lapse gets a new one: what it sent under the old one may
 	// still be on its way.
-	if s.Id != id || isFree {
+	if s.Holder != id || isFree {
 		lease = m.next()
 		m.isChanged = true
 	}
-	m.state.Controller = &schema.Controller{Id: id, Lease: lease, UntilUs: m.state.NowUs + LeaseUs}
+	m.state.ControllerLease = &schema.ControllerLease{Holder: id, FencingToken: lease, ExpiresUs: m.state.NowUs + LeaseUs}
 	return &Result{Code: 200, Lease: lease}
 }
 
 // IsController tells whether a lease is the current one and hasn't run out.
 func (m *Machine) IsController(lease uint64) bool {
-	s := m.state.Controller
-	return s.Lease == lease && lease != 0 && s.UntilUs > m.state.NowUs
+	s := m.state.ControllerLease
+	return s.FencingToken == lease && lease != 0 && s.ExpiresUs > m.state.NowUs
 }
 
 func fenced() *Result {
-	return &Result{Code: 403, Fault: &schema.Fault{Code: "lease_over", Message: "the controller lease is not the current one"}}
+	return &Result{Code: 403, Fault: &schema.Error{Code: "lease_over", Message: "the controller lease is not the current one"}}
 }
 
 func (m *Machine) placeQueues(c *schema.PlaceQueues) *Result {
-	if !m.IsController(c.Lease) {
+	if !m.IsController(c.FencingToken) {
 		return fenced()
 	}
 	values := m.Values()
-	for _, name := range c.Gone {
+	for _, name := range c.Removed {
 		for k, place := range m.state.Queues {
 			// A queue that has rows again was wanted back meanwhile.
 			if isMeant(place, name) && !values.HasQueue(place.Queue) {
@@ -207,14 +207,14 @@
 	}
 	for _, wanted := range c.Queues {
 		if place := Place(m.state, wanted.Queue); place != nil {
-			m.isChanged = m.isChanged || place.Leader != wanted.Leader
-			place.Leader = wanted.Leader
+			m.isChanged = m.isChanged || place.PreferredLeader != wanted.PreferredLeader
+			place.PreferredLeader = wanted.PreferredLeader
 			continue
 		}
-		if values.HasQueue(wanted.Queue) && len(wanted.Founders) > 0 {
+		if values.HasQueue(wanted.Queue) && len(wanted.InitialVoters) > 0 {
 			m.isChanged = true
-			m.state.Queues = slices.Insert(m.state.Queues, queueAt(m.state.Queues, wanted.Queue), &schema.QueuePlace{
-				Queue: wanted.Queue, Generation: m.next(), Founders: wanted.Founders, Leader: wanted.Leader,
+			m.state.Queues = slices.Insert(m.state.Queues, queueAt(m.state.Queues, wanted.Queue), &schema.QueuePlacement{
+				Queue: wanted.Queue, Generation: m.next(), InitialVoters: wanted.InitialVoters, PreferredLeader: wanted.PreferredLeader,
 			})
 		}
 	}
@@ -224,15 +224,15 @@
 // isMeant tells whether a queue that is to go is this one. The word of it may come
 // late, when a queue of that name has been made anew: that is another one. Logs of
 // older programs have the bare name.
-func isMeant(place *schema.QueuePlace, name string) bool {
+func isMeant(place *schema.QueuePlacement, name string) bool {
 	return name == place.Queue || name == place.Queue+"#"+strconv.FormatUint(place.Generation, 10)
 }
 
-func (m *Machine) moveWards(c *schema.MoveWards) *Result {
-	if !m.IsController(c.Lease) {
+func (m *Machine) moveWards(c *schema.AssignWorkers) *Result {
+	if !m.IsController(c.FencingToken) {
 		return fenced()
 	}
-	for _, wanted := range c.Wards {
+	for _, wanted := range c.WorkerLeases {
 		ward := WardOf(m.state, wanted.Worker)
 		switch {
 		case ward == nil:
@@ -240,23 +240,23 @@
 			m.addWard(wanted.Worker, wanted.Scheduler)
 		case ward.Scheduler != wanted.Scheduler:
 			m.isChanged = true
-			ward.Scheduler, ward.Generation = wanted.Scheduler, m.next()
+			ward.Scheduler, ward.FencingToken = wanted.Scheduler, m.next()
 		}
 	}
 	return &Result{Code: 200}
 }
 
 // Queues and wards are listed by name.
-func queueAt(list []*schema.QueuePlace, queue string) int {
+func queueAt(list []*schema.QueuePlacement, queue string) int {
 	return sort.Search(len(list), func(k int) bool { return list[k].Queue >= queue })
 }
 
-func wardAt(list []*schema.Ward, worker string) int {
+func wardAt(list []*schema.WorkerLease, worker string) int {
 	return sort.Search(len(list), func(k int) bool { return list[k].Worker >= worker })
 }
 
 func (m *Machine) addWard(worker, scheduler string) {
-	m.state.Wards = slices.Insert(m.state.Wards, wardAt(m.state.Wards, worker), &schema.Ward{Worker: worker, Scheduler: scheduler, Generation: m.next()})
+	m.state.WorkerLeases = slices.Insert(m.state.WorkerLeases, wardAt(m.state.WorkerLeases, worker), &schema.WorkerLease{Worker: worker, Scheduler: scheduler, FencingToken: m.next()})
 }
 
 // meet gives a new worker to the scheduler that wards most, so that it can work
@@ -267,7 +267,7 @@
 	}
 	counts := map[string]int{}
 	best := ""
-	for _, ward := range m.state.Wards {
+	for _, ward := range m.state.WorkerLeases {
 		counts[ward.Scheduler]++
 		if ward.Scheduler != "" && (best == "" || counts[ward.Scheduler] > counts[best]) {
 			best = ward.Scheduler
@@ -279,7 +279,7 @@
 }
 
 // Place finds a queue's place; the cluster state lists them by name.
-func Place(state *schema.ClusterState, queue string) *schema.QueuePlace {
+func Place(state *schema.ClusterState, queue string) *schema.QueuePlacement {
 	list := state.GetQueues()
 	if at := queueAt(list, queue); at < len(list) && list[at].Queue == queue {
 		return list[at]
@@ -288,8 +288,8 @@
 }
 
 // WardOf finds a worker's ward; the cluster state lists them by name.
-func WardOf(state *schema.ClusterState, worker string) *schema.Ward {
-	list := state.GetWards()
+func WardOf(state *schema.ClusterState, worker string) *schema.WorkerLease {
+	list := state.GetWorkerLeases()
 	if at := wardAt(list, worker); at < len(list) && list[at].Worker == worker {
 		return list[at]
 	}
--- a/internal/clusterstate/clusterstate_test.go
+++ b/internal/clusterstate/clusterstate_test.go
@@ -20,12 +20,12 @@
 	return result
 }
 
-func put(m *Machine, generation *uint64, rows ...*schema.Row) *Result {
-	return apply(m, 1, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{Sheet: &schema.Sheet{Generation: generation, Rows: rows}}}})
+func put(m *Machine, generation *uint64, rows ...*schema.ConfigurationRow) *Result {
+	return apply(m, 1, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: &schema.ConfigurationUpdate{BaseRevision: generation, Rows: rows}}}})
 }
 
-func row(kind, name, key, value string) *schema.Row {
-	return &schema.Row{Kind: kind, Name: name, Key: key, Value: value}
+func row(kind, name, key, value string) *schema.ConfigurationRow {
+	return &schema.ConfigurationRow{Kind: kind, Name: name, Key: key, Value: value}
 }
 
 func TestPlan(t *testing.T) {
@@ -37,18 +37,18 @@
 		Convey("a resend of what just took effect is done already", func() {
 			result := put(m, proto.Uint64(0), good)
 			So(result.Code, ShouldEqual, 200)
-			So(result.Plan.Generation, ShouldEqual, 1)
-			So(m.State().Plan.Generation, ShouldEqual, 1)
+			So(result.Plan.Revision, ShouldEqual, 1)
+			So(m.State().Configuration.Revision, ShouldEqual, 1)
 		})
 		Convey("an outdated sheet is turned away with both generations", func() {
 			result := put(m, proto.Uint64(0), row("queue", "quotes", "urgency", "51"))
 			So(result.Code, ShouldEqual, 412)
 			So(result.Fault.Given, ShouldEqual, 0)
 			So(result.Fault.Current, ShouldEqual, 1)
-			So(Read(m.State().Plan).Of("queue", "quotes", "urgency"), ShouldEqual, 50)
+			So(Read(m.State().Configuration).Of("queue", "quotes", "urgency"), ShouldEqual, 50)
 		})
 		Convey("a bad row is named and nothing of the sheet applies", func() {
-			for field, bad := range map[string]*schema.Row{
+			for field, bad := range map[string]*schema.ConfigurationRow{
 				"rows[1].kind":  row("robot", "x", "urgency", "1"),
 				"rows[1].name":  row("queue", "No Name", "urgency", "1"),
 				"rows[1].key":   row("queue", "x", "speed", "1"),
@@ -60,7 +60,7 @@
 			}
 			So(put(m, proto.Uint64(1), good, good).Fault.Field, ShouldEqual, "rows[1].key")
 			So(put(m, proto.Uint64(1), row("fleet", "", "status_s", "10")).Fault.Field, ShouldEqual, "rows[0].value")
-			So(m.State().Plan.Generation, ShouldEqual, 1)
+			So(m.State().Configuration.Revision, ShouldEqual, 1)
 		})
 	})
 }
@@ -69,24 +69,24 @@
 	Convey("An old controller is fenced by the log itself", t, func() {
 		m := New()
 		claim := func(at int64, id string) *Result {
-			return apply(m, at, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Claim{Claim: &schema.Claim{Id: id}}})
+			return apply(m, at, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: id}}})
 		}
 		wards := func(at int64, lease uint64, scheduler string) int32 {
-			return apply(m, at, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Wards{Wards: &schema.MoveWards{
-				Lease: lease, Wards: []*schema.Ward{{Worker: "w", Scheduler: scheduler}}}}}).Code
+			return apply(m, at, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_AssignWorkers{AssignWorkers: &schema.AssignWorkers{
+				FencingToken: lease, WorkerLeases: []*schema.WorkerLease{{Worker: "w", Scheduler: scheduler}}}}}).Code
 		}
 		first := claim(1, "h1")
 		So(first.Code, ShouldEqual, 200)
 		So(claim(2, "h2").Code, ShouldEqual, 409)
 		So(claim(3, "h1").Lease, ShouldEqual, first.Lease)
 		So(wards(4, first.Lease, "a"), ShouldEqual, 200)
-		generation := WardOf(m.State(), "w").Generation
+		generation := WardOf(m.State(), "w").FencingToken
 		second := claim(4+LeaseUs, "h2")
 		So(second.Code, ShouldEqual, 200)
 		So(second.Lease, ShouldBeGreaterThan, first.Lease)
 		So(wards(5+LeaseUs, first.Lease, "b"), ShouldEqual, 403)
 		So(wards(5+LeaseUs, second.Lease, "b"), ShouldEqual, 200)
-		So(WardOf(m.State(), "w").Generation, ShouldBeGreaterThan, generation)
+		So(WardOf(m.State(), "w").FencingToken, ShouldBeGreaterThan, generation)
 		Convey("and the state survives rest", func() {
 			again, err := Restore(m.Rest())
 			So(err, ShouldBeNil)
@@ -100,9 +100,9 @@
 	})
 }
 
-func edition(m *Machine, number, base uint64, document string, rows ...*schema.Row) *Result {
-	return apply(m, 1, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{
-		Sheet: &schema.Sheet{Edition: number, BaseEdition: base, Document: []byte(document), Rows: rows}}}})
+func edition(m *Machine, number, base uint64, document string, rows ...*schema.ConfigurationRow) *Result {
+	return apply(m, 1, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{
+		Update: &schema.ConfigurationUpdate{Version: number, BaseVersion: base, Document: []byte(document), Rows: rows}}}})
 }
 
 func TestEditions(t *testing.T) {
@@ -110,16 +110,16 @@
 		m := New()
 		quotes := row("queue", "quotes", "urgency", "50")
 		So(edition(m, 3, 0, "three", quotes).Code, ShouldEqual, 200)
-		So(m.Plan().Edition, ShouldEqual, 3)
-		So(m.Plan().Generation, ShouldEqual, 1)
+		So(m.Plan().Version, ShouldEqual, 3)
+		So(m.Plan().Revision, ShouldEqual, 1)
 		So(string(m.Plan().Document), ShouldEqual, "three")
 		So(edition(m, 7, 3, "seven", quotes).Code, ShouldEqual, 200)
 		Convey("what has been taken is answered so again, also when another has followed", func() {
 			So(edition(m, 7, 3, "seven", quotes).Code, ShouldEqual, 200)
 			result := edition(m, 3, 0, "three", quotes)
 			So(result.Code, ShouldEqual, 200)
-			So(result.Plan.Edition, ShouldEqual, 7)
-			So(m.Plan().Generation, ShouldEqual, 2)
+			So(result.Plan.Version, ShouldEqual, 7)
+			So(m.Plan().Revision, ShouldEqual, 2)
 			again, err := Restore(m.Rest())
 			So(err, ShouldBeNil)
 			So(edition(again, 3, 0, "three", quotes).Code, ShouldEqual, 200)
@@ -139,7 +139,7 @@
 				So(result.Fault.Code, ShouldEqual, "bad_edition")
 				So(result.Fault.Field, ShouldEqual, "edition")
 			}
-			So(m.Plan().Generation, ShouldEqual, 2)
+			So(m.Plan().Revision, ShouldEqual, 2)
 		})
 		Convey("a bad row or too large a document changes nothing, and isn't remembered as taken", func() {
 			for k := 0; k < 2; k++ {
@@ -150,20 +150,20 @@
 		})
 		Convey("a sheet without an edition keeps it, and the next edition builds on it", func() {
 			So(put(m, proto.Uint64(2), quotes, row("fleet", "", "window", "9")).Code, ShouldEqual, 200)
-			So(m.Plan().Edition, ShouldEqual, 7)
+			So(m.Plan().Version, ShouldEqual, 7)
 			So(string(m.Plan().Document), ShouldEqual, "seven")
 			So(edition(m, 8, 7, "eight", quotes).Code, ShouldEqual, 200)
 		})
 		Convey("documents are kept of the current one alone, and what others carry holds none, nor the past", func() {
-			So(m.History()[1].Edition, ShouldEqual, 3)
+			So(m.History()[1].Version, ShouldEqual, 3)
 			So(m.History()[1].Document, ShouldBeEmpty)
 			shown := m.Copy()
-			So(shown.Plan.Edition, ShouldEqual, 7)
-			So(shown.Plan.Document, ShouldBeEmpty)
-			So(shown.History, ShouldBeEmpty)
-			So(shown.Taken, ShouldBeEmpty)
+			So(shown.Configuration.Version, ShouldEqual, 7)
+			So(shown.Configuration.Document, ShouldBeEmpty)
+			So(shown.PreviousConfigurations, ShouldBeEmpty)
+			So(shown.AcceptedVersions, ShouldBeEmpty)
 			// It is the same plan as long as nothing is put.
-			So(m.Copy().Plan == shown.Plan, ShouldBeTrue)
+			So(m.Copy().Configuration == shown.Configuration, ShouldBeTrue)
 		})
 		Convey("where there is no document the rows tell editions apart", func() {
 			So(edition(m, 9, 7, "", quotes).Code, ShouldEqual, 200)
@@ -173,7 +173,7 @@
 	})
 	Convey("However many and large the plans were, what is kept is bounded", t, func() {
 		m := New()
-		var rows []*schema.Row
+		var rows []*schema.ConfigurationRow
 		for k := 0; k < 10_000; k++ {
 			rows = append(rows, row("queue", fmt.Sprintf("queue-%d", k), "urgency", "50"))
 		}
@@ -184,21 +184,21 @@
 		for k := uint64(31); k <= keptEditions+100; k++ {
 			So(edition(m, k, k-1, fmt.Sprint(k), rows[:3]...).Code, ShouldEqual, 200)
 		}
-		So(len(m.state.Taken), ShouldEqual, keptEditions)
+		So(len(m.state.AcceptedVersions), ShouldEqual, keptEditions)
 		So(len(m.History()), ShouldEqual, keptPlans)
 	})
 }
 
 func TestEntries(t *testing.T) {
-	entryRows := func(queue, host, prefix string) []*schema.Row {
-		return []*schema.Row{row("queue", queue, "host", host), row("queue", queue, "prefix", prefix)}
+	entryRows := func(queue, host, prefix string) []*schema.ConfigurationRow {
+		return []*schema.ConfigurationRow{row("queue", queue, "host", host), row("queue", queue, "prefix", prefix)}
 	}
 	Convey("A queue is found by host and the longest prefix of the path", t, func() {
 		rows := append(entryRows("short", "One.example", "/a/"), entryRows("long", "one.example", "/a/b/")...)
 		rows = append(rows, entryRows("other", "two.example", "/a/")...)
 		rows = append(rows, row("queue", "everywhere", "prefix", "/z/"), row("queue", "whole", "host", "three.example"), row("queue", "none", "urgency", "1"))
 		So(CheckRows(rows), ShouldBeNil)
-		v := Read(&schema.Plan{Rows: rows})
+		v := Read(&schema.Configuration{Rows: rows})
 		for _, each := range []struct{ host, path, queue, rest string }{
 			{"one.example", "/a/j1", "short", "j1"},
 			{"ONE.example:8080", "/a/b/j1", "long", "j1"},
@@ -224,9 +224,9 @@
 	})
 	Convey("Texts and pools are checked like numbers", t, func() {
 		pool := row("pool", "P.1_x", "guards", "0")
-		So(CheckRows([]*schema.Row{row("queue", "x", "pool", "P.1_x"), pool}), ShouldBeNil)
+		So(CheckRows([]*schema.ConfigurationRow{row("queue", "x", "pool", "P.1_x"), pool}), ShouldBeNil)
 		for _, each := range []struct {
-			row   *schema.Row
+			row   *schema.ConfigurationRow
 			field string
 		}{
 			{row("queue", "x", "pool", "other"), "rows[1].value"},
@@ -243,9 +243,9 @@
 			{row("pool", "a/b", "guards", "1"), "rows[1].name"},
 			{row("pool", "x", "guards", "2"), "rows[1].value"},
 		} {
-			So(CheckRows([]*schema.Row{pool, each.row}).Field, ShouldEqual, each.field)
+			So(CheckRows([]*schema.ConfigurationRow{pool, each.row}).Field, ShouldEqual, each.field)
 		}
-		v := Read(&schema.Plan{Rows: []*schema.Row{row("queue", "x", "pool", "P.1_x"), row("queue", "x", "attempts", "4"), pool}})
+		v := Read(&schema.Configuration{Rows: []*schema.ConfigurationRow{row("queue", "x", "pool", "P.1_x"), row("queue", "x", "attempts", "4"), pool}})
 		So(v.Text("queue", "x", "pool"), ShouldEqual, "P.1_x")
 		So(v.Text("queue", "y", "pool"), ShouldEqual, "")
 		So(v.Of("pool", "P.1_x", "guards"), ShouldEqual, 0)
@@ -255,7 +255,7 @@
 		So(v.IsStated("queue", "y", "attempts"), ShouldBeFalse)
 	})
 	Convey("A plan holds 2000 queues that state every key", t, func() {
-		rows := []*schema.Row{row("pool", "p", "guards", "1")}
+		rows := []*schema.ConfigurationRow{row("pool", "p", "guards", "1")}
 		for k := 0; k < 2000; k++ {
 			name := fmt.Sprintf("queue-%d", k)
 			rows = append(rows, entryRows(name, "one.example", fmt.Sprintf("/%d/", k))...)
@@ -267,7 +267,7 @@
 			}
 		}
 		So(CheckRows(rows), ShouldBeNil)
-		v := Read(&schema.Plan{Rows: rows})
+		v := Read(&schema.Configuration{Rows: rows})
 		So(len(v.Queues()), ShouldEqual, 2000)
 		queue, rest, _ := v.QueueAt("one.example", "/1999/j")
 		So([]string{queue, rest}, ShouldResemble, []string{"queue-1999", "j"})
--- a/internal/clusterstate/late_test.go
+++ b/internal/clusterstate/late_test.go
@@ -19,23 +19,23 @@
 		}
 		number := uint64(0)
 		table := func(lanes ...string) {
-			var rows []*schema.Row
+			var rows []*schema.ConfigurationRow
 			for _, lane := range lanes {
 				rows = append(rows, row("queue", lane, "urgency", "1"))
 			}
 			So(edition(m, number+1, number, "", rows...).Code, ShouldEqual, 200)
 			number++
 		}
-		lease := do(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Claim{Claim: &schema.Claim{Id: "h"}}}).Lease
+		lease := do(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: "h"}}}).Lease
 		lanes := func(command *schema.PlaceQueues) {
-			command.Lease = lease
-			So(do(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Queues{Queues: command}}).Code, ShouldEqual, 200)
+			command.FencingToken = lease
+			So(do(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: command}}).Code, ShouldEqual, 200)
 		}
 		place := func() *schema.PlaceQueues {
-			return &schema.PlaceQueues{Queues: []*schema.QueuePlace{{Queue: "l", Founders: []string{"a"}, Leader: "a"}}}
+			return &schema.PlaceQueues{Queues: []*schema.QueuePlacement{{Queue: "l", InitialVoters: []string{"a"}, PreferredLeader: "a"}}}
 		}
 		gone := func() *schema.PlaceQueues {
-			return &schema.PlaceQueues{Gone: []string{"l#" + strconv.FormatUint(Place(m.State(), "l").Generation, 10)}}
+			return &schema.PlaceQueues{Removed: []string{"l#" + strconv.FormatUint(Place(m.State(), "l").Generation, 10)}}
 		}
 		table("l", "k")
 		lanes(place())
@@ -56,7 +56,7 @@
 			})
 		})
 		Convey("a log of an older program, which has the bare name, does what it did", func() {
-			lanes(&schema.PlaceQueues{Gone: []string{"l"}})
+			lanes(&schema.PlaceQueues{Removed: []string{"l"}})
 			So(Place(m.State(), "l"), ShouldBeNil)
 		})
 	})
--- a/internal/clusterstate/pack.go
+++ b/internal/clusterstate/pack.go
@@ -75,12 +75,12 @@
 // generation of the plan: without the plan's rows if it is that one, else with
 // them packed where they are many.
 func (m *Machine) Outgoing(state *schema.ClusterState, held uint64) (told *schema.ClusterState, isHeld bool) {
-	plan := state.Plan
-	isHeld = held > 0 && held == plan.GetGeneration()
+	plan := state.Configuration
+	isHeld = held > 0 && held == plan.GetRevision()
 	told = &schema.ClusterState{
-		Version: state.Version, Queues: state.Queues, Wards: state.Wards, Controller: state.Controller,
-		Voters: state.Voters, NowUs: state.NowUs, Next: state.Next,
-		Plan: &schema.Plan{Generation: plan.GetGeneration(), Edition: plan.GetEdition()},
+		Version: state.Version, Queues: state.Queues, WorkerLeases: state.WorkerLeases, ControllerLease: state.ControllerLease,
+		Voters: state.Voters, NowUs: state.NowUs, NextToken: state.NextToken,
+		Configuration: &schema.Configuration{Revision: plan.GetRevision(), Version: plan.GetVersion()},
 	}
 	if isHeld {
 		return told, true
@@ -89,15 +89,15 @@
 		m.packedOf, m.packed = plan, packRows(plan.GetRows())
 	}
 	if m.packed == nil {
-		told.Plan.Rows = plan.GetRows()
+		told.Configuration.Rows = plan.GetRows()
 	}
-	told.Plan.PackedRows = m.packed
+	told.Configuration.PackedRows = m.packed
 	return told, false
 }
 
 // packRows gives nil for rows that are few.
-func packRows(rows []*schema.Row) []byte {
-	data, err := proto.Marshal(&schema.Plan{Rows: rows})
+func packRows(rows []*schema.ConfigurationRow) []byte {
+	data, err := proto.Marshal(&schema.Configuration{Rows: rows})
 	if err != nil || len(data) < packLeast {
 		return nil
 	}
@@ -107,33 +107,33 @@
 // Incoming is the whole of a copy that was told to a process, given the plan that
 // it holds. It fails for a copy without rows of a plan that isn't held, as one
 // that was meant for an earlier life.
-func Incoming(tell *schema.ClusterStateTell, held *schema.Plan) (*schema.ClusterState, error) {
+func Incoming(tell *schema.ClusterStateResponse, held *schema.Configuration) (*schema.ClusterState, error) {
 	state := tell.State
 	if state == nil {
 		return nil, nil
 	}
-	plan := state.Plan
+	plan := state.Configuration
 	switch {
-	case plan.GetGeneration() > 0 && plan.GetGeneration() == held.GetGeneration():
+	case plan.GetRevision() > 0 && plan.GetRevision() == held.GetRevision():
 		// The same plan as long as it has this generation.
 		plan = held
-	case tell.PlanHeld:
-		return nil, BadPacked.New("a copy without generation %d of the plan, which isn't held", plan.GetGeneration())
+	case tell.ConfigurationOmitted:
+		return nil, BadPacked.New("a copy without generation %d of the plan, which isn't held", plan.GetRevision())
 	case len(plan.GetPackedRows()) > 0:
 		data, err := Unpack(plan.PackedRows)
-		whole := &schema.Plan{}
+		whole := &schema.Configuration{}
 		if err == nil {
 			err = proto.Unmarshal(data, whole)
 		}
 		if err != nil {
-			return nil, BadPacked.Wrap(err, "rows of generation %d", plan.Generation)
+			return nil, BadPacked.Wrap(err, "rows of generation %d", plan.Revision)
 		}
-		plan = &schema.Plan{Generation: plan.Generation, Edition: plan.Edition, Rows: whole.Rows}
+		plan = &schema.Configuration{Revision: plan.Revision, Version: plan.Version, Rows: whole.Rows}
 	default:
 		return state, nil
 	}
 	return &schema.ClusterState{
-		Version: state.Version, Queues: state.Queues, Wards: state.Wards, Controller: state.Controller,
-		Voters: state.Voters, NowUs: state.NowUs, Next: state.Next, Plan: plan,
+		Version: state.Version, Queues: state.Queues, WorkerLeases: state.WorkerLeases, ControllerLease: state.ControllerLease,
+		Voters: state.Voters, NowUs: state.NowUs, NextToken: state.NextToken, Configuration: plan,
 	}, nil
 }
--- a/internal/clusterstate/pack_test.go
+++ b/internal/clusterstate/pack_test.go
@@ -12,8 +12,8 @@
 	"sparnotch/internal/schema"
 )
 
-func manyRows(count int) []*schema.Row {
-	var rows []*schema.Row
+func manyRows(count int) []*schema.ConfigurationRow {
+	var rows []*schema.ConfigurationRow
 	for k := range count {
 		rows = append(rows, row("queue", fmt.Sprintf("queue-%d", k), "urgency", "50"))
 	}
@@ -41,8 +41,8 @@
 	})
 	Convey("A packed command and a packed checkpoint are what they were", t, func() {
 		m, rows := New(), manyRows(2000)
-		data, err := proto.Marshal(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{
-			Sheet: &schema.Sheet{Edition: 1, Document: []byte("text"), Rows: rows}}}})
+		data, err := proto.Marshal(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{
+			Update: &schema.ConfigurationUpdate{Version: 1, Document: []byte("text"), Rows: rows}}}})
 		So(err, ShouldBeNil)
 		packed := Pack(data)
 		So(len(packed), ShouldBeLessThan, len(data)/4)
@@ -56,41 +56,41 @@
 }
 
 func TestCopiesOnTheirWay(t *testing.T) {
-	tell := func(m *Machine, held uint64) *schema.ClusterStateTell {
+	tell := func(m *Machine, held uint64) *schema.ClusterStateResponse {
 		state, isHeld := m.Outgoing(m.Copy(), held)
-		return &schema.ClusterStateTell{State: state, PlanHeld: isHeld, Version: state.Version}
+		return &schema.ClusterStateResponse{State: state, ConfigurationOmitted: isHeld, Version: state.Version}
 	}
 	Convey("Who holds the plan isn't told its rows again, and who doesn't gets them, packed when they are many", t, func() {
 		m := New()
 		So(edition(m, 1, 0, "one", manyRows(2000)...).Code, ShouldEqual, 200)
 		first := tell(m, 0)
-		So(first.PlanHeld, ShouldBeFalse)
+		So(first.ConfigurationOmitted, ShouldBeFalse)
 		So(proto.Size(first), ShouldBeLessThan, proto.Size(m.Plan())/4)
 		state, err := Incoming(first, nil)
 		So(err, ShouldBeNil)
-		So(SameRows(state.Plan.Rows, m.Plan().Rows), ShouldBeTrue)
-		So(state.Plan.PackedRows, ShouldBeEmpty)
-		apply(m, 2, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Meet{Meet: &schema.Meet{Worker: "w"}}})
-		second := tell(m, state.Plan.Generation)
-		So(second.PlanHeld, ShouldBeTrue)
+		So(SameRows(state.Configuration.Rows, m.Plan().Rows), ShouldBeTrue)
+		So(state.Configuration.PackedRows, ShouldBeEmpty)
+		apply(m, 2, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_RegisterWorker{RegisterWorker: &schema.RegisterWorker{Worker: "w"}}})
+		second := tell(m, state.Configuration.Revision)
+		So(second.ConfigurationOmitted, ShouldBeTrue)
 		So(proto.Size(second), ShouldBeLessThan, 200)
-		next, err := Incoming(second, state.Plan)
+		next, err := Incoming(second, state.Configuration)
 		So(err, ShouldBeNil)
-		So(next.Plan, ShouldEqual, state.Plan)
+		So(next.Configuration, ShouldEqual, state.Configuration)
 		So(WardOf(next, "w"), ShouldNotBeNil)
 		So(edition(m, 2, 1, "two", manyRows(3)...).Code, ShouldEqual, 200)
-		third := tell(m, state.Plan.Generation)
-		So(third.PlanHeld, ShouldBeFalse)
-		last, err := Incoming(third, state.Plan)
+		third := tell(m, state.Configuration.Revision)
+		So(third.ConfigurationOmitted, ShouldBeFalse)
+		last, err := Incoming(third, state.Configuration)
 		So(err, ShouldBeNil)
-		So(last.Plan.Rows, ShouldHaveLength, 3)
+		So(last.Configuration.Rows, ShouldHaveLength, 3)
 	})
 	Convey("A copy without rows that was meant for an earlier life is taken by nobody", t, func() {
 		m := New()
 		So(edition(m, 1, 0, "one", manyRows(3)...).Code, ShouldEqual, 200)
 		late := tell(m, 1)
-		So(late.PlanHeld, ShouldBeTrue)
-		for _, held := range []*schema.Plan{nil, {}, {Generation: 7}} {
+		So(late.ConfigurationOmitted, ShouldBeTrue)
+		for _, held := range []*schema.Configuration{nil, {}, {Revision: 7}} {
 			_, err := Incoming(late, held)
 			So(err, ShouldNotBeNil)
 		}
--- a/internal/clusterstate/plan.go
+++ b/internal/clusterstate/plan.go
@@ -94,9 +94,9 @@
 const maxRows = 40_000
 
 // CheckRows finds the first row that can't be taken.
-func CheckRows(rows []*schema.Row) *schema.Fault {
-	fault := func(at int, field, form string, args ...any) *schema.Fault {
-		return &schema.Fault{Code: "bad_row", Field: fmt.Sprintf("rows[%d].%s", at, field), Message: fmt.Sprintf("row %d: ", at+1) + fmt.Sprintf(form, args...)}
+func CheckRows(rows []*schema.ConfigurationRow) *schema.Error {
+	fault := func(at int, field, form string, args ...any) *schema.Error {
+		return &schema.Error{Code: "bad_row", Field: fmt.Sprintf("rows[%d].%s", at, field), Message: fmt.Sprintf("row %d: ", at+1) + fmt.Sprintf(form, args...)}
 	}
 	if len(rows) > maxRows {
 		return fault(maxRows, "kind", "a plan has at most %d rows", maxRows)
@@ -151,7 +151,7 @@
 }
 
 // checkEntries finds queues of no known pool, and two that are entered the same way.
-func checkEntries(rows []*schema.Row, pools map[string]bool, fault func(at int, field, form string, args ...any) *schema.Fault) *schema.Fault {
+func checkEntries(rows []*schema.ConfigurationRow, pools map[string]bool, fault func(at int, field, form string, args ...any) *schema.Error) *schema.Error {
 	type place struct {
 		entry
 		at int
@@ -189,7 +189,7 @@
 }
 
 // lines are rows in an order of their own.
-func lines(rows []*schema.Row) []string {
+func lines(rows []*schema.ConfigurationRow) []string {
 	var list []string
 	for _, row := range rows {
 		list = append(list, row.Kind+"\x00"+row.Name+"\x00"+row.Key+"\x00"+row.Value)
@@ -199,7 +199,7 @@
 }
 
 // SameRows tells whether two sheets say the same, in whatever order.
-func SameRows(a, b []*schema.Row) bool {
+func SameRows(a, b []*schema.ConfigurationRow) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -217,7 +217,7 @@
 	queue, host, prefix string
 }
 
-func (e *entry) set(row *schema.Row) {
+func (e *entry) set(row *schema.ConfigurationRow) {
 	switch row.Key {
 	case "host":
 		e.host = strings.ToLower(row.Value)
@@ -246,16 +246,16 @@
 
 // Renew gives a plan's values: the same ones while it is the same plan, for the
 // cluster state changes more often than its plan.
-func (v *Values) Renew(plan *schema.Plan) *Values {
-	if v.of > 0 && v.of == plan.GetGeneration() {
+func (v *Values) Renew(plan *schema.Configuration) *Values {
+	if v.of > 0 && v.of == plan.GetRevision() {
 		return v
 	}
 	return Read(plan)
 }
 
 // Read makes a plan's values.
-func Read(plan *schema.Plan) *Values {
-	v := &Values{set: map[[3]string]int64{}, texts: map[[3]string]string{}, queues: map[string]bool{}, entries: map[string][]entry{}, of: plan.GetGeneration()}
+func Read(plan *schema.Configuration) *Values {
+	v := &Values{set: map[[3]string]int64{}, texts: map[[3]string]string{}, queues: map[string]bool{}, entries: map[string][]entry{}, of: plan.GetRevision()}
 	entries := map[string]*entry{}
 	for _, row := range plan.GetRows() {
 		if row.Kind == "queue" && !v.queues[row.Name] {
@@ -347,7 +347,7 @@
 func (v *Values) HasQueue(name string) bool { return v.queues[name] }
 
 // QueueNames lists the plan's queues.
-func QueueNames(plan *schema.Plan) []string { return Read(plan).Queues() }
+func QueueNames(plan *schema.Configuration) []string { return Read(plan).Queues() }
 
 // Form describes every key, for help and docs.
 func Form() []string {
--- a/internal/clusterstate/replace.go
+++ b/internal/clusterstate/replace.go
@@ -28,72 +28,72 @@
 //   - 504: its base is older than what is remembered, so it may have been taken.
 
 // put replaces the plan by a sheet if that is built on it.
-func (m *Machine) put(sheet *schema.Sheet) *Result {
-	current := m.state.Plan
-	if sheet.Edition > 0 {
+func (m *Machine) put(sheet *schema.ConfigurationUpdate) *Result {
+	current := m.state.Configuration
+	if sheet.Version > 0 {
 		return m.putEdition(sheet)
 	}
-	if sheet.Generation == nil {
-		return &Result{Code: 428, Fault: &schema.Fault{Code: "generation_missing", Message: "the sheet must say which generation it was built on", Field: "generation", Current: current.Generation}}
+	if sheet.BaseRevision == nil {
+		return &Result{Code: 428, Fault: &schema.Error{Code: "generation_missing", Message: "the sheet must say which generation it was built on", Field: "generation", Current: current.Revision}}
 	}
-	given, digest := sheet.GetGeneration(), generationDigest(sheet)
+	given, digest := sheet.GetBaseRevision(), generationDigest(sheet)
 	if m.isTaken(0, digest) {
 		return &Result{Code: 200, Plan: current}
 	}
-	if given < current.Generation {
+	if given < current.Revision {
 		isRemembered := given >= m.firstRemembered()
-		return outdated("generation", given, current.Generation, isRemembered)
+		return outdated("generation", given, current.Revision, isRemembered)
 	}
 	if fault := checkSheet(sheet); fault != nil {
 		return &Result{Code: 422, Fault: fault}
 	}
-	if given > current.Generation {
-		return ahead("generation", given, current.Generation)
+	if given > current.Revision {
+		return ahead("generation", given, current.Revision)
 	}
 	// The author's edition goes on: what is changed by hand is changed on top of it.
 	document := sheet.Document
 	if len(document) == 0 {
 		document = current.Document
 	}
-	return m.take(sheet, current.Edition, document, &schema.Taken{Digest: digest})
+	return m.take(sheet, current.Version, document, &schema.AcceptedVersion{Digest: digest})
 }
 
 // putEdition takes a sheet of an author who numbers editions.
-func (m *Machine) putEdition(sheet *schema.Sheet) *Result {
-	current := m.state.Plan
+func (m *Machine) putEdition(sheet *schema.ConfigurationUpdate) *Result {
+	current := m.state.Configuration
 	digest := editionDigest(sheet)
-	if m.isTaken(sheet.Edition, digest) {
+	if m.isTaken(sheet.Version, digest) {
 		// It took effect and is sent again after a silence, maybe when another
 		// has followed it.
 		return &Result{Code: 200, Plan: current}
 	}
-	if sheet.BaseEdition < current.Edition {
-		return outdated("base_edition", sheet.BaseEdition, current.Edition, m.remembersEditionsFrom(sheet.BaseEdition))
+	if sheet.BaseVersion < current.Version {
+		return outdated("base_edition", sheet.BaseVersion, current.Version, m.remembersEditionsFrom(sheet.BaseVersion))
 	}
-	if sheet.Edition <= sheet.BaseEdition {
-		return &Result{Code: 422, Fault: &schema.Fault{
+	if sheet.Version <= sheet.BaseVersion {
+		return &Result{Code: 422, Fault: &schema.Error{
 			Code: "bad_edition", Message: "an edition's number must be higher than that of the one before",
-			Field: "edition", Given: sheet.Edition, Current: current.Edition,
+			Field: "edition", Given: sheet.Version, Current: current.Version,
 		}}
 	}
 	if fault := checkSheet(sheet); fault != nil {
 		return &Result{Code: 422, Fault: fault}
 	}
-	if sheet.BaseEdition > current.Edition {
-		return ahead("base_edition", sheet.BaseEdition, current.Edition)
+	if sheet.BaseVersion > current.Version {
+		return ahead("base_edition", sheet.BaseVersion, current.Version)
 	}
-	return m.take(sheet, sheet.Edition, sheet.Document, &schema.Taken{Edition: sheet.Edition, Digest: digest})
+	return m.take(sheet, sheet.Version, sheet.Document, &schema.AcceptedVersion{Version: sheet.Version, Digest: digest})
 }
 
 // outdated answers an order whose base has been replaced by another order.
 func outdated(field string, given, current uint64, isRemembered bool) *Result {
 	if !isRemembered {
-		return &Result{Code: 504, Fault: &schema.Fault{
+		return &Result{Code: 504, Fault: &schema.Error{
 			Code: "unknown", Message: "so much has followed that whether this took effect is not known any more: get the plan and see",
 			Field: field, Given: given, Current: current,
 		}}
 	}
-	return &Result{Code: 412, Fault: &schema.Fault{
+	return &Result{Code: 412, Fault: &schema.Error{
 		Code: "outdated", Message: "the plan has changed since this sheet was made: get it anew and repeat the edit",
 		Field: field, Given: given, Current: current,
 	}}
@@ -102,7 +102,7 @@
 // ahead answers an order whose base isn't there yet. It isn't refused: a copy
 // of it that is still on its way may be applied after its base.
 func ahead(field string, given, current uint64) *Result {
-	return &Result{Code: 503, Fault: &schema.Fault{
+	return &Result{Code: 503, Fault: &schema.Error{
 		Code: "base_ahead", Message: "what this sheet was built on has not been taken yet: send it again as it is",
 		Field: field, Given: given, Current: current,
 	}}
@@ -111,8 +111,8 @@
 // --- what has been taken ---
 
 func (m *Machine) isTaken(edition uint64, digest []byte) bool {
-	for _, taken := range m.state.Taken {
-		if taken.Edition == edition && bytes.Equal(taken.Digest, digest) {
+	for _, taken := range m.state.AcceptedVersions {
+		if taken.Version == edition && bytes.Equal(taken.Digest, digest) {
 			return true
 		}
 	}
@@ -122,7 +122,7 @@
 // firstRemembered is the lowest generation of which it is remembered what was
 // taken on top of it: each order taken makes one generation and one entry.
 func (m *Machine) firstRemembered() uint64 {
-	return m.state.Plan.Generation - min(uint64(len(m.state.Taken)), m.state.Plan.Generation)
+	return m.state.Configuration.Revision - min(uint64(len(m.state.AcceptedVersions)), m.state.Configuration.Revision)
 }
 
 // remembersEditionsFrom tells whether every edition above a base is remembered.
@@ -130,9 +130,9 @@
 	if m.firstRemembered() == 0 {
 		return true
 	}
-	for _, taken := range m.state.Taken {
-		if taken.Edition > 0 {
-			return base >= taken.Edition
+	for _, taken := range m.state.AcceptedVersions {
+		if taken.Version > 0 {
+			return base >= taken.Version
 		}
 	}
 	return false
@@ -140,7 +140,7 @@
 
 // editionDigest tells editions of one number apart: by the document, for it is
 // what the author gave, or by the rows where there is none.
-func editionDigest(sheet *schema.Sheet) []byte {
+func editionDigest(sheet *schema.ConfigurationUpdate) []byte {
 	hash := sha256.New()
 	hash.Write(sheet.Document)
 	if len(sheet.Document) == 0 {
@@ -150,9 +150,9 @@
 }
 
 // generationDigest tells sheets apart that have no edition, by all they say.
-func generationDigest(sheet *schema.Sheet) []byte {
+func generationDigest(sheet *schema.ConfigurationUpdate) []byte {
 	hash := sha256.New()
-	hash.Write([]byte(strconv.FormatUint(sheet.GetGeneration(), 10) + "\n" + strings.Join(lines(sheet.Rows), "\n") + "\n"))
+	hash.Write([]byte(strconv.FormatUint(sheet.GetBaseRevision(), 10) + "\n" + strings.Join(lines(sheet.Rows), "\n") + "\n"))
 	hash.Write(sheet.Document)
 	return hash.Sum(nil)[:digestBytes]
 }
@@ -160,28 +160,28 @@
 // --- the change itself ---
 
 // checkSheet finds what makes a sheet invalid, whatever is current.
-func checkSheet(sheet *schema.Sheet) *schema.Fault {
+func checkSheet(sheet *schema.ConfigurationUpdate) *schema.Error {
 	if len(sheet.Document) > maxDocument {
-		return &schema.Fault{Code: "bad_document", Message: fmt.Sprintf("at most %d bytes", maxDocument), Field: "document"}
+		return &schema.Error{Code: "bad_document", Message: fmt.Sprintf("at most %d bytes", maxDocument), Field: "document"}
 	}
 	return CheckRows(sheet.Rows)
 }
 
 // take makes a sheet the plan, and remembers that it was taken.
-func (m *Machine) take(sheet *schema.Sheet, edition uint64, document []byte, taken *schema.Taken) *Result {
-	m.state.History = recent(append(m.state.History, Bare(m.state.Plan)))
+func (m *Machine) take(sheet *schema.ConfigurationUpdate, edition uint64, document []byte, taken *schema.AcceptedVersion) *Result {
+	m.state.PreviousConfigurations = recent(append(m.state.PreviousConfigurations, Bare(m.state.Configuration)))
 	m.isChanged = true
-	m.state.Plan = &schema.Plan{Generation: m.state.Plan.Generation + 1, Rows: sheet.Rows, Edition: edition, Document: document}
-	m.state.Taken = append(m.state.Taken, taken)
-	if len(m.state.Taken) > keptEditions {
-		m.state.Taken = m.state.Taken[1:]
+	m.state.Configuration = &schema.Configuration{Revision: m.state.Configuration.Revision + 1, Rows: sheet.Rows, Version: edition, Document: document}
+	m.state.AcceptedVersions = append(m.state.AcceptedVersions, taken)
+	if len(m.state.AcceptedVersions) > keptEditions {
+		m.state.AcceptedVersions = m.state.AcceptedVersions[1:]
 	}
-	return &Result{Code: 200, Plan: m.state.Plan}
+	return &Result{Code: 200, Plan: m.state.Configuration}
 }
 
 // recent is what is kept of old plans: the last one however large, so that what a
 // change has undone can be looked up, and others while they are few and small.
-func recent(history []*schema.Plan) []*schema.Plan {
+func recent(history []*schema.Configuration) []*schema.Configuration {
 	bytes := 0
 	for k := len(history) - 2; k >= 0; k-- {
 		bytes += proto.Size(history[k])
--- a/internal/clusterstate/replace_test.go
+++ b/internal/clusterstate/replace_test.go
@@ -16,7 +16,7 @@
 // ever sent, what each was answered, and which were taken.
 type orders struct {
 	machine *Machine
-	sent    []*schema.Sheet
+	sent    []*schema.ConfigurationUpdate
 	isSent  map[string]bool
 	refused map[string]bool   // by order
 	taken   map[string]uint64 // by order: the generation it made
@@ -31,18 +31,18 @@
 }
 
 // orderOf tells orders apart: by number, base and content.
-func orderOf(sheet *schema.Sheet) string {
-	if sheet.Edition == 0 {
-		return fmt.Sprint("by hand on ", sheet.GetGeneration(), lines(sheet.Rows))
+func orderOf(sheet *schema.ConfigurationUpdate) string {
+	if sheet.Version == 0 {
+		return fmt.Sprint("by hand on ", sheet.GetBaseRevision(), lines(sheet.Rows))
 	}
-	return fmt.Sprintf("%d on %d: %s", sheet.Edition, sheet.BaseEdition, sheet.Document)
+	return fmt.Sprintf("%d on %d: %s", sheet.Version, sheet.BaseVersion, sheet.Document)
 }
 
-func baseOf(sheet *schema.Sheet) string {
-	if sheet.Edition == 0 {
-		return fmt.Sprint("generation ", sheet.GetGeneration())
+func baseOf(sheet *schema.ConfigurationUpdate) string {
+	if sheet.Version == 0 {
+		return fmt.Sprint("generation ", sheet.GetBaseRevision())
 	}
-	return fmt.Sprint("edition ", sheet.BaseEdition)
+	return fmt.Sprint("edition ", sheet.BaseVersion)
 }
 
 func (o *orders) count() uint64 { return uint64(len(o.chain)) }
@@ -52,25 +52,25 @@
 	return []byte(fmt.Sprint("content ", o.serial))
 }
 
-func (o *orders) rows() []*schema.Row {
-	return []*schema.Row{row("queue", "quotes", "urgency", fmt.Sprint(o.serial%100))}
+func (o *orders) rows() []*schema.ConfigurationRow {
+	return []*schema.ConfigurationRow{row("queue", "quotes", "urgency", fmt.Sprint(o.serial%100))}
 }
 
 // expected is what the model says of an order now.
-func (o *orders) expected(sheet *schema.Sheet) int32 {
+func (o *orders) expected(sheet *schema.ConfigurationUpdate) int32 {
 	if at, isTaken := o.taken[orderOf(sheet)]; isTaken {
 		if at+keptEditions > o.count() {
 			return 200
 		}
 		return 504
 	}
-	base, current := sheet.BaseEdition, o.edition
+	base, current := sheet.BaseVersion, o.edition
 	isForgotten := o.count() > keptEditions && base < o.oldestEdition()
-	if sheet.Edition == 0 {
-		base, current = sheet.GetGeneration(), o.count()
+	if sheet.Version == 0 {
+		base, current = sheet.GetBaseRevision(), o.count()
 		isForgotten = base+keptEditions < o.count()
 	}
-	isInvalid := CheckRows(sheet.Rows) != nil || sheet.Edition > 0 && sheet.Edition <= sheet.BaseEdition
+	isInvalid := CheckRows(sheet.Rows) != nil || sheet.Version > 0 && sheet.Version <= sheet.BaseVersion
 	switch {
 	case base < current && isForgotten:
 		return 504
@@ -95,9 +95,9 @@
 }
 
 // apply has a copy of an order applied, and compares what it is answered.
-func (o *orders) apply(t *rapid.T, sheet *schema.Sheet) {
+func (o *orders) apply(t *rapid.T, sheet *schema.ConfigurationUpdate) {
 	order, wanted := orderOf(sheet), o.expected(sheet)
-	data, err := proto.Marshal(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{Sheet: sheet}}})
+	data, err := proto.Marshal(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 }
 
 // note holds an answer against all that were given before it.
-func (o *orders) note(t *rapid.T, sheet *schema.Sheet, code int32) {
+func (o *orders) note(t *rapid.T, sheet *schema.ConfigurationUpdate, code int32) {
 	order := orderOf(sheet)
 	_, isTaken := o.taken[order]
 	switch {
@@ -132,18 +132,18 @@
 			t.Fatalf("%s and %s were both taken", other, order)
 		}
 		o.builtOn[baseOf(sheet)] = order
-		o.chain = append(o.chain, sheet.Edition)
-		o.taken[order], o.edition = o.count(), max(o.edition, sheet.Edition)
+		o.chain = append(o.chain, sheet.Version)
+		o.taken[order], o.edition = o.count(), max(o.edition, sheet.Version)
 	}
 }
 
 // check compares the machine's state with what has been taken.
 func (o *orders) check(t *rapid.T) {
-	if plan := o.machine.Plan(); plan.Generation != o.count() || plan.Edition != o.edition {
-		t.Fatalf("generation %d and edition %d, and should be %d and %d", plan.Generation, plan.Edition, o.count(), o.edition)
+	if plan := o.machine.Plan(); plan.Revision != o.count() || plan.Version != o.edition {
+		t.Fatalf("generation %d and edition %d, and should be %d and %d", plan.Revision, plan.Version, o.count(), o.edition)
 	}
-	if len(o.machine.state.Taken) > keptEditions {
-		t.Fatalf("%d changes are remembered", len(o.machine.state.Taken))
+	if len(o.machine.state.AcceptedVersions) > keptEditions {
+		t.Fatalf("%d changes are remembered", len(o.machine.state.AcceptedVersions))
 	}
 }
 
@@ -156,24 +156,24 @@
 		o := newOrders()
 		// Long days: more has been taken than is remembered.
 		for range rapid.SampledFrom([]int{0, 3, keptEditions - 2, keptEditions + 3}).Draw(t, "taken before") {
-			o.apply(t, &schema.Sheet{Edition: o.edition + 2, BaseEdition: o.edition, Document: o.content(), Rows: o.rows()})
+			o.apply(t, &schema.ConfigurationUpdate{Version: o.edition + 2, BaseVersion: o.edition, Document: o.content(), Rows: o.rows()})
 		}
 		number := func(least, most uint64) uint64 { return rapid.Uint64Range(least, most).Draw(t, "number") }
 		t.Repeat(map[string]func(*rapid.T){
 			"": o.check,
 			"on the current one": func(t *rapid.T) {
-				o.apply(t, &schema.Sheet{Edition: o.edition + number(1, 3), BaseEdition: o.edition, Document: o.content(), Rows: o.rows()})
+				o.apply(t, &schema.ConfigurationUpdate{Version: o.edition + number(1, 3), BaseVersion: o.edition, Document: o.content(), Rows: o.rows()})
 			},
 			"on any other": func(t *rapid.T) {
 				base := number(0, o.edition+5)
-				o.apply(t, &schema.Sheet{Edition: max(1, base+number(0, 3)), BaseEdition: base, Document: o.content(), Rows: o.rows()})
+				o.apply(t, &schema.ConfigurationUpdate{Version: max(1, base+number(0, 3)), BaseVersion: base, Document: o.content(), Rows: o.rows()})
 			},
 			"the same number with other content": func(t *rapid.T) {
 				if len(o.sent) == 0 {
 					t.Skip()
 				}
-				other := proto.Clone(rapid.SampledFrom(o.sent).Draw(t, "order")).(*schema.Sheet)
-				if other.Edition == 0 {
+				other := proto.Clone(rapid.SampledFrom(o.sent).Draw(t, "order")).(*schema.ConfigurationUpdate)
+				if other.Version == 0 {
 					t.Skip()
 				}
 				other.Document = o.content()
@@ -183,10 +183,10 @@
 				// Every sheet by hand differs, or two would be one order.
 				o.serial++
 				generation := number(o.count()-min(o.count(), 3), o.count()+2)
-				o.apply(t, &schema.Sheet{Generation: &generation, Rows: []*schema.Row{row("rack", fmt.Sprint("r", o.serial), "weight", "50")}})
+				o.apply(t, &schema.ConfigurationUpdate{BaseRevision: &generation, Rows: []*schema.ConfigurationRow{row("rack", fmt.Sprint("r", o.serial), "weight", "50")}})
 			},
 			"invalid": func(t *rapid.T) {
-				o.apply(t, &schema.Sheet{Edition: o.edition + 1, BaseEdition: number(o.edition-min(o.edition, 1), o.edition+1), Document: o.content(), Rows: []*schema.Row{row("queue", "x", "pool", "none")}})
+				o.apply(t, &schema.ConfigurationUpdate{Version: o.edition + 1, BaseVersion: number(o.edition-min(o.edition, 1), o.edition+1), Document: o.content(), Rows: []*schema.ConfigurationRow{row("queue", "x", "pool", "none")}})
 			},
 			"sent again": func(t *rapid.T) {
 				if len(o.sent) == 0 {
@@ -241,7 +241,7 @@
 		So(put(m, proto.Uint64(1), row("queue", "quotes", "urgency", "51")).Code, ShouldEqual, 200)
 		result := put(m, proto.Uint64(0), row("queue", "quotes", "urgency", "50"))
 		So(result.Code, ShouldEqual, 200)
-		So(result.Plan.Generation, ShouldEqual, 2)
+		So(result.Plan.Revision, ShouldEqual, 2)
 		So(put(m, proto.Uint64(0), row("queue", "quotes", "urgency", "52")).Code, ShouldEqual, 412)
 	})
 	Convey("Past what is remembered an order isn't refused either, and what is remembered is small", t, func() {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -29,7 +29,7 @@
 	file  string
 	seeds string
 	loss  uint
-	given schema.Options
+	given schema.Settings
 }
 
 // Register adds the settings to a flag set.
@@ -51,11 +51,11 @@
 }
 
 // Load reads the file, lays the flags over it, and checks the whole.
-func (f *Flags) Load(set *flag.FlagSet) (*schema.Options, error) {
+func (f *Flags) Load(set *flag.FlagSet) (*schema.Settings, error) {
 	if set.NArg() > 0 {
 		return nil, Bad.New("%s: is no flag", set.Arg(0))
 	}
-	loaded := &schema.Options{}
+	loaded := &schema.Settings{}
 	if f.file != "" {
 		data, err := os.ReadFile(f.file)
 		if err != nil {
@@ -104,7 +104,7 @@
 const maxLosses = 9
 
 // Check names the first setting that can't be taken.
-func Check(o *schema.Options) error {
+func Check(o *schema.Settings) error {
 	if !cellForm.MatchString(o.Cell) {
 		return Bad.New("cell: %q is no name of a cell", o.Cell)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,7 +12,7 @@
 	"sparnotch/internal/schema"
 )
 
-func load(args ...string) (*schema.Options, error) {
+func load(args ...string) (*schema.Settings, error) {
 	var flags Flags
 	set := flag.NewFlagSet("test", flag.ContinueOnError)
 	flags.Register(set, true)
@@ -40,24 +40,24 @@
 		base, err := load(good...)
 		So(err, ShouldBeNil)
 		for _, each := range []struct {
-			change func(o *schema.Options)
+			change func(o *schema.Settings)
 			named  string // empty: can be taken
 		}{
-			{func(o *schema.Options) {}, ""},
-			{func(o *schema.Options) { o.Seeds = o.Seeds[:1] }, ""},
-			{func(o *schema.Options) { o.Seeds = o.Seeds[1:] }, ""},
-			{func(o *schema.Options) { o.Seeds = nil }, "seeds: one to three"},
-			{func(o *schema.Options) { o.Seeds = append(o.Seeds, "127.0.0.4:7001") }, "seeds: one to three"},
-			{func(o *schema.Options) { o.Seeds = []string{"127.0.0.1:7001", "nowhere"} }, "seeds[1]"},
-			{func(o *schema.Options) { o.Seeds = []string{"127.0.0.1:7001", "127.0.0.1:7001"} }, "seeds[1]"},
-			{func(o *schema.Options) { o.Losses = 9 }, ""},
-			{func(o *schema.Options) { o.Losses = 10 }, "losses"},
-			{func(o *schema.Options) { o.Bounds = &schema.Bounds{} }, ""},
-			{func(o *schema.Options) { o.Bounds = &schema.Bounds{HoldMostUs: 1, DrainUs: 2} }, ""},
-			{func(o *schema.Options) { o.Bounds = &schema.Bounds{HoldMostUs: -1} }, "bounds.hold_most_us"},
-			{func(o *schema.Options) { o.Bounds = &schema.Bounds{DrainUs: -1} }, "bounds.drain_us"},
+			{func(o *schema.Settings) {}, ""},
+			{func(o *schema.Settings) { o.Seeds = o.Seeds[:1] }, ""},
+			{func(o *schema.Settings) { o.Seeds = o.Seeds[1:] }, ""},
+			{func(o *schema.Settings) { o.Seeds = nil }, "seeds: one to three"},
+			{func(o *schema.Settings) { o.Seeds = append(o.Seeds, "127.0.0.4:7001") }, "seeds: one to three"},
+			{func(o *schema.Settings) { o.Seeds = []string{"127.0.0.1:7001", "nowhere"} }, "seeds[1]"},
+			{func(o *schema.Settings) { o.Seeds = []string{"127.0.0.1:7001", "127.0.0.1:7001"} }, "seeds[1]"},
+			{func(o *schema.Settings) { o.Losses = 9 }, ""},
+			{func(o *schema.Settings) { o.Losses = 10 }, "losses"},
+			{func(o *schema.Settings) { o.Bounds = &schema.Bounds{} }, ""},
+			{func(o *schema.Settings) { o.Bounds = &schema.Bounds{HoldMostUs: 1, DrainUs: 2} }, ""},
+			{func(o *schema.Settings) { o.Bounds = &schema.Bounds{HoldMostUs: -1} }, "bounds.hold_most_us"},
+			{func(o *schema.Settings) { o.Bounds = &schema.Bounds{DrainUs: -1} }, "bounds.drain_us"},
 		} {
-			o := proto.Clone(base).(*schema.Options)
+			o := proto.Clone(base).(*schema.Settings)
 			each.change(o)
 			err := Check(o)
 			if each.named == "" {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -31,7 +31,7 @@
 // told is the last word of one store.
 type told struct {
 	at   eventloop.Micros
-	tell *schema.ClusterStateTell
+	tell *schema.ClusterStateResponse
 }
 
 // home is where a store lived, in which zone, and when it was last heard there.
@@ -109,12 +109,12 @@
 		t.tick(now, out)
 	case *membership.Roll:
 		t.roll = body
-	case *schema.ClusterStateTell:
+	case *schema.ClusterStateResponse:
 		t.hear(now, mail.From, body, out)
-	case *schema.RequestReply:
+	case *schema.Response:
 		t.replied(now, body)
 	case Belief:
-		b := &SideBelief{Node: t.id, Version: t.state.Version, Controller: t.state.Controller.GetId(), Lease: t.state.Controller.GetLease(), IsMine: t.isController(now)}
+		b := &SideBelief{Node: t.id, Version: t.state.Version, Controller: t.state.ControllerLease.GetHolder(), Lease: t.state.ControllerLease.GetFencingToken(), IsMine: t.isController(now)}
 		for _, id := range t.memberIDs() {
 			b.Members = append(b.Members, t.roll.Known[id].Member)
 		}
@@ -122,29 +122,29 @@
 	}
 }
 
-func (t *Table) hear(now eventloop.Micros, from string, m *schema.ClusterStateTell, out eventloop.Out) {
-	state, err := clusterstate.Incoming(m, t.state.Plan)
+func (t *Table) hear(now eventloop.Micros, from string, m *schema.ClusterStateResponse, out eventloop.Out) {
+	state, err := clusterstate.Incoming(m, t.state.Configuration)
 	if err != nil {
 		return // it is asked for again
 	}
 	isNew := state != nil && state.Version > t.state.Version
 	if state != nil && state.Version >= t.state.Version {
-		t.state, t.values = state, t.values.Renew(state.Plan)
+		t.state, t.values = state, t.values.Renew(state.Configuration)
 		out.Tell("membership", membership.ClusterState{Version: state.Version})
 	}
-	if m.ControllerUntilUs > t.until {
-		t.until, t.untilAt = m.ControllerUntilUs, now
+	if m.ControllerLeaseExpiresUs > t.until {
+		t.until, t.untilAt = m.ControllerLeaseExpiresUs, now
 	}
 	// An answer from before a change must not undo what we know.
 	if m.Version >= t.state.Version {
 		t.told[from] = told{at: now, tell: m}
 		// The whole each time: a reader that missed one isn't told of it again.
 		for _, reader := range t.readers {
-			out.Tell(reader, &schema.ClusterStateTell{State: t.state, Version: t.state.Version, Leaders: m.Leaders})
+			out.Tell(reader, &schema.ClusterStateResponse{State: t.state, Version: t.state.Version, Leaders: m.Leaders})
 		}
 	}
 	// A step of a repair waits for the word that the one before is done.
-	if len(m.Waits) > 0 && t.roll != nil && t.isController(now) {
+	if len(m.QueueStatuses) > 0 && t.roll != nil && t.isController(now) {
 		t.members(now, out)
 	}
 	// Queues that a table has just added are waited for.
@@ -167,7 +167,7 @@
 func (t *Table) stores(now eventloop.Micros) []string {
 	var ids []string
 	for _, id := range t.memberIDs() {
-		if known := t.roll.Known[id]; known.Member.Stores && t.roll.Live(id, now, t.spans.Suspect) {
+		if known := t.roll.Known[id]; known.Member.HasStorage && t.roll.Live(id, now, t.spans.Suspect) {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -17,25 +17,25 @@
 type desk struct {
 	silent map[string]eventloop.Micros // since when nobody hears them
 	others map[string]*schema.Member
-	asks   []*schema.Reroster
+	asks   []*schema.ChangeMembers
 	t      *Table
 	now    eventloop.Micros
 	state  *schema.ClusterState
 	acts   []*schema.ClusterStateCommand
-	mail   []*schema.RequestReply // on its way back
-	born   eventloop.Micros       // when the cluster began; 0: nobody tells of a lease
+	mail   []*schema.Response // on its way back
+	born   eventloop.Micros   // when the cluster began; 0: nobody tells of a lease
 }
 
 func (d *desk) Send(to string, body any) {
-	if act, isAct := body.(*schema.Reroster); isAct {
+	if act, isAct := body.(*schema.ChangeMembers); isAct {
 		d.asks = append(d.asks, act)
 	}
 	if request, isRequest := body.(*schema.Request); isRequest {
 		command := &schema.ClusterStateCommand{}
 		So(proto.Unmarshal(request.Body, command), ShouldBeNil)
 		So(to, ShouldEqual, "a")
-		if command.GetClaim() != nil {
-			d.mail = append(d.mail, &schema.RequestReply{Id: request.Id, Code: 200, Body: []byte(`{"lease":7}`)})
+		if command.GetClaimControllerLease() != nil {
+			d.mail = append(d.mail, &schema.Response{Id: request.Id, Code: 200, Body: []byte(`{"lease":7}`)})
 			return
 		}
 		d.acts = append(d.acts, command)
@@ -62,7 +62,7 @@
 		if since, isSilent := d.silent[id]; isSilent {
 			heard = since
 		}
-		roll.Known[id] = membership.Known{Member: &schema.Member{Id: id, Stores: true, Role: schema.Role_ROLE_SERVER, Inner: "10.0.0." + id}, Heard: heard}
+		roll.Known[id] = membership.Known{Member: &schema.Member{Id: id, HasStorage: true, Role: schema.Role_ROLE_SERVER, InternalAddress: "10.0.0." + id}, Heard: heard}
 	}
 	for id, member := range d.others {
 		roll.Known[id] = membership.Known{Member: member, Heard: d.now}
@@ -71,42 +71,42 @@
 }
 
 // tell is the cluster state leader's word, with its state as it is.
-func (d *desk) tell(notes ...*schema.WaitNote) {
-	notes = append(notes, &schema.WaitNote{Group: clusterstate.Group, Leader: "a", Voters: []string{"a", "b", "c"}})
+func (d *desk) tell(notes ...*schema.QueueStatus) {
+	notes = append(notes, &schema.QueueStatus{Group: clusterstate.Group, Leader: "a", Voters: []string{"a", "b", "c"}})
 	until := int64(0)
 	if d.born > 0 {
 		until = int64(d.now-d.born) + clusterstate.LeaseUs
 	}
-	d.t.Step(d.now, eventloop.Mail{From: "a", Body: &schema.ClusterStateTell{
-		State: proto.Clone(d.state).(*schema.ClusterState), Version: d.state.Version, Leaders: map[string]string{clusterstate.Group: "a"}, Waits: notes, ControllerUntilUs: until,
+	d.t.Step(d.now, eventloop.Mail{From: "a", Body: &schema.ClusterStateResponse{
+		State: proto.Clone(d.state).(*schema.ClusterState), Version: d.state.Version, Leaders: map[string]string{clusterstate.Group: "a"}, QueueStatuses: notes, ControllerLeaseExpiresUs: until,
 	}}, d)
 }
 
 // put makes a table of these queues.
 func (d *desk) put(queues ...string) {
 	d.state.Version++
-	d.state.Plan = &schema.Plan{Generation: d.state.Plan.GetGeneration() + 1}
+	d.state.Configuration = &schema.Configuration{Revision: d.state.Configuration.GetRevision() + 1}
 	for _, queue := range queues {
-		d.state.Plan.Rows = append(d.state.Plan.Rows, &schema.Row{Kind: "queue", Name: queue, Key: "urgency", Value: "1"})
+		d.state.Configuration.Rows = append(d.state.Configuration.Rows, &schema.ConfigurationRow{Kind: "queue", Name: queue, Key: "urgency", Value: "1"})
 	}
 }
 
 func (d *desk) placed() [][]string {
 	var list [][]string
 	for _, act := range d.acts {
-		if queues := act.GetQueues(); queues != nil {
+		if queues := act.GetPlaceQueues(); queues != nil {
 			var names []string
 			for _, queue := range queues.Queues {
 				names = append(names, queue.Queue)
 			}
-			list = append(list, append(names, queues.Gone...))
+			list = append(list, append(names, queues.Removed...))
 		}
 	}
 	return list
 }
 
 func newDesk() *desk {
-	d := &desk{t: New("h", 0), now: 100 * eventloop.Second, state: &schema.ClusterState{Version: 1, Plan: &schema.Plan{}}}
+	d := &desk{t: New("h", 0), now: 100 * eventloop.Second, state: &schema.ClusterState{Version: 1, Configuration: &schema.Configuration{}}}
 	d.roll()
 	d.tell()
 	for k := 0; k < 20 && !d.t.isController(d.now); k++ {
@@ -128,10 +128,10 @@
 		d.put(queues...)
 		d.tell()
 		So(d.placed(), ShouldResemble, [][]string{queues})
-		first := d.acts[0].GetQueues()
-		So(first.Lease, ShouldEqual, 7)
-		So(first.Queues[7].Founders, ShouldResemble, []string{"a", "b", "c"})
-		So(first.Queues[7].Leader, ShouldEqual, "a")
+		first := d.acts[0].GetPlaceQueues()
+		So(first.FencingToken, ShouldEqual, 7)
+		So(first.Queues[7].InitialVoters, ShouldResemble, []string{"a", "b", "c"})
+		So(first.Queues[7].PreferredLeader, ShouldEqual, "a")
 		Convey("The same act isn't repeated before its effect can be heard of", func() {
 			d.tick()
 			d.tell()
@@ -151,15 +151,15 @@
 	Convey("A dropped queue goes when its jobs have ended and been kept long enough", t, func() {
 		d := newDesk()
 		d.put()
-		d.state.Queues = []*schema.QueuePlace{{Queue: "l", Generation: 3, Leader: "a"}}
-		note := &schema.WaitNote{Group: "l#3", Queue: "l", Leader: "a", Voters: []string{"a", "b", "c"}, Live: 1}
+		d.state.Queues = []*schema.QueuePlacement{{Queue: "l", Generation: 3, PreferredLeader: "a"}}
+		note := &schema.QueueStatus{Group: "l#3", Queue: "l", Leader: "a", Voters: []string{"a", "b", "c"}, LiveJobs: 1}
 		d.tell(note)
 		So(d.placed(), ShouldBeEmpty)
-		note.Live, note.Kept = 0, 1
+		note.LiveJobs, note.RetainedJobs = 0, 1
 		d.tell(note)
 		d.tick()
 		So(d.placed(), ShouldBeEmpty)
-		note.Kept = 0
+		note.RetainedJobs = 0
 		d.tell(note)
 		d.tick()
 		So(d.placed(), ShouldResemble, [][]string{{"l#3"}})
@@ -180,7 +180,7 @@
 	learns := func(boot uint64, comes eventloop.Micros, isController bool) eventloop.Micros {
 		d := newDesk()
 		if !isController {
-			d = &desk{t: New("h", 0), now: 100 * eventloop.Second, state: &schema.ClusterState{Version: 1, Plan: &schema.Plan{}}}
+			d = &desk{t: New("h", 0), now: 100 * eventloop.Second, state: &schema.ClusterState{Version: 1, Configuration: &schema.Configuration{}}}
 		}
 		born, silentAt := d.now, d.now+12*eventloop.Second
 		if isController {
@@ -191,7 +191,7 @@
 			roll := &membership.Roll{Known: map[string]membership.Known{}}
 			hear := func(id string, boot uint64, began, at eventloop.Micros) {
 				beat := uint64((at - began) / membership.Pace)
-				roll.Known[id] = membership.Known{Member: &schema.Member{Id: id, Boot: boot, Beat: beat, Stores: true, Role: schema.Role_ROLE_SERVER}, Heard: at}
+				roll.Known[id] = membership.Known{Member: &schema.Member{Id: id, Incarnation: boot, Heartbeat: beat, HasStorage: true, Role: schema.Role_ROLE_SERVER}, Heard: at}
 			}
 			hear("a", 1, born, d.now)
 			hear("b", 1, born, d.now)
@@ -215,7 +215,7 @@
 		if len(d.asks) == 0 {
 			return 0
 		}
-		So(d.asks[0].Learn, ShouldEqual, "d")
+		So(d.asks[0].AddLearner, ShouldEqual, "d")
 		return d.now - silentAt
 	}
 	Convey("The place of a silent store goes to another after 6 s", t, func() {
@@ -255,13 +255,13 @@
 		run(3 * eventloop.Second)
 		d.silent["c"] = d.now
 		Convey("Its place is given to the new one within 2 s, not after the wait for one that is only silent", func() {
-			d.others["d"] = &schema.Member{Id: "d", Stores: true, Role: schema.Role_ROLE_SERVER, Inner: "10.0.0.c"}
+			d.others["d"] = &schema.Member{Id: "d", HasStorage: true, Role: schema.Role_ROLE_SERVER, InternalAddress: "10.0.0.c"}
 			run(2 * eventloop.Second)
 			So(d.asks, ShouldNotBeEmpty)
-			So(d.asks[0].Learn, ShouldEqual, "d")
+			So(d.asks[0].AddLearner, ShouldEqual, "d")
 		})
 		Convey("A store elsewhere doesn't stand for one that is only silent", func() {
-			d.others["d"] = &schema.Member{Id: "d", Stores: true, Role: schema.Role_ROLE_SERVER, Inner: "10.0.0.d"}
+			d.others["d"] = &schema.Member{Id: "d", HasStorage: true, Role: schema.Role_ROLE_SERVER, InternalAddress: "10.0.0.d"}
 			run(4 * eventloop.Second)
 			So(d.asks, ShouldBeEmpty)
 			run(3 * eventloop.Second)
@@ -274,15 +274,15 @@
 	Convey("Once its peers lead what a silent store led, its queues and wards move, before we suspect it ourselves", t, func() {
 		d := newDesk()
 		d.put("l")
-		d.state.Queues = []*schema.QueuePlace{{Queue: "l", Generation: 3, Leader: "c"}}
-		d.state.Wards = []*schema.Ward{{Worker: "w", Scheduler: "c"}}
+		d.state.Queues = []*schema.QueuePlacement{{Queue: "l", Generation: 3, PreferredLeader: "c"}}
+		d.state.WorkerLeases = []*schema.WorkerLease{{Worker: "w", Scheduler: "c"}}
 		word := func(from string, leaders map[string]string) {
-			var notes []*schema.WaitNote
+			var notes []*schema.QueueStatus
 			if from == "a" {
-				notes = append(notes, &schema.WaitNote{Group: clusterstate.Group, Leader: "a", Voters: []string{"a", "b", "c"}})
+				notes = append(notes, &schema.QueueStatus{Group: clusterstate.Group, Leader: "a", Voters: []string{"a", "b", "c"}})
 			}
-			d.t.Step(d.now, eventloop.Mail{From: from, Body: &schema.ClusterStateTell{
-				State: proto.Clone(d.state).(*schema.ClusterState), Version: d.state.Version, Leaders: leaders, Waits: notes,
+			d.t.Step(d.now, eventloop.Mail{From: from, Body: &schema.ClusterStateResponse{
+				State: proto.Clone(d.state).(*schema.ClusterState), Version: d.state.Version, Leaders: leaders, QueueStatuses: notes,
 			}}, d)
 		}
 		before := map[string]string{clusterstate.Group: "a", "l": "c"}
@@ -303,8 +303,8 @@
 				word("b", after)
 			}
 			So(d.now-last, ShouldBeBetweenOrEqual, missSpan, missSpan+150*eventloop.Milli)
-			So(d.acts[0].GetQueues().GetQueues()[0].Leader, ShouldEqual, "b")
-			So(d.acts[1].GetWards().GetWards()[0].Scheduler, ShouldEqual, "b")
+			So(d.acts[0].GetPlaceQueues().GetQueues()[0].PreferredLeader, ShouldEqual, "b")
+			So(d.acts[1].GetAssignWorkers().GetWorkerLeases()[0].Scheduler, ShouldEqual, "b")
 		})
 		Convey("but not while nobody else leads it", func() {
 			for k := 0; k < 20; k++ {
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -26,16 +26,16 @@
 		stores = stores[t.turn%len(stores):][:1]
 	}
 	for _, id := range stores {
-		out.Send(id, &schema.ClusterStateAsk{Version: t.state.Version, Generation: t.state.Plan.GetGeneration()})
+		out.Send(id, &schema.ClusterStateRequest{Version: t.state.Version, HeldRevision: t.state.Configuration.GetRevision()})
 	}
 }
 
 // rank is our place among the side machines that stand for controller, if we do.
 func (t *Table) rank(now eventloop.Micros) (int, bool) {
-	cells := map[string]string{t.id: t.roll.Self.GetCell()}
+	cells := map[string]string{t.id: t.roll.Self.GetZone()}
 	for id, known := range t.roll.Known {
 		if known.Member.Role == schema.Role_ROLE_CONTROLLER && t.roll.Live(id, now, t.spans.Suspect) {
-			cells[id] = known.Member.Cell
+			cells[id] = known.Member.Zone
 		}
 	}
 	rank := slices.Index(membership.Spread(cells, membership.Candidates), t.id)
@@ -71,7 +71,7 @@
 	// only give its lease away when it has run out.
 	// Whoever held it last may take it up again at once: while the cluster state had no
 	// leader nobody could renew anything.
-	isLast := t.state.Controller.GetId() == t.id
+	isLast := t.state.ControllerLease.GetHolder() == t.id
 	if isLast || isVacant && stale > eventloop.Micros(clusterstate.LeaseUs)+eventloop.Micros(rank)*300*eventloop.Milli || t.until == 0 && now > eventloop.Micros(rank)*300*eventloop.Milli {
 		t.claim(now, out)
 	}
@@ -79,12 +79,12 @@
 
 func (t *Table) claim(now eventloop.Micros, out eventloop.Out) {
 	t.claimAt = now
-	if id := t.send(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Claim{Claim: &schema.Claim{Id: t.id}}}, out); id != 0 {
+	if id := t.send(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: t.id}}}, out); id != 0 {
 		t.claims[id] = now
 	}
 }
 
-func (t *Table) replied(now eventloop.Micros, m *schema.RequestReply) {
+func (t *Table) replied(now eventloop.Micros, m *schema.Response) {
 	sent, isClaim := t.claims[m.Id]
 	if !isClaim || m.Code == 0 {
 		return
--- a/internal/controller/members.go
+++ b/internal/controller/members.go
@@ -25,8 +25,8 @@
 	for _, group := range slices.Sorted(maps.Keys(notes)) {
 		act := t.nextMember(now, notes[group], root)
 		// The same act again waits for its effect to be heard of; the next one doesn't.
-		if act != nil && t.may(now, strings.Join([]string{"members", group, act.Learn, act.Promote, act.Drop}, "/"), actSpan) {
-			act.Group, act.Lease = group, t.lease
+		if act != nil && t.may(now, strings.Join([]string{"members", group, act.AddLearner, act.Promote, act.Remove}, "/"), actSpan) {
+			act.Group, act.FencingToken = group, t.lease
 			out.Send(notes[group].Leader, act)
 		}
 	}
@@ -60,7 +60,7 @@
 		return false
 	}
 	for other, known := range t.roll.Known {
-		if other != id && known.Member.Stores && known.Member.Inner == old.inner && known.Heard > old.heard && t.roll.Live(other, now, t.spans.Suspect) {
+		if other != id && known.Member.HasStorage && known.Member.InternalAddress == old.inner && known.Heard > old.heard && t.roll.Live(other, now, t.spans.Suspect) {
 			return true
 		}
 	}
@@ -95,8 +95,8 @@
 // machine becomes the controller.
 func (t *Table) watch(now eventloop.Micros) {
 	for id, known := range t.roll.Known {
-		if known.Member.Stores {
-			t.homes[id] = home{inner: known.Member.Inner, cell: known.Member.Cell, heard: known.Heard}
+		if known.Member.HasStorage {
+			t.homes[id] = home{inner: known.Member.InternalAddress, cell: known.Member.Zone, heard: known.Heard}
 			t.isLost(now, id)
 		}
 	}
@@ -110,7 +110,7 @@
 // dropped last. Whose disk is gone won't, so it is dropped as soon as the spare
 // has caught up: then the group bears its losses from the promotion on. Two are
 // never dropped before a promotion.
-func (t *Table) nextMember(now eventloop.Micros, note, root *schema.WaitNote) *schema.Reroster {
+func (t *Table) nextMember(now eventloop.Micros, note, root *schema.QueueStatus) *schema.ChangeMembers {
 	var lost []string
 	succeeded := ""
 	for _, id := range note.Voters {
@@ -129,30 +129,30 @@
 		id := note.Learners[0]
 		switch {
 		case t.isLost(now, id):
-			return &schema.Reroster{Drop: id}
+			return &schema.ChangeMembers{Remove: id}
 		case isWhole && len(note.Voters) >= t.voters:
 			// Whoever it was to stand for is back.
-			return &schema.Reroster{Drop: id}
-		case note.Behind[id] > raft.CaughtUp:
+			return &schema.ChangeMembers{Remove: id}
+		case note.ReplicaLag[id] > raft.CaughtUp:
 			return nil
 		case succeeded != "" && len(note.Voters) >= t.voters:
-			return &schema.Reroster{Drop: succeeded}
+			return &schema.ChangeMembers{Remove: succeeded}
 		}
-		return &schema.Reroster{Promote: id}
+		return &schema.ChangeMembers{Promote: id}
 	}
 	if len(note.Voters) > t.voters {
 		if succeeded != "" {
-			return &schema.Reroster{Drop: succeeded}
+			return &schema.ChangeMembers{Remove: succeeded}
 		}
 		if len(lost) > 0 {
-			return &schema.Reroster{Drop: lost[0]}
+			return &schema.ChangeMembers{Remove: lost[0]}
 		}
 		if leaver != "" {
-			return &schema.Reroster{Drop: leaver}
+			return &schema.ChangeMembers{Remove: leaver}
 		}
 		// All are back, and an even group bears no more than one less.
 		if id := t.surplus(note, root); id != "" {
-			return &schema.Reroster{Drop: id}
+			return &schema.ChangeMembers{Remove: id}
 		}
 		return nil
 	}
@@ -160,7 +160,7 @@
 		return nil
 	}
 	if id := t.spare(now, note, root, cmp.Or(succeeded, first(lost), leaver)); id != "" {
-		return &schema.Reroster{Learn: id}
+		return &schema.ChangeMembers{AddLearner: id}
 	}
 	return nil
 }
@@ -169,12 +169,12 @@
 // the group never does with one voter less: one that has said it leaves while a store
 // that has come of late can take its place (without such a store it is taken to be
 // restarting), or one that stands in the wrong zone.
-func (t *Table) leaver(now eventloop.Micros, note *schema.WaitNote) string {
+func (t *Table) leaver(now eventloop.Micros, note *schema.QueueStatus) string {
 	// Once promoted the new one is no newcomer any more, and the leaver still to go.
 	isUnderWay := len(note.Learners) > 0 || len(note.Voters) > t.voters
 	if isUnderWay || t.roll.Newcomer(now, t.spans.Suspect, t.age(now), note.Voters) != "" {
 		for _, id := range note.Voters {
-			if known, isKnown := t.roll.Known[id]; isKnown && known.Member.Leaving {
+			if known, isKnown := t.roll.Known[id]; isKnown && known.Member.Draining {
 				return id
 			}
 		}
@@ -183,15 +183,15 @@
 }
 
 // mayLearn tells whether a store can be made a learner of a group.
-func (t *Table) mayLearn(now eventloop.Micros, note *schema.WaitNote, id string) bool {
+func (t *Table) mayLearn(now eventloop.Micros, note *schema.QueueStatus, id string) bool {
 	return !slices.Contains(note.Voters, id) && !slices.Contains(note.Learners, id) &&
-		t.roll.Live(id, now, t.spans.Suspect) && !t.roll.Known[id].Member.Leaving && !t.roll.Refuses(id)
+		t.roll.Live(id, now, t.spans.Suspect) && !t.roll.Known[id].Member.Draining && !t.roll.Refuses(id)
 }
 
 // spare is a store to learn next, in the place of another if one is to go. Queues follow
 // the cluster state's voters, so that a few machines hold all; the cluster state's are
 // spread over the zones.
-func (t *Table) spare(now eventloop.Micros, note, root *schema.WaitNote, goer string) string {
+func (t *Table) spare(now eventloop.Micros, note, root *schema.QueueStatus, goer string) string {
 	for _, id := range root.Voters {
 		if t.mayLearn(now, note, id) && t.mayReplace(note, goer, id) {
 			return id
@@ -215,7 +215,7 @@
 // surplus is the voter to do without: the one whose going leaves the others best
 // spread, one that doesn't vote on the cluster state, else one of the fullest zone;
 // never the leader.
-func (t *Table) surplus(note, root *schema.WaitNote) string {
+func (t *Table) surplus(note, root *schema.QueueStatus) string {
 	inCell := map[string]int{}
 	for _, id := range note.Voters {
 		inCell[t.cellOf(id)]++
--- a/internal/controller/members_test.go
+++ b/internal/controller/members_test.go
@@ -19,7 +19,7 @@
 // comes adds an empty store that has just started.
 func (c *council) comes(id string) {
 	c.add(id, "10.0.0."+id, "")
-	c.members[id].Boot, c.members[id].Beat = 1, 4
+	c.members[id].Incarnation, c.members[id].Heartbeat = 1, 4
 }
 
 func TestALeaverHandsItsVoteOver(t *testing.T) {
@@ -27,7 +27,7 @@
 		c := newCouncil(0, "a", "b", "c")
 		c.run(3 * eventloop.Second)
 		c.aged()
-		c.members["c"].Leaving = true
+		c.members["c"].Draining = true
 		Convey("it is taken to be restarting, and keeps its vote", func() {
 			c.run(10 * eventloop.Second)
 			So(c.steps, ShouldBeEmpty)
@@ -45,7 +45,7 @@
 		})
 		Convey("and not before it has caught up", func() {
 			c.comes("d")
-			c.note.Behind["d"] = 1000
+			c.note.ReplicaLag["d"] = 1000
 			c.run(2 * eventloop.Second)
 			So(c.steps, ShouldResemble, []string{"learn d"})
 		})
@@ -58,9 +58,9 @@
 		})
 		Convey("when it is back it keeps its vote, and who was to stand for it is let go", func() {
 			c.comes("d")
-			c.note.Behind["d"] = 1000
+			c.note.ReplicaLag["d"] = 1000
 			c.run(eventloop.Second)
-			c.members["c"] = &schema.Member{Id: "c", Boot: 3, Stores: true, Role: schema.Role_ROLE_SERVER, Inner: "10.0.0.c"}
+			c.members["c"] = &schema.Member{Id: "c", Incarnation: 3, HasStorage: true, Role: schema.Role_ROLE_SERVER, InternalAddress: "10.0.0.c"}
 			c.run(eventloop.Second)
 			So(c.steps, ShouldResemble, []string{"learn d", "drop d"})
 		})
@@ -69,7 +69,7 @@
 		c := newCouncil(2, "a", "b", "c", "d", "e")
 		c.run(3 * eventloop.Second)
 		c.aged()
-		c.members["a"].Leaving, c.members["b"].Leaving = true, true
+		c.members["a"].Draining, c.members["b"].Draining = true, true
 		c.note.Leader = "e"
 		c.comes("f")
 		c.comes("g")
@@ -95,7 +95,7 @@
 	Convey("A controller that has just started knows the age of the cluster from the lease, and counts a newcomer", t, func() {
 		h := New("h", 0)
 		h.roll = &membership.Roll{Known: map[string]membership.Known{
-			"d": {Member: &schema.Member{Id: "d", Stores: true, Boot: 1, Beat: 4}, Heard: eventloop.Second},
+			"d": {Member: &schema.Member{Id: "d", HasStorage: true, Incarnation: 1, Heartbeat: 4}, Heard: eventloop.Second},
 		}}
 		So(h.hasCome(eventloop.Second), ShouldBeFalse)
 		h.until, h.untilAt = int64(60*eventloop.Second), eventloop.Second
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -13,14 +13,14 @@
 )
 
 // notes are what the leaders say of their groups.
-func (t *Table) notes(now eventloop.Micros) map[string]*schema.WaitNote {
-	notes := map[string]*schema.WaitNote{}
+func (t *Table) notes(now eventloop.Micros) map[string]*schema.QueueStatus {
+	notes := map[string]*schema.QueueStatus{}
 	for _, id := range t.stores(now) {
 		word, isKnown := t.told[id]
 		if !isKnown || now-word.at > t.spans.Suspect {
 			continue
 		}
-		for _, note := range word.tell.Waits {
+		for _, note := range word.tell.QueueStatuses {
 			notes[note.Group] = note
 		}
 	}
@@ -41,7 +41,7 @@
 	if root == nil {
 		return
 	}
-	command := &schema.PlaceQueues{Lease: t.lease}
+	command := &schema.PlaceQueues{FencingToken: t.lease}
 	leader := ""
 	for _, name := range t.values.Queues() {
 		if clusterstate.Place(t.state, name) != nil {
@@ -50,15 +50,15 @@
 		if len(command.Queues) == 0 {
 			leader = t.sturdiest(now)
 		}
-		command.Queues = append(command.Queues, &schema.QueuePlace{Queue: name, Founders: root.Voters, Leader: leader})
+		command.Queues = append(command.Queues, &schema.QueuePlacement{Queue: name, InitialVoters: root.Voters, PreferredLeader: leader})
 	}
 	for _, place := range t.state.Queues {
 		note := notes[replica.GroupOf(place)]
-		if !t.values.HasQueue(place.Queue) && note != nil && note.Live == 0 && note.Kept == 0 {
-			command.Gone = append(command.Gone, replica.GroupOf(place))
+		if !t.values.HasQueue(place.Queue) && note != nil && note.LiveJobs == 0 && note.RetainedJobs == 0 {
+			command.Removed = append(command.Removed, replica.GroupOf(place))
 		}
 	}
-	if len(command.Queues)+len(command.Gone) == 0 {
+	if len(command.Queues)+len(command.Removed) == 0 {
 		return
 	}
 	// The same act again waits, for its effect may just not be heard of yet;
@@ -67,14 +67,14 @@
 	for _, each := range command.Queues {
 		names = append(names, each.Queue)
 	}
-	set := strings.Join(names, " ") + "/" + strings.Join(command.Gone, " ")
+	set := strings.Join(names, " ") + "/" + strings.Join(command.Removed, " ")
 	if set != t.queuesIn {
 		delete(t.acted, "queues")
 	}
 	// One that finds no leader is tried again at the next tick.
 	if t.leaderOf(now, clusterstate.Group) != "" && t.may(now, "queues", actSpan) {
 		t.queuesIn = set
-		t.send(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Queues{Queues: command}}, out)
+		t.send(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: command}}, out)
 	}
 }
 
@@ -88,10 +88,10 @@
 	leads, wanted := map[string]int{}, map[string]int{}
 	stores := t.stores(now)
 	for _, place := range t.state.Queues {
-		wanted[place.Leader]++
+		wanted[place.PreferredLeader]++
 		leads[t.leaderAmong(now, stores, place.Queue)]++
 	}
-	for _, ward := range t.state.Wards {
+	for _, ward := range t.state.WorkerLeases {
 		wanted[ward.Scheduler]++
 	}
 	type candidate struct {
@@ -103,7 +103,7 @@
 		word, isKnown := t.told[id]
 		// Who can't say how the cluster state stands is cut off from it, and could
 		// neither lead nor ward.
-		if !isKnown || now-word.at > t.spans.Suspect || !t.roll.Live(id, now, t.spans.Suspect) || t.roll.Known[id].Member.Leaving || t.isDeposed(now, id) {
+		if !isKnown || now-word.at > t.spans.Suspect || !t.roll.Live(id, now, t.spans.Suspect) || t.roll.Known[id].Member.Draining || t.isDeposed(now, id) {
 			continue
 		}
 		list = append(list, candidate{id, t.roll.Known[id].Member.LatencyUs})
@@ -141,26 +141,26 @@
 	if sturdy == "" {
 		return
 	}
-	wards := &schema.MoveWards{Lease: t.lease}
-	for _, ward := range t.state.Wards {
+	wards := &schema.AssignWorkers{FencingToken: t.lease}
+	for _, ward := range t.state.WorkerLeases {
 		if ward.Scheduler != sturdy {
-			wards.Wards = append(wards.Wards, &schema.Ward{Worker: ward.Worker, Scheduler: sturdy})
+			wards.WorkerLeases = append(wards.WorkerLeases, &schema.WorkerLease{Worker: ward.Worker, Scheduler: sturdy})
 		}
 	}
-	queues := &schema.PlaceQueues{Lease: t.lease}
+	queues := &schema.PlaceQueues{FencingToken: t.lease}
 	for _, place := range t.state.Queues {
-		if place.Leader != sturdy {
-			queues.Queues = append(queues.Queues, &schema.QueuePlace{Queue: place.Queue, Leader: sturdy})
+		if place.PreferredLeader != sturdy {
+			queues.Queues = append(queues.Queues, &schema.QueuePlacement{Queue: place.Queue, PreferredLeader: sturdy})
 		}
 	}
-	if len(wards.Wards)+len(queues.Queues) == 0 || !t.may(now, "leaders", actSpan) {
+	if len(wards.WorkerLeases)+len(queues.Queues) == 0 || !t.may(now, "leaders", actSpan) {
 		return
 	}
 	t.movedAt = now
 	if len(queues.Queues) > 0 {
-		t.send(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Queues{Queues: queues}}, out)
+		t.send(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: queues}}, out)
 	}
-	if len(wards.Wards) > 0 {
-		t.send(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Wards{Wards: wards}}, out)
+	if len(wards.WorkerLeases) > 0 {
+		t.send(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_AssignWorkers{AssignWorkers: wards}}, out)
 	}
 }
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -17,21 +17,21 @@
 	notes := t.notes(now)
 	for _, group := range slices.Sorted(maps.Keys(notes)) {
 		note := notes[group]
-		var over []*schema.Gone
-		for _, boot := range note.Boots {
+		var over []*schema.ExpiredGateway
+		for _, boot := range note.Gateways {
 			key := "gateway/" + boot.Gateway
 			known, isKnown := t.roll.Known[boot.Gateway]
-			isNewer := isKnown && known.Member.Boot != boot.Boot&(1<<32-1)
+			isNewer := isKnown && known.Member.Incarnation != boot.Incarnation&(1<<32-1)
 			if isKnown && !isNewer && now-known.Heard < t.spans.Suspect {
 				delete(t.gone, key)
 				continue
 			}
 			if isNewer || t.lostFor(now, key) > timeout {
-				over = append(over, &schema.Gone{Gateway: boot.Gateway, Boot: boot.Boot})
+				over = append(over, &schema.ExpiredGateway{Gateway: boot.Gateway, Incarnation: boot.Incarnation})
 			}
 		}
 		if len(over) > 0 && t.may(now, "sessions/"+note.Queue, eventloop.Second) {
-			out.Send(note.Leader, &schema.Quit{Queue: note.Queue, Boots: over})
+			out.Send(note.Leader, &schema.EndSessionsRequest{Queue: note.Queue, Gateways: over})
 		}
 	}
 }
--- a/internal/controller/voters_test.go
+++ b/internal/controller/voters_test.go
@@ -18,7 +18,7 @@
 type council struct {
 	t       *Table
 	now     eventloop.Micros
-	note    *schema.WaitNote
+	note    *schema.QueueStatus
 	members map[string]*schema.Member
 	silent  map[string]eventloop.Micros // since when
 	steps   []string
@@ -28,7 +28,7 @@
 func newCouncil(losses uint32, voters ...string) *council {
 	c := &council{
 		t: New("h", losses), now: 100 * eventloop.Second, members: map[string]*schema.Member{}, silent: map[string]eventloop.Micros{},
-		note: &schema.WaitNote{Group: clusterstate.Group, Leader: voters[0], Voters: voters, Behind: map[string]uint64{}}, least: len(voters),
+		note: &schema.QueueStatus{Group: clusterstate.Group, Leader: voters[0], Voters: voters, ReplicaLag: map[string]uint64{}}, least: len(voters),
 	}
 	for _, id := range voters {
 		c.add(id, "10.0.0."+id, "")
@@ -37,7 +37,7 @@
 }
 
 func (c *council) add(id, inner, cell string) {
-	c.members[id] = &schema.Member{Id: id, Boot: 2, Stores: true, Role: schema.Role_ROLE_SERVER, Inner: inner, Cell: cell}
+	c.members[id] = &schema.Member{Id: id, Incarnation: 2, HasStorage: true, Role: schema.Role_ROLE_SERVER, InternalAddress: inner, Zone: cell}
 }
 
 func (c *council) live() int {
@@ -72,17 +72,17 @@
 			return slices.DeleteFunc(slices.Clone(list), func(each string) bool { return each == id })
 		}
 		switch {
-		case act.Learn != "":
-			c.steps = append(c.steps, "learn "+act.Learn)
-			c.note.Learners = append(c.note.Learners, act.Learn)
+		case act.AddLearner != "":
+			c.steps = append(c.steps, "learn "+act.AddLearner)
+			c.note.Learners = append(c.note.Learners, act.AddLearner)
 		case act.Promote != "":
 			c.steps = append(c.steps, "promote "+act.Promote)
 			c.note.Learners = without(c.note.Learners, act.Promote)
 			c.note.Voters = append(c.note.Voters, act.Promote)
-		case act.Drop != "":
-			c.steps = append(c.steps, "drop "+act.Drop)
-			c.note.Learners = without(c.note.Learners, act.Drop)
-			c.note.Voters = without(c.note.Voters, act.Drop)
+		case act.Remove != "":
+			c.steps = append(c.steps, "drop "+act.Remove)
+			c.note.Learners = without(c.note.Learners, act.Remove)
+			c.note.Voters = without(c.note.Voters, act.Remove)
 		}
 		c.least = min(c.least, c.live()-(len(c.note.Voters)/2+1))
 	}
@@ -105,10 +105,10 @@
 		})
 		Convey("one whose disk is gone is dropped when its spare has caught up, and not before", func() {
 			c.add("f", "10.0.0.e", "")
-			c.note.Behind["f"] = 1000
+			c.note.ReplicaLag["f"] = 1000
 			c.run(20 * eventloop.Second)
 			So(c.steps, ShouldResemble, []string{"learn f"})
-			c.note.Behind["f"] = 0
+			c.note.ReplicaLag["f"] = 0
 			c.run(5 * eventloop.Second)
 			So(c.steps, ShouldResemble, []string{"learn f", "drop e", "promote f"})
 			So(c.least, ShouldEqual, 1)
@@ -125,7 +125,7 @@
 		})
 		Convey("who comes back while its spare learns keeps its place", func() {
 			c.add("f", "10.0.0.f", "")
-			c.note.Behind["f"] = 1000
+			c.note.ReplicaLag["f"] = 1000
 			c.run(8 * eventloop.Second)
 			delete(c.silent, "e")
 			c.run(2 * eventloop.Second)
@@ -167,7 +167,7 @@
 
 func (a *asked) Send(to string, body any) {
 	switch body.(type) {
-	case *schema.ClusterStateAsk:
+	case *schema.ClusterStateRequest:
 		a.stores[to]++
 	case *schema.Request:
 		a.claims++
@@ -183,13 +183,13 @@
 	play := func(self int, gone ...int) *asked {
 		a := &asked{stores: map[string]int{}}
 		side := func(k int) *schema.Member {
-			return &schema.Member{Id: fmt.Sprintf("s%02d", k), Role: schema.Role_ROLE_CONTROLLER, Cell: fmt.Sprintf("c%d", k%4)}
+			return &schema.Member{Id: fmt.Sprintf("s%02d", k), Role: schema.Role_ROLE_CONTROLLER, Zone: fmt.Sprintf("c%d", k%4)}
 		}
 		h := New(side(self).Id, 2)
 		for now := 100 * eventloop.Second; now < 110*eventloop.Second; now += Pace {
 			roll := &membership.Roll{Self: side(self), Known: map[string]membership.Known{}}
 			for _, id := range []string{"a", "b", "c", "d", "e"} {
-				roll.Known[id] = membership.Known{Member: &schema.Member{Id: id, Stores: true, Role: schema.Role_ROLE_SERVER}, Heard: now}
+				roll.Known[id] = membership.Known{Member: &schema.Member{Id: id, HasStorage: true, Role: schema.Role_ROLE_SERVER}, Heard: now}
 			}
 			for k := range 20 {
 				heard := now
@@ -199,7 +199,7 @@
 				roll.Known[side(k).Id] = membership.Known{Member: side(k), Heard: heard}
 			}
 			h.Step(now, eventloop.Mail{Body: roll}, a)
-			h.Step(now, eventloop.Mail{From: "a", Body: &schema.ClusterStateTell{Version: 1, Leaders: map[string]string{clusterstate.Group: "a"}}}, a)
+			h.Step(now, eventloop.Mail{From: "a", Body: &schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{clusterstate.Group: "a"}}}, a)
 			h.Step(now, eventloop.Mail{Body: eventloop.Tick{}}, a)
 		}
 		return a
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -10,14 +10,14 @@
 // cellOf is the zone of a store, also of one that the book has let go.
 func (t *Table) cellOf(id string) string {
 	if known, isKnown := t.roll.Known[id]; isKnown {
-		return known.Member.GetCell()
+		return known.Member.GetZone()
 	}
 	return t.homes[id].cell
 }
 
 // excess is by how many voters too many the zones or regions that may be lost would
 // hold, were one voter gone and another there; empty: none.
-func (t *Table) excess(note *schema.WaitNote, gone, there string) int {
+func (t *Table) excess(note *schema.QueueStatus, gone, there string) int {
 	if !t.tolerance.IsSpread() {
 		return 0
 	}
@@ -38,8 +38,8 @@
 func (t *Table) canSpread() bool {
 	var zones []string
 	for _, known := range t.roll.Known {
-		if known.Member.Stores {
-			zones = append(zones, known.Member.Cell)
+		if known.Member.HasStorage {
+			zones = append(zones, known.Member.Zone)
 		}
 	}
 	return t.tolerance.IsSpread() && t.tolerance.Short(zones) == ""
@@ -48,7 +48,7 @@
 // mayReplace tells whether the vote of one may go to another: not where that leaves the
 // zones or regions worse spread than they may be. The lost one's zone may come back;
 // until then the others bear what they bore.
-func (t *Table) mayReplace(note *schema.WaitNote, goer, id string) bool {
+func (t *Table) mayReplace(note *schema.QueueStatus, goer, id string) bool {
 	if goer == "" || !t.canSpread() {
 		return true
 	}
@@ -57,7 +57,7 @@
 }
 
 // isBetterSpread tells whether one store is to be preferred to another.
-func (t *Table) isBetterSpread(note *schema.WaitNote, goer, id, other string, inCell map[string]int) bool {
+func (t *Table) isBetterSpread(note *schema.QueueStatus, goer, id, other string, inCell map[string]int) bool {
 	if a, b := t.excess(note, goer, id), t.excess(note, goer, other); a != b {
 		return a < b
 	}
@@ -66,7 +66,7 @@
 
 // misplaced is a voter whose vote stands better with another store, where the zones or
 // regions can't be lost as the voters are; never the leader's.
-func (t *Table) misplaced(now eventloop.Micros, note *schema.WaitNote) string {
+func (t *Table) misplaced(now eventloop.Micros, note *schema.QueueStatus) string {
 	least := t.excess(note, "", "")
 	if least == 0 || len(note.Voters) != t.voters || !t.canSpread() {
 		return ""
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -114,7 +114,7 @@
 
 // Serve runs a process until it fails or has left after a warning; name stands
 // before what goes to standard error. The hands carry calls of a worker.
-func Serve(name string, loaded *schema.Options, role schema.Role, open Opening, hands ...agent.Caller) subcommands.ExitStatus {
+func Serve(name string, loaded *schema.Settings, role schema.Role, open Opening, hands ...agent.Caller) subcommands.ExitStatus {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	// Whoever reads our output may go away before we do.
@@ -138,7 +138,7 @@
 	return subcommands.ExitSuccess
 }
 
-func serve(loaded *schema.Options, role schema.Role, signals chan os.Signal, log *zap.Logger, ring *logring.Ring, open Opening, hands []agent.Caller) error {
+func serve(loaded *schema.Settings, role schema.Role, signals chan os.Signal, log *zap.Logger, ring *logring.Ring, open Opening, hands []agent.Caller) error {
 	var opened *process.Opened
 	for {
 		next, err := serveWith(opened, loaded, role, signals, log, ring, open, hands)
@@ -151,7 +151,7 @@
 
 // serveWith serves until the process is to end, or to start anew with a store
 // that it couldn't open before.
-func serveWith(opened *process.Opened, loaded *schema.Options, role schema.Role, signals chan os.Signal, log *zap.Logger, ring *logring.Ring, open Opening, hands []agent.Caller) (*process.Opened, error) {
+func serveWith(opened *process.Opened, loaded *schema.Settings, role schema.Role, signals chan os.Signal, log *zap.Logger, ring *logring.Ring, open Opening, hands []agent.Caller) (*process.Opened, error) {
 	real, err := process.StartWith(opened, loaded, role, log, hands...)
 	if err != nil {
 		return nil, err
@@ -202,7 +202,7 @@
 
 // leave: not ready at once, leaders passed on, open requests finished, and out
 // within the limit. A second signal ends it at once.
-func leave(real *process.Real, server Server, loaded *schema.Options, signals chan os.Signal, log *zap.Logger, ring *logring.Ring) error {
+func leave(real *process.Real, server Server, loaded *schema.Settings, signals chan os.Signal, log *zap.Logger, ring *logring.Ring) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(loaded.WarnUs)*time.Microsecond)
 	defer cancel()
 	go func() {
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -30,8 +30,8 @@
 func TestWhatEndsAStart(t *testing.T) {
 	never := func(*process.Real, *zap.Logger) (Server, error) { panic("it has started") }
 	told := filepath.Join(t.TempDir(), "log")
-	options := func(data string) *schema.Options {
-		return &schema.Options{Cell: "c", Inner: "127.0.0.1:0", Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}, Trace: told}
+	options := func(data string) *schema.Settings {
+		return &schema.Settings{Cell: "c", Inner: "127.0.0.1:0", Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}, Trace: told}
 	}
 	log := func() string {
 		text, err := os.ReadFile(told)
@@ -60,8 +60,8 @@
 		So(err, ShouldBeNil)
 		store, err := storage.Open(folder)
 		So(err, ShouldBeNil)
-		point := &schema.Checkpoint{Index: 7, Term: 1, Data: []byte("\xff\xff\xff of another system")}
-		So(store.Commit([]*schema.Change{{Group: "mail#4", Checkpoint: point}}), ShouldBeNil)
+		point := &schema.Snapshot{Index: 7, Term: 1, Data: []byte("\xff\xff\xff of another system")}
+		So(store.Commit([]*schema.StoreChange{{Group: "mail#4", Snapshot: point}}), ShouldBeNil)
 		folder.Close()
 		So(Serve("x", options(data), schema.Role_ROLE_SERVER, never), ShouldEqual, ExitOptions)
 		So(log(), ShouldContainSubstring, data)
@@ -94,10 +94,10 @@
 		obstacle := filepath.Join(data, "slot-0")
 		So(os.Mkdir(obstacle, 0o700), ShouldBeNil)
 		log, ring := logring.New("")
-		loaded := &schema.Options{Cell: "c", Inner: "127.0.0.1:0", Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}, WarnUs: 2_000_000}
+		loaded := &schema.Settings{Cell: "c", Inner: "127.0.0.1:0", Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}, WarnUs: 2_000_000}
 		shutdowns, started, ended := make(chan bool, 4), make(chan bool, 4), make(chan error, 1)
 		open := func(real *process.Real, _ *zap.Logger) (Server, error) {
-			started <- real.Member.Stores
+			started <- real.Member.HasStorage
 			return calls{shutdowns}, nil
 		}
 		signals := make(chan os.Signal, 1)
--- a/internal/deployments/deployments.go
+++ b/internal/deployments/deployments.go
@@ -41,11 +41,11 @@
 }
 
 func step(name string, tasks uint32, cores, memory int64, after ...string) *schema.Step {
-	return &schema.Step{Name: name, Tasks: tasks, CoresMilli: cores, MemoryMb: memory, After: after, AllowedFailures: 2}
+	return &schema.Step{Name: name, Tasks: tasks, CoresMilli: cores, MemoryMb: memory, Dependencies: after, AllowedFailures: 2}
 }
 
 func called(name string, tasks uint32, cores, memory, us int64, after ...string) *schema.Step {
-	return &schema.Step{Name: name, Tasks: tasks, CoresMilli: cores, MemoryMb: memory, After: after, EstimateUs: us}
+	return &schema.Step{Name: name, Tasks: tasks, CoresMilli: cores, MemoryMb: memory, Dependencies: after, EstimatedRunUs: us}
 }
 
 // bounds in milliseconds.
@@ -106,13 +106,13 @@
 }
 
 // Rows is the deployment's table.
-func (d *Deployment) Rows() []*schema.Row {
-	rows := []*schema.Row{
+func (d *Deployment) Rows() []*schema.ConfigurationRow {
+	rows := []*schema.ConfigurationRow{
 		{Kind: "fleet", Key: "worker_cores_milli", Value: fmt.Sprint(d.Cores)},
 		{Kind: "fleet", Key: "worker_memory_mb", Value: fmt.Sprint(d.Memory)},
 	}
 	for _, k := range d.Kinds {
-		rows = append(rows, &schema.Row{Kind: "queue", Name: k.Queue, Key: "urgency", Value: fmt.Sprint(k.Urgency)})
+		rows = append(rows, &schema.ConfigurationRow{Kind: "queue", Name: k.Queue, Key: "urgency", Value: fmt.Sprint(k.Urgency)})
 	}
 	return rows
 }
--- a/internal/fakeworker/fakeworker.go
+++ b/internal/fakeworker/fakeworker.go
@@ -66,9 +66,9 @@
 	lease       eventloop.Micros
 	isLeaving   bool
 	runs        map[key]*run
-	ended       map[key]*schema.TaskNote // not noted yet
-	carried     map[key]uint64           // failures not known to be reported, and the first announce with them
-	over        map[key]past             // attempts that must not start again
+	ended       map[key]*schema.TaskStatus // not noted yet
+	carried     map[key]uint64             // failures not known to be reported, and the first announce with them
+	over        map[key]past               // attempts that must not start again
 	lastSent    eventloop.Micros
 	isHurried   bool
 	toldHeard   eventloop.Micros
@@ -78,7 +78,7 @@
 func New(now eventloop.Micros, name, rack string, cores, memory int64, incarnation uint64, rng *rand.Rand, tell func(checker.Event)) *Worker {
 	w := &Worker{
 		Name: name, Incarnation: incarnation, rack: rack, cores: cores, memory: memory, rng: rng, tell: tell,
-		runs: map[key]*run{}, ended: map[key]*schema.TaskNote{}, over: map[key]past{}, carried: map[key]uint64{}, isHurried: true, lastSent: -announceSpan,
+		runs: map[key]*run{}, ended: map[key]*schema.TaskStatus{}, over: map[key]past{}, carried: map[key]uint64{}, isHurried: true, lastSent: -announceSpan,
 	}
 	tell(checker.Event{At: now, Kind: checker.Up, Who: name, Cores: cores, Memory: memory, Rack: rack, Incarnation: incarnation})
 	return w
@@ -188,20 +188,20 @@
 }
 
 func (w *Worker) report(k key, outcome string) {
-	w.ended[k] = &schema.TaskNote{Queue: k.queue, Job: k.job, Step: k.step, Task: k.task, Attempt: k.attempt, State: outcome}
+	w.ended[k] = &schema.TaskStatus{Queue: k.queue, Job: k.job, Step: k.step, Task: k.task, Attempt: k.attempt, State: outcome}
 	w.isHurried = true
 }
 
 // Announce says what the worker has and does.
-func (w *Worker) Announce(now eventloop.Micros) *schema.Announce {
+func (w *Worker) Announce(now eventloop.Micros) *schema.WorkerHeartbeat {
 	w.seq++
 	w.lastSent, w.isHurried = now, false
-	a := &schema.Announce{
-		Incarnation: w.Incarnation, Seq: w.seq, CoresMilli: w.cores, MemoryMb: w.memory, Rack: w.rack, Leaving: w.isLeaving,
-		Ward: w.ward, WaitUs: int64(400 * eventloop.Milli),
+	a := &schema.WorkerHeartbeat{
+		Incarnation: w.Incarnation, Seq: w.seq, CoresMilli: w.cores, MemoryMb: w.memory, Rack: w.rack, Draining: w.isLeaving,
+		FencingToken: w.ward, MaxWaitUs: int64(400 * eventloop.Milli),
 	}
 	for _, r := range w.sorted() {
-		note := &schema.TaskNote{
+		note := &schema.TaskStatus{
 			Queue: r.key.queue, Job: r.key.job, Step: r.key.step, Task: r.key.task, Attempt: r.key.attempt,
 			State: "running", RunUs: int64(now - r.began), CoresMilli: r.cores, MemoryMb: r.memory,
 		}
@@ -209,7 +209,7 @@
 			note.State, note.RunUs = "held", 0
 		}
 		if r.isStill {
-			note.StillUs = note.RunUs
+			note.IdleUs = note.RunUs
 		}
 		a.Running = append(a.Running, note)
 	}
@@ -242,13 +242,13 @@
 }
 
 // Take carries out the answer to the announce numbered seq, sent at `sent`.
-func (w *Worker) Take(now, sent eventloop.Micros, seq uint64, orders *schema.Orders) {
+func (w *Worker) Take(now, sent eventloop.Micros, seq uint64, orders *schema.WorkerOrders) {
 	// An older answer than one taken may tell to start what is long over; an
 	// older ward has been succeeded.
-	if seq <= w.taken || orders.Ward < w.ward {
+	if seq <= w.taken || orders.FencingToken < w.ward {
 		return
 	}
-	w.taken, w.ward = seq, orders.Ward
+	w.taken, w.ward = seq, orders.FencingToken
 	if w.toldHeard == 0 || now >= w.toldHeard+eventloop.Second {
 		w.toldHeard = now
 		w.tell(checker.Event{At: now, Kind: checker.Heard, Who: w.Name, Incarnation: w.Incarnation})
@@ -260,29 +260,29 @@
 			w.event(now, checker.Reported, &run{key: k}, "failed")
 		}
 	}
-	for _, note := range orders.Noted {
+	for _, note := range orders.Acknowledged {
 		delete(w.ended, key{note.Queue, note.Job, note.Step, note.Task, note.Attempt})
 	}
 	for _, order := range orders.Orders {
 		w.obey(now, order)
 	}
-	if len(orders.Orders) > 0 || len(orders.Noted) > 0 {
+	if len(orders.Orders) > 0 || len(orders.Acknowledged) > 0 {
 		w.isHurried = true
 	}
 }
 
-func (w *Worker) obey(now eventloop.Micros, order *schema.Order) {
+func (w *Worker) obey(now eventloop.Micros, order *schema.TaskOrder) {
 	k := key{order.Queue, order.Job, order.Step, order.Task, order.Attempt}
 	r := w.runs[k]
 	fresh := &run{key: k, name: order.Name, cores: order.CoresMilli, memory: order.MemoryMb}
-	w.event(now, checker.Order, fresh, order.Act)
+	w.event(now, checker.Order, fresh, order.Action)
 	if p, isOver := w.over[k]; isOver {
 		// Whoever still wants it hasn't heard how it ended.
 		w.event(now, checker.LetGo, fresh, p.outcome)
 		w.report(k, p.outcome)
 		return
 	}
-	switch order.Act {
+	switch order.Action {
 	case "stop":
 		if r == nil {
 			// Never begun here; saying so lets it be given to another, and it
--- a/internal/fakeworker/fakeworker_test.go
+++ b/internal/fakeworker/fakeworker_test.go
@@ -12,8 +12,8 @@
 )
 
 func TestWhomAWorkerHeeds(t *testing.T) {
-	start := func(task uint32) []*schema.Order {
-		return []*schema.Order{{Act: "start", Queue: "l", Job: 1, Task: task, Attempt: 1, CoresMilli: 10, Text: "run_us=60000000"}}
+	start := func(task uint32) []*schema.TaskOrder {
+		return []*schema.TaskOrder{{Action: "start", Queue: "l", Job: 1, Task: task, Attempt: 1, CoresMilli: 10, Text: "run_us=60000000"}}
 	}
 	newWorker := func() (*Worker, map[string]int) {
 		seen := map[string]int{}
@@ -24,18 +24,18 @@
 	Convey("A worker turns away an older ward, and an answer older than one it has taken", t, func() {
 		w, seen := newWorker()
 		first, second, third := w.Announce(eventloop.Second).Seq, w.Announce(eventloop.Second).Seq, w.Announce(eventloop.Second).Seq
-		w.Take(eventloop.Second, eventloop.Second, second, &schema.Orders{Ward: 5, LeaseUs: lease})
-		w.Take(eventloop.Second, eventloop.Second, third, &schema.Orders{Ward: 4, LeaseUs: lease, Orders: start(0)})
-		w.Take(eventloop.Second, eventloop.Second, first, &schema.Orders{Ward: 5, LeaseUs: lease, Orders: start(0)})
+		w.Take(eventloop.Second, eventloop.Second, second, &schema.WorkerOrders{FencingToken: 5, LeaseUs: lease})
+		w.Take(eventloop.Second, eventloop.Second, third, &schema.WorkerOrders{FencingToken: 4, LeaseUs: lease, Orders: start(0)})
+		w.Take(eventloop.Second, eventloop.Second, first, &schema.WorkerOrders{FencingToken: 5, LeaseUs: lease, Orders: start(0)})
 		So(seen[checker.Begin], ShouldEqual, 0)
-		w.Take(eventloop.Second, eventloop.Second, third, &schema.Orders{Ward: 5, LeaseUs: lease, Orders: start(0)})
+		w.Take(eventloop.Second, eventloop.Second, third, &schema.WorkerOrders{FencingToken: 5, LeaseUs: lease, Orders: start(0)})
 		So(seen[checker.Begin], ShouldEqual, 1)
 	})
 	Convey("It stops what runs when its lease ends, counted from when it asked, and keeps what it holds", t, func() {
 		w, seen := newWorker()
 		seq := w.Announce(eventloop.Second).Seq
-		hold := &schema.Order{Act: "hold", Queue: "l", Job: 2, Attempt: 1, CoresMilli: 10}
-		w.Take(2*eventloop.Second, eventloop.Second, seq, &schema.Orders{Ward: 1, LeaseUs: lease, Orders: append(start(0), hold)})
+		hold := &schema.TaskOrder{Action: "hold", Queue: "l", Job: 2, Attempt: 1, CoresMilli: 10}
+		w.Take(2*eventloop.Second, eventloop.Second, seq, &schema.WorkerOrders{FencingToken: 1, LeaseUs: lease, Orders: append(start(0), hold)})
 		w.Tick(5*eventloop.Second - 1)
 		So(seen[checker.End+"stopped"], ShouldEqual, 0)
 		w.Tick(5 * eventloop.Second)
@@ -46,10 +46,10 @@
 		w, seen := newWorker()
 		big := start(0)
 		big[0].CoresMilli = 900
-		w.Take(eventloop.Second, eventloop.Second, w.Announce(eventloop.Second).Seq, &schema.Orders{Ward: 1, LeaseUs: lease, Orders: big})
+		w.Take(eventloop.Second, eventloop.Second, w.Announce(eventloop.Second).Seq, &schema.WorkerOrders{FencingToken: 1, LeaseUs: lease, Orders: big})
 		more := start(1)
 		more[0].CoresMilli = 200
-		w.Take(eventloop.Second, eventloop.Second, w.Announce(eventloop.Second).Seq, &schema.Orders{Ward: 1, LeaseUs: lease, Orders: append(more, big...)})
+		w.Take(eventloop.Second, eventloop.Second, w.Announce(eventloop.Second).Seq, &schema.WorkerOrders{FencingToken: 1, LeaseUs: lease, Orders: append(more, big...)})
 		So(seen[checker.Begin], ShouldEqual, 1)
 		So(w.Announce(eventloop.Second).Ended[0].State, ShouldEqual, "stopped")
 	})
--- a/internal/gateway/clusterstate.go
+++ b/internal/gateway/clusterstate.go
@@ -9,24 +9,24 @@
 )
 
 // stateAsk asks for what is newer than our copy.
-func (t *Table) stateAsk() *schema.ClusterStateAsk {
-	return &schema.ClusterStateAsk{Version: t.state.Version, Generation: t.state.Plan.GetGeneration()}
+func (t *Table) stateAsk() *schema.ClusterStateRequest {
+	return &schema.ClusterStateRequest{Version: t.state.Version, HeldRevision: t.state.Configuration.GetRevision()}
 }
 
-func (t *Table) clusterState(now eventloop.Micros, m *schema.ClusterStateTell, out eventloop.Out) {
-	state, err := clusterstate.Incoming(m, t.state.Plan)
+func (t *Table) clusterState(now eventloop.Micros, m *schema.ClusterStateResponse, out eventloop.Out) {
+	state, err := clusterstate.Incoming(m, t.state.Configuration)
 	if err != nil {
 		return // it is asked for again, and until then nothing fresh has been heard
 	}
 	if state != nil && state.Version >= t.state.Version {
-		t.state, t.values = state, t.values.Renew(state.Plan)
+		t.state, t.values = state, t.values.Renew(state.Configuration)
 		t.countUnled(now)
 		t.endDropped(now, out)
 	}
 	// Our own replica tells of every change, also while it is still catching up
 	// after a start; only an answer comes from one that has.
 	if m.Version >= t.state.Version {
-		t.lease.answered(m.Number, eventloop.Micros(m.AgeUs))
+		t.lease.answered(m.Sequence, eventloop.Micros(m.AgeUs))
 	}
 	isNews := false
 	for queue, leader := range m.Leaders {
@@ -46,10 +46,10 @@
 			}
 		}
 	}
-	for _, note := range m.Waits {
+	for _, note := range m.QueueStatuses {
 		if note.Queue != "" {
 			t.waits[note.Queue] = note
-			t.pace("live/"+note.Queue).count(now, note.Ended)
+			t.pace("live/"+note.Queue).count(now, note.EndedJobs)
 		}
 	}
 }
@@ -72,6 +72,6 @@
 
 func (t *Table) askAt(now eventloop.Micros, store string, out eventloop.Out) {
 	ask := t.stateAsk()
-	ask.Number = t.lease.question(now)
+	ask.Sequence = t.lease.question(now)
 	out.Send(store, ask)
 }
--- a/internal/gateway/confirmation.go
+++ b/internal/gateway/confirmation.go
@@ -60,8 +60,8 @@
 }
 
 // stateConfirmed takes the leader's answer and decides the calls that rode on it.
-func (t *Table) stateConfirmed(now eventloop.Micros, m *schema.RequestReply, out eventloop.Out) {
-	tell := &schema.ClusterStateTell{}
+func (t *Table) stateConfirmed(now eventloop.Micros, m *schema.Response, out eventloop.Out) {
+	tell := &schema.ClusterStateResponse{}
 	if m.Code != 200 || proto.Unmarshal(m.Body, tell) != nil {
 		t.stateUnconfirmed(now, out)
 		return
@@ -124,7 +124,7 @@
 			t.refuse(request, 503, "not_ready", "too many calls wait to hear what queues there are", 1, out)
 		}
 	// Before the first plan nobody knows what queues there are to be.
-	case t.state.Plan.GetGeneration() == 0 || t.values.HasQueue(queue):
+	case t.state.Configuration.GetRevision() == 0 || t.values.HasQueue(queue):
 		t.refuse(request, 503, "not_ready", "there is no plan yet, or the queue is being made", 1, out)
 	case queue == "":
 		out.Answer(request, Answer{Code: 404, Body: Fault("unknown_queue", "the plan has no queue for this host and path", "path")})
--- a/internal/gateway/copies_test.go
+++ b/internal/gateway/copies_test.go
@@ -10,15 +10,15 @@
 )
 
 func TestCopiesOfTheClusterState(t *testing.T) {
-	queue := []*schema.Row{{Kind: "queue", Name: "l", Key: "urgency", Value: "1"}}
-	tell := func(version, generation uint64, isHeld bool) *schema.ClusterStateTell {
-		plan := &schema.Plan{Generation: generation}
+	queue := []*schema.ConfigurationRow{{Kind: "queue", Name: "l", Key: "urgency", Value: "1"}}
+	tell := func(version, generation uint64, isHeld bool) *schema.ClusterStateResponse {
+		plan := &schema.Configuration{Revision: generation}
 		if !isHeld {
 			plan.Rows = queue
 		}
-		return &schema.ClusterStateTell{
-			Version: version, Leaders: map[string]string{"l": "a"}, PlanHeld: isHeld,
-			State: &schema.ClusterState{Version: version, Plan: plan, Queues: []*schema.QueuePlace{{Queue: "l", Generation: 1}}},
+		return &schema.ClusterStateResponse{
+			Version: version, Leaders: map[string]string{"l": "a"}, ConfigurationOmitted: isHeld,
+			State: &schema.ClusterState{Version: version, Configuration: plan, Queues: []*schema.QueuePlacement{{Queue: "l", Generation: 1}}},
 		}
 	}
 	Convey("A life of a process never goes back to an older copy", t, func() {
@@ -26,11 +26,11 @@
 		d.step(tell(5, 3, false))
 		d.step(tell(4, 2, false))
 		So(d.t.state.Version, ShouldEqual, 5)
-		So(d.t.state.Plan.Generation, ShouldEqual, 3)
+		So(d.t.state.Configuration.Revision, ShouldEqual, 3)
 		d.step(tell(6, 3, true))
 		So(d.t.state.Version, ShouldEqual, 6)
-		So(d.t.state.Plan.Rows, ShouldHaveLength, 1)
-		So(d.t.stateAsk().Generation, ShouldEqual, 3)
+		So(d.t.state.Configuration.Rows, ShouldHaveLength, 1)
+		So(d.t.stateAsk().HeldRevision, ShouldEqual, 3)
 	})
 	Convey("A copy whose plan isn't held here is no copy, and no word by which to serve", t, func() {
 		d := newDesk()
@@ -38,7 +38,7 @@
 		d.now += 2 * eventloop.Second
 		d.step(tell(9, 8, true))
 		So(d.t.state.Version, ShouldEqual, 1)
-		So(d.t.state.Plan.Rows, ShouldNotBeEmpty)
+		So(d.t.state.Configuration.Rows, ShouldNotBeEmpty)
 		So(d.t.lease.confirmedAt, ShouldEqual, heard)
 	})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,7 +49,7 @@
 	lease        stateLease
 	leaders      map[string]string
 	unled        map[string]eventloop.Micros // queues that nobody is known to lead, and since when
-	waits        map[string]*schema.WaitNote
+	waits        map[string]*schema.QueueStatus
 	roll         *membership.Roll
 	sessions     map[queueClient]*session
 	byId         map[string]*session
@@ -77,7 +77,7 @@
 func New(id string, boot uint64, isLocal bool, rng *rand.Rand) *Table {
 	return &Table{
 		id: id, boot: boot, rng: rng, isLocal: isLocal, state: &schema.ClusterState{}, values: clusterstate.Read(nil),
-		leaders: map[string]string{}, unled: map[string]eventloop.Micros{}, waits: map[string]*schema.WaitNote{}, sessions: map[queueClient]*session{}, byId: map[string]*session{},
+		leaders: map[string]string{}, unled: map[string]eventloop.Micros{}, waits: map[string]*schema.QueueStatus{}, sessions: map[queueClient]*session{}, byId: map[string]*session{},
 		requests: map[uint64]*request{}, polls: map[uint64]PollIn{}, met: map[string]eventloop.Micros{}, quitting: map[string][]*schema.Session{},
 		queueHas: map[string]int{}, asked: map[uint64]*submission{}, redirected: map[string]eventloop.Micros{}, owed: map[string]bool{}, denied: map[queueStore]eventloop.Micros{},
 		paces: map[string]*pace{}, lease: newStateLease(boot),
@@ -109,18 +109,18 @@
 		t.fronts(now, body, out)
 	case Forget:
 		t.forget(body.Request)
-	case *schema.Applied:
+	case *schema.SubmitResponse:
 		t.applied(now, mail.From, body, out)
-	case *schema.RequestReply:
+	case *schema.Response:
 		t.replied(now, body, out)
-	case *schema.PollReply:
+	case *schema.WorkerPollResponse:
 		t.polled(body, out)
-	case *schema.ClusterStateTell:
+	case *schema.ClusterStateResponse:
 		t.clusterState(now, body, out)
 	case *membership.Roll:
 		t.roll = body
 		for group, id := range t.leaders {
-			if known, isKnown := body.Known[id]; isKnown && known.Member.Leaving {
+			if known, isKnown := body.Known[id]; isKnown && known.Member.Draining {
 				t.unlead(now, group)
 			}
 		}
@@ -199,12 +199,12 @@
 // fronts lists the fronts heard of lately, so that whoever knows one of them
 // finds the others.
 func (t *Table) fronts(now eventloop.Micros, m Fronts, out eventloop.Out) {
-	list := &schema.FrontList{Fronts: []*schema.FrontNote{}}
+	list := &schema.GatewayList{Gateways: []*schema.GatewayEndpoint{}}
 	if t.roll != nil {
 		ids := slices.Sorted(maps.Keys(t.roll.Known))
 		for _, id := range ids {
 			if member := t.roll.Known[id].Member; member.Role == schema.Role_ROLE_SERVER && t.roll.Live(id, now, listedSpan) {
-				list.Fronts = append(list.Fronts, &schema.FrontNote{Address: member.Outer, Cell: member.Cell, Leaving: member.Leaving})
+				list.Gateways = append(list.Gateways, &schema.GatewayEndpoint{Address: member.HttpAddress, Zone: member.Zone, Draining: member.Draining})
 			}
 		}
 	}
