--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -41,8 +41,8 @@
 
 // from delivers a message; word of the cluster state answers a question asked just now.
 func (d *desk) from(sender string, body any) {
-	if tell, isTell := body.(*schema.ClusterStateTell); isTell && tell.Leaders != nil && tell.Number == 0 {
-		tell.Number = d.t.lease.question(d.now)
+	if tell, isTell := body.(*schema.ClusterStateResponse); isTell && tell.Leaders != nil && tell.Sequence == 0 {
+		tell.Sequence = d.t.lease.question(d.now)
 	}
 	d.t.Step(d.now, eventloop.Mail{From: sender, Body: body}, d)
 }
@@ -50,21 +50,21 @@
 // confirm has the cluster state's leader answer the question after queues that is out;
 // a nil state: ours is the newest.
 func (d *desk) confirm(state *schema.ClusterState) {
-	tell := &schema.ClusterStateTell{Version: max(d.t.state.Version, state.GetVersion()), State: state, Leaders: map[string]string{}}
+	tell := &schema.ClusterStateResponse{Version: max(d.t.state.Version, state.GetVersion()), State: state, Leaders: map[string]string{}}
 	for _, place := range state.GetQueues() {
 		tell.Leaders[place.Queue] = "a"
 	}
 	body, err := proto.Marshal(tell)
 	So(err, ShouldBeNil)
-	d.from("a", &schema.RequestReply{Id: d.t.confirmation.number, Code: 200, Group: clusterstate.Group, Leader: "a", Body: body})
+	d.from("a", &schema.Response{Id: d.t.confirmation.number, Code: 200, Group: clusterstate.Group, Leader: "a", Body: body})
 }
 
-func newDesk(rows ...*schema.Row) *desk {
+func newDesk(rows ...*schema.ConfigurationRow) *desk {
 	d := youngDesk()
-	rows = append(rows, &schema.Row{Kind: "queue", Name: "l", Key: "urgency", Value: "1"})
-	d.step(&schema.ClusterStateTell{
+	rows = append(rows, &schema.ConfigurationRow{Kind: "queue", Name: "l", Key: "urgency", Value: "1"})
+	d.step(&schema.ClusterStateResponse{
 		Version: 1, Leaders: map[string]string{"l": "a", clusterstate.Group: "a"},
-		State: &schema.ClusterState{Version: 1, Plan: &schema.Plan{Generation: 1, Rows: rows}, Queues: []*schema.QueuePlace{{Queue: "l", Generation: 1}}},
+		State: &schema.ClusterState{Version: 1, Configuration: &schema.Configuration{Revision: 1, Rows: rows}, Queues: []*schema.QueuePlacement{{Queue: "l", Generation: 1}}},
 	})
 	return d
 }
@@ -77,7 +77,7 @@
 func (d *desk) stores(ids ...string) {
 	known := map[string]membership.Known{}
 	for _, id := range ids {
-		known[id] = membership.Known{Member: &schema.Member{Id: id, Stores: true}, Heard: d.now}
+		known[id] = membership.Known{Member: &schema.Member{Id: id, HasStorage: true}, Heard: d.now}
 	}
 	d.step(&membership.Roll{Known: known})
 }
@@ -89,9 +89,9 @@
 	return d.request
 }
 
-func (d *desk) lastSubmit() (string, *schema.Submit) {
+func (d *desk) lastSubmit() (string, *schema.SubmitRequest) {
 	for k := len(d.sent) - 1; k >= 0; k-- {
-		if submit, isSubmit := d.sent[k].body.(*schema.Submit); isSubmit {
+		if submit, isSubmit := d.sent[k].body.(*schema.SubmitRequest); isSubmit {
 			return d.sent[k].to, submit
 		}
 	}
@@ -100,9 +100,9 @@
 
 func (d *desk) applied(leader string, numbers ...uint64) {
 	_, submit := d.lastSubmit()
-	m := &schema.Applied{Queue: "l", Leader: leader}
+	m := &schema.SubmitResponse{Queue: "l", Leader: leader}
 	for _, number := range numbers {
-		m.Outcomes = append(m.Outcomes, &schema.Outcome{Session: submit.Enqueues[0].Session, Number: number, Code: 201, View: &schema.JobView{Name: "x"}})
+		m.Results = append(m.Results, &schema.SubmitResult{Session: submit.Enqueues[0].Session, Number: number, Code: 201, View: &schema.JobView{Name: "x"}})
 	}
 	d.step(m)
 }
@@ -114,7 +114,7 @@
 		to, submit := d.lastSubmit()
 		So(to, ShouldEqual, "a")
 		So(submit.Enqueues[0].Number, ShouldEqual, 3)
-		So(submit.Enqueues[0].Lowest, ShouldEqual, 1)
+		So(submit.Enqueues[0].LowestUnconfirmed, ShouldEqual, 1)
 		So(len(d.answers), ShouldEqual, 0) // nothing is confirmed before it was applied
 		count := len(d.sent)
 		d.applied("a", 3)
@@ -135,15 +135,15 @@
 		d := newDesk()
 		request := d.handIn("c", "one")
 		d.step(Forget{Request: request})
-		d.step(&schema.Applied{Queue: "l", Leader: "b"})
+		d.step(&schema.SubmitResponse{Queue: "l", Leader: "b"})
 		to, submit := d.lastSubmit()
 		So(to, ShouldEqual, "b")
 		So(submit.Enqueues[0].Name, ShouldEqual, "one")
 		Convey("but two that name each other aren't fed in a circle", func() {
 			count := len(d.sent)
 			for k := 0; k < 100; k++ {
-				d.step(&schema.Applied{Queue: "l", Leader: "a"})
-				d.step(&schema.Applied{Queue: "l", Leader: "b"})
+				d.step(&schema.SubmitResponse{Queue: "l", Leader: "a"})
+				d.step(&schema.SubmitResponse{Queue: "l", Leader: "b"})
 			}
 			So(len(d.sent), ShouldBeLessThan, count+3)
 			d.now += 60 * eventloop.Milli
@@ -156,13 +156,13 @@
 		d := newDesk()
 		first, second := d.handIn("c", "one"), d.handIn("c", "two")
 		_, submit := d.lastSubmit()
-		d.step(&schema.Applied{Queue: "l", Leader: "a", Outcomes: []*schema.Outcome{{Session: submit.Enqueues[0].Session, Number: 1, Code: 410}}})
+		d.step(&schema.SubmitResponse{Queue: "l", Leader: "a", Results: []*schema.SubmitResult{{Session: submit.Enqueues[0].Session, Number: 1, Code: 410}}})
 		So(d.answers[first].Code, ShouldEqual, 504)
 		So(d.answers[second].Code, ShouldEqual, 504)
 		d.handIn("c", "three")
 		_, fresh := d.lastSubmit()
 		So(fresh.Enqueues[0].Number, ShouldEqual, 1)
-		So(fresh.Enqueues[0].Session.Boot, ShouldNotEqual, submit.Enqueues[0].Session.Boot)
+		So(fresh.Enqueues[0].Session.Incarnation, ShouldNotEqual, submit.Enqueues[0].Session.Incarnation)
 	})
 	Convey("So does one that was frozen for long", t, func() {
 		d := newDesk()
@@ -176,12 +176,12 @@
 
 func TestTurningAway(t *testing.T) {
 	code := func(d *desk, request uint64) (int32, string) {
-		fault := &schema.Fault{}
+		fault := &schema.Error{}
 		So(json.Unmarshal(d.answers[request].Body, fault), ShouldBeNil)
 		return d.answers[request].Code, fault.Code
 	}
 	Convey("Overload is said at once, with when to come back, and before anything has a number", t, func() {
-		d := newDesk(&schema.Row{Kind: "fleet", Key: "window", Value: "2"})
+		d := newDesk(&schema.ConfigurationRow{Kind: "fleet", Key: "window", Value: "2"})
 		d.handIn("c", "one")
 		d.handIn("c", "two")
 		count := len(d.sent)
@@ -205,8 +205,8 @@
 		})
 	})
 	Convey("A queue that is full by its leader's word takes no more", t, func() {
-		d := newDesk(&schema.Row{Kind: "fleet", Key: "live_jobs", Value: "5"})
-		d.step(&schema.ClusterStateTell{Version: 1, Leaders: map[string]string{}, Waits: []*schema.WaitNote{{Queue: "l", Live: 5}}})
+		d := newDesk(&schema.ConfigurationRow{Kind: "fleet", Key: "live_jobs", Value: "5"})
+		d.step(&schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{}, QueueStatuses: []*schema.QueueStatus{{Queue: "l", LiveJobs: 5}}})
 		status, name := code(d, d.handIn("c", "one"))
 		So(status, ShouldEqual, 429)
 		So(name, ShouldEqual, "queue_full")
@@ -235,10 +235,10 @@
 		version := uint64(1)
 		state := func(queues ...string) *schema.ClusterState {
 			version++
-			state := &schema.ClusterState{Version: version, Plan: &schema.Plan{Generation: version}}
+			state := &schema.ClusterState{Version: version, Configuration: &schema.Configuration{Revision: version}}
 			for _, queue := range queues {
-				state.Plan.Rows = append(state.Plan.Rows, &schema.Row{Kind: "queue", Name: queue, Key: "urgency", Value: "1"})
-				state.Queues = append(state.Queues, &schema.QueuePlace{Queue: queue, Generation: 2})
+				state.Configuration.Rows = append(state.Configuration.Rows, &schema.ConfigurationRow{Kind: "queue", Name: queue, Key: "urgency", Value: "1"})
+				state.Queues = append(state.Queues, &schema.QueuePlacement{Queue: queue, Generation: 2})
 			}
 			return state
 		}
@@ -254,8 +254,8 @@
 		})
 		Convey("not there: told at once, but only by the leader's answer to this very question", func() {
 			for _, from := range []string{"b", "a"} {
-				d.from(from, &schema.ClusterStateTell{State: state("l"), Version: version, Leaders: map[string]string{"clusterstate": "a"}})
-				d.from(from, &schema.RequestReply{Id: d.t.confirmation.number, Group: clusterstate.Group, Leader: from})
+				d.from(from, &schema.ClusterStateResponse{State: state("l"), Version: version, Leaders: map[string]string{"clusterstate": "a"}})
+				d.from(from, &schema.Response{Id: d.t.confirmation.number, Group: clusterstate.Group, Leader: from})
 			}
 			So(d.answers, ShouldNotContainKey, uint64(5))
 			d.confirm(state("l"))
@@ -288,7 +288,7 @@
 }
 
 func TestWhenToComeBack(t *testing.T) {
-	window := &schema.Row{Kind: "fleet", Key: "window", Value: "8"}
+	window := &schema.ConfigurationRow{Kind: "fleet", Key: "window", Value: "8"}
 	Convey("Who is turned away is told when there should be room, each the next turn at the queue's pace", t, func() {
 		d := newDesk(window)
 		// Four are confirmed a second.
@@ -298,7 +298,7 @@
 			d.applied("a", submit.Enqueues[0].Number)
 			d.now += 250 * eventloop.Milli
 			d.step(eventloop.Tick{})
-			d.step(&schema.ClusterStateTell{Version: 1, Leaders: map[string]string{"l": "a"}})
+			d.step(&schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{"l": "a"}})
 		}
 		for k := 0; k < 8; k++ {
 			d.handIn("c", "held")
@@ -313,7 +313,7 @@
 		So(told[11], ShouldBeBetweenOrEqual, 3, 4)
 		// Turns that have passed are given anew.
 		d.now += 4 * eventloop.Second
-		d.step(&schema.ClusterStateTell{Version: 1, Leaders: map[string]string{"l": "a"}})
+		d.step(&schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{"l": "a"}})
 		So(d.answers[d.handIn("c", "more")].Retry, ShouldEqual, 1)
 	})
 	Convey("Where nothing gets done the time grows, within bounds", t, func() {
@@ -328,9 +328,9 @@
 		So(d.answers[d.handIn("c", "more")].Retry, ShouldEqual, longestRetry)
 	})
 	Convey("A full queue's time is by the jobs it ends", t, func() {
-		d := newDesk(&schema.Row{Kind: "fleet", Key: "live_jobs", Value: "100"})
+		d := newDesk(&schema.ConfigurationRow{Kind: "fleet", Key: "live_jobs", Value: "100"})
 		for k := uint64(0); k < 8; k++ {
-			d.step(&schema.ClusterStateTell{Version: 1, Leaders: map[string]string{"l": "a"}, Waits: []*schema.WaitNote{{Queue: "l", Live: 100, Ended: 2 * k}}})
+			d.step(&schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{"l": "a"}, QueueStatuses: []*schema.QueueStatus{{Queue: "l", LiveJobs: 100, EndedJobs: 2 * k}}})
 			d.now += eventloop.Second
 		}
 		told := 0
@@ -360,7 +360,7 @@
 			So(d.answers[id].Retry, ShouldBeGreaterThan, 0)
 		}
 		Convey("and with a word it is ready again", func() {
-			d.step(&schema.ClusterStateTell{Version: d.t.state.Version, Leaders: map[string]string{"l": "a"}})
+			d.step(&schema.ClusterStateResponse{Version: d.t.state.Version, Leaders: map[string]string{"l": "a"}})
 			d.step(Ready{Request: 903})
 			So(d.answers[903].Code, ShouldEqual, 200)
 		})
@@ -370,14 +370,14 @@
 		d.t.isLocal = true
 		known := map[string]membership.Known{}
 		for _, id := range []string{"me", "a", "b"} {
-			known[id] = membership.Known{Member: &schema.Member{Id: id, Stores: true}, Heard: d.now}
+			known[id] = membership.Known{Member: &schema.Member{Id: id, HasStorage: true}, Heard: d.now}
 		}
 		d.step(&membership.Roll{Known: known})
-		d.step(&schema.ClusterStateTell{Version: d.t.state.Version, Leaders: map[string]string{"l": "a"}})
+		d.step(&schema.ClusterStateResponse{Version: d.t.state.Version, Leaders: map[string]string{"l": "a"}})
 		asked := func() map[string]bool {
 			to := map[string]bool{}
 			for _, each := range d.sent {
-				if _, isAsk := each.body.(*schema.ClusterStateAsk); isAsk {
+				if _, isAsk := each.body.(*schema.ClusterStateRequest); isAsk {
 					to[each.to] = true
 				}
 			}
@@ -415,10 +415,10 @@
 }
 
 func TestEntries(t *testing.T) {
-	rows := func(rows ...*schema.Row) []*schema.Row {
+	rows := func(rows ...*schema.ConfigurationRow) []*schema.ConfigurationRow {
 		return append(rows,
-			&schema.Row{Kind: "queue", Name: "l", Key: "host", Value: "one.example"},
-			&schema.Row{Kind: "queue", Name: "l", Key: "prefix", Value: "/p/"},
+			&schema.ConfigurationRow{Kind: "queue", Name: "l", Key: "host", Value: "one.example"},
+			&schema.ConfigurationRow{Kind: "queue", Name: "l", Key: "prefix", Value: "/p/"},
 		)
 	}
 	job := func() *schema.Job {
@@ -443,8 +443,8 @@
 	})
 	Convey("An entry that our copy lacks is asked for, and looked up anew", t, func() {
 		d := newDesk()
-		fresh := func(rows []*schema.Row) {
-			d.confirm(&schema.ClusterState{Version: 2, Plan: &schema.Plan{Generation: 2, Rows: rows}, Queues: []*schema.QueuePlace{{Queue: "l", Generation: 1}}})
+		fresh := func(rows []*schema.ConfigurationRow) {
+			d.confirm(&schema.ClusterState{Version: 2, Configuration: &schema.Configuration{Revision: 2, Rows: rows}, Queues: []*schema.QueuePlacement{{Queue: "l", Generation: 1}}})
 			for d.t.confirmation.number != 0 {
 				d.confirm(nil)
 			}
@@ -460,13 +460,13 @@
 			So(d.sent[len(d.sent)-1].body.(*schema.Request).Name, ShouldEqual, "j1")
 		})
 		Convey("not there: 404", func() {
-			fresh([]*schema.Row{{Kind: "queue", Name: "l", Key: "urgency", Value: "1"}})
+			fresh([]*schema.ConfigurationRow{{Kind: "queue", Name: "l", Key: "urgency", Value: "1"}})
 			So(d.answers[1].Code, ShouldEqual, 404)
 			So(d.answers[2].Code, ShouldEqual, 404)
 			So(string(d.answers[1].Body), ShouldContainSubstring, "unknown_queue")
 		})
 		Convey("a queue that has been dropped takes nothing more, once the leader has said so", func() {
-			fresh([]*schema.Row{})
+			fresh([]*schema.ConfigurationRow{})
 			So(d.answers[1].Code, ShouldEqual, 404)
 			d.step(HandIn{Request: 3, Queue: "l", Client: "c", Name: "j", Job: job()})
 			So(d.answers, ShouldNotContainKey, uint64(3))
@@ -479,7 +479,7 @@
 		d.step(HandIn{Request: 1, Host: "one.example", Path: "/p/j1", Client: "c", Job: job()})
 		d.step(Ask{Request: 2, Kind: "status", Host: "one.example", Path: "/p/j1"})
 		So([]int32{d.answers[1].Code, d.answers[2].Code}, ShouldResemble, []int32{503, 503})
-		tell := &schema.ClusterStateTell{Version: 1, State: &schema.ClusterState{Version: 1, Plan: &schema.Plan{}}, Leaders: map[string]string{"clusterstate": "a"}}
+		tell := &schema.ClusterStateResponse{Version: 1, State: &schema.ClusterState{Version: 1, Configuration: &schema.Configuration{}}, Leaders: map[string]string{"clusterstate": "a"}}
 		d.from("a", tell)
 		d.step(HandIn{Request: 3, Host: "one.example", Path: "/p/j1", Client: "c", Job: job()})
 		d.confirm(nil)
@@ -487,7 +487,7 @@
 		So(d.answers[3].Retry, ShouldEqual, 1)
 	})
 	Convey("The queue's attempts hold where a step states nothing, and the digest stays the caller's", t, func() {
-		d := newDesk(rows(&schema.Row{Kind: "queue", Name: "l", Key: "attempts", Value: "4"})...)
+		d := newDesk(rows(&schema.ConfigurationRow{Kind: "queue", Name: "l", Key: "attempts", Value: "4"})...)
 		given := job()
 		digest := Digest(given)
 		d.step(HandIn{Request: 1, Host: "one.example", Path: "/p/j1", Client: "c", Digest: digest, Job: given})
@@ -503,7 +503,7 @@
 		d := newDesk(rows()...)
 		d.step(HandIn{Request: 1, Queue: "l", Name: "j", Client: "c", Job: large})
 		So(d.answers[1].Code, ShouldEqual, 422)
-		d = newDesk(rows(&schema.Row{Kind: "queue", Name: "l", Key: "pool", Value: "p"}, &schema.Row{Kind: "pool", Name: "p", Key: "guards", Value: "1"})...)
+		d = newDesk(rows(&schema.ConfigurationRow{Kind: "queue", Name: "l", Key: "pool", Value: "p"}, &schema.ConfigurationRow{Kind: "pool", Name: "p", Key: "guards", Value: "1"})...)
 		d.step(HandIn{Request: 1, Queue: "l", Name: "j", Client: "c", Job: large})
 		So(d.answers, ShouldBeEmpty)
 	})
@@ -514,7 +514,7 @@
 		d := newDesk()
 		first := d.handIn("c", "one")
 		// It leads no more and knows nobody.
-		d.step(&schema.Applied{Queue: "l"})
+		d.step(&schema.SubmitResponse{Queue: "l"})
 		second := d.handIn("c", "two")
 		d.now += ledSpan + eventloop.Milli
 		third := d.handIn("c", "three")
@@ -526,7 +526,7 @@
 		So(d.answers, ShouldNotContainKey, second)
 		So(d.t.sessions[queueClient{"l", "c"}].waiting, ShouldHaveLength, 2)
 		Convey("and taken again as soon as somebody is", func() {
-			d.step(&schema.ClusterStateTell{Version: 1, Leaders: map[string]string{"l": "b"}})
+			d.step(&schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{"l": "b"}})
 			fourth := d.handIn("c", "four")
 			So(d.answers, ShouldNotContainKey, fourth)
 			to, submit := d.lastSubmit()
@@ -537,7 +537,7 @@
 	Convey("The cluster state is looked at more often then, and what was asked goes to whoever leads now", t, func() {
 		d := newDesk()
 		known := func(id string) membership.Known {
-			return membership.Known{Member: &schema.Member{Id: id, Stores: true}, Heard: d.now}
+			return membership.Known{Member: &schema.Member{Id: id, HasStorage: true}, Heard: d.now}
 		}
 		d.step(&membership.Roll{Known: map[string]membership.Known{"b": known("b")}})
 		d.step(Ask{Request: 1, Kind: "status", Group: "l", Name: "j", Deadline: d.now + 9*eventloop.Second})
@@ -553,19 +553,19 @@
 				case *schema.Request:
 					requests++
 					So(each.to, ShouldEqual, "b")
-				case *schema.ClusterStateAsk:
+				case *schema.ClusterStateRequest:
 					looks++
 				}
 			}
 		}
 		pass()
 		// It leads no more and knows nobody.
-		d.step(&schema.RequestReply{Id: 1, Group: "l"})
+		d.step(&schema.Response{Id: 1, Group: "l"})
 		pass()
 		So(looks, ShouldEqual, 1)
 		pass()
 		So([]int{looks, requests}, ShouldResemble, []int{1, 0})
-		d.step(&schema.ClusterStateTell{Version: 1, Leaders: map[string]string{"l": "b"}})
+		d.step(&schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{"l": "b"}})
 		pass()
 		So([]int{looks, requests}, ShouldResemble, []int{0, 1})
 	})
@@ -573,9 +573,9 @@
 		d := newDesk()
 		d.handIn("c", "one")
 		d.now += 5 * eventloop.Milli
-		d.t.Step(d.now, eventloop.Mail{From: "a", Body: &schema.Applied{Queue: "l"}}, d)
+		d.t.Step(d.now, eventloop.Mail{From: "a", Body: &schema.SubmitResponse{Queue: "l"}}, d)
 		d.now += 100 * eventloop.Milli
-		d.step(&schema.ClusterStateTell{Version: 1, Leaders: map[string]string{"l": "a"}})
+		d.step(&schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{"l": "a"}})
 		before := len(d.sent)
 		for k := 0; k < 3; k++ {
 			d.now += Pace
@@ -583,7 +583,7 @@
 		}
 		count := 0
 		for _, each := range d.sent[before:] {
-			if submit, isSubmit := each.body.(*schema.Submit); isSubmit {
+			if submit, isSubmit := each.body.(*schema.SubmitRequest); isSubmit {
 				So([]string{each.to, submit.Enqueues[0].Name}, ShouldResemble, []string{"a", "one"})
 				count++
 			}
@@ -593,12 +593,12 @@
 	Convey("A new queue has that long to find a leader, and one that was dropped is forgotten", t, func() {
 		d := newDesk()
 		queues := func(version uint64, queues ...string) {
-			state := &schema.ClusterState{Version: version, Plan: &schema.Plan{Generation: version}}
+			state := &schema.ClusterState{Version: version, Configuration: &schema.Configuration{Revision: version}}
 			for _, queue := range queues {
-				state.Plan.Rows = append(state.Plan.Rows, &schema.Row{Kind: "queue", Name: queue, Key: "urgency", Value: "1"})
-				state.Queues = append(state.Queues, &schema.QueuePlace{Queue: queue, Generation: version})
+				state.Configuration.Rows = append(state.Configuration.Rows, &schema.ConfigurationRow{Kind: "queue", Name: queue, Key: "urgency", Value: "1"})
+				state.Queues = append(state.Queues, &schema.QueuePlacement{Queue: queue, Generation: version})
 			}
-			d.step(&schema.ClusterStateTell{Version: version, State: state, Leaders: map[string]string{"clusterstate": "a"}})
+			d.step(&schema.ClusterStateResponse{Version: version, State: state, Leaders: map[string]string{"clusterstate": "a"}})
 		}
 		queues(2, "l", "new")
 		job := &schema.Job{Steps: []*schema.Step{{Name: "s", Tasks: 1, CoresMilli: 1}}}
@@ -620,13 +620,13 @@
 			long[k] = &schema.Step{Name: strconv.Itoa(k), Tasks: 1, CoresMilli: 1}
 		}
 		good := step()
-		good.Labels, good.DataRack, good.PerWorker, good.Accelerators, good.EstimateUs, good.Lasting = []string{"a", "r1-3"}, "r1-3", 2, 1, 900_000, true
-		So(Check(&schema.Job{Rounds: MaxRounds, EveryUs: 1, Steps: []*schema.Step{good}}), ShouldBeNil)
+		good.Labels, good.DataRack, good.MaxPerWorker, good.Accelerators, good.EstimatedRunUs, good.RunUntilCancelled = []string{"a", "r1-3"}, "r1-3", 2, 1, 900_000, true
+		So(Check(&schema.Job{Rounds: MaxRounds, PeriodUs: 1, Steps: []*schema.Step{good}}), ShouldBeNil)
 		So(Check(&schema.Job{Steps: long[:MaxSteps]}), ShouldBeNil)
 		for field, job := range map[string]*schema.Job{
 			"steps":          {Steps: long},
 			"rounds":         {Rounds: MaxRounds + 1, Steps: []*schema.Step{step()}},
-			"every_us":       {EveryUs: -1, Steps: []*schema.Step{step()}},
+			"every_us":       {PeriodUs: -1, Steps: []*schema.Step{step()}},
 			"steps[0].tasks": {Rounds: MaxRounds, Steps: []*schema.Step{{Name: "s", Tasks: 21, CoresMilli: 1}}},
 		} {
 			So(Check(job).Field, ShouldEqual, field)
@@ -636,8 +636,8 @@
 			"labels":       func(s *schema.Step) { s.Labels = make([]string, maxLabels+1) },
 			"labels[1]":    func(s *schema.Step) { s.Labels = []string{"a", ""} },
 			"data_rack":    func(s *schema.Step) { s.DataRack = "a b" },
-			"per_worker":   func(s *schema.Step) { s.PerWorker = maxCores + 1 },
-			"estimate_us":  func(s *schema.Step) { s.EstimateUs = -1 },
+			"per_worker":   func(s *schema.Step) { s.MaxPerWorker = maxCores + 1 },
+			"estimate_us":  func(s *schema.Step) { s.EstimatedRunUs = -1 },
 		} {
 			bad := step()
 			change(bad)
--- a/internal/gateway/late_test.go
+++ b/internal/gateway/late_test.go
@@ -16,9 +16,9 @@
 func (d *desk) outcome(code int32, change func(session *schema.Session)) {
 	_, submit := d.lastSubmit()
 	sent := submit.Enqueues[len(submit.Enqueues)-1]
-	session := &schema.Session{Gateway: sent.Session.Gateway, Boot: sent.Session.Boot, Client: sent.Session.Client}
+	session := &schema.Session{Gateway: sent.Session.Gateway, Incarnation: sent.Session.Incarnation, Client: sent.Session.Client}
 	change(session)
-	d.step(&schema.Applied{Queue: "l", Leader: "a", Outcomes: []*schema.Outcome{{Session: session, Number: sent.Number, Code: code, View: &schema.JobView{Name: "x"}}}})
+	d.step(&schema.SubmitResponse{Queue: "l", Leader: "a", Results: []*schema.SubmitResult{{Session: session, Number: sent.Number, Code: code, View: &schema.JobView{Name: "x"}}}})
 }
 
 func TestWordForOthers(t *testing.T) {
@@ -28,8 +28,8 @@
 		for _, code := range []int32{201, 410} {
 			for _, change := range []func(*schema.Session){
 				func(session *schema.Session) { session.Gateway = "former" },
-				func(session *schema.Session) { session.Boot-- },
-				func(session *schema.Session) { session.Boot += 1 << 32 },
+				func(session *schema.Session) { session.Incarnation-- },
+				func(session *schema.Session) { session.Incarnation += 1 << 32 },
 				func(session *schema.Session) { session.Client += "0" },
 			} {
 				d.outcome(code, change)
@@ -46,7 +46,7 @@
 		d.step(Ask{Request: number, Kind: "plan", Group: clusterstate.Group, Deadline: d.now + eventloop.Second})
 	}
 	reply := func(d *desk, number uint64, body string) {
-		d.step(&schema.RequestReply{Id: number, Code: 200, Body: []byte(body), Group: clusterstate.Group, Leader: "a"})
+		d.step(&schema.Response{Id: number, Code: 200, Body: []byte(body), Group: clusterstate.Group, Leader: "a"})
 	}
 	Convey("Given two requests", t, func() {
 		d := newDesk()
@@ -92,9 +92,9 @@
 				case *schema.Request:
 					So(string(body.Body), ShouldEqual, string(document))
 					requests[body.Id]++
-				case *schema.Submit:
+				case *schema.SubmitRequest:
 					for _, enqueue := range body.Enqueues {
-						So([]any{enqueue.Name, enqueue.Session.Gateway, enqueue.Session.Boot}, ShouldResemble, []any{"one", "me", uint64(1)})
+						So([]any{enqueue.Name, enqueue.Session.Gateway, enqueue.Session.Incarnation}, ShouldResemble, []any{"one", "me", uint64(1)})
 						submissions[enqueue.Number]++
 					}
 				}
@@ -108,17 +108,17 @@
 				d.step(eventloop.Tick{})
 			}
 		}
-		d.step(&membership.Roll{Known: map[string]membership.Known{"a": {Member: &schema.Member{Id: "a", Stores: true}, Heard: d.now}}})
+		d.step(&membership.Roll{Known: map[string]membership.Known{"a": {Member: &schema.Member{Id: "a", HasStorage: true}, Heard: d.now}}})
 		pass()
 		requests, submissions := arrivals()
 		So(requests, ShouldHaveLength, 1)
 		So(requests[900], ShouldBeGreaterThan, 1)
 		So(submissions, ShouldHaveLength, 1)
 		So(submissions[1], ShouldBeGreaterThan, 1)
-		d.step(&schema.RequestReply{Id: 900, Code: 200, Group: clusterstate.Group, Leader: "a"})
+		d.step(&schema.Response{Id: 900, Code: 200, Group: clusterstate.Group, Leader: "a"})
 		So(d.answers[900].Code, ShouldEqual, 200)
-		d.step(&schema.Applied{Queue: "l", Leader: "a", Outcomes: []*schema.Outcome{{
-			Session: &schema.Session{Gateway: "me", Boot: 1, Client: "c~1"}, Number: 1, Code: 201, View: &schema.JobView{Name: "one"}}}})
+		d.step(&schema.SubmitResponse{Queue: "l", Leader: "a", Results: []*schema.SubmitResult{{
+			Session: &schema.Session{Gateway: "me", Incarnation: 1, Client: "c~1"}, Number: 1, Code: 201, View: &schema.JobView{Name: "one"}}}})
 		So(d.answers[handedIn].Code, ShouldEqual, 201)
 		pass()
 		requests, submissions = arrivals()
--- a/internal/gateway/leaders.go
+++ b/internal/gateway/leaders.go
@@ -60,7 +60,7 @@
 	}
 	// A queue's leader tells its voters now and then; until it has, who founded it
 	// stands for them.
-	voters := clusterstate.Place(t.state, queue).GetFounders()
+	voters := clusterstate.Place(t.state, queue).GetInitialVoters()
 	if note := t.waits[queue]; note != nil {
 		voters = note.Voters
 	}
@@ -92,7 +92,7 @@
 		return true
 	}
 	known, isKnown := t.roll.Known[id]
-	return !isKnown || !known.Member.Leaving && t.roll.Live(id, now, storeSpan)
+	return !isKnown || !known.Member.Draining && t.roll.Live(id, now, storeSpan)
 }
 
 // someStore is any store, one that was heard of lately and stays if there is.
@@ -103,11 +103,11 @@
 	var all, likely []string
 	for _, id := range slices.Sorted(maps.Keys(t.roll.Known)) {
 		known := t.roll.Known[id]
-		if !known.Member.Stores {
+		if !known.Member.HasStorage {
 			continue
 		}
 		all = append(all, id)
-		if t.roll.Live(id, now, storeSpan) && !known.Member.Leaving {
+		if t.roll.Live(id, now, storeSpan) && !known.Member.Draining {
 			likely = append(likely, id)
 		}
 	}
@@ -128,7 +128,7 @@
 	}
 	var stores []string
 	for _, id := range slices.Sorted(maps.Keys(t.roll.Known)) {
-		if t.roll.Known[id].Member.Stores {
+		if t.roll.Known[id].Member.HasStorage {
 			stores = append(stores, id)
 		}
 	}
--- a/internal/gateway/lease_test.go
+++ b/internal/gateway/lease_test.go
@@ -17,8 +17,8 @@
 }
 
 func TestLeaseRunsFromTheQuestion(t *testing.T) {
-	tell := func(number uint64, age eventloop.Micros) *schema.ClusterStateTell {
-		return &schema.ClusterStateTell{Version: 1, Number: number, AgeUs: int64(age), Leaders: map[string]string{"l": "a"}}
+	tell := func(number uint64, age eventloop.Micros) *schema.ClusterStateResponse {
+		return &schema.ClusterStateResponse{Version: 1, Sequence: number, AgeUs: int64(age), Leaders: map[string]string{"l": "a"}}
 	}
 	Convey("The lease runs from the question, not from when its answer is read", t, func() {
 		d := newDesk()
@@ -49,7 +49,7 @@
 		d := newDesk()
 		d.now += 10 * eventloop.Second
 		d.step(tell(1<<40, 0))
-		d.step(&schema.ClusterStateTell{Version: 1, State: d.t.state})
+		d.step(&schema.ClusterStateResponse{Version: 1, State: d.t.state})
 		So(d.isReady(), ShouldBeFalse)
 	})
 	Convey("An older state than ours is no word", t, func() {
@@ -69,7 +69,7 @@
 	Convey("A front without word asks every store in turn, not those alone that it heard of lately", t, func() {
 		d := newDesk()
 		d.stores("a", "b", "c")
-		d.t.roll.Known["b"].Member.Leaving = true
+		d.t.roll.Known["b"].Member.Draining = true
 		d.now += 10 * eventloop.Second
 		asked := map[string]int{}
 		for range 6 {
@@ -77,7 +77,7 @@
 			d.now += 2 * Pace
 			d.step(eventloop.Tick{})
 			for _, each := range d.sent {
-				if _, isAsk := each.body.(*schema.ClusterStateAsk); isAsk {
+				if _, isAsk := each.body.(*schema.ClusterStateRequest); isAsk {
 					asked[each.to]++
 				}
 			}
@@ -110,8 +110,8 @@
 		id := d.handIn("c", "one")
 		d.step(Ask{Request: 100, Kind: "status", Group: "l", Name: "one", Deadline: d.now + 9*eventloop.Second})
 		d.step(Ask{Request: 101, Kind: "cancel", Group: "l", Name: "one", Deadline: d.now + 9*eventloop.Second})
-		gone := &schema.ClusterState{Version: 2, Plan: &schema.Plan{Generation: 2}}
-		d.step(&schema.ClusterStateTell{Version: 2, State: gone, Leaders: map[string]string{clusterstate.Group: "a"}})
+		gone := &schema.ClusterState{Version: 2, Configuration: &schema.Configuration{Revision: 2}}
+		d.step(&schema.ClusterStateResponse{Version: 2, State: gone, Leaders: map[string]string{clusterstate.Group: "a"}})
 		// It may have been taken before.
 		So([]int32{d.answers[id].Code, d.answers[101].Code}, ShouldResemble, []int32{504, 504})
 		So(d.answers, ShouldNotContainKey, uint64(100))
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -40,7 +40,7 @@
 type PollIn struct {
 	Request  uint64
 	Worker   string
-	Announce *schema.Announce
+	Announce *schema.WorkerHeartbeat
 	Deadline eventloop.Micros
 }
 
--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -11,7 +11,7 @@
 
 // Fault encodes an error for callers.
 func Fault(code, message, field string) []byte {
-	data, err := json.Marshal(&schema.Fault{Code: code, Message: message, Field: field})
+	data, err := json.Marshal(&schema.Error{Code: code, Message: message, Field: field})
 	if err != nil {
 		return nil
 	}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -54,11 +54,11 @@
 	m := each.ask
 	each.sent, each.to = now, t.leader(now, m.Group)
 	if to := each.to; to != "" {
-		out.Send(to, &schema.Request{Id: m.Request, Kind: m.Kind, Group: m.Group, Name: m.Name, After: m.After, Most: m.Most, Body: m.Body})
+		out.Send(to, &schema.Request{Id: m.Request, Kind: m.Kind, Group: m.Group, Name: m.Name, PageAfter: m.After, Limit: m.Most, Body: m.Body})
 	}
 }
 
-func (t *Table) replied(now eventloop.Micros, m *schema.RequestReply, out eventloop.Out) {
+func (t *Table) replied(now eventloop.Micros, m *schema.Response, out eventloop.Out) {
 	each := t.requests[m.Id]
 	if each == nil {
 		return
--- a/internal/gateway/submissions.go
+++ b/internal/gateway/submissions.go
@@ -85,10 +85,10 @@
 	case t.queueHas[m.Queue] >= maxPending/2:
 		t.turnAway(now, m, "queue_full", "the queue has too many hand-ins unconfirmed", m.Queue, out)
 		return
-	case note != nil && note.NoRoom:
+	case note != nil && note.StorageExhausted:
 		t.turnAway(now, m, "store_full", "the stores keep the room they have for the work they hold", "live/"+m.Queue, out)
 		return
-	case note != nil && int64(note.Live) >= t.values.Fleet("live_jobs"):
+	case note != nil && int64(note.LiveJobs) >= t.values.Fleet("live_jobs"):
 		t.turnAway(now, m, "queue_full", "the queue has as many live jobs as the plan allows", "live/"+m.Queue, out)
 		return
 	}
@@ -96,7 +96,7 @@
 		t.epoch++
 		s = &session{
 			queue: m.Queue, next: 1,
-			id: &schema.Session{Gateway: t.id, Boot: t.boot, Client: m.Client + "~" + strconv.FormatUint(t.epoch, 10)},
+			id: &schema.Session{Gateway: t.id, Incarnation: t.boot, Client: m.Client + "~" + strconv.FormatUint(t.epoch, 10)},
 		}
 		t.sessions[queueClient{m.Queue, m.Client}] = s
 		t.byId[s.queue+"/"+s.id.Client] = s
@@ -158,7 +158,7 @@
 
 // tooLarge finds a task that no worker of the plan could ever hold. Of a pool's
 // workers the plan says nothing: the scheduler sees what they are.
-func tooLarge(values *clusterstate.Values, queue string, job *schema.Job) *schema.Fault {
+func tooLarge(values *clusterstate.Values, queue string, job *schema.Job) *schema.Error {
 	if values.Text("queue", queue, "pool") != "" {
 		return nil
 	}
@@ -166,10 +166,10 @@
 	for k, step := range job.Steps {
 		field := "steps[" + strconv.Itoa(k) + "]."
 		if step.CoresMilli > cores {
-			return &schema.Fault{Code: "never_fits", Field: field + "cores_milli", Message: "no worker has more than " + strconv.FormatInt(cores, 10) + " thousandths of a core (worker_cores_milli)"}
+			return &schema.Error{Code: "never_fits", Field: field + "cores_milli", Message: "no worker has more than " + strconv.FormatInt(cores, 10) + " thousandths of a core (worker_cores_milli)"}
 		}
 		if step.MemoryMb > memory {
-			return &schema.Fault{Code: "never_fits", Field: field + "memory_mb", Message: "no worker has more than " + strconv.FormatInt(memory, 10) + " megabytes (worker_memory_mb)"}
+			return &schema.Error{Code: "never_fits", Field: field + "memory_mb", Message: "no worker has more than " + strconv.FormatInt(memory, 10) + " megabytes (worker_memory_mb)"}
 		}
 	}
 	return nil
@@ -177,13 +177,13 @@
 
 func (t *Table) send(now eventloop.Micros, queue string, list []*submission, out eventloop.Out) {
 	to := t.leader(now, queue)
-	m := &schema.Submit{Queue: queue}
+	m := &schema.SubmitRequest{Queue: queue}
 	for _, each := range list {
 		each.sent, each.to = now, to
 		s := t.byId[queue+"/"+each.enqueue.Session.Client]
 		e := each.enqueue
 		m.Enqueues = append(m.Enqueues, &schema.Enqueue{
-			Session: e.Session, Number: e.Number, Name: e.Name, Digest: e.Digest, Job: e.Job, Lowest: s.lowest(),
+			Session: e.Session, Number: e.Number, Name: e.Name, Digest: e.Digest, Job: e.Job, LowestUnconfirmed: s.lowest(),
 		})
 	}
 	if to != "" {
@@ -191,21 +191,21 @@
 	}
 }
 
-func (t *Table) applied(now eventloop.Micros, from string, m *schema.Applied, out eventloop.Out) {
-	if len(m.Outcomes) == 0 && from != "" && m.Leader != from {
+func (t *Table) applied(now eventloop.Micros, from string, m *schema.SubmitResponse, out eventloop.Out) {
+	if len(m.Results) == 0 && from != "" && m.Leader != from {
 		t.denied[queueStore{m.Queue, from}] = now
 	}
-	if len(m.Outcomes) > 0 || t.mayLead(now, m.Leader) {
+	if len(m.Results) > 0 || t.mayLead(now, m.Leader) {
 		t.lead(m.Queue, m.Leader)
-	} else if len(m.Outcomes) == 0 {
+	} else if len(m.Results) == 0 {
 		// It leads no more and knows nobody: ask around.
 		t.unlead(now, m.Queue)
 	}
 	var again []*submission
-	for _, outcome := range m.Outcomes {
+	for _, outcome := range m.Results {
 		again = append(again, t.confirmed(now, m.Queue, outcome, out)...)
 	}
-	if len(m.Outcomes) == 0 && t.leaders[m.Queue] != "" {
+	if len(m.Results) == 0 && t.leaders[m.Queue] != "" {
 		// Two that each name the other, as happens while a leader is being
 		// elected, must not have everything thrown to and fro between them.
 		if now-t.redirected[m.Queue] > redirectSpan {
@@ -222,10 +222,10 @@
 
 // confirmed settles one submission, and returns those below it that must have
 // been lost on the way.
-func (t *Table) confirmed(now eventloop.Micros, queue string, outcome *schema.Outcome, out eventloop.Out) []*submission {
+func (t *Table) confirmed(now eventloop.Micros, queue string, outcome *schema.SubmitResult, out eventloop.Out) []*submission {
 	// Starts and numbers are alike on many fronts: the id is what tells whose a
 	// submission is.
-	if outcome.Session == nil || outcome.Session.Gateway != t.id || outcome.Session.Boot != t.boot {
+	if outcome.Session == nil || outcome.Session.Gateway != t.id || outcome.Session.Incarnation != t.boot {
 		return nil
 	}
 	s := t.byId[queue+"/"+outcome.Session.Client]
@@ -256,11 +256,11 @@
 	return lost
 }
 
-func answerOf(outcome *schema.Outcome) Answer {
+func answerOf(outcome *schema.SubmitResult) Answer {
 	var body []byte
 	switch {
-	case outcome.Fault != nil:
-		body, _ = json.Marshal(outcome.Fault)
+	case outcome.Error != nil:
+		body, _ = json.Marshal(outcome.Error)
 	case outcome.View != nil:
 		body, _ = json.Marshal(outcome.View)
 	default:
@@ -306,7 +306,7 @@
 		}
 	}
 	for _, queue := range sorted(queues) {
-		out.Send(t.leader(now, queue), &schema.Quit{Queue: queue, Boots: []*schema.Gone{{Gateway: t.id, Boot: t.boot}}})
+		out.Send(t.leader(now, queue), &schema.EndSessionsRequest{Queue: queue, Gateways: []*schema.ExpiredGateway{{Gateway: t.id, Incarnation: t.boot}}})
 	}
 	t.sessions, t.byId, t.pending = map[queueClient]*session{}, map[string]*session{}, 0
 	t.queueHas, t.asked = map[string]int{}, map[uint64]*submission{}
@@ -333,6 +333,6 @@
 		list := t.quitting[queue]
 		delete(t.quitting, queue)
 		sort.Slice(list, func(a, b int) bool { return list[a].Client < list[b].Client })
-		out.Send(t.leader(now, queue), &schema.Quit{Queue: queue, Sessions: list})
+		out.Send(t.leader(now, queue), &schema.EndSessionsRequest{Queue: queue, Sessions: list})
 	}
 }
--- a/internal/gateway/validate.go
+++ b/internal/gateway/validate.go
@@ -31,9 +31,9 @@
 func GoodName(name string) bool { return nameForm.MatchString(name) }
 
 // Check finds what is wrong with a job, whatever the plan says.
-func Check(job *schema.Job) *schema.Fault {
-	bad := func(field, form string, args ...any) *schema.Fault {
-		return &schema.Fault{Code: "bad_job", Field: field, Message: fmt.Sprintf(form, args...)}
+func Check(job *schema.Job) *schema.Error {
+	bad := func(field, form string, args ...any) *schema.Error {
+		return &schema.Error{Code: "bad_job", Field: field, Message: fmt.Sprintf(form, args...)}
 	}
 	switch {
 	case len(job.Text) > MaxText:
@@ -42,13 +42,13 @@
 		return bad("text", "must be UTF-8")
 	case job.DelayUs < 0 || job.DelayUs > MaxDelayUs:
 		return bad("delay_us", "must lie between 0 and %d", int64(MaxDelayUs))
-	case job.StartWallUs != 0 && job.DelayUs != 0:
+	case job.StartUnixUs != 0 && job.DelayUs != 0:
 		return bad("start_wall_us", "give either a delay or a start")
-	case job.StartWallUs != 0 && job.StartWallUs < minWallUs:
+	case job.StartUnixUs != 0 && job.StartUnixUs < minWallUs:
 		return bad("start_wall_us", "must be microseconds since 1970")
 	case job.Rounds > MaxRounds:
 		return bad("rounds", "at most %d", MaxRounds)
-	case job.EveryUs < 0 || job.EveryUs > maxSpanUs:
+	case job.PeriodUs < 0 || job.PeriodUs > maxSpanUs:
 		return bad("every_us", "must lie between 0 and %d", int64(maxSpanUs))
 	case len(job.Steps) == 0:
 		return bad("steps", "a job has at least one step")
@@ -78,7 +78,7 @@
 			return bad(field("allowed_failures"), "at most %d", maxFailures)
 		case step.TimeLimitUs < 0 || step.TimeLimitUs > maxSpanUs:
 			return bad(field("time_limit_us"), "must lie between 0 and %d", int64(maxSpanUs))
-		case step.StillUs < 0 || step.StillUs > maxSpanUs:
+		case step.StallTimeoutUs < 0 || step.StallTimeoutUs > maxSpanUs:
 			return bad(field("still_us"), "must lie between 0 and %d", int64(maxSpanUs))
 		case step.Accelerators < 0 || step.Accelerators > maxCores:
 			return bad(field("accelerators"), "must lie between 0 and %d", maxCores)
@@ -86,9 +86,9 @@
 			return bad(field("labels"), "at most %d labels", maxLabels)
 		case step.DataRack != "" && !GoodName(step.DataRack):
 			return bad(field("data_rack"), "%q is no name: letters, digits, '.', '_', ':' and '-', at most 128", step.DataRack)
-		case step.PerWorker > maxCores:
+		case step.MaxPerWorker > maxCores:
 			return bad(field("per_worker"), "at most %d", maxCores)
-		case step.EstimateUs < 0 || step.EstimateUs > maxSpanUs:
+		case step.EstimatedRunUs < 0 || step.EstimatedRunUs > maxSpanUs:
 			return bad(field("estimate_us"), "must lie between 0 and %d", int64(maxSpanUs))
 		}
 		for l, label := range step.Labels {
@@ -102,7 +102,7 @@
 		names[step.Name] = k
 	}
 	for k, step := range job.Steps {
-		for a, name := range step.After {
+		for a, name := range step.Dependencies {
 			if _, isKnown := names[name]; !isKnown {
 				return bad(fmt.Sprintf("steps[%d].after[%d]", k, a), "there is no step %q", name)
 			}
@@ -112,17 +112,17 @@
 }
 
 // checkRings finds steps that wait for each other.
-func checkRings(job *schema.Job, names map[string]int, bad func(string, string, ...any) *schema.Fault) *schema.Fault {
+func checkRings(job *schema.Job, names map[string]int, bad func(string, string, ...any) *schema.Error) *schema.Error {
 	const (
 		unseen = iota
 		open
 		done
 	)
 	marks := make([]int, len(job.Steps))
-	var visit func(k int) *schema.Fault
-	visit = func(k int) *schema.Fault {
+	var visit func(k int) *schema.Error
+	visit = func(k int) *schema.Error {
 		marks[k] = open
-		for a, name := range job.Steps[k].After {
+		for a, name := range job.Steps[k].Dependencies {
 			other := names[name]
 			if marks[other] == open {
 				return bad(fmt.Sprintf("steps[%d].after[%d]", k, a), "steps %q and %q wait for each other", job.Steps[k].Name, name)
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -21,7 +21,7 @@
 	if ward == nil && t.state.Version > 0 && now-t.met[m.Worker] > eventloop.Second {
 		t.met[m.Worker] = now
 		if to := t.leader(now, clusterstate.Group); to != "" {
-			command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Meet{Meet: &schema.Meet{Worker: m.Worker}}}
+			command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_RegisterWorker{RegisterWorker: &schema.RegisterWorker{Worker: m.Worker}}}
 			out.Send(to, &schema.Request{Kind: "clusterstate", Group: clusterstate.Group, Body: marshal(command)})
 		}
 	}
@@ -30,10 +30,10 @@
 		return
 	}
 	t.polls[m.Request] = m
-	out.Send(ward.Scheduler, &schema.Poll{Id: m.Request, Worker: m.Worker, Announce: m.Announce})
+	out.Send(ward.Scheduler, &schema.WorkerPollRequest{Id: m.Request, Worker: m.Worker, Heartbeat: m.Announce})
 }
 
-func (t *Table) polled(m *schema.PollReply, out eventloop.Out) {
+func (t *Table) polled(m *schema.WorkerPollResponse, out eventloop.Out) {
 	if _, isKnown := t.polls[m.Id]; !isKnown {
 		return
 	}
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -82,9 +82,9 @@
 				h.worker.Unanswered(now)
 			}
 		}
-	case *schema.ClusterStateTell:
+	case *schema.ClusterStateResponse:
 		h.hear(now, body)
-	case *schema.PollReply:
+	case *schema.WorkerPollResponse:
 		poll, isOpen := h.open[body.Id]
 		delete(h.open, body.Id)
 		switch {
@@ -98,10 +98,10 @@
 	h.announce(now, out)
 }
 
-func (h *Hand) hear(now eventloop.Micros, m *schema.ClusterStateTell) {
+func (h *Hand) hear(now eventloop.Micros, m *schema.ClusterStateResponse) {
 	if m.State != nil && m.State.Version > h.state.GetVersion() {
-		if h.watch.Plan != nil && h.state.GetPlan().GetGeneration() < m.State.Plan.GetGeneration() {
-			h.watch.Plan(now, m.State.Plan.Generation)
+		if h.watch.Plan != nil && h.state.GetConfiguration().GetRevision() < m.State.Configuration.GetRevision() {
+			h.watch.Plan(now, m.State.Configuration.Revision)
 		}
 		h.state = m.State
 	}
@@ -119,22 +119,22 @@
 		if now-h.metAt > eventloop.Second && h.leader != "" {
 			h.metAt = now
 			out.Send(h.leader, &schema.Request{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.ClusterStateBody(
-				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Meet{Meet: &schema.Meet{Worker: h.worker.Name}}})})
+				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_RegisterWorker{RegisterWorker: &schema.RegisterWorker{Worker: h.worker.Name}}})})
 		}
 		return
 	}
 	a := h.worker.Announce(now)
 	h.next++
 	h.open[h.next] = openPoll{a.Seq, now}
-	out.Send(ward.Scheduler, &schema.Poll{Id: h.next, Worker: h.worker.Name, Announce: a})
+	out.Send(ward.Scheduler, &schema.WorkerPollRequest{Id: h.next, Worker: h.worker.Name, Heartbeat: a})
 }
 
 // Routes names the tables of a side that a message is for.
 func Routes(body any) []string {
 	switch body.(type) {
-	case *schema.PollReply:
+	case *schema.WorkerPollResponse:
 		return []string{Name}
-	case *schema.ClusterStateTell:
+	case *schema.ClusterStateResponse:
 		return []string{Name, "controller"}
 	}
 	return []string{process.Table(schema.Role_ROLE_CONTROLLER, body)}
@@ -158,7 +158,7 @@
 	switch body := mail.Body.(type) {
 	case *membership.Roll:
 		o.roll = body
-	case *schema.ClusterStateTell:
+	case *schema.ClusterStateResponse:
 		if body.State != nil {
 			o.version = max(o.version, body.State.Version)
 		}
@@ -170,7 +170,7 @@
 			o.store = o.pick(now)
 		}
 		if o.store != "" {
-			out.Send(o.store, &schema.ClusterStateAsk{Version: o.version})
+			out.Send(o.store, &schema.ClusterStateRequest{Version: o.version})
 		}
 	}
 }
@@ -180,7 +180,7 @@
 func (o *Onlooker) pick(now eventloop.Micros) string {
 	var stores []string
 	for id, known := range o.roll.Known {
-		if known.Member.Stores && o.roll.Live(id, now, deadSpan) {
+		if known.Member.HasStorage && o.roll.Live(id, now, deadSpan) {
 			stores = append(stores, id)
 		}
 	}
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -41,23 +41,23 @@
 			return out.list
 		}
 		So(step("", eventloop.Tick{}), ShouldBeEmpty)
-		state := &schema.ClusterState{Version: 3, Plan: &schema.Plan{Generation: 2}}
-		list := step("s1", &schema.ClusterStateTell{State: state, Leaders: map[string]string{"clusterstate": "s2"}})
+		state := &schema.ClusterState{Version: 3, Configuration: &schema.Configuration{Revision: 2}}
+		list := step("s1", &schema.ClusterStateResponse{State: state, Leaders: map[string]string{"clusterstate": "s2"}})
 		So(list, ShouldHaveLength, 1)
 		So(list[0].to, ShouldEqual, "s2")
 		So(list[0].body.(*schema.Request).Kind, ShouldEqual, "clusterstate")
 		So(plans, ShouldResemble, []uint64{2})
 
-		warded := &schema.ClusterState{Version: 4, Plan: state.Plan, Wards: []*schema.Ward{{Worker: "w1", Scheduler: "s3", Generation: 7}}}
-		list = step("s1", &schema.ClusterStateTell{State: warded})
+		warded := &schema.ClusterState{Version: 4, Configuration: state.Configuration, WorkerLeases: []*schema.WorkerLease{{Worker: "w1", Scheduler: "s3", FencingToken: 7}}}
+		list = step("s1", &schema.ClusterStateResponse{State: warded})
 		So(list, ShouldHaveLength, 1)
 		So(list[0].to, ShouldEqual, "s3")
-		poll := list[0].body.(*schema.Poll)
+		poll := list[0].body.(*schema.WorkerPollRequest)
 		So(poll.Worker, ShouldEqual, "w1")
 		So(plans, ShouldHaveLength, 1)
 
-		order := &schema.Order{Act: "start", Queue: "l", Name: "job-1", Job: 1, Attempt: 1, Text: "run_us=10000", CoresMilli: 10, MemoryMb: 1}
-		step("s3", &schema.PollReply{Id: poll.Id, Orders: &schema.Orders{Ward: 7, LeaseUs: 4_000_000, Orders: []*schema.Order{order}}})
+		order := &schema.TaskOrder{Action: "start", Queue: "l", Name: "job-1", Job: 1, Attempt: 1, Text: "run_us=10000", CoresMilli: 10, MemoryMb: 1}
+		step("s3", &schema.WorkerPollResponse{Id: poll.Id, Orders: &schema.WorkerOrders{FencingToken: 7, LeaseUs: 4_000_000, Orders: []*schema.TaskOrder{order}}})
 		So(begun, ShouldResemble, []string{"job-1"})
 		now += 50 * eventloop.Milli
 		step("", eventloop.Tick{})
@@ -71,7 +71,7 @@
 		for k := range 30 {
 			roll := &membership.Roll{Self: &schema.Member{Id: fmt.Sprintf("p%03d", k)}, Known: map[string]membership.Known{}}
 			for _, id := range []string{"a", "b", "c"} {
-				roll.Known[id] = membership.Known{Member: &schema.Member{Id: id, Stores: true}, Heard: eventloop.Second}
+				roll.Known[id] = membership.Known{Member: &schema.Member{Id: id, HasStorage: true}, Heard: eventloop.Second}
 			}
 			o, out := &Onlooker{}, &outlet{}
 			o.Step(eventloop.Second, eventloop.Mail{Body: roll}, out)
--- a/internal/httpapi/connections_test.go
+++ b/internal/httpapi/connections_test.go
@@ -25,7 +25,7 @@
 
 func TestConnectionsStayInStep(t *testing.T) {
 	Convey("Given a process that nobody has told of a table yet", t, func() {
-		options := &schema.Options{Cell: "c", Inner: freeAddress(), Outer: freeAddress(), Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
+		options := &schema.Settings{Cell: "c", Inner: freeAddress(), Outer: freeAddress(), Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
 		real, err := process.Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 		So(err, ShouldBeNil)
 		server, err := Serve(real, zap.NewNop())
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -282,7 +282,7 @@
 	if !isRead {
 		return
 	}
-	sheet := &schema.Sheet{}
+	sheet := &schema.ConfigurationUpdate{}
 	if err := protojson.Unmarshal(data, sheet); err != nil {
 		message := strings.ReplaceAll(err.Error(), "\u00a0", " ")
 		if found := unknownField.FindStringSubmatch(message); found != nil {
@@ -298,7 +298,7 @@
 		return
 	}
 	s.ask(ctx, planSpan, gateway.Ask{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.ClusterStateBody(
-		&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{Sheet: sheet}}})})
+		&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})})
 }
 
 func (s *Server) announce(ctx iris.Context) {
@@ -311,7 +311,7 @@
 	if !isRead {
 		return
 	}
-	announce := &schema.Announce{}
+	announce := &schema.WorkerHeartbeat{}
 	if !decode(ctx, data, announce) {
 		return
 	}
--- a/internal/membership/bootstrap.go
+++ b/internal/membership/bootstrap.go
@@ -35,8 +35,8 @@
 
 // stores are the ids this process tells it sees.
 func (t *Table) stores() []string {
-	if t.account != nil && len(t.account.Promise) > 0 {
-		return t.account.Promise
+	if t.account != nil && len(t.account.BootstrapVote) > 0 {
+		return t.account.BootstrapVote
 	}
 	if t.asked != nil && len(t.frozen) > 0 {
 		return t.frozen
@@ -52,7 +52,7 @@
 // isFounder tells whether this store may found: it is empty, and was told that
 // all begins now.
 func (t *Table) isFounder() bool {
-	return t.account != nil && !t.account.Belongs && (t.terms.First || t.isUntold() && t.isSeed())
+	return t.account != nil && !t.account.Joined && (t.terms.First || t.isUntold() && t.isSeed())
 }
 
 // isUntold: settings that say neither which start is the first nor what may be
@@ -61,17 +61,17 @@
 func (t *Table) isUntold() bool { return !t.terms.First && t.terms.Losses == 0 }
 
 func (t *Table) found(now eventloop.Micros, out eventloop.Out) {
-	if t.account == nil || t.account.Belongs || t.asked != nil {
+	if t.account == nil || t.account.Joined || t.asked != nil {
 		return
 	}
-	promise := t.account.Promise
+	promise := t.account.BootstrapVote
 	if len(promise) == 0 {
 		if promise = t.joined(); promise == nil {
 			promise = t.settled(now)
 		}
 		if promise != nil {
-			next := proto.Clone(t.account).(*schema.Self)
-			next.Promise = promise
+			next := proto.Clone(t.account).(*schema.StoreIdentity)
+			next.BootstrapVote = promise
 			t.frozen = t.stores()
 			t.asked = next
 			out.Tell("replica", KeepSelf{Self: next})
@@ -79,14 +79,14 @@
 		return
 	}
 	for _, id := range promise {
-		if id != t.self.Id && !slices.Equal(t.told[id].hello.GetPromise(), promise) {
+		if id != t.self.Id && !slices.Equal(t.told[id].hello.GetBootstrapVote(), promise) {
 			return
 		}
 	}
-	next := proto.Clone(t.account).(*schema.Self)
-	next.Belongs = true
+	next := proto.Clone(t.account).(*schema.StoreIdentity)
+	next.Joined = true
 	t.asked = next
-	out.Tell("replica", KeepSelf{Self: next, Found: next.Promise})
+	out.Tell("replica", KeepSelf{Self: next, Found: next.BootstrapVote})
 }
 
 // joined is the promise of another store that names this one.
@@ -95,7 +95,7 @@
 		return nil
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.told)) {
-		if promise := t.told[id].hello.Promise; slices.Contains(promise, t.self.Id) && slices.Contains(promise, id) {
+		if promise := t.told[id].hello.BootstrapVote; slices.Contains(promise, t.self.Id) && slices.Contains(promise, id) {
 			return slices.Clone(promise)
 		}
 	}
@@ -131,12 +131,12 @@
 	}
 	seen := t.stores()
 	agrees := func(w word, isHeard bool) bool {
-		return isHeard && now-w.at < toldSpan && !w.hello.Belongs && slices.Equal(w.hello.Stores, seen)
+		return isHeard && now-w.at < toldSpan && !w.hello.Joined && slices.Equal(w.hello.KnownStores, seen)
 	}
 	cells := map[string]string{}
 	for _, id := range seen {
 		if id == t.self.Id {
-			cells[id] = t.self.Cell
+			cells[id] = t.self.Zone
 			continue
 		}
 		w, isHeard := t.told[id]
@@ -145,7 +145,7 @@
 		}
 		// One that isn't to found is seen all the same: it will join later.
 		if w.hello.Empty {
-			cells[id] = w.hello.Self.Cell
+			cells[id] = w.hello.Self.Zone
 		}
 	}
 	wished := t.terms.Founders()
@@ -153,7 +153,7 @@
 		wished = min(wished, len(t.terms.Seeds))
 	}
 	for _, seed := range t.terms.Seeds {
-		if seed == t.self.Inner {
+		if seed == t.self.InternalAddress {
 			continue
 		}
 		w, isHeard := t.at(seed)
@@ -172,7 +172,7 @@
 func (t *Table) at(address string) (word, bool) {
 	var last word
 	for _, w := range t.told {
-		if w.hello.Self.Inner == address && w.at > last.at {
+		if w.hello.Self.InternalAddress == address && w.at > last.at {
 			last = w
 		}
 	}
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -16,20 +16,20 @@
 // word is the last hello a process sent us itself.
 type word struct {
 	at    eventloop.Micros
-	hello *schema.Hello
+	hello *schema.Gossip
 }
 
 // detail is how much of the book a hello carries.
 type detail int
 
-func (t *Table) hello(now eventloop.Micros, much detail) *schema.Hello {
-	hello := &schema.Hello{Self: proto.Clone(t.self).(*schema.Member), Belongs: t.isSystem}
+func (t *Table) hello(now eventloop.Micros, much detail) *schema.Gossip {
+	hello := &schema.Gossip{Self: proto.Clone(t.self).(*schema.Member), Joined: t.isSystem}
 	if t.account != nil {
 		hello.Empty = t.isFounder()
-		hello.Promise = t.account.Promise
+		hello.BootstrapVote = t.account.BootstrapVote
 	}
 	if !t.isSystem {
-		hello.Stores = t.stores()
+		hello.KnownStores = t.stores()
 	}
 	if much == alone {
 		return hello
@@ -39,7 +39,7 @@
 		if now-known.Heard >= freshSpan {
 			continue
 		}
-		hello.Book = append(hello.Book, entry(known.Member, much))
+		hello.Members = append(hello.Members, entry(known.Member, much))
 	}
 	return hello
 }
@@ -49,13 +49,13 @@
 	if much == whole {
 		return member
 	}
-	return &schema.Member{Id: member.Id, Boot: member.Boot, Beat: member.Beat, Leaving: member.Leaving, LatencyUs: member.LatencyUs}
+	return &schema.Member{Id: member.Id, Incarnation: member.Incarnation, Heartbeat: member.Heartbeat, Draining: member.Draining, LatencyUs: member.LatencyUs}
 }
 
 // report is the hello to a store or seed. Once a store is heard, what a side
 // machine knows the stores know better, but for who asks it because they reach
 // no store.
-func (t *Table) report(now eventloop.Micros, much detail) *schema.Hello {
+func (t *Table) report(now eventloop.Micros, much detail) *schema.Gossip {
 	if !t.isSystem || !t.terms.IsSide || len(t.hubs(now)) == 0 {
 		return t.hello(now, much)
 	}
@@ -65,11 +65,11 @@
 	}
 	if much == whole {
 		// Who tells a whole member is answered with whole ones.
-		report.Book = append(report.Book, report.Self)
+		report.Members = append(report.Members, report.Self)
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.askers)) {
 		if known, isKnown := t.known[id]; isKnown && now-known.Heard < freshSpan {
-			report.Book = append(report.Book, entry(known.Member, much))
+			report.Members = append(report.Members, entry(known.Member, much))
 		}
 	}
 	return report
@@ -78,25 +78,25 @@
 // answer is the hello to one that asks. Only stores need to know of all side
 // machines; whoever else asks within a system is told of the stores, the fronts
 // and the candidates: what all know of all would grow with the square of them.
-func (t *Table) answer(now eventloop.Micros, much detail, asker *schema.Hello) *schema.Hello {
+func (t *Table) answer(now eventloop.Micros, much detail, asker *schema.Gossip) *schema.Gossip {
 	answer := t.hello(now, much)
-	answer.Answer = true
-	if t.isSystem && asker.Belongs && !asker.Self.Stores {
+	answer.IsReply = true
+	if t.isSystem && asker.Joined && !asker.Self.HasStorage {
 		t.leaveOut(now, answer)
 	}
 	return answer
 }
 
 // leaveOut takes the side machines out of a hello that don't stand for controller.
-func (t *Table) leaveOut(now eventloop.Micros, hello *schema.Hello) {
+func (t *Table) leaveOut(now eventloop.Micros, hello *schema.Gossip) {
 	cells := map[string]string{}
 	for id, known := range t.known {
 		if known.Member.Role == schema.Role_ROLE_CONTROLLER && now-known.Heard < hubSpan {
-			cells[id] = known.Member.Cell
+			cells[id] = known.Member.Zone
 		}
 	}
 	candidates := Spread(cells, Candidates)
-	hello.Book = slices.DeleteFunc(hello.Book, func(member *schema.Member) bool {
+	hello.Members = slices.DeleteFunc(hello.Members, func(member *schema.Member) bool {
 		known, isKnown := t.known[member.Id]
 		return isKnown && known.Member.Role == schema.Role_ROLE_CONTROLLER && !slices.Contains(candidates, member.Id)
 	})
@@ -111,20 +111,20 @@
 func (t *Table) hubs(now eventloop.Micros) []string {
 	var hubs []string
 	for _, id := range t.ids() {
-		if known := t.known[id]; known.Member.Stores && now-known.Heard < hubSpan {
-			hubs = append(hubs, known.Member.Inner)
+		if known := t.known[id]; known.Member.HasStorage && now-known.Heard < hubSpan {
+			hubs = append(hubs, known.Member.InternalAddress)
 		}
 	}
 	return hubs
 }
 
-func (t *Table) isSeed() bool { return slices.Contains(t.terms.Seeds, t.self.Inner) }
+func (t *Table) isSeed() bool { return slices.Contains(t.terms.Seeds, t.self.InternalAddress) }
 
 // someSeed is any seed but ourselves.
 func (t *Table) someSeed() string {
 	var others []string
 	for _, seed := range t.terms.Seeds {
-		if seed != t.self.Inner {
+		if seed != t.self.InternalAddress {
 			others = append(others, seed)
 		}
 	}
@@ -135,14 +135,14 @@
 }
 
 func (t *Table) greet(now eventloop.Micros, out eventloop.Out) {
-	t.self.Beat++
+	t.self.Heartbeat++
 	switch {
 	case len(t.known) == 0:
 		// Seeds are asked all the time until somebody answers. They may all
 		// have been replaced while this machine was away; whom it knew then is
 		// worth a try.
 		hello := t.hello(now, whole)
-		sentTo := map[string]bool{t.self.Inner: true}
+		sentTo := map[string]bool{t.self.InternalAddress: true}
 		for _, address := range append(slices.Clone(t.terms.Seeds), t.met...) {
 			if !sentTo[address] {
 				sentTo[address] = true
@@ -166,7 +166,7 @@
 		}
 		return
 	}
-	sentTo := map[string]bool{t.self.Inner: true}
+	sentTo := map[string]bool{t.self.InternalAddress: true}
 	for _, seed := range t.terms.Seeds {
 		if !sentTo[seed] {
 			sentTo[seed] = true
@@ -174,12 +174,12 @@
 		}
 	}
 	// Whoever is told here tells us too, in its own turn.
-	word := proto.Clone(hello).(*schema.Hello)
-	word.Answer = true
+	word := proto.Clone(hello).(*schema.Gossip)
+	word.IsReply = true
 	for _, id := range t.ids() {
-		if member := t.known[id].Member; member.Stores && !sentTo[member.Inner] {
-			sentTo[member.Inner] = true
-			out.Dial(member.Inner, word)
+		if member := t.known[id].Member; member.HasStorage && !sentTo[member.InternalAddress] {
+			sentTo[member.InternalAddress] = true
+			out.Dial(member.InternalAddress, word)
 		}
 	}
 }
@@ -224,7 +224,7 @@
 	if t.isWaiting || len(hubs) == 0 {
 		much = beats
 		ids := t.ids()
-		out.Dial(t.known[ids[t.rng.IntN(len(ids))]].Member.Inner, t.hello(now, beats))
+		out.Dial(t.known[ids[t.rng.IntN(len(ids))]].Member.InternalAddress, t.hello(now, beats))
 	}
 	if isStore {
 		// Of others it tells at each second pace.
@@ -245,10 +245,10 @@
 // come up after it, as when all have just been restarted, and others who know only
 // them hear of nobody until they do.
 func (t *Table) callSeeds(now eventloop.Micros, out eventloop.Out) {
-	heard := map[string]bool{t.self.Inner: true}
+	heard := map[string]bool{t.self.InternalAddress: true}
 	for _, known := range t.known {
 		if now-known.Heard < hubSpan {
-			heard[known.Member.Inner] = true
+			heard[known.Member.InternalAddress] = true
 		}
 	}
 	for _, seed := range t.terms.Seeds {
@@ -262,7 +262,7 @@
 // isHeardAt tells whether a process at an address was heard of lately.
 func (t *Table) isHeardAt(now eventloop.Micros, address string) bool {
 	for _, known := range t.known {
-		if known.Member.Inner == address && now-known.Heard < hubSpan {
+		if known.Member.InternalAddress == address && now-known.Heard < hubSpan {
 			return true
 		}
 	}
@@ -272,8 +272,8 @@
 // isStoreAt tells whether a store, or nobody we know, lives at an address.
 func (t *Table) isStoreAt(address string) bool {
 	for _, known := range t.known {
-		if known.Member.Inner == address {
-			return known.Member.Stores
+		if known.Member.InternalAddress == address {
+			return known.Member.HasStorage
 		}
 	}
 	return true
@@ -282,7 +282,7 @@
 // spread tells every store without asking anything.
 func (t *Table) spread(now eventloop.Micros, much detail, out eventloop.Out) {
 	word := t.hello(now, much)
-	word.Answer = true
+	word.IsReply = true
 	for _, hub := range t.hubs(now) {
 		out.Dial(hub, word)
 	}
@@ -290,48 +290,48 @@
 
 // isBefore tells whether a process said one thing of itself before another.
 func isBefore(a, b *schema.Member) bool {
-	return cmp.Or(cmp.Compare(a.Boot, b.Boot), cmp.Compare(a.Beat, b.Beat)) < 0
+	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Heartbeat, b.Heartbeat)) < 0
 }
 
-func (t *Table) hear(now eventloop.Micros, from string, hello *schema.Hello, out eventloop.Out) {
+func (t *Table) hear(now eventloop.Micros, from string, hello *schema.Gossip, out eventloop.Out) {
 	if hello.Self == nil || hello.Self.Id != from || from == t.self.Id {
 		return
 	}
 	// What a former life said, and comes late, is nobody's word any more.
-	if former, isKnown := t.known[from]; isKnown && hello.Self.Boot < former.Member.Boot {
+	if former, isKnown := t.known[from]; isKnown && hello.Self.Incarnation < former.Member.Incarnation {
 		return
 	}
 	wasSystem, seen, known := t.isSystem, len(t.seen), len(t.known)
-	t.isSystem = t.isSystem || hello.Belongs
+	t.isSystem = t.isSystem || hello.Joined
 	t.note(now, hello.Self)
 	if last := t.told[from].hello; last == nil || !isBefore(hello.Self, last.Self) {
 		t.told[from] = word{at: now, hello: hello}
 	}
 	isWhole, isMissing := false, false
-	for _, member := range hello.Book {
+	for _, member := range hello.Members {
 		if member.GetId() == t.self.Id {
 			continue
 		}
-		isWhole = isWhole || member.Inner != ""
+		isWhole = isWhole || member.InternalAddress != ""
 		isMissing = !t.note(now, member) || isMissing
 	}
-	if hello.Answer {
+	if hello.IsReply {
 		t.isWaiting = false
 	} else {
 		// Somebody who asks a process that is no store may reach no other.
 		t.isNews = t.isNews || t.account == nil && t.isSystem
 		much := beats
-		if isWhole || !t.isSystem || !hello.Belongs {
+		if isWhole || !t.isSystem || !hello.Joined {
 			much = whole
 		}
 		if t.account == nil {
 			t.askers[from] = now
 		}
-		out.Dial(hello.Self.Inner, t.answer(now, much, hello))
+		out.Dial(hello.Self.InternalAddress, t.answer(now, much, hello))
 	}
 	if isMissing && now-t.wholeAt >= Pace {
 		t.wholeAt = now
-		out.Dial(hello.Self.Inner, t.report(now, whole))
+		out.Dial(hello.Self.InternalAddress, t.report(now, whole))
 	} else if isMissing {
 		t.isMissing = true
 	}
@@ -354,29 +354,29 @@
 		return true
 	}
 	old, isKnown := t.known[member.Id]
-	isNews := !isKnown || member.Boot > old.Member.Boot || member.Boot == old.Member.Boot && member.Beat > old.Member.Beat
+	isNews := !isKnown || member.Incarnation > old.Member.Incarnation || member.Incarnation == old.Member.Incarnation && member.Heartbeat > old.Member.Heartbeat
 	if !isNews {
 		return true
 	}
-	if member.Inner == "" {
-		if !isKnown || member.Boot != old.Member.Boot {
+	if member.InternalAddress == "" {
+		if !isKnown || member.Incarnation != old.Member.Incarnation {
 			return false
 		}
 		next := proto.Clone(old.Member).(*schema.Member)
-		next.Beat, next.Leaving, next.LatencyUs = member.Beat, member.Leaving, member.LatencyUs
+		next.Heartbeat, next.Draining, next.LatencyUs = member.Heartbeat, member.Draining, member.LatencyUs
 		member = next
 	}
 	// An address belongs to whoever was heard there last.
-	if !isKnown || old.Member.Inner != member.Inner {
+	if !isKnown || old.Member.InternalAddress != member.InternalAddress {
 		for id, other := range t.known {
-			if id != member.Id && other.Member.Inner == member.Inner && now-other.Heard > eventloop.Second {
+			if id != member.Id && other.Member.InternalAddress == member.InternalAddress && now-other.Heard > eventloop.Second {
 				delete(t.known, id)
 				delete(t.told, id)
 			}
 		}
 	}
 	t.known[member.Id] = Known{Member: member, Heard: now}
-	if member.Stores {
+	if member.HasStorage {
 		t.seen[member.Id] = now
 	}
 	return true
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -39,8 +39,8 @@
 type Table struct {
 	self     *schema.Member
 	terms    Terms
-	account  *schema.Self // nil without a data folder
-	asked    *schema.Self // our account as it is being kept
+	account  *schema.StoreIdentity // nil without a data folder
+	asked    *schema.StoreIdentity // our account as it is being kept
 	book     *Book
 	known    map[string]Known
 	told     map[string]word             // of each process, by id
@@ -66,14 +66,14 @@
 }
 
 // New makes the table. Readers are the tables that want the roll.
-func New(self *schema.Member, terms Terms, account *schema.Self, book *Book, readers []string, rng *rand.Rand) *Table {
+func New(self *schema.Member, terms Terms, account *schema.StoreIdentity, book *Book, readers []string, rng *rand.Rand) *Table {
 	t := &Table{
 		self: self, terms: terms, account: account, book: book, readers: readers, rng: rng,
 		known: map[string]Known{}, told: map[string]word{}, askers: map[string]eventloop.Micros{}, seen: map[string]eventloop.Micros{},
 	}
-	t.isSystem = account != nil && account.Belongs
+	t.isSystem = account != nil && account.Joined
 	if account != nil {
-		t.met = account.Met
+		t.met = account.KnownAddresses
 	}
 	return t
 }
@@ -83,11 +83,11 @@
 	switch body := mail.Body.(type) {
 	case eventloop.Tick:
 		t.tick(now, out)
-	case *schema.Hello:
+	case *schema.Gossip:
 		t.hear(now, mail.From, body, out)
 	case SelfKept:
 		t.account, t.asked = body.Self, nil
-		t.isSystem = t.isSystem || body.Self.Belongs
+		t.isSystem = t.isSystem || body.Self.Joined
 		t.greet(now, out)
 		t.found(now, out)
 	case ClusterState:
@@ -98,12 +98,12 @@
 		if hasTurned {
 			// Others choose by it who leads and who may vote: it doesn't wait for
 			// the pace.
-			t.self.Beat++
+			t.self.Heartbeat++
 			t.spread(now, beats, out)
 		}
 	case Leaving:
-		t.self.Leaving = true
-		t.self.Beat++
+		t.self.Draining = true
+		t.self.Heartbeat++
 		t.spread(now, beats, out)
 	}
 }
@@ -145,7 +145,7 @@
 
 // remember keeps the addresses of some processes durably.
 func (t *Table) remember(now eventloop.Micros, out eventloop.Out) {
-	if t.account == nil || !t.account.Belongs || t.asked != nil || now-t.metAt < metSpan {
+	if t.account == nil || !t.account.Joined || t.asked != nil || now-t.metAt < metSpan {
 		return
 	}
 	t.metAt = now
@@ -153,19 +153,19 @@
 	for _, id := range t.ids() {
 		switch known := t.known[id]; {
 		case now-known.Heard > 2*eventloop.Second:
-		case known.Member.Stores:
-			stores = append(stores, known.Member.Inner)
+		case known.Member.HasStorage:
+			stores = append(stores, known.Member.InternalAddress)
 		default:
-			others = append(others, known.Member.Inner)
+			others = append(others, known.Member.InternalAddress)
 		}
 	}
 	met := append(stores, others...)
 	met = met[:min(len(met), maxMet)]
-	if len(met) == 0 || slices.Equal(met, t.account.Met) {
+	if len(met) == 0 || slices.Equal(met, t.account.KnownAddresses) {
 		return
 	}
-	next := proto.Clone(t.account).(*schema.Self)
-	next.Met = met
+	next := proto.Clone(t.account).(*schema.StoreIdentity)
+	next.KnownAddresses = met
 	t.asked = next
 	out.Tell("replica", KeepSelf{Self: next})
 }
@@ -177,10 +177,10 @@
 )
 
 func (t *Table) publish(now eventloop.Micros, out eventloop.Out) {
-	addresses := map[string]string{t.self.Id: t.self.Inner}
+	addresses := map[string]string{t.self.Id: t.self.InternalAddress}
 	roll := &Roll{Self: proto.Clone(t.self).(*schema.Member), Known: map[string]Known{}}
 	for id, known := range t.known {
-		addresses[id] = known.Member.Inner
+		addresses[id] = known.Member.InternalAddress
 		roll.Known[id] = known
 	}
 	roll.Known[t.self.Id] = Known{Member: roll.Self, Heard: now}
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -24,8 +24,8 @@
 	cell    string
 	terms   Terms
 	hasDisk bool
-	account *schema.Self     // as it is on disk
-	at      eventloop.Micros // starts then
+	account *schema.StoreIdentity // as it is on disk
+	at      eventloop.Micros      // starts then
 
 	id    string
 	run   int // 0: not up
@@ -73,7 +73,7 @@
 	messages int
 	bytes    int
 	wires    map[string]*gob.Encoder // nil: bytes aren't counted
-	saw      func(from, to *host, hello *schema.Hello)
+	saw      func(from, to *host, hello *schema.Gossip)
 }
 
 func newNetwork(seed uint64) *network {
@@ -105,18 +105,18 @@
 	n := h.net
 	h.runs++
 	h.run = h.runs
-	member := &schema.Member{Id: fmt.Sprintf("%04x-%s", n.rng.IntN(1<<16), h.address), Boot: 1, Role: schema.Role_ROLE_SERVER, Cell: h.cell, Inner: h.address, Outer: h.address}
+	member := &schema.Member{Id: fmt.Sprintf("%04x-%s", n.rng.IntN(1<<16), h.address), Incarnation: 1, Role: schema.Role_ROLE_SERVER, Zone: h.cell, InternalAddress: h.address, HttpAddress: h.address}
 	if h.terms.IsSide {
 		member.Role = schema.Role_ROLE_CONTROLLER
 	}
-	var account *schema.Self
+	var account *schema.StoreIdentity
 	if h.hasDisk {
 		if h.account == nil {
-			h.account = &schema.Self{Id: member.Id}
+			h.account = &schema.StoreIdentity{Id: member.Id}
 		}
-		h.account = proto.Clone(h.account).(*schema.Self)
-		h.account.Boots++
-		member.Id, member.Boot, member.Stores = h.account.Id, h.account.Boots, true
+		h.account = proto.Clone(h.account).(*schema.StoreIdentity)
+		h.account.Starts++
+		member.Id, member.Incarnation, member.HasStorage = h.account.Id, h.account.Starts, true
 		account = h.account
 	}
 	h.id, h.book, h.roll = member.Id, &Book{}, nil
@@ -145,7 +145,7 @@
 	if n.saw != nil {
 		for _, to := range n.hosts {
 			if to.address == address {
-				n.saw(h, to, body.(*schema.Hello))
+				n.saw(h, to, body.(*schema.Gossip))
 			}
 		}
 	}
@@ -159,7 +159,7 @@
 		if to.address != address || n.isCut != nil && n.isCut(h, to) {
 			continue
 		}
-		run, from, copied := to.run, h.id, proto.Clone(body.(*schema.Hello))
+		run, from, copied := to.run, h.id, proto.Clone(body.(*schema.Gossip))
 		n.after(eventloop.Milli/5+n.draw(n.delay), func() {
 			if run > 0 && to.run == run {
 				to.step(eventloop.Mail{From: from, Body: copied})
@@ -191,7 +191,7 @@
 	}
 }
 
-func init() { gob.Register(&schema.Hello{}) }
+func init() { gob.Register(&schema.Gossip{}) }
 
 func (h *host) Tell(table string, body any) {
 	n := h.net
@@ -205,8 +205,8 @@
 				return
 			}
 			h.account = body.Self
-			if len(body.Self.Promise) > 0 {
-				n.promises[strings.Join(body.Self.Promise, " ")] = true
+			if len(body.Self.BootstrapVote) > 0 {
+				n.promises[strings.Join(body.Self.BootstrapVote, " ")] = true
 			}
 			if len(body.Found) > 0 {
 				n.founded[strings.Join(body.Found, " ")] = true
@@ -256,7 +256,7 @@
 	for set := range n.founded {
 		for _, id := range strings.Split(set, " ") {
 			for _, h := range n.hosts {
-				if h.account.GetId() == id && !h.account.Belongs {
+				if h.account.GetId() == id && !h.account.Joined {
 					return false
 				}
 			}
@@ -365,7 +365,7 @@
 				// The fourth to the sixth hold the system; the seed's store comes
 				// back empty, and one more is new.
 				for _, k := range []int{3, 4, 5} {
-					n.hosts[k].account = &schema.Self{Id: fmt.Sprintf("old%d", k), Belongs: true, Promise: []string{"old3", "old4", "old5"}}
+					n.hosts[k].account = &schema.StoreIdentity{Id: fmt.Sprintf("old%d", k), Joined: true, BootstrapVote: []string{"old3", "old4", "old5"}}
 				}
 				for _, k := range []int{1, 6} {
 					n.hosts[k].terms.First = first
@@ -374,8 +374,8 @@
 				n.runTo(20 * eventloop.Second)
 				So(len(n.founded), ShouldEqual, 0)
 				for _, k := range []int{1, 6} {
-					So(n.hosts[k].account.Belongs, ShouldBeFalse)
-					So(n.hosts[k].account.Promise, ShouldBeEmpty)
+					So(n.hosts[k].account.Joined, ShouldBeFalse)
+					So(n.hosts[k].account.BootstrapVote, ShouldBeEmpty)
 				}
 			}
 		}
@@ -386,7 +386,7 @@
 		n.startAll(0)
 		n.runTo(2 * eventloop.Second)
 		h := n.hosts[0]
-		h.step(eventloop.Mail{Body: SelfKept{Self: &schema.Self{Id: h.id, Belongs: true}}})
+		h.step(eventloop.Mail{Body: SelfKept{Self: &schema.StoreIdentity{Id: h.id, Joined: true}}})
 		So(h.table.isSystem, ShouldBeTrue)
 	})
 }
@@ -508,7 +508,7 @@
 		n.runTo(n.now + 600*eventloop.Milli)
 		for _, by := range n.hosts {
 			if by != front && by.terms.IsSide {
-				So(by.table.known[front.id].Member.Leaving, ShouldBeTrue)
+				So(by.table.known[front.id].Member.Draining, ShouldBeTrue)
 			}
 		}
 	})
@@ -523,7 +523,7 @@
 			cells := map[string]string{}
 			for id, known := range by.roll.Known {
 				if known.Member.Role == schema.Role_ROLE_CONTROLLER && by.roll.Live(id, n.now, hubSpan) {
-					cells[id] = known.Member.Cell
+					cells[id] = known.Member.Zone
 				}
 			}
 			return Spread(cells, Candidates)
@@ -555,12 +555,12 @@
 		n.startAll(200 * eventloop.Milli)
 		n.runTo(12 * eventloop.Second)
 		most, fronts := 0, 0
-		n.saw = func(_, to *host, hello *schema.Hello) {
+		n.saw = func(_, to *host, hello *schema.Gossip) {
 			if to.terms.IsSide {
-				most = max(most, len(hello.Book))
+				most = max(most, len(hello.Members))
 			}
 			if !to.terms.IsSide && !to.hasDisk {
-				fronts = max(fronts, len(hello.Book))
+				fronts = max(fronts, len(hello.Members))
 			}
 		}
 		n.wires = map[string]*gob.Encoder{}
@@ -606,8 +606,8 @@
 			n := newNetwork(seed)
 			n.fleet("FFFSSShhhhhh", true, 1)
 			for _, k := range []int{3, 4, 5} {
-				n.hosts[k].account = &schema.Self{
-					Id: fmt.Sprintf("old%d", k), Belongs: true, Promise: []string{"old3", "old4", "old5"}, Met: []string{"10.0.0.03:1", "10.0.0.04:1", "10.0.0.05:1"},
+				n.hosts[k].account = &schema.StoreIdentity{
+					Id: fmt.Sprintf("old%d", k), Joined: true, BootstrapVote: []string{"old3", "old4", "old5"}, KnownAddresses: []string{"10.0.0.03:1", "10.0.0.04:1", "10.0.0.05:1"},
 				}
 			}
 			// The stores find each other by whom they met before, the seeds come last.
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -28,12 +28,12 @@
 // KeepSelf asks the replicas' table to make our own account durable; it is
 // answered with SelfKept.
 type KeepSelf struct {
-	Self  *schema.Self
+	Self  *schema.StoreIdentity
 	Found []string // found the system's group with these
 }
 
 // SelfKept answers KeepSelf once the account is durable.
-type SelfKept struct{ Self *schema.Self }
+type SelfKept struct{ Self *schema.StoreIdentity }
 
 // Latency is this process's own worst recent delay.
 type Latency struct{ Worst eventloop.Micros }
--- a/internal/membership/newcomer.go
+++ b/internal/membership/newcomer.go
@@ -20,8 +20,8 @@
 // tells how long it has run, so that a process that has just started itself knows as
 // much as one that has watched.
 func IsNewcomer(member *schema.Member, age eventloop.Micros) bool {
-	ran := eventloop.Micros(member.Beat) * Pace
-	return member.Stores && member.Boot <= 1 && !member.Leaving && ran < newcomerSpan && ran+beginSpan < age
+	ran := eventloop.Micros(member.Heartbeat) * Pace
+	return member.HasStorage && member.Incarnation <= 1 && !member.Draining && ran < newcomerSpan && ran+beginSpan < age
 }
 
 // Newcomer is a live store that has come of late and is none of the voters; empty
--- a/internal/membership/newcomer_test.go
+++ b/internal/membership/newcomer_test.go
@@ -11,7 +11,7 @@
 
 func TestNewcomers(t *testing.T) {
 	store := func(boot uint64, ran eventloop.Micros) *schema.Member {
-		return &schema.Member{Id: "d", Stores: true, Boot: boot, Beat: uint64(ran / Pace)}
+		return &schema.Member{Id: "d", HasStorage: true, Incarnation: boot, Heartbeat: uint64(ran / Pace)}
 	}
 	minute := 60 * eventloop.Second
 	Convey("A store that has never run before and started of late, in a cluster that is older, is a newcomer", t, func() {
@@ -23,7 +23,7 @@
 		So(IsNewcomer(store(2, eventloop.Second), minute), ShouldBeFalse)
 		So(IsNewcomer(store(1, 40*eventloop.Second), minute), ShouldBeFalse)
 		leaving, front := store(1, eventloop.Second), store(1, eventloop.Second)
-		leaving.Leaving, front.Stores = true, false
+		leaving.Draining, front.HasStorage = true, false
 		So(IsNewcomer(leaving, minute), ShouldBeFalse)
 		So(IsNewcomer(front, minute), ShouldBeFalse)
 	})
--- a/internal/membership/seeds_test.go
+++ b/internal/membership/seeds_test.go
@@ -19,8 +19,8 @@
 func (d *dialled) Tell(string, any)   {}
 func (d *dialled) Answer(uint64, any) {}
 func (d *dialled) Dial(address string, body any) {
-	for _, member := range body.(*schema.Hello).Book {
-		if member.Inner != "" {
+	for _, member := range body.(*schema.Gossip).Members {
+		if member.InternalAddress != "" {
 			d.whole[address]++
 			return
 		}
@@ -66,26 +66,26 @@
 // that it doesn't know, always just after it has called a seed.
 func TestWhoIsNewWithoutSeeds(t *testing.T) {
 	Convey("Whoever hears a beat of somebody unknown asks a store that it knows, when its seeds don't answer", t, func() {
-		self := &schema.Member{Id: "side", Boot: 1, Role: schema.Role_ROLE_CONTROLLER, Inner: "10.0.0.9:1"}
+		self := &schema.Member{Id: "side", Incarnation: 1, Role: schema.Role_ROLE_CONTROLLER, InternalAddress: "10.0.0.9:1"}
 		terms := Terms{Seeds: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, Losses: 1, IsSide: true}
 		table := New(self, terms, nil, &Book{}, nil, rand.New(rand.NewPCG(1, 1)))
 		out := &dialled{whole: map[string]int{}}
-		store := &schema.Member{Id: "store", Boot: 1, Stores: true, Inner: "10.0.1.1:1"}
+		store := &schema.Member{Id: "store", Incarnation: 1, HasStorage: true, InternalAddress: "10.0.1.1:1"}
 		now := eventloop.Second
 		isToldOf, asked := false, 0
 		for range 200 {
 			now += Pace
 			clear(out.whole)
 			table.Step(now, eventloop.Mail{Body: eventloop.Tick{}}, out)
-			asked += out.whole[store.Inner]
+			asked += out.whole[store.InternalAddress]
 			if !isToldOf {
 				// It begins when a seed has just been called.
 				isToldOf, asked = now > 20*eventloop.Second && table.wholeAt == now, 0
 			}
-			store.Beat++
-			answer := &schema.Hello{Self: proto.Clone(store).(*schema.Member), Belongs: true, Answer: true}
+			store.Heartbeat++
+			answer := &schema.Gossip{Self: proto.Clone(store).(*schema.Member), Joined: true, IsReply: true}
 			if isToldOf {
-				answer.Book = []*schema.Member{{Id: "new", Boot: 1, Beat: store.Beat}}
+				answer.Members = []*schema.Member{{Id: "new", Incarnation: 1, Heartbeat: store.Heartbeat}}
 			}
 			table.Step(now+eventloop.Milli, eventloop.Mail{From: store.Id, Body: answer}, out)
 		}
--- a/internal/modelcheck/disk.go
+++ b/internal/modelcheck/disk.go
@@ -16,10 +16,10 @@
 // disk is a machine's durable content.
 type disk interface {
 	content() *storage.Content
-	commit(changes []*schema.Change) error
+	commit(changes []*schema.StoreChange) error
 	// crash loses what wasn't synced, with a torn part of the changes that
 	// were being written.
-	crash(writing []*schema.Change, draw func(n int) int) error
+	crash(writing []*schema.StoreChange, draw func(n int) int) error
 	clone() disk
 }
 
@@ -28,7 +28,7 @@
 
 func (p *pure) content() *storage.Content { return p.held }
 
-func (p *pure) commit(changes []*schema.Change) error {
+func (p *pure) commit(changes []*schema.StoreChange) error {
 	next := &storage.Content{Self: p.held.Self, Groups: map[string]*storage.Image{}}
 	for name, image := range p.held.Groups {
 		next.Groups[name] = copyImage(image)
@@ -40,7 +40,7 @@
 	return nil
 }
 
-func (p *pure) crash([]*schema.Change, func(int) int) error { return nil }
+func (p *pure) crash([]*schema.StoreChange, func(int) int) error { return nil }
 
 func (p *pure) clone() disk { return &pure{held: p.held} }
 
@@ -73,11 +73,11 @@
 
 func (s *stored) content() *storage.Content { return s.store.Content() }
 
-func (s *stored) commit(changes []*schema.Change) error { return s.store.Commit(changes) }
+func (s *stored) commit(changes []*schema.StoreChange) error { return s.store.Commit(changes) }
 
 func (s *stored) clone() disk { panic("modelcheck: a store on files isn't branched") }
 
-func (s *stored) crash(writing []*schema.Change, draw func(n int) int) error {
+func (s *stored) crash(writing []*schema.StoreChange, draw func(n int) int) error {
 	if len(writing) > 0 && draw(2) == 0 {
 		// The write was under way: it stops after so many bytes.
 		s.files.room = draw(600)
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -88,7 +88,7 @@
 
 func (b *batch) fingerprint(to []byte) []byte {
 	for _, change := range b.changes {
-		to = imprint(append(to, 'c'), &storage.Image{Hard: change.Hard, Checkpoint: change.Checkpoint, Records: change.Records})
+		to = imprint(append(to, 'c'), &storage.Image{Hard: change.HardState, Checkpoint: change.Snapshot, Records: change.Entries})
 	}
 	for _, post := range b.posts {
 		to = numbers(append(to, 'p'), uint64(keyOf("", post.To, post.Body)))
@@ -101,7 +101,7 @@
 	to = append(to, image.Hard.GetVote()...)
 	for _, record := range image.Records {
 		to = numbers(to, record.Index, record.Term)
-		if record.Kind == schema.RecordKind_RECORD_MEMBER_SET {
+		if record.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
 			to = append(to, 'r')
 		}
 	}
--- a/internal/modelcheck/invariants.go
+++ b/internal/modelcheck/invariants.go
@@ -23,7 +23,7 @@
 	return maphash.Bytes(seed, numbers(to, values...))
 }
 
-func digestOf(record *schema.Record) uint64 {
+func digestOf(record *schema.Entry) uint64 {
 	var h maphash.Hash
 	h.SetSeed(seed)
 	h.WriteByte(byte(record.Kind))
@@ -41,15 +41,15 @@
 // checkChange holds what is put into a log against every log there ever was:
 // one place (index and term) has one record, over one other. From that follows
 // log matching: two logs that agree at a place agree below it.
-func (w *World) checkChange(m *machine, change *schema.Change) {
-	if change.Hard != nil && change.Hard.Term < m.memory.Hard.Term {
-		w.fail("the term of %s goes back from %d to %d", m.id, m.memory.Hard.Term, change.Hard.Term)
+func (w *World) checkChange(m *machine, change *schema.StoreChange) {
+	if change.HardState != nil && change.HardState.Term < m.memory.Hard.Term {
+		w.fail("the term of %s goes back from %d to %d", m.id, m.memory.Hard.Term, change.HardState.Term)
 	}
-	for k, record := range change.Records {
+	for k, record := range change.Entries {
 		below := uint64(0)
 		switch {
 		case k > 0:
-			below = change.Records[k-1].Term
+			below = change.Entries[k-1].Term
 		case record.Index > 1:
 			below = termAt(m.memory, record.Index-1)
 		}
@@ -63,17 +63,17 @@
 		}
 		w.ownGhost().records[place{record.Index, record.Term}] = found
 		w.sum += hashOf("record", "", record.Index, found.term, found.below, found.digest)
-		if record.Kind == schema.RecordKind_RECORD_MEMBER_SET {
+		if record.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
 			w.checkMembers(m, record)
 		}
 	}
-	if len(change.Records) > 0 && change.Records[0].Index <= uint64(len(w.committed)) && holdsCommitted(w, m, change.Records) {
-		w.fail("leader completeness: %s replaces committed records from %d on", m.id, change.Records[0].Index)
+	if len(change.Entries) > 0 && change.Entries[0].Index <= uint64(len(w.committed)) && holdsCommitted(w, m, change.Entries) {
+		w.fail("leader completeness: %s replaces committed records from %d on", m.id, change.Entries[0].Index)
 	}
 }
 
 // holdsCommitted tells whether records differ from committed ones.
-func holdsCommitted(w *World, m *machine, records []*schema.Record) bool {
+func holdsCommitted(w *World, m *machine, records []*schema.Entry) bool {
 	for _, record := range records {
 		if record.Index <= uint64(len(w.committed)) && w.committed[record.Index-1].term != record.Term &&
 			termAt(m.memory, record.Index) == w.committed[record.Index-1].term {
@@ -84,7 +84,7 @@
 }
 
 // checkMembers looks at a change of members when its leader makes it.
-func (w *World) checkMembers(m *machine, record *schema.Record) {
+func (w *World) checkMembers(m *machine, record *schema.Entry) {
 	w.changes++
 	old := membersUnder(m.memory, record.Index)
 	next := record.MemberSet
@@ -92,7 +92,7 @@
 		w.fail("members: majorities of %v and %v need not overlap", old.GetVoters(), next.Voters)
 	}
 	for _, each := range m.memory.Records {
-		if each.Kind == schema.RecordKind_RECORD_MEMBER_SET && each.Index < record.Index && each.Index > uint64(len(w.committed)) {
+		if each.Kind == schema.EntryKind_ENTRY_MEMBER_SET && each.Index < record.Index && each.Index > uint64(len(w.committed)) {
 			w.fail("members: changed at %d on %s while the change at %d isn't committed", record.Index, m.id, each.Index)
 		}
 	}
@@ -113,7 +113,7 @@
 func changedAt(image *storage.Image, index uint64) uint64 {
 	at := uint64(0)
 	for _, record := range image.Records {
-		if record.Index < index && record.Kind == schema.RecordKind_RECORD_MEMBER_SET {
+		if record.Index < index && record.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
 			at = record.Index
 		}
 	}
@@ -152,9 +152,9 @@
 func (w *World) checkMatch(m *machine, post raft.Post) {
 	match := uint64(0)
 	switch body := post.Body.(type) {
-	case *schema.AppendReply:
+	case *schema.AppendResponse:
 		match = body.Match
-	case *schema.BeatReply:
+	case *schema.HeartbeatResponse:
 		match = body.Match
 	}
 	if match == 0 {
@@ -170,7 +170,7 @@
 // checkTold: a term, and a vote in it, last before anybody hears of them; and
 // one id votes for one candidate a term, whatever disk it has.
 func (w *World) checkTold(m *machine, post raft.Post) {
-	hard := &schema.Hard{}
+	hard := &schema.HardState{}
 	if image := m.disk.content().Groups[group]; image != nil {
 		hard = image.Hard
 	}
@@ -187,33 +187,33 @@
 		w.vote(m.id, term, candidate)
 	}
 	switch body := post.Body.(type) {
-	case *schema.Vote:
-		if !body.Pre {
+	case *schema.VoteRequest:
+		if !body.PreVote {
 			votes(body.Term, m.id)
 		}
-	case *schema.VoteReply:
+	case *schema.VoteResponse:
 		switch {
-		case body.Pre:
+		case body.PreVote:
 		case body.Granted:
 			votes(body.Term, post.To)
 		default:
 			needs(body.Term)
 		}
-	case *schema.Append:
+	case *schema.AppendRequest:
 		needs(body.Term)
-	case *schema.AppendReply:
+	case *schema.AppendResponse:
 		needs(body.Term)
-	case *schema.Beat:
+	case *schema.Heartbeat:
 		needs(body.Term)
-	case *schema.BeatReply:
+	case *schema.HeartbeatResponse:
 		needs(body.Term)
-	case *schema.Install:
+	case *schema.InstallSnapshot:
 		needs(body.Term)
-	case *schema.Urge:
+	case *schema.TimeoutNow:
 		needs(body.Term)
-	case *schema.Part:
+	case *schema.TransferChunk:
 		needs(body.Term)
-	case *schema.PartReply:
+	case *schema.TransferChunkResponse:
 		needs(body.Term)
 	}
 }
@@ -270,7 +270,7 @@
 
 // checkAdvance: a leader knows what is committed by a record of its own term; copies of
 // an earlier term's records prove nothing by their number.
-func (w *World) checkAdvance(m *machine, commits []*schema.Record) {
+func (w *World) checkAdvance(m *machine, commits []*schema.Entry) {
 	if len(commits) == 0 || !m.group.IsLeader() {
 		return
 	}
@@ -296,7 +296,7 @@
 
 // checkCommit: an index has one committed record, whoever commits it; the first
 // who does so is a leader whose voters hold it durably by majority.
-func (w *World) checkCommit(m *machine, record *schema.Record) {
+func (w *World) checkCommit(m *machine, record *schema.Entry) {
 	found := w.records[place{record.Index, record.Term}]
 	if found.digest != digestOf(record) {
 		w.fail("state machine safety: %s commits a record at %d that nobody put", m.id, record.Index)
@@ -367,10 +367,10 @@
 
 // checkOpened: what a store shows after a crash is what was synced, or that and
 // the whole write that was under way.
-func (w *World) checkOpened(m *machine, before *storage.Image, changes []*schema.Change) {
+func (w *World) checkOpened(m *machine, before *storage.Image, changes []*schema.StoreChange) {
 	after := before
 	if len(changes) > 0 {
-		if after = (&storage.Image{Hard: &schema.Hard{}, Checkpoint: &schema.Checkpoint{}}); before != nil {
+		if after = (&storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}}); before != nil {
 			after = copyImage(before)
 		}
 		for _, change := range changes {
@@ -399,14 +399,14 @@
 }
 
 // taken notes which replace has become the configuration.
-func (w *World) taken(before, after *schema.Plan) {
+func (w *World) taken(before, after *schema.Configuration) {
 	for k := range w.operations {
 		o := &w.operations[k]
 		if o.isRead || o.content != string(after.Document) {
 			continue
 		}
-		if before.Edition != o.base {
-			w.fail("operation %d, built on %d, was taken on %d", k, o.base, before.Edition)
+		if before.Version != o.base {
+			w.fail("operation %d, built on %d, was taken on %d", k, o.base, before.Version)
 		}
 		o.isTaken = true
 		if o.code != 0 && o.code != 200 {
--- a/internal/modelcheck/machine.go
+++ b/internal/modelcheck/machine.go
@@ -24,7 +24,7 @@
 
 // batch is what one sync makes durable, and the messages that wait for it.
 type batch struct {
-	changes []*schema.Change
+	changes []*schema.StoreChange
 	posts   []raft.Post
 	mark    raft.Mark
 }
@@ -97,7 +97,7 @@
 	m.restore(image.Checkpoint)
 }
 
-func (m *machine) restore(point *schema.Checkpoint) {
+func (m *machine) restore(point *schema.Snapshot) {
 	state, err := clusterstate.Restore(point.Data)
 	if err != nil {
 		panic("checkpoint can't be read: " + err.Error())
@@ -123,11 +123,11 @@
 func (m *machine) take(from string, body proto.Message) {
 	if m.group == nil {
 		switch body.(type) {
-		case *schema.Append, *schema.Install, *schema.Part:
+		case *schema.AppendRequest, *schema.InstallSnapshot, *schema.TransferChunk:
 		default:
 			return
 		}
-		m.open(&storage.Image{Hard: &schema.Hard{}, Checkpoint: &schema.Checkpoint{}})
+		m.open(&storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}})
 	}
 	m.group.Step(m.clock, from, body)
 }
@@ -158,7 +158,7 @@
 func membersUnder(image *storage.Image, index uint64) *schema.MemberSet {
 	members := image.Checkpoint.MemberSet
 	for _, record := range image.Records {
-		if record.Index < index && record.Kind == schema.RecordKind_RECORD_MEMBER_SET {
+		if record.Index < index && record.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
 			members = record.MemberSet
 		}
 	}
@@ -166,7 +166,7 @@
 }
 
 // applyTo makes a change of an image in memory.
-func applyTo(image *storage.Image, change *schema.Change) *storage.Image {
+func applyTo(image *storage.Image, change *schema.StoreChange) *storage.Image {
 	content := &storage.Content{Groups: map[string]*storage.Image{group: image}}
 	content.Apply(change)
 	return content.Groups[group]
--- a/internal/modelcheck/operators.go
+++ b/internal/modelcheck/operators.go
@@ -34,13 +34,13 @@
 }
 
 func commandOf(o *operation) []byte {
-	sheet := &schema.Sheet{Edition: o.edition, BaseEdition: o.base, Document: []byte(o.content)}
-	return encode(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{Sheet: sheet}}})
+	sheet := &schema.ConfigurationUpdate{Version: o.edition, BaseVersion: o.base, Document: []byte(o.content)}
+	return encode(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})
 }
 
 // noise is a command that changes little and costs a record.
 func noise() []byte {
-	return encode(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Claim{Claim: &schema.Claim{Id: "controller"}}})
+	return encode(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: "controller"}}})
 }
 
 func encode(command *schema.ClusterStateCommand) []byte {
@@ -142,12 +142,12 @@
 }
 
 // answerRead brings what a read shows to its operator.
-func (w *World) answerRead(number int, plan *schema.Plan) {
+func (w *World) answerRead(number int, plan *schema.Configuration) {
 	o := &w.operations[number]
 	if !o.isOpen() {
 		return
 	}
-	o.answered, o.code, o.got, o.gotContent = w.tick(), 200, plan.GetEdition(), string(plan.GetDocument())
+	o.answered, o.code, o.got, o.gotContent = w.tick(), 200, plan.GetVersion(), string(plan.GetDocument())
 	each := &w.operators[o.operator]
 	each.current, each.knows = -1, o.got
 	if o.got < o.floor {
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -70,8 +70,8 @@
 		m := &machine{world: w, index: k, id: freshId(k, 0), clock: eventloop.Second}
 		w.equip(m)
 		if k < limits.Voters {
-			point := &schema.Checkpoint{MemberSet: &schema.MemberSet{Voters: voters}}
-			if err := m.disk.commit([]*schema.Change{{Group: group, Checkpoint: point}}); err != nil {
+			point := &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: voters}}
+			if err := m.disk.commit([]*schema.StoreChange{{Group: group, Snapshot: point}}); err != nil {
 				panic("modelcheck: " + err.Error())
 			}
 		}
@@ -86,7 +86,7 @@
 
 // equip gives a machine an empty disk; a store on it draws an id of its own.
 func (w *World) equip(m *machine) {
-	m.disk = &pure{held: &storage.Content{Self: &schema.Self{}, Groups: map[string]*storage.Image{}}}
+	m.disk = &pure{held: &storage.Content{Self: &schema.StoreIdentity{}, Groups: map[string]*storage.Image{}}}
 	if w.limits.IsFiles {
 		m.disk = newStored()
 	}
@@ -253,15 +253,15 @@
 	}
 }
 
-func (w *World) apply(m *machine, record *schema.Record) {
+func (w *World) apply(m *machine, record *schema.Entry) {
 	w.checkCommit(m, record)
 	each, isWaited := m.waiting[record.Index]
 	delete(m.waiting, record.Index)
 	m.applied = record.Index
-	if record.Kind == schema.RecordKind_RECORD_COMMAND {
+	if record.Kind == schema.EntryKind_ENTRY_COMMAND {
 		m.own()
 		before := m.state.Plan()
-		result, err := m.state.Apply(record.AtUs, record.Data)
+		result, err := m.state.Apply(record.TimeUs, record.Data)
 		if err != nil {
 			w.fail("record %d can't be applied on %s: %v", record.Index, m.id, err)
 			return
@@ -284,7 +284,7 @@
 		return false
 	}
 	w.crashes++
-	var changes []*schema.Change
+	var changes []*schema.StoreChange
 	if m.writing != nil {
 		changes = m.writing.changes
 	}
--- a/internal/mutation/calls_mutants.go
+++ b/internal/mutation/calls_mutants.go
@@ -25,13 +25,13 @@
 		{Guard: "a former life is heard no more", Test: "internal/transport TestFormerLives", Edits: []Edit{{"internal/transport",
 			"case known.ID != from.ID || known.Boot == from.Boot:", "case known != nil:"}}},
 		{Guard: "no two lives share a number", Test: "internal/process TestNumbersAcrossLives", Edits: []Edit{{"internal/process",
-			"r.next.Store(r.Member.Boot << bootShift)", "r.next.Store(0)"}}},
+			"r.next.Store(r.Member.Incarnation << bootShift)", "r.next.Store(0)"}}},
 		{Guard: "an outcome names its front", Test: "internal/gateway TestWordForOthers", Edits: []Edit{{"internal/gateway", "outcome.Session.Gateway != t.id || ", ""}}},
-		{Guard: "an outcome names its front's life", Test: "internal/gateway TestWordForOthers", Edits: []Edit{{"internal/gateway", " || outcome.Session.Boot != t.boot {", " {"}}},
+		{Guard: "an outcome names its front's life", Test: "internal/gateway TestWordForOthers", Edits: []Edit{{"internal/gateway", " || outcome.Session.Incarnation != t.boot {", " {"}}},
 		{Guard: "an older claim's answer counts no more", Test: "internal/controller TestAnswersToClaims", Edits: []Edit{{"internal/controller", "if m.Id < t.answered {", "if false {"}}},
 		{Guard: "a queue that is to go is named with its making", Test: "internal/clusterstate TestLateWordOfAQueueThatIsToGo", Edits: []Edit{{"internal/clusterstate",
 			`name == place.Queue+"#"+strconv.FormatUint(place.Generation, 10)`, `len(name) > len(place.Queue) && name[:len(place.Queue)+1] == place.Queue+"#" && strconv.Itoa(0) == "0"`}}},
 		{Guard: "a former life's hello counts no more", Test: "internal/membership TestLateHellos", Edits: []Edit{{"internal/membership",
-			"isKnown && hello.Self.Boot < former.Member.Boot {", "isKnown && former.Member == nil {"}}},
+			"isKnown && hello.Self.Incarnation < former.Member.Incarnation {", "isKnown && former.Member == nil {"}}},
 	}...)
 }
--- a/internal/mutation/model_mutants.go
+++ b/internal/mutation/model_mutants.go
@@ -41,14 +41,14 @@
 	{Guard: "a sync counts for the record that was synced", Rule: 1, Test: walks, Edits: []Edit{{"internal/raft",
 		"mark.Index >= g.base.Index && g.termAt(mark.Index) == mark.Term", "mark.Index >= g.base.Index && mark.Index <= g.lastIndex()"}}},
 	{Guard: "a snapshot replaces a log that differs", Rule: 1, Test: walks, Edits: []Edit{{"internal/raft",
-		"Checkpoint: point, Reset_: !isKept}", "Checkpoint: point}"}}},
+		"Snapshot: point, ReplacesLog: !isKept}", "Snapshot: point}"}}},
 	{Guard: "a new disk has a new identity", Rule: 1, Test: walks, Edits: []Edit{{"internal/modelcheck",
 		"return fmt.Sprintf(\"%c%d\", 'a'+index, life)", "return fmt.Sprintf(\"%c%d\", 'a'+index, 0*life)"}}},
 	{Guard: "who starts again keeps to its answer", Rule: 2, Test: "internal/raft TestAReplicaThatStartsAgainKeepsItsAnswer", Edits: []Edit{{"internal/raft",
-		"if (isLed || now < g.boundUntil) && !m.Asked {", "if isLed && !m.Asked {"}}},
+		"if (isLed || now < g.boundUntil) && !m.LeaderTransfer {", "if isLed && !m.LeaderTransfer {"}}},
 	// Besides its test, a day shows it.
 	{Guard: "what a former ward granted is waited for", Rule: 2, Scenario: "leader warned, then the next", Seed: 1, Edits: []Edit{{"internal/scheduler",
 		"last := max(w.answered, w.since+timing.Of(t.bounds).Ward)", "last := w.answered"}}},
 	{Guard: "a taken edition is known again", Rule: 11, Test: walks, Edits: []Edit{{"internal/clusterstate",
-		"taken.Edition == edition && bytes.Equal(taken.Digest, digest) {", "taken.Edition > edition && bytes.Equal(taken.Digest, digest) {"}}},
+		"taken.Version == edition && bytes.Equal(taken.Digest, digest) {", "taken.Version > edition && bytes.Equal(taken.Digest, digest) {"}}},
 }
--- a/internal/process/caller_test.go
+++ b/internal/process/caller_test.go
@@ -53,7 +53,7 @@
 		So(seen, ShouldHaveLength, mostCalls+mostLooks)
 	})
 	Convey("A side process has an agent only where there is somebody to call with", t, func() {
-		options := &schema.Options{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
+		options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
 		without, err := Start(options, schema.Role_ROLE_CONTROLLER, zap.NewNop())
 		So(err, ShouldBeNil)
 		So(without.Beat(agent.Beat{Worker: "w", Number: 1}), ShouldBeFalse)
@@ -65,7 +65,7 @@
 		with.Stop()
 	})
 	Convey("Answers of schedulers go to the agent of a side process, and to the gateway of a front", t, func() {
-		So(Table(schema.Role_ROLE_CONTROLLER, &schema.PollReply{}), ShouldEqual, "agent")
-		So(Table(schema.Role_ROLE_SERVER, &schema.PollReply{}), ShouldEqual, "gateway")
+		So(Table(schema.Role_ROLE_CONTROLLER, &schema.WorkerPollResponse{}), ShouldEqual, "agent")
+		So(Table(schema.Role_ROLE_SERVER, &schema.WorkerPollResponse{}), ShouldEqual, "gateway")
 	})
 }
--- a/internal/process/lives_test.go
+++ b/internal/process/lives_test.go
@@ -36,7 +36,7 @@
 	Convey("An answer to an request of a former life answers none of the present one", t, func() {
 		data := t.TempDir()
 		begin := func() *Real {
-			options := &schema.Options{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
+			options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
 			real, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 			So(err, ShouldBeNil)
 			return real
@@ -51,7 +51,7 @@
 		Reset(func() { giveUp(); other.Close(); present.Stop() })
 		So(present.Member.Id, ShouldEqual, id)
 		reply := func(number uint64, body string) {
-			other.SendTo(id, present.Options.Inner, &schema.RequestReply{Id: number, Code: 200, Body: []byte(body), Group: clusterstate.Group})
+			other.SendTo(id, present.Options.Inner, &schema.Response{Id: number, Code: 200, Body: []byte(body), Group: clusterstate.Group})
 		}
 		// The late ones come first each time. The request may not be in hand yet, so
 		// all are told until it is answered; a second answer is one to the request
--- a/internal/process/papers.go
+++ b/internal/process/papers.go
@@ -54,7 +54,7 @@
 
 // ServerTables makes a front process's tables.
 func ServerTables(p *Papers) []Berth {
-	var account *schema.Self
+	var account *schema.StoreIdentity
 	readers := []string{"gateway"}
 	if p.Store != nil {
 		account = p.Store.Self
@@ -63,7 +63,7 @@
 	member := p.Member
 	berths := []Berth{
 		{"membership", membership.New(proto.Clone(member).(*schema.Member), p.terms(false), account, p.Book, readers, p.rng(1)), membership.Pace},
-		{"gateway", gateway.New(member.Id, member.Boot, p.Store != nil, p.rng(2)).Bind(p.Bounds), gateway.Pace},
+		{"gateway", gateway.New(member.Id, member.Incarnation, p.Store != nil, p.rng(2)).Bind(p.Bounds), gateway.Pace},
 	}
 	if p.Store != nil {
 		berths = append(berths,
@@ -91,21 +91,21 @@
 // Table names the table a message from another process is for.
 func Table(role schema.Role, body any) string {
 	switch body.(type) {
-	case *schema.Hello:
+	case *schema.Gossip:
 		return "membership"
-	case *schema.Applied:
+	case *schema.SubmitResponse:
 		return "gateway"
-	case *schema.PollReply:
+	case *schema.WorkerPollResponse:
 		if role == schema.Role_ROLE_CONTROLLER {
 			return "agent"
 		}
 		return "gateway"
-	case *schema.RequestReply, *schema.ClusterStateTell:
+	case *schema.Response, *schema.ClusterStateResponse:
 		if role == schema.Role_ROLE_CONTROLLER {
 			return "controller"
 		}
 		return "gateway"
-	case *schema.Poll, *schema.EndReply:
+	case *schema.WorkerPollRequest, *schema.TaskEndAck:
 		return "scheduler"
 	}
 	return "replica"
--- a/internal/process/real.go
+++ b/internal/process/real.go
@@ -30,7 +30,7 @@
 // Real is a process on a real machine: its tables on goroutines, its wires,
 // its storage.
 type Real struct {
-	Options *schema.Options
+	Options *schema.Settings
 	Member  *schema.Member
 	Clock   eventloop.Clock
 	Failed  chan error // something after which the process must end
@@ -77,17 +77,17 @@
 
 // Start brings a process up. A side process that is given a hand calls the
 // worker on its machine with it.
-func Start(options *schema.Options, role schema.Role, log *zap.Logger, hands ...agent.Caller) (*Real, error) {
+func Start(options *schema.Settings, role schema.Role, log *zap.Logger, hands ...agent.Caller) (*Real, error) {
 	return StartWith(nil, options, role, log, hands...)
 }
 
 // StartWith is Start with a store that has been opened already, if one has.
-func StartWith(opened *Opened, options *schema.Options, role schema.Role, log *zap.Logger, hands ...agent.Caller) (*Real, error) {
+func StartWith(opened *Opened, options *schema.Settings, role schema.Role, log *zap.Logger, hands ...agent.Caller) (*Real, error) {
 	r := &Real{
 		Options: options, Clock: eventloop.RealClock(), Failed: make(chan error, 4), Reopened: make(chan *Opened), log: log, book: &membership.Book{},
 		waiting: map[uint64]chan any{}, writes: eventloop.NewRing[replica.Batch](4),
 	}
-	r.Member = &schema.Member{Id: newId(), Boot: 1, Role: role, Cell: options.Cell, Inner: options.Inner, Outer: options.Outer}
+	r.Member = &schema.Member{Id: newId(), Incarnation: 1, Role: role, Zone: options.Cell, InternalAddress: options.Inner, HttpAddress: options.Outer}
 	if options.Data != "" {
 		if err := r.takeStore(opened, openSpan); err != nil {
 			return nil, err
@@ -95,7 +95,7 @@
 	}
 	// An answer names its request by number alone, and under a kept id it may come
 	// in a later life than it was asked for: no two lives share a number.
-	r.next.Store(r.Member.Boot << bootShift)
+	r.next.Store(r.Member.Incarnation << bootShift)
 	r.process = eventloop.NewProcess(r.Clock)
 	r.process.Out = (*outside)(r)
 	r.process.Broken = func(table string, cause any, stack []byte) {
@@ -131,7 +131,7 @@
 		}), 0)
 	}
 	// From here on messages come in, so the mailboxes must stand by now.
-	net, err := transport.Listen(transport.Identity{ID: r.Member.Id, Boot: r.Member.Boot}, options.Inner, r.deliver)
+	net, err := transport.Listen(transport.Identity{ID: r.Member.Id, Boot: r.Member.Incarnation}, options.Inner, r.deliver)
 	if err != nil {
 		r.opened.Close()
 		return nil, config.Bad.Wrap(err, "inner")
@@ -160,7 +160,7 @@
 	if r.awaited != nil {
 		r.duty(func() { r.awaitStore(ctx) })
 	}
-	log.Info("started", zap.String("id", r.Member.Id), zap.Uint64("boot", r.Member.Boot), zap.String("inner", options.Inner), zap.String("outer", options.Outer))
+	log.Info("started", zap.String("id", r.Member.Id), zap.Uint64("boot", r.Member.Incarnation), zap.String("inner", options.Inner), zap.String("outer", options.Outer))
 	return r, nil
 }
 
--- a/internal/process/real_test.go
+++ b/internal/process/real_test.go
@@ -35,12 +35,12 @@
 				case <-stop:
 					return
 				default:
-					other.Send(inner, &schema.ClusterStateAsk{})
+					other.Send(inner, &schema.ClusterStateRequest{})
 				}
 			}
 		}()
 		for k := 0; k < 15; k++ {
-			options := &schema.Options{Cell: "c", Inner: inner, Outer: "127.0.0.1:1", Data: t.TempDir(), Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
+			options := &schema.Settings{Cell: "c", Inner: inner, Outer: "127.0.0.1:1", Data: t.TempDir(), Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
 			real, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 			So(err, ShouldBeNil)
 			for real.Counts().Wire.Received < 50 {
--- a/internal/process/store.go
+++ b/internal/process/store.go
@@ -30,7 +30,7 @@
 type Opened struct {
 	folder *storage.Folder
 	store  *storage.Store
-	self   *schema.Self
+	self   *schema.StoreIdentity
 }
 
 // openStore opens the data folder. A damaged store never comes back under its
@@ -60,13 +60,13 @@
 	if err != nil {
 		return nil, err
 	}
-	self := proto.Clone(store.Content().Self).(*schema.Self)
+	self := proto.Clone(store.Content().Self).(*schema.StoreIdentity)
 	if self.Id == "" {
 		self.Id = newId()
 	}
-	self.Boots++
+	self.Starts++
 	// Nothing is told under a number of starts that could be given out again.
-	if err := store.Commit([]*schema.Change{{Self: self}}); err != nil {
+	if err := store.Commit([]*schema.StoreChange{{Identity: self}}); err != nil {
 		return nil, err
 	}
 	return &Opened{folder: folder, store: store, self: self}, nil
@@ -121,7 +121,7 @@
 		}
 	}
 	r.opened, r.store = opened, opened.store
-	r.Member.Id, r.Member.Boot, r.Member.Stores = opened.self.Id, opened.self.Boots, true
+	r.Member.Id, r.Member.Incarnation, r.Member.HasStorage = opened.self.Id, opened.self.Starts, true
 	return nil
 }
 
--- a/internal/process/store_test.go
+++ b/internal/process/store_test.go
@@ -47,7 +47,7 @@
 		disk := &brokenDisk{folder, make(chan bool, 1)}
 		store, err := storage.Open(disk)
 		So(err, ShouldBeNil)
-		r := &Real{Options: &schema.Options{}, Clock: eventloop.RealClock(), log: zap.NewNop(), store: store, Failed: make(chan error, 1)}
+		r := &Real{Options: &schema.Settings{}, Clock: eventloop.RealClock(), log: zap.NewNop(), store: store, Failed: make(chan error, 1)}
 		r.process = eventloop.NewProcess(r.Clock)
 		replicas, book := make(ear, 8), make(ear, 8)
 		r.process.Add("replica", replicas, 0)
@@ -59,7 +59,7 @@
 		disk.broken <- true
 		done := make(chan bool)
 		go func() {
-			r.commit(ctx, replica.Batch{Number: 7, Changes: []*schema.Change{{Self: &schema.Self{Id: "x"}}}})
+			r.commit(ctx, replica.Batch{Number: 7, Changes: []*schema.StoreChange{{Identity: &schema.StoreIdentity{Id: "x"}}}})
 			close(done)
 		}()
 		refused, isRefused := (<-replicas).(replica.Refused)
@@ -82,23 +82,23 @@
 		// What can't be read as a file stands for a disk that fails.
 		obstacle := filepath.Join(data, "slot-0")
 		So(os.Mkdir(obstacle, 0o700), ShouldBeNil)
-		options := &schema.Options{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}}
+		options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}}
 		first, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 		So(err, ShouldBeNil)
-		So(first.Member.Stores, ShouldBeFalse)
+		So(first.Member.HasStorage, ShouldBeFalse)
 		So(os.Remove(obstacle), ShouldBeNil)
 		opened := <-first.Reopened
 		first.Stop()
 		second, err := StartWith(opened, options, schema.Role_ROLE_SERVER, zap.NewNop())
 		So(err, ShouldBeNil)
-		So(second.Member.Stores, ShouldBeTrue)
-		So(second.Member.Boot, ShouldEqual, 1)
+		So(second.Member.HasStorage, ShouldBeTrue)
+		So(second.Member.Incarnation, ShouldEqual, 1)
 		So(second.Member.Id, ShouldNotEqual, first.Member.Id)
 		second.Stop()
 		third, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 		So(err, ShouldBeNil)
 		So(third.Member.Id, ShouldEqual, second.Member.Id)
-		So(third.Member.Boot, ShouldEqual, 2)
+		So(third.Member.Incarnation, ShouldEqual, 2)
 		third.Stop()
 	})
 	Convey("So is one whose disk doesn't answer at its start", t, func() {
@@ -106,10 +106,10 @@
 		// Reading a pipe that nobody writes to stands for a disk that hangs.
 		pipe := filepath.Join(data, "slot-0")
 		So(syscall.Mkfifo(pipe, 0o600), ShouldBeNil)
-		options := &schema.Options{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}}
+		options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}}
 		first := &Real{Options: options, Member: &schema.Member{}, log: zap.NewNop(), Reopened: make(chan *Opened)}
 		So(first.takeStore(nil, time.Millisecond), ShouldBeNil)
-		So(first.Member.Stores, ShouldBeFalse)
+		So(first.Member.HasStorage, ShouldBeFalse)
 		ctx, cancel := context.WithCancel(context.Background())
 		Reset(cancel)
 		go first.awaitStore(ctx)
@@ -120,13 +120,13 @@
 		opened := <-first.Reopened
 		second, err := StartWith(opened, options, schema.Role_ROLE_SERVER, zap.NewNop())
 		So(err, ShouldBeNil)
-		So(second.Member.Stores, ShouldBeTrue)
+		So(second.Member.HasStorage, ShouldBeTrue)
 		second.Stop()
 	})
 	Convey("A folder that isn't ours ends it, and nothing is written there", t, func() {
 		data := t.TempDir()
 		So(os.WriteFile(filepath.Join(data, "family.jpg"), []byte("x"), 0o600), ShouldBeNil)
-		options := &schema.Options{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}}
+		options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}}
 		_, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 		So(storage.IsForeign(err), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "family.jpg")
--- a/internal/queue/checkout.go
+++ b/internal/queue/checkout.go
@@ -10,7 +10,7 @@
 	type place struct {
 		j    *job
 		s, t int
-		pick *schema.Pick
+		pick *schema.Placement
 	}
 	type group struct {
 		j *job
@@ -19,7 +19,7 @@
 	var places []place
 	chosen := map[*task]bool{}
 	whole := map[group]int{}
-	for _, pick := range c.Picks {
+	for _, pick := range c.Placements {
 		j, s, t := m.find(pick.Key)
 		if j == nil {
 			continue
@@ -35,7 +35,7 @@
 		each, g := &p.j.tasks[p.s][p.t], group{p.j, p.s}
 		// A group that must run together goes out whole in one command or
 		// not at all.
-		isGroup := p.j.step(p.s).Together
+		isGroup := p.j.step(p.s).Gang
 		isWhole := !isGroup || whole[g] == len(p.j.tasks[p.s])
 		if chosen[each] && isWhole {
 			delete(chosen, each)
@@ -44,7 +44,7 @@
 					attempts[g] = max(attempts[g], p.j.tasks[p.s][t].attempt+1)
 				}
 			}
-			each.state, each.attempt = schema.TaskState_TASK_OUT, max(each.attempt+1, attempts[g])
+			each.state, each.attempt = schema.TaskState_TASK_CHECKED_OUT, max(each.attempt+1, attempts[g])
 			each.worker, each.incarnation, each.hand = p.pick.Worker, p.pick.Incarnation, 0
 			p.j.out[p.s]++
 			p.j.outs++
@@ -57,9 +57,9 @@
 // launch decides that a group begins: whoever orders its workers from now on,
 // also a successor that never saw them held, has every member begin. It takes
 // hold of the whole group as it was checked out, or of nothing.
-func (m *Machine) launch(c *schema.Launch) {
+func (m *Machine) launch(c *schema.StartGang) {
 	j, s, _ := m.find(&schema.TaskKey{Job: c.Job, Step: c.Step})
-	if j == nil || !j.step(s).Together || len(c.Attempts) != len(j.tasks[s]) {
+	if j == nil || !j.step(s).Gang || len(c.Attempts) != len(j.tasks[s]) {
 		return
 	}
 	for t := range j.tasks[s] {
@@ -79,7 +79,7 @@
 		return
 	}
 	each, step := &j.tasks[s][t], j.step(s)
-	if c.Whole && step.Together {
+	if c.WholeGang && step.Gang {
 		// Nothing of the group has been checked out anew while one member is
 		// out, so this end is the end of that start, also where a member was
 		// taken for lost or told to stop meanwhile.
@@ -89,23 +89,23 @@
 		return
 	}
 	// A report on another attempt than the one that is out changes nothing.
-	if each.state != schema.TaskState_TASK_OUT || each.attempt != c.Attempt {
+	if each.state != schema.TaskState_TASK_CHECKED_OUT || each.attempt != c.Attempt {
 		return
 	}
-	if step.Lasting {
+	if step.RunUntilCancelled {
 		j.account(s, t).saved = ""
-		if step.Together && j.state == schema.JobState_JOB_RUNNING && !each.isBreaking {
+		if step.Gang && j.state == schema.JobState_JOB_RUNNING && !each.isBreaking {
 			m.breakGroup(j, s)
 		}
 	}
-	if step.Lasting || each.isBreaking {
+	if step.RunUntilCancelled || each.isBreaking {
 		m.takeBack(j, s, t)
 		return
 	}
 	each.state = schema.TaskState_TASK_DONE
 	m.recall(j, s)
 	j.left[s]--
-	if !step.Together || j.left[s] == 0 {
+	if !step.Gang || j.left[s] == 0 {
 		j.account(s, t).saved = ""
 	}
 	m.shift(j, s, t)
@@ -115,10 +115,10 @@
 // settleGroup: one member's end stands for all. Its members have ended
 // together, and their later reports find them done.
 func (m *Machine) settleGroup(j *job, s int) {
-	isLasting := j.step(s).Lasting
+	isLasting := j.step(s).RunUntilCancelled
 	for t := range j.tasks[s] {
 		each := &j.tasks[s][t]
-		if each.state == schema.TaskState_TASK_OUT {
+		if each.state == schema.TaskState_TASK_CHECKED_OUT {
 			m.recall(j, s)
 		}
 		each.state, each.isBreaking, each.saved = schema.TaskState_TASK_DONE, false, ""
--- a/internal/queue/enqueue.go
+++ b/internal/queue/enqueue.go
@@ -19,11 +19,11 @@
 
 type session struct {
 	next uint64
-	held map[uint64]*schema.HeldRest
+	held map[uint64]*schema.PendingEnqueueSnapshot
 }
 
 func keyOf(s *schema.Session) sessionKey {
-	return sessionKey{s.GetGateway(), s.GetBoot(), s.GetClient()}
+	return sessionKey{s.GetGateway(), s.GetIncarnation(), s.GetClient()}
 }
 
 func (m *Machine) enqueue(index uint64, e *schema.Enqueue) {
@@ -31,12 +31,12 @@
 	if _, isGone := m.gone[bootKey{key.gateway, key.boot}]; isGone {
 		// It was given up as dead, and its callers have long gone elsewhere:
 		// what it still has in hand may have run and been forgotten.
-		m.effects.Outcomes = append(m.effects.Outcomes, &schema.Outcome{Session: e.Session, Number: e.Number, Code: 410})
+		m.effects.Outcomes = append(m.effects.Outcomes, &schema.SubmitResult{Session: e.Session, Number: e.Number, Code: 410})
 		return
 	}
 	s := m.sessions[key]
 	if s == nil {
-		s = &session{next: max(e.Lowest, 1), held: map[uint64]*schema.HeldRest{}}
+		s = &session{next: max(e.LowestUnconfirmed, 1), held: map[uint64]*schema.PendingEnqueueSnapshot{}}
 		m.sessions[key] = s
 	}
 	switch {
@@ -45,7 +45,7 @@
 		return
 	case e.Number > s.next:
 		if s.held[e.Number] == nil {
-			s.held[e.Number] = &schema.HeldRest{Index: index, Enqueue: e}
+			s.held[e.Number] = &schema.PendingEnqueueSnapshot{Index: index, Enqueue: e}
 			m.held++
 		}
 		return
@@ -64,16 +64,16 @@
 	}
 }
 
-func (m *Machine) down(c *schema.Down) {
+func (m *Machine) down(c *schema.EndSessions) {
 	for _, quit := range c.Sessions {
 		m.forget(keyOf(quit))
 	}
-	for _, boot := range c.Boots {
-		m.gone[bootKey{boot.Gateway, boot.Boot}] = m.now
+	for _, boot := range c.Gateways {
+		m.gone[bootKey{boot.Gateway, boot.Incarnation}] = m.now
 		for key := range m.sessions {
 			// Held submissions were never confirmed, and nobody is left who
 			// could fill the gap below them.
-			if key.gateway == boot.Gateway && key.boot == boot.Boot {
+			if key.gateway == boot.Gateway && key.boot == boot.Incarnation {
 				m.forget(key)
 			}
 		}
@@ -105,9 +105,9 @@
 }
 
 func (m *Machine) outcome(e *schema.Enqueue, code int32) {
-	result := &schema.Outcome{Session: e.Session, Number: e.Number, Code: code}
+	result := &schema.SubmitResult{Session: e.Session, Number: e.Number, Code: code}
 	if code == 409 {
-		result.Fault = &schema.Fault{Code: "name_taken", Message: "this name stands for a job with other content", Field: "name"}
+		result.Error = &schema.Error{Code: "name_taken", Message: "this name stands for a job with other content", Field: "name"}
 	} else {
 		result.View, _ = m.View(e.Name)
 	}
@@ -131,7 +131,7 @@
 	j.expand()
 	m.jobs[j.id], m.names[j.name] = j, j
 	m.byIndex.ReplaceOrInsert(j)
-	j.state = schema.JobState_JOB_TIMED
+	j.state = schema.JobState_JOB_SCHEDULED
 	m.openRounds(j)
 	m.outcome(e, 201)
 }
@@ -153,7 +153,7 @@
 	}
 }
 
-func (m *Machine) carry(index uint64, c *schema.Carry) {
+func (m *Machine) carry(index uint64, c *schema.Reenqueue) {
 	j := m.jobs[c.Job]
 	if j == nil {
 		return
--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -58,7 +58,7 @@
 
 // dueUs is when the next round that hasn't opened is due, in queue time.
 func (j *job) dueUs() int64 {
-	return j.startUs + int64(j.opened)*max(0, j.spec.GetEveryUs())
+	return j.startUs + int64(j.opened)*max(0, j.spec.GetPeriodUs())
 }
 
 // expand counts out the steps of all rounds; none is open yet.
@@ -70,7 +70,7 @@
 	}
 	j.after, j.before = make([][]int, parts), make([][]int, parts)
 	for part, step := range j.spec.GetSteps() {
-		for _, name := range step.After {
+		for _, name := range step.Dependencies {
 			if other, isKnown := number[name]; isKnown {
 				j.after[part] = append(j.after[part], other)
 				j.before[other] = append(j.before[other], part)
@@ -106,7 +106,7 @@
 		}
 	}
 	step := j.spec.Steps[part]
-	j.ahead[part] = append([]Leg{{step.EstimateUs, step.CoresMilli * int64(step.Tasks)}}, longest...)
+	j.ahead[part] = append([]Leg{{step.EstimatedRunUs, step.CoresMilli * int64(step.Tasks)}}, longest...)
 	return j.ahead[part]
 }
 
@@ -119,7 +119,7 @@
 
 // ageUs is how long ago a round was due.
 func (j *job) ageUs(round int, now int64) int64 {
-	return now - j.startUs - int64(round)*max(0, j.spec.GetEveryUs())
+	return now - j.startUs - int64(round)*max(0, j.spec.GetPeriodUs())
 }
 
 // makeRound makes the tasks of the next round.
@@ -147,14 +147,14 @@
 func (j *job) standing(s, t int) Standing {
 	each := &j.tasks[s][t]
 	switch {
-	case each.state == schema.TaskState_TASK_OUT:
+	case each.state == schema.TaskState_TASK_CHECKED_OUT:
 		if each.isBreaking || j.state == schema.JobState_JOB_STOPPING {
 			return Stopping
 		}
 		return Out
 	case each.state == schema.TaskState_TASK_DONE || j.state != schema.JobState_JOB_RUNNING || !j.isOpen(s):
 		return Gone
-	case j.step(s).Together && j.out[s] > 0:
+	case j.step(s).Gang && j.out[s] > 0:
 		return Gone // a broken group is whole again only when none of it runs
 	}
 	return Ready
@@ -163,7 +163,7 @@
 // account is the task that failures and progress are kept at: a group has one
 // account for all its members.
 func (j *job) account(s, t int) *task {
-	if j.step(s).Together {
+	if j.step(s).Gang {
 		return &j.tasks[s][0]
 	}
 	return &j.tasks[s][t]
--- a/internal/queue/machine.go
+++ b/internal/queue/machine.go
@@ -48,7 +48,7 @@
 // Effects are performed by the leader alone, except Release, which concerns
 // each replica's own log.
 type Effects struct {
-	Outcomes []*schema.Outcome
+	Outcomes []*schema.SubmitResult
 	Shifts   []*Shift
 	Release  *Release
 	Code     int32 // of a cancel
@@ -63,13 +63,13 @@
 	hand     uint64
 	carries  uint64
 	enqueues uint64
-	adopt    *schema.Adopt
+	adopt    *schema.ApplySettings
 	jobs     map[uint64]*job
 	byIndex  *btree.BTreeG[*job]
 	byStart  *btree.BTreeG[*job] // jobs with a round that isn't due yet
 	names    map[string]*job
-	ended    map[string]*schema.EndedRest
-	fading   []*schema.EndedRest // ended jobs, oldest first
+	ended    map[string]*schema.EndedJobSnapshot
+	fading   []*schema.EndedJobSnapshot // ended jobs, oldest first
 	sessions map[sessionKey]*session
 	held     int               // submissions held in sessions
 	gone     map[bootKey]int64 // gateway given up, and when
@@ -85,12 +85,12 @@
 // New makes an empty queue.
 func New(name string) *Machine {
 	return &Machine{
-		name: name, adopt: &schema.Adopt{StatusUs: DefaultStatusUs, Every: DefaultEvery, Circles: DefaultCircles},
+		name: name, adopt: &schema.ApplySettings{JobRetentionUs: DefaultStatusUs, SnapshotInterval: DefaultEvery, MaxRequeues: DefaultCircles},
 		jobs:     map[uint64]*job{},
 		byIndex:  btree.NewG(16, func(a, b *job) bool { return a.index < b.index || a.index == b.index && a.id < b.id }),
 		byStart:  btree.NewG(16, func(a, b *job) bool { return a.dueUs() < b.dueUs() || a.dueUs() == b.dueUs() && a.id < b.id }),
 		names:    map[string]*job{},
-		ended:    map[string]*schema.EndedRest{},
+		ended:    map[string]*schema.EndedJobSnapshot{},
 		sessions: map[sessionKey]*session{},
 		gone:     map[bootKey]int64{},
 	}
@@ -121,7 +121,7 @@
 func (m *Machine) WallOffset() int64 { return m.wallOffset }
 
 // Adopted are the settings that the queue goes by; not to be changed.
-func (m *Machine) Adopted() *schema.Adopt { return m.adopt }
+func (m *Machine) Adopted() *schema.ApplySettings { return m.adopt }
 
 // Oldest is the job whose payload stands lowest in the log.
 func (m *Machine) Oldest() (id, index uint64, payload *schema.Job) {
@@ -145,7 +145,7 @@
 func (m *Machine) Boots() []*schema.Session {
 	var list []*schema.Session
 	for _, key := range m.sessionKeys() {
-		list = append(list, &schema.Session{Gateway: key.gateway, Boot: key.boot, Client: key.client})
+		list = append(list, &schema.Session{Gateway: key.gateway, Incarnation: key.boot, Client: key.client})
 	}
 	return list
 }
@@ -167,24 +167,24 @@
 		m.enqueue(index, body.Enqueue)
 	case *schema.QueueCommand_Checkout:
 		m.checkout(body.Checkout)
-	case *schema.QueueCommand_Launch:
-		m.launch(body.Launch)
+	case *schema.QueueCommand_StartGang:
+		m.launch(body.StartGang)
 	case *schema.QueueCommand_Settle:
 		m.settle(body.Settle)
 	case *schema.QueueCommand_Return:
 		m.giveBack(body.Return)
 	case *schema.QueueCommand_Cancel:
 		m.cancel(body.Cancel.Name)
-	case *schema.QueueCommand_Down:
-		m.down(body.Down)
-	case *schema.QueueCommand_Carry:
-		m.carry(index, body.Carry)
+	case *schema.QueueCommand_EndSessions:
+		m.down(body.EndSessions)
+	case *schema.QueueCommand_Reenqueue:
+		m.carry(index, body.Reenqueue)
 	case *schema.QueueCommand_Tick:
 		if body.Tick.WallOffsetUs != 0 {
 			m.setClock(body.Tick.WallOffsetUs)
 		}
-	case *schema.QueueCommand_Adopt:
-		m.adopt = body.Adopt
+	case *schema.QueueCommand_ApplySettings:
+		m.adopt = body.ApplySettings
 		m.passTime()
 	}
 	m.cache(index)
@@ -203,7 +203,7 @@
 		m.byStart.DeleteMin()
 		m.openRounds(next)
 	}
-	for len(m.fading) > 0 && m.fading[0].EndedUs+m.adopt.StatusUs <= m.now {
+	for len(m.fading) > 0 && m.fading[0].EndedUs+m.adopt.JobRetentionUs <= m.now {
 		// The name may stand for a later job by now only if this one was
 		// forgotten before, so it is ours to take away.
 		delete(m.ended, m.fading[0].Name)
@@ -223,14 +223,14 @@
 	m.wallOffset = offset
 	var moved []*job
 	m.byStart.Ascend(func(j *job) bool {
-		if j.spec.GetStartWallUs() > 0 && j.spec.GetDelayUs() == 0 && j.startUs != j.spec.StartWallUs-offset {
+		if j.spec.GetStartUnixUs() > 0 && j.spec.GetDelayUs() == 0 && j.startUs != j.spec.StartUnixUs-offset {
 			moved = append(moved, j)
 		}
 		return true
 	})
 	for _, j := range moved {
 		m.byStart.Delete(j)
-		j.startUs = j.spec.StartWallUs - offset
+		j.startUs = j.spec.StartUnixUs - offset
 		m.byStart.ReplaceOrInsert(j)
 	}
 	m.passTime()
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -49,7 +49,7 @@
 }
 
 func who(client string) *schema.Session {
-	return &schema.Session{Gateway: "i", Boot: 1, Client: client}
+	return &schema.Session{Gateway: "i", Incarnation: 1, Client: client}
 }
 
 func simple(tasks uint32) *schema.Job {
@@ -67,13 +67,13 @@
 }
 
 func (b *bench) launch(job uint64, step uint32, attempts ...uint32) *Effects {
-	return b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Launch{Launch: &schema.Launch{Job: job, Step: step, Attempts: attempts}}})
+	return b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_StartGang{StartGang: &schema.StartGang{Job: job, Step: step, Attempts: attempts}}})
 }
 
 func (b *bench) checkout(keys ...*schema.TaskKey) *Effects {
 	c := &schema.Checkout{}
 	for _, k := range keys {
-		c.Picks = append(c.Picks, &schema.Pick{Key: k, Worker: "w", Incarnation: 1})
+		c.Placements = append(c.Placements, &schema.Placement{Key: k, Worker: "w", Incarnation: 1})
 	}
 	return b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Checkout{Checkout: c}})
 }
@@ -83,15 +83,15 @@
 }
 
 func (b *bench) settleWhole(k *schema.TaskKey, attempt uint32) *Effects {
-	return b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Settle{Settle: &schema.Settle{Key: k, Attempt: attempt, Whole: true}}})
+	return b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Settle{Settle: &schema.Settle{Key: k, Attempt: attempt, WholeGang: true}}})
 }
 
-func (b *bench) giveBack(k *schema.TaskKey, attempt uint32, cause schema.Cause) *Effects {
+func (b *bench) giveBack(k *schema.TaskKey, attempt uint32, cause schema.ReturnCause) *Effects {
 	return b.giveBackSaved(k, attempt, cause, "")
 }
 
-func (b *bench) giveBackSaved(k *schema.TaskKey, attempt uint32, cause schema.Cause, saved string) *Effects {
-	return b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Return{Return: &schema.Return{Key: k, Attempt: attempt, Cause: cause, Saved: saved}}})
+func (b *bench) giveBackSaved(k *schema.TaskKey, attempt uint32, cause schema.ReturnCause, saved string) *Effects {
+	return b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Return{Return: &schema.Return{Key: k, Attempt: attempt, Cause: cause, Checkpoint: saved}}})
 }
 
 // again replaces the machine by one made from its own state at rest.
@@ -145,7 +145,7 @@
 func TestWorkedExample(t *testing.T) {
 	Convey("The paper's worked example: six commands, released at index 2 with state B", t, func() {
 		b := newBench()
-		b.m.adopt = &schema.Adopt{StatusUs: DefaultStatusUs, Every: 1, Circles: 9}
+		b.m.adopt = &schema.ApplySettings{JobRetentionUs: DefaultStatusUs, SnapshotInterval: 1, MaxRequeues: 9}
 		b.enqueue("c", 1, "A", simple(1))
 		b.enqueue("c", 2, "B", simple(1))
 		b.checkout(key(1, 0, 0), key(2, 0, 0))
@@ -154,9 +154,9 @@
 		effects := b.settle(key(1, 0, 0), 1)
 		So(effects.Release, ShouldNotBeNil)
 		So(effects.Release.Index, ShouldEqual, 2)
-		rest := &schema.QueueRest{}
+		rest := &schema.QueueSnapshot{}
 		So(proto.Unmarshal(effects.Release.Data, rest), ShouldBeNil)
-		So(rest.Prefix, ShouldEqual, 2)
+		So(rest.DehydratedJobs, ShouldEqual, 2)
 		for _, jr := range rest.Jobs {
 			So(jr.Job.Text, ShouldEqual, "")
 		}
@@ -197,7 +197,7 @@
 		})
 		Convey("a gateway that was given up can't come back and run what was forgotten", func() {
 			b.enqueue("c", 9, "late", simple(1))
-			b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Down{Down: &schema.Down{Boots: []*schema.Gone{{Gateway: "i", Boot: 1}}}}})
+			b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_EndSessions{EndSessions: &schema.EndSessions{Gateways: []*schema.ExpiredGateway{{Gateway: "i", Incarnation: 1}}}}})
 			So(b.enqueue("c", 4, "four", simple(1)).Outcomes[0].Code, ShouldEqual, 410)
 			So(b.state("four"), ShouldEqual, "unknown")
 			So(b.state("late"), ShouldEqual, "unknown")
@@ -224,7 +224,7 @@
 
 func TestSteps(t *testing.T) {
 	diamond := &schema.Job{Text: "x", Steps: []*schema.Step{
-		{Name: "a", Tasks: 2}, {Name: "b", Tasks: 1, After: []string{"a"}}, {Name: "c", Tasks: 1, After: []string{"a"}}, {Name: "d", Tasks: 1, After: []string{"b", "c"}},
+		{Name: "a", Tasks: 2}, {Name: "b", Tasks: 1, Dependencies: []string{"a"}}, {Name: "c", Tasks: 1, Dependencies: []string{"a"}}, {Name: "d", Tasks: 1, Dependencies: []string{"b", "c"}},
 	}}
 	Convey("A step opens when all it waits for is done", t, func() {
 		b := newBench()
@@ -277,11 +277,11 @@
 		b := newBench()
 		b.enqueue("c", 1, "j", simple(1))
 		b.checkout(key(1, 0, 0))
-		b.giveBack(key(1, 0, 0), 1, schema.Cause_CAUSE_DISPLACED)
+		b.giveBack(key(1, 0, 0), 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
 		b.checkout(key(1, 0, 0))
 		before := b.m.Rest(false)
 		b.settle(key(1, 0, 0), 1)
-		b.giveBack(key(1, 0, 0), 1, schema.Cause_CAUSE_FAILED)
+		b.giveBack(key(1, 0, 0), 1, schema.ReturnCause_RETURN_CAUSE_FAILED)
 		So(bytes.Equal(before, b.m.Rest(false)), ShouldBeTrue)
 		b.settle(key(1, 0, 0), 2)
 		So(b.state("j"), ShouldEqual, "complete")
@@ -291,24 +291,24 @@
 		b.enqueue("c", 1, "j", simple(1))
 		for attempt := uint32(1); attempt <= 10; attempt++ {
 			b.checkout(key(1, 0, 0))
-			b.giveBack(key(1, 0, 0), attempt, schema.Cause_CAUSE_LOST)
+			b.giveBack(key(1, 0, 0), attempt, schema.ReturnCause_RETURN_CAUSE_WORKER_LOST)
 		}
 		So(b.state("j"), ShouldEqual, "running")
 		b.checkout(key(1, 0, 0))
-		b.giveBack(key(1, 0, 0), 11, schema.Cause_CAUSE_FAILED)
+		b.giveBack(key(1, 0, 0), 11, schema.ReturnCause_RETURN_CAUSE_FAILED)
 		So(b.state("j"), ShouldEqual, "running")
 		b.checkout(key(1, 0, 0))
-		b.giveBack(key(1, 0, 0), 12, schema.Cause_CAUSE_FAILED)
+		b.giveBack(key(1, 0, 0), 12, schema.ReturnCause_RETURN_CAUSE_FAILED)
 		So(b.state("j"), ShouldEqual, "failed")
 	})
 	Convey("A member that fails by itself while its group is being stopped has failed all the same", t, func() {
 		b := newBench()
-		b.enqueue("c", 1, "j", &schema.Job{Text: "x", Steps: []*schema.Step{{Name: "g", Tasks: 2, Together: true, AllowedFailures: 1}}})
+		b.enqueue("c", 1, "j", &schema.Job{Text: "x", Steps: []*schema.Step{{Name: "g", Tasks: 2, Gang: true, AllowedFailures: 1}}})
 		for attempt := uint32(1); attempt <= 2; attempt++ {
 			So(b.state("j"), ShouldEqual, "running")
 			b.checkout(key(1, 0, 0), key(1, 0, 1))
-			b.giveBack(key(1, 0, 0), attempt, schema.Cause_CAUSE_DISPLACED)
-			b.giveBack(key(1, 0, 1), attempt, schema.Cause_CAUSE_FAILED)
+			b.giveBack(key(1, 0, 0), attempt, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
+			b.giveBack(key(1, 0, 1), attempt, schema.ReturnCause_RETURN_CAUSE_FAILED)
 		}
 		So(b.state("j"), ShouldEqual, "failed")
 	})
@@ -317,13 +317,13 @@
 		b.enqueue("c", 1, "j", simple(1))
 		k := key(1, 0, 0)
 		b.checkout(k)
-		b.giveBack(k, 1, schema.Cause_CAUSE_LOST)
+		b.giveBack(k, 1, schema.ReturnCause_RETURN_CAUSE_WORKER_LOST)
 		b.checkout(k)
-		b.giveBack(k, 1, schema.Cause_CAUSE_FAILED)
-		b.giveBack(k, 1, schema.Cause_CAUSE_FAILED)
+		b.giveBack(k, 1, schema.ReturnCause_RETURN_CAUSE_FAILED)
+		b.giveBack(k, 1, schema.ReturnCause_RETURN_CAUSE_FAILED)
 		So(b.state("j"), ShouldEqual, "running")
 		So(b.m.jobs[1].tasks[0][0].failures, ShouldEqual, 1)
-		b.giveBack(k, 2, schema.Cause_CAUSE_FAILED)
+		b.giveBack(k, 2, schema.ReturnCause_RETURN_CAUSE_FAILED)
 		So(b.state("j"), ShouldEqual, "failed")
 		Convey("and one too many ends the job while the next attempt is out", func() {
 			job := simple(1)
@@ -331,11 +331,11 @@
 			b.enqueue("c", 2, "k", job)
 			k := key(2, 0, 0)
 			b.checkout(k)
-			b.giveBack(k, 1, schema.Cause_CAUSE_LOST)
+			b.giveBack(k, 1, schema.ReturnCause_RETURN_CAUSE_WORKER_LOST)
 			b.checkout(k)
-			b.giveBack(k, 1, schema.Cause_CAUSE_FAILED)
+			b.giveBack(k, 1, schema.ReturnCause_RETURN_CAUSE_FAILED)
 			So(b.state("k"), ShouldEqual, "stopping")
-			b.giveBack(k, 2, schema.Cause_CAUSE_DISPLACED)
+			b.giveBack(k, 2, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
 			So(b.state("k"), ShouldEqual, "failed")
 		})
 	})
@@ -345,7 +345,7 @@
 		for attempt := uint32(1); attempt <= DefaultCircles+1; attempt++ {
 			So(b.state("j"), ShouldEqual, "running")
 			b.checkout(key(1, 0, 0))
-			b.giveBack(key(1, 0, 0), attempt, schema.Cause_CAUSE_DISPLACED)
+			b.giveBack(key(1, 0, 0), attempt, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
 		}
 		So(b.state("j"), ShouldEqual, "failed")
 	})
@@ -363,7 +363,7 @@
 		list, _ := b.m.Standings()
 		So(len(list), ShouldEqual, 1)
 		So(list[0].State, ShouldEqual, Stopping)
-		b.giveBack(key(1, 0, 0), 1, schema.Cause_CAUSE_DISPLACED)
+		b.giveBack(key(1, 0, 0), 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
 		So(b.state("j"), ShouldEqual, "cancelled")
 		So(b.cancel("j").Code, ShouldEqual, 200)
 		So(b.cancel("nobody").Code, ShouldEqual, 404)
@@ -371,7 +371,7 @@
 }
 
 func TestTogether(t *testing.T) {
-	gang := &schema.Job{Text: "x", Steps: []*schema.Step{{Name: "g", Tasks: 3, Together: true, AllowedFailures: 2}}}
+	gang := &schema.Job{Text: "x", Steps: []*schema.Step{{Name: "g", Tasks: 3, Gang: true, AllowedFailures: 2}}}
 	all := []*schema.TaskKey{key(1, 0, 0), key(1, 0, 1), key(1, 0, 2)}
 	out := func(b *bench) int {
 		count := 0
@@ -409,9 +409,9 @@
 		b.m = next
 		So(launched(b), ShouldEqual, 3)
 		// Broken, it has to be decided anew.
-		b.giveBack(all[0], 1, schema.Cause_CAUSE_LOST)
-		b.giveBack(all[1], 1, schema.Cause_CAUSE_DISPLACED)
-		b.giveBack(all[2], 1, schema.Cause_CAUSE_DISPLACED)
+		b.giveBack(all[0], 1, schema.ReturnCause_RETURN_CAUSE_WORKER_LOST)
+		b.giveBack(all[1], 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
+		b.giveBack(all[2], 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
 		So(launched(b), ShouldEqual, 0)
 		b.checkout(all...)
 		So(launched(b), ShouldEqual, 0)
@@ -425,13 +425,13 @@
 		So(out(b), ShouldEqual, 3)
 		Convey("and when a member fails, none is retried before all have stopped", func() {
 			b.settle(all[2], 1)
-			b.giveBack(all[0], 1, schema.Cause_CAUSE_FAILED)
+			b.giveBack(all[0], 1, schema.ReturnCause_RETURN_CAUSE_FAILED)
 			list, _ := b.m.Standings()
 			So(len(list), ShouldEqual, 1)
 			So(list[0].State, ShouldEqual, Stopping)
 			b.checkout(all...)
 			So(out(b), ShouldEqual, 0)
-			b.giveBack(all[1], 1, schema.Cause_CAUSE_DISPLACED)
+			b.giveBack(all[1], 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
 			list, _ = b.m.Standings()
 			So(len(list), ShouldEqual, 3)
 			b.checkout(all...)
@@ -448,8 +448,8 @@
 func TestRounds(t *testing.T) {
 	// b waits for a, twice over.
 	rounds := func(count uint32, every int64) *schema.Job {
-		return &schema.Job{Text: "x", DelayUs: 1_000_000, Rounds: count, EveryUs: every, Steps: []*schema.Step{
-			{Name: "a", Tasks: 2}, {Name: "b", Tasks: 1, After: []string{"a"}},
+		return &schema.Job{Text: "x", DelayUs: 1_000_000, Rounds: count, PeriodUs: every, Steps: []*schema.Step{
+			{Name: "a", Tasks: 2}, {Name: "b", Tasks: 1, Dependencies: []string{"a"}},
 		}}
 	}
 	run := func(b *bench, keys ...*schema.TaskKey) {
@@ -544,7 +544,7 @@
 		b.tick()
 		So(b.seen(), ShouldEqual, "a0.0-stop ")
 		So(b.m.jobs[1].opened, ShouldEqual, 3)
-		b.giveBack(key(1, 0, 0), 1, schema.Cause_CAUSE_DISPLACED)
+		b.giveBack(key(1, 0, 0), 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
 		So(b.state("j"), ShouldEqual, "cancelled")
 	})
 }
@@ -552,7 +552,7 @@
 func TestTimeOfDay(t *testing.T) {
 	const day = int64(1_800_000_000_000_000) // of the time of day, at queue time 0
 	job := func(wall, delay int64) *schema.Job {
-		return &schema.Job{Text: "x", StartWallUs: wall, DelayUs: delay, Rounds: 3, EveryUs: 1_000_000, Steps: []*schema.Step{{Name: "a", Tasks: 1}}}
+		return &schema.Job{Text: "x", StartUnixUs: wall, DelayUs: delay, Rounds: 3, PeriodUs: 1_000_000, Steps: []*schema.Step{{Name: "a", Tasks: 1}}}
 	}
 	clock := func(b *bench, offset int64) {
 		b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Tick{Tick: &schema.Tick{WallOffsetUs: offset}}})
@@ -604,7 +604,7 @@
 func TestWholeGroups(t *testing.T) {
 	gang := func(allowed uint32) *schema.Job {
 		return &schema.Job{Text: "x", Steps: []*schema.Step{
-			{Name: "g", Tasks: 3, Together: true, Saves: true, AllowedFailures: allowed}, {Name: "z", Tasks: 1, After: []string{"g"}},
+			{Name: "g", Tasks: 3, Gang: true, Checkpoints: true, AllowedFailures: allowed}, {Name: "z", Tasks: 1, Dependencies: []string{"g"}},
 		}}
 	}
 	all := []*schema.TaskKey{key(1, 0, 0), key(1, 0, 1), key(1, 0, 2)}
@@ -621,12 +621,12 @@
 		before := b.m.Rest(false)
 		b.settleWhole(all[0], 1)
 		b.settle(all[0], 1)
-		b.giveBack(all[2], 1, schema.Cause_CAUSE_FAILED)
+		b.giveBack(all[2], 1, schema.ReturnCause_RETURN_CAUSE_FAILED)
 		So(bytes.Equal(before, b.m.Rest(false)), ShouldBeTrue)
 	})
 	Convey("It is so too where members were taken for lost meanwhile", t, func() {
 		b := begin(gang(0))
-		b.giveBack(all[0], 1, schema.Cause_CAUSE_LOST)
+		b.giveBack(all[0], 1, schema.ReturnCause_RETURN_CAUSE_WORKER_LOST)
 		So(b.seen(), ShouldEqual, "g0.1-stop g0.2-stop ")
 		b.settleWhole(all[2], 1)
 		So(b.seen(), ShouldEqual, "z0.0 ")
@@ -634,7 +634,7 @@
 	Convey("The end of an older start says nothing of the one that is out", t, func() {
 		b := begin(gang(0))
 		for _, k := range all {
-			b.giveBack(k, 1, schema.Cause_CAUSE_DISPLACED)
+			b.giveBack(k, 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
 		}
 		b.checkout(all...)
 		b.settleWhole(all[0], 1)
@@ -647,47 +647,47 @@
 	})
 	Convey("However many members fail in one start, the group has failed once", t, func() {
 		b := begin(gang(1))
-		b.giveBack(all[0], 1, schema.Cause_CAUSE_LOST)
-		b.giveBack(all[1], 1, schema.Cause_CAUSE_FAILED)
-		b.giveBack(all[2], 1, schema.Cause_CAUSE_FAILED)
+		b.giveBack(all[0], 1, schema.ReturnCause_RETURN_CAUSE_WORKER_LOST)
+		b.giveBack(all[1], 1, schema.ReturnCause_RETURN_CAUSE_FAILED)
+		b.giveBack(all[2], 1, schema.ReturnCause_RETURN_CAUSE_FAILED)
 		b.again()
 		So(b.seen(), ShouldEqual, "g0.0 g0.1 g0.2 ")
 		So(b.shiftOf(all[2]).Failures, ShouldEqual, 1)
 		b.checkout(all...)
-		b.giveBack(all[0], 1, schema.Cause_CAUSE_FAILED) // of the start that has been counted
+		b.giveBack(all[0], 1, schema.ReturnCause_RETURN_CAUSE_FAILED) // of the start that has been counted
 		So(b.state("j"), ShouldEqual, "running")
 		view, _ := b.m.View("j")
 		So(view.Steps[0].Failures, ShouldEqual, 1)
-		So(view.Started, ShouldEqual, 6)
+		So(view.StartedTasks, ShouldEqual, 6)
 		Convey("and one failed start too many fails the job, to be seen at once", func() {
-			b.giveBack(all[1], 2, schema.Cause_CAUSE_FAILED)
+			b.giveBack(all[1], 2, schema.ReturnCause_RETURN_CAUSE_FAILED)
 			view, _ := b.m.View("j")
 			So(view.State, ShouldEqual, "stopping")
-			So(view.Verdict, ShouldEqual, "failed")
-			b.giveBack(all[0], 2, schema.Cause_CAUSE_DISPLACED)
-			b.giveBack(all[2], 2, schema.Cause_CAUSE_DISPLACED)
+			So(view.PendingOutcome, ShouldEqual, "failed")
+			b.giveBack(all[0], 2, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
+			b.giveBack(all[2], 2, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
 			view, _ = b.m.View("j")
 			So(view.State, ShouldEqual, "failed")
-			So(view.Why, ShouldContainSubstring, "allowed failures")
+			So(view.Reason, ShouldContainSubstring, "allowed failures")
 		})
 	})
 	Convey("A failure of a lost member that nobody counted yet counts when it is told", t, func() {
 		b := begin(gang(0))
-		b.giveBack(all[0], 1, schema.Cause_CAUSE_LOST)
-		b.giveBack(all[1], 1, schema.Cause_CAUSE_DISPLACED)
-		b.giveBack(all[2], 1, schema.Cause_CAUSE_DISPLACED)
+		b.giveBack(all[0], 1, schema.ReturnCause_RETURN_CAUSE_WORKER_LOST)
+		b.giveBack(all[1], 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
+		b.giveBack(all[2], 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
 		b.checkout(all...)
 		b.again()
-		b.giveBack(all[0], 1, schema.Cause_CAUSE_FAILED)
+		b.giveBack(all[0], 1, schema.ReturnCause_RETURN_CAUSE_FAILED)
 		view, _ := b.m.View("j")
-		So(view.Verdict, ShouldEqual, "failed")
+		So(view.PendingOutcome, ShouldEqual, "failed")
 	})
 	Convey("Members that end because another did break the group once and count nothing", t, func() {
 		b := begin(gang(0))
 		for attempt := uint32(1); attempt <= 5; attempt++ {
-			b.giveBack(all[2], attempt, schema.Cause_CAUSE_DISPLACED)
-			b.giveBack(all[1], attempt, schema.Cause_CAUSE_DISPLACED)
-			b.giveBack(all[0], attempt, schema.Cause_CAUSE_DISPLACED)
+			b.giveBack(all[2], attempt, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
+			b.giveBack(all[1], attempt, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
+			b.giveBack(all[0], attempt, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
 			b.checkout(all...)
 		}
 		So(b.state("j"), ShouldEqual, "running")
@@ -705,9 +705,9 @@
 	})
 	Convey("The newest text any member saved is carried to all", t, func() {
 		b := begin(gang(3))
-		b.giveBackSaved(all[0], 1, schema.Cause_CAUSE_LOST, "early")
-		b.giveBackSaved(all[1], 1, schema.Cause_CAUSE_DISPLACED, "late")
-		b.giveBackSaved(all[2], 1, schema.Cause_CAUSE_FAILED, "")
+		b.giveBackSaved(all[0], 1, schema.ReturnCause_RETURN_CAUSE_WORKER_LOST, "early")
+		b.giveBackSaved(all[1], 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "late")
+		b.giveBackSaved(all[2], 1, schema.ReturnCause_RETURN_CAUSE_FAILED, "")
 		b.again()
 		b.checkout(all...)
 		for _, k := range all {
@@ -721,16 +721,16 @@
 func TestLasting(t *testing.T) {
 	Convey("What lasts is ready again however it ends, without limit, until it is cancelled", t, func() {
 		b := newBench()
-		b.m.adopt = &schema.Adopt{StatusUs: DefaultStatusUs, Every: 64, Circles: 3}
-		b.enqueue("c", 1, "j", &schema.Job{Text: "x", Steps: []*schema.Step{{Name: "s", Tasks: 1, Lasting: true, Saves: true}}})
+		b.m.adopt = &schema.ApplySettings{JobRetentionUs: DefaultStatusUs, SnapshotInterval: 64, MaxRequeues: 3}
+		b.enqueue("c", 1, "j", &schema.Job{Text: "x", Steps: []*schema.Step{{Name: "s", Tasks: 1, RunUntilCancelled: true, Checkpoints: true}}})
 		k := key(1, 0, 0)
 		attempt := uint32(0)
 		for turn := 0; turn < 30; turn++ {
-			for _, cause := range []schema.Cause{schema.Cause_CAUSE_NONE, schema.Cause_CAUSE_FAILED, schema.Cause_CAUSE_LOST, schema.Cause_CAUSE_DISPLACED} {
+			for _, cause := range []schema.ReturnCause{schema.ReturnCause_RETURN_CAUSE_NONE, schema.ReturnCause_RETURN_CAUSE_FAILED, schema.ReturnCause_RETURN_CAUSE_WORKER_LOST, schema.ReturnCause_RETURN_CAUSE_PREEMPTED} {
 				b.checkout(k)
 				attempt++
 				So(b.seen(), ShouldEqual, "s0.0-out ")
-				if cause == schema.Cause_CAUSE_NONE {
+				if cause == schema.ReturnCause_RETURN_CAUSE_NONE {
 					b.settle(k, attempt)
 				} else {
 					b.giveBackSaved(k, attempt, cause, "so far")
@@ -742,14 +742,14 @@
 		So(b.shiftOf(k).Failures, ShouldEqual, 0)
 		So(b.shiftOf(k).Saved, ShouldEqual, "so far")
 		b.checkout(k)
-		So(b.cancel("j").View.Verdict, ShouldEqual, "cancelled")
+		So(b.cancel("j").View.PendingOutcome, ShouldEqual, "cancelled")
 		b.settle(k, attempt+1)
 		So(b.state("j"), ShouldEqual, "cancelled")
 	})
 	Convey("A lasting group begins anew as a whole", t, func() {
 		for _, isWhole := range []bool{true, false} {
 			b := newBench()
-			b.enqueue("c", 1, "j", &schema.Job{Text: "x", Steps: []*schema.Step{{Name: "g", Tasks: 2, Together: true, Lasting: true}}})
+			b.enqueue("c", 1, "j", &schema.Job{Text: "x", Steps: []*schema.Step{{Name: "g", Tasks: 2, Gang: true, RunUntilCancelled: true}}})
 			b.checkout(key(1, 0, 0), key(1, 0, 1))
 			if isWhole {
 				b.settleWhole(key(1, 0, 1), 1)
@@ -761,8 +761,8 @@
 			So(b.seen(), ShouldEqual, "g0.0 g0.1 ")
 			b.checkout(key(1, 0, 0), key(1, 0, 1))
 			So(b.seen(), ShouldEqual, "g0.0-out g0.1-out ")
-			b.giveBack(key(1, 0, 0), 2, schema.Cause_CAUSE_FAILED)
-			b.giveBack(key(1, 0, 1), 2, schema.Cause_CAUSE_DISPLACED)
+			b.giveBack(key(1, 0, 0), 2, schema.ReturnCause_RETURN_CAUSE_FAILED)
+			b.giveBack(key(1, 0, 1), 2, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
 			So(b.seen(), ShouldEqual, "g0.0 g0.1 ")
 		}
 	})
@@ -772,25 +772,25 @@
 	Convey("Kept progress goes with the next start, whatever ended the last one", t, func() {
 		b := newBench()
 		job := simple(1)
-		job.Steps[0].Saves = true
+		job.Steps[0].Checkpoints = true
 		job.Steps = append(job.Steps, &schema.Step{Name: "plain", Tasks: 1, CoresMilli: 1})
 		b.enqueue("c", 1, "j", job)
 		k := key(1, 0, 0)
 		saved := func() string { return b.shiftOf(k).Saved }
-		back := func(attempt uint32, cause schema.Cause, text string) {
+		back := func(attempt uint32, cause schema.ReturnCause, text string) {
 			b.checkout(k)
 			b.giveBackSaved(k, attempt, cause, text)
 			b.again()
 		}
-		back(1, schema.Cause_CAUSE_LOST, "one")
+		back(1, schema.ReturnCause_RETURN_CAUSE_WORKER_LOST, "one")
 		So(saved(), ShouldEqual, "one")
-		back(2, schema.Cause_CAUSE_DISPLACED, "two")
+		back(2, schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "two")
 		So(saved(), ShouldEqual, "two")
-		back(3, schema.Cause_CAUSE_DISPLACED, "")
+		back(3, schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "")
 		So(saved(), ShouldEqual, "two")
-		back(4, schema.Cause_CAUSE_FAILED, strings.Repeat("x", 257))
+		back(4, schema.ReturnCause_RETURN_CAUSE_FAILED, strings.Repeat("x", 257))
 		So(saved(), ShouldEqual, "two")
-		b.giveBackSaved(k, 1, schema.Cause_CAUSE_DISPLACED, "stale")
+		b.giveBackSaved(k, 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "stale")
 		So(saved(), ShouldEqual, "two")
 		b.checkout(k)
 		So(saved(), ShouldEqual, "two")
@@ -799,7 +799,7 @@
 		Convey("and a step that keeps none gets none", func() {
 			k := key(1, 1, 0)
 			b.checkout(k)
-			b.giveBackSaved(k, 1, schema.Cause_CAUSE_DISPLACED, "text")
+			b.giveBackSaved(k, 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "text")
 			So(b.shiftOf(k).Saved, ShouldEqual, "")
 		})
 	})
@@ -809,7 +809,7 @@
 	Convey("Waiting are the tasks that could be checked out now", t, func() {
 		b := newBench()
 		b.enqueue("c", 1, "j", &schema.Job{Text: "x", Steps: []*schema.Step{
-			{Name: "a", Tasks: 3}, {Name: "b", Tasks: 5, After: []string{"a"}}, {Name: "g", Tasks: 2, Together: true},
+			{Name: "a", Tasks: 3}, {Name: "b", Tasks: 5, Dependencies: []string{"a"}}, {Name: "g", Tasks: 2, Gang: true},
 		}})
 		later := simple(7)
 		later.DelayUs = 1_000_000
@@ -820,8 +820,8 @@
 		b.cancel("j")
 		So(proto.Equal(b.m.Counts(), &schema.QueueCounts{Live: 2, Out: 3}), ShouldBeTrue)
 		view, _ := b.m.View("j")
-		So(view.Started, ShouldEqual, 3)
-		So(view.Verdict, ShouldEqual, "cancelled")
+		So(view.StartedTasks, ShouldEqual, 3)
+		So(view.PendingOutcome, ShouldEqual, "cancelled")
 	})
 }
 
@@ -837,7 +837,7 @@
 		}
 		see(b.enqueue("c", 1, "j", simple(3)))
 		see(b.checkout(key(1, 0, 0), key(1, 0, 1)))
-		see(b.giveBack(key(1, 0, 0), 1, schema.Cause_CAUSE_LOST))
+		see(b.giveBack(key(1, 0, 0), 1, schema.ReturnCause_RETURN_CAUSE_WORKER_LOST))
 		see(b.cancel("j"))
 		So(next, ShouldBeGreaterThan, 6)
 		So(b.m.Hand(), ShouldEqual, next-1)
@@ -859,7 +859,7 @@
 		So(id, ShouldEqual, 1)
 		So(index, ShouldEqual, 1)
 		before, _ := b.m.View("old")
-		b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Carry{Carry: &schema.Carry{Job: id, Payload: payload}}})
+		b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Reenqueue{Reenqueue: &schema.Reenqueue{Job: id, Payload: payload}}})
 		after, _ := b.m.View("old")
 		So(proto.Equal(before, after), ShouldBeTrue)
 		So(b.released, ShouldNotBeNil)
@@ -879,7 +879,7 @@
 	for seed := uint64(1); seed <= 150; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		b := newBench()
-		b.m.adopt = &schema.Adopt{StatusUs: 3_000_000, Every: 4, Circles: 3}
+		b.m.adopt = &schema.ApplySettings{JobRetentionUs: 3_000_000, SnapshotInterval: 4, MaxRequeues: 3}
 		numbers := map[string]uint64{}
 		var last *Release
 		for k := 0; k < 600; k++ {
@@ -923,14 +923,14 @@
 				switch list[t].state {
 				case schema.TaskState_TASK_DONE:
 					left--
-				case schema.TaskState_TASK_OUT:
+				case schema.TaskState_TASK_CHECKED_OUT:
 					outOf++
 				}
 				if j.standing(s, t) == Ready {
 					waiting++
 				}
 				failures += list[t].failures
-				if j.step(s).Together && list[t].state == schema.TaskState_TASK_OUT && list[t].attempt != list[0].attempt {
+				if j.step(s).Gang && list[t].state == schema.TaskState_TASK_CHECKED_OUT && list[t].attempt != list[0].attempt {
 					return "members of one start have other numbers"
 				}
 			}
@@ -941,7 +941,7 @@
 				unfinished++
 			}
 			outs += outOf
-			if list != nil && j.startUs+int64(s/j.parts())*j.spec.EveryUs > m.now {
+			if list != nil && j.startUs+int64(s/j.parts())*j.spec.PeriodUs > m.now {
 				return "a round is open before its time"
 			}
 		}
@@ -1011,23 +1011,23 @@
 		job := simple(uint32(1 + rng.IntN(3)))
 		job.Text = fmt.Sprint("text", rng.IntN(2))
 		if rng.IntN(3) == 0 {
-			job.Steps = append(job.Steps, &schema.Step{Name: "t", Tasks: 2, After: []string{"s"}, Together: true, AllowedFailures: 1})
+			job.Steps = append(job.Steps, &schema.Step{Name: "t", Tasks: 2, Dependencies: []string{"s"}, Gang: true, AllowedFailures: 1})
 		}
 		if rng.IntN(5) == 0 {
 			job.DelayUs = b.at + rng.Int64N(400_000)
 		}
 		if rng.IntN(3) == 0 {
-			job.Rounds, job.EveryUs = uint32(1+rng.IntN(4)), rng.Int64N(300_000)
+			job.Rounds, job.PeriodUs = uint32(1+rng.IntN(4)), rng.Int64N(300_000)
 		}
 		for _, step := range job.Steps {
-			step.Saves, step.Lasting = rng.IntN(2) == 0, rng.IntN(12) == 0
-			step.Together = step.Together || rng.IntN(4) == 0
+			step.Checkpoints, step.RunUntilCancelled = rng.IntN(2) == 0, rng.IntN(12) == 0
+			step.Gang = step.Gang || rng.IntN(4) == 0
 		}
 		b.enqueue(client, number, fmt.Sprint("j", rng.IntN(200)), job)
 	case 2, 3, 4, 5:
 		k := pick()
 		keys := []*schema.TaskKey{k}
-		if j := b.m.jobs[k.Job]; j != nil && j.step(int(k.Step)).Together {
+		if j := b.m.jobs[k.Job]; j != nil && j.step(int(k.Step)).Gang {
 			keys = nil
 			for i := range j.tasks[k.Step] {
 				keys = append(keys, key(k.Job, k.Step, uint32(i)))
@@ -1047,13 +1047,13 @@
 		if rng.IntN(2) == 0 {
 			saved = fmt.Sprint("at ", b.index)
 		}
-		b.giveBackSaved(k, attempt(k), schema.Cause(1+rng.IntN(3)), saved)
+		b.giveBackSaved(k, attempt(k), schema.ReturnCause(1+rng.IntN(3)), saved)
 	case 11:
 		b.cancel(fmt.Sprint("j", rng.IntN(200)))
 	case 12:
 		if rng.IntN(4) == 0 {
 			if id, _, payload := b.m.Oldest(); id != 0 {
-				b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Carry{Carry: &schema.Carry{Job: id, Payload: payload}}})
+				b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Reenqueue{Reenqueue: &schema.Reenqueue{Job: id, Payload: payload}}})
 			}
 			return
 		}
@@ -1061,7 +1061,7 @@
 	case 13:
 		if rng.IntN(6) == 0 {
 			client := fmt.Sprint("c", rng.IntN(3))
-			b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Down{Down: &schema.Down{Sessions: []*schema.Session{who(client)}}}})
+			b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_EndSessions{EndSessions: &schema.EndSessions{Sessions: []*schema.Session{who(client)}}}})
 			numbers[client] = 0
 			return
 		}
@@ -1074,11 +1074,11 @@
 		b := newBench()
 		b.at = 5_000_000
 		b.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Tick{Tick: &schema.Tick{}}})
-		effects := b.enqueue("c", 1, "j", &schema.Job{Text: "x", Rounds: 2, EveryUs: 1_000_000, Steps: []*schema.Step{
-			{Name: "a", Tasks: 2, CoresMilli: 100, EstimateUs: 10},
-			{Name: "b", Tasks: 1, CoresMilli: 100, EstimateUs: 50},
-			{Name: "c", Tasks: 3, CoresMilli: 200, EstimateUs: 20, After: []string{"a"}},
-			{Name: "d", Tasks: 1, CoresMilli: 100, EstimateUs: 30, After: []string{"b", "c"}},
+		effects := b.enqueue("c", 1, "j", &schema.Job{Text: "x", Rounds: 2, PeriodUs: 1_000_000, Steps: []*schema.Step{
+			{Name: "a", Tasks: 2, CoresMilli: 100, EstimatedRunUs: 10},
+			{Name: "b", Tasks: 1, CoresMilli: 100, EstimatedRunUs: 50},
+			{Name: "c", Tasks: 3, CoresMilli: 200, EstimatedRunUs: 20, Dependencies: []string{"a"}},
+			{Name: "d", Tasks: 1, CoresMilli: 100, EstimatedRunUs: 30, Dependencies: []string{"b", "c"}},
 		}})
 		legA, legB, legC, legD := Leg{10, 200}, Leg{50, 100}, Leg{20, 600}, Leg{30, 100}
 		So(len(effects.Shifts), ShouldEqual, 3)
--- a/internal/queue/rest.go
+++ b/internal/queue/rest.go
@@ -10,7 +10,7 @@
 
 // cache keeps a dehydrated state now and then, to be released later.
 func (m *Machine) cache(index uint64) {
-	every := uint64(m.adopt.Every)
+	every := uint64(m.adopt.SnapshotInterval)
 	if every == 0 {
 		every = DefaultEvery
 	}
@@ -74,7 +74,7 @@
 }
 
 func dry(job *schema.Job) *schema.Job {
-	return &schema.Job{Steps: job.GetSteps(), DelayUs: job.GetDelayUs(), StartWallUs: job.GetStartWallUs(), Rounds: job.GetRounds(), EveryUs: job.GetEveryUs()}
+	return &schema.Job{Steps: job.GetSteps(), DelayUs: job.GetDelayUs(), StartUnixUs: job.GetStartUnixUs(), Rounds: job.GetRounds(), PeriodUs: job.GetPeriodUs()}
 }
 
 func (m *Machine) sessionKeys() []sessionKey {
@@ -99,26 +99,26 @@
 // jobs become the prefix count with their outlines: the commands that follow
 // name tasks, so replaying them needs each job's shape though not its payload.
 func (m *Machine) Rest(isDry bool) []byte {
-	rest := &schema.QueueRest{
-		NowUs: m.now, NextJob: m.nextJob, Hand: m.hand, Adopt: m.adopt, Carries: m.carries, Enqueues: m.enqueues,
+	rest := &schema.QueueSnapshot{
+		NowUs: m.now, NextJob: m.nextJob, Handover: m.hand, Settings: m.adopt, Reenqueues: m.carries, Enqueues: m.enqueues,
 		Ended: m.fading,
 	}
 	for _, j := range m.ordered() {
-		jr := &schema.JobRest{
+		jr := &schema.JobSnapshot{
 			Id: j.id, Name: j.name, Digest: j.digest, Index: j.index, StartUs: j.startUs, State: j.state,
-			Verdict: j.verdict, Job: j.spec, Why: j.why, Dry: j.isDry, Started: j.started, Opened: uint32(j.opened),
+			PendingOutcome: j.verdict, Job: j.spec, Reason: j.why, Dehydrated: j.isDry, StartedTasks: j.started, DueRounds: uint32(j.opened),
 		}
 		if isDry {
-			jr.Job, jr.Dry = dry(j.spec), true
-			rest.Prefix++
+			jr.Job, jr.Dehydrated = dry(j.spec), true
+			rest.DehydratedJobs++
 		}
 		for s := range j.tasks {
 			for t := range j.tasks[s] {
 				each := &j.tasks[s][t]
-				jr.Tasks = append(jr.Tasks, &schema.TaskRest{
-					State: each.state, Attempt: each.attempt, Failures: each.failures, Circles: each.circles,
-					Worker: each.worker, Incarnation: each.incarnation, Hand: each.hand, Breaking: each.isBreaking, Launched: each.isLaunched, Lost: each.lost,
-					Saved: each.saved, FailedAttempt: each.failedAt,
+				jr.Tasks = append(jr.Tasks, &schema.TaskSnapshot{
+					State: each.state, Attempt: each.attempt, Failures: each.failures, Requeues: each.circles,
+					Worker: each.worker, Incarnation: each.incarnation, Handover: each.hand, Aborting: each.isBreaking, Started: each.isLaunched, LostAttempts: each.lost,
+					Checkpoint: each.saved, FailedAttempt: each.failedAt,
 				})
 			}
 		}
@@ -126,25 +126,25 @@
 	}
 	for _, key := range m.sessionKeys() {
 		s := m.sessions[key]
-		sr := &schema.SessionRest{Session: &schema.Session{Gateway: key.gateway, Boot: key.boot, Client: key.client}, Next: s.next}
+		sr := &schema.SessionSnapshot{Session: &schema.Session{Gateway: key.gateway, Incarnation: key.boot, Client: key.client}, Next: s.next}
 		for _, number := range heldNumbers(s) {
 			held := s.held[number]
 			if isDry {
 				e := held.Enqueue
-				held = &schema.HeldRest{Index: held.Index, Enqueue: &schema.Enqueue{
+				held = &schema.PendingEnqueueSnapshot{Index: held.Index, Enqueue: &schema.Enqueue{
 					Session: e.Session, Number: e.Number, Name: e.Name, Digest: e.Digest, StartUs: e.StartUs, Job: dry(e.Job),
 				}}
 			}
-			sr.Held = append(sr.Held, held)
+			sr.Pending = append(sr.Pending, held)
 		}
 		rest.Sessions = append(rest.Sessions, sr)
 	}
 	for key, at := range m.gone {
-		rest.Gone = append(rest.Gone, &schema.Gone{Gateway: key.gateway, Boot: key.boot, AtUs: at})
+		rest.ExpiredGateways = append(rest.ExpiredGateways, &schema.ExpiredGateway{Gateway: key.gateway, Incarnation: key.boot, AtUs: at})
 	}
-	sort.Slice(rest.Gone, func(a, b int) bool {
-		x, y := rest.Gone[a], rest.Gone[b]
-		return x.Gateway < y.Gateway || x.Gateway == y.Gateway && x.Boot < y.Boot
+	sort.Slice(rest.ExpiredGateways, func(a, b int) bool {
+		x, y := rest.ExpiredGateways[a], rest.ExpiredGateways[b]
+		return x.Gateway < y.Gateway || x.Gateway == y.Gateway && x.Incarnation < y.Incarnation
 	})
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(rest)
 	if err != nil {
@@ -168,20 +168,20 @@
 	if len(data) == 0 {
 		return m, nil
 	}
-	rest := &schema.QueueRest{}
+	rest := &schema.QueueSnapshot{}
 	if err := proto.Unmarshal(data, rest); err != nil {
 		return nil, err
 	}
-	m.now, m.nextJob, m.hand, m.carries, m.enqueues = rest.NowUs, rest.NextJob, rest.Hand, rest.Carries, rest.Enqueues
+	m.now, m.nextJob, m.hand, m.carries, m.enqueues = rest.NowUs, rest.NextJob, rest.Handover, rest.Reenqueues, rest.Enqueues
 	m.cachedAt = rest.Enqueues
 	m.index = index
-	if rest.Adopt != nil {
-		m.adopt = rest.Adopt
+	if rest.Settings != nil {
+		m.adopt = rest.Settings
 	}
 	for _, jr := range rest.Jobs {
 		j := &job{
 			id: jr.Id, name: jr.Name, digest: jr.Digest, index: jr.Index, startUs: jr.StartUs, state: jr.State,
-			verdict: jr.Verdict, spec: jr.Job, why: jr.Why, isDry: jr.Dry, started: jr.Started,
+			verdict: jr.PendingOutcome, spec: jr.Job, why: jr.Reason, isDry: jr.Dehydrated, started: jr.StartedTasks,
 		}
 		j.expand()
 		j.restoreTasks(jr)
@@ -195,12 +195,12 @@
 		m.ended[ended.Name] = ended
 		m.fading = append(m.fading, ended)
 	}
-	for _, gone := range rest.Gone {
-		m.gone[bootKey{gone.Gateway, gone.Boot}] = gone.AtUs
+	for _, gone := range rest.ExpiredGateways {
+		m.gone[bootKey{gone.Gateway, gone.Incarnation}] = gone.AtUs
 	}
 	for _, sr := range rest.Sessions {
-		s := &session{next: sr.Next, held: map[uint64]*schema.HeldRest{}}
-		for _, held := range sr.Held {
+		s := &session{next: sr.Next, held: map[uint64]*schema.PendingEnqueueSnapshot{}}
+		for _, held := range sr.Pending {
 			s.held[held.Enqueue.Number] = held
 			m.held++
 		}
@@ -210,8 +210,8 @@
 }
 
 // restoreTasks makes the rounds that had opened: only their tasks are at rest.
-func (j *job) restoreTasks(jr *schema.JobRest) {
-	for j.opened < int(jr.Opened) {
+func (j *job) restoreTasks(jr *schema.JobSnapshot) {
+	for j.opened < int(jr.DueRounds) {
 		j.makeRound()
 	}
 	k := 0
@@ -220,9 +220,9 @@
 			tr := jr.Tasks[k]
 			k++
 			j.tasks[s][t] = task{
-				state: tr.State, attempt: tr.Attempt, failures: tr.Failures, failedAt: tr.FailedAttempt, circles: tr.Circles,
-				worker: tr.Worker, incarnation: tr.Incarnation, hand: tr.Hand, isBreaking: tr.Breaking, isLaunched: tr.Launched, lost: tr.Lost,
-				saved: tr.Saved,
+				state: tr.State, attempt: tr.Attempt, failures: tr.Failures, failedAt: tr.FailedAttempt, circles: tr.Requeues,
+				worker: tr.Worker, incarnation: tr.Incarnation, hand: tr.Handover, isBreaking: tr.Aborting, isLaunched: tr.Started, lost: tr.LostAttempts,
+				saved: tr.Checkpoint,
 			}
 			j.failures[s] += tr.Failures
 			switch tr.State {
@@ -230,7 +230,7 @@
 				if j.left[s]--; j.left[s] == 0 {
 					j.unfinished--
 				}
-			case schema.TaskState_TASK_OUT:
+			case schema.TaskState_TASK_CHECKED_OUT:
 				j.out[s]++
 				j.outs++
 			}
--- a/internal/queue/return.go
+++ b/internal/queue/return.go
@@ -16,10 +16,10 @@
 	each := &j.tasks[s][t]
 	step := j.step(s)
 	isRunning := j.state == schema.JobState_JOB_RUNNING
-	if each.state != schema.TaskState_TASK_OUT || each.attempt != c.Attempt {
+	if each.state != schema.TaskState_TASK_CHECKED_OUT || each.attempt != c.Attempt {
 		// A worker that had been cut off tells late that it had failed. That
 		// counts, once, whatever has become of the task meanwhile.
-		if k := slices.Index(each.lost, c.Attempt); k >= 0 && c.Cause == schema.Cause_CAUSE_FAILED && isRunning {
+		if k := slices.Index(each.lost, c.Attempt); k >= 0 && c.Cause == schema.ReturnCause_RETURN_CAUSE_FAILED && isRunning {
 			if m.failed(j, s, t, c.Attempt); j.state == schema.JobState_JOB_STOPPING {
 				m.endIfStill(j)
 			}
@@ -29,26 +29,26 @@
 	account := j.account(s, t)
 	// The latest text that was told is the best one known; no word of progress
 	// doesn't undo what was kept before.
-	if step.Saves && c.Saved != "" && len(c.Saved) <= maxSaved {
-		account.saved = c.Saved
+	if step.Checkpoints && c.Checkpoint != "" && len(c.Checkpoint) <= maxSaved {
+		account.saved = c.Checkpoint
 	}
-	if c.Cause == schema.Cause_CAUSE_LOST && !step.Lasting && account.failedAt != c.Attempt {
+	if c.Cause == schema.ReturnCause_RETURN_CAUSE_WORKER_LOST && !step.RunUntilCancelled && account.failedAt != c.Attempt {
 		each.lost = append(each.lost, each.attempt)
 	}
 	// Failing counts whatever was asked of the task meanwhile; being stopped
 	// counts only for whom the stop was meant. What lasts begins again however
 	// it ended, so nothing of it counts.
 	switch {
-	case step.Lasting || !isRunning:
-	case c.Cause == schema.Cause_CAUSE_FAILED:
+	case step.RunUntilCancelled || !isRunning:
+	case c.Cause == schema.ReturnCause_RETURN_CAUSE_FAILED:
 		m.failed(j, s, t, c.Attempt)
 	case !each.isBreaking:
 		each.circles++
-		if each.circles > m.adopt.Circles {
+		if each.circles > m.adopt.MaxRequeues {
 			m.stop(j, schema.JobState_JOB_FAILED, "step "+step.Name+": a task was taken back too often")
 		}
 	}
-	if step.Together && j.state == schema.JobState_JOB_RUNNING && !each.isBreaking {
+	if step.Gang && j.state == schema.JobState_JOB_RUNNING && !each.isBreaking {
 		m.breakGroup(j, s)
 	}
 	m.takeBack(j, s, t)
@@ -60,7 +60,7 @@
 func (m *Machine) failed(j *job, s, t int, attempt uint32) {
 	step, account := j.step(s), j.account(s, t)
 	members, isDone := j.tasks[s][t:t+1], j.tasks[s][t].state == schema.TaskState_TASK_DONE
-	if step.Together {
+	if step.Gang {
 		members, isDone = j.tasks[s], j.left[s] == 0
 	}
 	if account.failedAt == attempt {
@@ -84,7 +84,7 @@
 	for t := range j.tasks[s] {
 		each := &j.tasks[s][t]
 		switch each.state {
-		case schema.TaskState_TASK_OUT:
+		case schema.TaskState_TASK_CHECKED_OUT:
 			each.isBreaking = true
 			m.shift(j, s, t)
 		case schema.TaskState_TASK_DONE:
@@ -104,7 +104,7 @@
 		m.endIfStill(j)
 		return
 	}
-	if j.step(s).Together && j.out[s] == 0 {
+	if j.step(s).Gang && j.out[s] == 0 {
 		m.shiftStep(j, s)
 	}
 }
@@ -136,7 +136,7 @@
 func (m *Machine) cancel(name string) {
 	if j := m.names[name]; j != nil {
 		switch j.state {
-		case schema.JobState_JOB_TIMED:
+		case schema.JobState_JOB_SCHEDULED:
 			m.byStart.Delete(j)
 			j.why = "cancelled before its start"
 			m.end(j, schema.JobState_JOB_CANCELLED)
@@ -152,7 +152,7 @@
 }
 
 func (m *Machine) end(j *job, state schema.JobState) {
-	ended := &schema.EndedRest{Name: j.name, Digest: j.digest, State: state, EndedUs: m.now, Why: j.why, Id: j.id}
+	ended := &schema.EndedJobSnapshot{Name: j.name, Digest: j.digest, State: state, EndedUs: m.now, Reason: j.why, Id: j.id}
 	for s := range j.left {
 		ended.Tasks += j.step(s).Tasks
 		ended.Done += j.step(s).Tasks - uint32(j.left[s])
--- a/internal/queue/views.go
+++ b/internal/queue/views.go
@@ -10,7 +10,7 @@
 
 func stateName(state schema.JobState) string {
 	return map[schema.JobState]string{
-		schema.JobState_JOB_TIMED: "timed", schema.JobState_JOB_RUNNING: "running", schema.JobState_JOB_STOPPING: "stopping",
+		schema.JobState_JOB_SCHEDULED: "timed", schema.JobState_JOB_RUNNING: "running", schema.JobState_JOB_STOPPING: "stopping",
 		schema.JobState_JOB_COMPLETE: "complete", schema.JobState_JOB_FAILED: "failed", schema.JobState_JOB_CANCELLED: "cancelled",
 	}[state]
 }
@@ -21,15 +21,15 @@
 		return m.viewOf(j), true
 	}
 	if ended := m.ended[name]; ended != nil {
-		return &schema.JobView{Queue: m.name, Name: name, State: stateName(ended.State), Why: ended.Why, Tasks: ended.Tasks, Done: ended.Done}, true
+		return &schema.JobView{Queue: m.name, Name: name, State: stateName(ended.State), Reason: ended.Reason, Tasks: ended.Tasks, Done: ended.Done}, true
 	}
 	return nil, false
 }
 
 func (m *Machine) viewOf(j *job) *schema.JobView {
-	view := &schema.JobView{Queue: m.name, Name: j.name, State: stateName(j.state), Why: j.why, Started: j.started}
+	view := &schema.JobView{Queue: m.name, Name: j.name, State: stateName(j.state), Reason: j.why, StartedTasks: j.started}
 	if j.state == schema.JobState_JOB_STOPPING {
-		view.Verdict = stateName(j.verdict)
+		view.PendingOutcome = stateName(j.verdict)
 	}
 	for part, step := range j.spec.Steps {
 		sv := &schema.StepView{Name: step.Name, State: "done"}
@@ -63,7 +63,7 @@
 			continue
 		}
 		for s := range j.left[:j.first(j.opened)] {
-			if j.left[s] > 0 && j.isOpen(s) && (!j.step(s).Together || j.out[s] == 0) {
+			if j.left[s] > 0 && j.isOpen(s) && (!j.step(s).Gang || j.out[s] == 0) {
 				counts.Waiting += uint32(j.left[s] - j.out[s])
 			}
 		}
--- a/internal/raft/bound_test.go
+++ b/internal/raft/bound_test.go
@@ -22,21 +22,21 @@
 		r.start(answered)
 		g := r.groups[answered]
 		ask := func(pre, asked bool) []Post {
-			g.Step(r.now, missing, &schema.Vote{Group: "g", Term: g.Term() + 1, LastIndex: g.Last(), LastTerm: g.lastTerm(), Pre: pre, Asked: asked})
+			g.Step(r.now, missing, &schema.VoteRequest{Group: "g", Term: g.Term() + 1, LastIndex: g.Last(), LastTerm: g.lastTerm(), PreVote: pre, LeaderTransfer: asked})
 			effects, _ := g.Take()
 			return effects.Posts
 		}
 		Convey("It promises and gives no vote as long as that leader may act", func() {
-			So(ask(true, false)[0].Body.(*schema.VoteReply).Granted, ShouldBeFalse)
+			So(ask(true, false)[0].Body.(*schema.VoteResponse).Granted, ShouldBeFalse)
 			So(ask(false, false), ShouldBeEmpty)
 			r.now += UsualTimes.acting() - 1
-			So(ask(true, false)[0].Body.(*schema.VoteReply).Granted, ShouldBeFalse)
+			So(ask(true, false)[0].Body.(*schema.VoteResponse).Granted, ShouldBeFalse)
 			r.now++
-			So(ask(true, false)[0].Body.(*schema.VoteReply).Granted, ShouldBeTrue)
-			So(ask(false, false)[0].Body.(*schema.VoteReply).Granted, ShouldBeTrue)
+			So(ask(true, false)[0].Body.(*schema.VoteResponse).Granted, ShouldBeTrue)
+			So(ask(false, false)[0].Body.(*schema.VoteResponse).Granted, ShouldBeTrue)
 		})
 		Convey("It votes at once for whom the leader hands over to", func() {
-			So(ask(false, true)[0].Body.(*schema.VoteReply).Granted, ShouldBeTrue)
+			So(ask(false, true)[0].Body.(*schema.VoteResponse).Granted, ShouldBeTrue)
 		})
 	})
 }
--- a/internal/raft/clone_test.go
+++ b/internal/raft/clone_test.go
@@ -60,7 +60,7 @@
 		So(err, ShouldBeNil)
 		So(lead.Read(r.now, 7), ShouldBeNil)
 		for _, id := range othersThan(lead.self) {
-			r.groups[id].Step(r.now, lead.self, &schema.Part{Group: "g", Term: lead.term, Transfer: 99, Size: 8, Data: []byte("part")})
+			r.groups[id].Step(r.now, lead.self, &schema.TransferChunk{Group: "g", Term: lead.term, Transfer: 99, Size: 8, Data: []byte("part")})
 		}
 		for _, id := range ids {
 			g := r.groups[id]
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -18,7 +18,7 @@
 	}
 	g.term, g.vote = term, vote
 	g.hardSeq++
-	g.out.Changes = append(g.out.Changes, &schema.Change{Group: g.name, Hard: &schema.Hard{Term: term, Vote: vote}})
+	g.out.Changes = append(g.out.Changes, &schema.StoreChange{Group: g.name, HardState: &schema.HardState{Term: term, Vote: vote}})
 }
 
 func (g *Group) follow(now eventloop.Micros, term uint64, lead string) {
@@ -72,15 +72,15 @@
 	if g.base.Index > 0 || len(g.base.MemberSet.GetVoters()) > 0 || len(voters) == 0 {
 		return
 	}
-	g.base = &schema.Checkpoint{MemberSet: &schema.MemberSet{Voters: voters}}
+	g.base = &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: voters}}
 	g.findMemberSet()
-	g.out.Changes = append(g.out.Changes, &schema.Change{Group: g.name, Checkpoint: g.base})
+	g.out.Changes = append(g.out.Changes, &schema.StoreChange{Group: g.name, Snapshot: g.base})
 }
 
 func (g *Group) requestVotes(term uint64, pre, asked bool) {
 	for _, id := range g.memberSet.Voters {
 		if id != g.self {
-			g.post(id, &schema.Vote{Group: g.name, Term: term, LastIndex: g.lastIndex(), LastTerm: g.lastTerm(), Pre: pre, Asked: asked})
+			g.post(id, &schema.VoteRequest{Group: g.name, Term: term, LastIndex: g.lastIndex(), LastTerm: g.lastTerm(), PreVote: pre, LeaderTransfer: asked})
 		}
 	}
 }
@@ -113,7 +113,7 @@
 	g.syncPeers(now, g.lastIndex()+1)
 	g.first = g.lastIndex() + 1
 	// A leader knows what is committed only through a record of its own term.
-	g.add(now, &schema.Record{Kind: schema.RecordKind_RECORD_FIRST})
+	g.add(now, &schema.Entry{Kind: schema.EntryKind_ENTRY_NO_OP})
 	g.beat(now)
 }
 
@@ -131,31 +131,31 @@
 
 func (g *Group) tryPass() {
 	if p := g.peers[g.passTo]; g.passTo != "" && p != nil && p.match == g.lastIndex() {
-		g.post(g.passTo, &schema.Urge{Group: g.name, Term: g.term})
+		g.post(g.passTo, &schema.TimeoutNow{Group: g.name, Term: g.term})
 	}
 }
 
-func (g *Group) onVote(now eventloop.Micros, from string, m *schema.Vote) {
+func (g *Group) onVote(now eventloop.Micros, from string, m *schema.VoteRequest) {
 	// Who hears a leader keeps it: a replica that was cut off and comes back
 	// disturbs nobody. A leader's own wish to pass goes through.
 	isLed := g.lead != "" && (g.role == leader || now-g.heard < g.times.ElectionLeast)
 	// Who has just started may have answered a leader the moment before, and that one
 	// acts on the answer.
-	if (isLed || now < g.boundUntil) && !m.Asked {
-		if m.Pre {
-			g.post(from, &schema.VoteReply{Group: g.name, Term: g.term, Pre: true})
+	if (isLed || now < g.boundUntil) && !m.LeaderTransfer {
+		if m.PreVote {
+			g.post(from, &schema.VoteResponse{Group: g.name, Term: g.term, PreVote: true})
 		}
 		return
 	}
 	isFresh := m.LastTerm > g.lastTerm() || m.LastTerm == g.lastTerm() && m.LastIndex >= g.lastIndex()
-	if m.Pre {
+	if m.PreVote {
 		// Of two that ask at once with equal logs one goes first, or the two of
 		// three that are left would split the vote.
 		isFirst := g.role == asking && g.self < from && m.LastTerm == g.lastTerm() && m.LastIndex == g.lastIndex()
 		if m.Term > g.term && isFresh && !isFirst && !g.isReadOnly {
-			g.post(from, &schema.VoteReply{Group: g.name, Term: m.Term, Granted: true, Pre: true})
+			g.post(from, &schema.VoteResponse{Group: g.name, Term: m.Term, Granted: true, PreVote: true})
 		} else {
-			g.post(from, &schema.VoteReply{Group: g.name, Term: g.term, Pre: true})
+			g.post(from, &schema.VoteResponse{Group: g.name, Term: g.term, PreVote: true})
 		}
 		return
 	}
@@ -167,17 +167,17 @@
 		g.setHard(g.term, from)
 		g.resetDeadline(now)
 	}
-	g.post(from, &schema.VoteReply{Group: g.name, Term: g.term, Granted: isGranted})
+	g.post(from, &schema.VoteResponse{Group: g.name, Term: g.term, Granted: isGranted})
 }
 
-func (g *Group) onVoteReply(now eventloop.Micros, from string, m *schema.VoteReply) {
+func (g *Group) onVoteReply(now eventloop.Micros, from string, m *schema.VoteResponse) {
 	if !m.Granted {
 		if m.Term > g.term {
 			g.follow(now, m.Term, "")
 		}
 		return
 	}
-	isMine := m.Pre && g.role == asking && m.Term == g.term+1 || !m.Pre && g.role == candidate && m.Term == g.term
+	isMine := m.PreVote && g.role == asking && m.Term == g.term+1 || !m.PreVote && g.role == candidate && m.Term == g.term
 	if isMine {
 		g.votes[from] = true
 		g.countVotes(now)
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -16,9 +16,9 @@
 
 func (g *Group) atOf(index uint64) int64 {
 	if index == g.base.Index {
-		return g.base.AtUs
+		return g.base.TimeUs
 	}
-	return g.log[index-g.base.Index-1].AtUs
+	return g.log[index-g.base.Index-1].TimeUs
 }
 
 func (g *Group) termAt(index uint64) uint64 {
@@ -31,12 +31,12 @@
 	return g.log[index-g.base.Index-1].Term
 }
 
-func (g *Group) between(low, high uint64) []*schema.Record {
+func (g *Group) between(low, high uint64) []*schema.Entry {
 	return g.log[low-g.base.Index : high-g.base.Index]
 }
 
 // put appends records, replacing whatever stood from the first one on.
-func (g *Group) put(records []*schema.Record) {
+func (g *Group) put(records []*schema.Entry) {
 	first := records[0].Index
 	if first <= g.commit {
 		panic("raft: a committed record would be replaced in " + g.name)
@@ -45,7 +45,7 @@
 	// may have come or gone.
 	isMemberSet := first <= g.memberSetAt
 	for _, record := range records {
-		isMemberSet = isMemberSet || record.Kind == schema.RecordKind_RECORD_MEMBER_SET
+		isMemberSet = isMemberSet || record.Kind == schema.EntryKind_ENTRY_MEMBER_SET
 	}
 	if first <= g.lastIndex() {
 		g.log = g.log[: first-g.base.Index-1 : first-g.base.Index-1]
@@ -54,7 +54,7 @@
 		}
 	}
 	g.log = append(g.log, records...)
-	g.out.Changes = append(g.out.Changes, &schema.Change{Group: g.name, Records: records})
+	g.out.Changes = append(g.out.Changes, &schema.StoreChange{Group: g.name, Entries: records})
 	if isMemberSet {
 		g.findMemberSet()
 	}
@@ -65,8 +65,8 @@
 	if index <= g.base.Index || index > g.applied {
 		return
 	}
-	point := &schema.Checkpoint{Index: index, Term: g.termAt(index), MemberSet: g.memberSetUnder(index), Data: data, AtUs: g.atOf(index)}
-	g.log = append([]*schema.Record(nil), g.log[index-g.base.Index:]...)
+	point := &schema.Snapshot{Index: index, Term: g.termAt(index), MemberSet: g.memberSetUnder(index), Data: data, TimeUs: g.atOf(index)}
+	g.log = append([]*schema.Entry(nil), g.log[index-g.base.Index:]...)
 	g.base = point
-	g.out.Changes = append(g.out.Changes, &schema.Change{Group: g.name, Checkpoint: point})
+	g.out.Changes = append(g.out.Changes, &schema.StoreChange{Group: g.name, Snapshot: point})
 }
--- a/internal/raft/members_test.go
+++ b/internal/raft/members_test.go
@@ -12,7 +12,7 @@
 
 // empty gives the rig a replica with an empty disk.
 func (r *rig) empty(id string) {
-	r.images[id] = &storage.Image{Hard: &schema.Hard{}, Checkpoint: &schema.Checkpoint{}}
+	r.images[id] = &storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}}
 	r.start(id)
 }
 
@@ -43,7 +43,7 @@
 		So(r.change(lead, ids, "d"), ShouldBeNil)
 		count := 0
 		for _, each := range r.mail {
-			if _, isAppend := each.body.(*schema.Append); isAppend && each.to == "d" {
+			if _, isAppend := each.body.(*schema.AppendRequest); isAppend && each.to == "d" {
 				count++
 			}
 		}
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -19,7 +19,7 @@
 		g.memberSet = &schema.MemberSet{}
 	}
 	for _, record := range g.log {
-		if record.Kind == schema.RecordKind_RECORD_MEMBER_SET {
+		if record.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
 			g.memberSet, g.memberSetAt = record.MemberSet, record.Index
 		}
 	}
@@ -28,7 +28,7 @@
 func (g *Group) memberSetUnder(index uint64) *schema.MemberSet {
 	memberSet := g.base.MemberSet
 	for _, record := range g.log {
-		if record.Index <= index && record.Kind == schema.RecordKind_RECORD_MEMBER_SET {
+		if record.Index <= index && record.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
 			memberSet = record.MemberSet
 		}
 	}
@@ -51,7 +51,7 @@
 	if err := g.checkStep(memberSet); err != nil {
 		return err
 	}
-	g.add(now, &schema.Record{Kind: schema.RecordKind_RECORD_MEMBER_SET, MemberSet: memberSet})
+	g.add(now, &schema.Entry{Kind: schema.EntryKind_ENTRY_MEMBER_SET, MemberSet: memberSet})
 	return nil
 }
 
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -80,9 +80,9 @@
 // Effects are what a step leaves.
 type Effects struct {
 	Posts   []Post
-	Changes []*schema.Change
-	Restore *schema.Checkpoint // replaces the machine before Commits
-	Commits []*schema.Record
+	Changes []*schema.StoreChange
+	Restore *schema.Snapshot // replaces the machine before Commits
+	Commits []*schema.Entry
 	Reads   []uint64 // requests that may now be read
 }
 
@@ -97,8 +97,8 @@
 	role role
 	lead string
 
-	base        *schema.Checkpoint // what the log stands on; its data is the storage's
-	log         []*schema.Record
+	base        *schema.Snapshot // what the log stands on; its data is the storage's
+	log         []*schema.Entry
 	stable      uint64
 	commit      uint64
 	applied     uint64
@@ -290,25 +290,25 @@
 // Step takes a message of another replica.
 func (g *Group) Step(now eventloop.Micros, from string, body any) {
 	switch m := body.(type) {
-	case *schema.Vote:
+	case *schema.VoteRequest:
 		g.onVote(now, from, m)
-	case *schema.VoteReply:
+	case *schema.VoteResponse:
 		g.onVoteReply(now, from, m)
-	case *schema.Append:
+	case *schema.AppendRequest:
 		g.onAppend(now, from, m)
-	case *schema.AppendReply:
+	case *schema.AppendResponse:
 		g.onAppendReply(now, from, m)
-	case *schema.Install:
+	case *schema.InstallSnapshot:
 		g.onInstall(now, from, m)
-	case *schema.Part:
+	case *schema.TransferChunk:
 		g.onPart(now, from, m)
-	case *schema.PartReply:
+	case *schema.TransferChunkResponse:
 		g.onPartReply(now, from, m)
-	case *schema.Beat:
+	case *schema.Heartbeat:
 		g.onBeat(now, from, m)
-	case *schema.BeatReply:
+	case *schema.HeartbeatResponse:
 		g.onBeatReply(now, from, m)
-	case *schema.Urge:
+	case *schema.TimeoutNow:
 		if m.Term == g.term && g.role != leader && g.isVoter(g.self) && !g.isReadOnly {
 			g.campaign(now, true)
 		}
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -20,7 +20,7 @@
 	groups  map[string]*Group
 	images  map[string]*storage.Image // what is durable
 	pending map[string][]Post         // posts that wait for a sync
-	changes map[string][]*schema.Change
+	changes map[string][]*schema.StoreChange
 	applied map[string][]string
 	reads   map[string][]uint64
 	mail    []parcel
@@ -43,11 +43,11 @@
 func newRig(seed uint64, members ...string) *rig {
 	r := &rig{
 		now: eventloop.Second, rng: rand.New(rand.NewPCG(seed, 1)), groups: map[string]*Group{}, images: map[string]*storage.Image{},
-		pending: map[string][]Post{}, changes: map[string][]*schema.Change{}, applied: map[string][]string{}, reads: map[string][]uint64{},
+		pending: map[string][]Post{}, changes: map[string][]*schema.StoreChange{}, applied: map[string][]string{}, reads: map[string][]uint64{},
 		isDown: map[string]bool{}, noSync: map[string]bool{}, cut: func(string, string) bool { return false },
 	}
 	for _, id := range members {
-		r.images[id] = &storage.Image{Hard: &schema.Hard{}, Checkpoint: &schema.Checkpoint{MemberSet: &schema.MemberSet{Voters: members}}}
+		r.images[id] = &storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: members}}}
 		r.start(id)
 	}
 	return r
@@ -58,7 +58,7 @@
 	r.pending[id], r.changes[id] = nil, nil
 	r.applied[id] = nil
 	image := r.images[id]
-	copied := &storage.Image{Hard: image.Hard, Checkpoint: image.Checkpoint, Records: append([]*schema.Record(nil), image.Records...)}
+	copied := &storage.Image{Hard: image.Hard, Checkpoint: image.Checkpoint, Records: append([]*schema.Entry(nil), image.Records...)}
 	r.groups[id] = New("g", id, copied, UsualTimes, rand.New(rand.NewPCG(r.rng.Uint64(), 2)), r.now)
 }
 
@@ -78,7 +78,7 @@
 		r.applied[id] = []string{string(effects.Restore.Data)}
 	}
 	for _, record := range effects.Commits {
-		if record.Kind == schema.RecordKind_RECORD_COMMAND {
+		if record.Kind == schema.EntryKind_ENTRY_COMMAND {
 			r.applied[id] = append(r.applied[id], string(record.Data))
 		}
 	}
@@ -119,7 +119,7 @@
 				r.rng.Shuffle(len(mail), func(i, j int) { mail[i], mail[j] = mail[j], mail[i] })
 			}
 			for _, p := range mail {
-				if _, isAppend := p.body.(*schema.Append); isAppend {
+				if _, isAppend := p.body.(*schema.AppendRequest); isAppend {
 					r.appends++
 				}
 				if r.groups[p.to] == nil || r.isDown[p.to] || r.isDown[p.from] || r.cut(p.from, p.to) || r.rng.Float64() < r.loss {
@@ -262,8 +262,8 @@
 		r := newRig(4, ids...)
 		g := r.groups["a"]
 		entries := func(term, prevIndex, prevTerm uint64, data string) {
-			g.Step(r.now, "b", &schema.Append{Group: "g", Term: term, PrevIndex: prevIndex, PrevTerm: prevTerm,
-				Records: []*schema.Record{{Index: prevIndex + 1, Term: term, Data: []byte(data)}}})
+			g.Step(r.now, "b", &schema.AppendRequest{Group: "g", Term: term, PrevIndex: prevIndex, PrevTerm: prevTerm,
+				Entries: []*schema.Entry{{Index: prevIndex + 1, Term: term, Data: []byte(data)}}})
 		}
 		entries(1, 0, 0, "old")
 		_, oldMark := g.Take()
@@ -433,7 +433,7 @@
 			lost = "a"
 		}
 		r.isDown[lost] = true
-		r.images["d"] = &storage.Image{Hard: &schema.Hard{}, Checkpoint: &schema.Checkpoint{}}
+		r.images["d"] = &storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}}
 		r.start("d")
 		r.run(3 * eventloop.Second)
 		So(r.groups["d"].Term(), ShouldEqual, 0) // it never campaigns unasked
@@ -654,7 +654,7 @@
 		r.run(3 * eventloop.Second)
 		g := r.leader()
 		other := r.groups[g.others()[0]]
-		beat := &schema.Beat{Group: "g", Term: g.term, Commit: g.commit, Round: g.round, Sure: true, Heard: g.peers[other.self].round}
+		beat := &schema.Heartbeat{Group: "g", Term: g.term, Commit: g.commit, Round: g.round, CommitConfirmed: true, AckedRound: g.peers[other.self].round}
 		before := other.Fresh()
 		So(r.now-before, ShouldBeLessThan, eventloop.Second)
 		// It is delivered an hour later.
@@ -722,7 +722,7 @@
 		}
 		r.run(2 * eventloop.Second)
 		So(r.leader().Term(), ShouldEqual, term)
-		stranger := New("g", "x", &storage.Image{Hard: &schema.Hard{}, Checkpoint: &schema.Checkpoint{}}, UsualTimes, r.rng, r.now)
+		stranger := New("g", "x", &storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}}, UsualTimes, r.rng, r.now)
 		stranger.Stand(r.now)
 		effects, _ := stranger.Take()
 		So(effects.Changes, ShouldBeEmpty)
@@ -730,7 +730,7 @@
 	Convey("A founder that its leader reached before it had founded becomes a voter, and stays one", t, func() {
 		r := newRig(9, ids...)
 		// c was opened empty, by the leader's first word.
-		r.images["c"] = &storage.Image{Hard: &schema.Hard{}, Checkpoint: &schema.Checkpoint{}}
+		r.images["c"] = &storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}}
 		r.start("c")
 		r.groups["a"].Stand(r.now)
 		r.run(300 * eventloop.Milli)
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -36,9 +36,9 @@
 	g.round++
 	g.rounds[g.round] = now
 	for _, id := range g.others() {
-		g.post(id, &schema.Beat{
-			Group: g.name, Term: g.term, Commit: g.commit, CommitTerm: g.termAt(g.commit), Round: g.round, Sure: g.commit >= g.first, WallOffsetUs: g.wallOffset,
-			Heard: g.peers[id].round,
+		g.post(id, &schema.Heartbeat{
+			Group: g.name, Term: g.term, Commit: g.commit, CommitTerm: g.termAt(g.commit), Round: g.round, CommitConfirmed: g.commit >= g.first, WallOffsetUs: g.wallOffset,
+			AckedRound: g.peers[id].round,
 		})
 	}
 	g.countRounds(now)
@@ -71,10 +71,10 @@
 	}
 }
 
-func (g *Group) add(now eventloop.Micros, record *schema.Record) uint64 {
-	record.Index, record.Term, record.AtUs = g.lastIndex()+1, g.term, g.GroupTime(now)
-	g.put([]*schema.Record{record})
-	if record.Kind == schema.RecordKind_RECORD_MEMBER_SET {
+func (g *Group) add(now eventloop.Micros, record *schema.Entry) uint64 {
+	record.Index, record.Term, record.TimeUs = g.lastIndex()+1, g.term, g.GroupTime(now)
+	g.put([]*schema.Entry{record})
+	if record.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
 		g.dismiss(now)
 		g.syncPeers(now, record.Index)
 	}
@@ -93,7 +93,7 @@
 	if g.passTo != "" {
 		return 0, 0, Busy.New("%s is being handed over", g.name)
 	}
-	return g.add(now, &schema.Record{Kind: schema.RecordKind_RECORD_COMMAND, Data: data}), g.term, nil
+	return g.add(now, &schema.Entry{Kind: schema.EntryKind_ENTRY_COMMAND, Data: data}), g.term, nil
 }
 
 // Announce tells at once what is committed, rather than with the next beat or record.
@@ -122,7 +122,7 @@
 }
 
 func (g *Group) acknowledge(to string) {
-	g.post(to, &schema.AppendReply{Group: g.name, Term: g.term, Match: min(g.matched, g.stable)})
+	g.post(to, &schema.AppendResponse{Group: g.name, Term: g.term, Match: min(g.matched, g.stable)})
 }
 
 // led notes word of a term's leader and tells whether it is to be heeded.
@@ -138,12 +138,12 @@
 	return true
 }
 
-func (g *Group) onAppend(now eventloop.Micros, from string, m *schema.Append) {
+func (g *Group) onAppend(now eventloop.Micros, from string, m *schema.AppendRequest) {
 	if !g.led(now, from, m.Term) {
-		g.post(from, &schema.AppendReply{Group: g.name, Term: g.term, Rejected: true})
+		g.post(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true})
 		return
 	}
-	prev, prevTerm, records := m.PrevIndex, m.PrevTerm, m.Records
+	prev, prevTerm, records := m.PrevIndex, m.PrevTerm, m.Entries
 	// What lies under our base is committed, so it is the leader's too.
 	for prev < g.base.Index && len(records) > 0 && records[0].Index <= g.base.Index {
 		prev, prevTerm, records = records[0].Index, records[0].Term, records[1:]
@@ -154,7 +154,7 @@
 		return
 	}
 	if prev > g.lastIndex() || g.termAt(prev) != prevTerm {
-		g.post(from, &schema.AppendReply{Group: g.name, Term: g.term, Rejected: true, Hint: min(g.lastIndex(), prev-1), Prev: m.PrevIndex})
+		g.post(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true, Hint: min(g.lastIndex(), prev-1), PrevIndex: m.PrevIndex})
 		return
 	}
 	isNew := false
@@ -172,9 +172,9 @@
 	}
 }
 
-func (g *Group) onBeat(now eventloop.Micros, from string, m *schema.Beat) {
+func (g *Group) onBeat(now eventloop.Micros, from string, m *schema.Heartbeat) {
 	if !g.led(now, from, m.Term) {
-		g.post(from, &schema.AppendReply{Group: g.name, Term: g.term, Rejected: true})
+		g.post(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true})
 		return
 	}
 	// After a restart nothing is known of how far our log is the leader's, and in a
@@ -189,7 +189,7 @@
 	// A beat may have lain in a buffer for any time, ours while we were frozen, or
 	// the wire's. It is only surely younger than the reply of ours it has heard.
 	for _, each := range g.replies {
-		if m.Sure && g.applied >= m.Commit && each.round == m.Heard {
+		if m.CommitConfirmed && g.applied >= m.Commit && each.round == m.AckedRound {
 			g.caught = max(g.caught, each.at)
 		}
 	}
@@ -197,7 +197,7 @@
 	if len(g.replies) > keptReplies {
 		g.replies = g.replies[1:]
 	}
-	g.post(from, &schema.BeatReply{Group: g.name, Term: g.term, Round: m.Round, Match: min(g.matched, g.stable)})
+	g.post(from, &schema.HeartbeatResponse{Group: g.name, Term: g.term, Round: m.Round, Match: min(g.matched, g.stable)})
 }
 
 func (g *Group) commitTo(index uint64) {
@@ -225,7 +225,7 @@
 	if p.next == 1 && p.match == 0 {
 		// The first member set stands in no record: a founder that hears of its group
 		// before it has founded it itself would never know who votes.
-		g.post(id, &schema.Install{Group: g.name, Term: g.term, Checkpoint: g.base})
+		g.post(id, &schema.InstallSnapshot{Group: g.name, Term: g.term, Snapshot: g.base})
 	}
 	// Where nothing is known to match, the end of a long log lies further away
 	// than that, and a probe is a single Append anyway.
@@ -266,7 +266,7 @@
 	return p
 }
 
-func (g *Group) onAppendReply(now eventloop.Micros, from string, m *schema.AppendReply) {
+func (g *Group) onAppendReply(now eventloop.Micros, from string, m *schema.AppendResponse) {
 	p := g.heardFrom(now, from, m.Term)
 	if p == nil {
 		return
@@ -275,10 +275,10 @@
 		// Of all that were on their way only the first refusal counts: were each
 		// answered with all that follows, every one would be refused anew, and
 		// the more so the more there are.
-		isStale := m.Prev <= p.match || p.probing && m.Prev != p.next-1
+		isStale := m.PrevIndex <= p.match || p.probing && m.PrevIndex != p.next-1
 		if !isStale {
 			p.installing = false
-			g.probe(now, from, p, max(min(m.Hint+1, m.Prev), p.match+1))
+			g.probe(now, from, p, max(min(m.Hint+1, m.PrevIndex), p.match+1))
 		}
 		return
 	}
@@ -305,7 +305,7 @@
 	}
 }
 
-func (g *Group) onBeatReply(now eventloop.Micros, from string, m *schema.BeatReply) {
+func (g *Group) onBeatReply(now eventloop.Micros, from string, m *schema.HeartbeatResponse) {
 	p := g.heardFrom(now, from, m.Term)
 	if p == nil {
 		return
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -7,12 +7,12 @@
 	"sparnotch/internal/schema"
 )
 
-func (g *Group) onInstall(now eventloop.Micros, from string, m *schema.Install) {
+func (g *Group) onInstall(now eventloop.Micros, from string, m *schema.InstallSnapshot) {
 	if !g.led(now, from, m.Term) {
-		g.post(from, &schema.AppendReply{Group: g.name, Term: g.term, Rejected: true})
+		g.post(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true})
 		return
 	}
-	point := m.Checkpoint
+	point := m.Snapshot
 	if point.Index == 0 {
 		g.Found(point.MemberSet.GetVoters())
 		return
@@ -24,7 +24,7 @@
 	}
 	isKept := g.termAt(point.Index) == point.Term && point.Index <= g.lastIndex()
 	if isKept {
-		g.log = append([]*schema.Record(nil), g.log[point.Index-g.base.Index:]...)
+		g.log = append([]*schema.Entry(nil), g.log[point.Index-g.base.Index:]...)
 	} else {
 		g.log = nil
 	}
@@ -32,6 +32,6 @@
 	g.commit, g.applied = point.Index, point.Index
 	g.stable = min(g.stable, point.Index-1)
 	g.findMemberSet()
-	g.out.Changes = append(g.out.Changes, &schema.Change{Group: g.name, Checkpoint: point, Reset_: !isKept})
+	g.out.Changes = append(g.out.Changes, &schema.StoreChange{Group: g.name, Snapshot: point, ReplacesLog: !isKept})
 	g.out.Restore, g.out.Commits = point, nil
 }
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -77,7 +77,7 @@
 }
 
 // batch is the records from an index on that go into one Append, and their bytes.
-func (g *Group) batch(next uint64, window int) ([]*schema.Record, int) {
+func (g *Group) batch(next uint64, window int) ([]*schema.Entry, int) {
 	records := g.between(next-1, min(g.lastIndex(), next+maxBatch-1))
 	size := 0
 	for k, record := range records {
@@ -110,10 +110,10 @@
 	}
 }
 
-func (g *Group) sendAppend(now eventloop.Micros, id string, p *progress, records []*schema.Record, size int) {
-	body := &schema.Append{
+func (g *Group) sendAppend(now eventloop.Micros, id string, p *progress, records []*schema.Entry, size int) {
+	body := &schema.AppendRequest{
 		Group: g.name, Term: g.term, PrevIndex: p.next - 1, PrevTerm: g.termAt(p.next - 1),
-		Commit: g.commit, Records: append([]*schema.Record(nil), records...),
+		Commit: g.commit, Entries: append([]*schema.Entry(nil), records...),
 	}
 	last := records[len(records)-1].Index
 	if size > g.window(p) {
@@ -129,7 +129,7 @@
 }
 
 func (g *Group) sendInstall(now eventloop.Micros, id string, p *progress) {
-	body := &schema.Install{Group: g.name, Term: g.term, Checkpoint: g.base}
+	body := &schema.InstallSnapshot{Group: g.name, Term: g.term, Snapshot: g.base}
 	if len(g.base.Data) > g.window(p) {
 		g.begin(now, id, p, body, g.base.Index)
 		return
@@ -144,7 +144,7 @@
 		panic("raft: a message can't be encoded: " + err.Error())
 	}
 	g.transfers++
-	_, isInstall := body.(*schema.Install)
+	_, isInstall := body.(*schema.InstallSnapshot)
 	p.transfer = &transfer{number: g.transfers, payload: payload, isInstall: isInstall, last: last}
 	g.sendPart(now, id, p)
 }
@@ -153,29 +153,29 @@
 	t := p.transfer
 	t.sentAt = now
 	end := min(t.held+g.window(p), len(t.payload))
-	g.post(id, &schema.Part{
+	g.post(id, &schema.TransferChunk{
 		Group: g.name, Term: g.term, Transfer: t.number, Offset: uint64(t.held), Size: uint64(len(t.payload)),
-		Install: t.isInstall, Data: t.payload[t.held:end],
+		IsSnapshot: t.isInstall, Data: t.payload[t.held:end],
 	})
 }
 
 // onPartReply sends the next part. Only progress does: a reply that came twice
 // must not have every later part sent twice.
-func (g *Group) onPartReply(now eventloop.Micros, from string, m *schema.PartReply) {
+func (g *Group) onPartReply(now eventloop.Micros, from string, m *schema.TransferChunkResponse) {
 	p := g.heardFrom(now, from, m.Term)
 	if p == nil || p.transfer == nil || p.transfer.number != m.Transfer {
 		return
 	}
 	t := p.transfer
 	switch {
-	case m.Lost:
+	case m.Restart:
 		p.installing = false
 		g.probe(now, from, p, p.match+1)
-	case int(m.Held) > t.held && int(m.Held) <= len(t.payload):
+	case int(m.Received) > t.held && int(m.Received) <= len(t.payload):
 		if !t.isAgain {
-			g.timed(p, int(m.Held)-t.held, now-t.sentAt)
+			g.timed(p, int(m.Received)-t.held, now-t.sentAt)
 		}
-		t.held, t.sentAt, t.isAgain, p.moved = int(m.Held), now, false, now
+		t.held, t.sentAt, t.isAgain, p.moved = int(m.Received), now, false, now
 		if t.held < len(t.payload) {
 			g.sendPart(now, from, p)
 		}
@@ -205,9 +205,9 @@
 // onPart puts together what a leader sends in parts. Nothing of it counts before
 // the whole is there; what was held is lost with a restart, and then the leader
 // starts again from what is durable.
-func (g *Group) onPart(now eventloop.Micros, from string, m *schema.Part) {
+func (g *Group) onPart(now eventloop.Micros, from string, m *schema.TransferChunk) {
 	if !g.led(now, from, m.Term) {
-		g.post(from, &schema.AppendReply{Group: g.name, Term: g.term, Rejected: true})
+		g.post(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true})
 		return
 	}
 	a := &g.assembly
@@ -216,7 +216,7 @@
 	case !isOther && a.number > m.Transfer || m.Size > maxAssembly:
 		return // late
 	case isOther && m.Offset > 0:
-		g.post(from, &schema.PartReply{Group: g.name, Term: g.term, Transfer: m.Transfer, Lost: true})
+		g.post(from, &schema.TransferChunkResponse{Group: g.name, Term: g.term, Transfer: m.Transfer, Restart: true})
 		return
 	case isOther:
 		*a = assembly{from: from, term: m.Term, number: m.Transfer}
@@ -228,24 +228,24 @@
 	if a.isDone {
 		held = m.Size
 	}
-	g.post(from, &schema.PartReply{Group: g.name, Term: g.term, Transfer: m.Transfer, Held: held})
+	g.post(from, &schema.TransferChunkResponse{Group: g.name, Term: g.term, Transfer: m.Transfer, Received: held})
 	if a.isDone || held < m.Size {
 		return
 	}
 	data := a.data
 	a.data, a.isDone = nil, true
-	g.takeWhole(now, from, m.Install, data)
+	g.takeWhole(now, from, m.IsSnapshot, data)
 }
 
 func (g *Group) takeWhole(now eventloop.Micros, from string, isInstall bool, data []byte) {
 	if isInstall {
-		whole := &schema.Install{}
-		if proto.Unmarshal(data, whole) == nil && whole.Checkpoint != nil {
+		whole := &schema.InstallSnapshot{}
+		if proto.Unmarshal(data, whole) == nil && whole.Snapshot != nil {
 			g.onInstall(now, from, whole)
 		}
 		return
 	}
-	whole := &schema.Append{}
+	whole := &schema.AppendRequest{}
 	if proto.Unmarshal(data, whole) == nil {
 		g.onAppend(now, from, whole)
 	}
--- a/internal/raft/transfer_test.go
+++ b/internal/raft/transfer_test.go
@@ -323,14 +323,14 @@
 func TestALateCheckpointTakesNothingBack(t *testing.T) {
 	Convey("A checkpoint that comes late, of less than is committed, changes nothing", t, func() {
 		s, lead, far, _ := lagging(2, 100)
-		old := &schema.Install{Group: "g", Term: lead.Term(), Checkpoint: lead.base}
+		old := &schema.InstallSnapshot{Group: "g", Term: lead.Term(), Snapshot: lead.base}
 		s.runSlow(2*eventloop.Second, nil)
 		for k := range 10 {
 			s.propose(fmt.Sprint("later", k))
 		}
 		s.runSlow(eventloop.Second, nil)
 		applied, commit := len(s.applied[far]), s.groups[far].Commit()
-		So(commit, ShouldBeGreaterThan, old.Checkpoint.Index)
+		So(commit, ShouldBeGreaterThan, old.Snapshot.Index)
 		s.groups[far].Step(s.now, lead.self, old)
 		s.collect(far)
 		So(s.groups[far].Commit(), ShouldEqual, commit)
@@ -368,9 +368,9 @@
 		s.start(far)
 		other, last := s.groups[far], lead.Commit()
 		So(other.Last(), ShouldEqual, last)
-		beat := &schema.Beat{Group: "g", Term: lead.Term(), Commit: last, CommitTerm: lead.termAt(last), Round: 1, Sure: true}
+		beat := &schema.Heartbeat{Group: "g", Term: lead.Term(), Commit: last, CommitTerm: lead.termAt(last), Round: 1, CommitConfirmed: true}
 		// What lies there is a record of an earlier leader that was never committed.
-		other.log[last-1] = &schema.Record{Index: last, Term: lead.Term() - 1, Data: []byte("other")}
+		other.log[last-1] = &schema.Entry{Index: last, Term: lead.Term() - 1, Data: []byte("other")}
 		other.Step(s.now, lead.self, beat)
 		So(other.Commit(), ShouldBeLessThan, last)
 	})
--- a/internal/raft/writable.go
+++ b/internal/raft/writable.go
@@ -9,10 +9,10 @@
 func (g *Group) SetWritable(isWritable bool) { g.isReadOnly = !isWritable }
 
 // Whole is the change that makes all this replica's store is to hold.
-func (g *Group) Whole() *schema.Change {
-	return &schema.Change{
-		Group: g.name, Hard: &schema.Hard{Term: g.term, Vote: g.vote}, Checkpoint: g.base, Reset_: true,
-		Records: append([]*schema.Record(nil), g.log...),
+func (g *Group) Whole() *schema.StoreChange {
+	return &schema.StoreChange{
+		Group: g.name, HardState: &schema.HardState{Term: g.term, Vote: g.vote}, Snapshot: g.base, ReplacesLog: true,
+		Entries: append([]*schema.Entry(nil), g.log...),
 	}
 }
 
--- a/internal/raft/writable_test.go
+++ b/internal/raft/writable_test.go
@@ -90,7 +90,7 @@
 		leader.Release(leader.Applied()-1, []byte("state"))
 		r.collect(leader.self)
 		content := &storage.Content{Groups: map[string]*storage.Image{}}
-		content.Apply(&schema.Change{Group: "g", Hard: &schema.Hard{Term: 99}, Records: []*schema.Record{{Index: 1}, {Index: 2}}})
+		content.Apply(&schema.StoreChange{Group: "g", HardState: &schema.HardState{Term: 99}, Entries: []*schema.Entry{{Index: 1}, {Index: 2}}})
 		content.Apply(leader.Whole())
 		image, durable := content.Groups["g"], r.images[leader.self]
 		So(proto.Equal(image.Hard, durable.Hard), ShouldBeTrue)
--- a/internal/replica/answers_test.go
+++ b/internal/replica/answers_test.go
@@ -21,7 +21,7 @@
 		next := group.Last() + 1
 		for id := uint64(71); id <= 74; id++ {
 			sheet := queuesSheet(2, "cut off", "cut", "off")
-			command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{Sheet: sheet}}}
+			command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}}
 			c.step(old, "h", &schema.Request{Id: id, Kind: "clusterstate", Group: clusterstate.Group, Body: ClusterStateBody(command)})
 		}
 		So(group.Last(), ShouldBeGreaterThanOrEqualTo, next+3)
@@ -34,9 +34,9 @@
 		c.heard["h"] = nil
 		c.run(2 * eventloop.Second)
 		So(group.Applied(), ShouldBeGreaterThan, next+3)
-		So(c.tables[old].state.Plan.Edition, ShouldEqual, 5)
+		So(c.tables[old].state.Configuration.Version, ShouldEqual, 5)
 		for _, body := range c.heard["h"] {
-			if reply, isReply := body.(*schema.RequestReply); isReply {
+			if reply, isReply := body.(*schema.Response); isReply {
 				So(reply.Id, ShouldBeLessThan, 71)
 			}
 		}
