--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -17,20 +17,20 @@
 	term    uint64
 	from    string // process that asked; empty: this one
 	request *schema.Request
-	end     *schema.End
+	end     *schema.TaskEndReport
 }
 
-func (t *Table) apply(now eventloop.Micros, r *replica, record *schema.Record, out eventloop.Out) {
+func (t *Table) apply(now eventloop.Micros, r *replica, record *schema.Entry, out eventloop.Out) {
 	waiting, isWaited := r.waiting[record.Index]
 	delete(r.waiting, record.Index)
 	// What was asked for under another term was replaced in the log; its
 	// asker asks again.
 	isWaited = isWaited && waiting.term == record.Term
-	if record.Kind != schema.RecordKind_RECORD_COMMAND {
+	if record.Kind != schema.EntryKind_ENTRY_COMMAND {
 		return
 	}
 	if r.queue == nil {
-		result, err := t.clusterState.Apply(record.AtUs, record.Data)
+		result, err := t.clusterState.Apply(record.TimeUs, record.Data)
 		if err != nil {
 			panic(Unreadable.Wrap(err, "record of %s", r.group.Name()))
 		}
@@ -41,7 +41,7 @@
 		}
 		return
 	}
-	effects, err := r.queue.Apply(record.Index, record.AtUs, record.Data)
+	effects, err := r.queue.Apply(record.Index, record.TimeUs, record.Data)
 	if err != nil {
 		panic(Unreadable.Wrap(err, "record of %s", r.group.Name()))
 	}
@@ -54,9 +54,9 @@
 	for _, outcome := range effects.Outcomes {
 		key := outcome.Session.Gateway + "/" + r.name
 		if t.applied[key] == nil {
-			t.applied[key] = &schema.Applied{Queue: r.name, Leader: t.id}
+			t.applied[key] = &schema.SubmitResponse{Queue: r.name, Leader: t.id}
 		}
-		t.applied[key].Outcomes = append(t.applied[key].Outcomes, outcome)
+		t.applied[key].Results = append(t.applied[key].Results, outcome)
 	}
 	if len(effects.Shifts) > 0 && r.termTold == r.group.Term() {
 		out.Tell("scheduler", t.shifts(r, effects.Shifts, false, effects.Shifts[len(effects.Shifts)-1].Hand))
@@ -112,10 +112,10 @@
 	old := t.state
 	t.setState(t.clusterState.Copy())
 	for _, table := range []string{"gateway", "scheduler"} {
-		out.Tell(table, &schema.ClusterStateTell{State: t.state, Version: t.state.Version})
+		out.Tell(table, &schema.ClusterStateResponse{State: t.state, Version: t.state.Version})
 	}
 	out.Tell("membership", membership.ClusterState{Version: t.state.Version})
-	if old.Plan != t.state.Plan {
+	if old.Configuration != t.state.Configuration {
 		for _, r := range t.groups {
 			// Urgency may have changed with the plan. Nothing else in the cluster state is
 			// told with the list, which is long while much waits.
@@ -133,21 +133,21 @@
 	}
 	// Workers whose ward went elsewhere are served again as soon as their agents
 	// have heard.
-	if t.roll != nil && areMoved(old.Wards, t.state.Wards) {
+	if t.roll != nil && areMoved(old.WorkerLeases, t.state.WorkerLeases) {
 		for _, id := range slices.Sorted(maps.Keys(t.roll.Known)) {
 			if t.roll.Known[id].Member.Role == schema.Role_ROLE_CONTROLLER && t.roll.Live(id, now, liveSpan) {
-				t.tellClusterState(now, id, &schema.ClusterStateAsk{Version: old.Version}, out)
+				t.tellClusterState(now, id, &schema.ClusterStateRequest{Version: old.Version}, out)
 			}
 		}
 		return
 	}
-	if controller := t.state.Controller.GetId(); controller != "" && old.Plan != t.state.Plan {
-		t.tellClusterState(now, controller, &schema.ClusterStateAsk{Version: old.Version}, out)
+	if controller := t.state.ControllerLease.GetHolder(); controller != "" && old.Configuration != t.state.Configuration {
+		t.tellClusterState(now, controller, &schema.ClusterStateRequest{Version: old.Version}, out)
 	}
 }
 
 // areMoved tells whether a ward that was there is with another scheduler now.
-func areMoved(old, list []*schema.Ward) bool {
+func areMoved(old, list []*schema.WorkerLease) bool {
 	schedulers := map[string]string{}
 	for _, ward := range old {
 		schedulers[ward.Worker] = ward.Scheduler
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -17,13 +17,13 @@
 	Convey("Fifty queues led by one store", b, func() {
 		c := newCore()
 		var queues []string
-		places := &schema.PlaceQueues{Lease: c.lease()}
+		places := &schema.PlaceQueues{FencingToken: c.lease()}
 		for k := 0; k < 50; k++ {
 			queues = append(queues, fmt.Sprintf("l%02d", k))
-			places.Queues = append(places.Queues, &schema.QueuePlace{Queue: queues[k], Founders: stores, Leader: "a"})
+			places.Queues = append(places.Queues, &schema.QueuePlacement{Queue: queues[k], InitialVoters: stores, PreferredLeader: "a"})
 		}
 		So(c.put(queuesSheet(1, "", queues...)).Code, ShouldEqual, 200)
-		So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Queues{Queues: places}}).Code, ShouldEqual, 200)
+		So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: places}}).Code, ShouldEqual, 200)
 		c.run(eventloop.Second)
 		So(c.leader("l49"), ShouldEqual, "a")
 		for name, body := range map[string]any{"mail": &membership.Roll{}, "tick": eventloop.Tick{}} {
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -14,11 +14,11 @@
 
 func (t *Table) keepSelf(now eventloop.Micros, m membership.KeepSelf) {
 	// We may have been counted in since the book made up its account.
-	if t.self.Belongs && !m.Self.Belongs {
-		m.Self.Belongs = true
+	if t.self.Joined && !m.Self.Joined {
+		m.Self.Joined = true
 	}
 	t.self = m.Self
-	t.next.changes = append(t.next.changes, &schema.Change{Self: m.Self})
+	t.next.changes = append(t.next.changes, &schema.StoreChange{Identity: m.Self})
 	t.next.selfs = append(t.next.selfs, m.Self)
 	if len(m.Found) > 0 && t.groups[clusterstate.Group] == nil {
 		t.found(now, clusterstate.Group, m.Found)
@@ -31,37 +31,37 @@
 	if name != clusterstate.Group && (QueueOf(name) == "" || t.isEnded(name)) {
 		return nil
 	}
-	r := t.open(now, name, &storage.Image{Hard: &schema.Hard{}, Checkpoint: &schema.Checkpoint{}})
-	if !t.self.Belongs {
+	r := t.open(now, name, &storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}})
+	if !t.self.Joined {
 		// Counted in, so this store may found nothing any more.
-		self := proto.Clone(t.self).(*schema.Self)
-		self.Belongs = true
+		self := proto.Clone(t.self).(*schema.StoreIdentity)
+		self.Joined = true
 		t.self = self
-		t.next.changes = append(t.next.changes, &schema.Change{Self: self})
+		t.next.changes = append(t.next.changes, &schema.StoreChange{Identity: self})
 		t.next.selfs = append(t.next.selfs, self)
 	}
 	return r
 }
 
 func (t *Table) found(now eventloop.Micros, name string, voters []string) {
-	image := &storage.Image{Hard: &schema.Hard{}, Checkpoint: &schema.Checkpoint{MemberSet: &schema.MemberSet{Voters: voters}}}
-	t.next.changes = append(t.next.changes, &schema.Change{Group: name, Checkpoint: image.Checkpoint})
+	image := &storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: voters}}}
+	t.next.changes = append(t.next.changes, &schema.StoreChange{Group: name, Snapshot: image.Checkpoint})
 	t.open(now, name, image)
 }
 
 // foundQueue makes the replica of a queue that this store is a founder of; who is
 // to keep the queue stands at once.
-func (t *Table) foundQueue(now eventloop.Micros, place *schema.QueuePlace) {
+func (t *Table) foundQueue(now eventloop.Micros, place *schema.QueuePlacement) {
 	name := GroupOf(place)
 	if r := t.groups[name]; r != nil {
 		// Its leader was faster than our copy of the cluster state.
 		if r.group.Base() == 0 {
-			r.group.Found(place.Founders)
+			r.group.Found(place.InitialVoters)
 		}
 		return
 	}
-	t.found(now, name, place.Founders)
-	if place.Leader == t.id && !t.isWarned {
+	t.found(now, name, place.InitialVoters)
+	if place.PreferredLeader == t.id && !t.isWarned {
 		t.groups[name].group.Stand(now)
 	}
 }
--- a/internal/replica/changes_test.go
+++ b/internal/replica/changes_test.go
@@ -50,7 +50,7 @@
 func (m *memory) Sync(string) error { return nil }
 
 // largeSheet is a configuration of 256 KB that can hardly be packed.
-func largeSheet(edition uint64) *schema.Sheet {
+func largeSheet(edition uint64) *schema.ConfigurationUpdate {
 	rng := rand.New(rand.NewPCG(edition, 1))
 	sheet := queuesSheet(edition, "", "l")
 	var document strings.Builder
@@ -58,7 +58,7 @@
 		name := fmt.Sprintf("%x%x", rng.Uint64(), rng.Uint64())
 		document.WriteString(name)
 		if len(sheet.Rows) < 2000 {
-			sheet.Rows = append(sheet.Rows, &schema.Row{Kind: "rack", Name: name, Key: "weight", Value: "50"})
+			sheet.Rows = append(sheet.Rows, &schema.ConfigurationRow{Kind: "rack", Name: name, Key: "weight", Value: "50"})
 		}
 	}
 	sheet.Document = []byte(document.String()[:256<<10])
@@ -66,12 +66,12 @@
 }
 
 // putLarge puts a sheet that takes its time.
-func (c *core) putLarge(sheet *schema.Sheet) int32 {
+func (c *core) putLarge(sheet *schema.ConfigurationUpdate) int32 {
 	reply := c.put(sheet)
 	for k := 0; reply == nil && k < 100; k++ {
 		c.run(10 * eventloop.Milli)
 		for _, each := range c.heard["h"] {
-			reply, _ = each.(*schema.RequestReply)
+			reply, _ = each.(*schema.Response)
 		}
 	}
 	return reply.GetCode()
@@ -89,7 +89,7 @@
 				So(store.Commit(batch.Changes), ShouldBeNil)
 			}
 		}
-		So(store.Commit([]*schema.Change{{Self: &schema.Self{Id: "a"}}, {Group: clusterstate.Group, Checkpoint: &schema.Checkpoint{MemberSet: &schema.MemberSet{Voters: stores}}}}), ShouldBeNil)
+		So(store.Commit([]*schema.StoreChange{{Identity: &schema.StoreIdentity{Id: "a"}}, {Group: clusterstate.Group, Snapshot: &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: stores}}}}), ShouldBeNil)
 		const count = 24
 		most := 0
 		for edition := uint64(1); edition <= count; edition++ {
@@ -110,7 +110,7 @@
 			table := New("a", again.Content(), func() int64 { return 0 }, raft.UsualTimes, 1, c.now)
 			image := again.Content().Groups[clusterstate.Group]
 			So(image.Checkpoint.Index, ShouldEqual, r.group.Base())
-			So(table.state.Plan.Generation, ShouldBeGreaterThan, count-20)
+			So(table.state.Configuration.Revision, ShouldBeGreaterThan, count-20)
 			So(table.isClusterStateFresh(c.now), ShouldBeFalse)
 		})
 	})
@@ -138,7 +138,7 @@
 		until := c.now + 2*eventloop.Second
 		c.isLost = func(to string, body any) bool {
 			switch body.(type) {
-			case *schema.Part, *schema.Append, *schema.Install:
+			case *schema.TransferChunk, *schema.AppendRequest, *schema.InstallSnapshot:
 				return to == lagging && c.now < until
 			}
 			return false
@@ -146,10 +146,10 @@
 		isCaught := false
 		for k := 0; k < 3000 && !isCaught; k++ {
 			c.heard["f"], c.heard[lagging+"/placer"] = nil, nil
-			c.step(lagging, "f", &schema.ClusterStateAsk{})
+			c.step(lagging, "f", &schema.ClusterStateRequest{})
 			c.run(2 * eventloop.Milli)
 			for _, each := range c.heard["f"] {
-				if tell, isTell := each.(*schema.ClusterStateTell); isTell {
+				if tell, isTell := each.(*schema.ClusterStateResponse); isTell {
 					isCaught = true
 					So(c.now, ShouldBeGreaterThanOrEqualTo, until)
 					So(tell.Version, ShouldEqual, c.tables[c.leader("")].state.Version)
@@ -157,12 +157,12 @@
 			}
 			for _, each := range c.heard[lagging+"/placer"] {
 				if fresh, isFresh := each.(Fresh); isFresh && fresh.ClusterState {
-					So(table.state.Plan.Generation, ShouldEqual, acknowledged)
+					So(table.state.Configuration.Revision, ShouldEqual, acknowledged)
 				}
 			}
 		}
 		So(isCaught, ShouldBeTrue)
-		So(table.state.Plan.Generation, ShouldEqual, acknowledged)
+		So(table.state.Configuration.Revision, ShouldEqual, acknowledged)
 	})
 }
 
@@ -174,13 +174,13 @@
 		ask := func(span eventloop.Micros) (withRows, all int) {
 			c.heard["f"] = nil
 			for end := c.now + span; c.now < end; {
-				c.step("a", "f", &schema.ClusterStateAsk{})
+				c.step("a", "f", &schema.ClusterStateRequest{})
 				c.run(20 * eventloop.Milli)
 			}
 			for _, each := range c.heard["f"] {
-				if tell, isTell := each.(*schema.ClusterStateTell); isTell {
+				if tell, isTell := each.(*schema.ClusterStateResponse); isTell {
 					all++
-					if len(tell.State.GetPlan().GetPackedRows()) > 0 {
+					if len(tell.State.GetConfiguration().GetPackedRows()) > 0 {
 						withRows++
 					}
 				}
--- a/internal/replica/durable.go
+++ b/internal/replica/durable.go
@@ -13,16 +13,16 @@
 )
 
 type pending struct {
-	changes []*schema.Change
+	changes []*schema.StoreChange
 	posts   []raft.Post
 	marks   map[string]raft.Mark
-	selfs   []*schema.Self
+	selfs   []*schema.StoreIdentity
 
 	bytes, wholeBytes int // of the changes: now, and when they last were whole states
 }
 
-func (t *Table) beats(now eventloop.Micros, from string, m *schema.Beats) {
-	for _, beat := range m.Beats {
+func (t *Table) beats(now eventloop.Micros, from string, m *schema.HeartbeatBatch) {
+	for _, beat := range m.Heartbeats {
 		r := t.groups[beat.GetGroup()]
 		if r == nil {
 			// The Append that was to count us in may have been lost, and its leader
@@ -33,7 +33,7 @@
 			r.group.Step(now, from, beat)
 		}
 	}
-	for _, reply := range m.Replies {
+	for _, reply := range m.Responses {
 		if r := t.groups[reply.GetGroup()]; r != nil {
 			r.group.Step(now, from, reply)
 		}
@@ -42,7 +42,7 @@
 
 // flush carries out what the groups have left, until nothing is left.
 func (t *Table) flush(now eventloop.Micros, out eventloop.Out) {
-	beats := map[string]*schema.Beats{}
+	beats := map[string]*schema.HeartbeatBatch{}
 	for isMore := true; isMore; {
 		isMore = false
 		for _, name := range t.names() {
@@ -87,25 +87,25 @@
 	t.write(now, out)
 }
 
-func (t *Table) post(post raft.Post, beats map[string]*schema.Beats, out eventloop.Out) {
+func (t *Table) post(post raft.Post, beats map[string]*schema.HeartbeatBatch, out eventloop.Out) {
 	if beats[post.To] == nil {
-		beats[post.To] = &schema.Beats{}
+		beats[post.To] = &schema.HeartbeatBatch{}
 	}
 	switch body := post.Body.(type) {
-	case *schema.Beat:
-		beats[post.To].Beats = append(beats[post.To].Beats, body)
-	case *schema.BeatReply:
+	case *schema.Heartbeat:
+		beats[post.To].Heartbeats = append(beats[post.To].Heartbeats, body)
+	case *schema.HeartbeatResponse:
 		body.WallUs = t.wall()
-		beats[post.To].Replies = append(beats[post.To].Replies, body)
+		beats[post.To].Responses = append(beats[post.To].Responses, body)
 	default:
 		out.Send(post.To, body)
 	}
 }
 
-func (t *Table) sendBeats(beats map[string]*schema.Beats, out eventloop.Out) {
+func (t *Table) sendBeats(beats map[string]*schema.HeartbeatBatch, out eventloop.Out) {
 	ids := slices.Sorted(maps.Keys(beats))
 	for _, id := range ids {
-		if len(beats[id].Beats)+len(beats[id].Replies) > 0 {
+		if len(beats[id].Heartbeats)+len(beats[id].Responses) > 0 {
 			out.Send(id, beats[id])
 		}
 	}
@@ -116,7 +116,7 @@
 	for _, id := range ids {
 		applied := t.applied[id]
 		delete(t.applied, id)
-		out.Send(applied.Outcomes[0].Session.Gateway, applied)
+		out.Send(applied.Results[0].Session.Gateway, applied)
 	}
 }
 
@@ -146,7 +146,7 @@
 	batch := t.writing
 	t.writing = nil
 	t.accepted()
-	beats := map[string]*schema.Beats{}
+	beats := map[string]*schema.HeartbeatBatch{}
 	for _, post := range batch.posts {
 		t.post(post, beats, out)
 	}
--- a/internal/replica/fresh_test.go
+++ b/internal/replica/fresh_test.go
@@ -16,7 +16,7 @@
 		// The last word of a store to its scheduler, and what it answers who asks.
 		look := func(id string) (isFresh, isTold bool) {
 			c.heard["h"] = nil
-			c.step(id, "h", &schema.ClusterStateAsk{})
+			c.step(id, "h", &schema.ClusterStateRequest{})
 			c.run(200 * eventloop.Milli)
 			for _, each := range c.heard[id+"/scheduler"] {
 				if fresh, isIt := each.(Fresh); isIt {
@@ -24,7 +24,7 @@
 				}
 			}
 			for _, each := range c.heard["h"] {
-				if _, isIt := each.(*schema.ClusterStateTell); isIt {
+				if _, isIt := each.(*schema.ClusterStateResponse); isIt {
 					isTold = true
 				}
 			}
--- a/internal/replica/leadership.go
+++ b/internal/replica/leadership.go
@@ -25,7 +25,7 @@
 // urged: somebody hands a group to us. Who is leaving takes none; who takes one
 // doesn't hand it back at once, though its copy of the cluster state or the book may
 // still speak for the one it came from.
-func (t *Table) urged(now eventloop.Micros, from string, m *schema.Urge) {
+func (t *Table) urged(now eventloop.Micros, from string, m *schema.TimeoutNow) {
 	if t.isWarned || t.refuses() {
 		return
 	}
@@ -67,13 +67,13 @@
 	if r.queue == nil {
 		return ""
 	}
-	return clusterstate.Place(t.state, r.name).GetLeader()
+	return clusterstate.Place(t.state, r.name).GetPreferredLeader()
 }
 
 // isFit tells whether a voter is near enough to take a group over.
 func (t *Table) isFit(now eventloop.Micros, r *replica, id string) bool {
 	match, heard := r.group.Match(id)
-	isKnown := t.roll != nil && t.roll.Live(id, now, liveSpan) && !t.roll.Known[id].Member.Leaving
+	isKnown := t.roll != nil && t.roll.Live(id, now, liveSpan) && !t.roll.Known[id].Member.Draining
 	return isKnown && heard > 0 && now-heard < 500*eventloop.Milli && r.group.Last()-match < 256
 }
 
--- a/internal/replica/list_test.go
+++ b/internal/replica/list_test.go
@@ -24,14 +24,14 @@
 		}
 		So(c.put(queuesSheet(1, "", "l")).Code, ShouldEqual, 200)
 		lease := c.lease()
-		queues := &schema.PlaceQueues{Lease: lease, Queues: []*schema.QueuePlace{{Queue: "l", Founders: stores, Leader: "a"}}}
-		So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Queues{Queues: queues}}).Code, ShouldEqual, 200)
+		queues := &schema.PlaceQueues{FencingToken: lease, Queues: []*schema.QueuePlacement{{Queue: "l", InitialVoters: stores, PreferredLeader: "a"}}}
+		So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: queues}}).Code, ShouldEqual, 200)
 		c.run(eventloop.Second)
 		So(c.leader("l"), ShouldEqual, "a")
 		before := whole()
 		So(before, ShouldBeGreaterThan, 0)
-		wards := &schema.MoveWards{Lease: lease, Wards: []*schema.Ward{{Worker: "w", Scheduler: "a"}}}
-		So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Wards{Wards: wards}}).Code, ShouldEqual, 200)
+		wards := &schema.AssignWorkers{FencingToken: lease, WorkerLeases: []*schema.WorkerLease{{Worker: "w", Scheduler: "a"}}}
+		So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_AssignWorkers{AssignWorkers: wards}}).Code, ShouldEqual, 200)
 		c.run(eventloop.Second)
 		So(whole(), ShouldEqual, before)
 		So(c.put(queuesSheet(2, "", "l")).Code, ShouldEqual, 200)
@@ -53,12 +53,12 @@
 		c.step(lead, "", roll)
 		for id, isTold := range map[string]bool{"h": true, "s": false, "f": true, "unknown": true} {
 			c.heard[id] = nil
-			c.step(lead, id, &schema.ClusterStateAsk{})
+			c.step(lead, id, &schema.ClusterStateRequest{})
 			c.run(20 * eventloop.Milli)
 			So(c.heard[id], ShouldHaveLength, 1)
-			tell := c.heard[id][0].(*schema.ClusterStateTell)
+			tell := c.heard[id][0].(*schema.ClusterStateResponse)
 			So(tell.Leaders[clusterstate.Group], ShouldEqual, lead)
-			So(len(tell.Waits) > 0, ShouldEqual, isTold)
+			So(len(tell.QueueStatuses) > 0, ShouldEqual, isTold)
 		}
 	})
 }
--- a/internal/replica/maintenance.go
+++ b/internal/replica/maintenance.go
@@ -28,9 +28,9 @@
 			hasChanged = r.hasNewMembers() || hasChanged
 		}
 	}
-	if active := t.state.Controller.GetId(); hasChanged && active != "" {
+	if active := t.state.ControllerLease.GetHolder(); hasChanged && active != "" {
 		// Each step of a repair waits for this word; asked for it would come later.
-		t.tellClusterState(now, active, &schema.ClusterStateAsk{Version: t.state.Version}, out)
+		t.tellClusterState(now, active, &schema.ClusterStateRequest{Version: t.state.Version}, out)
 	}
 	if hasAsked {
 		// Two machines with the same patience shouldn't call at once again.
@@ -89,13 +89,13 @@
 		}
 	}
 	if wanted := t.adopt; !proto.Equal(wanted, m.Adopted()) && r.adoptIdx <= g.Applied() {
-		r.adoptIdx = t.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Adopt{Adopt: wanted}})
+		r.adoptIdx = t.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_ApplySettings{ApplySettings: wanted}})
 	}
 	// One old job must not pin the log for ever: it enters it anew.
 	limit := uint64(t.values.Fleet("carry_records"))
 	if g.Last()-g.Base() > limit && r.carryIdx <= g.Applied() {
 		if id, index, payload := m.Oldest(); id != 0 && g.Last()-index > limit/2 {
-			r.carryIdx = t.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Carry{Carry: &schema.Carry{Job: id, Payload: payload}}})
+			r.carryIdx = t.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Reenqueue{Reenqueue: &schema.Reenqueue{Job: id, Payload: payload}}})
 		}
 	}
 }
@@ -110,7 +110,7 @@
 // checkpoint that a replica which lacks them would be sent instead; so what is
 // written is at most twice what is logged, and a replica that takes in faster than
 // that is written catches up.
-func (t *Table) releaseClusterState(r *replica, record *schema.Record) {
+func (t *Table) releaseClusterState(r *replica, record *schema.Entry) {
 	g := r.group
 	r.logBytes += len(record.Data)
 	if record.Index-g.Base() <= stateLogRecords && r.logBytes <= max(stateLogBytes, g.BaseBytes()) {
@@ -129,7 +129,7 @@
 	for _, place := range t.state.Queues {
 		name := GroupOf(place)
 		wanted[name] = true
-		if slices.Contains(place.Founders, t.id) {
+		if slices.Contains(place.InitialVoters, t.id) {
 			t.foundQueue(now, place)
 		}
 	}
@@ -139,7 +139,7 @@
 		if !wanted[name] && t.groups[name].queue != nil && t.isOver(name) {
 			delete(t.groups, name)
 			t.listed = nil
-			t.next.changes = append(t.next.changes, &schema.Change{Group: name, Drop: true})
+			t.next.changes = append(t.next.changes, &schema.StoreChange{Group: name, Removed: true})
 			delete(t.next.marks, name)
 			out.Tell("scheduler", Lost{Queue: QueueOf(name)})
 		}
@@ -150,5 +150,5 @@
 // cluster state has already given out, and which it doesn't list, has been ended.
 func (t *Table) isOver(group string) bool {
 	generation, err := strconv.ParseUint(group[len(QueueOf(group))+1:], 10, 64)
-	return err == nil && generation < t.state.Next
+	return err == nil && generation < t.state.NextToken
 }
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -16,27 +16,27 @@
 // heardSpan is how long ago whoever is counted on may have answered last.
 const heardSpan = 500 * eventloop.Milli
 
-func (t *Table) reroster(now eventloop.Micros, m *schema.Reroster) {
+func (t *Table) reroster(now eventloop.Micros, m *schema.ChangeMembers) {
 	r := t.groups[m.Group]
 	// An old copy of the cluster state knows nothing of a lease that has gone to another.
-	if r == nil || !r.group.IsLeader() || !t.isClusterStateFresh(now) || !t.clusterState.IsController(m.Lease) {
+	if r == nil || !r.group.IsLeader() || !t.isClusterStateFresh(now) || !t.clusterState.IsController(m.FencingToken) {
 		return
 	}
 	memberSet := proto.Clone(r.group.MemberSet()).(*schema.MemberSet)
 	switch {
-	case m.Learn != "" && !slices.Contains(memberSet.Voters, m.Learn) && !slices.Contains(memberSet.Learners, m.Learn):
-		memberSet.Learners = append(memberSet.Learners, m.Learn)
+	case m.AddLearner != "" && !slices.Contains(memberSet.Voters, m.AddLearner) && !slices.Contains(memberSet.Learners, m.AddLearner):
+		memberSet.Learners = append(memberSet.Learners, m.AddLearner)
 	case m.Promote != "" && slices.Contains(memberSet.Learners, m.Promote):
 		if !mayVote(now, r.group, m.Promote) {
 			return
 		}
 		memberSet.Learners = without(memberSet.Learners, m.Promote)
 		memberSet.Voters = append(memberSet.Voters, m.Promote)
-	case m.Drop == t.id:
+	case m.Remove == t.id:
 		// Who leads hands that over first, so that the group isn't left without.
 		return
-	case m.Drop != "" && (slices.Contains(memberSet.Voters, m.Drop) || slices.Contains(memberSet.Learners, m.Drop)):
-		memberSet.Voters, memberSet.Learners = without(memberSet.Voters, m.Drop), without(memberSet.Learners, m.Drop)
+	case m.Remove != "" && (slices.Contains(memberSet.Voters, m.Remove) || slices.Contains(memberSet.Learners, m.Remove)):
+		memberSet.Voters, memberSet.Learners = without(memberSet.Voters, m.Remove), without(memberSet.Learners, m.Remove)
 		if len(memberSet.Voters) == 0 {
 			return
 		}
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -11,7 +11,7 @@
 // Batch goes to the storage; Written comes back when it lasts.
 type Batch struct {
 	Number  uint64
-	Changes []*schema.Change
+	Changes []*schema.StoreChange
 }
 
 // Written says that the batch with this number is durable.
@@ -52,7 +52,7 @@
 }
 
 // Ended is a worker's report for the queue's leader; Noted answers it.
-type Ended struct{ End *schema.End }
+type Ended struct{ End *schema.TaskEndReport }
 
 // Warned says that this process is to leave.
 type Warned struct{}
--- a/internal/replica/plan_test.go
+++ b/internal/replica/plan_test.go
@@ -84,11 +84,11 @@
 		return c.day + int64(c.now)
 	}
 	for k, id := range stores {
-		content := &storage.Content{Self: &schema.Self{Id: id}, Groups: map[string]*storage.Image{}}
+		content := &storage.Content{Self: &schema.StoreIdentity{Id: id}, Groups: map[string]*storage.Image{}}
 		c.tables[id] = New(id, content, wall, raft.UsualTimes, uint64(k+1), c.now)
 	}
 	for _, id := range stores {
-		c.step(id, "", membership.KeepSelf{Self: &schema.Self{Id: id, Belongs: true}, Found: stores})
+		c.step(id, "", membership.KeepSelf{Self: &schema.StoreIdentity{Id: id, Joined: true}, Found: stores})
 	}
 	c.run(4 * eventloop.Second)
 	return c
@@ -141,7 +141,7 @@
 }
 
 // ask has the cluster state's leader do a request, and gives what it says.
-func (c *core) ask(kind string, command *schema.ClusterStateCommand) *schema.RequestReply {
+func (c *core) ask(kind string, command *schema.ClusterStateCommand) *schema.Response {
 	request := &schema.Request{Id: 1, Kind: kind, Group: clusterstate.Group}
 	if command != nil {
 		request.Body = ClusterStateBody(command)
@@ -150,21 +150,21 @@
 	c.step(c.leader(""), "h", request)
 	c.run(20 * eventloop.Milli)
 	for _, each := range c.heard["h"] {
-		if reply, isReply := each.(*schema.RequestReply); isReply {
+		if reply, isReply := each.(*schema.Response); isReply {
 			return reply
 		}
 	}
 	return nil
 }
 
-func (c *core) put(sheet *schema.Sheet) *schema.RequestReply {
-	return c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{Sheet: sheet}}})
+func (c *core) put(sheet *schema.ConfigurationUpdate) *schema.Response {
+	return c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})
 }
 
-func queuesSheet(edition uint64, document string, queues ...string) *schema.Sheet {
-	sheet := &schema.Sheet{Edition: edition, BaseEdition: edition - 1, Document: []byte(document)}
+func queuesSheet(edition uint64, document string, queues ...string) *schema.ConfigurationUpdate {
+	sheet := &schema.ConfigurationUpdate{Version: edition, BaseVersion: edition - 1, Document: []byte(document)}
 	for _, queue := range queues {
-		sheet.Rows = append(sheet.Rows, &schema.Row{Kind: "queue", Name: queue, Key: "urgency", Value: "1"})
+		sheet.Rows = append(sheet.Rows, &schema.ConfigurationRow{Kind: "queue", Name: queue, Key: "urgency", Value: "1"})
 	}
 	return sheet
 }
@@ -174,15 +174,15 @@
 		c := newCore()
 		So(c.leader(""), ShouldNotEqual, "")
 		So(c.put(queuesSheet(1, "", "l", "m", "n")).Code, ShouldEqual, 200)
-		reply := c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Claim{Claim: &schema.Claim{Id: "h"}}})
+		reply := c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: "h"}}})
 		var claimed struct{ Lease uint64 }
 		So(json.Unmarshal(reply.Body, &claimed), ShouldBeNil)
-		place := &schema.PlaceQueues{Lease: claimed.Lease}
+		place := &schema.PlaceQueues{FencingToken: claimed.Lease}
 		for k, queue := range []string{"l", "m", "n"} {
-			place.Queues = append(place.Queues, &schema.QueuePlace{Queue: queue, Founders: stores, Leader: stores[k]})
+			place.Queues = append(place.Queues, &schema.QueuePlacement{Queue: queue, InitialVoters: stores, PreferredLeader: stores[k]})
 		}
 		began := c.now
-		So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Queues{Queues: place}}).Code, ShouldEqual, 200)
+		So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: place}}).Code, ShouldEqual, 200)
 		for k, queue := range []string{"l", "m", "n"} {
 			for c.leader(queue) == "" && c.now < began+eventloop.Second {
 				c.run(eventloop.Milli)
@@ -202,11 +202,11 @@
 	})
 	Convey("A founder that its leader reached before the cluster state did is a voter in the end", t, func() {
 		c := newCore()
-		place := &schema.QueuePlace{Queue: "l", Generation: 1, Founders: stores, Leader: "a"}
-		c.step("b", "a", &schema.Append{Group: "l#1", Term: 1, Records: []*schema.Record{{Index: 1, Term: 1, Kind: schema.RecordKind_RECORD_FIRST}}})
+		place := &schema.QueuePlacement{Queue: "l", Generation: 1, InitialVoters: stores, PreferredLeader: "a"}
+		c.step("b", "a", &schema.AppendRequest{Group: "l#1", Term: 1, Entries: []*schema.Entry{{Index: 1, Term: 1, Kind: schema.EntryKind_ENTRY_NO_OP}}})
 		table := c.tables["b"]
 		So(table.groups["l#1"].group.MemberSet().Voters, ShouldBeEmpty)
-		table.state.Queues = []*schema.QueuePlace{place}
+		table.state.Queues = []*schema.QueuePlacement{place}
 		c.step("b", "", eventloop.Tick{})
 		So(table.groups["l#1"].group.MemberSet().Voters, ShouldResemble, stores)
 		So(table.groups["l#1"].group.Last(), ShouldEqual, 1)
@@ -219,13 +219,13 @@
 		reply := c.put(queuesSheet(1, "the document", "l"))
 		So(reply.Code, ShouldEqual, 200)
 		So(c.put(queuesSheet(2, "another", "l")).Code, ShouldEqual, 200)
-		plan := &schema.Plan{}
+		plan := &schema.Configuration{}
 		So(protojson.Unmarshal(c.ask("plan", nil).Body, plan), ShouldBeNil)
 		So(string(plan.Document), ShouldEqual, "another")
-		So(plan.Edition, ShouldEqual, 2)
+		So(plan.Version, ShouldEqual, 2)
 		c.run(300 * eventloop.Milli)
 		for _, id := range stores {
-			c.step(id, "f", &schema.ClusterStateAsk{})
+			c.step(id, "f", &schema.ClusterStateRequest{})
 		}
 		c.run(10 * eventloop.Milli)
 		tells := append([]any{}, c.heard["f"]...)
@@ -234,11 +234,11 @@
 		}
 		count := 0
 		for _, each := range tells {
-			if tell, isTell := each.(*schema.ClusterStateTell); isTell && tell.State.GetPlan().GetGeneration() > 0 {
+			if tell, isTell := each.(*schema.ClusterStateResponse); isTell && tell.State.GetConfiguration().GetRevision() > 0 {
 				count++
-				So(tell.State.Plan.Document, ShouldBeEmpty)
-				So(tell.State.History, ShouldBeEmpty)
-				So(tell.State.Plan.Rows, ShouldNotBeEmpty)
+				So(tell.State.Configuration.Document, ShouldBeEmpty)
+				So(tell.State.PreviousConfigurations, ShouldBeEmpty)
+				So(tell.State.Configuration.Rows, ShouldNotBeEmpty)
 			}
 		}
 		So(count, ShouldBeGreaterThanOrEqualTo, 6)
@@ -250,11 +250,11 @@
 	})
 	Convey("The controller hears of a new plan at once", t, func() {
 		c := newCore()
-		c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Claim{Claim: &schema.Claim{Id: "h"}}})
+		c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: "h"}}})
 		So(c.put(queuesSheet(1, "", "l")).Code, ShouldEqual, 200)
 		isTold := slices.ContainsFunc(c.heard["h"], func(body any) bool {
-			tell, isTell := body.(*schema.ClusterStateTell)
-			return isTell && tell.State.GetPlan().GetEdition() == 1 && len(tell.Waits) > 0
+			tell, isTell := body.(*schema.ClusterStateResponse)
+			return isTell && tell.State.GetConfiguration().GetVersion() == 1 && len(tell.QueueStatuses) > 0
 		})
 		So(isTold, ShouldBeTrue)
 	})
--- a/internal/replica/refusal.go
+++ b/internal/replica/refusal.go
@@ -134,10 +134,10 @@
 // condense replaces the changes that wait by fewer with the same outcome.
 func (t *Table) condense() {
 	groups := map[string]bool{}
-	var list []*schema.Change
+	var list []*schema.StoreChange
 	for _, change := range t.next.changes {
-		if change.Self != nil {
-			list = []*schema.Change{{Self: change.Self}}
+		if change.Identity != nil {
+			list = []*schema.StoreChange{{Identity: change.Identity}}
 		}
 		if change.Group != "" {
 			groups[change.Group] = true
@@ -147,7 +147,7 @@
 		if r := t.groups[name]; r != nil {
 			list = append(list, r.group.Whole())
 		} else {
-			list = append(list, &schema.Change{Group: name, Drop: true})
+			list = append(list, &schema.StoreChange{Group: name, Removed: true})
 		}
 	}
 	t.next.changes = list
@@ -157,12 +157,12 @@
 
 // bytesOf is how much records and checkpoints hold, each counted a little more
 // than its data.
-func bytesOf(changes []*schema.Change) int {
+func bytesOf(changes []*schema.StoreChange) int {
 	const overhead = 64
 	size := 0
 	for _, change := range changes {
-		size += overhead + len(change.Checkpoint.GetData())
-		for _, record := range change.Records {
+		size += overhead + len(change.Snapshot.GetData())
+		for _, record := range change.Entries {
 			size += overhead + len(record.Data)
 		}
 	}
--- a/internal/replica/refusal_test.go
+++ b/internal/replica/refusal_test.go
@@ -19,7 +19,7 @@
 func (c *core) tellAll() {
 	roll := &membership.Roll{Known: map[string]membership.Known{}}
 	for _, id := range stores {
-		member := &schema.Member{Id: id, Stores: true}
+		member := &schema.Member{Id: id, HasStorage: true}
 		if c.tables[id].refuses() {
 			member.LatencyUs = int64(membership.RefusedLatency)
 		}
@@ -52,8 +52,8 @@
 func newLedCore() *core {
 	c := newCore()
 	So(c.put(queuesSheet(1, "", "q")).Code, ShouldEqual, 200)
-	queues := &schema.PlaceQueues{Lease: c.lease(), Queues: []*schema.QueuePlace{{Queue: "q", Founders: stores, Leader: "a"}}}
-	So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Queues{Queues: queues}}).Code, ShouldEqual, 200)
+	queues := &schema.PlaceQueues{FencingToken: c.lease(), Queues: []*schema.QueuePlacement{{Queue: "q", InitialVoters: stores, PreferredLeader: "a"}}}
+	So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: queues}}).Code, ShouldEqual, 200)
 	c.runTold(eventloop.Second)
 	So(c.leader("q"), ShouldEqual, "a")
 	return c
@@ -61,8 +61,8 @@
 
 func (c *core) handIn(id, name string, number uint64) {
 	job := &schema.Job{Steps: []*schema.Step{{Name: "s", Tasks: 1}}}
-	c.step(id, "f", &schema.Submit{Queue: "q", Enqueues: []*schema.Enqueue{{
-		Session: &schema.Session{Gateway: "f", Boot: 1, Client: "c"}, Number: number, Name: name, Digest: []byte("d"), Job: job, Lowest: 1,
+	c.step(id, "f", &schema.SubmitRequest{Queue: "q", Enqueues: []*schema.Enqueue{{
+		Session: &schema.Session{Gateway: "f", Incarnation: 1, Client: "c"}, Number: number, Name: name, Digest: []byte("d"), Job: job, LowestUnconfirmed: 1,
 	}}})
 }
 
@@ -70,8 +70,8 @@
 func (c *core) confirmed() int {
 	count := 0
 	for _, each := range c.heard["f"] {
-		if applied, isApplied := each.(*schema.Applied); isApplied {
-			count += len(applied.Outcomes)
+		if applied, isApplied := each.(*schema.SubmitResponse); isApplied {
+			count += len(applied.Results)
 		}
 	}
 	return count
@@ -130,11 +130,11 @@
 		So(c.ask("plan", nil).Code, ShouldEqual, 200)
 		So(c.put(queuesSheet(2, "", "q", "r")).Code, ShouldEqual, 503)
 		for _, id := range []string{"b", "c"} {
-			c.step(id, "a", &schema.Vote{Group: "q#" + c.generation("q"), Term: 99, LastTerm: 99, LastIndex: 99, Asked: true})
+			c.step(id, "a", &schema.VoteRequest{Group: "q#" + c.generation("q"), Term: 99, LastTerm: 99, LastIndex: 99, LeaderTransfer: true})
 		}
 		told := 0
 		for _, l := range c.mail {
-			if reply, isReply := l.body.(*schema.VoteReply); isReply && reply.Granted {
+			if reply, isReply := l.body.(*schema.VoteResponse); isReply && reply.Granted {
 				told++
 			}
 		}
@@ -167,14 +167,14 @@
 		for range 700 {
 			version++
 			sheet := queuesSheet(version, fmt.Sprintf("%d%s", version, text), "q")
-			record := &schema.Record{Index: prev + 1, Term: term, AtUs: int64(c.now), Data: ClusterStateBody(
-				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{Sheet: sheet}}})}
-			c.step("c", "a", &schema.Append{
-				Group: clusterstate.Group, Term: term, PrevIndex: prev, PrevTerm: prevTerm, Commit: prev + 1, Records: []*schema.Record{record},
+			record := &schema.Entry{Index: prev + 1, Term: term, TimeUs: int64(c.now), Data: ClusterStateBody(
+				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
+			c.step("c", "a", &schema.AppendRequest{
+				Group: clusterstate.Group, Term: term, PrevIndex: prev, PrevTerm: prevTerm, Commit: prev + 1, Entries: []*schema.Entry{record},
 			})
 			prev, prevTerm = prev+1, term
 			c.runTold(20 * eventloop.Milli)
-			So(table.state.Plan.Edition, ShouldEqual, version)
+			So(table.state.Configuration.Version, ShouldEqual, version)
 			waiting := c.tables["c"].next
 			most = max(most, waiting.bytes)
 			whole = max(whole, int(table.contentBytes()))
@@ -186,12 +186,12 @@
 		So(whole, ShouldBeLessThan, most)
 		So(table.next.wholeBytes, ShouldBeGreaterThan, 0)
 		before := &storage.Content{Groups: map[string]*storage.Image{}}
-		for _, change := range append(append([]*schema.Change(nil), table.writing.changes...), table.next.changes...) {
+		for _, change := range append(append([]*schema.StoreChange(nil), table.writing.changes...), table.next.changes...) {
 			before.Apply(change)
 		}
 		table.condense()
 		after := &storage.Content{Groups: map[string]*storage.Image{}}
-		for _, change := range append(append([]*schema.Change(nil), table.writing.changes...), table.next.changes...) {
+		for _, change := range append(append([]*schema.StoreChange(nil), table.writing.changes...), table.next.changes...) {
 			after.Apply(change)
 		}
 		for name := range after.Groups {
@@ -204,7 +204,7 @@
 		c.runTold(2 * eventloop.Second)
 		So(root.Stable(), ShouldEqual, root.Last())
 		So(root.Last(), ShouldEqual, prev)
-		So(table.state.Plan.Edition, ShouldEqual, version)
+		So(table.state.Configuration.Version, ShouldEqual, version)
 	})
 }
 
@@ -221,7 +221,7 @@
 		c.step(leader, "h", &schema.Request{Id: 1, Kind: "clusterstate", Group: clusterstate.Group, Body: []byte("\xff\xff\xff")})
 		c.run(50 * eventloop.Milli)
 		So(c.tables[leader].groups[clusterstate.Group].group.Last(), ShouldEqual, before)
-		So(c.heard["h"][len(c.heard["h"])-1].(*schema.RequestReply).Code, ShouldEqual, 400)
+		So(c.heard["h"][len(c.heard["h"])-1].(*schema.Response).Code, ShouldEqual, 400)
 	})
 }
 
@@ -234,8 +234,8 @@
 		}
 		text := string(make([]byte, 8<<10))
 		for number := uint64(1); number <= 100; number++ {
-			c.step("a", "f", &schema.Submit{Queue: "q", Enqueues: []*schema.Enqueue{{
-				Session: &schema.Session{Gateway: "f", Boot: 1, Client: "c"}, Number: number, Lowest: 1, Name: fmt.Sprint("j", number), Digest: []byte("d"),
+			c.step("a", "f", &schema.SubmitRequest{Queue: "q", Enqueues: []*schema.Enqueue{{
+				Session: &schema.Session{Gateway: "f", Incarnation: 1, Client: "c"}, Number: number, LowestUnconfirmed: 1, Name: fmt.Sprint("j", number), Digest: []byte("d"),
 				Job: &schema.Job{Text: text, Steps: []*schema.Step{{Name: "s", Tasks: 1}}},
 			}}})
 			c.runTold(200 * eventloop.Milli)
@@ -245,13 +245,13 @@
 		So(taken, ShouldBeGreaterThan, 10)
 		So(taken, ShouldBeLessThan, 60)
 		So(table.contentBytes(), ShouldBeLessThan, disk/(roomParts-1))
-		So(table.note(table.groups["q#"+c.generation("q")]).NoRoom, ShouldBeTrue)
+		So(table.note(table.groups["q#"+c.generation("q")]).StorageExhausted, ShouldBeTrue)
 		// What isn't a hand-in is taken as before.
 		So(c.put(queuesSheet(2, "", "q", "r")).Code, ShouldEqual, 200)
 		for _, id := range stores {
 			c.tables[id].Within(4 * disk)
 		}
 		c.runTold(2 * eventloop.Second)
-		So(table.note(table.groups["q#"+c.generation("q")]).NoRoom, ShouldBeFalse)
+		So(table.note(table.groups["q#"+c.generation("q")]).StorageExhausted, ShouldBeFalse)
 	})
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -67,7 +67,7 @@
 // Table is the replicas' table.
 type Table struct {
 	id           string
-	self         *schema.Self
+	self         *schema.StoreIdentity
 	spans        timing.Spans
 	until        int64                // the controller's lease as last seen, in the cluster state's time
 	untilAt      eventloop.Micros     // and when that was
@@ -80,8 +80,8 @@
 	listed       []string // names of the groups, in order; nil: to be made anew
 	clusterState *clusterstate.Machine
 	values       *clusterstate.Values
-	adopt        *schema.Adopt        // what the plan asks of every queue
-	state        *schema.ClusterState // copy of the cluster state that others may hold
+	adopt        *schema.ApplySettings // what the plan asks of every queue
+	state        *schema.ClusterState  // copy of the cluster state that others may hold
 	roll         *membership.Roll
 	next         pending
 	writing      *pending
@@ -91,7 +91,7 @@
 	isWarned     bool
 	refusal      refusal
 	room         room
-	applied      map[string]*schema.Applied // by gateway, of this step
+	applied      map[string]*schema.SubmitResponse // by gateway, of this step
 
 	plansTold map[string]planTold // by process
 }
@@ -100,7 +100,7 @@
 func New(id string, content *storage.Content, wall func() int64, times raft.Times, seed uint64, now eventloop.Micros) *Table {
 	t := &Table{
 		id: id, self: content.Self, losses: 1, spans: timing.Of(nil), wall: wall, times: times, groups: map[string]*replica{},
-		clusterState: clusterstate.New(), applied: map[string]*schema.Applied{}, plansTold: map[string]planTold{},
+		clusterState: clusterstate.New(), applied: map[string]*schema.SubmitResponse{}, plansTold: map[string]planTold{},
 	}
 	hash := fnv.New64a()
 	hash.Write([]byte(id))
@@ -148,11 +148,11 @@
 
 // GroupOf names the group of a queue's place: a queue that is made anew under an
 // old name is another group.
-func GroupOf(place *schema.QueuePlace) string {
+func GroupOf(place *schema.QueuePlacement) string {
 	return place.Queue + "#" + strconv.FormatUint(place.Generation, 10)
 }
 
-func (t *Table) restore(r *replica, point *schema.Checkpoint) {
+func (t *Table) restore(r *replica, point *schema.Snapshot) {
 	if r.group.Name() == clusterstate.Group {
 		machine, err := clusterstate.Restore(point.Data)
 		if err != nil {
@@ -172,10 +172,10 @@
 
 func (t *Table) setState(state *schema.ClusterState) {
 	t.state, t.values = state, t.clusterState.Values()
-	t.adopt = &schema.Adopt{
-		StatusUs: t.values.Fleet("status_s") * 1_000_000,
-		Every:    uint32(t.values.Fleet("cache_every")),
-		Circles:  uint32(t.values.Fleet("circles")),
+	t.adopt = &schema.ApplySettings{
+		JobRetentionUs:   t.values.Fleet("status_s") * 1_000_000,
+		SnapshotInterval: uint32(t.values.Fleet("cache_every")),
+		MaxRequeues:      uint32(t.values.Fleet("circles")),
 	}
 }
 
@@ -201,31 +201,31 @@
 		t.keepSelf(now, body)
 	case *membership.Roll:
 		t.roll = body
-	case *schema.Beats:
+	case *schema.HeartbeatBatch:
 		t.beats(now, mail.From, body)
-	case *schema.Vote:
+	case *schema.VoteRequest:
 		t.toGroup(now, mail.From, body.Group, body)
-	case *schema.VoteReply:
+	case *schema.VoteResponse:
 		t.toGroup(now, mail.From, body.Group, body)
-	case *schema.Append:
+	case *schema.AppendRequest:
 		t.toGroup(now, mail.From, body.Group, body)
-	case *schema.AppendReply:
+	case *schema.AppendResponse:
 		t.toGroup(now, mail.From, body.Group, body)
-	case *schema.Install:
+	case *schema.InstallSnapshot:
 		t.toGroup(now, mail.From, body.Group, body)
-	case *schema.Part:
+	case *schema.TransferChunk:
 		t.toGroup(now, mail.From, body.Group, body)
-	case *schema.PartReply:
+	case *schema.TransferChunkResponse:
 		t.toGroup(now, mail.From, body.Group, body)
-	case *schema.Urge:
+	case *schema.TimeoutNow:
 		t.urged(now, mail.From, body)
-	case *schema.Submit:
+	case *schema.SubmitRequest:
 		t.submit(now, mail.From, body, out)
-	case *schema.Quit:
+	case *schema.EndSessionsRequest:
 		t.quit(now, body)
 	case *schema.Request:
 		t.request(now, mail.From, body, out)
-	case *schema.End:
+	case *schema.TaskEndReport:
 		t.end(now, mail.From, body, out)
 	case Ended:
 		t.end(now, "", body.End, out)
@@ -235,9 +235,9 @@
 		if r := t.groups[body.Group]; r != nil && r.queue != nil {
 			r.termTold = 0
 		}
-	case *schema.Reroster:
+	case *schema.ChangeMembers:
 		t.reroster(now, body)
-	case *schema.ClusterStateAsk:
+	case *schema.ClusterStateRequest:
 		t.tellClusterState(now, mail.From, body, out)
 	case Belief:
 		out.Answer(body.Request, t.belief(now))
@@ -251,7 +251,7 @@
 	r := t.groups[name]
 	if r == nil {
 		switch body.(type) {
-		case *schema.Append, *schema.Install, *schema.Part:
+		case *schema.AppendRequest, *schema.InstallSnapshot, *schema.TransferChunk:
 			r = t.join(now, name)
 		}
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -17,18 +17,18 @@
 func TestCommandOf(t *testing.T) {
 	key := &schema.TaskKey{Job: 1, Step: 2, Task: 3}
 	end := func(outcome string) *schema.QueueCommand {
-		return commandOf(&schema.End{Queue: "l", Key: key, Attempt: 4, Outcome: outcome, Saved: "text", Whole: true})
+		return commandOf(&schema.TaskEndReport{Queue: "l", Key: key, Attempt: 4, Outcome: outcome, Checkpoint: "text", WholeGang: true})
 	}
 	Convey("Done settles, for the whole group where the worker says so", t, func() {
-		wanted := &schema.Settle{Key: key, Attempt: 4, Whole: true}
+		wanted := &schema.Settle{Key: key, Attempt: 4, WholeGang: true}
 		So(proto.Equal(end("done").GetSettle(), wanted), ShouldBeTrue)
 	})
 	Convey("Every other end gives the task back with its progress, and only failures count", t, func() {
-		for outcome, cause := range map[string]schema.Cause{
-			"failed": schema.Cause_CAUSE_FAILED, "lost": schema.Cause_CAUSE_LOST, "stopped": schema.Cause_CAUSE_DISPLACED,
-			"lapsed": schema.Cause_CAUSE_DISPLACED, "broken": schema.Cause_CAUSE_DISPLACED, "alone": schema.Cause_CAUSE_DISPLACED,
+		for outcome, cause := range map[string]schema.ReturnCause{
+			"failed": schema.ReturnCause_RETURN_CAUSE_FAILED, "lost": schema.ReturnCause_RETURN_CAUSE_WORKER_LOST, "stopped": schema.ReturnCause_RETURN_CAUSE_PREEMPTED,
+			"lapsed": schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "broken": schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "alone": schema.ReturnCause_RETURN_CAUSE_PREEMPTED,
 		} {
-			wanted := &schema.Return{Key: key, Attempt: 4, Cause: cause, Saved: "text"}
+			wanted := &schema.Return{Key: key, Attempt: 4, Cause: cause, Checkpoint: "text"}
 			So(proto.Equal(end(outcome).GetReturn(), wanted), ShouldBeTrue)
 		}
 	})
@@ -38,15 +38,15 @@
 	Convey("A queue goes to a leader that is named while it has only just been taken over", t, func() {
 		c := newCore()
 		place := func(leader string) {
-			queues := []*schema.QueuePlace{{Queue: "l", Founders: stores, Leader: leader}}
-			command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Queues{Queues: &schema.PlaceQueues{Lease: c.lease(), Queues: queues}}}
+			queues := []*schema.QueuePlacement{{Queue: "l", InitialVoters: stores, PreferredLeader: leader}}
+			command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: &schema.PlaceQueues{FencingToken: c.lease(), Queues: queues}}}
 			So(c.ask("clusterstate", command).Code, ShouldEqual, 200)
 		}
 		run := func(span eventloop.Micros) {
 			for end := c.now + span; c.now < end; {
 				roll := &membership.Roll{Known: map[string]membership.Known{}}
 				for _, id := range stores {
-					roll.Known[id] = membership.Known{Member: &schema.Member{Id: id, Stores: true}, Heard: c.now}
+					roll.Known[id] = membership.Known{Member: &schema.Member{Id: id, HasStorage: true}, Heard: c.now}
 				}
 				for _, id := range stores {
 					c.step(id, "", roll)
@@ -69,7 +69,7 @@
 
 // lease makes the controller "h" and gives its lease.
 func (c *core) lease() uint64 {
-	reply := c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Claim{Claim: &schema.Claim{Id: "h"}}})
+	reply := c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: "h"}}})
 	var claimed struct{ Lease uint64 }
 	So(json.Unmarshal(reply.Body, &claimed), ShouldBeNil)
 	return claimed.Lease
@@ -80,13 +80,13 @@
 		c := newCore()
 		c.day = 1_800_000_000_000_000
 		So(c.put(queuesSheet(1, "", "l")).Code, ShouldEqual, 200)
-		queues := &schema.PlaceQueues{Lease: c.lease(), Queues: []*schema.QueuePlace{{Queue: "l", Founders: stores, Leader: "a"}}}
-		So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Queues{Queues: queues}}).Code, ShouldEqual, 200)
+		queues := &schema.PlaceQueues{FencingToken: c.lease(), Queues: []*schema.QueuePlacement{{Queue: "l", InitialVoters: stores, PreferredLeader: "a"}}}
+		So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: queues}}).Code, ShouldEqual, 200)
 		c.run(eventloop.Second)
 		due := c.now + 8*eventloop.Second
-		job := &schema.Job{StartWallUs: c.day + int64(due), Rounds: 1, Steps: []*schema.Step{{Name: "s", Tasks: 1}}}
-		c.step("a", "f", &schema.Submit{Queue: "l", Enqueues: []*schema.Enqueue{{
-			Session: &schema.Session{Gateway: "f", Boot: 1, Client: "c"}, Number: 1, Name: "j", Digest: []byte("d"), Job: job,
+		job := &schema.Job{StartUnixUs: c.day + int64(due), Rounds: 1, Steps: []*schema.Step{{Name: "s", Tasks: 1}}}
+		c.step("a", "f", &schema.SubmitRequest{Queue: "l", Enqueues: []*schema.Enqueue{{
+			Session: &schema.Session{Gateway: "f", Incarnation: 1, Client: "c"}, Number: 1, Name: "j", Digest: []byte("d"), Job: job,
 		}}})
 		c.run(500 * eventloop.Milli)
 		// Nobody is left who could lead.
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -20,7 +20,7 @@
 func (t *Table) request(now eventloop.Micros, from string, m *schema.Request, out eventloop.Out) {
 	r := t.groupFor(m)
 	if r == nil || !r.group.IsLeader() || r.group.Passing() != "" {
-		out.Send(from, &schema.RequestReply{Id: m.Id, Group: m.Group, Leader: leaderOf(r)})
+		out.Send(from, &schema.Response{Id: m.Id, Group: m.Group, Leader: leaderOf(r)})
 		return
 	}
 	asked := waiter{term: r.group.Term(), from: from, request: m}
@@ -33,7 +33,7 @@
 		t.reads++
 		if r.group.Read(now, t.reads) != nil {
 			// Elected a moment ago: what is committed isn't known before our first record is.
-			out.Send(from, &schema.RequestReply{Id: m.Id, Group: m.Group})
+			out.Send(from, &schema.Response{Id: m.Id, Group: m.Group})
 			return
 		}
 		r.reading[t.reads] = asked
@@ -82,7 +82,7 @@
 		}
 		t.reply(asked, 200, mustJSON(view), r.group, out)
 	case "list":
-		t.reply(asked, 200, mustJSON(r.queue.List(m.After, int(m.Most))), r.group, out)
+		t.reply(asked, 200, mustJSON(r.queue.List(m.PageAfter, int(m.Limit))), r.group, out)
 	case "counts":
 		t.reply(asked, 200, mustJSON(r.queue.Counts()), r.group, out)
 	case "plan":
@@ -100,7 +100,7 @@
 }
 
 func (t *Table) reply(asked waiter, code int32, body []byte, group *raft.Group, out eventloop.Out) {
-	out.Send(asked.from, &schema.RequestReply{Id: asked.request.Id, Code: code, Body: body, Leader: t.id, Group: asked.request.Group})
+	out.Send(asked.from, &schema.Response{Id: asked.request.Id, Code: code, Body: body, Leader: t.id, Group: asked.request.Group})
 }
 
 func (t *Table) answerClusterState(asked waiter, result *clusterstate.Result, r *replica, out eventloop.Out) {
@@ -117,8 +117,8 @@
 	t.reply(asked, result.Code, body, r.group, out)
 }
 
-func planBody(plan *schema.Plan) []byte {
-	data, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(plan)
+func planBody(plan *schema.Configuration) []byte {
+	data, err := protojson.MarshalOptions{EmitUnpopulated: true}.Marshal(plan)
 	if err != nil {
 		return faultBody("internal", err.Error())
 	}
@@ -133,7 +133,7 @@
 }
 
 func faultBody(code, message string) []byte {
-	return mustJSON(&schema.Fault{Code: code, Message: message})
+	return mustJSON(&schema.Error{Code: code, Message: message})
 }
 
 func mustJSON(value any) []byte {
@@ -145,19 +145,19 @@
 }
 
 // tellClusterState answers whoever carries a copy of the cluster state.
-func (t *Table) tellClusterState(now eventloop.Micros, from string, m *schema.ClusterStateAsk, out eventloop.Out) {
+func (t *Table) tellClusterState(now eventloop.Micros, from string, m *schema.ClusterStateRequest, out eventloop.Out) {
 	r := t.groups[clusterstate.Group]
 	// A copy that may be behind would only hold the asker back.
 	if !t.isClusterStateFresh(now) {
 		return
 	}
-	tell := &schema.ClusterStateTell{
-		Number: m.Number, AgeUs: int64(now - r.group.Fresh()), Version: t.state.Version,
-		Leaders: t.leaders(), ControllerUntilUs: t.clusterState.ControllerUntil(),
+	tell := &schema.ClusterStateResponse{
+		Sequence: m.Sequence, AgeUs: int64(now - r.group.Fresh()), Version: t.state.Version,
+		Leaders: t.leaders(), ControllerLeaseExpiresUs: t.clusterState.ControllerUntil(),
 	}
 	if t.state.Version > m.Version {
-		tell.State, tell.PlanHeld = t.clusterState.Outgoing(t.state, m.Generation)
-		if !tell.PlanHeld && t.isOnItsWay(now, from, tell.State.Plan) {
+		tell.State, tell.ConfigurationOmitted = t.clusterState.Outgoing(t.state, m.HeldRevision)
+		if !tell.ConfigurationOmitted && t.isOnItsWay(now, from, tell.State.Configuration) {
 			// Its leaders and the controller's lease are news to a side; a front is
 			// ready only with the whole, and waits for it.
 			if tell.State = nil; !t.isSide(from) {
@@ -167,11 +167,11 @@
 	}
 	// Of the sides only the controller reads how the groups stand; the others ask
 	// often, and there is a note for every queue.
-	hasUse := from == t.state.Controller.GetId() || !t.isSide(from)
+	hasUse := from == t.state.ControllerLease.GetHolder() || !t.isSide(from)
 	for _, name := range t.names() {
 		each := t.groups[name]
 		if hasUse && each.group.IsLeader() {
-			tell.Waits = append(tell.Waits, t.note(each))
+			tell.QueueStatuses = append(tell.QueueStatuses, t.note(each))
 		}
 	}
 	out.Send(from, tell)
@@ -180,10 +180,10 @@
 // stateBody is the cluster state for a front that holds an older one, or its version
 // alone. A plan that is on its way there already isn't sent twice.
 func (t *Table) stateBody(now eventloop.Micros, asked waiter) []byte {
-	ask, tell := &schema.ClusterStateAsk{}, &schema.ClusterStateTell{Version: t.state.Version, Leaders: t.leaders()}
+	ask, tell := &schema.ClusterStateRequest{}, &schema.ClusterStateResponse{Version: t.state.Version, Leaders: t.leaders()}
 	if proto.Unmarshal(asked.request.Body, ask) != nil || ask.Version < t.state.Version {
-		tell.State, tell.PlanHeld = t.clusterState.Outgoing(t.state, ask.Generation)
-		if !tell.PlanHeld && t.isOnItsWay(now, asked.from, tell.State.Plan) {
+		tell.State, tell.ConfigurationOmitted = t.clusterState.Outgoing(t.state, ask.HeldRevision)
+		if !tell.ConfigurationOmitted && t.isOnItsWay(now, asked.from, tell.State.Configuration) {
 			tell.State = nil
 		}
 	}
@@ -209,31 +209,31 @@
 	return t.roll != nil && t.roll.Known[id].Member.GetRole() == schema.Role_ROLE_CONTROLLER
 }
 
-func (t *Table) note(r *replica) *schema.WaitNote {
+func (t *Table) note(r *replica) *schema.QueueStatus {
 	g := r.group
-	note := &schema.WaitNote{
+	note := &schema.QueueStatus{
 		Group: g.Name(), Queue: r.name, Leader: t.id, Voters: g.MemberSet().Voters, Learners: g.MemberSet().Learners,
-		Behind: map[string]uint64{}, NoRoom: t.room.isNarrow,
+		ReplicaLag: map[string]uint64{}, StorageExhausted: t.room.isNarrow,
 	}
 	for _, id := range append(append([]string(nil), note.Voters...), note.Learners...) {
 		if id != t.id {
 			match, _ := g.Match(id)
-			note.Behind[id] = g.Last() - match
+			note.ReplicaLag[id] = g.Last() - match
 		}
 	}
 	for _, id := range note.Learners {
 		if !g.IsCaughtUp(id) {
-			note.Behind[id] = max(note.Behind[id], raft.CaughtUp+1)
+			note.ReplicaLag[id] = max(note.ReplicaLag[id], raft.CaughtUp+1)
 		}
 	}
 	if r.queue != nil {
-		note.Live, note.Kept, note.Ended = uint32(r.queue.Live()), uint32(r.queue.Kept()), r.queue.Ended()
+		note.LiveJobs, note.RetainedJobs, note.EndedJobs = uint32(r.queue.Live()), uint32(r.queue.Kept()), r.queue.Ended()
 		seen := map[string]bool{}
 		for _, session := range r.queue.Boots() {
-			key := session.Gateway + "/" + strconv.FormatUint(session.Boot, 10)
+			key := session.Gateway + "/" + strconv.FormatUint(session.Incarnation, 10)
 			if !seen[key] {
 				seen[key] = true
-				note.Boots = append(note.Boots, &schema.Gone{Gateway: session.Gateway, Boot: session.Boot})
+				note.Gateways = append(note.Gateways, &schema.ExpiredGateway{Gateway: session.Gateway, Incarnation: session.Incarnation})
 			}
 		}
 	}
@@ -262,25 +262,25 @@
 
 // NodeBelief is what a node believes.
 type NodeBelief struct {
-	Node       string               `json:"node"`
-	Version    uint64               `json:"cluster_state_version"`
-	Generation uint64               `json:"plan_generation"`
-	Fresh      bool                 `json:"cluster_state_fresh"`
-	Controller string               `json:"controller"`
-	Lease      uint64               `json:"controller_lease"`
-	Refusal    string               `json:"store_refuses,omitempty"` // why the store takes no writes
-	Groups     []*GroupBelief       `json:"groups"`
-	Wards      []*schema.Ward       `json:"wards"`
-	Queues     []*schema.QueuePlace `json:"queues"`
-	Members    []*schema.Member     `json:"members"`
-	Bears      *Bears               `json:"bears"`
-	IsNeeded   bool                 `json:"needed"` // it has something to hand over before it may leave
+	Node       string                   `json:"node"`
+	Version    uint64                   `json:"cluster_state_version"`
+	Generation uint64                   `json:"plan_generation"`
+	Fresh      bool                     `json:"cluster_state_fresh"`
+	Controller string                   `json:"controller"`
+	Lease      uint64                   `json:"controller_lease"`
+	Refusal    string                   `json:"store_refuses,omitempty"` // why the store takes no writes
+	Groups     []*GroupBelief           `json:"groups"`
+	Wards      []*schema.WorkerLease    `json:"wards"`
+	Queues     []*schema.QueuePlacement `json:"queues"`
+	Members    []*schema.Member         `json:"members"`
+	Bears      *Bears                   `json:"bears"`
+	IsNeeded   bool                     `json:"needed"` // it has something to hand over before it may leave
 }
 
 func (t *Table) belief(now eventloop.Micros) *NodeBelief {
 	belief := &NodeBelief{
-		Node: t.id, Version: t.state.Version, Generation: t.state.Plan.GetGeneration(), Wards: t.state.Wards, Queues: t.state.Queues,
-		Controller: t.state.Controller.GetId(), Lease: t.state.Controller.GetLease(), IsNeeded: t.isNeeded(now), Bears: t.bears(now),
+		Node: t.id, Version: t.state.Version, Generation: t.state.Configuration.GetRevision(), Wards: t.state.WorkerLeases, Queues: t.state.Queues,
+		Controller: t.state.ControllerLease.GetHolder(), Lease: t.state.ControllerLease.GetFencingToken(), IsNeeded: t.isNeeded(now), Bears: t.bears(now),
 		Refusal: t.refusalText(now),
 	}
 	for _, name := range t.names() {
--- a/internal/replica/submissions.go
+++ b/internal/replica/submissions.go
@@ -26,14 +26,14 @@
 	return r.group.Last()-r.group.Applied() > maxUnsettled
 }
 
-func (t *Table) submit(now eventloop.Micros, from string, m *schema.Submit, out eventloop.Out) {
+func (t *Table) submit(now eventloop.Micros, from string, m *schema.SubmitRequest, out eventloop.Out) {
 	place := clusterstate.Place(t.state, m.Queue)
 	if place == nil {
 		return
 	}
 	r := t.groups[GroupOf(place)]
 	if r == nil || !r.group.IsLeader() || r.group.Passing() != "" {
-		out.Send(from, &schema.Applied{Queue: m.Queue, Leader: leaderOf(r)})
+		out.Send(from, &schema.SubmitResponse{Queue: m.Queue, Leader: leaderOf(r)})
 		return
 	}
 	// What finds no place is resent by its gateway, which has numbered it.
@@ -45,7 +45,7 @@
 			continue
 		}
 		entered := &schema.Enqueue{
-			Session: e.Session, Number: e.Number, Name: e.Name, Digest: e.Digest, Lowest: e.Lowest,
+			Session: e.Session, Number: e.Number, Name: e.Name, Digest: e.Digest, LowestUnconfirmed: e.LowestUnconfirmed,
 			Job: e.Job, StartUs: t.startOf(now, r, e.Job),
 		}
 		t.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Enqueue{Enqueue: entered}})
@@ -58,8 +58,8 @@
 	switch {
 	case job.DelayUs > 0:
 		return at + job.DelayUs
-	case job.StartWallUs > 0:
-		start := at + job.StartWallUs - r.group.WallTime(now, t.wall())
+	case job.StartUnixUs > 0:
+		start := at + job.StartUnixUs - r.group.WallTime(now, t.wall())
 		// The rounds of a job are counted from its start, though that be past;
 		// zero alone would mean the moment of its admission.
 		if job.Rounds > 1 && start != 0 {
@@ -70,10 +70,10 @@
 	return 0
 }
 
-func (t *Table) quit(now eventloop.Micros, m *schema.Quit) {
+func (t *Table) quit(now eventloop.Micros, m *schema.EndSessionsRequest) {
 	if place := clusterstate.Place(t.state, m.Queue); place != nil {
 		if r := t.groups[GroupOf(place)]; r != nil && r.group.Acting(now) {
-			t.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Down{Down: &schema.Down{Sessions: m.Sessions, Boots: m.Boots}}})
+			t.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_EndSessions{EndSessions: &schema.EndSessions{Sessions: m.Sessions, Gateways: m.Gateways}}})
 		}
 	}
 }
@@ -87,7 +87,7 @@
 	t.proposeQueue(now, r, m.Command)
 }
 
-func (t *Table) end(now eventloop.Micros, from string, m *schema.End, out eventloop.Out) {
+func (t *Table) end(now eventloop.Micros, from string, m *schema.TaskEndReport, out eventloop.Out) {
 	place := clusterstate.Place(t.state, m.Queue)
 	if place == nil {
 		// The queue is over, and with it whatever the task was for. A cluster state
@@ -115,21 +115,21 @@
 // commandOf is what a worker's report asks of the queue. Ends other than done,
 // failed and lost (stopped, lapsed, broken by another member, alone without the
 // others) are no fault of the task's.
-func commandOf(m *schema.End) *schema.QueueCommand {
-	cause := schema.Cause_CAUSE_DISPLACED
+func commandOf(m *schema.TaskEndReport) *schema.QueueCommand {
+	cause := schema.ReturnCause_RETURN_CAUSE_PREEMPTED
 	switch m.Outcome {
 	case "done":
-		return &schema.QueueCommand{Body: &schema.QueueCommand_Settle{Settle: &schema.Settle{Key: m.Key, Attempt: m.Attempt, Whole: m.Whole}}}
+		return &schema.QueueCommand{Body: &schema.QueueCommand_Settle{Settle: &schema.Settle{Key: m.Key, Attempt: m.Attempt, WholeGang: m.WholeGang}}}
 	case "failed":
-		cause = schema.Cause_CAUSE_FAILED
+		cause = schema.ReturnCause_RETURN_CAUSE_FAILED
 	case "lost":
-		cause = schema.Cause_CAUSE_LOST
+		cause = schema.ReturnCause_RETURN_CAUSE_WORKER_LOST
 	}
-	return &schema.QueueCommand{Body: &schema.QueueCommand_Return{Return: &schema.Return{Key: m.Key, Attempt: m.Attempt, Cause: cause, Saved: m.Saved}}}
+	return &schema.QueueCommand{Body: &schema.QueueCommand_Return{Return: &schema.Return{Key: m.Key, Attempt: m.Attempt, Cause: cause, Checkpoint: m.Checkpoint}}}
 }
 
-func (t *Table) endNoted(from string, m *schema.End, out eventloop.Out) {
-	reply := &schema.EndReply{Queue: m.Queue, Key: m.Key, Attempt: m.Attempt, Worker: m.Worker}
+func (t *Table) endNoted(from string, m *schema.TaskEndReport, out eventloop.Out) {
+	reply := &schema.TaskEndAck{Queue: m.Queue, Key: m.Key, Attempt: m.Attempt, Worker: m.Worker}
 	if from == "" {
 		out.Tell("scheduler", reply)
 	} else {
--- a/internal/replica/tolerance.go
+++ b/internal/replica/tolerance.go
@@ -33,13 +33,13 @@
 	}
 	var voters, live, known []string
 	for id, each := range t.roll.Known {
-		if !each.Member.Stores {
+		if !each.Member.HasStorage {
 			continue
 		}
-		known = append(known, each.Member.Cell)
+		known = append(known, each.Member.Zone)
 		isVoter := slices.Contains(root.group.MemberSet().Voters, id)
-		if isVoter && t.roll.Live(id, now, liveSpan) && !each.Member.Leaving {
-			live = append(live, each.Member.Cell)
+		if isVoter && t.roll.Live(id, now, liveSpan) && !each.Member.Draining {
+			live = append(live, each.Member.Zone)
 		}
 	}
 	// Of a voter that the book has let go only the number counts.
--- a/internal/replica/voters_test.go
+++ b/internal/replica/voters_test.go
@@ -17,33 +17,33 @@
 		c := newCore()
 		lease := c.lease()
 		lead := c.leader("")
-		reroster := func(m *schema.Reroster) []string {
-			m.Group, m.Lease = clusterstate.Group, lease
+		reroster := func(m *schema.ChangeMembers) []string {
+			m.Group, m.FencingToken = clusterstate.Group, lease
 			c.step(lead, "h", m)
 			c.run(50 * eventloop.Milli)
 			return c.tables[lead].groups[clusterstate.Group].group.MemberSet().Voters
 		}
-		reroster(&schema.Reroster{Learn: "d"})
+		reroster(&schema.ChangeMembers{AddLearner: "d"})
 		group := c.tables[lead].groups[clusterstate.Group].group
 		So(group.MemberSet().Learners, ShouldResemble, []string{"d"})
 		So(group.Last(), ShouldBeLessThan, uint64(raft.CaughtUp))
-		So(reroster(&schema.Reroster{Promote: "d"}), ShouldResemble, stores)
+		So(reroster(&schema.ChangeMembers{Promote: "d"}), ShouldResemble, stores)
 		answer := func(match uint64) {
-			c.step(lead, "d", &schema.AppendReply{Group: clusterstate.Group, Term: group.Term(), Match: match})
+			c.step(lead, "d", &schema.AppendResponse{Group: clusterstate.Group, Term: group.Term(), Match: match})
 		}
 		Convey("nor one that has taken nothing, though it answers", func() {
 			answer(0)
-			So(reroster(&schema.Reroster{Promote: "d"}), ShouldResemble, stores)
+			So(reroster(&schema.ChangeMembers{Promote: "d"}), ShouldResemble, stores)
 		})
 		Convey("nor one that answered long ago", func() {
 			answer(group.Last())
 			c.run(heardSpan)
 			lease = c.lease()
-			So(reroster(&schema.Reroster{Promote: "d"}), ShouldResemble, stores)
+			So(reroster(&schema.ChangeMembers{Promote: "d"}), ShouldResemble, stores)
 		})
 		Convey("but one that holds the log and answers is", func() {
 			answer(group.Last())
-			So(reroster(&schema.Reroster{Promote: "d"}), ShouldResemble, append(stores[:3:3], "d"))
+			So(reroster(&schema.ChangeMembers{Promote: "d"}), ShouldResemble, append(stores[:3:3], "d"))
 		})
 	})
 }
@@ -54,15 +54,15 @@
 		So(c.put(queuesSheet(1, "", "l")).Code, ShouldEqual, 200)
 		lead := c.leader("")
 		leader := without(stores, lead)[0]
-		place := &schema.PlaceQueues{Lease: c.lease(), Queues: []*schema.QueuePlace{{Queue: "l", Founders: stores, Leader: leader}}}
-		So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Queues{Queues: place}}).Code, ShouldEqual, 200)
+		place := &schema.PlaceQueues{FencingToken: c.lease(), Queues: []*schema.QueuePlacement{{Queue: "l", InitialVoters: stores, PreferredLeader: leader}}}
+		So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: place}}).Code, ShouldEqual, 200)
 		c.run(eventloop.Second)
 		So(c.leader("l"), ShouldEqual, leader)
 		lease := c.lease()
 		c.run(200 * eventloop.Milli)
 		group := c.tables[leader].groups["l#"+c.generation("l")].group
 		learners := func(id string) []string {
-			c.step(leader, "h", &schema.Reroster{Group: group.Name(), Learn: id, Lease: lease})
+			c.step(leader, "h", &schema.ChangeMembers{Group: group.Name(), AddLearner: id, FencingToken: lease})
 			c.run(100 * eventloop.Milli)
 			return group.MemberSet().Learners
 		}
--- a/internal/scheduler/agent_test.go
+++ b/internal/scheduler/agent_test.go
@@ -13,23 +13,23 @@
 )
 
 // told is a cluster state with rows; every queue named in them stands in it.
-func (d *desk) told(rows []*schema.Row, workers ...string) {
-	state := &schema.ClusterState{Version: 2, Plan: &schema.Plan{Rows: rows}}
+func (d *desk) told(rows []*schema.ConfigurationRow, workers ...string) {
+	state := &schema.ClusterState{Version: 2, Configuration: &schema.Configuration{Rows: rows}}
 	for k, w := range workers {
-		state.Wards = append(state.Wards, &schema.Ward{Worker: w, Scheduler: "me", Generation: uint64(k + 1)})
+		state.WorkerLeases = append(state.WorkerLeases, &schema.WorkerLease{Worker: w, Scheduler: "me", FencingToken: uint64(k + 1)})
 	}
 	seen := map[string]bool{}
 	for _, row := range rows {
 		if row.Kind == "queue" && !seen[row.Name] {
 			seen[row.Name] = true
-			state.Queues = append(state.Queues, &schema.QueuePlace{Queue: row.Name, Generation: 1})
+			state.Queues = append(state.Queues, &schema.QueuePlacement{Queue: row.Name, Generation: 1})
 		}
 	}
-	d.step(&schema.ClusterStateTell{State: state, Version: 2})
+	d.step(&schema.ClusterStateResponse{State: state, Version: 2})
 }
 
-func queueRow(name, key, value string) *schema.Row {
-	return &schema.Row{Kind: "queue", Name: name, Key: key, Value: value}
+func queueRow(name, key, value string) *schema.ConfigurationRow {
+	return &schema.ConfigurationRow{Kind: "queue", Name: name, Key: key, Value: value}
 }
 
 // pass lets time go by with every leader's word fresh and every worker heard.
@@ -48,29 +48,29 @@
 }
 
 // named is an agent's announce.
-func named(change func(*schema.Announce)) func(*schema.Announce) {
-	return func(a *schema.Announce) {
-		a.Named = true
+func named(change func(*schema.WorkerHeartbeat)) func(*schema.WorkerHeartbeat) {
+	return func(a *schema.WorkerHeartbeat) {
+		a.TasksByName = true
 		if change != nil {
 			change(a)
 		}
 	}
 }
 
-func runs(notes ...*schema.TaskNote) func(*schema.Announce) {
-	return named(func(a *schema.Announce) { a.Running = notes })
+func runs(notes ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
+	return named(func(a *schema.WorkerHeartbeat) { a.Running = notes })
 }
 
-func ends(notes ...*schema.TaskNote) func(*schema.Announce) {
-	return named(func(a *schema.Announce) { a.Ended = notes })
+func ends(notes ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
+	return named(func(a *schema.WorkerHeartbeat) { a.Ended = notes })
 }
 
 // acts lists the orders of one kind in all answers since a point.
-func (d *desk) acts(from int, act string) []*schema.Order {
-	var list []*schema.Order
+func (d *desk) acts(from int, act string) []*schema.TaskOrder {
+	var list []*schema.TaskOrder
 	for _, reply := range d.replies[from:] {
 		for _, order := range reply.GetOrders().GetOrders() {
-			if order.Act == act {
+			if order.Action == act {
 				list = append(list, order)
 			}
 		}
@@ -79,14 +79,14 @@
 }
 
 func TestNamedNotes(t *testing.T) {
-	rows := []*schema.Row{queueRow("l", "urgency", "10"), queueRow("m", "urgency", "10")}
+	rows := []*schema.ConfigurationRow{queueRow("l", "urgency", "10"), queueRow("m", "urgency", "10")}
 	out := func() *queue.Shift {
-		s := shift(1, 7, 3, queue.Out, "w", &schema.Step{Name: "s", Tasks: 4, CoresMilli: 600, Saves: true})
+		s := shift(1, 7, 3, queue.Out, "w", &schema.Step{Name: "s", Tasks: 4, CoresMilli: 600, Checkpoints: true})
 		s.Key.Step, s.Round, s.Part, s.Saved = 5, 2, 1, "before"
 		return s
 	}
-	note := func(state string) *schema.TaskNote {
-		return &schema.TaskNote{Name: "j7", Round: 2, Part: 1, Task: 3, Attempt: 1, State: state}
+	note := func(state string) *schema.TaskStatus {
+		return &schema.TaskStatus{Name: "j7", Round: 2, StepInRound: 1, Task: 3, Attempt: 1, State: state}
 	}
 	Convey("An agent's notes are found by job, round and part", t, func() {
 		d := newDesk("w")
@@ -94,8 +94,8 @@
 		d.queue("l", 10, out())
 		d.announce("w", named(nil))
 		start := d.last().Orders.Orders[0]
-		So(start.Act, ShouldEqual, "start")
-		So([]any{start.Name, start.Round, start.Part, start.Task, start.Attempt, start.Saved}, ShouldResemble, []any{"j7", uint32(2), uint32(1), uint32(3), uint32(1), "before"})
+		So(start.Action, ShouldEqual, "start")
+		So([]any{start.Name, start.Round, start.StepInRound, start.Task, start.Attempt, start.Checkpoint}, ShouldResemble, []any{"j7", uint32(2), uint32(1), uint32(3), uint32(1), "before"})
 		from := len(d.replies)
 		d.announce("w", runs(note("running")))
 		So(d.acts(from, "start"), ShouldBeEmpty)
@@ -106,10 +106,10 @@
 			So(d.ended()[0].Outcome, ShouldEqual, "done")
 			d.queue("l", 10)
 			d.announce("w", ends(note("done")))
-			d.step(&schema.EndReply{Queue: "l", Key: &schema.TaskKey{Job: 7, Step: 5, Task: 3}, Attempt: 1, Worker: "w"})
-			noted := d.last().Orders.Noted
+			d.step(&schema.TaskEndAck{Queue: "l", Key: &schema.TaskKey{Job: 7, Step: 5, Task: 3}, Attempt: 1, Worker: "w"})
+			noted := d.last().Orders.Acknowledged
 			So(len(noted), ShouldEqual, 1)
-			So([]any{noted[0].Name, noted[0].Round, noted[0].Part, noted[0].Task, noted[0].Attempt}, ShouldResemble, []any{"j7", uint32(2), uint32(1), uint32(3), uint32(1)})
+			So([]any{noted[0].Name, noted[0].Round, noted[0].StepInRound, noted[0].Task, noted[0].Attempt}, ShouldResemble, []any{"j7", uint32(2), uint32(1), uint32(3), uint32(1)})
 		})
 		Convey("with their progress: the end's own, else the last seen, else what it began with", func() {
 			for _, each := range []struct{ seen, told, want string }{{"", "", "before"}, {"mid", "", "mid"}, {"mid", "last", "last"}} {
@@ -117,32 +117,34 @@
 				d.told(rows, "w")
 				d.queue("l", 10, out())
 				running, over := note("running"), note("stopped")
-				running.Saved, over.Saved = each.seen, each.told
+				running.Checkpoint, over.Checkpoint = each.seen, each.told
 				d.announce("w", runs(running))
 				d.announce("w", ends(over))
-				So(d.ended()[0].Saved, ShouldEqual, each.want)
+				So(d.ended()[0].Checkpoint, ShouldEqual, each.want)
 			}
 		})
 	})
 	Convey("What no task is known for is left alone until every queue of the plan is led here", t, func() {
 		stray, over := note("running"), note("done")
 		over.Task = 2
-		both := named(func(a *schema.Announce) { a.Running, a.Ended = []*schema.TaskNote{stray}, []*schema.TaskNote{over} })
+		both := named(func(a *schema.WorkerHeartbeat) {
+			a.Running, a.Ended = []*schema.TaskStatus{stray}, []*schema.TaskStatus{over}
+		})
 		d := newDesk("w")
 		d.told(rows, "w")
 		d.queue("l", 10)
 		d.announce("w", both)
 		d.announce("w", both)
 		So(d.acts(0, "stop"), ShouldBeEmpty)
-		So(d.last().GetOrders().GetNoted(), ShouldBeEmpty)
+		So(d.last().GetOrders().GetAcknowledged(), ShouldBeEmpty)
 		Convey("then the run is stopped and the end noted", func() {
 			d.queue("m", 10)
 			d.announce("w", both)
 			stops := d.acts(0, "stop")
 			So(len(stops), ShouldBeGreaterThan, 0)
-			So([]any{stops[0].Name, stops[0].Round, stops[0].Part, stops[0].Task, stops[0].Attempt}, ShouldResemble, []any{"j7", uint32(2), uint32(1), uint32(3), uint32(1)})
-			So(len(d.last().Orders.Noted), ShouldEqual, 1)
-			So(d.last().Orders.Noted[0].Task, ShouldEqual, 2)
+			So([]any{stops[0].Name, stops[0].Round, stops[0].StepInRound, stops[0].Task, stops[0].Attempt}, ShouldResemble, []any{"j7", uint32(2), uint32(1), uint32(3), uint32(1)})
+			So(len(d.last().Orders.Acknowledged), ShouldEqual, 1)
+			So(d.last().Orders.Acknowledged[0].Task, ShouldEqual, 2)
 		})
 		Convey("and a worker that runs what has no known size is given nothing", func() {
 			d.queue("l", 10, shift(1, 9, 0, queue.Ready, "", one))
@@ -156,13 +158,13 @@
 func TestDeadByWord(t *testing.T) {
 	Convey("What an agent says is dead gives back its tasks at once and gets nothing more", t, func() {
 		d := newDesk("old", "new")
-		saving := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 600, Saves: true}
+		saving := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 600, Checkpoints: true}
 		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "old", saving))
-		d.announce("old", runs(&schema.TaskNote{Name: "j1", Attempt: 1, State: "running", Saved: "half"}))
-		d.announce("old", runs(&schema.TaskNote{Name: "j1", Attempt: 1, State: "running", Saved: "half"}))
-		d.announce("new", named(func(a *schema.Announce) { a.Over = []string{"old"} }))
+		d.announce("old", runs(&schema.TaskStatus{Name: "j1", Attempt: 1, State: "running", Checkpoint: "half"}))
+		d.announce("old", runs(&schema.TaskStatus{Name: "j1", Attempt: 1, State: "running", Checkpoint: "half"}))
+		d.announce("new", named(func(a *schema.WorkerHeartbeat) { a.ReplacedWorkers = []string{"old"} }))
 		So(d.ended()[0].Outcome, ShouldEqual, "lost")
-		So(d.ended()[0].Saved, ShouldEqual, "half")
+		So(d.ended()[0].Checkpoint, ShouldEqual, "half")
 		d.announce("old", named(nil))
 		So(d.last().Orders, ShouldBeNil)
 		Convey("also what turns out to be there later", func() {
@@ -175,23 +177,23 @@
 }
 
 func TestGroupsThatGather(t *testing.T) {
-	gang := &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Together: true}
-	gathering := func(change func(*schema.Announce)) func(*schema.Announce) {
-		return named(func(a *schema.Announce) {
-			a.Gathers = true
+	gang := &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Gang: true}
+	gathering := func(change func(*schema.WorkerHeartbeat)) func(*schema.WorkerHeartbeat) {
+		return named(func(a *schema.WorkerHeartbeat) {
+			a.GangBarrier = true
 			if change != nil {
 				change(a)
 			}
 		})
 	}
-	member := func(task uint32, state string) *schema.TaskNote {
-		return &schema.TaskNote{Name: "j1", Task: task, Attempt: 1, State: state}
+	member := func(task uint32, state string) *schema.TaskStatus {
+		return &schema.TaskStatus{Name: "j1", Task: task, Attempt: 1, State: state}
 	}
-	run := func(task uint32) func(*schema.Announce) {
-		return gathering(func(a *schema.Announce) { a.Running = []*schema.TaskNote{member(task, "running")} })
+	run := func(task uint32) func(*schema.WorkerHeartbeat) {
+		return gathering(func(a *schema.WorkerHeartbeat) { a.Running = []*schema.TaskStatus{member(task, "running")} })
 	}
-	over := func(task uint32, state string) func(*schema.Announce) {
-		return gathering(func(a *schema.Announce) { a.Ended = []*schema.TaskNote{member(task, state)} })
+	over := func(task uint32, state string) func(*schema.WorkerHeartbeat) {
+		return gathering(func(a *schema.WorkerHeartbeat) { a.Ended = []*schema.TaskStatus{member(task, state)} })
 	}
 	begin := func() *desk {
 		d := newDesk("v", "w")
@@ -215,12 +217,12 @@
 		d.pass(100 * eventloop.Milli)
 		for _, tell := range d.tells {
 			if propose, isPropose := tell.(replica.Propose); isPropose {
-				So(propose.Command.GetLaunch(), ShouldBeNil)
+				So(propose.Command.GetStartGang(), ShouldBeNil)
 			}
 		}
 		Convey("and one end stands for all", func() {
 			d.announce("v", over(0, "done"))
-			So(d.ended()[0].Whole, ShouldBeTrue)
+			So(d.ended()[0].WholeGang, ShouldBeTrue)
 			So(d.acts(0, "stop"), ShouldBeEmpty)
 		})
 	})
@@ -231,7 +233,7 @@
 			count := len(d.replies)
 			d.announce("w", over(1, outcome))
 			So(d.ended()[0].Outcome, ShouldEqual, outcome)
-			So(d.ended()[0].Whole, ShouldBeFalse)
+			So(d.ended()[0].WholeGang, ShouldBeFalse)
 			So(len(d.acts(count, "stop")), ShouldEqual, 1)
 			So(d.acts(count, "stop")[0].Task, ShouldEqual, 0)
 		}
@@ -240,7 +242,7 @@
 		d := begin()
 		d.announce("v", run(0))
 		count := len(d.replies)
-		d.announce("w", gathering(func(a *schema.Announce) { a.Leaving = true }))
+		d.announce("w", gathering(func(a *schema.WorkerHeartbeat) { a.Draining = true }))
 		So(len(d.acts(count, "stop")), ShouldEqual, 2)
 		So(d.acts(count, "start"), ShouldBeEmpty)
 	})
@@ -260,7 +262,7 @@
 	})
 	Convey("Nothing is started when the worker of another member has left", t, func() {
 		d := newDesk("v", "w")
-		d.announce("w", gathering(func(a *schema.Announce) { a.Leaving = true }))
+		d.announce("w", gathering(func(a *schema.WorkerHeartbeat) { a.Draining = true }))
 		d.shifts(true, 2, shift(1, 1, 0, queue.Out, "v", gang), shift(2, 1, 1, queue.Out, "w", gang))
 		d.announce("v", gathering(nil))
 		d.announce("v", gathering(nil))
@@ -270,41 +272,41 @@
 }
 
 func TestWhereWorkMayGo(t *testing.T) {
-	plain := func(a *schema.Announce) {}
+	plain := func(a *schema.WorkerHeartbeat) {}
 	for _, each := range []struct {
 		what   string
-		rows   []*schema.Row
+		rows   []*schema.ConfigurationRow
 		step   *schema.Step
-		v, w   func(*schema.Announce)
+		v, w   func(*schema.WorkerHeartbeat)
 		tasks  int
 		want   map[string]int
 		bounds *schema.Bounds
 	}{
-		{what: "only the queue's pool", rows: []*schema.Row{queueRow("l", "pool", "p")}, step: &schema.Step{CoresMilli: 100}, v: plain,
-			w: func(a *schema.Announce) { a.Pool = "p" }, tasks: 1, want: map[string]int{"w": 1}},
+		{what: "only the queue's pool", rows: []*schema.ConfigurationRow{queueRow("l", "pool", "p")}, step: &schema.Step{CoresMilli: 100}, v: plain,
+			w: func(a *schema.WorkerHeartbeat) { a.Pool = "p" }, tasks: 1, want: map[string]int{"w": 1}},
 		{what: "a queue without a pool isn't for the workers of one", step: &schema.Step{CoresMilli: 100}, v: plain,
-			w: func(a *schema.Announce) { a.Pool = "p" }, tasks: 1, want: map[string]int{"v": 1}},
+			w: func(a *schema.WorkerHeartbeat) { a.Pool = "p" }, tasks: 1, want: map[string]int{"v": 1}},
 		{what: "all labels", step: &schema.Step{CoresMilli: 100, Labels: []string{"a", "b"}},
-			v: func(a *schema.Announce) { a.Labels = []string{"a"} }, w: func(a *schema.Announce) { a.Labels = []string{"c", "b", "a"} },
+			v: func(a *schema.WorkerHeartbeat) { a.Labels = []string{"a"} }, w: func(a *schema.WorkerHeartbeat) { a.Labels = []string{"c", "b", "a"} },
 			tasks: 2, want: map[string]int{"w": 2}},
 		{what: "accelerators", step: &schema.Step{CoresMilli: 100, Accelerators: 2},
-			v: plain, w: func(a *schema.Announce) { a.Accelerators = 5 }, tasks: 4, want: map[string]int{"w": 2}},
+			v: plain, w: func(a *schema.WorkerHeartbeat) { a.Accelerators = 5 }, tasks: 4, want: map[string]int{"w": 2}},
 		{what: "workers with accelerators last", step: &schema.Step{CoresMilli: 100},
-			v: plain, w: func(a *schema.Announce) { a.Accelerators = 5 }, tasks: 1, want: map[string]int{"v": 1}},
-		{what: "so many on one worker", step: &schema.Step{CoresMilli: 100, PerWorker: 2},
+			v: plain, w: func(a *schema.WorkerHeartbeat) { a.Accelerators = 5 }, tasks: 1, want: map[string]int{"v": 1}},
+		{what: "so many on one worker", step: &schema.Step{CoresMilli: 100, MaxPerWorker: 2},
 			v: plain, w: plain, tasks: 6, want: map[string]int{"v": 2, "w": 2}},
 		{what: "its data's rack first, then elsewhere", step: &schema.Step{CoresMilli: 400, DataRack: "r2"},
-			v: plain, w: func(a *schema.Announce) { a.Rack = "r2" }, tasks: 3, want: map[string]int{"w": 2, "v": 1}},
+			v: plain, w: func(a *schema.WorkerHeartbeat) { a.Rack = "r2" }, tasks: 3, want: map[string]int{"w": 2, "v": 1}},
 		{what: "one rack where it fits", step: &schema.Step{CoresMilli: 400, OneRack: true},
-			v: plain, w: func(a *schema.Announce) { a.Rack, a.CoresMilli = "r2", 1200 }, tasks: 3, want: map[string]int{"w": 3}},
+			v: plain, w: func(a *schema.WorkerHeartbeat) { a.Rack, a.CoresMilli = "r2", 1200 }, tasks: 3, want: map[string]int{"w": 3}},
 		{what: "several racks else", step: &schema.Step{CoresMilli: 400, OneRack: true},
-			v: plain, w: func(a *schema.Announce) { a.Rack = "r2" }, tasks: 4, want: map[string]int{"v": 2, "w": 2}},
-		{what: "a group in one rack", step: &schema.Step{CoresMilli: 300, OneRack: true, Together: true},
-			v: plain, w: func(a *schema.Announce) { a.Rack, a.CoresMilli = "r2", 950 }, tasks: 3, want: map[string]int{"v": 3}},
-		{what: "a group in several", step: &schema.Step{CoresMilli: 400, OneRack: true, Together: true},
-			v: plain, w: func(a *schema.Announce) { a.Rack = "r2" }, tasks: 4, want: map[string]int{"v": 2, "w": 2}},
+			v: plain, w: func(a *schema.WorkerHeartbeat) { a.Rack = "r2" }, tasks: 4, want: map[string]int{"v": 2, "w": 2}},
+		{what: "a group in one rack", step: &schema.Step{CoresMilli: 300, OneRack: true, Gang: true},
+			v: plain, w: func(a *schema.WorkerHeartbeat) { a.Rack, a.CoresMilli = "r2", 950 }, tasks: 3, want: map[string]int{"v": 3}},
+		{what: "a group in several", step: &schema.Step{CoresMilli: 400, OneRack: true, Gang: true},
+			v: plain, w: func(a *schema.WorkerHeartbeat) { a.Rack = "r2" }, tasks: 4, want: map[string]int{"v": 2, "w": 2}},
 		{what: "a cold worker last", step: &schema.Step{CoresMilli: 100},
-			v: func(a *schema.Announce) { a.ColdUs = 5_000_000 }, w: plain, tasks: 1, want: map[string]int{"w": 1}},
+			v: func(a *schema.WorkerHeartbeat) { a.WarmUpUs = 5_000_000 }, w: plain, tasks: 1, want: map[string]int{"w": 1}},
 	} {
 		Convey("Work goes to "+each.what, t, func() {
 			d := newDesk("v", "w")
@@ -327,35 +329,35 @@
 		})
 	}
 	Convey("So many on one worker counts what is out there and what it still runs", t, func() {
-		step := &schema.Step{Name: "s", Tasks: 4, CoresMilli: 100, PerWorker: 2}
+		step := &schema.Step{Name: "s", Tasks: 4, CoresMilli: 100, MaxPerWorker: 2}
 		d := newDesk("w")
 		again := shift(3, 1, 2, queue.Ready, "", step)
 		again.Attempt = 1
-		d.announce("w", func(a *schema.Announce) {
-			a.Running = []*schema.TaskNote{{Queue: "l", Job: 1, Task: 2, Attempt: 1, State: "running", CoresMilli: 100}}
+		d.announce("w", func(a *schema.WorkerHeartbeat) {
+			a.Running = []*schema.TaskStatus{{Queue: "l", Job: 1, Task: 2, Attempt: 1, State: "running", CoresMilli: 100}}
 		})
 		d.shifts(true, 4, shift(1, 1, 0, queue.Out, "w", step), shift(2, 1, 1, queue.Ready, "", step), again)
 		So(d.picks(), ShouldBeEmpty)
 	})
 	Convey("A task isn't started where its queue's pool is another by now", t, func() {
 		d := newDesk("w")
-		d.told([]*schema.Row{queueRow("l", "pool", "p")}, "w")
+		d.told([]*schema.ConfigurationRow{queueRow("l", "pool", "p")}, "w")
 		d.queue("l", 10, shift(1, 1, 0, queue.Out, "w", one))
 		d.announce("w", nil)
-		So(d.last().Orders.Orders[0].Act, ShouldEqual, "stop")
+		So(d.last().Orders.Orders[0].Action, ShouldEqual, "stop")
 	})
 }
 
 func TestRoomIsFreeOnceTheEndIsTold(t *testing.T) {
 	Convey("What is being stopped keeps its room until its end is listed", t, func() {
 		d := newDesk("w")
-		note := &schema.TaskNote{Name: "j1", Attempt: 1, State: "running"}
+		note := &schema.TaskStatus{Name: "j1", Attempt: 1, State: "running"}
 		d.announce("w", named(nil))
 		stopping := shift(1, 1, 0, queue.Stopping, "w", one)
 		d.shifts(true, 2, stopping, shift(2, 2, 0, queue.Ready, "", one))
 		d.announce("w", runs(note))
 		So(d.picks(), ShouldBeEmpty)
-		d.announce("w", ends(&schema.TaskNote{Name: "j1", Attempt: 1, State: "stopped"}))
+		d.announce("w", ends(&schema.TaskStatus{Name: "j1", Attempt: 1, State: "stopped"}))
 		So(len(d.picks()), ShouldEqual, 1)
 	})
 }
@@ -367,10 +369,10 @@
 		percent int64
 		isSaved bool
 	}{
-		{"what ends in time runs out", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Saves: true, EstimateUs: 3_000_000}, 0, false},
-		{"what can't keeps its progress just before", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Saves: true, EstimateUs: 60_000_000}, 0, true},
-		{"by what it has done, where that is told", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Saves: true, EstimateUs: 60_000_000}, 95, false},
-		{"what keeps none is left alone", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimateUs: 60_000_000}, 0, false},
+		{"what ends in time runs out", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Checkpoints: true, EstimatedRunUs: 3_000_000}, 0, false},
+		{"what can't keeps its progress just before", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Checkpoints: true, EstimatedRunUs: 60_000_000}, 0, true},
+		{"by what it has done, where that is told", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Checkpoints: true, EstimatedRunUs: 60_000_000}, 95, false},
+		{"what keeps none is left alone", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimatedRunUs: 60_000_000}, 0, false},
 	} {
 		Convey("On a worker with a time to go "+each.what, t, func() {
 			d := newDesk("w")
@@ -379,9 +381,9 @@
 			stoppedAt := eventloop.Micros(0)
 			percent := int64(0)
 			for d.now < began+3600*eventloop.Milli {
-				d.announce("w", named(func(a *schema.Announce) {
-					a.Leaving, a.DepartureUs = true, int64(began+4*eventloop.Second-d.now)
-					a.Running = []*schema.TaskNote{{Name: "j1", Attempt: 1, State: "running", Percent: percent}}
+				d.announce("w", named(func(a *schema.WorkerHeartbeat) {
+					a.Draining, a.DepartsInUs = true, int64(began+4*eventloop.Second-d.now)
+					a.Running = []*schema.TaskStatus{{Name: "j1", Attempt: 1, State: "running", Percent: percent}}
 				}))
 				d.pass(100 * eventloop.Milli)
 				percent = each.percent
@@ -401,11 +403,11 @@
 func TestDisplacing(t *testing.T) {
 	big := &schema.Step{Name: "b", Tasks: 1, CoresMilli: 800}
 	mid := &schema.Step{Name: "m", Tasks: 1, CoresMilli: 400}
-	saving := &schema.Step{Name: "m", Tasks: 1, CoresMilli: 400, Saves: true}
-	lasting := &schema.Step{Name: "m", Tasks: 1, CoresMilli: 400, Lasting: true}
-	group := &schema.Step{Name: "m", Tasks: 2, CoresMilli: 400, Together: true}
-	run := func(job uint64, task uint32, run eventloop.Micros) *schema.TaskNote {
-		return &schema.TaskNote{Queue: "l", Job: job, Task: task, Attempt: 1, State: "running", RunUs: int64(run), CoresMilli: 400}
+	saving := &schema.Step{Name: "m", Tasks: 1, CoresMilli: 400, Checkpoints: true}
+	lasting := &schema.Step{Name: "m", Tasks: 1, CoresMilli: 400, RunUntilCancelled: true}
+	group := &schema.Step{Name: "m", Tasks: 2, CoresMilli: 400, Gang: true}
+	run := func(job uint64, task uint32, run eventloop.Micros) *schema.TaskStatus {
+		return &schema.TaskStatus{Queue: "l", Job: job, Task: task, Attempt: 1, State: "running", RunUs: int64(run), CoresMilli: 400}
 	}
 	stops := func(d *desk) map[uint64]int {
 		got := map[uint64]int{}
@@ -421,38 +423,38 @@
 	for _, each := range []struct {
 		what         string
 		less         []*queue.Shift
-		running      map[string][]*schema.TaskNote
+		running      map[string][]*schema.TaskStatus
 		urgent       []*queue.Shift
 		want         map[uint64]int
 		lessUrgently int64
 	}{
 		{what: "what has run least", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "v", mid), shift(1, 3, 0, queue.Out, "w", mid), shift(1, 4, 0, queue.Out, "w", mid)},
-			running: map[string][]*schema.TaskNote{"v": {run(1, 0, 9*eventloop.Second), run(2, 0, 9*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
+			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), run(2, 0, 9*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
 			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{3: 1}},
 		{what: "what has kept its progress", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "v", saving), shift(1, 3, 0, queue.Out, "w", mid), shift(1, 4, 0, queue.Out, "w", mid)},
-			running: map[string][]*schema.TaskNote{"v": {run(1, 0, 9*eventloop.Second), {Queue: "l", Job: 2, Attempt: 1, State: "running", RunUs: 20_000_000, Saved: "x", CoresMilli: 400}}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
+			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), {Queue: "l", Job: 2, Attempt: 1, State: "running", RunUs: 20_000_000, Checkpoint: "x", CoresMilli: 400}}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
 			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{2: 1}},
 		{what: "lasting tasks late", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "v", lasting), shift(1, 3, 0, queue.Out, "w", lasting), shift(1, 4, 0, queue.Out, "w", lasting)},
-			running: map[string][]*schema.TaskNote{"v": {run(1, 0, 9*eventloop.Second), run(2, 0, eventloop.Milli)}, "w": {run(3, 0, eventloop.Milli), run(4, 0, eventloop.Milli)}},
+			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), run(2, 0, eventloop.Milli)}, "w": {run(3, 0, eventloop.Milli), run(4, 0, eventloop.Milli)}},
 			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{1: 1}},
 		{what: "no more than is needed, but enough for all that waits", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "v", mid), shift(1, 3, 0, queue.Out, "w", mid), shift(1, 4, 0, queue.Out, "w", mid)},
-			running: map[string][]*schema.TaskNote{"v": {run(1, 0, 2*eventloop.Second), run(2, 0, 3*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
+			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second), run(2, 0, 3*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
 			urgent:  []*queue.Shift{shift(1, 8, 0, queue.Ready, "", mid), shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{1: 1, 2: 1}},
 		{what: "a group as a whole, which costs all of it", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", group), shift(1, 1, 1, queue.Out, "w", group), shift(1, 2, 0, queue.Out, "v", mid), shift(1, 3, 0, queue.Out, "w", mid)},
-			running: map[string][]*schema.TaskNote{"v": {run(1, 0, 5*eventloop.Second), run(2, 0, 20*eventloop.Second)}, "w": {run(1, 1, 5*eventloop.Second), run(3, 0, 9*eventloop.Second)}},
+			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 5*eventloop.Second), run(2, 0, 20*eventloop.Second)}, "w": {run(1, 1, 5*eventloop.Second), run(3, 0, 9*eventloop.Second)}},
 			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{3: 1}},
 		{what: "for a group as well", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "v", mid), shift(1, 3, 0, queue.Out, "w", mid), shift(1, 4, 0, queue.Out, "w", mid)},
-			running: map[string][]*schema.TaskNote{"v": {run(1, 0, 2*eventloop.Second), run(2, 0, 3*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
-			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Together: true}), shift(1, 9, 1, queue.Ready, "", &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Together: true})}, want: map[uint64]int{1: 1, 3: 1}},
+			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second), run(2, 0, 3*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
+			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Gang: true}), shift(1, 9, 1, queue.Ready, "", &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Gang: true})}, want: map[uint64]int{1: 1, 3: 1}},
 		{what: "nothing for what then doesn't fit", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "w", mid)},
-			running: map[string][]*schema.TaskNote{"v": {run(1, 0, 2*eventloop.Second)}, "w": {run(2, 0, 8*eventloop.Second)}},
+			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second)}, "w": {run(2, 0, 8*eventloop.Second)}},
 			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", &schema.Step{Name: "x", Tasks: 1, CoresMilli: 1200})}, want: map[uint64]int{}},
 		{what: "nothing for a group of which one doesn't fit", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "w", mid)},
-			running: map[string][]*schema.TaskNote{"v": {run(1, 0, 2*eventloop.Second)}, "w": {run(2, 0, 8*eventloop.Second)}},
-			urgent: []*queue.Shift{shift(1, 9, 0, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Together: true}), shift(1, 9, 1, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Together: true}),
-				shift(1, 9, 2, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Together: true})}, want: map[uint64]int{}},
+			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second)}, "w": {run(2, 0, 8*eventloop.Second)}},
+			urgent: []*queue.Shift{shift(1, 9, 0, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Gang: true}), shift(1, 9, 1, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Gang: true}),
+				shift(1, 9, 2, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Gang: true})}, want: map[uint64]int{}},
 		{what: "nothing of the same urgency", lessUrgently: 50, less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "w", mid)},
-			running: map[string][]*schema.TaskNote{"v": {run(1, 0, 2*eventloop.Second)}, "w": {run(2, 0, 8*eventloop.Second)}},
+			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second)}, "w": {run(2, 0, 8*eventloop.Second)}},
 			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", big)}, want: map[uint64]int{}},
 	} {
 		Convey("Urgent work displaces "+each.what, t, func() {
@@ -461,7 +463,7 @@
 			d.queue("l", max(each.lessUrgently, 10), each.less...)
 			say := func() {
 				for _, id := range []string{"v", "w"} {
-					d.announce(id, func(a *schema.Announce) { a.Running = each.running[id] })
+					d.announce(id, func(a *schema.WorkerHeartbeat) { a.Running = each.running[id] })
 				}
 			}
 			say()
@@ -477,17 +479,17 @@
 	Convey("The room that was freed goes to whom it was freed for", t, func() {
 		d := newDesk("w")
 		d.queue("l", 10, shift(1, 1, 0, queue.Out, "w", mid), shift(1, 2, 0, queue.Out, "w", mid), shift(1, 3, 0, queue.Ready, "", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 300}))
-		both := []*schema.TaskNote{run(1, 0, eventloop.Second), run(2, 0, eventloop.Second)}
-		d.announce("w", func(a *schema.Announce) { a.Running = both })
+		both := []*schema.TaskStatus{run(1, 0, eventloop.Second), run(2, 0, eventloop.Second)}
+		d.announce("w", func(a *schema.WorkerHeartbeat) { a.Running = both })
 		d.queue("m", 50, shift(1, 9, 0, queue.Ready, "", &schema.Step{Name: "x", Tasks: 1, CoresMilli: 1000}))
 		d.pass(preemptAfter + 2*Pace)
 		So(stops(d), ShouldResemble, map[uint64]int{1: 1, 2: 1})
-		d.announce("w", func(a *schema.Announce) {
-			a.Running, a.Ended = both[1:], []*schema.TaskNote{{Queue: "l", Job: 1, Attempt: 1, State: "stopped"}}
+		d.announce("w", func(a *schema.WorkerHeartbeat) {
+			a.Running, a.Ended = both[1:], []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: 1, State: "stopped"}}
 		})
 		So(d.picks(), ShouldBeEmpty)
-		d.announce("w", func(a *schema.Announce) {
-			a.Ended = []*schema.TaskNote{{Queue: "l", Job: 1, Attempt: 1, State: "stopped"}, {Queue: "l", Job: 2, Attempt: 1, State: "stopped"}}
+		d.announce("w", func(a *schema.WorkerHeartbeat) {
+			a.Ended = []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: 1, State: "stopped"}, {Queue: "l", Job: 2, Attempt: 1, State: "stopped"}}
 		})
 		So(len(d.picks()), ShouldEqual, 1)
 		So(d.picks()[0].Key.Job, ShouldEqual, 9)
@@ -498,11 +500,11 @@
 	Convey("A group that has waited keeps workers free from what comes after it", t, func() {
 		for _, urgency := range []int64{10, 5} {
 			d := newDesk("v", "w")
-			gang := &schema.Step{Name: "g", Tasks: 2, CoresMilli: 900, Together: true}
+			gang := &schema.Step{Name: "g", Tasks: 2, CoresMilli: 900, Gang: true}
 			small := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 500}
 			d.queue("k", 10, shift(1, 1, 0, queue.Out, "v", small))
-			busy := func(a *schema.Announce) {
-				a.Running = []*schema.TaskNote{{Queue: "k", Job: 1, Attempt: 1, State: "running", CoresMilli: 500}}
+			busy := func(a *schema.WorkerHeartbeat) {
+				a.Running = []*schema.TaskStatus{{Queue: "k", Job: 1, Attempt: 1, State: "running", CoresMilli: 500}}
 			}
 			d.announce("v", busy)
 			d.announce("w", nil)
@@ -514,8 +516,8 @@
 			d.queue("m", urgency, shift(1, 6, 0, queue.Ready, "", small))
 			So(d.picks(), ShouldBeEmpty)
 			Convey(fmt.Sprint("until it fits, before urgency ", urgency), func() {
-				d.announce("v", func(a *schema.Announce) {
-					a.Ended = []*schema.TaskNote{{Queue: "k", Job: 1, Attempt: 1, State: "done"}}
+				d.announce("v", func(a *schema.WorkerHeartbeat) {
+					a.Ended = []*schema.TaskStatus{{Queue: "k", Job: 1, Attempt: 1, State: "done"}}
 				})
 				So(len(d.picks()), ShouldEqual, 2)
 				So(d.picks()[0].Key.Job, ShouldEqual, 5)
@@ -541,15 +543,15 @@
 }
 
 func TestBadWorkers(t *testing.T) {
-	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimateUs: 1_000_000}
+	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimatedRunUs: 1_000_000}
 	// finish lets a worker end one task after a run of so long.
 	job := uint64(100)
 	finish := func(d *desk, worker string, run eventloop.Micros) {
 		job++
 		hand := d.t.views["l"].hand
 		d.shifts(false, hand+1, shift(hand+1, job, 0, queue.Out, worker, step))
-		d.announce(worker, named(func(a *schema.Announce) {
-			a.Ended = []*schema.TaskNote{{Name: fmt.Sprint("j", job), Attempt: 1, State: "done", RunUs: int64(run)}}
+		d.announce(worker, named(func(a *schema.WorkerHeartbeat) {
+			a.Ended = []*schema.TaskStatus{{Name: fmt.Sprint("j", job), Attempt: 1, State: "done", RunUs: int64(run)}}
 		}))
 		d.shifts(false, hand+2, shift(hand+2, job, 0, queue.Gone, "", step))
 	}
@@ -578,8 +580,8 @@
 		for k := 0; k < 4; k++ {
 			finish(d, "a", 4*eventloop.Second)
 		}
-		d.announce("b", runs(&schema.TaskNote{Queue: "x", Name: "z", Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}))
-		d.announce("c", runs(&schema.TaskNote{Queue: "x", Name: "z", Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}))
+		d.announce("b", runs(&schema.TaskStatus{Queue: "x", Name: "z", Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}))
+		d.announce("c", runs(&schema.TaskStatus{Queue: "x", Name: "z", Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}))
 		So(ready(d, step), ShouldNotEqual, "a")
 		Convey("but the others aren't taken for quick", func() {
 			So(d.t.workers["b"].slow, ShouldBeBetween, -0.1, 0.1)
@@ -594,7 +596,7 @@
 		play := func(span eventloop.Micros, moves int64) {
 			for end := d.now + span; d.now < end; {
 				percent += moves
-				d.announce("a", runs(&schema.TaskNote{Name: "j7", Attempt: 1, State: "running", Percent: percent}))
+				d.announce("a", runs(&schema.TaskStatus{Name: "j7", Attempt: 1, State: "running", Percent: percent}))
 				finish(d, "b", eventloop.Second)
 				finish(d, "c", eventloop.Second)
 				d.pass(100 * eventloop.Milli)
@@ -607,7 +609,7 @@
 			play(500*eventloop.Milli, 0)
 			So(isStopped(), ShouldBeTrue)
 			d.tells = nil
-			d.announce("a", ends(&schema.TaskNote{Name: "j7", Attempt: 1, State: "stopped"}))
+			d.announce("a", ends(&schema.TaskStatus{Name: "j7", Attempt: 1, State: "stopped"}))
 			So(d.ended()[0].Outcome, ShouldEqual, "stopped")
 			for k := 0; k < 3; k++ {
 				So(ready(d, step), ShouldNotEqual, "a")
@@ -621,8 +623,8 @@
 	})
 	fail := func(d *desk, worker string, jobs ...uint64) {
 		for _, each := range jobs {
-			d.announce(worker, func(a *schema.Announce) {
-				a.Ended = []*schema.TaskNote{{Queue: "l", Job: each, Attempt: 1, State: "failed"}}
+			d.announce(worker, func(a *schema.WorkerHeartbeat) {
+				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: each, Attempt: 1, State: "failed"}}
 			})
 		}
 	}
@@ -643,7 +645,7 @@
 			d.tells = nil
 			d.shifts(false, hand+1, shift(hand+1, 900, 0, queue.Ready, "", only))
 			d.pass(2 * eventloop.Second)
-			has := named(func(a *schema.Announce) { a.Labels = []string{"x"} })
+			has := named(func(a *schema.WorkerHeartbeat) { a.Labels = []string{"x"} })
 			d.announce("a", has)
 			So(d.picks(), ShouldBeEmpty)
 			d.pass(1100 * eventloop.Milli)
@@ -690,14 +692,14 @@
 		hand := d.t.views["l"].hand
 		d.shifts(false, hand+1, shift(hand+1, job, 0, queue.Gone, "", step))
 		d.pass(firstRest)
-		has := func(notes ...*schema.TaskNote) func(*schema.Announce) {
-			return named(func(a *schema.Announce) { a.Labels, a.Running = []string{"x"}, notes })
+		has := func(notes ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
+			return named(func(a *schema.WorkerHeartbeat) { a.Labels, a.Running = []string{"x"}, notes })
 		}
 		only := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Labels: []string{"x"}}
 		hand = d.t.views["l"].hand
 		d.tells = nil
 		d.shifts(false, hand+1, shift(hand+1, 900, 0, queue.Out, "a", only))
-		runs := &schema.TaskNote{Name: "j900", Attempt: 1, State: "running"}
+		runs := &schema.TaskStatus{Name: "j900", Attempt: 1, State: "running"}
 		d.announce("a", has(runs))
 		d.shifts(false, hand+2, shift(hand+2, 901, 0, queue.Ready, "", only))
 		d.announce("a", has(runs))
@@ -731,8 +733,8 @@
 	Convey("One task that fails again and again says nothing of its worker", t, func() {
 		d := setUp()
 		for k := uint32(1); k < 4; k++ {
-			d.announce("a", func(a *schema.Announce) {
-				a.Ended = []*schema.TaskNote{{Queue: "l", Job: 1, Attempt: k, State: "failed"}}
+			d.announce("a", func(a *schema.WorkerHeartbeat) {
+				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: k, State: "failed"}}
 			})
 		}
 		d.step(eventloop.Tick{})
@@ -762,7 +764,7 @@
 func TestUrgentQueuesComeFirst(t *testing.T) {
 	Convey("Queues are served by urgency, equals by who has waited longest", t, func() {
 		d := newDesk("w")
-		d.announce("w", func(a *schema.Announce) { a.Leaving = true })
+		d.announce("w", func(a *schema.WorkerHeartbeat) { a.Draining = true })
 		d.queue("m", 10, shift(1, 1, 0, queue.Ready, "", one))
 		d.pass(100 * eventloop.Milli)
 		d.queue("k", 10, shift(1, 2, 0, queue.Ready, "", one))
@@ -787,8 +789,8 @@
 		d := newDesk("v", "w")
 		say := func() {
 			for k, id := range []string{"v", "w"} {
-				d.announce(id, func(a *schema.Announce) {
-					a.Running = []*schema.TaskNote{{Queue: "l", Job: uint64(k + 1), Attempt: 1, State: "running", RunUs: int64(k+1) * int64(eventloop.Second), CoresMilli: 900}}
+				d.announce(id, func(a *schema.WorkerHeartbeat) {
+					a.Running = []*schema.TaskStatus{{Queue: "l", Job: uint64(k + 1), Attempt: 1, State: "running", RunUs: int64(k+1) * int64(eventloop.Second), CoresMilli: 900}}
 				})
 			}
 		}
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -26,10 +26,10 @@
 				made++
 				return &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, MemoryMb: int64(10 + made%shapes)}
 			}
-			running := map[string][]*schema.TaskNote{}
-			over := map[string][]*schema.TaskNote{}
+			running := map[string][]*schema.TaskStatus{}
+			over := map[string][]*schema.TaskStatus{}
 			say := func(id string) {
-				d.announce(id, func(a *schema.Announce) { a.Named, a.Running, a.Ended = true, running[id], over[id] })
+				d.announce(id, func(a *schema.WorkerHeartbeat) { a.TasksByName, a.Running, a.Ended = true, running[id], over[id] })
 			}
 			for _, id := range ids {
 				say(id)
@@ -57,16 +57,16 @@
 				for _, tell := range tells {
 					switch m := tell.(type) {
 					case replica.Propose:
-						for _, pick := range m.Command.GetCheckout().GetPicks() {
+						for _, pick := range m.Command.GetCheckout().GetPlacements() {
 							hand++
 							d.shifts(false, hand, shift(hand, pick.Key.Job, 0, queue.Out, pick.Worker, spec()))
-							running[pick.Worker] = append(running[pick.Worker], &schema.TaskNote{Name: fmt.Sprint("j", pick.Key.Job), Attempt: 1, State: "running"})
+							running[pick.Worker] = append(running[pick.Worker], &schema.TaskStatus{Name: fmt.Sprint("j", pick.Key.Job), Attempt: 1, State: "running"})
 							say(pick.Worker)
 						}
 					case replica.Ended:
 						hand++
 						d.shifts(false, hand, shift(hand, m.End.Key.Job, 0, queue.Gone, "", spec()))
-						d.step(&schema.EndReply{Queue: "l", Key: m.End.Key, Attempt: m.End.Attempt, Worker: m.End.Worker})
+						d.step(&schema.TaskEndAck{Queue: "l", Key: m.End.Key, Attempt: m.End.Attempt, Worker: m.End.Worker})
 						over[m.End.Worker] = nil
 						say(m.End.Worker)
 					}
--- a/internal/scheduler/chance.go
+++ b/internal/scheduler/chance.go
@@ -64,7 +64,7 @@
 
 // chanceOf tells what a task's job can still come to.
 func (t *Table) chanceOf(now eventloop.Micros, v *view, each *task) chance {
-	if each.spec.Lasting || len(each.ahead) == 0 {
+	if each.spec.RunUntilCancelled || len(each.ahead) == 0 {
 		return inTime
 	}
 	span := t.usual(v.queue, each.span, t.cores/wideQuarter)
--- a/internal/scheduler/chance_test.go
+++ b/internal/scheduler/chance_test.go
@@ -19,19 +19,19 @@
 }
 
 func TestChances(t *testing.T) {
-	rows := []*schema.Row{
+	rows := []*schema.ConfigurationRow{
 		{Kind: "queue", Name: "l", Key: "stretch_milli", Value: "1500"},
 		{Kind: "queue", Name: "l", Key: "target_ms", Value: "500"},
 		{Kind: "queue", Name: "m", Key: "stretch_milli", Value: "1500"},
 		{Kind: "queue", Name: "m", Key: "target_ms", Value: "500"},
 	}
-	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1000, MemoryMb: 10, EstimateUs: int64(eventloop.Second)}
-	most := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 700, MemoryMb: 10, EstimateUs: int64(eventloop.Second)}
-	rest := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 300, MemoryMb: 10, EstimateUs: int64(eventloop.Second)}
+	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1000, MemoryMb: 10, EstimatedRunUs: int64(eventloop.Second)}
+	most := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 700, MemoryMb: 10, EstimatedRunUs: int64(eventloop.Second)}
+	rest := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 300, MemoryMb: 10, EstimatedRunUs: int64(eventloop.Second)}
 	setUp := func() *desk {
 		d := newDesk("w")
 		d.told(rows, "w")
-		d.announce("w", named(func(a *schema.Announce) { a.Leaving = true }))
+		d.announce("w", named(func(a *schema.WorkerHeartbeat) { a.Draining = true }))
 		return d
 	}
 	// A step as wide as the room goes in four waves: the aim is 6.5 s, with some ease.
@@ -76,8 +76,8 @@
 
 func TestHeadroom(t *testing.T) {
 	wide := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 900, MemoryMb: 10}
-	long := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 700, MemoryMb: 10, EstimateUs: 6_000_000}
-	brief := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 700, MemoryMb: 10, EstimateUs: 500_000}
+	long := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 700, MemoryMb: 10, EstimatedRunUs: 6_000_000}
+	brief := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 700, MemoryMb: 10, EstimatedRunUs: 500_000}
 	Convey("What waits goes to a worker on trial where much of the room is free, though others could run it", t, func() {
 		d := newDesk("w", "x", "y")
 		for _, id := range []string{"w", "x", "y"} {
@@ -122,11 +122,11 @@
 }
 
 func TestLossIsWeighed(t *testing.T) {
-	low := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1000, MemoryMb: 10, EstimateUs: 20_000_000}
-	high := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1000, MemoryMb: 10, EstimateUs: 1_000_000}
-	runs := func(span eventloop.Micros) func(*schema.Announce) {
-		return named(func(a *schema.Announce) {
-			a.Running = []*schema.TaskNote{{Name: "j1", Attempt: 1, State: "running", RunUs: int64(span)}}
+	low := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1000, MemoryMb: 10, EstimatedRunUs: 20_000_000}
+	high := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1000, MemoryMb: 10, EstimatedRunUs: 1_000_000}
+	runs := func(span eventloop.Micros) func(*schema.WorkerHeartbeat) {
+		return named(func(a *schema.WorkerHeartbeat) {
+			a.Running = []*schema.TaskStatus{{Name: "j1", Attempt: 1, State: "running", RunUs: int64(span)}}
 		})
 	}
 	play := func(span eventloop.Micros) *desk {
--- a/internal/scheduler/deaf_test.go
+++ b/internal/scheduler/deaf_test.go
@@ -20,7 +20,7 @@
 		d.announce("w", nil)
 		So(d.last().Orders.Orders, ShouldHaveLength, 1)
 		answered := d.now
-		deaf := func(a *schema.Announce) { a.Unanswered = true }
+		deaf := func(a *schema.WorkerHeartbeat) { a.Unanswered = true }
 		for d.now < answered+5*eventloop.Second {
 			d.now += 100 * eventloop.Milli
 			d.fresh(true)
--- a/internal/scheduler/gather.go
+++ b/internal/scheduler/gather.go
@@ -62,7 +62,7 @@
 // mayGather tells whether a task may be started: with a group, when none of it
 // has ended and every other member can begin as well.
 func (t *Table) mayGather(each *task) bool {
-	if !each.spec.Together {
+	if !each.spec.Gang {
 		return true
 	}
 	members := t.members(each)
--- a/internal/scheduler/groups.go
+++ b/internal/scheduler/groups.go
@@ -22,7 +22,7 @@
 
 // evictWhole has a task stopped, and its group with it.
 func (t *Table) evictWhole(each *task, outcome string) {
-	if !each.spec.Together {
+	if !each.spec.Gang {
 		t.evict(each, outcome)
 		return
 	}
@@ -72,13 +72,13 @@
 			if first.launchAt > 0 && now-first.launchAt < launchSpan || !t.isOpen(now, members) && now-first.heldAt < launchSpan {
 				continue
 			}
-			command := &schema.Launch{Job: first.key.job, Step: first.key.step}
+			command := &schema.StartGang{Job: first.key.job, Step: first.key.step}
 			for _, member := range members {
 				member.launchAt = now
 				command.Attempts = append(command.Attempts, member.attempt)
 			}
 			out.Tell("replica", replica.Propose{Group: v.group, Term: v.term, Command: &schema.QueueCommand{
-				Body: &schema.QueueCommand_Launch{Launch: command},
+				Body: &schema.QueueCommand_StartGang{StartGang: command},
 			}})
 		}
 	}
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -15,11 +15,11 @@
 		d := newDesk("v")
 		d.announce("v", named(nil))
 		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "v", one))
-		note := func(state string) *schema.TaskNote { return &schema.TaskNote{Name: "j1", Attempt: 1, State: state} }
+		note := func(state string) *schema.TaskStatus { return &schema.TaskStatus{Name: "j1", Attempt: 1, State: state} }
 		d.announce("v", runs(note("running")))
 		isNoted := func() bool {
 			for _, reply := range d.replies {
-				if len(reply.GetOrders().GetNoted()) > 0 {
+				if len(reply.GetOrders().GetAcknowledged()) > 0 {
 					return true
 				}
 			}
@@ -31,7 +31,7 @@
 			So(isNoted(), ShouldBeFalse)
 			So(len(d.ended()), ShouldBeGreaterThan, k)
 		}
-		d.step(&schema.EndReply{Queue: "l", Key: &schema.TaskKey{Job: 1}, Attempt: 1, Worker: "v"})
+		d.step(&schema.TaskEndAck{Queue: "l", Key: &schema.TaskKey{Job: 1}, Attempt: 1, Worker: "v"})
 		d.announce("v", ends(note("done")))
 		d.pass(holdSpan + eventloop.Second)
 		So(isNoted(), ShouldBeTrue)
@@ -39,8 +39,8 @@
 }
 
 func TestGatheringStartsWhole(t *testing.T) {
-	gang := &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Together: true}
-	gathering := named(func(a *schema.Announce) { a.Gathers = true })
+	gang := &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Gang: true}
+	gathering := named(func(a *schema.WorkerHeartbeat) { a.GangBarrier = true })
 	Convey("No member of a group is started while another isn't known to be out", t, func() {
 		d := newDesk("v", "w")
 		d.announce("v", gathering)
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -73,5 +73,5 @@
 // stopped.
 func (t *Table) isBrief(v *view, first *task) bool {
 	span := t.usual(v.queue, first.ahead[:min(1, len(first.ahead))], 0)
-	return !first.spec.Lasting && span <= max(briefTimes*eventloop.Micros(t.bounds.GetStopUs()), briefAtMost)
+	return !first.spec.RunUntilCancelled && span <= max(briefTimes*eventloop.Micros(t.bounds.GetStopUs()), briefAtMost)
 }
--- a/internal/scheduler/meter.go
+++ b/internal/scheduler/meter.go
@@ -37,7 +37,7 @@
 
 // isMetered tells whether a task's progress says something of its worker.
 func (t *Table) isMetered(now eventloop.Micros, w *worker, each *task) bool {
-	if each.spec.Lasting || each.spec.Together || each.beganAt == 0 || now < w.coldUntil {
+	if each.spec.RunUntilCancelled || each.spec.Gang || each.beganAt == 0 || now < w.coldUntil {
 		return false
 	}
 	key, _ := paceOf(each)
@@ -80,7 +80,7 @@
 }
 
 // gaugeEnd reads the progress up to a task's end.
-func (t *Table) gaugeEnd(now eventloop.Micros, w *worker, each *task, note *schema.TaskNote) {
+func (t *Table) gaugeEnd(now eventloop.Micros, w *worker, each *task, note *schema.TaskStatus) {
 	if note.State == "done" && each.mark.at > 0 && t.isMetered(now, w, each) {
 		t.add(now, w, each, 100)
 		w.meter.at = now
--- a/internal/scheduler/meter_test.go
+++ b/internal/scheduler/meter_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestMeter(t *testing.T) {
-	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimateUs: 1_000_000}
+	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimatedRunUs: 1_000_000}
 	job := uint64(100)
 	shifts := func(d *desk, list ...*queue.Shift) {
 		for _, each := range list {
@@ -23,8 +23,8 @@
 	finish := func(d *desk, worker string) {
 		job++
 		shifts(d, shift(0, job, 0, queue.Out, worker, step))
-		d.announce(worker, named(func(a *schema.Announce) {
-			a.Ended = []*schema.TaskNote{{Name: fmt.Sprint("j", job), Attempt: 1, State: "done", RunUs: int64(eventloop.Second)}}
+		d.announce(worker, named(func(a *schema.WorkerHeartbeat) {
+			a.Ended = []*schema.TaskStatus{{Name: fmt.Sprint("j", job), Attempt: 1, State: "done", RunUs: int64(eventloop.Second)}}
 		}))
 		shifts(d, shift(0, job, 0, queue.Gone, "", step))
 	}
@@ -47,11 +47,11 @@
 	play := func(d *desk, span eventloop.Micros, percent float64) {
 		made := 0.0
 		for end := d.now + span; d.now < end; {
-			var notes []*schema.TaskNote
+			var notes []*schema.TaskStatus
 			for k := 1; k <= 3; k++ {
-				notes = append(notes, &schema.TaskNote{Name: fmt.Sprint("j", k), Attempt: 1, State: "running", Percent: int64(made)})
+				notes = append(notes, &schema.TaskStatus{Name: fmt.Sprint("j", k), Attempt: 1, State: "running", Percent: int64(made)})
 			}
-			d.announce("a", named(func(a *schema.Announce) { a.Running = notes }))
+			d.announce("a", named(func(a *schema.WorkerHeartbeat) { a.Running = notes }))
 			d.announce("b", named(nil))
 			d.announce("c", named(nil))
 			d.pass(100 * eventloop.Milli)
--- a/internal/scheduler/name.go
+++ b/internal/scheduler/name.go
@@ -20,19 +20,19 @@
 	attempt uint32
 }
 
-func nameOf(note *schema.TaskNote) nameAttempt {
-	return nameAttempt{nameKey{note.Name, note.Round, note.Part, note.Task}, note.Attempt}
+func nameOf(note *schema.TaskStatus) nameAttempt {
+	return nameAttempt{nameKey{note.Name, note.Round, note.StepInRound, note.Task}, note.Attempt}
 }
 
 // resolve finds the queue and key of every note of a named announce. What can't
 // be found stays with the worker as strange runs and unknown ends.
-func (t *Table) resolve(w *worker, a *schema.Announce) (running, over []*schema.TaskNote) {
-	if !a.Named {
+func (t *Table) resolve(w *worker, a *schema.WorkerHeartbeat) (running, over []*schema.TaskStatus) {
+	if !a.TasksByName {
 		w.strange, w.unknown = nil, nil
 		return a.Running, a.Ended
 	}
 	kept := make(map[nameAttempt]attemptKey, len(a.Running)+len(a.Ended))
-	find := func(notes []*schema.TaskNote) (found, lost []*schema.TaskNote) {
+	find := func(notes []*schema.TaskStatus) (found, lost []*schema.TaskStatus) {
 		for _, note := range notes {
 			key, isFound := t.find(w, note)
 			if !isFound {
@@ -40,10 +40,10 @@
 				continue
 			}
 			kept[nameOf(note)] = key
-			found = append(found, &schema.TaskNote{
+			found = append(found, &schema.TaskStatus{
 				Queue: key.queue, Job: key.job, Step: key.step, Task: key.task, Attempt: key.attempt, State: note.State,
-				RunUs: note.RunUs, StillUs: note.StillUs, CoresMilli: note.CoresMilli, MemoryMb: note.MemoryMb,
-				Name: note.Name, Round: note.Round, Part: note.Part, Saved: note.Saved, Percent: note.Percent,
+				RunUs: note.RunUs, IdleUs: note.IdleUs, CoresMilli: note.CoresMilli, MemoryMb: note.MemoryMb,
+				Name: note.Name, Round: note.Round, StepInRound: note.StepInRound, Checkpoint: note.Checkpoint, Percent: note.Percent,
 			})
 		}
 		return found, lost
@@ -54,7 +54,7 @@
 	return running, over
 }
 
-func (t *Table) find(w *worker, note *schema.TaskNote) (attemptKey, bool) {
+func (t *Table) find(w *worker, note *schema.TaskStatus) (attemptKey, bool) {
 	name := nameOf(note)
 	candidates := t.names[name.nameKey]
 	for _, each := range candidates {
@@ -77,15 +77,15 @@
 // forgotten lists those of a worker's notes that no queue can know: every queue
 // of the plan is led here, and none has such a task. Before that is sure they
 // are left alone.
-func (t *Table) forgotten(now eventloop.Micros, notes []*schema.TaskNote) []*schema.TaskNote {
+func (t *Table) forgotten(now eventloop.Micros, notes []*schema.TaskStatus) []*schema.TaskStatus {
 	if len(notes) == 0 || !t.isAllHere(now) {
 		return nil
 	}
-	var list []*schema.TaskNote
+	var list []*schema.TaskStatus
 	for _, note := range notes {
 		// A task that has come since is for the next announce.
 		if len(t.names[nameOf(note).nameKey]) == 0 {
-			list = append(list, &schema.TaskNote{Name: note.Name, Round: note.Round, Part: note.Part, Task: note.Task, Attempt: note.Attempt})
+			list = append(list, &schema.TaskStatus{Name: note.Name, Round: note.Round, StepInRound: note.StepInRound, Task: note.Task, Attempt: note.Attempt})
 		}
 	}
 	return list
@@ -109,7 +109,7 @@
 }
 
 // look takes down what is seen of a running task.
-func (t *Table) look(now eventloop.Micros, w *worker, note *schema.TaskNote) {
+func (t *Table) look(now eventloop.Micros, w *worker, note *schema.TaskStatus) {
 	each := w.tasks[noteKey(note).taskKey]
 	if each == nil || each.attempt != note.Attempt || note.State == "held" {
 		return
@@ -124,8 +124,8 @@
 	if note.Percent != each.percent {
 		each.movedAt, each.percent = now, note.Percent
 	}
-	if note.Saved != "" && note.Saved != each.seen {
-		each.seen, each.savedAt = note.Saved, now
+	if note.Checkpoint != "" && note.Checkpoint != each.seen {
+		each.seen, each.savedAt = note.Checkpoint, now
 	}
 }
 
--- a/internal/scheduler/orders.go
+++ b/internal/scheduler/orders.go
@@ -33,25 +33,25 @@
 	t.answerWith(now, w, t.orders(now, w), out)
 }
 
-func (t *Table) answerWith(now eventloop.Micros, w *worker, list []*schema.Order, out eventloop.Out) {
+func (t *Table) answerWith(now eventloop.Micros, w *worker, list []*schema.TaskOrder, out eventloop.Out) {
 	p := w.poll
 	w.poll = nil
 	if !t.isSure(now) || now-w.heard > silentSpan {
-		out.Send(p.front, &schema.PollReply{Id: p.id, Scheduler: t.id})
+		out.Send(p.front, &schema.WorkerPollResponse{Id: p.id, Scheduler: t.id})
 		return
 	}
-	orders := &schema.Orders{Ward: w.generation, LeaseUs: t.plan("lease_ms") * 1000, Scheduler: t.id, Orders: list}
+	orders := &schema.WorkerOrders{FencingToken: w.generation, LeaseUs: t.plan("lease_ms") * 1000, Scheduler: t.id, Orders: list}
 	for _, key := range endedKeys(w) {
 		if e := w.ended[key]; e.isNoted {
-			orders.Noted = append(orders.Noted, &schema.TaskNote{
+			orders.Acknowledged = append(orders.Acknowledged, &schema.TaskStatus{
 				Queue: key.queue, Job: key.job, Step: key.step, Task: key.task, Attempt: key.attempt,
-				Name: e.note.Name, Round: e.note.Round, Part: e.note.Part,
+				Name: e.note.Name, Round: e.note.Round, StepInRound: e.note.StepInRound,
 			})
 		}
 	}
-	orders.Noted = append(orders.Noted, t.forgotten(now, w.unknown)...)
+	orders.Acknowledged = append(orders.Acknowledged, t.forgotten(now, w.unknown)...)
 	for _, order := range orders.Orders {
-		switch order.Act {
+		switch order.Action {
 		case "start":
 			t.counts.Starts++
 			if each := w.tasks[taskKey{order.Queue, order.Job, order.Step, order.Task}]; each != nil {
@@ -64,13 +64,13 @@
 		}
 	}
 	w.answered = now
-	out.Send(p.front, &schema.PollReply{Id: p.id, Code: 200, Orders: orders, Scheduler: t.id})
+	out.Send(p.front, &schema.WorkerPollResponse{Id: p.id, Code: 200, Orders: orders, Scheduler: t.id})
 }
 
 // orders is the difference between what the queues want on a worker and what
 // it says it has.
-func (t *Table) orders(now eventloop.Micros, w *worker) []*schema.Order {
-	var list []*schema.Order
+func (t *Table) orders(now eventloop.Micros, w *worker) []*schema.TaskOrder {
+	var list []*schema.TaskOrder
 	left := w.whole()
 	for key, note := range w.running {
 		left.sub(t.sizeOf(w, key, note))
@@ -100,7 +100,7 @@
 			if need := sizeOf(each.spec); left.has(need) && !isBlurry && (!w.gathers || t.mayGather(each)) {
 				left.sub(need)
 				act := "start"
-				if each.spec.Together && !each.isLaunched && !w.gathers {
+				if each.spec.Gang && !each.isLaunched && !w.gathers {
 					act = "hold"
 				}
 				list = append(list, t.order(act, v, each))
@@ -115,24 +115,24 @@
 // isBound tells whether a task stays with a worker that leaves: what runs may
 // run out, and a member of a group that has been decided to begin is started if
 // the worker has only just said so, since others may have begun already.
-func (t *Table) isBound(now eventloop.Micros, w *worker, each *task, note *schema.TaskNote) bool {
+func (t *Table) isBound(now eventloop.Micros, w *worker, each *task, note *schema.TaskStatus) bool {
 	if note == nil {
 		return false
 	}
 	return note.State != "held" || each.isLaunched && now-w.leftAt < leaveSpan
 }
 
-func lessOrder(x, y *schema.Order) bool {
+func lessOrder(x, y *schema.TaskOrder) bool {
 	return cmp.Or(
 		compareKeys(taskKey{x.Queue, x.Job, x.Step, x.Task}, taskKey{y.Queue, y.Job, y.Step, y.Task}),
-		cmp.Compare(x.Name, y.Name), cmp.Compare(x.Round, y.Round), cmp.Compare(x.Part, y.Part), cmp.Compare(x.Attempt, y.Attempt),
+		cmp.Compare(x.Name, y.Name), cmp.Compare(x.Round, y.Round), cmp.Compare(x.StepInRound, y.StepInRound), cmp.Compare(x.Attempt, y.Attempt),
 	) < 0
 }
 
 // strays are tasks that run on the worker though their queue, which is led
 // here, doesn't have them out there.
-func (t *Table) strays(now eventloop.Micros, w *worker) []*schema.Order {
-	var list []*schema.Order
+func (t *Table) strays(now eventloop.Micros, w *worker) []*schema.TaskOrder {
+	var list []*schema.TaskOrder
 	for key, note := range w.running {
 		v := t.views[key.queue]
 		if v == nil || !t.mayAct(now, v) {
@@ -141,24 +141,24 @@
 		if each := v.tasks[key.taskKey]; each != nil && each.attempt <= key.attempt && each.standing != queue.Ready && each.worker == w.id {
 			continue
 		}
-		list = append(list, &schema.Order{Act: "stop", Queue: key.queue, Job: key.job, Step: key.step, Task: key.task, Attempt: note.Attempt, Term: v.term, Name: note.Name, Round: note.Round, Part: note.Part})
+		list = append(list, &schema.TaskOrder{Action: "stop", Queue: key.queue, Job: key.job, Step: key.step, Task: key.task, Attempt: note.Attempt, Term: v.term, Name: note.Name, Round: note.Round, StepInRound: note.StepInRound})
 	}
 	for _, note := range t.forgotten(now, w.strange) {
-		list = append(list, &schema.Order{Act: "stop", Name: note.Name, Round: note.Round, Part: note.Part, Task: note.Task, Attempt: note.Attempt})
+		list = append(list, &schema.TaskOrder{Action: "stop", Name: note.Name, Round: note.Round, StepInRound: note.StepInRound, Task: note.Task, Attempt: note.Attempt})
 	}
 	sort.Slice(list, func(a, b int) bool { return lessOrder(list[a], list[b]) })
 	return list
 }
 
-func (t *Table) order(act string, v *view, each *task) *schema.Order {
+func (t *Table) order(act string, v *view, each *task) *schema.TaskOrder {
 	saved := ""
-	if each.spec.Saves {
+	if each.spec.Checkpoints {
 		saved = each.saved
 	}
-	return &schema.Order{
-		Round: each.round, Part: each.part, Saved: saved, Accelerators: each.spec.Accelerators,
-		Act: act, Queue: v.queue, Name: each.name, Job: each.key.job, Step: each.key.step, Task: each.key.task, Attempt: each.attempt,
-		Hand: each.hand, Term: v.term, StepName: each.spec.Name, Text: each.text,
+	return &schema.TaskOrder{
+		Round: each.round, StepInRound: each.part, Checkpoint: saved, Accelerators: each.spec.Accelerators,
+		Action: act, Queue: v.queue, Name: each.name, Job: each.key.job, Step: each.key.step, Task: each.key.task, Attempt: each.attempt,
+		Handover: each.hand, Term: v.term, StepName: each.spec.Name, Text: each.text,
 		CoresMilli: each.spec.CoresMilli, MemoryMb: each.spec.MemoryMb,
 	}
 }
--- a/internal/scheduler/overtaken_test.go
+++ b/internal/scheduler/overtaken_test.go
@@ -10,7 +10,7 @@
 
 func TestOvertakenAnnounces(t *testing.T) {
 	// replies are the answers to two announces of which the second follows at once.
-	replies := func(change func(*schema.Announce)) int {
+	replies := func(change func(*schema.WorkerHeartbeat)) int {
 		d := newDesk("w")
 		d.announce("w", change)
 		So(d.replies, ShouldHaveLength, 1)
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -132,8 +132,8 @@
 }
 
 func paceOf(each *task) (paceKey, float64) {
-	if each.spec.EstimateUs > 0 {
-		return paceKey{each.key.queue, ""}, float64(each.spec.EstimateUs)
+	if each.spec.EstimatedRunUs > 0 {
+		return paceKey{each.key.queue, ""}, float64(each.spec.EstimatedRunUs)
 	}
 	return paceKey{each.key.queue, each.spec.Name}, float64(eventloop.Second)
 }
@@ -144,7 +144,7 @@
 	span := unit
 	if p := t.paces[key]; p != nil && p.count >= leastCount {
 		span = math.Exp(p.at(math.Log(unit)))
-	} else if each.spec.EstimateUs == 0 {
+	} else if each.spec.EstimatedRunUs == 0 {
 		return 0
 	}
 	return eventloop.Micros(span * t.away(w, each.spec))
@@ -167,7 +167,7 @@
 		return run * eventloop.Micros(max(100-each.percent, 0)) / eventloop.Micros(each.percent)
 	}
 	expected := t.expected(w, each)
-	if expected == 0 || each.spec.Lasting {
+	if expected == 0 || each.spec.RunUntilCancelled {
 		return math.MaxInt64 / 4
 	}
 	// What is overdue ends at any time, but not surely at once.
@@ -175,7 +175,7 @@
 }
 
 // judge learns from a task's end.
-func (t *Table) judge(now eventloop.Micros, w *worker, key attemptKey, note *schema.TaskNote) {
+func (t *Table) judge(now eventloop.Micros, w *worker, key attemptKey, note *schema.TaskStatus) {
 	switch note.State {
 	case "done":
 		w.good = w.good*0.98 + 1
@@ -207,12 +207,12 @@
 }
 
 // compare sets a run against those of others.
-func (t *Table) compare(now eventloop.Micros, w *worker, each *task, note *schema.TaskNote) {
+func (t *Table) compare(now eventloop.Micros, w *worker, each *task, note *schema.TaskStatus) {
 	run := eventloop.Micros(note.RunUs)
 	if from := cmp.Or(each.beganAt, each.orderAt); run == 0 && from > 0 {
 		run = now - from
 	}
-	if run <= 0 || each.spec.Lasting || w.coldUntil > now-run {
+	if run <= 0 || each.spec.RunUntilCancelled || w.coldUntil > now-run {
 		return
 	}
 	key, unit := paceOf(each)
@@ -245,8 +245,8 @@
 
 // isStuck tells whether a task stands still on its worker while others end what
 // is like it.
-func (t *Table) isStuck(now eventloop.Micros, w *worker, each *task, note *schema.TaskNote) bool {
-	if each.spec.Lasting || each.beganAt == 0 || note.State != "running" {
+func (t *Table) isStuck(now eventloop.Micros, w *worker, each *task, note *schema.TaskStatus) bool {
+	if each.spec.RunUntilCancelled || each.beganAt == 0 || note.State != "running" {
 		return false
 	}
 	key, _ := paceOf(each)
@@ -258,7 +258,7 @@
 	if !p.isAlikeDone(now, w.id, max(alikeSpan, 2*expected)) {
 		return false
 	}
-	if each.spec.Together {
+	if each.spec.Gang {
 		for _, member := range t.members(each) {
 			if member.beganAt == 0 {
 				return false
@@ -269,7 +269,7 @@
 	patience := eventloop.Micros(1) << min(each.strikes, 10)
 	allowance := max(w.coldUntil-each.beganAt, 0) + eventloop.Micros(t.bounds.GetRestoreUs())
 	run := now - each.beganAt - allowance
-	still := eventloop.Micros(note.StillUs) + now - w.heard
+	still := eventloop.Micros(note.IdleUs) + now - w.heard
 	if w.isNamed {
 		still = now - each.movedAt
 		if still > max(frozenSpan, expected/4)*patience && run > max(frozenSpan, expected)*patience {
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -107,7 +107,7 @@
 
 // hasLeave tells whether the worker may have one more of a step's tasks.
 func (t *Table) hasLeave(r *room, x *wish) bool {
-	if x.spec.PerWorker == 0 {
+	if x.spec.MaxPerWorker == 0 {
 		return true
 	}
 	count := x.workers[r.w.id]
@@ -118,7 +118,7 @@
 			}
 		}
 	}
-	return count < int(x.spec.PerWorker)
+	return count < int(x.spec.MaxPerWorker)
 }
 
 // isOpen tells whether a worker that is being tried again may have one more
@@ -311,7 +311,7 @@
 }
 
 func (t *Table) passQueue(now eventloop.Micros, v *view, turn chance, waiting *heads, list, all []*room, p *passage, out eventloop.Out) {
-	var picks []*schema.Pick
+	var picks []*schema.Placement
 	spare := math.MaxInt64
 	if turn == lost {
 		spare = spareOf(list)
@@ -333,7 +333,7 @@
 		x := t.wishOf(now, v, b, list)
 		x.chance = turn
 		var group []*task
-		if b.spec.Together {
+		if b.spec.Gang {
 			// Members are ready together, or the group isn't whole yet.
 			if b.ready.Len() != int(b.spec.Tasks) || left < b.ready.Len() {
 				continue
@@ -352,7 +352,7 @@
 		}
 		for left > 0 && len(picks) < maxPicks && b.ready.Len() > 0 && spare > 0 && (mayFill || head.has(x.need)) {
 			members := group
-			if !b.spec.Together {
+			if !b.spec.Gang {
 				first, _ := b.ready.Min()
 				members = []*task{first}
 			}
@@ -363,7 +363,7 @@
 			}
 			for k, member := range members {
 				t.reserve(v, member, chosen[k].w.id, now)
-				picks = append(picks, &schema.Pick{
+				picks = append(picks, &schema.Placement{
 					Key:    &schema.TaskKey{Job: member.key.job, Step: member.key.step, Task: member.key.task},
 					Worker: chosen[k].w.id, Incarnation: chosen[k].w.incarnation,
 				})
@@ -386,7 +386,7 @@
 		}
 		heap.Remove(waiting, slices.Index(*waiting, h))
 		for k := 1; got > 0 && h.at != nil && k < maxMisses && t.mayAwait(now, v, list, p); k++ {
-			if next := h.at; !next.spec.Together || next.ready.Len() == int(next.spec.Tasks) {
+			if next := h.at; !next.spec.Gang || next.ready.Len() == int(next.spec.Tasks) {
 				y := t.wishOf(now, v, next, list)
 				y.chance = turn
 				got = t.await(now, v, next, y, left, list, all, p)
@@ -396,7 +396,7 @@
 	}
 	if len(picks) > 0 {
 		out.Tell("replica", replica.Propose{Group: v.group, Term: v.term, Command: &schema.QueueCommand{
-			Body: &schema.QueueCommand_Checkout{Checkout: &schema.Checkout{Picks: picks}},
+			Body: &schema.QueueCommand_Checkout{Checkout: &schema.Checkout{Placements: picks}},
 		}})
 	}
 }
@@ -413,7 +413,7 @@
 
 // chooseFor finds a worker for every task of the group, or none for any.
 func (t *Table) chooseFor(now eventloop.Micros, group []*task, list []*room, x *wish) []*room {
-	if !x.spec.Together {
+	if !x.spec.Gang {
 		return t.chooseAmong(now, group, list, x)
 	}
 	// Members wait for each other at their workers or are held: all alike.
@@ -502,8 +502,8 @@
 		whole := r.w.whole()
 		whole.sub(r.w.fixed)
 		times := whole.times(x.need)
-		if x.spec.PerWorker > 0 {
-			times = min(times, int64(x.spec.PerWorker)-int64(x.workers[r.w.id]))
+		if x.spec.MaxPerWorker > 0 {
+			times = min(times, int64(x.spec.MaxPerWorker)-int64(x.workers[r.w.id]))
 		}
 		if times > 0 && t.suits(r, x) {
 			offers = append(offers, offer{r, float64(r.later.cores) / float64(max(r.w.cores, 1)), times})
@@ -529,7 +529,7 @@
 
 // isWide tells whether a step's tasks can be starved by narrower ones.
 func isWide(x *wish, list []*room) bool {
-	if x.spec.Together {
+	if x.spec.Gang {
 		return true
 	}
 	for _, r := range list {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -33,19 +33,19 @@
 	first, _ := b.ready.Min()
 	mayDisplace := x.chance != lost && t.mayDisplace(now, v, p) && now-first.since >= preemptAfter
 	count := min(b.ready.Len(), left, mostAwaits)
-	if x.spec.Together {
+	if x.spec.Gang {
 		count = b.ready.Len()
 	}
 	if hasComing(list) || mayDisplace {
 		j := &journal{table: t, now: now, passage: p}
 		for got < count && j.place(v, x, list, all, mayDisplace) {
 			got++
-			if !x.spec.Together {
+			if !x.spec.Gang {
 				j.commit()
 			}
 		}
 		switch {
-		case !x.spec.Together:
+		case !x.spec.Gang:
 		case got == count:
 			j.commit()
 		default:
@@ -59,7 +59,7 @@
 	pool := t.values.Text("queue", v.queue, "pool")
 	if got == 0 && !p.claims[pool] && now-first.since >= claimAfter && isWide(x, list) {
 		count := 1
-		if x.spec.Together {
+		if x.spec.Gang {
 			count = b.ready.Len()
 		}
 		p.claims[pool] = t.claim(x, count, list)
@@ -206,7 +206,7 @@
 			continue
 		}
 		u := &unit{members: []*task{each}, urgency: t.views[each.key.queue].urgency}
-		if each.spec.Together {
+		if each.spec.Gang {
 			if seen[each.key.ofStep()] {
 				continue
 			}
@@ -253,14 +253,14 @@
 // was last kept, else since it began.
 func loss(now eventloop.Micros, each *task) float64 {
 	cores := cost(each.spec)
-	if each.spec.Lasting {
+	if each.spec.RunUntilCancelled {
 		return cores * float64(lastingCost)
 	}
 	if each.beganAt == 0 {
 		return 0
 	}
 	from := each.beganAt
-	if each.spec.Saves {
+	if each.spec.Checkpoints {
 		from = max(from, each.savedAt)
 	}
 	return cores * float64(now-from)
@@ -270,7 +270,7 @@
 // than about its own isn't gained by it.
 func (t *Table) worthwhile(v *view, each *task) float64 {
 	span := t.usual(v.queue, each.ahead[:min(1, len(each.ahead))], 0)
-	if span == 0 || each.spec.Lasting {
+	if span == 0 || each.spec.RunUntilCancelled {
 		return math.Inf(1)
 	}
 	return lossTimes * cost(each.spec) * float64(span)
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -11,7 +11,7 @@
 )
 
 // reports passes ended tasks on to their queues' leaders until they are noted.
-func (t *Table) reports(now eventloop.Micros, w *worker, notes []*schema.TaskNote, out eventloop.Out) {
+func (t *Table) reports(now eventloop.Micros, w *worker, notes []*schema.TaskStatus, out eventloop.Out) {
 	fresh := map[attemptKey]*ended{}
 	for _, note := range notes {
 		key := noteKey(note)
@@ -33,9 +33,9 @@
 			continue
 		}
 		outcome := e.note.State
-		end := &schema.End{
+		end := &schema.TaskEndReport{
 			Queue: key.queue, Key: &schema.TaskKey{Job: key.job, Step: key.step, Task: key.task},
-			Attempt: key.attempt, Worker: w.id, Saved: e.note.Saved, Whole: outcome == "done" && w.gathers,
+			Attempt: key.attempt, Worker: w.id, Checkpoint: e.note.Checkpoint, WholeGang: outcome == "done" && w.gathers,
 		}
 		if v := t.views[key.queue]; v != nil && t.mayAct(now, v) {
 			each := v.tasks[key.taskKey]
@@ -56,18 +56,18 @@
 				outcome = each.evict
 			}
 			if each != nil {
-				end.Whole = end.Whole && each.spec.Together
+				end.WholeGang = end.WholeGang && each.spec.Gang
 				// A run that ends before it has kept anything new leaves what there was.
-				if end.Saved == "" && each.attempt == key.attempt {
-					end.Saved = each.keptProgress()
+				if end.Checkpoint == "" && each.attempt == key.attempt {
+					end.Checkpoint = each.keptProgress()
 				}
-				if !each.spec.Saves {
-					end.Saved = ""
+				if !each.spec.Checkpoints {
+					end.Checkpoint = ""
 				}
 			}
 		}
 		if outcome == "done" {
-			end.Saved = ""
+			end.Checkpoint = ""
 		}
 		e.sentAt = now
 		end.Outcome = outcome
@@ -84,7 +84,7 @@
 	return keys
 }
 
-func (t *Table) noted(m *schema.EndReply) {
+func (t *Table) noted(m *schema.TaskEndAck) {
 	if w := t.workers[m.Worker]; w != nil && m.Key != nil {
 		if e := w.ended[attemptKey{taskKey{m.Queue, m.Key.Job, m.Key.Step, m.Key.Task}, m.Attempt}]; e != nil {
 			e.isNoted, w.isDirty = true, true
@@ -99,7 +99,7 @@
 	}
 }
 
-func (t *Table) noteOf(each *task) *schema.TaskNote {
+func (t *Table) noteOf(each *task) *schema.TaskStatus {
 	w := t.workers[each.worker]
 	if w == nil {
 		return nil
--- a/internal/scheduler/rest_test.go
+++ b/internal/scheduler/rest_test.go
@@ -28,10 +28,10 @@
 		d.announce("w2", nil)
 		So(d.picks(), ShouldHaveLength, 1)
 		d.now += passRest - 1
-		d.step(&schema.EndReply{})
+		d.step(&schema.TaskEndAck{})
 		So(d.picks(), ShouldHaveLength, 1)
 		d.now++
-		d.step(&schema.EndReply{})
+		d.step(&schema.TaskEndAck{})
 		So(d.picks(), ShouldHaveLength, 2)
 		So(passRest, ShouldBeLessThan, Pace)
 	})
--- a/internal/scheduler/room.go
+++ b/internal/scheduler/room.go
@@ -48,7 +48,7 @@
 
 // sizeOf is what something that runs there takes: by its own word, else by that
 // of its step.
-func (t *Table) sizeOf(w *worker, key attemptKey, note *schema.TaskNote) amount {
+func (t *Table) sizeOf(w *worker, key attemptKey, note *schema.TaskStatus) amount {
 	size := amount{cores: note.CoresMilli, memory: note.MemoryMb}
 	if spec := t.specOf(w, key); spec != nil {
 		size.accelerators = spec.Accelerators
@@ -77,7 +77,7 @@
 	if !w.isNamed {
 		return false
 	}
-	isVague := func(note *schema.TaskNote) bool { return note.CoresMilli == 0 && note.MemoryMb == 0 }
+	isVague := func(note *schema.TaskStatus) bool { return note.CoresMilli == 0 && note.MemoryMb == 0 }
 	for key, note := range w.running {
 		if isVague(note) && t.specOf(w, key) == nil {
 			return true
@@ -106,7 +106,7 @@
 		case each.isLate:
 		case each.standing == queue.Stopping || each.evict != "":
 			w.coming.add(size)
-		case each.spec.Lasting:
+		case each.spec.RunUntilCancelled:
 			w.fixed.add(size)
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -96,7 +96,7 @@
 	switch body := mail.Body.(type) {
 	case eventloop.Tick:
 		t.tick(now, out)
-	case *schema.ClusterStateTell:
+	case *schema.ClusterStateResponse:
 		t.clusterState(now, body, out)
 	case replica.Fresh:
 		// A process that was frozen finds word from before in its mail.
@@ -105,9 +105,9 @@
 		t.shifts(now, body, out)
 	case replica.Lost:
 		t.lose(body.Queue)
-	case *schema.Poll:
+	case *schema.WorkerPollRequest:
 		t.heard(now, mail.From, body, out)
-	case *schema.EndReply:
+	case *schema.TaskEndAck:
 		t.noted(body)
 	case Why:
 		out.Answer(body.Request, t.placements(now))
@@ -130,20 +130,20 @@
 
 func (t *Table) plan(key string) int64 { return t.values.Fleet(key) }
 
-func (t *Table) clusterState(now eventloop.Micros, m *schema.ClusterStateTell, out eventloop.Out) {
+func (t *Table) clusterState(now eventloop.Micros, m *schema.ClusterStateResponse, out eventloop.Out) {
 	if m.State == nil {
 		return
 	}
-	t.state, t.values = m.State, clusterstate.Read(m.State.Plan)
-	mine := map[string]*schema.Ward{}
-	for _, ward := range t.state.Wards {
+	t.state, t.values = m.State, clusterstate.Read(m.State.Configuration)
+	mine := map[string]*schema.WorkerLease{}
+	for _, ward := range t.state.WorkerLeases {
 		if ward.Scheduler == t.id {
 			mine[ward.Worker] = ward
 		}
 	}
 	for _, w := range t.inOrder() {
 		id := w.id
-		if ward := mine[id]; ward == nil || ward.Generation != w.generation {
+		if ward := mine[id]; ward == nil || ward.FencingToken != w.generation {
 			t.dismiss(w, out)
 			delete(t.workers, id)
 			t.ordered = nil
@@ -157,7 +157,7 @@
 			continue
 		}
 		w := &worker{
-			id: id, generation: ward.Generation, since: now, running: map[attemptKey]*schema.TaskNote{},
+			id: id, generation: ward.FencingToken, since: now, running: map[attemptKey]*schema.TaskStatus{},
 			ended: map[attemptKey]*ended{}, tasks: t.placedOn(id), resolved: map[nameAttempt]attemptKey{},
 			reserved: map[taskKey]*task{}, isStale: true,
 		}
@@ -249,7 +249,7 @@
 		if limit := stated(each.spec.TimeLimitUs, "limit_ms"); limit > 0 && note.State == "running" && note.RunUs+age > limit {
 			t.evict(each, "failed")
 		}
-		if limit := stated(each.spec.StillUs, "still_ms"); limit > 0 && note.State == "running" && note.StillUs+age > limit {
+		if limit := stated(each.spec.StallTimeoutUs, "still_ms"); limit > 0 && note.State == "running" && note.IdleUs+age > limit {
 			t.evict(each, "failed")
 		}
 		if each.evict != "" || each.standing != queue.Out {
@@ -257,7 +257,7 @@
 		}
 		if t.isStuck(now, w, each, note) {
 			each.strikes++
-			if each.spec.Together {
+			if each.spec.Gang {
 				for _, member := range t.members(each) {
 					member.strikes = max(member.strikes, each.strikes)
 				}
@@ -268,7 +268,7 @@
 		}
 		// What can't end in time keeps its progress; what keeps none may as well
 		// try.
-		if w.isLeaving && w.departAt > 0 && each.spec.Saves && now+departLead >= w.departAt && now+t.remaining(now, w, each) > w.departAt {
+		if w.isLeaving && w.departAt > 0 && each.spec.Checkpoints && now+departLead >= w.departAt && now+t.remaining(now, w, each) > w.departAt {
 			t.evictWhole(each, "stopped")
 		}
 	}
@@ -281,11 +281,11 @@
 				each.isLate, w.isStale = true, true
 			}
 		}
-		if each.spec.Together && w.gathers {
+		if each.spec.Gang && w.gathers {
 			t.gather(now, each)
 			continue
 		}
-		isWaiting := each.spec.Together && each.standing == queue.Out && !each.isLaunched && each.evict == ""
+		isWaiting := each.spec.Gang && each.standing == queue.Out && !each.isLaunched && each.evict == ""
 		// Once its start has been proposed, only the log knows what becomes of it.
 		if isWaiting && now-each.since > groupSpan && (each.launchAt == 0 || now-each.launchAt > groupSpan) {
 			t.evict(each, "stopped")
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -17,12 +17,12 @@
 	t       *Table
 	now     eventloop.Micros
 	tells   []any
-	replies []*schema.PollReply
+	replies []*schema.WorkerPollResponse
 	polls   uint64
 }
 
 func (d *desk) Send(_ string, body any) {
-	if reply, isReply := body.(*schema.PollReply); isReply {
+	if reply, isReply := body.(*schema.WorkerPollResponse); isReply {
 		d.replies = append(d.replies, reply)
 	}
 }
@@ -33,26 +33,26 @@
 func (d *desk) fresh(isClusterState bool) {
 	d.step(replica.Fresh{Groups: map[string]uint64{"l#1": 1}, ClusterState: isClusterState})
 }
-func (d *desk) last() *schema.PollReply { return d.replies[len(d.replies)-1] }
+func (d *desk) last() *schema.WorkerPollResponse { return d.replies[len(d.replies)-1] }
 
 func newDesk(workers ...string) *desk {
 	d := &desk{t: New("me"), now: 100 * eventloop.Second}
-	state := &schema.ClusterState{Version: 1, Plan: &schema.Plan{}}
+	state := &schema.ClusterState{Version: 1, Configuration: &schema.Configuration{}}
 	for k, w := range workers {
-		state.Wards = append(state.Wards, &schema.Ward{Worker: w, Scheduler: "me", Generation: uint64(k + 1)})
+		state.WorkerLeases = append(state.WorkerLeases, &schema.WorkerLease{Worker: w, Scheduler: "me", FencingToken: uint64(k + 1)})
 	}
-	d.step(&schema.ClusterStateTell{State: state, Version: 1})
+	d.step(&schema.ClusterStateResponse{State: state, Version: 1})
 	d.fresh(true)
 	return d
 }
 
-func (d *desk) announce(worker string, change func(*schema.Announce)) {
+func (d *desk) announce(worker string, change func(*schema.WorkerHeartbeat)) {
 	d.polls++
-	a := &schema.Announce{Incarnation: 1, Seq: d.polls, CoresMilli: 1000, MemoryMb: 1000, Rack: "r1", WaitUs: int64(holdSpan)}
+	a := &schema.WorkerHeartbeat{Incarnation: 1, Seq: d.polls, CoresMilli: 1000, MemoryMb: 1000, Rack: "r1", MaxWaitUs: int64(holdSpan)}
 	if change != nil {
 		change(a)
 	}
-	d.step(&schema.Poll{Id: d.polls, Worker: worker, Announce: a})
+	d.step(&schema.WorkerPollRequest{Id: d.polls, Worker: worker, Heartbeat: a})
 }
 
 func shift(hand, job uint64, task uint32, state queue.Standing, worker string, step *schema.Step) *queue.Shift {
@@ -70,18 +70,18 @@
 	d.step(replica.Shifts{Queue: "l", Group: "l#1", Term: 1, Hand: hand, List: list, IsWhole: isWhole, Running: 1000})
 }
 
-func (d *desk) picks() []*schema.Pick {
-	var picks []*schema.Pick
+func (d *desk) picks() []*schema.Placement {
+	var picks []*schema.Placement
 	for _, tell := range d.tells {
 		if propose, isPropose := tell.(replica.Propose); isPropose {
-			picks = append(picks, propose.Command.GetCheckout().GetPicks()...)
+			picks = append(picks, propose.Command.GetCheckout().GetPlacements()...)
 		}
 	}
 	return picks
 }
 
-func (d *desk) ended() []*schema.End {
-	var list []*schema.End
+func (d *desk) ended() []*schema.TaskEndReport {
+	var list []*schema.TaskEndReport
 	for _, tell := range d.tells {
 		if e, isEnd := tell.(replica.Ended); isEnd {
 			list = append(list, e.End)
@@ -96,14 +96,14 @@
 	Convey("An order leaves only once its checkout has been applied", t, func() {
 		d := newDesk("w")
 		d.announce("w", nil)
-		So(d.last().Orders.Ward, ShouldEqual, 1) // the worker learns of its ward at once
+		So(d.last().Orders.FencingToken, ShouldEqual, 1) // the worker learns of its ward at once
 		d.announce("w", nil)
 		d.shifts(true, 1, shift(1, 1, 0, queue.Ready, "", one))
 		So(len(d.picks()), ShouldEqual, 1)
 		So(len(d.replies), ShouldEqual, 1)
 		d.shifts(false, 2, shift(2, 1, 0, queue.Out, "w", one))
 		So(len(d.replies), ShouldEqual, 2)
-		So(d.last().Orders.Orders[0].Act, ShouldEqual, "start")
+		So(d.last().Orders.Orders[0].Action, ShouldEqual, "start")
 		Convey("not without a quorum heard a moment ago", func() {
 			d := newDesk("w")
 			d.announce("w", nil)
@@ -115,8 +115,8 @@
 			So(d.last().Orders, ShouldBeNil) // no lease either
 		})
 		Convey("not to a worker that leaves", func() {
-			d.announce("w", func(a *schema.Announce) { a.Leaving = true })
-			So(d.last().Orders.Orders[0].Act, ShouldEqual, "stop")
+			d.announce("w", func(a *schema.WorkerHeartbeat) { a.Draining = true })
+			So(d.last().Orders.Orders[0].Action, ShouldEqual, "stop")
 			d.tells = nil
 			d.shifts(false, 3, shift(3, 2, 0, queue.Ready, "", one))
 			So(len(d.picks()), ShouldEqual, 0)
@@ -125,8 +125,8 @@
 			d.tells = nil
 			d.shifts(false, 4, shift(3, 2, 0, queue.Ready, "", one), shift(4, 3, 0, queue.Ready, "", one))
 			So(len(d.picks()), ShouldEqual, 0)
-			d.announce("w", func(a *schema.Announce) {
-				a.Ended = []*schema.TaskNote{{Queue: "l", Job: 1, Attempt: 1, State: "done"}}
+			d.announce("w", func(a *schema.WorkerHeartbeat) {
+				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: 1, State: "done"}}
 			})
 			So(len(d.ended()), ShouldEqual, 1)
 			So(len(d.picks()), ShouldEqual, 1) // by the worker's word the room is free
@@ -139,11 +139,11 @@
 		d := newDesk("w")
 		d.announce("w", nil)
 		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "w", one))
-		d.announce("w", func(a *schema.Announce) {
-			a.Ended = []*schema.TaskNote{{Queue: "l", Job: 1, Attempt: 1, State: "stopped"}}
+		d.announce("w", func(a *schema.WorkerHeartbeat) {
+			a.Ended = []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: 1, State: "stopped"}}
 		})
-		d.step(&schema.EndReply{Queue: "l", Key: &schema.TaskKey{Job: 1}, Attempt: 1, Worker: "w"})
-		So(len(d.last().Orders.Noted), ShouldEqual, 1)
+		d.step(&schema.TaskEndAck{Queue: "l", Key: &schema.TaskKey{Job: 1}, Attempt: 1, Worker: "w"})
+		So(len(d.last().Orders.Acknowledged), ShouldEqual, 1)
 		from := len(d.replies)
 		d.announce("w", nil)
 		d.pass(600 * eventloop.Milli)
@@ -190,7 +190,7 @@
 		So(query.Group, ShouldEqual, "l#1")
 		So(len(d.replies), ShouldEqual, 1)
 		d.shifts(true, 2, shift(2, 1, 0, queue.Out, "w", one))
-		So(d.last().Orders.Orders[0].Act, ShouldEqual, "start")
+		So(d.last().Orders.Orders[0].Action, ShouldEqual, "start")
 		// What comes again is known.
 		d.shifts(false, 2, shift(2, 1, 0, queue.Gone, "", one))
 		So(len(d.t.views["l"].tasks), ShouldEqual, 1)
@@ -221,7 +221,7 @@
 		d := newDesk("w")
 		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "w", one))
 		d.announce("w", nil)
-		d.announce("w", func(a *schema.Announce) { a.Incarnation = 2 })
+		d.announce("w", func(a *schema.WorkerHeartbeat) { a.Incarnation = 2 })
 		So(len(d.ended()), ShouldEqual, 1)
 	})
 	Convey("A new ward waits for what the former may still have granted", t, func() {
@@ -239,10 +239,10 @@
 }
 
 func TestGroupsAreHeldFirst(t *testing.T) {
-	gang := &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, MemoryMb: 1, Together: true}
-	held := func(task uint32) func(*schema.Announce) {
-		return func(a *schema.Announce) {
-			a.Running = []*schema.TaskNote{{Queue: "l", Job: 1, Task: task, Attempt: 1, State: "held", CoresMilli: 600, MemoryMb: 1}}
+	gang := &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, MemoryMb: 1, Gang: true}
+	held := func(task uint32) func(*schema.WorkerHeartbeat) {
+		return func(a *schema.WorkerHeartbeat) {
+			a.Running = []*schema.TaskStatus{{Queue: "l", Job: 1, Task: task, Attempt: 1, State: "held", CoresMilli: 600, MemoryMb: 1}}
 		}
 	}
 	Convey("A group that must run together is checked out whole, held everywhere, then started", t, func() {
@@ -254,13 +254,13 @@
 		So(len(d.picks()), ShouldEqual, 2)
 		d.shifts(false, 4, shift(3, 1, 0, queue.Out, "v", gang), shift(4, 1, 1, queue.Out, "w", gang))
 		d.announce("v", nil)
-		So(d.last().Orders.Orders[0].Act, ShouldEqual, "hold")
+		So(d.last().Orders.Orders[0].Action, ShouldEqual, "hold")
 		d.announce("v", held(0))
 		d.announce("w", nil)
-		So(d.last().Orders.Orders[0].Act, ShouldEqual, "hold")
+		So(d.last().Orders.Orders[0].Action, ShouldEqual, "hold")
 		// While a worker has no announce open its start would leave later than the
 		// others'.
-		d.step(&schema.EndReply{Queue: "l", Key: &schema.TaskKey{Job: 9}, Attempt: 1, Worker: "v"})
+		d.step(&schema.TaskEndAck{Queue: "l", Key: &schema.TaskKey{Job: 9}, Attempt: 1, Worker: "v"})
 		d.now += holdSpan
 		d.fresh(true)
 		d.step(eventloop.Tick{})
@@ -270,7 +270,7 @@
 		d.announce("v", held(0))
 		// Held everywhere, the decision is a record before any start leaves.
 		count := len(d.replies)
-		launch := d.tells[len(d.tells)-1].(replica.Propose).Command.GetLaunch()
+		launch := d.tells[len(d.tells)-1].(replica.Propose).Command.GetStartGang()
 		So(launch.GetAttempts(), ShouldResemble, []uint32{1, 1})
 		So(len(d.replies), ShouldEqual, count)
 		one, two := shift(5, 1, 0, queue.Out, "v", gang), shift(6, 1, 1, queue.Out, "w", gang)
@@ -279,15 +279,15 @@
 			d.shifts(false, 6, one, two)
 			So(len(d.replies), ShouldEqual, count+2)
 			for _, reply := range d.replies[count:] {
-				So(reply.Orders.Orders[0].Act, ShouldEqual, "start")
+				So(reply.Orders.Orders[0].Action, ShouldEqual, "start")
 			}
 		})
 		Convey("and by a successor, which never saw them held, when this one is gone", func() {
 			d = newDesk("v", "w")
 			d.shifts(true, 6, one, two)
-			d.announce("v", func(a *schema.Announce) { held(0)(a); a.Running[0].State = "running" })
+			d.announce("v", func(a *schema.WorkerHeartbeat) { held(0)(a); a.Running[0].State = "running" })
 			d.announce("w", held(1))
-			So(d.last().Orders.Orders[0].Act, ShouldEqual, "start")
+			So(d.last().Orders.Orders[0].Action, ShouldEqual, "start")
 			So(d.last().Orders.Orders[0].Task, ShouldEqual, 1)
 		})
 		Convey("before the failure of one of them breaks it up", func() {
@@ -295,30 +295,30 @@
 			d.shifts(true, 6, one, two)
 			d.announce("w", held(1)) // whose start is lost on the way
 			d.tells = nil
-			d.announce("v", func(a *schema.Announce) {
-				a.Ended = []*schema.TaskNote{{Queue: "l", Job: 1, Attempt: 1, State: "failed"}}
+			d.announce("v", func(a *schema.WorkerHeartbeat) {
+				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: 1, State: "failed"}}
 			})
 			So(d.tells, ShouldBeEmpty)
 			d.announce("w", held(1))
-			So(d.last().Orders.Orders[0].Act, ShouldEqual, "start")
-			d.announce("w", func(a *schema.Announce) { held(1)(a); a.Running[0].State = "running" })
+			So(d.last().Orders.Orders[0].Action, ShouldEqual, "start")
+			d.announce("w", func(a *schema.WorkerHeartbeat) { held(1)(a); a.Running[0].State = "running" })
 			d.step(eventloop.Tick{})
 			So(d.tells[len(d.tells)-1].(replica.Ended).End.Outcome, ShouldEqual, "failed")
 		})
 		Convey("also on a worker that has just said that it leaves, but not later", func() {
 			d = newDesk("v", "w")
 			d.shifts(true, 6, one, two)
-			d.announce("w", func(a *schema.Announce) { held(1)(a); a.Leaving = true })
-			So(d.last().Orders.Orders[0].Act, ShouldEqual, "start")
+			d.announce("w", func(a *schema.WorkerHeartbeat) { held(1)(a); a.Draining = true })
+			So(d.last().Orders.Orders[0].Action, ShouldEqual, "start")
 			d.now += leaveSpan
 			d.fresh(true)
-			d.announce("w", func(a *schema.Announce) { held(1)(a); a.Leaving = true })
-			So(d.last().Orders.Orders[0].Act, ShouldEqual, "stop")
+			d.announce("w", func(a *schema.WorkerHeartbeat) { held(1)(a); a.Draining = true })
+			So(d.last().Orders.Orders[0].Action, ShouldEqual, "stop")
 		})
 		Convey("and a worker that leaves while only held lets the group go", func() {
-			d.announce("w", func(a *schema.Announce) { held(1)(a); a.Leaving = true })
+			d.announce("w", func(a *schema.WorkerHeartbeat) { held(1)(a); a.Draining = true })
 			d.step(eventloop.Tick{})
-			So(d.last().Orders.Orders[0].Act, ShouldEqual, "stop")
+			So(d.last().Orders.Orders[0].Action, ShouldEqual, "stop")
 		})
 	})
 	Convey("A hold that doesn't come about lets all go", t, func() {
@@ -330,7 +330,7 @@
 		d.announce("v", held(0))
 		d.announce("v", held(0))
 		d.step(eventloop.Tick{})
-		So(d.last().Orders.Orders[0].Act, ShouldEqual, "stop")
+		So(d.last().Orders.Orders[0].Action, ShouldEqual, "stop")
 	})
 }
 
@@ -339,8 +339,8 @@
 		d := newDesk("v", "w")
 		small := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 10}
 		fail := func(job uint64) {
-			d.announce("w", func(a *schema.Announce) {
-				a.Ended = []*schema.TaskNote{{Queue: "l", Job: job, Attempt: 1, State: "failed"}}
+			d.announce("w", func(a *schema.WorkerHeartbeat) {
+				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: job, Attempt: 1, State: "failed"}}
 			})
 		}
 		d.announce("v", nil)
@@ -360,19 +360,19 @@
 
 func TestTimeLimits(t *testing.T) {
 	Convey("A task that runs too long or stands still is stopped and counted as failed", t, func() {
-		for _, each := range []*schema.TaskNote{
+		for _, each := range []*schema.TaskStatus{
 			{Queue: "l", Job: 1, Attempt: 1, State: "running", RunUs: 2_000_001},
-			{Queue: "l", Job: 1, Attempt: 1, State: "running", RunUs: 1_500_000, StillUs: 1_000_001},
+			{Queue: "l", Job: 1, Attempt: 1, State: "running", RunUs: 1_500_000, IdleUs: 1_000_001},
 		} {
 			d := newDesk("w")
-			limited := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 10, TimeLimitUs: 2_000_000, StillUs: 1_000_000}
+			limited := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 10, TimeLimitUs: 2_000_000, StallTimeoutUs: 1_000_000}
 			d.shifts(true, 1, shift(1, 1, 0, queue.Out, "w", limited))
 			d.announce("w", nil)
-			d.announce("w", func(a *schema.Announce) { a.Running = []*schema.TaskNote{each} })
+			d.announce("w", func(a *schema.WorkerHeartbeat) { a.Running = []*schema.TaskStatus{each} })
 			d.step(eventloop.Tick{})
-			So(d.last().Orders.Orders[0].Act, ShouldEqual, "stop")
-			d.announce("w", func(a *schema.Announce) {
-				a.Ended = []*schema.TaskNote{{Queue: "l", Job: 1, Attempt: 1, State: "stopped"}}
+			So(d.last().Orders.Orders[0].Action, ShouldEqual, "stop")
+			d.announce("w", func(a *schema.WorkerHeartbeat) {
+				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: 1, State: "stopped"}}
 			})
 			So(d.ended()[0].Outcome, ShouldEqual, "failed")
 		}
@@ -386,12 +386,12 @@
 		d.announce("w", nil)
 		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "w", step))
 		// Something of a queue that isn't led here runs there.
-		other := &schema.TaskNote{Queue: "other", Job: 9, Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}
+		other := &schema.TaskStatus{Queue: "other", Job: 9, Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}
 		count := len(d.replies)
-		d.announce("w", func(a *schema.Announce) { a.Running = []*schema.TaskNote{other} })
+		d.announce("w", func(a *schema.WorkerHeartbeat) { a.Running = []*schema.TaskStatus{other} })
 		So(len(d.replies), ShouldEqual, count)
 		d.announce("w", nil)
-		So(d.last().Orders.Orders[0].Act, ShouldEqual, "start")
+		So(d.last().Orders.Orders[0].Action, ShouldEqual, "start")
 	})
 }
 
--- a/internal/scheduler/task.go
+++ b/internal/scheduler/task.go
@@ -78,7 +78,7 @@
 
 // keptProgress is the newest progress known, for steps that keep any.
 func (t *task) keptProgress() string {
-	if !t.spec.Saves {
+	if !t.spec.Checkpoints {
 		return ""
 	}
 	return cmp.Or(t.seen, t.saved)
@@ -105,10 +105,10 @@
 	if len(spec.Labels) > 0 {
 		form.labels = strings.Join(spec.Labels, " ")
 	}
-	if spec.Together {
+	if spec.Gang {
 		form.together = spec.Tasks
 	}
-	if spec.PerWorker > 0 {
+	if spec.MaxPerWorker > 0 {
 		form.own = key
 	}
 	return form
@@ -124,7 +124,7 @@
 	return cmp.Or(cmp.Compare(a.key.job, b.key.job), cmp.Compare(a.key.step, b.key.step)) < 0
 }
 
-func noteKey(note *schema.TaskNote) attemptKey {
+func noteKey(note *schema.TaskStatus) attemptKey {
 	return attemptKey{taskKey{note.Queue, note.Job, note.Step, note.Task}, note.Attempt}
 }
 
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -32,7 +32,7 @@
 }
 
 type ended struct {
-	note    *schema.TaskNote
+	note    *schema.TaskStatus
 	at      eventloop.Micros // when it was first heard
 	sentAt  eventloop.Micros
 	isNoted bool
@@ -155,12 +155,12 @@
 	v.use.add(sizeOf(each.spec))
 	v.place(each, each.worker, 1)
 	t.placedOn(each.worker)[key] = each
-	if each.spec.Together && key.task == 0 && each.standing == queue.Out && !each.isLaunched {
+	if each.spec.Gang && key.task == 0 && each.standing == queue.Out && !each.isLaunched {
 		v.gangs[key] = each
 	}
 	if w := t.workers[each.worker]; w != nil {
 		w.isDirty, w.isStale = true, true
-		if each.spec.Together {
+		if each.spec.Gang {
 			t.touchGroup(each)
 		}
 	}
--- a/internal/scheduler/workers.go
+++ b/internal/scheduler/workers.go
@@ -31,7 +31,7 @@
 	rack        string
 	isLeaving   bool
 	leftAt      eventloop.Micros // when that was first heard
-	running     map[attemptKey]*schema.TaskNote
+	running     map[attemptKey]*schema.TaskStatus
 	ended       map[attemptKey]*ended
 	tasks       map[taskKey]*task
 	poll        *poll
@@ -48,8 +48,8 @@
 	departAt     eventloop.Micros // while it leaves; 0: not told
 	coldUntil    eventloop.Micros
 	resolved     map[nameAttempt]attemptKey // what its named notes stand for
-	strange      []*schema.TaskNote         // runs that no task is known for
-	unknown      []*schema.TaskNote         // ends that no task is known for
+	strange      []*schema.TaskStatus       // runs that no task is known for
+	unknown      []*schema.TaskStatus       // ends that no task is known for
 
 	reserved map[taskKey]*task // checkouts on their way
 	isStale  bool              // the sums below are to be made anew
@@ -70,7 +70,7 @@
 
 func (t *Table) dismiss(w *worker, out eventloop.Out) {
 	if w.poll != nil {
-		out.Send(w.poll.front, &schema.PollReply{Id: w.poll.id, Scheduler: t.id})
+		out.Send(w.poll.front, &schema.WorkerPollResponse{Id: w.poll.id, Scheduler: t.id})
 		w.poll = nil
 	}
 }
@@ -97,22 +97,22 @@
 	return t.isSure(now) && t.fresh.Groups[v.group] == v.term
 }
 
-func (t *Table) heard(now eventloop.Micros, front string, m *schema.Poll, out eventloop.Out) {
+func (t *Table) heard(now eventloop.Micros, front string, m *schema.WorkerPollRequest, out eventloop.Out) {
 	w := t.workers[m.Worker]
-	a := m.Announce
+	a := m.Heartbeat
 	// Who isn't sure of being the ward gives no lease.
-	if w == nil || a == nil || w.isOver || !t.isSure(now) || a.Ward > w.generation {
-		out.Send(front, &schema.PollReply{Id: m.Id, Scheduler: t.id})
+	if w == nil || a == nil || w.isOver || !t.isSure(now) || a.FencingToken > w.generation {
+		out.Send(front, &schema.WorkerPollResponse{Id: m.Id, Scheduler: t.id})
 		return
 	}
 	if a.Incarnation < w.incarnation || a.Incarnation == w.incarnation && a.Seq <= w.seq {
-		out.Send(front, &schema.PollReply{Id: m.Id, Scheduler: t.id})
+		out.Send(front, &schema.WorkerPollResponse{Id: m.Id, Scheduler: t.id})
 		return
 	}
 	if a.Unanswered && w.isKnown && a.Incarnation == w.incarnation {
 		// We hear it, but it doesn't hear us: what was ordered there may never begin, so
 		// it counts as silent. This answer grants nothing, and tells whether it hears again.
-		out.Send(front, &schema.PollReply{Id: m.Id, Scheduler: t.id})
+		out.Send(front, &schema.WorkerPollResponse{Id: m.Id, Scheduler: t.id})
 		return
 	}
 	if a.Incarnation > w.incarnation {
@@ -131,22 +131,22 @@
 	wasSilent := now-w.heard > silentSpan
 	w.incarnation, w.seq, w.heard, w.isKnown = a.Incarnation, a.Seq, now, true
 	w.cores, w.memory, w.rack = a.CoresMilli, a.MemoryMb, a.Rack
-	if a.Leaving && (!w.isLeaving || isFirst) {
+	if a.Draining && (!w.isLeaving || isFirst) {
 		w.leftAt = now
 	}
-	w.isLeaving = a.Leaving
-	w.accelerators, w.labels, w.pool, w.gathers, w.isNamed = a.Accelerators, a.Labels, a.Pool, a.Gathers, a.Named
+	w.isLeaving = a.Draining
+	w.accelerators, w.labels, w.pool, w.gathers, w.isNamed = a.Accelerators, a.Labels, a.Pool, a.GangBarrier, a.TasksByName
 	w.departAt, w.isStale = 0, true
-	if a.ColdUs > 0 {
-		w.coldUntil = now + eventloop.Micros(a.ColdUs)
+	if a.WarmUpUs > 0 {
+		w.coldUntil = now + eventloop.Micros(a.WarmUpUs)
 	} else {
 		w.coldUntil = min(w.coldUntil, now)
 	}
-	if a.Leaving && a.DepartureUs > 0 {
-		w.departAt = now + eventloop.Micros(a.DepartureUs)
+	if a.Draining && a.DepartsInUs > 0 {
+		w.departAt = now + eventloop.Micros(a.DepartsInUs)
 	}
 	running, over := t.resolve(w, a)
-	w.running = map[attemptKey]*schema.TaskNote{}
+	w.running = map[attemptKey]*schema.TaskStatus{}
 	for _, note := range running {
 		w.running[noteKey(note)] = note
 		t.look(now, w, note)
@@ -154,16 +154,16 @@
 	t.gauge(now, w)
 	t.reports(now, w, over, out)
 	t.forsaken(now, w, out)
-	t.buried(now, a.Over, m.Worker, out)
+	t.buried(now, a.ReplacedWorkers, m.Worker, out)
 	// The older announce is overtaken; its answer would say less, and an agent,
 	// which has one open at a time, doesn't take it.
-	if w.poll != nil && !a.Named {
+	if w.poll != nil && !a.TasksByName {
 		t.answer(now, w, out)
 	}
-	wait := eventloop.Micros(min(max(a.WaitUs, 0), int64(holdSpan)))
+	wait := eventloop.Micros(min(max(a.MaxWaitUs, 0), int64(holdSpan)))
 	w.poll, w.isDirty = &poll{front: front, id: m.Id, seq: a.Seq, until: now + wait}, true
 	for _, each := range w.tasks {
-		if each.spec.Together {
+		if each.spec.Gang {
 			if w.gathers {
 				t.gather(now, each)
 			}
@@ -205,8 +205,8 @@
 	}
 	each.lostAt = now
 	t.counts.LostTasks++
-	out.Tell("replica", replica.Ended{End: &schema.End{
+	out.Tell("replica", replica.Ended{End: &schema.TaskEndReport{
 		Queue: each.key.queue, Key: &schema.TaskKey{Job: each.key.job, Step: each.key.step, Task: each.key.task},
-		Attempt: each.attempt, Outcome: outcome, Worker: each.worker, Saved: each.keptProgress(),
+		Attempt: each.attempt, Outcome: outcome, Worker: each.worker, Checkpoint: each.keptProgress(),
 	}})
 }
--- a/internal/schema/gen/main.go
+++ b/internal/schema/gen/main.go
@@ -7,14 +7,18 @@
 	"bytes"
 	"context"
 	"fmt"
+	"go/format"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"sort"
+	"strings"
 
 	"github.com/bufbuild/protocompile"
+	"github.com/bufbuild/protocompile/linker"
 	"github.com/bufbuild/protocompile/protoutil"
 	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/reflect/protoreflect"
 	"google.golang.org/protobuf/types/pluginpb"
 )
 
@@ -85,9 +89,58 @@
 	if response.Error != nil {
 		return nil, fmt.Errorf("protoc-gen-go: %s", response.GetError())
 	}
+	tags := jsonTags(files)
 	made := map[string]string{}
 	for _, file := range response.File {
-		made[file.GetName()] = file.GetContent()
+		content, err := format.Source([]byte(tags.Replace(file.GetContent())))
+		if err != nil {
+			return nil, fmt.Errorf("formatting %s: %w", file.GetName(), err)
+		}
+		made[file.GetName()] = string(content)
 	}
 	return made, nil
 }
+
+// jsonTags rewrites the struct tags that encoding/json reads. protoc-gen-go fills them with a
+// field's name in the schema; where a field gives a json_name, that is its name in JSON.
+func jsonTags(files linker.Files) *strings.Replacer {
+	var pairs []string
+	for _, file := range files {
+		messages := file.Messages()
+		for i := 0; i < messages.Len(); i++ {
+			fields := messages.Get(i).Fields()
+			for j := 0; j < fields.Len(); j++ {
+				field := fields.Get(j)
+				if !hasJSONName(field) {
+					continue
+				}
+				// `protobuf:"varint,9,opt,name=fencing_token,json=ward,proto3" json:"fencing_token,omitempty"`
+				tag := fmt.Sprintf(`name=%s,json=%s,proto3`, field.Name(), field.JSONName())
+				if field.HasOptionalKeyword() {
+					tag += ",oneof"
+				}
+				generated := fmt.Sprintf(`%s" json:"%s,`, tag, field.Name())
+				wanted := fmt.Sprintf(`%s" json:"%s,`, tag, field.JSONName())
+				pairs = append(pairs, generated, wanted)
+			}
+		}
+	}
+	return strings.NewReplacer(pairs...)
+}
+
+// hasJSONName tells whether the schema names the field in JSON, rather than leaving it to the
+// default, which is the field's name in lower camel case.
+func hasJSONName(field protoreflect.FieldDescriptor) bool {
+	return field.JSONName() != defaultJSONName(string(field.Name()))
+}
+
+// defaultJSONName is the JSON name that the protobuf language gives a field.
+func defaultJSONName(name string) string {
+	words := strings.Split(name, "_")
+	for i, word := range words[1:] {
+		if word != "" {
+			words[i+1] = strings.ToUpper(word[:1]) + word[1:]
+		}
+	}
+	return strings.Join(words, "")
+}
--- a/internal/sim/called.go
+++ b/internal/sim/called.go
@@ -304,16 +304,16 @@
 	}
 	need := fakeworker.Need{
 		Cores: step.CoresMilli, Memory: step.MemoryMb, Accelerators: step.Accelerators, Rack: step.DataRack, IsOneRack: step.OneRack,
-		IsSaving: step.Saves, Work: eventloop.Micros(step.EstimateUs),
+		IsSaving: step.Checkpoints, Work: eventloop.Micros(step.EstimatedRunUs),
 	}
-	if step.Together {
+	if step.Gang {
 		need.Members = int(step.Tasks)
 	}
 	if need.Work == 0 {
 		need.Work = eventloop.Micros(word(text, "run_us", 20_000))
 	}
 	need.Work = max(1, need.Work*eventloop.Micros(80+k.rng.Int64N(40))/100)
-	if step.Lasting {
+	if step.RunUntilCancelled {
 		need.Work = 0
 	}
 	return need
@@ -410,10 +410,10 @@
 
 // putEdition has an operator number its own editions, each built on the one it
 // read, and send one again as it was after no clear answer.
-func (w *World) putEdition(who string, rows []*schema.Row) {
+func (w *World) putEdition(who string, rows []*schema.ConfigurationRow) {
 	rows = w.withPools(rows)
 	again := func() { w.After(200*eventloop.Milli, func() { w.putEdition(who, rows) }) }
-	w.readPlan(w.pickFront(w.anyCell()), func(plan *schema.Plan) {
+	w.readPlan(w.pickFront(w.anyCell()), func(plan *schema.Configuration) {
 		if plan == nil {
 			again()
 			return
@@ -421,23 +421,23 @@
 		if clusterstate.SameRows(plan.Rows, rows) {
 			return
 		}
-		edition := plan.Edition + 1 + uint64(w.Rng.IntN(3))
-		sheet := &schema.Sheet{
-			Rows: rows, Edition: edition, BaseEdition: plan.Edition, Document: []byte(fmt.Sprintf("%s %d %x", who, edition, w.Rng.Uint32())),
+		edition := plan.Version + 1 + uint64(w.Rng.IntN(3))
+		sheet := &schema.ConfigurationUpdate{
+			Rows: rows, Version: edition, BaseVersion: plan.Version, Document: []byte(fmt.Sprintf("%s %d %x", who, edition, w.Rng.Uint32())),
 		}
 		w.Tell(checker.Event{Kind: checker.PlanSent, Who: who, Rows: rows, Document: string(sheet.Document)})
 		w.sendEdition(who, sheet, again)
 	})
 }
 
-func (w *World) sendEdition(who string, sheet *schema.Sheet, again func()) {
+func (w *World) sendEdition(who string, sheet *schema.ConfigurationUpdate, again func()) {
 	front, sent := w.pickFront(w.anyCell()), w.Now
 	told := checker.Event{
-		Kind: checker.PlanPut, Who: who, Front: front.Name, Sent: sent, Built: sheet.BaseEdition, Rows: sheet.Rows, Document: string(sheet.Document),
+		Kind: checker.PlanPut, Who: who, Front: front.Name, Sent: sent, Built: sheet.BaseVersion, Rows: sheet.Rows, Document: string(sheet.Document),
 	}
 	w.Ask(front, 4*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
 		return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.ClusterStateBody(
-			&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{Sheet: sheet}}})}
+			&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 	}, func(answer any) {
 		reply, _ := answer.(gateway.Answer)
 		if reply.Code == 200 && w.isAnswerLost() {
@@ -445,7 +445,7 @@
 		}
 		told.Code = reply.Code
 		if reply.Code == 200 || told.State == checker.AnswerLost {
-			told.Generation = sheet.Edition
+			told.Generation = sheet.Version
 		}
 		w.Tell(told)
 		switch {
@@ -459,7 +459,7 @@
 }
 
 // withPools directs queues that say nothing else to the main pool.
-func (w *World) withPools(rows []*schema.Row) []*schema.Row {
+func (w *World) withPools(rows []*schema.ConfigurationRow) []*schema.ConfigurationRow {
 	isTold, queues := map[string]bool{}, []string{}
 	for _, row := range rows {
 		if row.Kind == "queue" && row.Key == "pool" {
@@ -472,9 +472,9 @@
 			queues = append(queues, row.Name)
 		}
 	}
-	rows = append([]*schema.Row(nil), rows...)
+	rows = append([]*schema.ConfigurationRow(nil), rows...)
 	for _, queue := range queues {
-		rows = append(rows, &schema.Row{Kind: "queue", Name: queue, Key: "pool", Value: "main"})
+		rows = append(rows, &schema.ConfigurationRow{Kind: "queue", Name: queue, Key: "pool", Value: "main"})
 	}
 	return rows
 }
@@ -484,35 +484,35 @@
 // CalledKinds are a load that touches what the rules say of called workers.
 func CalledKinds() []Kind {
 	plain := func(name string, tasks uint32, cores int64, run eventloop.Micros, after ...string) *schema.Step {
-		return &schema.Step{Name: name, Tasks: tasks, CoresMilli: cores, MemoryMb: 256, After: after, EstimateUs: int64(run)}
+		return &schema.Step{Name: name, Tasks: tasks, CoresMilli: cores, MemoryMb: 256, Dependencies: after, EstimatedRunUs: int64(run)}
 	}
 	saving := plain("rows", 8, 2000, 1500*eventloop.Milli, "load")
-	saving.Saves, saving.DataRack = true, "r1"
+	saving.Checkpoints, saving.DataRack = true, "r1"
 	gang := plain("gang", 4, 1000, 600*eventloop.Milli)
-	gang.Together, gang.OneRack, gang.Saves = true, true, true
+	gang.Gang, gang.OneRack, gang.Checkpoints = true, true, true
 	spread := plain("spread", 3, 500, 300*eventloop.Milli)
-	spread.PerWorker, spread.Labels, spread.Accelerators = 1, []string{"a"}, 1
+	spread.MaxPerWorker, spread.Labels, spread.Accelerators = 1, []string{"a"}, 1
 	lasting := plain("lasting", 2, 500, 0)
-	lasting.Lasting = true
+	lasting.RunUntilCancelled = true
 	return []Kind{
 		{Queue: "quick", Every: 250 * eventloop.Milli, Attempts: 4, Job: &schema.Job{Text: "quick", Steps: []*schema.Step{plain("rates", 3, 500, 40*eventloop.Milli), plain("sum", 1, 500, 30*eventloop.Milli, "rates")}}},
 		{Queue: "slow", Every: 2 * eventloop.Second, Attempts: 4, Cancel: 0.2, Job: &schema.Job{Text: "slow", Steps: []*schema.Step{plain("load", 3, 2000, 400*eventloop.Milli), saving, plain("pack", 1, 1000, 100*eventloop.Milli, "rows")}}},
 		{Queue: "group", Every: eventloop.Second, Attempts: 4, Cancel: 0.1, Job: &schema.Job{Text: "gang fail=0.03", Steps: []*schema.Step{gang, plain("after", 1, 500, 50*eventloop.Milli, "gang")}}},
 		{Name: "spread", Queue: "group", Every: 1500 * eventloop.Milli, Attempts: 4, Job: &schema.Job{Text: "spread", Steps: []*schema.Step{spread}}},
-		{Queue: "timed", Every: 2 * eventloop.Second, Attempts: 3, Cancel: 0.1, Wall: 1500 * eventloop.Milli, Job: &schema.Job{Text: "rounds fail=0.05", Rounds: 3, EveryUs: int64(900 * eventloop.Milli), Steps: []*schema.Step{plain("one", 2, 500, 500*eventloop.Milli), plain("two", 1, 500, 600*eventloop.Milli, "one")}}},
+		{Queue: "timed", Every: 2 * eventloop.Second, Attempts: 3, Cancel: 0.1, Wall: 1500 * eventloop.Milli, Job: &schema.Job{Text: "rounds fail=0.05", Rounds: 3, PeriodUs: int64(900 * eventloop.Milli), Steps: []*schema.Step{plain("one", 2, 500, 500*eventloop.Milli), plain("two", 1, 500, 600*eventloop.Milli, "one")}}},
 		{Name: "lasting", Queue: "timed", Every: 6 * eventloop.Second, Attempts: 3, Cancel: 1, CancelAfter: 8 * eventloop.Second, Job: &schema.Job{Text: "lasting", Steps: []*schema.Step{lasting}}},
 		{Name: "poison", Queue: "timed", Every: 4 * eventloop.Second, Attempts: 3, Job: &schema.Job{Text: "poison fail=1", Steps: []*schema.Step{plain("bad", 2, 500, 60*eventloop.Milli), plain("never", 1, 500, 60*eventloop.Milli, "bad")}}},
-		{Name: "bad-gang", Queue: "group", Every: 9 * eventloop.Second, Attempts: 4, Job: &schema.Job{Text: "poison fail=0.7", Steps: []*schema.Step{{Name: "bad", Tasks: 3, CoresMilli: 500, MemoryMb: 128, Together: true, EstimateUs: 100_000}}}},
+		{Name: "bad-gang", Queue: "group", Every: 9 * eventloop.Second, Attempts: 4, Job: &schema.Job{Text: "poison fail=0.7", Steps: []*schema.Step{{Name: "bad", Tasks: 3, CoresMilli: 500, MemoryMb: 128, Gang: true, EstimatedRunUs: 100_000}}}},
 		{Queue: "far", Every: 700 * eventloop.Milli, Attempts: 2, Job: &schema.Job{Text: "far", Steps: []*schema.Step{plain("far", 2, 500, 100*eventloop.Milli)}}},
 	}
 }
 
 // CalledRows is the table of that load.
-func CalledRows(urgency int) []*schema.Row {
+func CalledRows(urgency int) []*schema.ConfigurationRow {
 	rows := Rows(urgency)
 	rows = rows[:5]
 	add := func(kind, name, key, value string) {
-		rows = append(rows, &schema.Row{Kind: kind, Name: name, Key: key, Value: value})
+		rows = append(rows, &schema.ConfigurationRow{Kind: kind, Name: name, Key: key, Value: value})
 	}
 	add("queue", "far", "urgency", "50")
 	add("queue", "far", "pool", "far")
@@ -546,7 +546,7 @@
 		for n, step := range k.Steps {
 			steps[n] = proto.Clone(step).(*schema.Step)
 			// Long work keeps its progress.
-			steps[n].Saves = step.EstimateUs > int64(3*eventloop.Second)
+			steps[n].Checkpoints = step.EstimatedRunUs > int64(3*eventloop.Second)
 		}
 		size.Kinds = append(size.Kinds, Kind{
 			Name: k.Name, Queue: k.Queue, Every: eventloop.Micros(k.Every * float64(eventloop.Second)), Attempts: d.Attempts, Job: &schema.Job{Text: k.Text, Steps: steps},
@@ -556,10 +556,10 @@
 		k.Every *= 4
 		size.Kinds = append(size.Kinds, k)
 	}
-	size.Rows = func(urgency int) []*schema.Row {
+	size.Rows = func(urgency int) []*schema.ConfigurationRow {
 		rows := append(d.Rows(), CalledRows(urgency)...)
 		for _, k := range d.Kinds {
-			rows = append(rows, &schema.Row{Kind: "queue", Name: k.Queue, Key: "attempts", Value: fmt.Sprint(d.Attempts)})
+			rows = append(rows, &schema.ConfigurationRow{Kind: "queue", Name: k.Queue, Key: "attempts", Value: fmt.Sprint(d.Attempts)})
 		}
 		return rows
 	}
--- a/internal/sim/changes_test.go
+++ b/internal/sim/changes_test.go
@@ -57,16 +57,16 @@
 }
 
 // configuration makes one of some bytes, as a front makes it of what an operator sends.
-func (o *operator) configuration(edition uint64, size int) *schema.Sheet {
-	sheet := &schema.Sheet{Edition: edition, BaseEdition: edition - 1, Rows: o.Rows(60)}
+func (o *operator) configuration(edition uint64, size int) *schema.ConfigurationUpdate {
+	sheet := &schema.ConfigurationUpdate{Version: edition, BaseVersion: edition - 1, Rows: o.Rows(60)}
 	if edition == 2 {
-		sheet.BaseEdition = 0
+		sheet.BaseVersion = 0
 	}
 	var document strings.Builder
 	for k := 0; document.Len() < size; k++ {
 		name, path := fmt.Sprintf("rack-%d-%d", edition, k), fmt.Sprintf("%x", o.text.Uint64())
 		fmt.Fprintf(&document, `{"name":"%s","host":"jobs.example","prefix":"/%s/","kind":"jobs","timeout_ms":3000,"service":"%s"},`, name, path, path)
-		sheet.Rows = append(sheet.Rows, &schema.Row{Kind: "rack", Name: name, Key: "weight", Value: fmt.Sprint(o.text.IntN(100))})
+		sheet.Rows = append(sheet.Rows, &schema.ConfigurationRow{Kind: "rack", Name: name, Key: "weight", Value: fmt.Sprint(o.text.IntN(100))})
 	}
 	sheet.Document = []byte(document.String()[:size])
 	return sheet
@@ -88,11 +88,11 @@
 	})
 }
 
-func (o *operator) send(sheet *schema.Sheet, back func()) {
+func (o *operator) send(sheet *schema.ConfigurationUpdate, back func()) {
 	front := o.pickFront(o.anyCell())
 	o.Ask(front, 4*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
 		return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.ClusterStateBody(
-			&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{Sheet: sheet}}})}
+			&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 	}, func(answer any) {
 		reply, _ := answer.(gateway.Answer)
 		switch {
@@ -101,7 +101,7 @@
 		case reply.Code == 0 || reply.Code >= 500 || reply.Code == 429:
 			o.After(200*eventloop.Milli, func() { o.send(sheet, back) })
 		default:
-			o.say("edition %d was refused: %d %s", sheet.Edition, reply.Code, reply.Body)
+			o.say("edition %d was refused: %d %s", sheet.Version, reply.Code, reply.Body)
 		}
 	})
 }
@@ -142,10 +142,10 @@
 // calm one stays behind.
 func (o *operator) tap(from, to *Host, body any) {
 	switch m := body.(type) {
-	case *schema.ClusterStateAsk:
+	case *schema.ClusterStateRequest:
 		o.judge(from, m)
-	case *schema.Part:
-		if m.Install && to != nil && o.cutShort < o.count/40 && o.text.IntN(8) == 0 {
+	case *schema.TransferChunk:
+		if m.IsSnapshot && to != nil && o.cutShort < o.count/40 && o.text.IntN(8) == 0 {
 			o.cutShort++
 			o.Fault("%s killed in the middle of an installation", to.Name)
 			o.troubleAt = o.Now + 2*eventloop.Second
@@ -170,7 +170,7 @@
 	kinds[strings.TrimPrefix(fmt.Sprintf("%T", body), "*schema.")] += proto.Size(message)
 }
 
-func (o *operator) judge(from *Host, ask *schema.ClusterStateAsk) {
+func (o *operator) judge(from *Host, ask *schema.ClusterStateRequest) {
 	life := fmt.Sprint(from.Name, "/", from.run)
 	if ask.Version < o.asked[life] {
 		o.say("%s went back from version %d to %d", life, o.asked[life], ask.Version)
@@ -185,8 +185,8 @@
 			taken = uint64(k + 2)
 		}
 	}
-	if ask.Generation < taken {
-		o.say("%s holds generation %d, and %d was acknowledged %.1f s ago", life, ask.Generation, taken, float64(o.Now-o.taken[taken-2])/1e6)
+	if ask.HeldRevision < taken {
+		o.say("%s holds generation %d, and %d was acknowledged %.1f s ago", life, ask.HeldRevision, taken, float64(o.Now-o.taken[taken-2])/1e6)
 	}
 }
 
--- a/internal/sim/cut_test.go
+++ b/internal/sim/cut_test.go
@@ -69,8 +69,8 @@
 }
 
 // sheet is the plan of an edition: a queue that stays, and one of its own.
-func cutSheet(edition uint64, base uint64) *schema.Sheet {
-	return &schema.Sheet{Edition: edition, BaseEdition: base, Document: []byte(fmt.Sprint("edition ", edition)), Rows: []*schema.Row{
+func cutSheet(edition uint64, base uint64) *schema.ConfigurationUpdate {
+	return &schema.ConfigurationUpdate{Version: edition, BaseVersion: base, Document: []byte(fmt.Sprint("edition ", edition)), Rows: []*schema.ConfigurationRow{
 		{Kind: "queue", Name: "quick", Key: "urgency", Value: "60"},
 		{Kind: "queue", Name: cutQueue(edition), Key: "urgency", Value: "10"},
 	}}
@@ -89,9 +89,9 @@
 	})
 }
 
-func put(sheet *schema.Sheet) gateway.Ask {
+func put(sheet *schema.ConfigurationUpdate) gateway.Ask {
 	return gateway.Ask{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.ClusterStateBody(
-		&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{Sheet: sheet}}})}
+		&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 }
 
 // publish has the operator put an edition, at the machine that is cut off first, and
@@ -175,7 +175,7 @@
 
 // current is the edition that a refusal names.
 func current(reply gateway.Answer) uint64 {
-	fault := &schema.Fault{}
+	fault := &schema.Error{}
 	_ = json.Unmarshal(reply.Body, fault)
 	return fault.Current
 }
@@ -192,8 +192,8 @@
 		})
 	}
 	one("read", gateway.Ask{Kind: "plan", Group: clusterstate.Group}, func(reply gateway.Answer) string {
-		plan := &schema.Plan{}
-		if reply.Code == 200 && (protojson.Unmarshal(reply.Body, plan) != nil || plan.Edition < newest) {
+		plan := &schema.Configuration{}
+		if reply.Code == 200 && (protojson.Unmarshal(reply.Body, plan) != nil || plan.Version < newest) {
 			return fmt.Sprintf("edition %d was acknowledged before", newest)
 		}
 		return ""
@@ -239,7 +239,7 @@
 	one("cancel", gateway.Ask{Kind: "cancel", Group: "quick", Name: "none"}, not(200, "there is none"))
 	r.probeHandIns(h, newest)
 	r.announces++
-	announce := &schema.Announce{Incarnation: 1, Seq: r.announces, CoresMilli: 1, MemoryMb: 1}
+	announce := &schema.WorkerHeartbeat{Incarnation: 1, Seq: r.announces, CoresMilli: 1, MemoryMb: 1}
 	sent := r.Now
 	r.Ask(h, announceSpan, func(request uint64, deadline eventloop.Micros) any {
 		return gateway.PollIn{Request: request, Worker: "w-" + h.Name, Announce: announce, Deadline: deadline}
--- a/internal/sim/day.go
+++ b/internal/sim/day.go
@@ -50,7 +50,7 @@
 			isTold = true
 			moves = append(moves, fmt.Sprint("controller ", belief.Controller, " ", belief.Lease))
 			for _, ward := range belief.Wards {
-				moves = append(moves, fmt.Sprint(ward.Worker, " ", ward.Scheduler, " ", ward.Generation))
+				moves = append(moves, fmt.Sprint(ward.Worker, " ", ward.Scheduler, " ", ward.FencingToken))
 			}
 		}
 	}
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -33,19 +33,19 @@
 }
 
 func step(name string, tasks uint32, cores int64, after ...string) *schema.Step {
-	return &schema.Step{Name: name, Tasks: tasks, CoresMilli: cores, MemoryMb: 256, After: after, AllowedFailures: 3}
+	return &schema.Step{Name: name, Tasks: tasks, CoresMilli: cores, MemoryMb: 256, Dependencies: after, AllowedFailures: 3}
 }
 
 // Kinds are the load: urgent and slow work, steps, groups, timed jobs, tasks
 // that fail, and jobs that are cancelled.
 func Kinds() []Kind {
 	together := step("gang", 4, 1000)
-	together.Together = true
+	together.Gang = true
 	limited := step("work", 3, 500)
 	limited.AllowedFailures = 2
-	limited.TimeLimitUs, limited.StillUs = int64(4*eventloop.Second), int64(eventloop.Second)
+	limited.TimeLimitUs, limited.StallTimeoutUs = int64(4*eventloop.Second), int64(eventloop.Second)
 	due := step("due", 1, 500)
-	due.StillUs = int64(eventloop.Second)
+	due.StallTimeoutUs = int64(eventloop.Second)
 	return []Kind{
 		{Queue: "quick", Every: 250 * eventloop.Milli, Job: &schema.Job{Text: "run_us=30000", Steps: []*schema.Step{step("rates", 3, 500), step("sum", 1, 500, "rates")}}},
 		{Queue: "slow", Every: 2 * eventloop.Second, Cancel: 0.2, Job: &schema.Job{Text: "run_us=700000", Steps: []*schema.Step{step("load", 4, 2000), step("rows", 10, 2000, "load"), step("pack", 1, 1000, "rows")}}},
@@ -56,8 +56,8 @@
 }
 
 // Rows is the table of the load's queues.
-func Rows(urgency int) []*schema.Row {
-	return []*schema.Row{
+func Rows(urgency int) []*schema.ConfigurationRow {
+	return []*schema.ConfigurationRow{
 		{Kind: "queue", Name: "quick", Key: "urgency", Value: fmt.Sprint(urgency)},
 		{Kind: "queue", Name: "slow", Key: "urgency", Value: "10"},
 		{Kind: "queue", Name: "group", Key: "urgency", Value: "30"},
@@ -79,7 +79,7 @@
 	Sync          eventloop.Micros // 0: the scenario's
 	Weak, Side    float64          // processors' shares; 0: steps cost nothing
 	Kinds         []Kind
-	Rows          func(urgency int) []*schema.Row
+	Rows          func(urgency int) []*schema.ConfigurationRow
 	Bounds        *schema.Bounds // of a fleet whose workers are called; nil: they ask
 }
 
@@ -104,7 +104,7 @@
 		k.Every *= 4
 		size.Kinds = append(size.Kinds, k)
 	}
-	size.Rows = func(urgency int) []*schema.Row { return append(d.Rows(), Rows(urgency)...) }
+	size.Rows = func(urgency int) []*schema.ConfigurationRow { return append(d.Rows(), Rows(urgency)...) }
 	return size
 }
 
@@ -168,7 +168,7 @@
 }
 
 // Rows is the table of this fleet.
-func (f *Fleet) Rows(urgency int) []*schema.Row { return f.Size.Rows(urgency) }
+func (f *Fleet) Rows(urgency int) []*schema.ConfigurationRow { return f.Size.Rows(urgency) }
 
 // Finish runs the load to its end, lets everything drain, and judges.
 func (f *Fleet) Finish() []checker.Breach {
--- a/internal/sim/lanes_test.go
+++ b/internal/sim/lanes_test.go
@@ -19,7 +19,7 @@
 	f.Run(f.Began + eventloop.Second)
 	rows := f.Rows(60)
 	for k := 0; k < 8; k++ {
-		rows = append(rows, &schema.Row{Kind: "queue", Name: fmt.Sprintf("new%d", k), Key: "urgency", Value: "20"})
+		rows = append(rows, &schema.ConfigurationRow{Kind: "queue", Name: fmt.Sprintf("new%d", k), Key: "urgency", Value: "20"})
 	}
 	f.Put("operator", rows)
 	taken := func() bool {
--- a/internal/sim/operators_test.go
+++ b/internal/sim/operators_test.go
@@ -44,12 +44,12 @@
 			return state == registerState{answer.edition, answer.document}, state
 		}
 		sheet := order.sheet
-		isOnTop := sheet.BaseEdition == state.edition
-		after := registerState{sheet.Edition, string(sheet.Document)}
+		isOnTop := sheet.BaseVersion == state.edition
+		after := registerState{sheet.Version, string(sheet.Document)}
 		switch {
 		case answer.code == 412:
 			// A base that is still to come is no lost race.
-			return sheet.BaseEdition < state.edition, state
+			return sheet.BaseVersion < state.edition, state
 		case isOnTop:
 			return true, after
 		}
@@ -69,7 +69,7 @@
 // operatorOrder is one order and the answers its operator has had.
 type operatorOrder struct {
 	operator int
-	sheet    *schema.Sheet
+	sheet    *schema.ConfigurationUpdate
 	sent     eventloop.Micros // first
 	answered eventloop.Micros // first clear answer
 	code     int32            // 200 or 412; 0: none yet
@@ -118,10 +118,10 @@
 }
 
 // read looks at the configuration and goes on with it when it has it.
-func (o *operators) read(operator int, back func(plan *schema.Plan)) {
+func (o *operators) read(operator int, back func(plan *schema.Configuration)) {
 	sent, wanted := o.Now, o.confirmed
 	o.call(o.front(), eventloop.Second, gateway.Ask{Kind: "plan", Group: clusterstate.Group}, func(reply gateway.Answer) {
-		plan := &schema.Plan{}
+		plan := &schema.Configuration{}
 		if reply.Code != 200 || protojson.Unmarshal(reply.Body, plan) != nil {
 			if reply.Code >= 400 && reply.Code < 500 {
 				o.fail("a read is answered %d", reply.Code)
@@ -129,12 +129,12 @@
 			back(nil)
 			return
 		}
-		if plan.Edition < wanted {
-			o.fail("a read shows edition %d, and %d was confirmed before it was asked for", plan.Edition, wanted)
+		if plan.Version < wanted {
+			o.fail("a read shows edition %d, and %d was confirmed before it was asked for", plan.Version, wanted)
 		}
 		o.history = append(o.history, porcupine.Operation{
 			ClientId: operator, Input: registerInput{}, Call: int64(sent), Return: int64(o.Now),
-			Output: registerOutput{code: 200, edition: plan.Edition, document: string(plan.Document)},
+			Output: registerOutput{code: 200, edition: plan.Version, document: string(plan.Document)},
 		})
 		back(plan)
 	})
@@ -146,15 +146,15 @@
 		return
 	}
 	again := func() { o.After(eventloop.Micros(20+o.rng.IntN(200))*eventloop.Milli, func() { o.work(operator) }) }
-	o.read(operator, func(plan *schema.Plan) {
+	o.read(operator, func(plan *schema.Configuration) {
 		if plan == nil {
 			again()
 			return
 		}
-		first := o.order(operator, plan.Edition)
+		first := o.order(operator, plan.Version)
 		// Some don't wait for the answer and build on their own order.
 		if o.rng.IntN(4) == 0 {
-			o.send(o.order(operator, first.sheet.Edition), func() {})
+			o.send(o.order(operator, first.sheet.Version), func() {})
 		}
 		o.send(first, again)
 	})
@@ -164,9 +164,9 @@
 func (o *operators) order(operator int, base uint64) *operatorOrder {
 	edition := base + 1 + uint64(o.rng.IntN(2))
 	document := fmt.Sprintf("%d on %d, order %d of operator %d", edition, base, len(o.orders), operator)
-	each := &operatorOrder{operator: operator, sent: o.Now, sheet: &schema.Sheet{
-		Edition: edition, BaseEdition: base, Document: []byte(document),
-		Rows: []*schema.Row{{Kind: "rack", Name: "r1", Key: "weight", Value: fmt.Sprint(edition % 100)}},
+	each := &operatorOrder{operator: operator, sent: o.Now, sheet: &schema.ConfigurationUpdate{
+		Version: edition, BaseVersion: base, Document: []byte(document),
+		Rows: []*schema.ConfigurationRow{{Kind: "rack", Name: "r1", Key: "weight", Value: fmt.Sprint(edition % 100)}},
 	}}
 	o.orders = append(o.orders, each)
 	return each
@@ -203,7 +203,7 @@
 }
 
 func (o *operators) tryAt(front *Host, span eventloop.Micros, each *operatorOrder, done func()) {
-	body := replica.ClusterStateBody(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{Sheet: each.sheet}}})
+	body := replica.ClusterStateBody(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: each.sheet}}})
 	o.call(front, span, gateway.Ask{Kind: "clusterstate", Group: clusterstate.Group, Body: body}, func(reply gateway.Answer) {
 		switch {
 		case reply.Code == 0 || reply.Code >= 500:
@@ -212,7 +212,7 @@
 		case each.code == 0:
 			each.code, each.answered = reply.Code, o.Now
 			if reply.Code == 200 {
-				o.confirmed = max(o.confirmed, each.sheet.Edition)
+				o.confirmed = max(o.confirmed, each.sheet.Version)
 			}
 			// Whoever has an answer may still have copies on their way, or ask again.
 			if o.rng.IntN(3) == 0 {
@@ -238,15 +238,15 @@
 		if each.code == 0 {
 			operation.Return = int64(o.Now) + 1
 			// Of what was built on an order that lost, nothing will ever be known.
-			if !each.isGiven && each.sheet.BaseEdition <= o.last {
+			if !each.isGiven && each.sheet.BaseVersion <= o.last {
 				o.fail("%s never got a clear answer", each.sheet.Document)
 			}
 		}
 		o.history = append(o.history, operation)
-		if other := builtOn[each.sheet.BaseEdition]; each.code == 200 && other != nil {
+		if other := builtOn[each.sheet.BaseVersion]; each.code == 200 && other != nil {
 			o.fail("%s and %s were both confirmed", other.sheet.Document, each.sheet.Document)
 		} else if each.code == 200 {
-			builtOn[each.sheet.BaseEdition] = each
+			builtOn[each.sheet.BaseVersion] = each
 		}
 	}
 	if result := porcupine.CheckOperationsTimeout(register, o.history, time.Minute); result != porcupine.Ok {
--- a/internal/sim/outage.go
+++ b/internal/sim/outage.go
@@ -131,7 +131,7 @@
 	}
 	f.After(handInProbeEvery, func() { p.handIn(until) })
 	p.number++
-	job := &schema.Job{Text: "probe", Steps: []*schema.Step{{Name: "probe", Tasks: 1, CoresMilli: 100, MemoryMb: 16, EstimateUs: int64(10 * eventloop.Milli)}}}
+	job := &schema.Job{Text: "probe", Steps: []*schema.Step{{Name: "probe", Tasks: 1, CoresMilli: 100, MemoryMb: 16, EstimatedRunUs: int64(10 * eventloop.Milli)}}}
 	kind, name, front := Kind{Queue: "quick", Attempts: 4, Job: job}, fmt.Sprintf("probe-%d", p.number), p.front()
 	f.known[name] = handed{kind.Queue, kind.Job}
 	f.Ask(front, handInProbeSpan, func(request uint64, deadline eventloop.Micros) any {
@@ -148,20 +148,20 @@
 // replaceFrom reads the table and replaces it again and again from there.
 func (p *probes) replaceFrom(until eventloop.Micros) {
 	f := p.fleet
-	f.readPlan(p.front(), func(plan *schema.Plan) {
-		if plan == nil || plan.Edition == 0 {
+	f.readPlan(p.front(), func(plan *schema.Configuration) {
+		if plan == nil || plan.Version == 0 {
 			f.After(replaceProbeEvery, func() { p.replaceFrom(until) })
 			return
 		}
-		p.replace(plan.Rows, plan.Edition, until)
+		p.replace(plan.Rows, plan.Version, until)
 	})
 }
 
 // replace sends one edition to front after front until it is acknowledged, and
 // then the next one.
-func (p *probes) replace(rows []*schema.Row, base uint64, until eventloop.Micros) {
+func (p *probes) replace(rows []*schema.ConfigurationRow, base uint64, until eventloop.Micros) {
 	f := p.fleet
-	sheet := &schema.Sheet{Rows: rows, Edition: base + 1, BaseEdition: base, Document: []byte(fmt.Sprintf("probe %d", base+1))}
+	sheet := &schema.ConfigurationUpdate{Rows: rows, Version: base + 1, BaseVersion: base, Document: []byte(fmt.Sprintf("probe %d", base+1))}
 	isTaken := false
 	var send func()
 	send = func() {
@@ -170,7 +170,7 @@
 		}
 		f.Ask(p.front(), replaceProbeSpan, func(request uint64, deadline eventloop.Micros) any {
 			return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.ClusterStateBody(
-				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{Sheet: sheet}}})}
+				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 		}, func(answer any) {
 			if reply, _ := answer.(gateway.Answer); reply.Code == 200 && !isTaken {
 				isTaken = true
