--- a/internal/sim/people.go
+++ b/internal/sim/people.go
@@ -137,7 +137,7 @@
 		}
 		k.open--
 		reply, isReply := answer.(gateway.Answer)
-		orders := &schema.Orders{}
+		orders := &schema.WorkerOrders{}
 		if k.frozen || !isReply || reply.Code != 200 || json.Unmarshal(reply.Body, orders) != nil {
 			k.hand.Unanswered(w.Now)
 			if !k.isStuck {
@@ -252,7 +252,7 @@
 func (w *World) HandIn(kind Kind, name string) {
 	if kind.Wall > 0 {
 		kind.Job = proto.Clone(kind.Job).(*schema.Job)
-		kind.Job.StartWallUs = wallZero + int64(w.Now+kind.Wall)
+		kind.Job.StartUnixUs = wallZero + int64(w.Now+kind.Wall)
 	}
 	w.handIn(kind, name, w.anyCell(), nil)
 }
@@ -375,13 +375,13 @@
 
 // Put has an operator put a table, built on the generation it reads, until it
 // is taken.
-func (w *World) Put(who string, rows []*schema.Row) {
+func (w *World) Put(who string, rows []*schema.ConfigurationRow) {
 	if w.isNumbering {
 		w.putEdition(who, rows)
 		return
 	}
 	again := func() { w.After(200*eventloop.Milli, func() { w.Put(who, rows) }) }
-	w.readPlan(w.pickFront(w.anyCell()), func(plan *schema.Plan) {
+	w.readPlan(w.pickFront(w.anyCell()), func(plan *schema.Configuration) {
 		if plan == nil {
 			again()
 			return
@@ -389,14 +389,14 @@
 		if clusterstate.SameRows(plan.Rows, rows) {
 			return
 		}
-		generation := plan.Generation
-		sheet := &schema.Sheet{Generation: &generation, Rows: rows}
+		generation := plan.Revision
+		sheet := &schema.ConfigurationUpdate{BaseRevision: &generation, Rows: rows}
 		front, sent := w.pickFront(w.anyCell()), w.Now
 		w.Tell(checker.Event{Kind: checker.PlanSent, Who: who, Rows: rows})
 		told := checker.Event{Kind: checker.PlanPut, Who: who, Front: front.Name, Sent: sent, Built: generation, Rows: rows}
 		w.Ask(front, 8*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
 			return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.ClusterStateBody(
-				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{Sheet: sheet}}})}
+				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 		}, func(answer any) {
 			reply, _ := answer.(gateway.Answer)
 			told.Code = reply.Code
@@ -413,19 +413,19 @@
 
 // readPlan reads the table through a front, notes what was shown, and gives it
 // back; nil when it could not be read.
-func (w *World) readPlan(front *Host, back func(plan *schema.Plan)) {
+func (w *World) readPlan(front *Host, back func(plan *schema.Configuration)) {
 	sent := w.Now
 	w.Ask(front, 3*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
 		return gateway.Ask{Request: request, Kind: "plan", Group: clusterstate.Group, Deadline: deadline}
 	}, func(answer any) {
 		reply, _ := answer.(gateway.Answer)
-		plan := &schema.Plan{}
+		plan := &schema.Configuration{}
 		if reply.Code == 200 && protojson.Unmarshal(reply.Body, plan) != nil {
 			reply.Code = 0
 		}
-		e := checker.Event{Kind: checker.PlanRead, Who: "reader", Code: reply.Code, Generation: plan.Generation, Front: front.Name, Sent: sent}
+		e := checker.Event{Kind: checker.PlanRead, Who: "reader", Code: reply.Code, Generation: plan.Revision, Front: front.Name, Sent: sent}
 		if w.isNumbering {
-			e.Generation = plan.Edition
+			e.Generation = plan.Version
 		}
 		if reply.Code != 200 {
 			plan = nil
--- a/internal/sim/replace_test.go
+++ b/internal/sim/replace_test.go
@@ -160,12 +160,12 @@
 			o.After(eventloop.Micros(k)*2*eventloop.Milli, func() { o.try(each, func() {}) })
 		}
 	}
-	o.read(0, func(plan *schema.Plan) {
+	o.read(0, func(plan *schema.Configuration) {
 		if plan == nil {
 			o.fail("the configuration can't be read at the end")
 			return
 		}
-		o.last = plan.Edition
+		o.last = plan.Version
 	})
 	o.Run(o.Now + 6*eventloop.Second)
 	return o
@@ -226,7 +226,7 @@
 		o.send(o.order(0, o.confirmed), func() {
 			o.kill(o.leads(), 2*eventloop.Second)
 			for k := range 300 {
-				o.After(eventloop.Micros(k)*5*eventloop.Milli, func() { o.read(1, func(*schema.Plan) {}) })
+				o.After(eventloop.Micros(k)*5*eventloop.Milli, func() { o.read(1, func(*schema.Configuration) {}) })
 			}
 		})
 		o.Run(o.Now + 6*eventloop.Second)
--- a/internal/sim/scenarios.go
+++ b/internal/sim/scenarios.go
@@ -179,7 +179,7 @@
 		moves := map[uint64]bool{}
 		for _, h := range f.Stores() {
 			for _, ward := range h.Belief().Wards {
-				moves[ward.Generation] = true
+				moves[ward.FencingToken] = true
 			}
 		}
 		// Five workers, placed once and moved once or twice; more is flapping.
@@ -227,13 +227,13 @@
 	}},
 	{Name: "a front dies with a gap in its numbers", Net: CalmNet, Sync: 500, Span: 60 * eventloop.Second, Plan: func(f *Fleet) {
 		f.At(f.Began, func() {
-			f.Put("operator", append(f.Rows(60), &schema.Row{Kind: "fleet", Key: "session_timeout_s", Value: "10"}))
+			f.Put("operator", append(f.Rows(60), &schema.ConfigurationRow{Kind: "fleet", Key: "session_timeout_s", Value: "10"}))
 		})
 		f.At(f.Began+3*eventloop.Second, func() {
 			// Number 2 arrives, number 1 never will.
 			front := f.lean[len(f.lean)-1]
-			(&outlet{front}).Send(f.Leader().Id, &schema.Submit{Queue: "quick", Enqueues: []*schema.Enqueue{{
-				Session: &schema.Session{Gateway: front.Id, Boot: 1, Client: "stuck"}, Number: 2, Lowest: 1, Name: "stuck", Digest: []byte("x"), Job: Kinds()[0].Job,
+			(&outlet{front}).Send(f.Leader().Id, &schema.SubmitRequest{Queue: "quick", Enqueues: []*schema.Enqueue{{
+				Session: &schema.Session{Gateway: front.Id, Incarnation: 1, Client: "stuck"}, Number: 2, LowestUnconfirmed: 1, Name: "stuck", Digest: []byte("x"), Job: Kinds()[0].Job,
 			}}})
 			f.After(100*eventloop.Milli, func() {
 				f.Fault("%s killed", front.Name)
@@ -294,8 +294,8 @@
 		during(f, 4500*eventloop.Milli, func(leader *Host) { f.killed(leader, 3*eventloop.Second) })
 	}},
 	{Name: "the table takes effect", Net: CalmNet, Sync: 500, Span: 35 * eventloop.Second, Plan: func(f *Fleet) {
-		row := func(kind, name, key, value string) *schema.Row {
-			return &schema.Row{Kind: kind, Name: name, Key: key, Value: value}
+		row := func(kind, name, key, value string) *schema.ConfigurationRow {
+			return &schema.ConfigurationRow{Kind: kind, Name: name, Key: key, Value: value}
 		}
 		// A rack is emptied, a queue narrowed, a queue made, each acted on within
 		// the span, while the leader goes.
@@ -423,7 +423,7 @@
 	}},
 	{Name: "jobs that last, and the log", Net: CalmNet, Sync: 500, Span: 50 * eventloop.Second, Plan: func(f *Fleet) {
 		f.At(f.Began, func() {
-			rows := append(f.Rows(60), &schema.Row{Kind: "fleet", Key: "carry_records", Value: "200"})
+			rows := append(f.Rows(60), &schema.ConfigurationRow{Kind: "fleet", Key: "carry_records", Value: "200"})
 			f.Put("operator", rows)
 		})
 		long := &schema.Job{Text: "run_us=20000", DelayUs: int64(45 * eventloop.Second), Steps: []*schema.Step{step("late", 1, 100)}}
@@ -492,8 +492,8 @@
 		return wrong
 	}},
 	{Name: "a queue removed and made anew", Net: CalmNet, Sync: 500, Span: 30 * eventloop.Second, Plan: func(f *Fleet) {
-		extra := &schema.Row{Kind: "queue", Name: "extra", Key: "urgency", Value: "5"}
-		fast := &schema.Row{Kind: "fleet", Key: "status_s", Value: "120"}
+		extra := &schema.ConfigurationRow{Kind: "queue", Name: "extra", Key: "urgency", Value: "5"}
+		fast := &schema.ConfigurationRow{Kind: "fleet", Key: "status_s", Value: "120"}
 		kind := Kind{Queue: "extra", Job: Kinds()[0].Job}
 		f.At(f.Began, func() { f.Put("operator", append(f.Rows(60), extra, fast)) })
 		f.At(f.Began+4*eventloop.Second, func() { f.HandIn(kind, "before") })
@@ -539,7 +539,7 @@
 var CalledScenarios = []Scenario{
 	{Name: "side machines killed, frozen, cut", Net: CalmNet, Sync: 500, Span: 40 * eventloop.Second, Plan: func(f *Fleet) {
 		// Long enough that some of it is there when a hold ends.
-		long := &schema.Job{Text: "long", Steps: []*schema.Step{{Name: "long", Tasks: 8, CoresMilli: 1000, MemoryMb: 100, EstimateUs: int64(9 * eventloop.Second), Saves: true, PerWorker: 2}}}
+		long := &schema.Job{Text: "long", Steps: []*schema.Step{{Name: "long", Tasks: 8, CoresMilli: 1000, MemoryMb: 100, EstimatedRunUs: int64(9 * eventloop.Second), Checkpoints: true, MaxPerWorker: 2}}}
 		for k := eventloop.Micros(0); k < 3; k++ {
 			f.At(f.Began+(1+8*k)*eventloop.Second, func() { f.HandIn(Kind{Queue: "quick", Attempts: 4, Job: long}, fmt.Sprint("long-", k)) })
 		}
@@ -601,7 +601,7 @@
 		})
 	}},
 	{Name: "urgent work while called workers are full", Net: CalmNet, Sync: 500, Span: 25 * eventloop.Second, Plan: func(f *Fleet) {
-		full := &schema.Job{Text: "fill", Steps: []*schema.Step{{Name: "fill", Tasks: 30, CoresMilli: 2000, MemoryMb: 100, EstimateUs: int64(5 * eventloop.Second), Saves: true}}}
+		full := &schema.Job{Text: "fill", Steps: []*schema.Step{{Name: "fill", Tasks: 30, CoresMilli: 2000, MemoryMb: 100, EstimatedRunUs: int64(5 * eventloop.Second), Checkpoints: true}}}
 		f.At(f.Began+2*eventloop.Second, func() {
 			for k := 0; k < 3; k++ {
 				f.HandIn(Kind{Queue: "slow", Attempts: 4, Job: full}, fmt.Sprint("fill-", k))
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -27,16 +27,16 @@
 	if err != nil {
 		return false
 	}
-	self := proto.Clone(store.Content().Self).(*schema.Self)
+	self := proto.Clone(store.Content().Self).(*schema.StoreIdentity)
 	if self.Id == "" {
 		self.Id = w.newId()
 	}
-	self.Boots++
-	if store.Commit([]*schema.Change{{Self: self}}) != nil {
+	self.Starts++
+	if store.Commit([]*schema.StoreChange{{Identity: self}}) != nil {
 		return false
 	}
 	h.store = store
-	h.Member.Id, h.Member.Boot, h.Member.Stores = self.Id, self.Boots, true
+	h.Member.Id, h.Member.Incarnation, h.Member.HasStorage = self.Id, self.Starts, true
 	return true
 }
 
@@ -45,7 +45,7 @@
 	h.world.After(againSpan, func() {
 		h.do(run, func() {
 			store, err := storage.Open(h.Disk)
-			if err != nil || store.Commit([]*schema.Change{{Self: store.Content().Self}}) != nil {
+			if err != nil || store.Commit([]*schema.StoreChange{{Identity: store.Content().Self}}) != nil {
 				h.awaitStore(run)
 				return
 			}
--- a/internal/sim/sweep.go
+++ b/internal/sim/sweep.go
@@ -250,15 +250,15 @@
 
 func queueName(k int) string { return fmt.Sprintf("l%03d", k) }
 
-func (r *hollowRun) planRows(change int) []*schema.Row {
-	rows := []*schema.Row{{Kind: "fleet", Key: "live_jobs", Value: "1000000"}, {Kind: "fleet", Key: "window", Value: "65536"}}
+func (r *hollowRun) planRows(change int) []*schema.ConfigurationRow {
+	rows := []*schema.ConfigurationRow{{Kind: "fleet", Key: "live_jobs", Value: "1000000"}, {Kind: "fleet", Key: "window", Value: "65536"}}
 	for k := 0; k < r.setup.Queues; k++ {
-		rows = append(rows, &schema.Row{Kind: "queue", Name: queueName(k), Key: "urgency", Value: "50"})
+		rows = append(rows, &schema.ConfigurationRow{Kind: "queue", Name: queueName(k), Key: "urgency", Value: "50"})
 	}
 	for k := len(rows); k < r.setup.Rows; k++ {
-		rows = append(rows, &schema.Row{Kind: "rack", Name: fmt.Sprintf("x%04d", k), Key: "weight", Value: "100"})
+		rows = append(rows, &schema.ConfigurationRow{Kind: "rack", Name: fmt.Sprintf("x%04d", k), Key: "weight", Value: "100"})
 	}
-	return append(rows, &schema.Row{Kind: "fleet", Key: "weight_rack", Value: fmt.Sprint(30 + change%10)})
+	return append(rows, &schema.ConfigurationRow{Kind: "fleet", Key: "weight_rack", Value: fmt.Sprint(30 + change%10)})
 }
 
 func (r *hollowRun) anyFront() *Host {
@@ -277,11 +277,11 @@
 // plan puts the plan until it is taken, and changes it at the wanted pace.
 func (r *hollowRun) plan(change int) {
 	generation := uint64(change)
-	sheet := &schema.Sheet{Generation: &generation, Rows: r.planRows(change)}
+	sheet := &schema.ConfigurationUpdate{BaseRevision: &generation, Rows: r.planRows(change)}
 	sent := r.Now
 	r.Ask(r.anyFront(), 3*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
 		return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.ClusterStateBody(
-			&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{Sheet: sheet}}})}
+			&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 	}, func(answer any) {
 		reply, _ := answer.(gateway.Answer)
 		if reply.Code != 200 && reply.Code != 412 {
@@ -314,7 +314,7 @@
 
 func (r *hollowRun) handInHollow(queue, name string) {
 	job := &schema.Job{Text: fmt.Sprintf("run_us=%d", r.setup.RunUs), Steps: []*schema.Step{
-		{Name: "s", Tasks: uint32(r.setup.Width), CoresMilli: 10, MemoryMb: 1, Together: r.setup.Together},
+		{Name: "s", Tasks: uint32(r.setup.Width), CoresMilli: 10, MemoryMb: 1, Gang: r.setup.Together},
 	}}
 	front := r.anyFront()
 	r.Ask(front, 3*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
--- a/internal/sim/transport_test.go
+++ b/internal/sim/transport_test.go
@@ -28,37 +28,37 @@
 // transportContract: whoever writes another network runs this over it.
 func transportContract(t network) {
 	for number := uint64(1); number <= 50; number++ {
-		t.dial(0, t.address(1), &schema.Urge{Group: "g", Term: number})
+		t.dial(0, t.address(1), &schema.TimeoutNow{Group: "g", Term: number})
 	}
 	for number := uint64(1); number <= 50; number++ {
 		from, body, isThere := t.next(1)
 		So(isThere, ShouldBeTrue)
 		So(from, ShouldEqual, "end0")
-		So(body.(*schema.Urge).Term, ShouldEqual, number)
+		So(body.(*schema.TimeoutNow).Term, ShouldEqual, number)
 	}
 	// Answers find their way, and both directions are their own.
-	t.dial(1, t.address(0), &schema.Applied{Queue: "l", Outcomes: []*schema.Outcome{{Number: 3, View: &schema.JobView{Name: "j"}}}})
+	t.dial(1, t.address(0), &schema.SubmitResponse{Queue: "l", Results: []*schema.SubmitResult{{Number: 3, View: &schema.JobView{Name: "j"}}}})
 	from, body, isThere := t.next(0)
 	So(isThere, ShouldBeTrue)
 	So(from, ShouldEqual, "end1")
-	So(body.(*schema.Applied).Outcomes[0].View.Name, ShouldEqual, "j")
+	So(body.(*schema.SubmitResponse).Results[0].View.Name, ShouldEqual, "j")
 	// Nowhere is no trouble.
-	t.dial(0, "", &schema.Urge{Group: "nowhere"})
-	t.dial(0, "127.0.0.1:1", &schema.Urge{Group: "nobody"})
+	t.dial(0, "", &schema.TimeoutNow{Group: "nowhere"})
+	t.dial(0, "127.0.0.1:1", &schema.TimeoutNow{Group: "nobody"})
 	// What is for a process that is there no more goes to no other.
-	t.send(0, "former", t.address(1), &schema.Urge{Group: "strayed"})
-	t.send(0, "end1", t.address(1), &schema.Urge{Group: "meant"})
+	t.send(0, "former", t.address(1), &schema.TimeoutNow{Group: "strayed"})
+	t.send(0, "end1", t.address(1), &schema.TimeoutNow{Group: "meant"})
 	_, body, isThere = t.next(1)
 	So(isThere, ShouldBeTrue)
-	So(body.(*schema.Urge).Group, ShouldEqual, "meant")
+	So(body.(*schema.TimeoutNow).Group, ShouldEqual, "meant")
 	// What is sent while cut is lost, what is sent after arrives.
 	t.cut(true)
-	t.dial(0, t.address(1), &schema.Urge{Group: "cut"})
+	t.dial(0, t.address(1), &schema.TimeoutNow{Group: "cut"})
 	t.cut(false)
-	t.dial(0, t.address(1), &schema.Urge{Group: "whole"})
+	t.dial(0, t.address(1), &schema.TimeoutNow{Group: "whole"})
 	_, body, isThere = t.next(1)
 	So(isThere, ShouldBeTrue)
-	So(body.(*schema.Urge).Group, ShouldEqual, "whole")
+	So(body.(*schema.TimeoutNow).Group, ShouldEqual, "whole")
 }
 
 // --- the real one ---
--- a/internal/sim/troubles.go
+++ b/internal/sim/troubles.go
@@ -276,29 +276,29 @@
 // putInvalid sends sheets that must be refused: an old edition, the present
 // edition with other content, and one built on what isn't there.
 func (f *Fleet) putInvalid() {
-	f.readPlan(f.pickFront(f.anyCell()), func(plan *schema.Plan) {
-		if plan == nil || plan.Edition < 2 {
+	f.readPlan(f.pickFront(f.anyCell()), func(plan *schema.Configuration) {
+		if plan == nil || plan.Version < 2 {
 			return
 		}
-		for k, sheet := range []*schema.Sheet{
-			{Edition: plan.Edition - 1, BaseEdition: plan.Edition},
-			{Edition: plan.Edition, BaseEdition: plan.Edition - 1},
-			{Edition: plan.Edition + 50, BaseEdition: plan.Edition - 1},
+		for k, sheet := range []*schema.ConfigurationUpdate{
+			{Version: plan.Version - 1, BaseVersion: plan.Version},
+			{Version: plan.Version, BaseVersion: plan.Version - 1},
+			{Version: plan.Version + 50, BaseVersion: plan.Version - 1},
 		} {
-			sheet.Rows, sheet.Document = plan.Rows, []byte(fmt.Sprintf("invalid %d %d", plan.Edition, k))
+			sheet.Rows, sheet.Document = plan.Rows, []byte(fmt.Sprintf("invalid %d %d", plan.Version, k))
 			f.sendInvalid(sheet)
 		}
 	})
 }
 
-func (f *Fleet) sendInvalid(sheet *schema.Sheet) {
+func (f *Fleet) sendInvalid(sheet *schema.ConfigurationUpdate) {
 	front := f.pickFront(f.anyCell())
 	f.Ask(front, 2*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
 		return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.ClusterStateBody(
-			&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_Put{Put: &schema.PutPlan{Sheet: sheet}}})}
+			&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 	}, func(answer any) {
 		if reply, _ := answer.(gateway.Answer); reply.Code > 0 && reply.Code < 300 {
-			f.Tell(checker.Event{Kind: checker.PlanPut, Who: "invalid", Front: front.Name, Code: reply.Code, Generation: sheet.Edition, State: checker.Invalid})
+			f.Tell(checker.Event{Kind: checker.PlanPut, Who: "invalid", Front: front.Name, Code: reply.Code, Generation: sheet.Version, State: checker.Invalid})
 		}
 	})
 }
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -250,7 +250,7 @@
 	h.ticking, h.last, h.waiting = map[string]bool{}, map[string]eventloop.Micros{}, map[uint64]func(any){}
 	h.book = &membership.Book{}
 	h.store, h.isWrite, h.isRefused = nil, false, false
-	h.Member = &schema.Member{Id: w.newId(), Boot: 1, Role: h.Role, Cell: h.Cell, Inner: h.Address, Outer: h.Address}
+	h.Member = &schema.Member{Id: w.newId(), Incarnation: 1, Role: h.Role, Zone: h.Cell, InternalAddress: h.Address, HttpAddress: h.Address}
 	seeds := h.Seeds
 	if seeds == nil {
 		seeds = w.seeds
--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -12,7 +12,7 @@
 	index := uint64(0)
 	add := func() {
 		index++
-		content.Apply(&schema.Change{Group: "g", Records: []*schema.Record{{Index: index, Term: 1}}})
+		content.Apply(&schema.StoreChange{Group: "g", Entries: []*schema.Entry{{Index: index, Term: 1}}})
 	}
 	for index < 2000 {
 		add()
@@ -21,7 +21,7 @@
 	b.ResetTimer()
 	for k := 0; k < b.N; k++ {
 		if index%512 == 0 {
-			content.Apply(&schema.Change{Group: "g", Checkpoint: &schema.Checkpoint{Index: index - 2000}})
+			content.Apply(&schema.StoreChange{Group: "g", Snapshot: &schema.Snapshot{Index: index - 2000}})
 		}
 		add()
 	}
--- a/internal/storage/encoding_test.go
+++ b/internal/storage/encoding_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	record := &schema.Record{Index: 123456, Term: 3, AtUs: 123456789, Data: settle}
+	record := &schema.Entry{Index: 123456, Term: 3, TimeUs: 123456789, Data: settle}
 	b.Run("protobuf", func(b *testing.B) {
 		size := 0
 		for b.Loop() {
--- a/internal/storage/install_test.go
+++ b/internal/storage/install_test.go
@@ -15,24 +15,24 @@
 // installation is what a replica commits that is sent checkpoints by its leader:
 // records of its own, a checkpoint that replaces them all, records after it, a
 // checkpoint that it makes itself, and a later one of the leader's.
-func installation() [][]*schema.Change {
-	state := func(index uint64) *schema.Checkpoint {
-		return &schema.Checkpoint{Index: index, Term: 2, Data: fmt.Appendf(nil, "state %d %3000d", index, index)}
+func installation() [][]*schema.StoreChange {
+	state := func(index uint64) *schema.Snapshot {
+		return &schema.Snapshot{Index: index, Term: 2, Data: fmt.Appendf(nil, "state %d %3000d", index, index)}
 	}
-	records := func(first, last uint64) []*schema.Record {
-		var list []*schema.Record
+	records := func(first, last uint64) []*schema.Entry {
+		var list []*schema.Entry
 		for index := first; index <= last; index++ {
 			list = append(list, record(index, 200))
 		}
 		return list
 	}
-	return [][]*schema.Change{
-		{{Group: "g", Hard: &schema.Hard{Term: 1, Vote: "a"}, Records: records(1, 8)}},
-		{{Group: "g", Hard: &schema.Hard{Term: 2}}, {Group: "g", Checkpoint: state(100), Reset_: true}},
-		{{Group: "g", Records: records(101, 110)}},
-		{{Group: "g", Checkpoint: state(105)}},
-		{{Group: "g", Records: records(111, 114)}, {Group: "h", Records: records(1, 3)}},
-		{{Group: "g", Checkpoint: state(300), Reset_: true}, {Group: "g", Records: records(301, 302)}},
+	return [][]*schema.StoreChange{
+		{{Group: "g", HardState: &schema.HardState{Term: 1, Vote: "a"}, Entries: records(1, 8)}},
+		{{Group: "g", HardState: &schema.HardState{Term: 2}}, {Group: "g", Snapshot: state(100), ReplacesLog: true}},
+		{{Group: "g", Entries: records(101, 110)}},
+		{{Group: "g", Snapshot: state(105)}},
+		{{Group: "g", Entries: records(111, 114)}, {Group: "h", Entries: records(1, 3)}},
+		{{Group: "g", Snapshot: state(300), ReplacesLog: true}, {Group: "g", Entries: records(301, 302)}},
 	}
 }
 
@@ -41,7 +41,7 @@
 	text := ""
 	for _, name := range []string{"g", "h"} {
 		if image := s.Content().Groups[name]; image != nil {
-			slot := &schema.Change{Group: name, Hard: image.Hard, Checkpoint: image.Checkpoint, Records: image.Records}
+			slot := &schema.StoreChange{Group: name, HardState: image.Hard, Snapshot: image.Checkpoint, Entries: image.Records}
 			data, err := proto.MarshalOptions{Deterministic: true}.Marshal(slot)
 			if err != nil {
 				panic(err)
@@ -68,7 +68,7 @@
 	}
 }
 
-func interrupt(t *testing.T, steps [][]*schema.Change, limit int64, cut int, seed uint64) {
+func interrupt(t *testing.T, steps [][]*schema.StoreChange, limit int64, cut int, seed uint64) {
 	fail := func(form string, args ...any) {
 		t.Fatalf("limit %d, cut at %d, seed %d: %s", limit, cut, seed, fmt.Sprintf(form, args...))
 	}
@@ -126,12 +126,12 @@
 	}
 	peak, last := 0, uint64(0)
 	for k := uint64(1); k <= 400; k++ {
-		change := &schema.Change{Group: "g", Records: []*schema.Record{record(k, batch)}}
+		change := &schema.StoreChange{Group: "g", Entries: []*schema.Entry{record(k, batch)}}
 		if k%4 == 0 {
 			last = k
-			change.Checkpoint = &schema.Checkpoint{Index: k, Data: make([]byte, point)}
+			change.Snapshot = &schema.Snapshot{Index: k, Data: make([]byte, point)}
 		}
-		if err := s.Commit([]*schema.Change{change}); err != nil {
+		if err := s.Commit([]*schema.StoreChange{change}); err != nil {
 			t.Fatal(err)
 		}
 		sum := 0
--- a/internal/storage/repair_test.go
+++ b/internal/storage/repair_test.go
@@ -12,12 +12,12 @@
 
 // batch is the k-th of a run: now and then a large one, so that slots are
 // written too.
-func batch(k uint64) []*schema.Change {
+func batch(k uint64) []*schema.StoreChange {
 	size := 10
 	if k%7 == 0 {
 		size = 1_500
 	}
-	return []*schema.Change{{Group: "g", Records: []*schema.Record{record(k, size)}, Checkpoint: &schema.Checkpoint{Index: max(k, 4) - 4}}}
+	return []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(k, size)}, Snapshot: &schema.Snapshot{Index: max(k, 4) - 4}}}
 }
 
 func lastOf(s *storage.Store) uint64 {
@@ -233,8 +233,8 @@
 // TestTornTail: what a failed write left behind is cut before anything follows,
 // so that nothing of it stands after a shorter frame.
 func TestTornTail(t *testing.T) {
-	long := []*schema.Change{{Group: "g", Records: []*schema.Record{record(2, 900)}}}
-	short := []*schema.Change{{Group: "g", Records: []*schema.Record{record(2, 1)}}}
+	long := []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(2, 900)}}}
+	short := []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(2, 1)}}}
 	sizes := map[bool]int{}
 	for _, isFailing := range []bool{false, true} {
 		disk := sim.NewDisk()
@@ -242,7 +242,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := store.Commit([]*schema.Change{{Group: "g", Records: []*schema.Record{record(1, 10)}}}); err != nil {
+		if err := store.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(1, 10)}}}); err != nil {
 			t.Fatal(err)
 		}
 		if isFailing {
@@ -274,7 +274,7 @@
 		}
 		run := &failing{disk: disk, store: store}
 		steady := func(k uint64) {
-			run.commitOnly(t, []*schema.Change{{Group: "g", Records: []*schema.Record{record(k, 60)}, Checkpoint: &schema.Checkpoint{Index: max(k, 4) - 4}}})
+			run.commitOnly(t, []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(k, 60)}, Snapshot: &schema.Snapshot{Index: max(k, 4) - 4}}})
 			run.acknowledged = k
 		}
 		k := uint64(1)
@@ -296,7 +296,7 @@
 }
 
 // commitOnly commits until that succeeds.
-func (f *failing) commitOnly(t *testing.T, changes []*schema.Change) {
+func (f *failing) commitOnly(t *testing.T, changes []*schema.StoreChange) {
 	t.Helper()
 	for range 12 {
 		if f.store.Commit(changes) == nil {
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -41,63 +41,63 @@
 
 // Image is the durable content of one group.
 type Image struct {
-	Hard       *schema.Hard
-	Checkpoint *schema.Checkpoint
-	Records    []*schema.Record
+	Hard       *schema.HardState
+	Checkpoint *schema.Snapshot
+	Records    []*schema.Entry
 }
 
 // Content is the durable content of a process.
 type Content struct {
-	Self   *schema.Self
+	Self   *schema.StoreIdentity
 	Groups map[string]*Image
 }
 
 func newContent() *Content {
-	return &Content{Self: &schema.Self{}, Groups: map[string]*Image{}}
+	return &Content{Self: &schema.StoreIdentity{}, Groups: map[string]*Image{}}
 }
 
 // Apply makes one change.
-func (c *Content) Apply(change *schema.Change) {
-	if change.Self != nil {
-		c.Self = change.Self
+func (c *Content) Apply(change *schema.StoreChange) {
+	if change.Identity != nil {
+		c.Self = change.Identity
 	}
 	if change.Group == "" {
 		return
 	}
-	if change.Drop {
+	if change.Removed {
 		delete(c.Groups, change.Group)
 		return
 	}
 	image := c.Groups[change.Group]
 	if image == nil {
-		image = &Image{Hard: &schema.Hard{}, Checkpoint: &schema.Checkpoint{}}
+		image = &Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}}
 		c.Groups[change.Group] = image
 	}
 	image.apply(change)
 }
 
-func (i *Image) apply(change *schema.Change) {
-	if change.Hard != nil {
-		i.Hard = change.Hard
+func (i *Image) apply(change *schema.StoreChange) {
+	if change.HardState != nil {
+		i.Hard = change.HardState
 	}
-	if point := change.Checkpoint; point != nil {
+	if point := change.Snapshot; point != nil {
 		i.Checkpoint = point
-		if change.Reset_ {
+		if change.ReplacesLog {
 			i.Records = nil
 		}
 		i.Records = after(i.Records, point.Index)
 	}
-	if len(change.Records) > 0 {
-		i.Records = append(before(i.Records, change.Records[0].Index), change.Records...)
+	if len(change.Entries) > 0 {
+		i.Records = append(before(i.Records, change.Entries[0].Index), change.Entries...)
 	}
 }
 
-func after(records []*schema.Record, index uint64) []*schema.Record {
+func after(records []*schema.Entry, index uint64) []*schema.Entry {
 	at := sort.Search(len(records), func(k int) bool { return records[k].Index > index })
-	return append([]*schema.Record(nil), records[at:]...)
+	return append([]*schema.Entry(nil), records[at:]...)
 }
 
-func before(records []*schema.Record, index uint64) []*schema.Record {
+func before(records []*schema.Entry, index uint64) []*schema.Entry {
 	at := sort.Search(len(records), func(k int) bool { return records[k].Index >= index })
 	if at == len(records) {
 		// What follows them is added in place: a long log isn't copied for each
@@ -108,12 +108,12 @@
 }
 
 // changes is the content as the fewest changes that make it.
-func (c *Content) changes() []*schema.Change {
-	list := []*schema.Change{{Self: c.Self}}
+func (c *Content) changes() []*schema.StoreChange {
+	list := []*schema.StoreChange{{Identity: c.Self}}
 	names := slices.Sorted(maps.Keys(c.Groups))
 	for _, name := range names {
 		image := c.Groups[name]
-		list = append(list, &schema.Change{Group: name, Hard: image.Hard, Checkpoint: image.Checkpoint, Records: image.Records})
+		list = append(list, &schema.StoreChange{Group: name, HardState: image.Hard, Snapshot: image.Checkpoint, Entries: image.Records})
 	}
 	return list
 }
@@ -157,7 +157,7 @@
 // slot is written.
 func OpenLimited(disk Disk, limit int64) (*Store, error) {
 	s := &Store{disk: disk, content: newContent(), limit: limit, least: limit}
-	slots := [2]*schema.Slot{}
+	slots := [2]*schema.SnapshotSlot{}
 	for k := range slots {
 		slot, err := readSlot(disk, slotName(uint64(k)))
 		if err != nil {
@@ -211,7 +211,7 @@
 
 // readSlot gives nil for a slot that is absent or was being written when the
 // power went: the other one stands then.
-func readSlot(disk Disk, name string) (*schema.Slot, error) {
+func readSlot(disk Disk, name string) (*schema.SnapshotSlot, error) {
 	data, err := readFile(disk, name)
 	if err != nil {
 		return nil, err
@@ -220,7 +220,7 @@
 	if !ok {
 		return nil, nil
 	}
-	slot := &schema.Slot{}
+	slot := &schema.SnapshotSlot{}
 	if err := proto.Unmarshal(payload, slot); err != nil {
 		return nil, nil
 	}
@@ -250,12 +250,12 @@
 	return payload, headerBytes + int(length), true
 }
 
-func parseFrame(data []byte) (*schema.Frame, int, bool) {
+func parseFrame(data []byte) (*schema.LogFrame, int, bool) {
 	payload, used, ok := unseal(data, frameMagic)
 	if !ok {
 		return nil, 0, false
 	}
-	frame := &schema.Frame{}
+	frame := &schema.LogFrame{}
 	if proto.Unmarshal(payload, frame) != nil {
 		return nil, 0, false
 	}
@@ -327,7 +327,7 @@
 // Commit makes changes last. When it returns nil they are synced. After an
 // error none of them counts, though they may turn up after a restart; the same
 // ones may be given again, and the store mends itself first.
-func (s *Store) Commit(changes []*schema.Change) error {
+func (s *Store) Commit(changes []*schema.StoreChange) error {
 	if err := s.repair(); err != nil {
 		s.hasFailed = true
 		return Failed.Wrap(err, "mending the store")
@@ -339,7 +339,7 @@
 	return nil
 }
 
-func (s *Store) commit(changes []*schema.Change) error {
+func (s *Store) commit(changes []*schema.StoreChange) error {
 	if err := s.write(changes); err != nil {
 		s.worsen(torn)
 		return err
@@ -369,8 +369,8 @@
 	return nil
 }
 
-func (s *Store) write(changes []*schema.Change) error {
-	frame := &schema.Frame{Epoch: s.epoch, Seq: s.seq + 1, Synced: s.synced, Changes: changes}
+func (s *Store) write(changes []*schema.StoreChange) error {
+	frame := &schema.LogFrame{Epoch: s.epoch, Seq: s.seq + 1, Synced: s.synced, Changes: changes}
 	payload, err := proto.Marshal(frame)
 	if err != nil {
 		return err
@@ -388,7 +388,7 @@
 // turn writes the whole content into the other slot and starts its log.
 func (s *Store) turn() error {
 	next := s.epoch + 1
-	payload, err := proto.Marshal(&schema.Slot{Epoch: next, Changes: s.content.changes()})
+	payload, err := proto.Marshal(&schema.SnapshotSlot{Epoch: next, Changes: s.content.changes()})
 	if err != nil {
 		return err
 	}
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -15,8 +15,8 @@
 	"sparnotch/internal/storage"
 )
 
-func record(index uint64, size int) *schema.Record {
-	return &schema.Record{Index: index, Term: 1, Data: make([]byte, size)}
+func record(index uint64, size int) *schema.Entry {
+	return &schema.Entry{Index: index, Term: 1, Data: make([]byte, size)}
 }
 
 func say(s *storage.Store) string {
@@ -36,18 +36,18 @@
 	disk := open()
 	s, err := storage.Open(disk)
 	So(err, ShouldBeNil)
-	So(s.Commit([]*schema.Change{{Group: "g", Hard: &schema.Hard{Term: 3, Vote: "x"}, Records: []*schema.Record{record(1, 5), record(2, 5), record(3, 5)}}}), ShouldBeNil)
-	So(s.Commit([]*schema.Change{{Group: "g", Records: []*schema.Record{record(2, 5)}}}), ShouldBeNil)
+	So(s.Commit([]*schema.StoreChange{{Group: "g", HardState: &schema.HardState{Term: 3, Vote: "x"}, Entries: []*schema.Entry{record(1, 5), record(2, 5), record(3, 5)}}}), ShouldBeNil)
+	So(s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(2, 5)}}}), ShouldBeNil)
 	So(say(s), ShouldEqual, "term 3 base 0 records 1 2")
 	disk = reopen(disk)
 	s, err = storage.Open(disk)
 	So(err, ShouldBeNil)
 	So(say(s), ShouldEqual, "term 3 base 0 records 1 2")
-	So(s.Commit([]*schema.Change{{Group: "g", Checkpoint: &schema.Checkpoint{Index: 1}}}), ShouldBeNil)
-	So(s.Commit([]*schema.Change{{Group: "h", Hard: &schema.Hard{Term: 1}}, {Group: "h", Drop: true}}), ShouldBeNil)
+	So(s.Commit([]*schema.StoreChange{{Group: "g", Snapshot: &schema.Snapshot{Index: 1}}}), ShouldBeNil)
+	So(s.Commit([]*schema.StoreChange{{Group: "h", HardState: &schema.HardState{Term: 1}}, {Group: "h", Removed: true}}), ShouldBeNil)
 	// Enough to turn to the other slot, more than once.
 	for k := uint64(3); k < 40; k++ {
-		So(s.Commit([]*schema.Change{{Group: "g", Records: []*schema.Record{record(k, 400_000)}, Checkpoint: &schema.Checkpoint{Index: k - 2}}}), ShouldBeNil)
+		So(s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(k, 400_000)}, Snapshot: &schema.Snapshot{Index: k - 2}}}), ShouldBeNil)
 	}
 	So(s.Counts().Slots, ShouldBeGreaterThan, 2)
 	disk = reopen(disk)
@@ -103,8 +103,8 @@
 				if k%7 == 0 {
 					size = 1_500 // so that slots are turned under the cuts as well
 				}
-				point := &schema.Checkpoint{Index: max(k, 4) - 4}
-				if s.Commit([]*schema.Change{{Group: "g", Records: []*schema.Record{record(k, size)}, Checkpoint: point}}) != nil {
+				point := &schema.Snapshot{Index: max(k, 4) - 4}
+				if s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(k, size)}, Snapshot: point}}) != nil {
 					break
 				}
 				acknowledged = k
@@ -122,7 +122,7 @@
 				t.Fatalf("cut at %d, seed %d: %d was acknowledged and %d asked for, %d is there", cut, seed, acknowledged, asked, last)
 			}
 			// And it can be written to again.
-			if err := s.Commit([]*schema.Change{{Group: "g", Records: []*schema.Record{record(last+1, 10)}}}); err != nil {
+			if err := s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(last+1, 10)}}}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -139,7 +139,7 @@
 			t.Fatal(err)
 		}
 		for k := uint64(1); k <= 20; k++ {
-			if err := s.Commit([]*schema.Change{{Group: "g", Hard: &schema.Hard{Term: k}, Records: []*schema.Record{record(k, 30)}}}); err != nil {
+			if err := s.Commit([]*schema.StoreChange{{Group: "g", HardState: &schema.HardState{Term: k}, Entries: []*schema.Entry{record(k, 30)}}}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -174,9 +174,9 @@
 		s, err := storage.Open(disk)
 		So(err, ShouldBeNil)
 		for k := uint64(1); s.Counts().Slots < 1; k++ {
-			So(s.Commit([]*schema.Change{{Group: "g", Records: []*schema.Record{record(k, 500_000)}}}), ShouldBeNil)
+			So(s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(k, 500_000)}}}), ShouldBeNil)
 		}
-		So(s.Commit([]*schema.Change{{Group: "g", Hard: &schema.Hard{Term: 9}}}), ShouldBeNil)
+		So(s.Commit([]*schema.StoreChange{{Group: "g", HardState: &schema.HardState{Term: 9}}}), ShouldBeNil)
 		So(disk.Rot("slot-1", 100), ShouldBeTrue)
 		_, err = storage.Open(disk)
 		So(storage.IsDamaged(err), ShouldBeTrue)
@@ -188,11 +188,11 @@
 		So(err, ShouldBeNil)
 		s, err := storage.Open(folder)
 		So(err, ShouldBeNil)
-		So(s.Commit([]*schema.Change{{Self: &schema.Self{Id: "old"}}}), ShouldBeNil)
+		So(s.Commit([]*schema.StoreChange{{Identity: &schema.StoreIdentity{Id: "old"}}}), ShouldBeNil)
 		So(folder.Retire("damaged-1"), ShouldBeNil)
 		s, err = storage.Open(folder)
 		So(err, ShouldBeNil)
-		So(proto.Equal(s.Content().Self, &schema.Self{}), ShouldBeTrue)
+		So(proto.Equal(s.Content().Self, &schema.StoreIdentity{}), ShouldBeTrue)
 		_, err = os.Stat(filepath.Join(path, "log-0.damaged-1"))
 		So(err, ShouldBeNil)
 		folder.Close()
--- a/internal/transport/lives_test.go
+++ b/internal/transport/lives_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func numbered(number uint64) *schema.RequestReply { return &schema.RequestReply{Id: number, Code: 200} }
+func numbered(number uint64) *schema.Response { return &schema.Response{Id: number, Code: 200} }
 
 // numbers empties what has arrived and counts it by number.
 func numbers(arrivals chan arrival) map[uint64]int {
@@ -34,7 +34,7 @@
 	for {
 		select {
 		case each := <-arrivals:
-			counts[each.body.(*schema.RequestReply).Id]++
+			counts[each.body.(*schema.Response).Id]++
 		default:
 			return counts
 		}
@@ -47,14 +47,14 @@
 		former, atFormer := node("former", 1, "127.0.0.1:0")
 		address := former.Address()
 		a.SendTo("former", address, numbered(1))
-		So(next(atFormer).body.(*schema.RequestReply).Id, ShouldEqual, 1)
+		So(next(atFormer).body.(*schema.Response).Id, ShouldEqual, 1)
 		former.Close()
 		later, atLater := node("later", 1, address)
 		Reset(func() { a.Close(); later.Close() })
 		until(func() bool { return later.Counts().Strayed+uint64(len(atLater)) > 0 }, func() { a.SendTo("former", address, numbered(2)) })
 		So(numbers(atLater), ShouldBeEmpty)
 		a.SendTo("later", address, numbered(3))
-		So(next(atLater).body.(*schema.RequestReply).Id, ShouldEqual, 3)
+		So(next(atLater).body.(*schema.Response).Id, ShouldEqual, 3)
 		So(numbers(atLater), ShouldBeEmpty)
 	})
 	Convey("What is for whoever is at an address reaches anybody", t, func() {
@@ -90,9 +90,9 @@
 		Reset(func() { a.Close(); other.Close(); b.Close() })
 		for number := uint64(1); number <= 10; number++ {
 			a.SendTo("b", b.Address(), numbered(number))
-			So(next(atB).body.(*schema.RequestReply).Id, ShouldEqual, number)
+			So(next(atB).body.(*schema.Response).Id, ShouldEqual, number)
 			other.SendTo("b", b.Address(), numbered(100+number))
-			So(next(atB).body.(*schema.RequestReply).Id, ShouldEqual, 100+number)
+			So(next(atB).body.(*schema.Response).Id, ShouldEqual, 100+number)
 		}
 		So(b.Counts().Former, ShouldEqual, 0)
 	})
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -37,7 +37,7 @@
 }
 
 const (
-	preamble   = "sparnotch/2\n"
+	preamble   = "sparnotch/3\n"
 	maxMessage = 64 << 20
 	ringSize   = 2048
 	// The kernel sends a lost opening packet again after a second; a new dial is
@@ -55,10 +55,10 @@
 
 func init() {
 	for _, body := range []any{
-		&schema.Hello{}, &schema.Vote{}, &schema.VoteReply{}, &schema.Append{}, &schema.AppendReply{}, &schema.Install{}, &schema.Part{}, &schema.PartReply{},
-		&schema.Beats{}, &schema.Urge{}, &schema.Submit{}, &schema.Applied{}, &schema.Request{}, &schema.RequestReply{},
-		&schema.Poll{}, &schema.PollReply{}, &schema.End{}, &schema.EndReply{}, &schema.ClusterStateAsk{}, &schema.ClusterStateTell{},
-		&schema.Reroster{}, &schema.Quit{},
+		&schema.Gossip{}, &schema.VoteRequest{}, &schema.VoteResponse{}, &schema.AppendRequest{}, &schema.AppendResponse{}, &schema.InstallSnapshot{}, &schema.TransferChunk{}, &schema.TransferChunkResponse{},
+		&schema.HeartbeatBatch{}, &schema.TimeoutNow{}, &schema.SubmitRequest{}, &schema.SubmitResponse{}, &schema.Request{}, &schema.Response{},
+		&schema.WorkerPollRequest{}, &schema.WorkerPollResponse{}, &schema.TaskEndReport{}, &schema.TaskEndAck{}, &schema.ClusterStateRequest{}, &schema.ClusterStateResponse{},
+		&schema.ChangeMembers{}, &schema.EndSessionsRequest{},
 	} {
 		gob.Register(body)
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -40,14 +40,14 @@
 		a, _ := open("a")
 		b, atB := open("b")
 		Reset(func() { a.Close(); b.Close() })
-		a.Send(b.Address(), &schema.Append{Group: "g", Term: 7, Records: []*schema.Record{{Index: 1, Data: []byte("x"), MemberSet: &schema.MemberSet{Voters: []string{"a"}}}}})
-		a.Send(b.Address(), &schema.ClusterStateTell{State: &schema.ClusterState{Plan: &schema.Plan{Generation: 3, Rows: []*schema.Row{{Kind: "queue"}}}}, Leaders: map[string]string{"l": "a"}})
-		a.Send(b.Address(), &schema.Poll{Announce: &schema.Announce{Running: []*schema.TaskNote{{Queue: "l"}}, WaitUs: 5}})
+		a.Send(b.Address(), &schema.AppendRequest{Group: "g", Term: 7, Entries: []*schema.Entry{{Index: 1, Data: []byte("x"), MemberSet: &schema.MemberSet{Voters: []string{"a"}}}}})
+		a.Send(b.Address(), &schema.ClusterStateResponse{State: &schema.ClusterState{Configuration: &schema.Configuration{Revision: 3, Rows: []*schema.ConfigurationRow{{Kind: "queue"}}}}, Leaders: map[string]string{"l": "a"}})
+		a.Send(b.Address(), &schema.WorkerPollRequest{Heartbeat: &schema.WorkerHeartbeat{Running: []*schema.TaskStatus{{Queue: "l"}}, MaxWaitUs: 5}})
 		first := next(atB)
 		So(first.from, ShouldEqual, "a")
-		So(first.body.(*schema.Append).Records[0].MemberSet.Voters[0], ShouldEqual, "a")
-		So(next(atB).body.(*schema.ClusterStateTell).State.Plan.Rows[0].Kind, ShouldEqual, "queue")
-		So(next(atB).body.(*schema.Poll).Announce.Running[0].Queue, ShouldEqual, "l")
+		So(first.body.(*schema.AppendRequest).Entries[0].MemberSet.Voters[0], ShouldEqual, "a")
+		So(next(atB).body.(*schema.ClusterStateResponse).State.Configuration.Rows[0].Kind, ShouldEqual, "queue")
+		So(next(atB).body.(*schema.WorkerPollRequest).Heartbeat.Running[0].Queue, ShouldEqual, "l")
 		Convey("and go on after the other side has come back", func() {
 			address := b.Address()
 			b.Close()
@@ -58,7 +58,7 @@
 			// What was lost on the broken wire is resent by whoever needs it.
 			stop := time.After(30 * time.Second)
 			for {
-				a.Send(address, &schema.Urge{Group: "g"})
+				a.Send(address, &schema.TimeoutNow{Group: "g"})
 				select {
 				case got := <-arrived:
 					So(got.from, ShouldEqual, "a")
@@ -87,7 +87,7 @@
 			So(isNet && timeout.Timeout(), ShouldBeFalse)
 			conn.Close()
 		}
-		a.Send(b.Address(), &schema.Urge{Group: "g"})
+		a.Send(b.Address(), &schema.TimeoutNow{Group: "g"})
 		So(next(atB).from, ShouldEqual, "a")
 		So(b.Counts().Garbage, ShouldBeGreaterThan, 0)
 	})
@@ -98,13 +98,13 @@
 		var isCut atomic.Bool
 		isCut.Store(true)
 		a.IsCut = func(string) bool { return isCut.Load() }
-		a.Send(b.Address(), &schema.Urge{Group: "cut"})
+		a.Send(b.Address(), &schema.TimeoutNow{Group: "cut"})
 		for a.Counts().Lost == 0 {
 			runtime.Gosched()
 		}
 		isCut.Store(false)
-		a.Send(b.Address(), &schema.Urge{Group: "whole"})
-		So(next(atB).body.(*schema.Urge).Group, ShouldEqual, "whole")
+		a.Send(b.Address(), &schema.TimeoutNow{Group: "whole"})
+		So(next(atB).body.(*schema.TimeoutNow).Group, ShouldEqual, "whole")
 	})
 }
 
@@ -115,12 +115,12 @@
 		deaf, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		Reset(func() { deaf.Close(); a.Close(); b.Close() })
-		large := &schema.Append{Records: []*schema.Record{{Data: make([]byte, 1<<20)}}}
+		large := &schema.AppendRequest{Entries: []*schema.Entry{{Data: make([]byte, 1<<20)}}}
 		for range 2 * ringSize {
 			a.Send(deaf.Addr().String(), large)
 		}
 		So(a.Counts().Lost, ShouldBeGreaterThan, 0)
-		a.Send(b.Address(), &schema.Urge{Group: "g"})
+		a.Send(b.Address(), &schema.TimeoutNow{Group: "g"})
 		So(next(atB).from, ShouldEqual, "a")
 	})
 	Convey("What waits goes out in one write, and what waited too long not at all", t, func() {
@@ -140,18 +140,18 @@
 			return false
 		}
 		Reset(func() { a.Close(); b.Close() })
-		a.Send(b.Address(), &schema.Urge{Group: "held"})
+		a.Send(b.Address(), &schema.TimeoutNow{Group: "held"})
 		<-entered
 		for range 5 {
-			a.Send(b.Address(), &schema.Urge{Group: "stale"})
+			a.Send(b.Address(), &schema.TimeoutNow{Group: "stale"})
 		}
 		later.Store(int64(staleSpan + time.Millisecond))
 		for range 50 {
-			a.Send(b.Address(), &schema.Urge{Group: "fresh"})
+			a.Send(b.Address(), &schema.TimeoutNow{Group: "fresh"})
 		}
 		close(release)
 		for range 50 {
-			So(next(atB).body.(*schema.Urge).Group, ShouldEqual, "fresh")
+			So(next(atB).body.(*schema.TimeoutNow).Group, ShouldEqual, "fresh")
 		}
 		// What is counted after the write may come after what arrived.
 		for a.Counts().Sent < 50 {
@@ -186,7 +186,7 @@
 		peer, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		Reset(func() { peer.Close() })
-		So(a.write(out, peer.Addr().String(), Envelope{Body: &schema.Hello{}}), ShouldBeNil)
+		So(a.write(out, peer.Addr().String(), Envelope{Body: &schema.Gossip{}}), ShouldBeNil)
 		conn, err := peer.Accept()
 		So(err, ShouldBeNil)
 		out.letGo()
@@ -197,6 +197,6 @@
 		}
 		out.letGo()
 		So(out.conn, ShouldBeNil)
-		So(a.write(out, peer.Addr().String(), Envelope{Body: &schema.Hello{}}), ShouldBeNil)
+		So(a.write(out, peer.Addr().String(), Envelope{Body: &schema.Gossip{}}), ShouldBeNil)
 	})
 }
