--- a/cmd/sparnotch-bench/alone.go
+++ b/cmd/sparnotch-bench/alone.go
@@ -77,7 +77,7 @@
 			<-signals
 			cancel()
 		}()
-		eventloop.NewRing[int](1).Drain(ctx, 100*eventloop.Milli, nil, func() {
+		eventloop.NewQueue[int](1).Consume(ctx, 100*eventloop.Millisecond, nil, func() {
 			runner.mu.Lock()
 			defer runner.mu.Unlock()
 			if w.Idle() {
--- a/cmd/sparnotch-bench/fleet.go
+++ b/cmd/sparnotch-bench/fleet.go
@@ -556,7 +556,7 @@
 		}()
 	}
 	go func() {
-		eventloop.NewRing[int](1).Drain(loading, eventloop.Second, nil, func() {
+		eventloop.NewQueue[int](1).Consume(loading, eventloop.Second, nil, func() {
 			readPlan(loading, f.platform, f.history, f.platform.pick("c2"))
 		})
 	}()
--- a/cmd/sparnotch-bench/hollow_part.go
+++ b/cmd/sparnotch-bench/hollow_part.go
@@ -149,7 +149,7 @@
 		add(net.Counts())
 	}
 	for _, running := range p.lost {
-		for _, lost := range running.Lost() {
+		for _, lost := range running.Dropped() {
 			r.LostMails += lost
 		}
 	}
@@ -275,14 +275,14 @@
 	running *eventloop.Process
 }
 
-func (n *hollowNet) Send(to string, body any)        { n.net.SendTo(to, n.book.Address(to), body) }
-func (n *hollowNet) Dial(address string, body any)   { n.net.Send(address, body) }
-func (n *hollowNet) Tell(table string, body any)     { n.running.Tell(table, body) }
-func (n *hollowNet) Answer(request uint64, body any) {}
+func (n *hollowNet) Send(to string, body any)         { n.net.SendTo(to, n.book.Address(to), body) }
+func (n *hollowNet) Dial(address string, body any)    { n.net.Send(address, body) }
+func (n *hollowNet) Notify(table string, body any)    { n.running.Notify(table, body) }
+func (n *hollowNet) Respond(request uint64, body any) {}
 
 func (n *hollowNet) deliver(from string, body any) {
 	for _, table := range hollow.Routes(body) {
-		n.running.Post(table, eventloop.Mail{From: from, Body: body})
+		n.running.Post(table, eventloop.Message{From: from, Body: body})
 	}
 }
 
@@ -307,7 +307,7 @@
 	papers := &process.Papers{Member: member, Seeds: p.setup.seeds(), Book: book, Wall: clock.Wall, Seed: seed, Now: clock.Now()}
 	running := eventloop.NewProcess(clock)
 	out := &hollowNet{id: member.Id, book: book, running: running}
-	running.Out = out
+	running.Outbound = out
 	for _, berth := range process.ControllerTables(papers) {
 		// Beyond the controllers wanted, a side is only its agent and the book.
 		if berth.Name == "controller" && p.setup.Controllers > 0 && k >= p.setup.Controllers {
--- a/cmd/sparnotch-bench/outside.go
+++ b/cmd/sparnotch-bench/outside.go
@@ -45,7 +45,7 @@
 }
 
 func (p *platform) watch(ctx context.Context) {
-	eventloop.NewRing[int](1).Drain(ctx, eventloop.Second, nil, func() {
+	eventloop.NewQueue[int](1).Consume(ctx, eventloop.Second, nil, func() {
 		p.mu.Lock()
 		fronts := append([]*gate(nil), p.fronts...)
 		p.mu.Unlock()
@@ -69,7 +69,7 @@
 // learn asks the fronts for the others, so that a client needs to know only a
 // few at its start.
 func (p *platform) learn(ctx context.Context) {
-	eventloop.NewRing[int](1).Drain(ctx, 3*eventloop.Second, nil, func() {
+	eventloop.NewQueue[int](1).Consume(ctx, 3*eventloop.Second, nil, func() {
 		_, data, err := p.call(ctx, 2*time.Second, "GET", p.pick(""), "/v1/fronts", nil, "")
 		list := &schema.GatewayList{}
 		if err != nil || json.Unmarshal(data, list) != nil {
@@ -216,7 +216,7 @@
 			}(address)
 			continue
 		}
-		timer := time.NewTimer(max(next-now, 2*eventloop.Milli).Span())
+		timer := time.NewTimer(max(next-now, 2*eventloop.Millisecond).Duration())
 		select {
 		case <-ctx.Done():
 		case <-poke:
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -12,37 +12,37 @@
 )
 
 // Pace is the tick of the table.
-const Pace = 20 * eventloop.Milli
+const Pace = 20 * eventloop.Millisecond
 
 const (
-	meetSpan    = 500 * eventloop.Milli // between two words to the cluster state of a worker it doesn't know
-	pollSpan    = 700 * eventloop.Milli // an announce not answered by then is sent anew
-	deafSpan    = 3 * pollSpan          // and after so long we say that we hear nothing
-	waitSpan    = 400 * eventloop.Milli // how long an answer may be held back
-	refusedSpan = 100 * eventloop.Milli // an announce turned away is sent again after this
-	hurrySpan   = 10 * eventloop.Milli  // between two announces of changes at least
-	idleSpan    = 50 * eventloop.Milli  // rest after an early answer that said nothing new
-	frozenSpan  = eventloop.Second      // after a longer pause the worker is looked at first
-	retrySpan   = 100 * eventloop.Milli // first rest after a failed look or stop
-	restMost    = 400 * eventloop.Milli // and the longest
-	startSpan   = 900 * eventloop.Milli // a start is tried for so long
-	againSpan   = 50 * eventloop.Milli  // between two tries of it, at least
-	lateSpan    = 50 * eventloop.Milli  // no start when the lease ends sooner
-	youngSpan   = 10 * eventloop.Second // calls of this process's forerunner may still be carried out
-	callSpan    = 3 * eventloop.Second  // a call whose reply never came was silent
-	lookSpan    = eventloop.Second      // how long a look waits while something runs
-	waryLook    = 80 * eventloop.Milli  // and where calls have been lost of late, for a lost one is missed so late
-	warySpan    = 5 * eventloop.Second  // how long that is borne in mind
-	patientMost = 400 * eventloop.Milli // how long an answer is waited for at most
-	patientBase = 40 * eventloop.Milli  // and at least
-	patientFold = 4                     // times the slowest of late
-	quietSpan   = 2 * eventloop.Second  // and while nothing does
-	listSpan    = 300 * eventloop.Milli // a worker that has seen a higher fence is left alone for so long
-	goneSpan    = 10 * eventloop.Second // the ends of a worker that has departed are told for so long
+	meetSpan    = 500 * eventloop.Millisecond // between two words to the cluster state of a worker it doesn't know
+	pollSpan    = 700 * eventloop.Millisecond // an announce not answered by then is sent anew
+	deafSpan    = 3 * pollSpan                // and after so long we say that we hear nothing
+	waitSpan    = 400 * eventloop.Millisecond // how long an answer may be held back
+	refusedSpan = 100 * eventloop.Millisecond // an announce turned away is sent again after this
+	hurrySpan   = 10 * eventloop.Millisecond  // between two announces of changes at least
+	idleSpan    = 50 * eventloop.Millisecond  // rest after an early answer that said nothing new
+	frozenSpan  = eventloop.Second            // after a longer pause the worker is looked at first
+	retrySpan   = 100 * eventloop.Millisecond // first rest after a failed look or stop
+	restMost    = 400 * eventloop.Millisecond // and the longest
+	startSpan   = 900 * eventloop.Millisecond // a start is tried for so long
+	againSpan   = 50 * eventloop.Millisecond  // between two tries of it, at least
+	lateSpan    = 50 * eventloop.Millisecond  // no start when the lease ends sooner
+	youngSpan   = 10 * eventloop.Second       // calls of this process's forerunner may still be carried out
+	callSpan    = 3 * eventloop.Second        // a call whose reply never came was silent
+	lookSpan    = eventloop.Second            // how long a look waits while something runs
+	waryLook    = 80 * eventloop.Millisecond  // and where calls have been lost of late, for a lost one is missed so late
+	warySpan    = 5 * eventloop.Second        // how long that is borne in mind
+	patientMost = 400 * eventloop.Millisecond // how long an answer is waited for at most
+	patientBase = 40 * eventloop.Millisecond  // and at least
+	patientFold = 4                           // times the slowest of late
+	quietSpan   = 2 * eventloop.Second        // and while nothing does
+	listSpan    = 300 * eventloop.Millisecond // a worker that has seen a higher fence is left alone for so long
+	goneSpan    = 10 * eventloop.Second       // the ends of a worker that has departed are told for so long
 	stopUsual   = 2 * eventloop.Second
 	holdUsual   = 4 * eventloop.Second // a lease, until one is heard of
 	holdShort   = 3 * eventloop.Second // a worker holds its work for so long at a time: a deaf one's is given out again then
-	holdSlack   = 20 * eventloop.Milli
+	holdSlack   = 20 * eventloop.Millisecond
 	listMost    = 500                   // ends in one look
 	deadMost    = 16                    // former lives remembered
 	spentSpan   = 60 * eventloop.Second // attempts given up are remembered for so long at least
@@ -209,7 +209,7 @@
 }
 
 // Step implements eventloop.Table.
-func (t *Table) Step(now eventloop.Micros, mail eventloop.Mail, out eventloop.Out) {
+func (t *Table) Step(now eventloop.Micros, mail eventloop.Message, out eventloop.Effects) {
 	if t.born == 0 {
 		t.born = now
 	}
@@ -239,7 +239,7 @@
 
 // act does what is due. The order matters: nothing is announced before the
 // worker was looked at under the current fence.
-func (t *Table) act(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) act(now eventloop.Micros, out eventloop.Effects) {
 	l := t.life
 	if l == nil || l.isOver {
 		return
@@ -411,7 +411,7 @@
 	l.surveyed, l.after, l.poll = 0, t.number, nil
 }
 
-func (t *Table) meet(now eventloop.Micros, l *life, out eventloop.Out) {
+func (t *Table) meet(now eventloop.Micros, l *life, out eventloop.Effects) {
 	if t.state.Version == 0 || t.leader == "" || l.metAt > 0 && now-l.metAt < meetSpan || clusterstate.WardOf(t.state, l.worker) != nil {
 		return
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -18,7 +18,7 @@
 	"sparnotch/internal/schema"
 )
 
-const hop = eventloop.Milli // every message takes so long
+const hop = eventloop.Millisecond // every message takes so long
 
 // ward is a scripted scheduler: it wants some runs there and some not.
 type ward struct {
@@ -78,7 +78,7 @@
 	delay    func(body any) eventloop.Micros // how long a message takes; nil: a hop
 	isMute   bool                            // the worker sends no beats
 	isFrozen bool
-	mailbox  []eventloop.Mail
+	mailbox  []eventloop.Message
 	beatAt   eventloop.Micros
 	tickAt   eventloop.Micros
 	state    *schema.ClusterState
@@ -146,7 +146,7 @@
 }
 
 func (b *bench) mail(from string, body any) {
-	b.mailbox = append(b.mailbox, eventloop.Mail{From: from, Body: body})
+	b.mailbox = append(b.mailbox, eventloop.Message{From: from, Body: body})
 }
 
 func (b *bench) takes(body any) eventloop.Micros {
@@ -158,7 +158,7 @@
 
 func (b *bench) run(span eventloop.Micros) {
 	for end := b.now + span; b.now < end; {
-		b.now += eventloop.Milli
+		b.now += eventloop.Millisecond
 		for len(b.at) > 0 && b.at[0] <= b.now {
 			call := b.events[0]
 			b.at, b.events = b.at[1:], b.events[1:]
@@ -166,7 +166,7 @@
 		}
 		b.worker.Step(b.now)
 		if b.now >= b.beatAt && !b.isMute && !b.worker.IsDead() {
-			b.beatAt = b.now + 500*eventloop.Milli
+			b.beatAt = b.now + 500*eventloop.Millisecond
 			beat := b.worker.Beat(b.now)
 			b.after(hop, func() { b.mail("", beat) })
 		}
@@ -183,15 +183,15 @@
 		}
 		if b.now >= b.tickAt {
 			b.tickAt = b.now + agent.Pace
-			b.table.Step(b.now, eventloop.Mail{Body: eventloop.Tick{}}, b)
+			b.table.Step(b.now, eventloop.Message{Body: eventloop.Tick{}}, b)
 		}
 	}
 }
 
-func (b *bench) Dial(string, any)   {}
-func (b *bench) Answer(uint64, any) {}
+func (b *bench) Dial(string, any)    {}
+func (b *bench) Respond(uint64, any) {}
 
-func (b *bench) Tell(table string, body any) {
+func (b *bench) Notify(table string, body any) {
 	call := body.(agent.Call)
 	b.calls, b.callAt = append(b.calls, call), append(b.callAt, b.now)
 	b.log = append(b.log, fmt.Sprintf("call %d fence %d", call.Act, call.Fence))
@@ -316,13 +316,13 @@
 	Convey("A worker is met, looked at under its ward's fence, announced, and given work whose end is noted", t, func() {
 		b := newBench(fakeworker.Setup{Pool: "pool", Rack: "r1", Labels: []string{"a"}}, nil)
 		b.tellClusterState()
-		b.run(1200 * eventloop.Milli)
+		b.run(1200 * eventloop.Millisecond)
 		So(b.meets, ShouldBeBetweenOrEqual, 2, 3)
 		So(b.calls, ShouldBeEmpty)
 		w := b.ward("p1", 5, "w1")
 		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=300000")}
 		w.starts[0].Round, w.starts[0].StepInRound = 2, 1
-		b.run(100 * eventloop.Milli)
+		b.run(100 * eventloop.Millisecond)
 		So(b.first("call 3 fence 5"), ShouldEqual, 0)
 		a := w.announces[0]
 		So(a.TasksByName && a.GangBarrier, ShouldBeTrue)
@@ -332,9 +332,9 @@
 		start := b.calls[slices.IndexFunc(b.calls, func(c agent.Call) bool { return c.Act == agent.Start })]
 		So(start.Fence, ShouldEqual, 5)
 		So(start.Address, ShouldEqual, "side:1")
-		b.run(400 * eventloop.Milli)
+		b.run(400 * eventloop.Millisecond)
 		So(w.ends, ShouldResemble, []string{"j.2.1.0/1 done"})
-		b.run(200 * eventloop.Milli)
+		b.run(200 * eventloop.Millisecond)
 		So(w.last().Ended, ShouldBeEmpty)
 		So(b.worker.Unnoted(), ShouldEqual, 0)
 		So(b.count(agent.Start), ShouldEqual, 1)
@@ -343,8 +343,8 @@
 	Convey("An end is announced within a few messages of when it happened", t, func() {
 		b, w := usual(fakeworker.Setup{}, nil)
 		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=700000")}
-		b.run(300 * eventloop.Milli)
-		b.run(b.began["j.0.0.0/1"] + 700*eventloop.Milli + 8*hop - b.now)
+		b.run(300 * eventloop.Millisecond)
+		b.run(b.began["j.0.0.0/1"] + 700*eventloop.Millisecond + 8*hop - b.now)
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 done"})
 	})
 }
@@ -357,7 +357,7 @@
 			b.run(5 * eventloop.Second)
 			So(b.worker.Running(), ShouldEqual, 1)
 			for k := 0; k < 1000; k++ {
-				b.run(7 * eventloop.Milli)
+				b.run(7 * eventloop.Millisecond)
 				// A clock that runs slow ends the hold later by that much of a lease.
 				left := eventloop.Micros(float64(b.worker.HeldTo()-b.worker.Clock(b.now)) / drift)
 				So(b.now+left, ShouldBeLessThanOrEqualTo, w.granted+eventloop.Micros(float64(w.lease)*(1/drift-1))+2)
@@ -383,7 +383,7 @@
 		So(b.worker.Unnoted(), ShouldEqual, 0)
 	})
 	Convey("A hold that the worker cuts short is renewed in time", t, func() {
-		b, w := usual(fakeworker.Setup{}, &schema.Bounds{HoldMostUs: int64(1500 * eventloop.Milli)})
+		b, w := usual(fakeworker.Setup{}, &schema.Bounds{HoldMostUs: int64(1500 * eventloop.Millisecond)})
 		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(10 * eventloop.Second)
 		So(b.worker.Running(), ShouldEqual, 1)
@@ -409,7 +409,7 @@
 		before := b.count(agent.Look)
 		for k := uint32(0); k < 10; k++ {
 			w.starts = append(w.starts, order("start", "j", k, 1, "run_us=60000000"))
-			b.run(20 * eventloop.Milli)
+			b.run(20 * eventloop.Millisecond)
 		}
 		So(b.worker.Running(), ShouldEqual, 10)
 		So(b.count(agent.Look)-before, ShouldBeLessThanOrEqualTo, 1)
@@ -512,10 +512,10 @@
 	Convey("A silent start that was carried out before the stop ends there, and only then is told", t, func() {
 		b, w := usual(fakeworker.Setup{
 			Fault: always(agent.Start, fakeworker.Unheard),
-			Stops: func(agent.TaskName, uint32) eventloop.Micros { return 700 * eventloop.Milli },
+			Stops: func(agent.TaskName, uint32) eventloop.Micros { return 700 * eventloop.Millisecond },
 		}, &schema.Bounds{StopUs: int64(eventloop.Second)})
 		long(w)
-		b.run(1300 * eventloop.Milli)
+		b.run(1300 * eventloop.Millisecond)
 		So(b.count(agent.Stop), ShouldEqual, 1)
 		So(w.ends, ShouldBeEmpty)
 		So(w.last().Running, ShouldHaveLength, 1)
@@ -549,7 +549,7 @@
 		b, w = usual(fakeworker.Setup{Fault: always(agent.Start, fakeworker.Refused)}, nil)
 		b.run(12 * eventloop.Second)
 		long(w)
-		b.run(1200 * eventloop.Milli)
+		b.run(1200 * eventloop.Millisecond)
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 stopped"})
 		So(b.count(agent.Stop), ShouldEqual, 0)
 		So(b.count(agent.Start), ShouldBeBetweenOrEqual, 9, 18)
@@ -565,7 +565,7 @@
 		b.run(12 * eventloop.Second)
 		w.isBehind = true
 		long(w)
-		b.run(1500 * eventloop.Milli)
+		b.run(1500 * eventloop.Millisecond)
 		isBusy = false
 		b.run(3 * eventloop.Second)
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 stopped"})
@@ -577,7 +577,7 @@
 	})
 	Convey("Past a start: whether it ended is the next look's to say", t, func() {
 		b, w := usual(fakeworker.Setup{}, nil)
-		b.run(100 * eventloop.Milli)
+		b.run(100 * eventloop.Millisecond)
 		b.worker.Take(b.now, agent.Call{Act: agent.Stop, Worker: "w1", Task: agent.TaskName{Job: "j"}, Attempt: 1, Fence: 5}, func(agent.Reply) {})
 		long(w)
 		b.run(eventloop.Second)
@@ -589,14 +589,14 @@
 func TestStops(t *testing.T) {
 	bounds := &schema.Bounds{StopUs: int64(2 * eventloop.Second), SaveUs: int64(eventloop.Second)}
 	Convey("A stopped run is told when the worker lists its end, with what was saved", t, func() {
-		b, w := usual(fakeworker.Setup{Stops: func(agent.TaskName, uint32) eventloop.Micros { return 600 * eventloop.Milli }}, bounds)
+		b, w := usual(fakeworker.Setup{Stops: func(agent.TaskName, uint32) eventloop.Micros { return 600 * eventloop.Millisecond }}, bounds)
 		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000 saves=1")}
-		b.run(2500 * eventloop.Milli)
+		b.run(2500 * eventloop.Millisecond)
 		So(w.last().Running[0].Checkpoint, ShouldStartWith, "work=")
 		w.starts, w.stops = nil, []*schema.TaskOrder{order("stop", "j", 0, 1, "")}
-		b.run(500 * eventloop.Milli)
+		b.run(500 * eventloop.Millisecond)
 		So(w.ends, ShouldBeEmpty)
-		b.run(300 * eventloop.Milli)
+		b.run(300 * eventloop.Millisecond)
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 stopped"})
 		So(b.count(agent.Stop), ShouldEqual, 1)
 	})
@@ -613,7 +613,7 @@
 		b, w := usual(fakeworker.Setup{}, bounds)
 		b.run(eventloop.Second)
 		w.stops = []*schema.TaskOrder{order("stop", "j", 0, 1, "")}
-		b.run(100 * eventloop.Milli)
+		b.run(100 * eventloop.Millisecond)
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 stopped"})
 		So(b.count(agent.Stop), ShouldEqual, 1)
 	})
@@ -625,7 +625,7 @@
 		first.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(2 * eventloop.Second)
 		second := b.ward("p2", 9, "w1")
-		b.run(100 * eventloop.Milli)
+		b.run(100 * eventloop.Millisecond)
 		So(b.worker.Fence(), ShouldEqual, 9)
 		So(b.first("call 3 fence 9"), ShouldBeBetween, -1, b.first("announce p2 ward 9"))
 		So(second.announces[0].Running, ShouldHaveLength, 1)
@@ -640,16 +640,16 @@
 		So(b.worker.Running(), ShouldEqual, 1)
 	})
 	Convey("An old ward's start that is still on its way does nothing, and the new ward's order begins it once", t, func() {
-		b, first := usual(fakeworker.Setup{Fault: faults(agent.Start, fakeworker.Belated), Belated: 700 * eventloop.Milli}, nil)
+		b, first := usual(fakeworker.Setup{Fault: faults(agent.Start, fakeworker.Belated), Belated: 700 * eventloop.Millisecond}, nil)
 		first.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
-		b.run(100 * eventloop.Milli)
+		b.run(100 * eventloop.Millisecond)
 		So(b.count(agent.Start), ShouldEqual, 1)
 		first.isSilent = true
 		second := b.ward("p2", 9, "w1")
-		b.run(100 * eventloop.Milli)
+		b.run(100 * eventloop.Millisecond)
 		So(second.announces[0].Running, ShouldBeEmpty)
 		So(second.announces[0].Ended, ShouldBeEmpty)
-		b.run(900 * eventloop.Milli)
+		b.run(900 * eventloop.Millisecond)
 		So(b.begun, ShouldBeEmpty)
 		second.starts = first.starts
 		b.run(eventloop.Second)
@@ -676,12 +676,12 @@
 		look := b.calls[len(b.calls)-1]
 		b.delay = func(body any) eventloop.Micros {
 			if reply, isReply := body.(agent.Reply); isReply && reply.Number == look.Number {
-				return 300 * eventloop.Milli
+				return 300 * eventloop.Millisecond
 			}
 			return hop
 		}
 		isBack := b.callAt[len(b.callAt)-1] + look.Wait + hop
-		b.run(isBack + 10*eventloop.Milli - b.now)
+		b.run(isBack + 10*eventloop.Millisecond - b.now)
 		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		b.run(eventloop.Second)
 		So(w.ends, ShouldBeEmpty)
@@ -690,20 +690,20 @@
 	Convey("An older look that comes after a newer one doesn't bring back what has ended", t, func() {
 		b, w := usual(fakeworker.Setup{}, nil)
 		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=1400000")}
-		b.run(200 * eventloop.Milli)
+		b.run(200 * eventloop.Millisecond)
 		// The first look that lists the run is held up until its end is noted.
 		isHeldUp := false
 		b.delay = func(body any) eventloop.Micros {
 			if reply, isReply := body.(agent.Reply); isReply && !isHeldUp && len(reply.Running) > 0 {
 				isHeldUp = true
-				return 2500 * eventloop.Milli
+				return 2500 * eventloop.Millisecond
 			}
 			return hop
 		}
 		w.stops = []*schema.TaskOrder{order("stop", "x", 9, 1, "")} // has the worker looked at besides
-		b.run(1600 * eventloop.Milli)
+		b.run(1600 * eventloop.Millisecond)
 		w.stops = []*schema.TaskOrder{order("stop", "y", 9, 1, "")}
-		b.run(400 * eventloop.Milli)
+		b.run(400 * eventloop.Millisecond)
 		So(isHeldUp, ShouldBeTrue)
 		So(w.ends, ShouldContain, "j.0.0.0/1 done")
 		before := len(w.announces)
@@ -799,12 +799,12 @@
 		// When what it held is over, whatever its clock, that alone is told, and that
 		// it has no room.
 		for k := 0; k < 4000 && len(w.ends) == 0; k++ {
-			b.run(eventloop.Milli)
+			b.run(eventloop.Millisecond)
 		}
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 lapsed"})
 		So(b.worker.Running(), ShouldEqual, 0)
 		So(w.last().CoresMilli+w.last().MemoryMb, ShouldEqual, 0)
-		b.run(200 * eventloop.Milli)
+		b.run(200 * eventloop.Millisecond)
 		announces, looks := len(w.announces), b.count(agent.Look)
 		b.run(5 * eventloop.Second)
 		So(len(w.announces), ShouldEqual, announces)
@@ -824,9 +824,9 @@
 		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
 		for k := eventloop.Micros(0); k < 10; k++ {
 			isDeaf = false
-			b.run(3*eventloop.Second + k*100*eventloop.Milli)
+			b.run(3*eventloop.Second + k*100*eventloop.Millisecond)
 			isDeaf = true
-			b.run(1700 * eventloop.Milli)
+			b.run(1700 * eventloop.Millisecond)
 		}
 		So(w.ends, ShouldBeEmpty)
 		So(b.worker.Running(), ShouldEqual, 1)
@@ -886,14 +886,14 @@
 		b.mail("", beat)
 		b.run(4 * hop)
 		So(w.last().Draining, ShouldBeTrue)
-		So(w.last().DepartsInUs, ShouldBeBetween, int64(4900*eventloop.Milli), int64(5000*eventloop.Milli)+1)
+		So(w.last().DepartsInUs, ShouldBeBetween, int64(4900*eventloop.Millisecond), int64(5000*eventloop.Millisecond)+1)
 		w.starts = append(w.starts, order("start", "j", 1, 1, "run_us=60000000"))
 		b.run(2 * eventloop.Second)
 		So(b.count(agent.Start), ShouldEqual, 1)
 		So(w.ends, ShouldResemble, []string{"j.0.0.1/1 stopped"})
 		So(b.worker.Running(), ShouldEqual, 1)
 		// The last announce may be as old as its answer may be held back.
-		So(w.last().DepartsInUs, ShouldBeBetween, int64(3*eventloop.Second), int64(3450*eventloop.Milli))
+		So(w.last().DepartsInUs, ShouldBeBetween, int64(3*eventloop.Second), int64(3450*eventloop.Millisecond))
 		w.starts = nil
 		b.run(3 * eventloop.Second)
 		b.mail("", agent.Departed{Worker: "w1"})
@@ -912,7 +912,7 @@
 		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=600000000")}
 		b.run(eventloop.Second)
 		for k := eventloop.Micros(0); k < 20; k++ {
-			b.run(3*eventloop.Second + k*70*eventloop.Milli)
+			b.run(3*eventloop.Second + k*70*eventloop.Millisecond)
 			b.isFrozen = true
 			// As late as there is time for a look, an announce and a look.
 			left := b.worker.HeldTo() - b.worker.Clock(b.now)
--- a/internal/agent/announce.go
+++ b/internal/agent/announce.go
@@ -9,7 +9,7 @@
 
 // announce keeps one announce open at the ward's scheduler, and sends a new one at
 // once when something has changed.
-func (t *Table) announce(now eventloop.Micros, l *life, out eventloop.Out) {
+func (t *Table) announce(now eventloop.Micros, l *life, out eventloop.Effects) {
 	if l.scheduler == "" || l.fence == 0 || l.surveyed != l.fence && l.departedAt == 0 && !l.isLapsed {
 		return
 	}
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -8,7 +8,7 @@
 	"sparnotch/internal/schema"
 )
 
-func (t *Table) issue(now eventloop.Micros, l *life, call Call, out eventloop.Out) uint64 {
+func (t *Table) issue(now eventloop.Micros, l *life, call Call, out eventloop.Effects) uint64 {
 	t.number++
 	call.Number, call.Worker, call.Address, call.Fence = t.number, l.worker, l.beat.Address, l.fence
 	p := &pending{act: call.Act, key: runKey{call.Task, call.Attempt}, sent: now, fence: l.fence, wait: call.Wait}
@@ -20,7 +20,7 @@
 	// a second one does no harm.
 	call.Patience = min(patientBase+patientFold*l.slowest, patientMost)
 	l.calls[call.Number] = p
-	out.Tell("caller", call)
+	out.Notify("caller", call)
 	return call.Number
 }
 
@@ -84,7 +84,7 @@
 }
 
 // carryOut issues the starts and stops that are due.
-func (t *Table) carryOut(now eventloop.Micros, l *life, out eventloop.Out) {
+func (t *Table) carryOut(now eventloop.Micros, l *life, out eventloop.Effects) {
 	if now < l.fencedTo || l.fence == 0 {
 		return
 	}
@@ -103,7 +103,7 @@
 	}
 }
 
-func (t *Table) start(now eventloop.Micros, l *life, r *run, out eventloop.Out) {
+func (t *Table) start(now eventloop.Micros, l *life, r *run, out eventloop.Effects) {
 	// What an older ward ordered is for the survey to decide.
 	if l.surveyed != l.fence || r.fence != 0 && r.fence != l.fence {
 		return
@@ -147,7 +147,7 @@
 		}
 	case Busy:
 		// Spread, so that all that was turned away together doesn't come back so.
-		r.retryAt = now + againSpan + eventloop.Micros(m.Number*7919%50)*eventloop.Milli
+		r.retryAt = now + againSpan + eventloop.Micros(m.Number*7919%50)*eventloop.Millisecond
 	case TurnedAway:
 		switch m.Reason {
 		case Fenced:
@@ -193,7 +193,7 @@
 		r.isStopped, r.stoppedAt, r.tries = true, now, 0
 		t.decide(l, r)
 	case m.Verdict == Busy:
-		r.retryAt = now + againSpan + eventloop.Micros(m.Number*7919%50)*eventloop.Milli
+		r.retryAt = now + againSpan + eventloop.Micros(m.Number*7919%50)*eventloop.Millisecond
 	default:
 		r.retryAt = now + rest
 	}
@@ -201,7 +201,7 @@
 
 // lookOut keeps one long look open, by which ends come at once and what runs
 // is held; and sends a short one where something waits for the worker's word.
-func (t *Table) lookOut(now eventloop.Micros, l *life, out eventloop.Out) {
+func (t *Table) lookOut(now eventloop.Micros, l *life, out eventloop.Effects) {
 	if now < l.fencedTo || l.fence == 0 {
 		return
 	}
@@ -232,7 +232,7 @@
 	if len(l.runs) == 0 {
 		wait = min(quietSpan, l.span/2)
 	}
-	wait = max(wait-wait%eventloop.Milli, retrySpan)
+	wait = max(wait-wait%eventloop.Millisecond, retrySpan)
 	l.look = t.issue(now, l, Call{Act: Look, Until: t.until(now, l), Noted: l.notedTo, Wait: wait}, out)
 }
 
--- a/internal/agent/late_test.go
+++ b/internal/agent/late_test.go
@@ -75,7 +75,7 @@
 			b.mail(from, &schema.WorkerPollResponse{Id: number, Code: 200, Scheduler: from, Orders: &schema.WorkerOrders{
 				FencingToken: 5, LeaseUs: int64(4 * eventloop.Second), Scheduler: from, Orders: []*schema.TaskOrder{order("start", "j", task, 1, "run_us=60000000")},
 			}})
-			b.run(30 * eventloop.Milli)
+			b.run(30 * eventloop.Millisecond)
 		}
 		Convey("the answer to an older one orders nothing", func() {
 			for _, number := range numbers[:len(numbers)-1] {
--- a/internal/agent/storm_test.go
+++ b/internal/agent/storm_test.go
@@ -27,20 +27,20 @@
 		},
 		Fails: func(agent.TaskName, uint32) bool { return rng.IntN(10) == 0 },
 		Stops: func(agent.TaskName, uint32) eventloop.Micros {
-			return eventloop.Micros(rng.Int64N(int64(800 * eventloop.Milli)))
+			return eventloop.Micros(rng.Int64N(int64(800 * eventloop.Millisecond)))
 		},
 	}
-	bounds := &schema.Bounds{StopUs: int64(800 * eventloop.Milli), HoldMostUs: int64(3 * eventloop.Second)}
+	bounds := &schema.Bounds{StopUs: int64(800 * eventloop.Millisecond), HoldMostUs: int64(3 * eventloop.Second)}
 	b := newBench(setup, bounds)
 	b.delay = func(any) eventloop.Micros {
 		if isCalm || rng.IntN(8) > 0 {
-			return eventloop.Micros(1+rng.IntN(4)) * eventloop.Milli
+			return eventloop.Micros(1+rng.IntN(4)) * eventloop.Millisecond
 		}
-		return eventloop.Micros(rng.IntN(300)) * eventloop.Milli
+		return eventloop.Micros(rng.IntN(300)) * eventloop.Millisecond
 	}
 	w := b.ward("p1", 5, "w1")
 	arm := func(w *ward) {
-		w.noteAfter = eventloop.Micros(rng.Int64N(int64(200 * eventloop.Milli)))
+		w.noteAfter = eventloop.Micros(rng.Int64N(int64(200 * eventloop.Millisecond)))
 		w.loses = func() bool { return !isCalm && rng.IntN(5) == 0 }
 	}
 	arm(w)
@@ -96,7 +96,7 @@
 			stop := w.starts[rng.IntN(len(w.starts))]
 			w.stops = append(w.stops, order("stop", "j", stop.Task, stop.Attempt, ""))
 		}
-		b.run(eventloop.Milli)
+		b.run(eventloop.Millisecond)
 		// Whatever was told as ended doesn't run, then or later, and its task is
 		// given out again as the next attempt.
 		for ; checked < len(w.ends); checked++ {
--- a/internal/checker/called.go
+++ b/internal/checker/called.go
@@ -10,7 +10,7 @@
 
 // OfCalled are the bounds where workers are called.
 var OfCalled = Bounds{
-	Kept: 120 * eventloop.Second, Early: 250 * eventloop.Milli, Leave: 2 * eventloop.Second, Cancel: 3 * eventloop.Second,
+	Kept: 120 * eventloop.Second, Early: 250 * eventloop.Millisecond, Leave: 2 * eventloop.Second, Cancel: 3 * eventloop.Second,
 	Stop: eventloop.Second, Plan: 2 * eventloop.Second, Away: 12 * eventloop.Second, Together: 5 * eventloop.Second, Struck: eventloop.Second, Settle: 5 * eventloop.Second,
 	Idle: 3 * eventloop.Second,
 }
--- a/internal/checker/called_test.go
+++ b/internal/checker/called_test.go
@@ -98,7 +98,7 @@
 			with(taken(group, starts(2*s, "w", 0, 0, 1), starts(2*s, "v", 0, 1, 1), kept(3*s, "w", 0, 1, "p"), ends(4*s, "w", 0, 0, 1, "stopped"), ends(4*s, "v", 0, 1, 1, "broken"), startsFrom(5*s, "w", 0, 2, "p"), startsFrom(5*s, "v", 1, 2, "p"), ends(6*s, "w", 0, 0, 2, "done"), ends(6*s, "v", 0, 1, 2, "done")), over("complete"))},
 		{"a round starts early", 4,
 			with(taken(rounds), done(3*s, "w", 0, 0, 1), done(5*s, "w", 1, 0, 1), done(6*s, "v", 2, 0, 1), done(8*s, "v", 3, 0, 1), over("complete")),
-			with(taken(rounds), done(3*s, "w", 0, 0, 1), done(5*s, "w", 1, 0, 1), done(7*s-200*eventloop.Milli, "v", 2, 0, 1), done(9*s, "v", 3, 0, 1), over("complete"))},
+			with(taken(rounds), done(3*s, "w", 0, 0, 1), done(5*s, "w", 1, 0, 1), done(7*s-200*eventloop.Millisecond, "v", 2, 0, 1), done(9*s, "v", 3, 0, 1), over("complete"))},
 		{"a step starts before what it waits for in its own round", 4,
 			with(taken(rounds), done(3*s, "w", 0, 0, 1), done(5*s, "w", 1, 0, 1), done(8*s, "v", 3, 0, 1), done(10*s, "v", 2, 0, 1), over("complete")),
 			with(taken(rounds), done(7*s, "v", 2, 0, 1), done(9*s, "v", 3, 0, 1), done(11*s, "w", 0, 0, 1), done(13*s, "w", 1, 0, 1), over("complete"))},
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -39,7 +39,7 @@
 
 // Usual are the brief's bounds.
 var Usual = Bounds{
-	Kept: 120 * eventloop.Second, Early: 100 * eventloop.Milli, Leave: 2 * eventloop.Second, Cancel: 3 * eventloop.Second,
+	Kept: 120 * eventloop.Second, Early: 100 * eventloop.Millisecond, Leave: 2 * eventloop.Second, Cancel: 3 * eventloop.Second,
 	Stop: eventloop.Second, Plan: 2 * eventloop.Second, Away: 12 * eventloop.Second, Together: 5 * eventloop.Second, Struck: eventloop.Second, Settle: 5 * eventloop.Second,
 }
 
--- a/internal/checker/groups.go
+++ b/internal/checker/groups.go
@@ -44,7 +44,7 @@
 	if a.askedEnd > 0 && a.askedEnd < s.begin+j.bounds.Together {
 		return true
 	}
-	if s.outcome == "failed" && s.end < s.begin+100*eventloop.Milli {
+	if s.outcome == "failed" && s.end < s.begin+100*eventloop.Millisecond {
 		return true
 	}
 	for k := len(holds) - 1; k >= 0; k-- {
--- a/internal/checker/idle.go
+++ b/internal/checker/idle.go
@@ -8,7 +8,7 @@
 	"sparnotch/internal/schema"
 )
 
-const idleGrid = 250 * eventloop.Milli // how often it is looked at
+const idleGrid = 250 * eventloop.Millisecond // how often it is looked at
 
 // shop is a called worker as the history shows it at a moment.
 type shop struct {
--- a/internal/controller/claim_test.go
+++ b/internal/controller/claim_test.go
@@ -19,7 +19,7 @@
 			return d.mail[0].Id
 		}
 		reply := func(id uint64, code int32, body string) {
-			d.t.Step(d.now, eventloop.Mail{From: "a", Body: &schema.Response{Id: id, Code: code, Body: []byte(body)}}, d)
+			d.t.Step(d.now, eventloop.Message{From: "a", Body: &schema.Response{Id: id, Code: code, Body: []byte(body)}}, d)
 		}
 		first, second := claim(), claim()
 		reply(second, 200, `{"lease":9}`)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -15,16 +15,16 @@
 )
 
 // Pace is the tick of the table.
-const Pace = 50 * eventloop.Milli
+const Pace = 50 * eventloop.Millisecond
 
 const (
-	askSpan     = 250 * eventloop.Milli
-	renewSpan   = 800 * eventloop.Milli
-	claimSpan   = 500 * eventloop.Milli
-	guardSpan   = 300 * eventloop.Milli // a lease is let go this long before it ends
-	missSpan    = 600 * eventloop.Milli // one that doesn't answer for so long, while others lead what it led, is passed over
-	actSpan     = 200 * eventloop.Milli // between two acts on one thing
-	latencyMost = int64(300 * eventloop.Milli)
+	askSpan     = 250 * eventloop.Millisecond
+	renewSpan   = 800 * eventloop.Millisecond
+	claimSpan   = 500 * eventloop.Millisecond
+	guardSpan   = 300 * eventloop.Millisecond // a lease is let go this long before it ends
+	missSpan    = 600 * eventloop.Millisecond // one that doesn't answer for so long, while others lead what it led, is passed over
+	actSpan     = 200 * eventloop.Millisecond // between two acts on one thing
+	latencyMost = int64(300 * eventloop.Millisecond)
 	latencyRest = 15 * eventloop.Second // between two moves for latency alone
 )
 
@@ -103,7 +103,7 @@
 }
 
 // Step implements eventloop.Table.
-func (t *Table) Step(now eventloop.Micros, mail eventloop.Mail, out eventloop.Out) {
+func (t *Table) Step(now eventloop.Micros, mail eventloop.Message, out eventloop.Effects) {
 	switch body := mail.Body.(type) {
 	case eventloop.Tick:
 		t.tick(now, out)
@@ -118,11 +118,11 @@
 		for _, id := range t.memberIDs() {
 			b.Members = append(b.Members, t.roll.Known[id].Member)
 		}
-		out.Answer(body.Request, b)
+		out.Respond(body.Request, b)
 	}
 }
 
-func (t *Table) hear(now eventloop.Micros, from string, m *schema.ClusterStateResponse, out eventloop.Out) {
+func (t *Table) hear(now eventloop.Micros, from string, m *schema.ClusterStateResponse, out eventloop.Effects) {
 	state, err := clusterstate.Incoming(m, t.state.Configuration)
 	if err != nil {
 		return // it is asked for again
@@ -130,7 +130,7 @@
 	isNew := state != nil && state.Version > t.state.Version
 	if state != nil && state.Version >= t.state.Version {
 		t.state, t.values = state, t.values.Renew(state.Configuration)
-		out.Tell("membership", membership.ClusterState{Version: state.Version})
+		out.Notify("membership", membership.ClusterState{Version: state.Version})
 	}
 	if m.ControllerLeaseExpiresUs > t.until {
 		t.until, t.untilAt = m.ControllerLeaseExpiresUs, now
@@ -140,7 +140,7 @@
 		t.told[from] = told{at: now, tell: m}
 		// The whole each time: a reader that missed one isn't told of it again.
 		for _, reader := range t.readers {
-			out.Tell(reader, &schema.ClusterStateResponse{State: t.state, Version: t.state.Version, Leaders: m.Leaders})
+			out.Notify(reader, &schema.ClusterStateResponse{State: t.state, Version: t.state.Version, Leaders: m.Leaders})
 		}
 	}
 	// A step of a repair waits for the word that the one before is done.
@@ -174,7 +174,7 @@
 	return ids
 }
 
-func (t *Table) tick(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) tick(now eventloop.Micros, out eventloop.Effects) {
 	if t.roll == nil {
 		return
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -41,18 +41,18 @@
 		d.acts = append(d.acts, command)
 	}
 }
-func (d *desk) Dial(string, any)   {}
-func (d *desk) Tell(string, any)   {}
-func (d *desk) Answer(uint64, any) {}
+func (d *desk) Dial(string, any)    {}
+func (d *desk) Notify(string, any)  {}
+func (d *desk) Respond(uint64, any) {}
 
 func (d *desk) tick() {
 	d.now += Pace
 	for _, reply := range d.mail {
-		d.t.Step(d.now, eventloop.Mail{From: "a", Body: reply}, d)
+		d.t.Step(d.now, eventloop.Message{From: "a", Body: reply}, d)
 	}
 	d.mail = nil
 	d.roll()
-	d.t.Step(d.now, eventloop.Mail{Body: eventloop.Tick{}}, d)
+	d.t.Step(d.now, eventloop.Message{Body: eventloop.Tick{}}, d)
 }
 
 func (d *desk) roll() {
@@ -67,7 +67,7 @@
 	for id, member := range d.others {
 		roll.Known[id] = membership.Known{Member: member, Heard: d.now}
 	}
-	d.t.Step(d.now, eventloop.Mail{Body: roll}, d)
+	d.t.Step(d.now, eventloop.Message{Body: roll}, d)
 }
 
 // tell is the cluster state leader's word, with its state as it is.
@@ -77,7 +77,7 @@
 	if d.born > 0 {
 		until = int64(d.now-d.born) + clusterstate.LeaseUs
 	}
-	d.t.Step(d.now, eventloop.Mail{From: "a", Body: &schema.ClusterStateResponse{
+	d.t.Step(d.now, eventloop.Message{From: "a", Body: &schema.ClusterStateResponse{
 		State: proto.Clone(d.state).(*schema.ClusterState), Version: d.state.Version, Leaders: map[string]string{clusterstate.Group: "a"}, QueueStatuses: notes, ControllerLeaseExpiresUs: until,
 	}}, d)
 }
@@ -201,15 +201,15 @@
 			if boot > 0 && d.now > silentAt+comes {
 				hear("d", boot, silentAt+comes, d.now)
 			}
-			d.t.Step(d.now, eventloop.Mail{Body: roll}, d)
+			d.t.Step(d.now, eventloop.Message{Body: roll}, d)
 			// Before its turn it hears nothing of the lease, so it can't be controller.
 			if isController || d.now > silentAt+2*eventloop.Second {
 				for _, reply := range d.mail {
-					d.t.Step(d.now, eventloop.Mail{From: "a", Body: reply}, d)
+					d.t.Step(d.now, eventloop.Message{From: "a", Body: reply}, d)
 				}
 				d.mail = nil
 			}
-			d.t.Step(d.now, eventloop.Mail{Body: eventloop.Tick{}}, d)
+			d.t.Step(d.now, eventloop.Message{Body: eventloop.Tick{}}, d)
 			d.tell()
 		}
 		if len(d.asks) == 0 {
@@ -221,21 +221,21 @@
 	Convey("The place of a silent store goes to another after 6 s", t, func() {
 		isForgotten = false
 		So(learns(0, 0, true), ShouldEqual, 0)
-		So(learns(2, eventloop.Second, true), ShouldBeBetween, 5900*eventloop.Milli, 6500*eventloop.Milli)
+		So(learns(2, eventloop.Second, true), ShouldBeBetween, 5900*eventloop.Millisecond, 6500*eventloop.Millisecond)
 		Convey("and after 2.5 s where an empty one has come since", func() {
-			So(learns(1, eventloop.Second, true), ShouldBeBetween, 2400*eventloop.Milli, 3*eventloop.Second)
+			So(learns(1, eventloop.Second, true), ShouldBeBetween, 2400*eventloop.Millisecond, 3*eventloop.Second)
 		})
 		Convey("also where it came before; not where it was there when all began", func() {
-			So(learns(1, -eventloop.Second, true), ShouldBeBetween, 2400*eventloop.Milli, 3*eventloop.Second)
-			So(learns(1, -11*eventloop.Second, true), ShouldBeBetween, 5900*eventloop.Milli, 6500*eventloop.Milli)
+			So(learns(1, -eventloop.Second, true), ShouldBeBetween, 2400*eventloop.Millisecond, 3*eventloop.Second)
+			So(learns(1, -11*eventloop.Second, true), ShouldBeBetween, 5900*eventloop.Millisecond, 6500*eventloop.Millisecond)
 		})
 		Convey("also where nobody knows it any more", func() {
 			isForgotten = true
-			So(learns(2, eventloop.Second, true), ShouldBeBetween, 5900*eventloop.Milli, 6500*eventloop.Milli)
-			So(learns(1, eventloop.Second, true), ShouldBeBetween, 2400*eventloop.Milli, 3*eventloop.Second)
+			So(learns(2, eventloop.Second, true), ShouldBeBetween, 5900*eventloop.Millisecond, 6500*eventloop.Millisecond)
+			So(learns(1, eventloop.Second, true), ShouldBeBetween, 2400*eventloop.Millisecond, 3*eventloop.Second)
 		})
 		Convey("however late the controller came to be one", func() {
-			So(learns(2, eventloop.Second, false), ShouldBeBetween, 5900*eventloop.Milli, 6500*eventloop.Milli)
+			So(learns(2, eventloop.Second, false), ShouldBeBetween, 5900*eventloop.Millisecond, 6500*eventloop.Millisecond)
 		})
 	})
 }
@@ -247,7 +247,7 @@
 		run := func(span eventloop.Micros) {
 			for end := d.now + span; d.now < end; {
 				d.tick()
-				if d.now%(250*eventloop.Milli) == 0 {
+				if d.now%(250*eventloop.Millisecond) == 0 {
 					d.tell()
 				}
 			}
@@ -281,7 +281,7 @@
 			if from == "a" {
 				notes = append(notes, &schema.QueueStatus{Group: clusterstate.Group, Leader: "a", Voters: []string{"a", "b", "c"}})
 			}
-			d.t.Step(d.now, eventloop.Mail{From: from, Body: &schema.ClusterStateResponse{
+			d.t.Step(d.now, eventloop.Message{From: from, Body: &schema.ClusterStateResponse{
 				State: proto.Clone(d.state).(*schema.ClusterState), Version: d.state.Version, Leaders: leaders, QueueStatuses: notes,
 			}}, d)
 		}
@@ -296,13 +296,13 @@
 			for len(d.acts) == 0 && d.now-last < 2*eventloop.Second {
 				d.tick()
 				after := before
-				if d.now-last > 500*eventloop.Milli {
+				if d.now-last > 500*eventloop.Millisecond {
 					after = map[string]string{clusterstate.Group: "a", "l": "b"}
 				}
 				word("a", after)
 				word("b", after)
 			}
-			So(d.now-last, ShouldBeBetweenOrEqual, missSpan, missSpan+150*eventloop.Milli)
+			So(d.now-last, ShouldBeBetweenOrEqual, missSpan, missSpan+150*eventloop.Millisecond)
 			So(d.acts[0].GetPlaceQueues().GetQueues()[0].PreferredLeader, ShouldEqual, "b")
 			So(d.acts[1].GetAssignWorkers().GetWorkerLeases()[0].Scheduler, ShouldEqual, "b")
 		})
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -16,7 +16,7 @@
 // ask asks after the cluster state: a candidate asks every store, for it must know what
 // each of them says once it is controller; the others take turns, for all asking all
 // would cost the stores more than what they are there for.
-func (t *Table) ask(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) ask(now eventloop.Micros, out eventloop.Effects) {
 	stores := t.stores(now)
 	if len(stores) == 0 {
 		return
@@ -46,7 +46,7 @@
 
 // seek renews the lease, or claims one that nobody renews. Candidates wait
 // by rank, so that seldom two try at once.
-func (t *Table) seek(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) seek(now eventloop.Micros, out eventloop.Effects) {
 	for id, at := range t.claims {
 		if now-at > 3*eventloop.Second {
 			delete(t.claims, id)
@@ -72,12 +72,12 @@
 	// Whoever held it last may take it up again at once: while the cluster state had no
 	// leader nobody could renew anything.
 	isLast := t.state.ControllerLease.GetHolder() == t.id
-	if isLast || isVacant && stale > eventloop.Micros(clusterstate.LeaseUs)+eventloop.Micros(rank)*300*eventloop.Milli || t.until == 0 && now > eventloop.Micros(rank)*300*eventloop.Milli {
+	if isLast || isVacant && stale > eventloop.Micros(clusterstate.LeaseUs)+eventloop.Micros(rank)*300*eventloop.Millisecond || t.until == 0 && now > eventloop.Micros(rank)*300*eventloop.Millisecond {
 		t.claim(now, out)
 	}
 }
 
-func (t *Table) claim(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) claim(now eventloop.Micros, out eventloop.Effects) {
 	t.claimAt = now
 	if id := t.send(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: t.id}}}, out); id != 0 {
 		t.claims[id] = now
@@ -113,7 +113,7 @@
 }
 
 // send gives a command to the cluster state's leader.
-func (t *Table) send(now eventloop.Micros, command *schema.ClusterStateCommand, out eventloop.Out) uint64 {
+func (t *Table) send(now eventloop.Micros, command *schema.ClusterStateCommand, out eventloop.Effects) uint64 {
 	to := t.leaderOf(now, clusterstate.Group)
 	if to == "" {
 		return 0
--- a/internal/controller/members.go
+++ b/internal/controller/members.go
@@ -16,7 +16,7 @@
 
 // members gives a lost voter's place to a spare store, which learns, catches up
 // and votes.
-func (t *Table) members(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) members(now eventloop.Micros, out eventloop.Effects) {
 	notes := t.notes(now)
 	root := notes[clusterstate.Group]
 	if root == nil {
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -35,7 +35,7 @@
 	return true
 }
 
-func (t *Table) queues(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) queues(now eventloop.Micros, out eventloop.Effects) {
 	notes := t.notes(now)
 	root := notes[clusterstate.Group]
 	if root == nil {
@@ -136,7 +136,7 @@
 	return best.id
 }
 
-func (t *Table) leaders(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) leaders(now eventloop.Micros, out eventloop.Effects) {
 	sturdy := t.sturdiest(now)
 	if sturdy == "" {
 		return
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -12,7 +12,7 @@
 
 // sessions ends those of gateway that have been gone longer than the plan lets
 // them timeout.
-func (t *Table) sessions(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) sessions(now eventloop.Micros, out eventloop.Effects) {
 	timeout := eventloop.Micros(t.values.Fleet("session_timeout_s")) * eventloop.Second
 	notes := t.notes(now)
 	for _, group := range slices.Sorted(maps.Keys(notes)) {
--- a/internal/controller/voters_test.go
+++ b/internal/controller/voters_test.go
@@ -53,7 +53,7 @@
 // run lets so long pass, with a look at the members each 250 ms.
 func (c *council) run(span eventloop.Micros) {
 	for end := c.now + span; c.now < end; {
-		c.now += 250 * eventloop.Milli
+		c.now += 250 * eventloop.Millisecond
 		roll := &membership.Roll{Known: map[string]membership.Known{}}
 		for id, member := range c.members {
 			heard := c.now
@@ -173,9 +173,9 @@
 		a.claims++
 	}
 }
-func (a *asked) Dial(string, any)   {}
-func (a *asked) Tell(string, any)   {}
-func (a *asked) Answer(uint64, any) {}
+func (a *asked) Dial(string, any)    {}
+func (a *asked) Notify(string, any)  {}
+func (a *asked) Respond(uint64, any) {}
 
 func TestCandidates(t *testing.T) {
 	// play is what side machine "sN" does in 10 s of a system without a controller, of
@@ -198,9 +198,9 @@
 				}
 				roll.Known[side(k).Id] = membership.Known{Member: side(k), Heard: heard}
 			}
-			h.Step(now, eventloop.Mail{Body: roll}, a)
-			h.Step(now, eventloop.Mail{From: "a", Body: &schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{clusterstate.Group: "a"}}}, a)
-			h.Step(now, eventloop.Mail{Body: eventloop.Tick{}}, a)
+			h.Step(now, eventloop.Message{Body: roll}, a)
+			h.Step(now, eventloop.Message{From: "a", Body: &schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{clusterstate.Group: "a"}}}, a)
+			h.Step(now, eventloop.Message{Body: eventloop.Tick{}}, a)
 		}
 		return a
 	}
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -15,18 +15,18 @@
 type Micros int64
 
 const (
-	// Milli is a millisecond.
-	Milli Micros = 1000
+	// Millisecond is a millisecond.
+	Millisecond Micros = 1000
 	// Second is a second.
-	Second Micros = 1000 * Milli
+	Second Micros = 1000 * Millisecond
 )
 
-// Span turns it into the library's span.
-func (m Micros) Span() time.Duration { return time.Duration(m) * time.Microsecond }
+// Duration turns it into the library's span.
+func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// Mail is one message to a table; From is the process that sent it, empty for
+// Message is one message to a table; From is the process that sent it, empty for
 // this one.
-type Mail struct {
+type Message struct {
 	From string
 	Body any
 }
@@ -34,18 +34,18 @@
 // Tick comes to each table at a steady pace.
 type Tick struct{}
 
-// Out is where a table's step leaves its effects.
-type Out interface {
-	Send(to string, body any)        // to a process by id
-	Dial(address string, body any)   // to a process by its inner address
-	Tell(table string, body any)     // to another table of this process
-	Answer(request uint64, body any) // to whoever waits for that request
+// Effects is where a table's step leaves its effects.
+type Effects interface {
+	Send(to string, body any)         // to a process by id
+	Dial(address string, body any)    // to a process by its inner address
+	Notify(table string, body any)    // to another table of this process
+	Respond(request uint64, body any) // to whoever waits for that request
 }
 
-// Table is a step function with the state it owns. It never blocks, reads no
+// Component is a step function with the state it owns. It never blocks, reads no
 // clock and draws no random numbers but from what it was given.
-type Table interface {
-	Step(now Micros, mail Mail, out Out)
+type Component interface {
+	Step(now Micros, mail Message, out Effects)
 }
 
 // Clock is passed in wherever time matters.
@@ -62,29 +62,29 @@
 func (c realClock) Now() Micros { return Micros(time.Since(c.start).Microseconds()) + Second }
 func (c realClock) Wall() int64 { return time.Now().UnixMicro() }
 
-// Ring is a bounded queue between two goroutines.
-type Ring[T any] struct {
-	items chan T
-	lost  atomic.Uint64
+// Queue is a bounded queue between two goroutines.
+type Queue[T any] struct {
+	items   chan T
+	dropped atomic.Uint64
 }
 
-// NewRing makes a ring that holds so many items.
-func NewRing[T any](size int) *Ring[T] { return &Ring[T]{items: make(chan T, size)} }
+// NewQueue makes a ring that holds so many items.
+func NewQueue[T any](size int) *Queue[T] { return &Queue[T]{items: make(chan T, size)} }
 
-// Offer puts an item in unless the ring is full, in which case the item is
+// TryPut puts an item in unless the ring is full, in which case the item is
 // lost and counted. Whatever is offered is resent by those who need it.
-func (r *Ring[T]) Offer(item T) bool {
+func (r *Queue[T]) TryPut(item T) bool {
 	select {
 	case r.items <- item:
 		return true
 	default:
-		r.lost.Add(1)
+		r.dropped.Add(1)
 		return false
 	}
 }
 
 // Put waits for room: only for duties that no table ever waits on in turn.
-func (r *Ring[T]) Put(ctx context.Context, item T) bool {
+func (r *Queue[T]) Put(ctx context.Context, item T) bool {
 	select {
 	case r.items <- item:
 		return true
@@ -93,8 +93,8 @@
 	}
 }
 
-// Take takes an item out if one is there.
-func (r *Ring[T]) Take() (T, bool) {
+// TryTake takes an item out if one is there.
+func (r *Queue[T]) TryTake() (T, bool) {
 	select {
 	case item := <-r.items:
 		return item, true
@@ -104,15 +104,15 @@
 	}
 }
 
-// Lost is how many items found the ring full.
-func (r *Ring[T]) Lost() uint64 { return r.lost.Load() }
+// Dropped is how many items found the ring full.
+func (r *Queue[T]) Dropped() uint64 { return r.dropped.Load() }
 
-// Drain is the select loop, written once: it hands each item to `handle`, and
+// Consume is the select loop, written once: it hands each item to `handle`, and
 // calls `pace` every span if one is given, until the context ends.
-func (r *Ring[T]) Drain(ctx context.Context, every Micros, handle func(T), pace func()) {
+func (r *Queue[T]) Consume(ctx context.Context, tickInterval Micros, handle func(T), onTick func()) {
 	var ticks <-chan time.Time
-	if every > 0 {
-		ticker := time.NewTicker(every.Span())
+	if tickInterval > 0 {
+		ticker := time.NewTicker(tickInterval.Duration())
 		defer ticker.Stop()
 		ticks = ticker.C
 	}
@@ -123,64 +123,64 @@
 		case item := <-r.items:
 			handle(item)
 		case <-ticks:
-			pace()
+			onTick()
 		}
 	}
 }
 
 // Process runs a set of tables, each on its own goroutine.
 type Process struct {
-	Clock   Clock
-	Out     Out // where sends, dials and answers go; Tell stays here
-	rings   map[string]*Ring[Mail]
-	tables  map[string]Table
-	paces   map[string]Micros
-	latency atomic.Int64
-	running sync.WaitGroup
-	ctx     context.Context
+	Clock         Clock
+	Outbound      Effects // where sends, dials and answers go; Tell stays here
+	mailboxes     map[string]*Queue[Message]
+	components    map[string]Component
+	tickIntervals map[string]Micros
+	tickLatency   atomic.Int64
+	running       sync.WaitGroup
+	ctx           context.Context
 	// Broken is told of a table that panicked, which ends that table alone;
 	// whoever is told ends the process.
-	Broken func(table string, cause any, stack []byte)
+	OnPanic func(table string, cause any, stack []byte)
 }
 
 // NewProcess makes a process without tables; Add them, then Run.
 func NewProcess(clock Clock) *Process {
-	return &Process{Clock: clock, rings: map[string]*Ring[Mail]{}, tables: map[string]Table{}, paces: map[string]Micros{}}
+	return &Process{Clock: clock, mailboxes: map[string]*Queue[Message]{}, components: map[string]Component{}, tickIntervals: map[string]Micros{}}
 }
 
 // Add names a table before Run.
-func (p *Process) Add(name string, table Table, every Micros) {
-	p.tables[name], p.paces[name] = table, every
-	p.rings[name] = NewRing[Mail](4096)
+func (p *Process) Add(name string, component Component, tickInterval Micros) {
+	p.components[name], p.tickIntervals[name] = component, tickInterval
+	p.mailboxes[name] = NewQueue[Message](4096)
 }
 
 // Run starts every table and returns; Wait waits for their end.
 func (p *Process) Run(ctx context.Context) {
 	p.ctx = ctx
-	for name, table := range p.tables {
+	for name, component := range p.components {
 		p.running.Add(1)
 		go func() {
 			defer p.running.Done()
 			defer func() {
 				if cause := recover(); cause != nil {
-					if p.Broken == nil {
+					if p.OnPanic == nil {
 						panic(cause)
 					}
-					p.Broken(name, cause, debug.Stack())
+					p.OnPanic(name, cause, debug.Stack())
 				}
 			}()
-			pace := p.paces[name]
-			var last Micros
-			step := func(mail Mail) { table.Step(p.Clock.Now(), mail, p) }
-			p.rings[name].Drain(ctx, pace, step, func() {
+			tickInterval := p.tickIntervals[name]
+			var lastTick Micros
+			step := func(message Message) { component.Step(p.Clock.Now(), message, p) }
+			p.mailboxes[name].Consume(ctx, tickInterval, step, func() {
 				now := p.Clock.Now()
 				// A tick that comes late says that this process is short of
 				// processor or was frozen; the leaders' loop wants to know.
-				if last > 0 {
-					p.noteLatency(now - last - pace)
+				if lastTick > 0 {
+					p.recordTickLatency(now - lastTick - tickInterval)
 				}
-				last = now
-				step(Mail{Body: Tick{}})
+				lastTick = now
+				step(Message{Body: Tick{}})
 			})
 		}()
 	}
@@ -189,50 +189,50 @@
 // Wait returns when all tables have stopped.
 func (p *Process) Wait() { p.running.Wait() }
 
-func (p *Process) noteLatency(late Micros) {
+func (p *Process) recordTickLatency(late Micros) {
 	if late < 0 {
 		late = 0
 	}
 	// Decays, so that the worst of the last seconds is seen and then forgotten.
-	old := Micros(p.latency.Load())
+	old := Micros(p.tickLatency.Load())
 	if decayed := old - old/32; decayed > late {
 		late = decayed
 	}
-	p.latency.Store(int64(late))
+	p.tickLatency.Store(int64(late))
 }
 
-// Latency is the worst recent lateness of a tick.
-func (p *Process) Latency() Micros { return Micros(p.latency.Load()) }
+// TickLatency is the worst recent lateness of a tick.
+func (p *Process) TickLatency() Micros { return Micros(p.tickLatency.Load()) }
 
 // Post puts a mail from outside into a table's mailbox.
-func (p *Process) Post(table string, mail Mail) bool {
-	ring, known := p.rings[table]
-	return known && ring.Offer(mail)
+func (p *Process) Post(component string, message Message) bool {
+	mailbox, known := p.mailboxes[component]
+	return known && mailbox.TryPut(message)
 }
 
 // PostWait is Post for duties whose word may not be lost.
-func (p *Process) PostWait(table string, mail Mail) bool {
-	ring, known := p.rings[table]
-	return known && ring.Put(p.ctx, mail)
+func (p *Process) PostWait(component string, message Message) bool {
+	mailbox, known := p.mailboxes[component]
+	return known && mailbox.Put(p.ctx, message)
 }
 
-// Lost counts the mails that found a full mailbox.
-func (p *Process) Lost() map[string]uint64 {
+// Dropped counts the mails that found a full mailbox.
+func (p *Process) Dropped() map[string]uint64 {
 	counts := map[string]uint64{}
-	for name, ring := range p.rings {
-		counts[name] = ring.Lost()
+	for name, mailbox := range p.mailboxes {
+		counts[name] = mailbox.Dropped()
 	}
 	return counts
 }
 
-// Tell implements Out: a message for another table of this process.
-func (p *Process) Tell(table string, body any) { p.Post(table, Mail{Body: body}) }
+// Notify implements Out: a message for another table of this process.
+func (p *Process) Notify(component string, body any) { p.Post(component, Message{Body: body}) }
 
 // Send implements Out: a message for another process, by its id.
-func (p *Process) Send(to string, body any) { p.Out.Send(to, body) }
+func (p *Process) Send(to string, body any) { p.Outbound.Send(to, body) }
 
 // Dial implements Out: a message for whoever listens at an address.
-func (p *Process) Dial(address string, body any) { p.Out.Dial(address, body) }
+func (p *Process) Dial(address string, body any) { p.Outbound.Dial(address, body) }
 
-// Answer implements Out: the answer to a request from outside.
-func (p *Process) Answer(request uint64, body any) { p.Out.Answer(request, body) }
+// Respond implements Out: the answer to a request from outside.
+func (p *Process) Respond(request uint64, body any) { p.Outbound.Respond(request, body) }
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -9,45 +9,45 @@
 
 type echo struct{}
 
-func (echo) Step(_ Micros, mail Mail, out Out) {
+func (echo) Step(_ Micros, mail Message, out Effects) {
 	if mail.Body == "break" {
 		panic("broken")
 	}
-	out.Answer(7, mail.Body)
+	out.Respond(7, mail.Body)
 }
 
-type catch struct{ answers chan any }
+type recordedEffects struct{ responses chan any }
 
-func (catch) Send(string, any)            {}
-func (catch) Dial(string, any)            {}
-func (catch) Tell(string, any)            {}
-func (c catch) Answer(_ uint64, body any) { c.answers <- body }
+func (recordedEffects) Send(string, any)             {}
+func (recordedEffects) Dial(string, any)             {}
+func (recordedEffects) Notify(string, any)           {}
+func (c recordedEffects) Respond(_ uint64, body any) { c.responses <- body }
 
 func TestProcess(t *testing.T) {
 	Convey("Mails reach their table in order, and a table that panics is told of", t, func() {
 		p := NewProcess(RealClock())
-		out := catch{make(chan any, 16)}
+		out := recordedEffects{make(chan any, 16)}
 		broken := make(chan string, 1)
-		p.Out, p.Broken = out, func(table string, cause any, stack []byte) { broken <- table }
+		p.Outbound, p.OnPanic = out, func(table string, cause any, stack []byte) { broken <- table }
 		p.Add("echo", echo{}, 0)
 		ctx, cancel := context.WithCancel(context.Background())
-		So(p.Post("echo", Mail{Body: 1}), ShouldBeTrue)
-		So(p.Post("nobody", Mail{Body: 1}), ShouldBeFalse)
+		So(p.Post("echo", Message{Body: 1}), ShouldBeTrue)
+		So(p.Post("nobody", Message{Body: 1}), ShouldBeFalse)
 		p.Run(ctx)
-		So(p.PostWait("echo", Mail{Body: 2}), ShouldBeTrue)
-		So(<-out.answers, ShouldEqual, 1)
-		So(<-out.answers, ShouldEqual, 2)
-		p.Post("echo", Mail{Body: "break"})
+		So(p.PostWait("echo", Message{Body: 2}), ShouldBeTrue)
+		So(<-out.responses, ShouldEqual, 1)
+		So(<-out.responses, ShouldEqual, 2)
+		p.Post("echo", Message{Body: "break"})
 		So(<-broken, ShouldEqual, "echo")
 		cancel()
 		p.Wait()
 	})
 	Convey("A full ring loses what is offered, and counts it", t, func() {
-		r := NewRing[int](2)
-		So(r.Offer(1), ShouldBeTrue)
-		So(r.Offer(2), ShouldBeTrue)
-		So(r.Offer(3), ShouldBeFalse)
-		So(r.Lost(), ShouldEqual, 1)
+		r := NewQueue[int](2)
+		So(r.TryPut(1), ShouldBeTrue)
+		So(r.TryPut(2), ShouldBeTrue)
+		So(r.TryPut(3), ShouldBeFalse)
+		So(r.Dropped(), ShouldEqual, 1)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		So(r.Put(ctx, 4), ShouldBeFalse)
--- a/internal/fakeworker/called.go
+++ b/internal/fakeworker/called.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	patience = 400 * eventloop.Milli // a call without an answer is silent after this
-	endsMost = 500                   // in one look
+	patience = 400 * eventloop.Millisecond // a call without an answer is silent after this
+	endsMost = 500                         // in one look
 )
 
 // Need is what a called worker reads of a task.
--- a/internal/fakeworker/called_test.go
+++ b/internal/fakeworker/called_test.go
@@ -11,8 +11,8 @@
 )
 
 var calledBounds = &schema.Bounds{
-	HoldMostUs: int64(5 * eventloop.Second), StopUs: int64(400 * eventloop.Milli), GatherUs: int64(2 * eventloop.Second), AwayMilli: 1500,
-	SaveUs: int64(eventloop.Second), RestoreUs: int64(100 * eventloop.Milli),
+	HoldMostUs: int64(5 * eventloop.Second), StopUs: int64(400 * eventloop.Millisecond), GatherUs: int64(2 * eventloop.Second), AwayMilli: 1500,
+	SaveUs: int64(eventloop.Second), RestoreUs: int64(100 * eventloop.Millisecond),
 }
 
 // pair is a worker and the replies it gave.
@@ -112,13 +112,13 @@
 		p.ask(now, startOf(0, 1, until, "run_us=300000"))
 		p.ask(now, startOf(1, 1, until, "run_us=400000"))
 		first := p.do(now, look(0, eventloop.Second))
-		p.Step(now + 199*eventloop.Milli)
+		p.Step(now + 199*eventloop.Millisecond)
 		So(p.replies, ShouldNotContainKey, first)
-		p.Step(now + 200*eventloop.Milli)
+		p.Step(now + 200*eventloop.Millisecond)
 		So(p.replies[first].Ended, ShouldResemble, []agent.Ending{{Number: 1, Task: agent.TaskName{Job: "j", Task: 1}, Attempt: 1, How: "failed"}})
-		p.Step(now + 300*eventloop.Milli)
-		So(p.ask(now+300*eventloop.Milli, look(0, 0)).Ended, ShouldHaveLength, 2)
-		left := p.ask(now+300*eventloop.Milli, look(1, 0)).Ended
+		p.Step(now + 300*eventloop.Millisecond)
+		So(p.ask(now+300*eventloop.Millisecond, look(0, 0)).Ended, ShouldHaveLength, 2)
+		left := p.ask(now+300*eventloop.Millisecond, look(1, 0)).Ended
 		So(left, ShouldHaveLength, 1)
 		So([]any{left[0].Number, left[0].How}, ShouldResemble, []any{uint64(2), "done"})
 		second := p.do(now+eventloop.Second, look(2, eventloop.Second))
@@ -137,30 +137,30 @@
 	})
 	Convey("When the hold is over by its own clock everything is killed", t, func() {
 		p := newPair("w", Setup{Drift: 0.98}, nil)
-		p.ask(now, startOf(0, 1, p.Clock(now)+980*eventloop.Milli, "run_us=60000000"))
-		p.Step(now + 999*eventloop.Milli)
+		p.ask(now, startOf(0, 1, p.Clock(now)+980*eventloop.Millisecond, "run_us=60000000"))
+		p.Step(now + 999*eventloop.Millisecond)
 		So(p.Running(), ShouldEqual, 1)
-		p.Step(now + 1001*eventloop.Milli)
-		So(p.ask(now+1001*eventloop.Milli, look(0, 0)).Ended[0].How, ShouldEqual, "lapsed")
+		p.Step(now + 1001*eventloop.Millisecond)
+		So(p.ask(now+1001*eventloop.Millisecond, look(0, 0)).Ended[0].How, ShouldEqual, "lapsed")
 	})
 	Convey("A stop takes its time and keeps all progress; the next start goes on from there, at the price of a restore", t, func() {
 		p := newPair("w", Setup{}, nil)
 		p.ask(now, startOf(0, 1, p.Clock(now)+5*eventloop.Second, "run_us=3000000 saves=1"))
-		at := now + 1500*eventloop.Milli
+		at := now + 1500*eventloop.Millisecond
 		So(p.ask(at, look(0, 0)).Running[0].Saved, ShouldEqual, "work=1000000 of=j.0.0.0")
 		p.ask(at, stopOf(0, 1))
-		p.Step(at + 99*eventloop.Milli)
+		p.Step(at + 99*eventloop.Millisecond)
 		So(p.Running(), ShouldEqual, 1)
-		at += 100 * eventloop.Milli
+		at += 100 * eventloop.Millisecond
 		p.Step(at)
 		ended := p.ask(at, look(0, 0)).Ended
 		So([]any{ended[0].How, ended[0].Saved}, ShouldResemble, []any{"stopped", "work=1600000 of=j.0.0.0"})
 		next := startOf(0, 2, p.Clock(at)+5*eventloop.Second, "run_us=3000000 saves=1")
 		next.Saved = ended[0].Saved
 		p.ask(at, next)
-		p.Step(at + 1499*eventloop.Milli)
+		p.Step(at + 1499*eventloop.Millisecond)
 		So(p.Running(), ShouldEqual, 1)
-		p.Step(at + 1500*eventloop.Milli)
+		p.Step(at + 1500*eventloop.Millisecond)
 		So(p.Running(), ShouldEqual, 0)
 	})
 }
@@ -188,14 +188,14 @@
 		a, b := newPair("a", Setup{Rack: "r1"}, gangs), newPair("b", Setup{Rack: "r2"}, gangs)
 		a.ask(now, member(0, "one_rack=1"))
 		b.ask(now+eventloop.Second, member(1, "one_rack=1"))
-		So(hows(now+2499*eventloop.Milli, a, b), ShouldBeEmpty)
-		So(hows(now+2500*eventloop.Milli, a, b), ShouldResemble, []string{"done", "done"})
+		So(hows(now+2499*eventloop.Millisecond, a, b), ShouldBeEmpty)
+		So(hows(now+2500*eventloop.Millisecond, a, b), ShouldResemble, []string{"done", "done"})
 	})
 	Convey("Who waits too long ends alone, and whoever comes then is broken", t, func() {
 		gangs := NewGangs()
 		a, b := newPair("a", Setup{}, gangs), newPair("b", Setup{}, gangs)
 		a.ask(now, member(0, ""))
-		So(hows(now+1999*eventloop.Milli, a, b), ShouldBeEmpty)
+		So(hows(now+1999*eventloop.Millisecond, a, b), ShouldBeEmpty)
 		So(hows(now+2*eventloop.Second, a, b), ShouldResemble, []string{"alone"})
 		b.ask(now+2*eventloop.Second, member(1, ""))
 		So(hows(now+2*eventloop.Second, a, b), ShouldResemble, []string{"alone", "broken"})
@@ -213,9 +213,9 @@
 			case "gone":
 				a.Crash(now)
 			}
-			b.Step(now + 600*eventloop.Milli)
-			a.Step(now + 600*eventloop.Milli)
-			So(hows(now+600*eventloop.Milli, b), ShouldResemble, []string{"broken"})
+			b.Step(now + 600*eventloop.Millisecond)
+			a.Step(now + 600*eventloop.Millisecond)
+			So(hows(now+600*eventloop.Millisecond, b), ShouldResemble, []string{"broken"})
 		}
 	})
 }
--- a/internal/fakeworker/fakeworker.go
+++ b/internal/fakeworker/fakeworker.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	announceSpan = 500 * eventloop.Milli
-	hurrySpan    = 20 * eventloop.Milli // between two announces at least
+	announceSpan = 500 * eventloop.Millisecond
+	hurrySpan    = 20 * eventloop.Millisecond // between two announces at least
 	doneKept     = 120 * eventloop.Second
 )
 
@@ -198,7 +198,7 @@
 	w.lastSent, w.isHurried = now, false
 	a := &schema.WorkerHeartbeat{
 		Incarnation: w.Incarnation, Seq: w.seq, CoresMilli: w.cores, MemoryMb: w.memory, Rack: w.rack, Draining: w.isLeaving,
-		FencingToken: w.ward, MaxWaitUs: int64(400 * eventloop.Milli),
+		FencingToken: w.ward, MaxWaitUs: int64(400 * eventloop.Millisecond),
 	}
 	for _, r := range w.sorted() {
 		note := &schema.TaskStatus{
@@ -234,10 +234,10 @@
 // Unanswered says that an announce came to nothing; the next may go at once
 // to another front.
 func (w *Worker) Unanswered(now eventloop.Micros) {
-	if w.lastSent+100*eventloop.Milli < now {
+	if w.lastSent+100*eventloop.Millisecond < now {
 		w.isHurried = true
 	} else {
-		w.lastSent = now - announceSpan + 100*eventloop.Milli
+		w.lastSent = now - announceSpan + 100*eventloop.Millisecond
 	}
 }
 
--- a/internal/gateway/clusterstate.go
+++ b/internal/gateway/clusterstate.go
@@ -13,7 +13,7 @@
 	return &schema.ClusterStateRequest{Version: t.state.Version, HeldRevision: t.state.Configuration.GetRevision()}
 }
 
-func (t *Table) clusterState(now eventloop.Micros, m *schema.ClusterStateResponse, out eventloop.Out) {
+func (t *Table) clusterState(now eventloop.Micros, m *schema.ClusterStateResponse, out eventloop.Effects) {
 	state, err := clusterstate.Incoming(m, t.state.Configuration)
 	if err != nil {
 		return // it is asked for again, and until then nothing fresh has been heard
@@ -54,7 +54,7 @@
 	}
 }
 
-func (t *Table) askClusterState(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) askClusterState(now eventloop.Micros, out eventloop.Effects) {
 	if now-t.askedAt < t.askRest(now) {
 		return
 	}
@@ -70,7 +70,7 @@
 	}
 }
 
-func (t *Table) askAt(now eventloop.Micros, store string, out eventloop.Out) {
+func (t *Table) askAt(now eventloop.Micros, store string, out eventloop.Effects) {
 	ask := t.stateAsk()
 	ask.Sequence = t.lease.question(now)
 	out.Send(store, ask)
--- a/internal/gateway/confirmation.go
+++ b/internal/gateway/confirmation.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	confirmationSpan = 500 * eventloop.Milli // a call for an unknown queue waits so long for the leader's word
+	confirmationSpan = 500 * eventloop.Millisecond // a call for an unknown queue waits so long for the leader's word
 	maxParked        = 256
 	// Confirmations are requests of our own, numbered above those of callers.
 	firstConfirmation = 1 << 63
@@ -30,7 +30,7 @@
 }
 
 // park holds a call until its queue is found, or confirmed not to be there.
-func (t *Table) park(now eventloop.Micros, call any, out eventloop.Out) bool {
+func (t *Table) park(now eventloop.Micros, call any, out eventloop.Effects) bool {
 	c := &t.confirmation
 	if len(c.riding)+len(c.next) >= maxParked {
 		return false
@@ -43,7 +43,7 @@
 }
 
 // confirm asks for all calls that wait for an answer to a question sent since.
-func (t *Table) confirm(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) confirm(now eventloop.Micros, out eventloop.Effects) {
 	c := &t.confirmation
 	if len(c.next) == 0 {
 		return
@@ -60,7 +60,7 @@
 }
 
 // stateConfirmed takes the leader's answer and decides the calls that rode on it.
-func (t *Table) stateConfirmed(now eventloop.Micros, m *schema.Response, out eventloop.Out) {
+func (t *Table) stateConfirmed(now eventloop.Micros, m *schema.Response, out eventloop.Effects) {
 	tell := &schema.ClusterStateResponse{}
 	if m.Code != 200 || proto.Unmarshal(m.Body, tell) != nil {
 		t.stateUnconfirmed(now, out)
@@ -86,7 +86,7 @@
 
 // stateUnconfirmed turns away what rode on the question: nobody knows whether there is
 // such a queue.
-func (t *Table) stateUnconfirmed(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) stateUnconfirmed(now eventloop.Micros, out eventloop.Effects) {
 	for _, call := range t.takeRiding() {
 		switch m := call.(type) {
 		case HandIn:
@@ -107,7 +107,7 @@
 }
 
 // tickConfirmation gives up on a leader that doesn't answer.
-func (t *Table) tickConfirmation(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) tickConfirmation(now eventloop.Micros, out eventloop.Effects) {
 	if t.confirmation.number != 0 && now-t.confirmation.sentAt > confirmationSpan {
 		t.stateUnconfirmed(now, out)
 	}
@@ -115,7 +115,7 @@
 
 // unknownQueue answers for a queue that isn't placed, or parks the call first. The
 // queue is empty where host and path lead to none.
-func (t *Table) unknownQueue(now eventloop.Micros, request uint64, queue string, call any, isConfirmed bool, out eventloop.Out) {
+func (t *Table) unknownQueue(now eventloop.Micros, request uint64, queue string, call any, isConfirmed bool, out eventloop.Effects) {
 	switch {
 	case !t.lease.isValid(now):
 		t.notReady(now, request, out)
@@ -127,8 +127,8 @@
 	case t.state.Configuration.GetRevision() == 0 || t.values.HasQueue(queue):
 		t.refuse(request, 503, "not_ready", "there is no plan yet, or the queue is being made", 1, out)
 	case queue == "":
-		out.Answer(request, Answer{Code: 404, Body: Fault("unknown_queue", "the plan has no queue for this host and path", "path")})
+		out.Respond(request, Answer{Code: 404, Body: Fault("unknown_queue", "the plan has no queue for this host and path", "path")})
 	default:
-		out.Answer(request, Answer{Code: 404, Body: Fault("unknown_queue", "the plan has no queue "+strconv.Quote(queue), "queue")})
+		out.Respond(request, Answer{Code: 404, Body: Fault("unknown_queue", "the plan has no queue "+strconv.Quote(queue), "queue")})
 	}
 }
--- a/internal/gateway/dropped.go
+++ b/internal/gateway/dropped.go
@@ -13,7 +13,7 @@
 
 // endDropped answers what is under way for queues that are there no more: nobody
 // leads them, so it would wait here in vain.
-func (t *Table) endDropped(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) endDropped(now eventloop.Micros, out eventloop.Effects) {
 	byName := func(a, b queueClient) int {
 		return cmp.Or(cmp.Compare(a.queue, b.queue), cmp.Compare(a.client, b.client))
 	}
@@ -29,7 +29,7 @@
 		}
 		delete(t.requests, id)
 		if ask.Kind == "cancel" {
-			out.Answer(id, unknown())
+			out.Respond(id, unknown())
 			continue
 		}
 		t.unknownQueue(now, id, ask.Group, ask, false, out)
@@ -38,12 +38,12 @@
 
 // endSession forgets a session whose queue is over. Its numbers mean nothing any more,
 // and whether what it held was taken before isn't known.
-func (t *Table) endSession(key queueClient, out eventloop.Out) {
+func (t *Table) endSession(key queueClient, out eventloop.Effects) {
 	s := t.sessions[key]
 	for _, each := range s.waiting {
 		if each.request != 0 {
 			delete(t.asked, each.request)
-			out.Answer(each.request, unknown())
+			out.Respond(each.request, unknown())
 		}
 	}
 	t.pending -= len(s.waiting)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -16,26 +16,26 @@
 )
 
 // Pace is the tick of the table.
-const Pace = 50 * eventloop.Milli
+const Pace = 50 * eventloop.Millisecond
 
 const (
-	resendSpan    = 700 * eventloop.Milli  // an unconfirmed submission is sent again after this
-	redirectSpan  = 40 * eventloop.Milli   // between two redirects of one thing
-	retrySpan     = 400 * eventloop.Milli  // another request is sent again after this
-	storeSpan     = 1200 * eventloop.Milli // a store unheard for longer is asked only for want of others
-	askSpan       = 250 * eventloop.Milli  // between looks at the cluster state, at most
-	storesPerTurn = 2                      // stores that a front without word asks at once
-	newSpan       = 2 * eventloop.Second   // after a queue lost its leader the cluster state is looked at more often
-	quietSpan     = 30 * eventloop.Second  // a client session that rests this long is ended
-	frozenSpan    = 20 * eventloop.Second  // after a longer pause this front starts afresh
-	listedSpan    = 5 * eventloop.Second   // fronts that weren't heard of for longer aren't listed
-	youngSpan     = 900 * eventloop.Milli  // a process that never had word carries an operator's call so long; who calls waits a second
-	maxPending    = 4096                   // requests of all kinds at once
-	rateSpan      = eventloop.Second       // over which what a queue gets done is counted
-	longestRetry  = 30                     // seconds
-	maxResend     = 64                     // submissions resent a queue and tick
+	resendSpan    = 700 * eventloop.Millisecond  // an unconfirmed submission is sent again after this
+	redirectSpan  = 40 * eventloop.Millisecond   // between two redirects of one thing
+	retrySpan     = 400 * eventloop.Millisecond  // another request is sent again after this
+	storeSpan     = 1200 * eventloop.Millisecond // a store unheard for longer is asked only for want of others
+	askSpan       = 250 * eventloop.Millisecond  // between looks at the cluster state, at most
+	storesPerTurn = 2                            // stores that a front without word asks at once
+	newSpan       = 2 * eventloop.Second         // after a queue lost its leader the cluster state is looked at more often
+	quietSpan     = 30 * eventloop.Second        // a client session that rests this long is ended
+	frozenSpan    = 20 * eventloop.Second        // after a longer pause this front starts afresh
+	listedSpan    = 5 * eventloop.Second         // fronts that weren't heard of for longer aren't listed
+	youngSpan     = 900 * eventloop.Millisecond  // a process that never had word carries an operator's call so long; who calls waits a second
+	maxPending    = 4096                         // requests of all kinds at once
+	rateSpan      = eventloop.Second             // over which what a queue gets done is counted
+	longestRetry  = 30                           // seconds
+	maxResend     = 64                           // submissions resent a queue and tick
 	quietedMost   = 64
-	ledSpan       = 300 * eventloop.Milli // a queue without a leader for so long takes no new hand-ins here
+	ledSpan       = 300 * eventloop.Millisecond // a queue without a leader for so long takes no new hand-ins here
 )
 
 // Table is the gateway's table.
@@ -93,7 +93,7 @@
 }
 
 // Step implements eventloop.Table.
-func (t *Table) Step(now eventloop.Micros, mail eventloop.Mail, out eventloop.Out) {
+func (t *Table) Step(now eventloop.Micros, mail eventloop.Message, out eventloop.Effects) {
 	switch body := mail.Body.(type) {
 	case eventloop.Tick:
 		t.tick(now, out)
@@ -129,7 +129,7 @@
 	}
 }
 
-func (t *Table) tick(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) tick(now eventloop.Micros, out eventloop.Effects) {
 	if t.last > 0 && now-t.last > frozenSpan {
 		// Others may have given us up meanwhile, and our callers have.
 		t.restart(now, out)
@@ -198,7 +198,7 @@
 
 // fronts lists the fronts heard of lately, so that whoever knows one of them
 // finds the others.
-func (t *Table) fronts(now eventloop.Micros, m Fronts, out eventloop.Out) {
+func (t *Table) fronts(now eventloop.Micros, m Fronts, out eventloop.Effects) {
 	list := &schema.GatewayList{Gateways: []*schema.GatewayEndpoint{}}
 	if t.roll != nil {
 		ids := slices.Sorted(maps.Keys(t.roll.Known))
@@ -213,17 +213,17 @@
 		t.refuse(m.Request, 500, "internal", err.Error(), 0, out)
 		return
 	}
-	out.Answer(m.Request, Answer{Code: 200, Body: data})
+	out.Respond(m.Request, Answer{Code: 200, Body: data})
 }
 
 // ready tells whether this front can take requests and carry them.
-func (t *Table) ready(now eventloop.Micros, m Ready, out eventloop.Out) {
+func (t *Table) ready(now eventloop.Micros, m Ready, out eventloop.Effects) {
 	switch {
 	case t.isWarned:
 		t.refuse(m.Request, 503, "leaving", "this process is leaving", 0, out)
 	case !t.lease.isValid(now):
 		t.refuse(m.Request, 503, "not_ready", "no fresh word of the cluster state", 1, out)
 	default:
-		out.Answer(m.Request, Answer{Code: 200, Body: []byte(`{"ready":true}`)})
+		out.Respond(m.Request, Answer{Code: 200, Body: []byte(`{"ready":true}`)})
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -31,8 +31,8 @@
 
 func (d *desk) Send(to string, body any) { d.sent = append(d.sent, sending{to, body}) }
 func (d *desk) Dial(string, any)         {}
-func (d *desk) Tell(string, any)         {}
-func (d *desk) Answer(request uint64, body any) {
+func (d *desk) Notify(string, any)       {}
+func (d *desk) Respond(request uint64, body any) {
 	if answer, isAnswer := body.(Answer); isAnswer {
 		d.answers[request] = answer
 	}
@@ -44,7 +44,7 @@
 	if tell, isTell := body.(*schema.ClusterStateResponse); isTell && tell.Leaders != nil && tell.Sequence == 0 {
 		tell.Sequence = d.t.lease.question(d.now)
 	}
-	d.t.Step(d.now, eventloop.Mail{From: sender, Body: body}, d)
+	d.t.Step(d.now, eventloop.Message{From: sender, Body: body}, d)
 }
 
 // confirm has the cluster state's leader answer the question after queues that is out;
@@ -146,7 +146,7 @@
 				d.step(&schema.SubmitResponse{Queue: "l", Leader: "b"})
 			}
 			So(len(d.sent), ShouldBeLessThan, count+3)
-			d.now += 60 * eventloop.Milli
+			d.now += 60 * eventloop.Millisecond
 			d.step(eventloop.Tick{})
 			_, submit := d.lastSubmit()
 			So(submit.Enqueues[0].Name, ShouldEqual, "one")
@@ -262,7 +262,7 @@
 			So(d.answers[5].Code, ShouldEqual, 404)
 		})
 		Convey("no answer: nobody knows, whatever our copy says", func() {
-			d.now += confirmationSpan + eventloop.Milli
+			d.now += confirmationSpan + eventloop.Millisecond
 			d.step(eventloop.Tick{})
 			So(d.answers[5].Code, ShouldEqual, 503)
 			So(d.answers[5].Retry, ShouldEqual, 1)
@@ -296,7 +296,7 @@
 			d.handIn("c", "n")
 			_, submit := d.lastSubmit()
 			d.applied("a", submit.Enqueues[0].Number)
-			d.now += 250 * eventloop.Milli
+			d.now += 250 * eventloop.Millisecond
 			d.step(eventloop.Tick{})
 			d.step(&schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{"l": "a"}})
 		}
@@ -345,7 +345,7 @@
 		d := newDesk()
 		d.step(eventloop.Tick{})
 		id := d.handIn("c", "one")
-		d.now += d.t.lease.duration() + eventloop.Milli
+		d.now += d.t.lease.duration() + eventloop.Millisecond
 		d.step(eventloop.Tick{})
 		d.step(Ready{Request: 900})
 		So(d.answers[900].Code, ShouldEqual, 503)
@@ -400,7 +400,7 @@
 		id := d.handIn("c", "one")
 		d.step(Ask{Request: 900, Kind: "status", Group: "l", Name: "one", Deadline: d.now + 60*eventloop.Second})
 		d.step(Ask{Request: 901, Kind: "cancel", Group: "l", Name: "one", Deadline: d.now + 60*eventloop.Second})
-		d.now += usualApplyBound + eventloop.Milli
+		d.now += usualApplyBound + eventloop.Millisecond
 		d.step(eventloop.Tick{})
 		// Numbered, so whether it takes effect isn't known; and it goes on being sent.
 		So(d.answers[id].Code, ShouldEqual, 504)
@@ -516,7 +516,7 @@
 		// It leads no more and knows nobody.
 		d.step(&schema.SubmitResponse{Queue: "l"})
 		second := d.handIn("c", "two")
-		d.now += ledSpan + eventloop.Milli
+		d.now += ledSpan + eventloop.Millisecond
 		third := d.handIn("c", "three")
 		So(d.answers[third].Code, ShouldEqual, 503)
 		So(d.answers[third].Retry, ShouldEqual, 1)
@@ -572,9 +572,9 @@
 	Convey("A hand-in that a store turned away before it came to lead is sent there again at once", t, func() {
 		d := newDesk()
 		d.handIn("c", "one")
-		d.now += 5 * eventloop.Milli
-		d.t.Step(d.now, eventloop.Mail{From: "a", Body: &schema.SubmitResponse{Queue: "l"}}, d)
-		d.now += 100 * eventloop.Milli
+		d.now += 5 * eventloop.Millisecond
+		d.t.Step(d.now, eventloop.Message{From: "a", Body: &schema.SubmitResponse{Queue: "l"}}, d)
+		d.now += 100 * eventloop.Millisecond
 		d.step(&schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{"l": "a"}})
 		before := len(d.sent)
 		for k := 0; k < 3; k++ {
@@ -603,7 +603,7 @@
 		queues(2, "l", "new")
 		job := &schema.Job{Steps: []*schema.Step{{Name: "s", Tasks: 1, CoresMilli: 1}}}
 		d.step(HandIn{Request: 1, Queue: "new", Client: "c", Name: "j", Job: job})
-		d.now += ledSpan + eventloop.Milli
+		d.now += ledSpan + eventloop.Millisecond
 		d.step(HandIn{Request: 2, Queue: "new", Client: "c", Name: "j", Job: job})
 		So(d.answers, ShouldNotContainKey, uint64(1))
 		So(d.answers[2].Code, ShouldEqual, 503)
--- a/internal/gateway/lease_test.go
+++ b/internal/gateway/lease_test.go
@@ -24,7 +24,7 @@
 		d := newDesk()
 		number := d.t.lease.question(d.now)
 		// As for a process that was frozen, or an answer that lay in a buffer.
-		d.now += d.t.lease.duration() + eventloop.Milli
+		d.now += d.t.lease.duration() + eventloop.Millisecond
 		d.step(tell(number, 0))
 		So(d.isReady(), ShouldBeFalse)
 		Convey("and a new answer starts it anew", func() {
@@ -39,8 +39,8 @@
 	Convey("What the answer was worth when it was sent counts against it", t, func() {
 		d := newDesk()
 		d.now += 10 * eventloop.Second
-		d.step(tell(d.t.lease.question(d.now), 900*eventloop.Milli))
-		d.now += d.t.lease.duration() - 900*eventloop.Milli
+		d.step(tell(d.t.lease.question(d.now), 900*eventloop.Millisecond))
+		d.now += d.t.lease.duration() - 900*eventloop.Millisecond
 		So(d.isReady(), ShouldBeTrue)
 		d.now++
 		So(d.isReady(), ShouldBeFalse)
@@ -61,10 +61,10 @@
 	})
 	Convey("The lease follows from when a plan must be in force", t, func() {
 		d := newDesk()
-		d.t.Bind(&schema.Bounds{ApplyUs: int64(800 * eventloop.Milli)})
-		So(d.t.lease.duration(), ShouldEqual, 600*eventloop.Milli)
-		So(d.t.askRest(d.now), ShouldEqual, 100*eventloop.Milli)
-		So(New("me", 1, false, nil).Bind(nil).lease.duration(), ShouldEqual, 1500*eventloop.Milli)
+		d.t.Bind(&schema.Bounds{ApplyUs: int64(800 * eventloop.Millisecond)})
+		So(d.t.lease.duration(), ShouldEqual, 600*eventloop.Millisecond)
+		So(d.t.askRest(d.now), ShouldEqual, 100*eventloop.Millisecond)
+		So(New("me", 1, false, nil).Bind(nil).lease.duration(), ShouldEqual, 1500*eventloop.Millisecond)
 	})
 	Convey("A front without word asks every store in turn, not those alone that it heard of lately", t, func() {
 		d := newDesk()
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -56,7 +56,7 @@
 // Warned says that this process is to leave.
 type Warned struct{}
 
-// Answer goes back to whoever waits.
+// Respond goes back to whoever waits.
 type Answer struct {
 	Code  int32
 	Body  []byte
--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -18,14 +18,14 @@
 	return data
 }
 
-func (t *Table) refuse(request uint64, code int32, name, message string, retry int, out eventloop.Out) {
-	out.Answer(request, Answer{Code: code, Body: Fault(name, message, ""), Retry: retry})
+func (t *Table) refuse(request uint64, code int32, name, message string, retry int, out eventloop.Effects) {
+	out.Respond(request, Answer{Code: code, Body: Fault(name, message, ""), Retry: retry})
 }
 
 // turnAway says no before the submission has a number, and when there should be
 // room: each who is told so is given the next turn, at the pace at which room
 // has been coming of late.
-func (t *Table) turnAway(now eventloop.Micros, m HandIn, code, message, what string, out eventloop.Out) {
+func (t *Table) turnAway(now eventloop.Micros, m HandIn, code, message, what string, out eventloop.Effects) {
 	t.refuse(m.Request, 429, code, message, t.pace(what).turn(now), out)
 }
 
@@ -72,7 +72,7 @@
 
 // notReady is the answer of a front that has no word of the cluster state: the longer
 // it lasts, the less soon it is worth asking here again.
-func (t *Table) notReady(now eventloop.Micros, request uint64, out eventloop.Out) {
+func (t *Table) notReady(now eventloop.Micros, request uint64, out eventloop.Effects) {
 	retry := 1
 	if since := t.lease.confirmedAt; since > 0 {
 		retry = min(max(int((now-since)/(2*eventloop.Second)), 1), 10)
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -24,7 +24,7 @@
 	return retrySpan + eventloop.LinkTime(len(r.ask.Body))
 }
 
-func (t *Table) ask(now eventloop.Micros, m Ask, isConfirmed bool, out eventloop.Out) {
+func (t *Table) ask(now eventloop.Micros, m Ask, isConfirmed bool, out eventloop.Effects) {
 	if len(t.requests) >= maxPending {
 		t.refuse(m.Request, 429, "front_full", "this front has too much in hand", t.pace("").turn(now), out)
 		return
@@ -50,7 +50,7 @@
 	t.carry(now, each, out)
 }
 
-func (t *Table) carry(now eventloop.Micros, each *request, out eventloop.Out) {
+func (t *Table) carry(now eventloop.Micros, each *request, out eventloop.Effects) {
 	m := each.ask
 	each.sent, each.to = now, t.leader(now, m.Group)
 	if to := each.to; to != "" {
@@ -58,7 +58,7 @@
 	}
 }
 
-func (t *Table) replied(now eventloop.Micros, m *schema.Response, out eventloop.Out) {
+func (t *Table) replied(now eventloop.Micros, m *schema.Response, out eventloop.Effects) {
 	each := t.requests[m.Id]
 	if each == nil {
 		return
@@ -74,14 +74,14 @@
 		}
 		whole, err := clusterstate.Unpack(m.Body)
 		if err != nil {
-			out.Answer(m.Id, unknown())
+			out.Respond(m.Id, unknown())
 			return
 		}
 		answer := Answer{Code: m.Code, Body: whole}
 		if m.Code >= 500 {
 			answer.Retry = 1
 		}
-		out.Answer(m.Id, answer)
+		out.Respond(m.Id, answer)
 		return
 	}
 	if m.Leader != each.to && t.mayLead(now, m.Leader) {
@@ -108,7 +108,7 @@
 	}
 }
 
-func (t *Table) tickRequests(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) tickRequests(now eventloop.Micros, out eventloop.Effects) {
 	var ids []uint64
 	for id, each := range t.requests {
 		if now-each.sent > each.retryAfter() || each.isOwed || now > each.ask.Deadline {
@@ -120,7 +120,7 @@
 		each := t.requests[id]
 		if now > each.ask.Deadline {
 			delete(t.requests, id)
-			out.Answer(id, unknown())
+			out.Respond(id, unknown())
 			continue
 		}
 		if !each.isOwed {
--- a/internal/gateway/submissions.go
+++ b/internal/gateway/submissions.go
@@ -40,7 +40,7 @@
 
 type queueClient struct{ queue, client string }
 
-func (t *Table) handIn(now eventloop.Micros, m HandIn, isConfirmed bool, out eventloop.Out) {
+func (t *Table) handIn(now eventloop.Micros, m HandIn, isConfirmed bool, out eventloop.Effects) {
 	// What is parked must be looked up anew, so the mail stays as it came.
 	mail := m
 	if m.Queue == "" {
@@ -51,7 +51,7 @@
 		return
 	}
 	if !GoodName(m.Name) {
-		out.Answer(m.Request, Answer{Code: 422, Body: Fault("bad_name", "letters, digits, '.', '_', ':' and '-', at most 128", "name")})
+		out.Respond(m.Request, Answer{Code: 422, Body: Fault("bad_name", "letters, digits, '.', '_', ':' and '-', at most 128", "name")})
 		return
 	}
 	if !t.lease.isValid(now) {
@@ -60,7 +60,7 @@
 	}
 	if fault := tooLarge(t.values, m.Queue, m.Job); fault != nil {
 		data, _ := json.Marshal(fault)
-		out.Answer(m.Request, Answer{Code: 422, Body: data})
+		out.Respond(m.Request, Answer{Code: 422, Body: data})
 		return
 	}
 	if !t.canCommit(now, m.Queue) {
@@ -117,11 +117,11 @@
 // giveUp answers at once, when this front has lost touch, all that it can't
 // carry any more. What was handed in has its number and goes on being resent,
 // so whether it takes effect is unknown.
-func (t *Table) giveUp(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) giveUp(now eventloop.Micros, out eventloop.Effects) {
 	for _, id := range slices.Sorted(maps.Keys(t.asked)) {
 		t.asked[id].request = 0
 		delete(t.asked, id)
-		out.Answer(id, unknown())
+		out.Respond(id, unknown())
 	}
 	t.stateUnconfirmed(now, out)
 	for _, id := range slices.Sorted(maps.Keys(t.polls)) {
@@ -131,7 +131,7 @@
 	for _, id := range slices.Sorted(maps.Keys(t.requests)) {
 		switch t.requests[id].ask.Kind {
 		case "cancel", "clusterstate":
-			out.Answer(id, unknown())
+			out.Respond(id, unknown())
 		default:
 			t.notReady(now, id, out)
 		}
@@ -175,7 +175,7 @@
 	return nil
 }
 
-func (t *Table) send(now eventloop.Micros, queue string, list []*submission, out eventloop.Out) {
+func (t *Table) send(now eventloop.Micros, queue string, list []*submission, out eventloop.Effects) {
 	to := t.leader(now, queue)
 	m := &schema.SubmitRequest{Queue: queue}
 	for _, each := range list {
@@ -191,7 +191,7 @@
 	}
 }
 
-func (t *Table) applied(now eventloop.Micros, from string, m *schema.SubmitResponse, out eventloop.Out) {
+func (t *Table) applied(now eventloop.Micros, from string, m *schema.SubmitResponse, out eventloop.Effects) {
 	if len(m.Results) == 0 && from != "" && m.Leader != from {
 		t.denied[queueStore{m.Queue, from}] = now
 	}
@@ -222,7 +222,7 @@
 
 // confirmed settles one submission, and returns those below it that must have
 // been lost on the way.
-func (t *Table) confirmed(now eventloop.Micros, queue string, outcome *schema.SubmitResult, out eventloop.Out) []*submission {
+func (t *Table) confirmed(now eventloop.Micros, queue string, outcome *schema.SubmitResult, out eventloop.Effects) []*submission {
 	// Starts and numbers are alike on many fronts: the id is what tells whose a
 	// submission is.
 	if outcome.Session == nil || outcome.Session.Gateway != t.id || outcome.Session.Incarnation != t.boot {
@@ -245,7 +245,7 @@
 	t.pace(queue).done++
 	if each.request != 0 {
 		delete(t.asked, each.request)
-		out.Answer(each.request, answerOf(outcome))
+		out.Respond(each.request, answerOf(outcome))
 	}
 	if outcome.Code == 410 {
 		// This front had been given up as dead. Its numbers mean nothing any
@@ -295,13 +295,13 @@
 }
 
 // restart gives up every session: whatever they hold is unknown.
-func (t *Table) restart(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) restart(now eventloop.Micros, out eventloop.Effects) {
 	queues := map[string]bool{}
 	for _, s := range t.sessions {
 		queues[s.queue] = true
 		for _, each := range s.waiting {
 			if each.request != 0 {
-				out.Answer(each.request, unknown())
+				out.Respond(each.request, unknown())
 			}
 		}
 	}
@@ -315,7 +315,7 @@
 
 // endQuiet ends sessions of clients that rest, by our own word, so that the
 // queue doesn't hold them for ever.
-func (t *Table) endQuiet(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) endQuiet(now eventloop.Micros, out eventloop.Effects) {
 	for key, s := range t.sessions {
 		if len(s.waiting) == 0 && now-s.used > quietSpan {
 			delete(t.sessions, key)
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -12,7 +12,7 @@
 
 type queueStore struct{ queue, store string }
 
-func (t *Table) poll(now eventloop.Micros, m PollIn, out eventloop.Out) {
+func (t *Table) poll(now eventloop.Micros, m PollIn, out eventloop.Effects) {
 	if !t.lease.isValid(now) {
 		t.notReady(now, m.Request, out)
 		return
@@ -33,7 +33,7 @@
 	out.Send(ward.Scheduler, &schema.WorkerPollRequest{Id: m.Request, Worker: m.Worker, Heartbeat: m.Announce})
 }
 
-func (t *Table) polled(m *schema.WorkerPollResponse, out eventloop.Out) {
+func (t *Table) polled(m *schema.WorkerPollResponse, out eventloop.Effects) {
 	if _, isKnown := t.polls[m.Id]; !isKnown {
 		return
 	}
@@ -47,5 +47,5 @@
 		t.refuse(m.Id, 500, "internal", err.Error(), 1, out)
 		return
 	}
-	out.Answer(m.Id, Answer{Code: 200, Body: data})
+	out.Respond(m.Id, Answer{Code: 200, Body: data})
 }
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -22,11 +22,11 @@
 // Hand is the name of the agent's stead among a process's tables, and its tick.
 const (
 	Name = "hand"
-	Pace = 50 * eventloop.Milli
+	Pace = 50 * eventloop.Millisecond
 )
 
 const (
-	pollSpan = 1200 * eventloop.Milli
+	pollSpan = 1200 * eventloop.Millisecond
 	openMost = 2
 )
 
@@ -72,7 +72,7 @@
 }
 
 // Step implements eventloop.Table.
-func (h *Hand) Step(now eventloop.Micros, mail eventloop.Mail, out eventloop.Out) {
+func (h *Hand) Step(now eventloop.Micros, mail eventloop.Message, out eventloop.Effects) {
 	switch body := mail.Body.(type) {
 	case eventloop.Tick:
 		h.worker.Tick(now)
@@ -110,7 +110,7 @@
 	}
 }
 
-func (h *Hand) announce(now eventloop.Micros, out eventloop.Out) {
+func (h *Hand) announce(now eventloop.Micros, out eventloop.Effects) {
 	if !h.worker.Due(now) || len(h.open) >= openMost || h.state == nil {
 		return
 	}
@@ -149,12 +149,12 @@
 }
 
 // OnlookerPace is how often it asks.
-const OnlookerPace = 250 * eventloop.Milli
+const OnlookerPace = 250 * eventloop.Millisecond
 
-const deadSpan = 1500 * eventloop.Milli
+const deadSpan = 1500 * eventloop.Millisecond
 
 // Step implements eventloop.Table.
-func (o *Onlooker) Step(now eventloop.Micros, mail eventloop.Mail, out eventloop.Out) {
+func (o *Onlooker) Step(now eventloop.Micros, mail eventloop.Message, out eventloop.Effects) {
 	switch body := mail.Body.(type) {
 	case *membership.Roll:
 		o.roll = body
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -20,10 +20,10 @@
 // outlet keeps what a step sends.
 type outlet struct{ list []sent }
 
-func (o *outlet) Send(to string, body any)        { o.list = append(o.list, sent{to, body}) }
-func (o *outlet) Dial(address string, body any)   {}
-func (o *outlet) Tell(table string, body any)     {}
-func (o *outlet) Answer(request uint64, body any) {}
+func (o *outlet) Send(to string, body any)         { o.list = append(o.list, sent{to, body}) }
+func (o *outlet) Dial(address string, body any)    {}
+func (o *outlet) Notify(table string, body any)    {}
+func (o *outlet) Respond(request uint64, body any) {}
 
 func TestHand(t *testing.T) {
 	Convey("A hollow side makes its worker known, announces to its ward, and runs what it is told", t, func() {
@@ -37,7 +37,7 @@
 		})
 		step := func(from string, body any) []sent {
 			out := &outlet{}
-			h.Step(now, eventloop.Mail{From: from, Body: body}, out)
+			h.Step(now, eventloop.Message{From: from, Body: body}, out)
 			return out.list
 		}
 		So(step("", eventloop.Tick{}), ShouldBeEmpty)
@@ -59,7 +59,7 @@
 		order := &schema.TaskOrder{Action: "start", Queue: "l", Name: "job-1", Job: 1, Attempt: 1, Text: "run_us=10000", CoresMilli: 10, MemoryMb: 1}
 		step("s3", &schema.WorkerPollResponse{Id: poll.Id, Orders: &schema.WorkerOrders{FencingToken: 7, LeaseUs: 4_000_000, Orders: []*schema.TaskOrder{order}}})
 		So(begun, ShouldResemble, []string{"job-1"})
-		now += 50 * eventloop.Milli
+		now += 50 * eventloop.Millisecond
 		step("", eventloop.Tick{})
 		So(ended, ShouldEqual, 1)
 	})
@@ -74,8 +74,8 @@
 				roll.Known[id] = membership.Known{Member: &schema.Member{Id: id, HasStorage: true}, Heard: eventloop.Second}
 			}
 			o, out := &Onlooker{}, &outlet{}
-			o.Step(eventloop.Second, eventloop.Mail{Body: roll}, out)
-			o.Step(eventloop.Second, eventloop.Mail{Body: eventloop.Tick{}}, out)
+			o.Step(eventloop.Second, eventloop.Message{Body: roll}, out)
+			o.Step(eventloop.Second, eventloop.Message{Body: eventloop.Tick{}}, out)
 			So(out.list, ShouldHaveLength, 1)
 			asked[out.list[0].to]++
 		}
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -38,7 +38,7 @@
 	handInSpan    = 10 * eventloop.Second
 	readSpan      = 5 * eventloop.Second
 	planSpan      = 8 * eventloop.Second
-	pollSpan      = 1200 * eventloop.Milli
+	pollSpan      = 1200 * eventloop.Millisecond
 	usualPage     = 100
 	mostPage      = 1000
 )
--- a/internal/membership/bootstrap.go
+++ b/internal/membership/bootstrap.go
@@ -60,7 +60,7 @@
 // so mean it: a store that comes back empty to a seed's address never founds.
 func (t *Table) isUntold() bool { return !t.terms.First && t.terms.Losses == 0 }
 
-func (t *Table) found(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) found(now eventloop.Micros, out eventloop.Effects) {
 	if t.account == nil || t.account.Joined || t.asked != nil {
 		return
 	}
@@ -74,7 +74,7 @@
 			next.BootstrapVote = promise
 			t.frozen = t.stores()
 			t.asked = next
-			out.Tell("replica", KeepSelf{Self: next})
+			out.Notify("replica", KeepSelf{Self: next})
 		}
 		return
 	}
@@ -86,7 +86,7 @@
 	next := proto.Clone(t.account).(*schema.StoreIdentity)
 	next.Joined = true
 	t.asked = next
-	out.Tell("replica", KeepSelf{Self: next, Found: next.BootstrapVote})
+	out.Notify("replica", KeepSelf{Self: next, Found: next.BootstrapVote})
 }
 
 // joined is the promise of another store that names this one.
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -134,7 +134,7 @@
 	return others[t.rng.IntN(len(others))]
 }
 
-func (t *Table) greet(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) greet(now eventloop.Micros, out eventloop.Effects) {
 	t.self.Heartbeat++
 	switch {
 	case len(t.known) == 0:
@@ -158,7 +158,7 @@
 
 // gather: before a system exists, seeds and stores all tell each other whom
 // they see; the others ask a seed.
-func (t *Table) gather(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) gather(now eventloop.Micros, out eventloop.Effects) {
 	hello := t.hello(now, whole)
 	if t.account == nil && !t.isSeed() {
 		if seed := t.someSeed(); seed != "" {
@@ -188,7 +188,7 @@
 // asks one store at each pace, the others at each second one. Whoever
 // got no word asks one of all besides, for the stores may be cut off from us
 // and not from others.
-func (t *Table) tell(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) tell(now eventloop.Micros, out eventloop.Effects) {
 	hubs := t.hubs(now)
 	// Whoever hears of no store asks at each pace: the seed asked before may have
 	// known none itself, as when all have just started.
@@ -244,7 +244,7 @@
 // callSeeds: a young process calls every seed that it hasn't heard of yet. They may
 // come up after it, as when all have just been restarted, and others who know only
 // them hear of nobody until they do.
-func (t *Table) callSeeds(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) callSeeds(now eventloop.Micros, out eventloop.Effects) {
 	heard := map[string]bool{t.self.InternalAddress: true}
 	for _, known := range t.known {
 		if now-known.Heard < hubSpan {
@@ -280,7 +280,7 @@
 }
 
 // spread tells every store without asking anything.
-func (t *Table) spread(now eventloop.Micros, much detail, out eventloop.Out) {
+func (t *Table) spread(now eventloop.Micros, much detail, out eventloop.Effects) {
 	word := t.hello(now, much)
 	word.IsReply = true
 	for _, hub := range t.hubs(now) {
@@ -293,7 +293,7 @@
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Heartbeat, b.Heartbeat)) < 0
 }
 
-func (t *Table) hear(now eventloop.Micros, from string, hello *schema.Gossip, out eventloop.Out) {
+func (t *Table) hear(now eventloop.Micros, from string, hello *schema.Gossip, out eventloop.Effects) {
 	if hello.Self == nil || hello.Self.Id != from || from == t.self.Id {
 		return
 	}
--- a/internal/membership/late_test.go
+++ b/internal/membership/late_test.go
@@ -15,8 +15,8 @@
 
 func (s sink) Send(string, any)           {}
 func (s sink) Dial(address string, _ any) { s[address]++ }
-func (s sink) Tell(string, any)           {}
-func (s sink) Answer(uint64, any)         {}
+func (s sink) Notify(string, any)         {}
+func (s sink) Respond(uint64, any)        {}
 
 func TestLateHellos(t *testing.T) {
 	Convey("Given a store that has started a second time", t, func() {
@@ -24,8 +24,8 @@
 		table := New(self, Terms{Seeds: []string{"10.0.0.2:1"}, First: true}, &schema.StoreIdentity{Id: "me"}, &Book{}, nil, rand.New(rand.NewPCG(1, 1)))
 		out, now := sink{}, 10*eventloop.Second
 		hello := func(boot, beat uint64, address string, stores ...string) {
-			now += eventloop.Milli
-			table.Step(now, eventloop.Mail{From: "other", Body: &schema.Gossip{
+			now += eventloop.Millisecond
+			table.Step(now, eventloop.Message{From: "other", Body: &schema.Gossip{
 				Self: &schema.Member{Id: "other", Incarnation: boot, Heartbeat: beat, InternalAddress: address, HasStorage: true}, Empty: true, KnownStores: stores,
 			}}, out)
 		}
@@ -39,7 +39,7 @@
 		Convey("what it said before doesn't take the place of what it said since", func() {
 			hello(2, 6, "10.0.0.2:1", "other")
 			So(table.told["other"].hello.KnownStores, ShouldResemble, []string{"me", "other"})
-			So(table.told["other"].at, ShouldEqual, now-eventloop.Milli)
+			So(table.told["other"].at, ShouldEqual, now-eventloop.Millisecond)
 			hello(2, 8, "10.0.0.2:1", "other")
 			So(table.told["other"].hello.KnownStores, ShouldResemble, []string{"other"})
 		})
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -14,7 +14,7 @@
 )
 
 // Pace is how often a process counts its beat and looks at what is due.
-const Pace = 250 * eventloop.Milli
+const Pace = 250 * eventloop.Millisecond
 
 const (
 	forgotten  = 60 * eventloop.Second
@@ -25,10 +25,10 @@
 	metSpan    = 5 * eventloop.Second
 	maxMet     = 12
 
-	settleSpan = 700 * eventloop.Milli // what stores promise on has held so long
-	fewSpan    = 6 * eventloop.Second  // and so long when there are fewer stores than wished for
-	toldSpan   = 2 * eventloop.Second  // an older word of a process isn't promised on
-	rushSpan   = 20 * eventloop.Milli  // between two greetings out of turn
+	settleSpan = 700 * eventloop.Millisecond // what stores promise on has held so long
+	fewSpan    = 6 * eventloop.Second        // and so long when there are fewer stores than wished for
+	toldSpan   = 2 * eventloop.Second        // an older word of a process isn't promised on
+	rushSpan   = 20 * eventloop.Millisecond  // between two greetings out of turn
 )
 
 // Candidates is how many side machines stand for controller, and how many of them
@@ -79,7 +79,7 @@
 }
 
 // Step implements eventloop.Table.
-func (t *Table) Step(now eventloop.Micros, mail eventloop.Mail, out eventloop.Out) {
+func (t *Table) Step(now eventloop.Micros, mail eventloop.Message, out eventloop.Effects) {
 	switch body := mail.Body.(type) {
 	case eventloop.Tick:
 		t.tick(now, out)
@@ -108,7 +108,7 @@
 	}
 }
 
-func (t *Table) tick(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) tick(now eventloop.Micros, out eventloop.Effects) {
 	// After a freeze everybody looks unheard, though it was we who were gone:
 	// let them be heard anew before anything is concluded.
 	if t.last > 0 && now-t.last > 4*Pace {
@@ -144,7 +144,7 @@
 }
 
 // remember keeps the addresses of some processes durably.
-func (t *Table) remember(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) remember(now eventloop.Micros, out eventloop.Effects) {
 	if t.account == nil || !t.account.Joined || t.asked != nil || now-t.metAt < metSpan {
 		return
 	}
@@ -167,7 +167,7 @@
 	next := proto.Clone(t.account).(*schema.StoreIdentity)
 	next.KnownAddresses = met
 	t.asked = next
-	out.Tell("replica", KeepSelf{Self: next})
+	out.Notify("replica", KeepSelf{Self: next})
 }
 
 const (
@@ -176,7 +176,7 @@
 	whole
 )
 
-func (t *Table) publish(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) publish(now eventloop.Micros, out eventloop.Effects) {
 	addresses := map[string]string{t.self.Id: t.self.InternalAddress}
 	roll := &Roll{Self: proto.Clone(t.self).(*schema.Member), Known: map[string]Known{}}
 	for id, known := range t.known {
@@ -186,6 +186,6 @@
 	roll.Known[t.self.Id] = Known{Member: roll.Self, Heard: now}
 	t.book.addresses.Store(&addresses)
 	for _, reader := range t.readers {
-		out.Tell(reader, roll)
+		out.Notify(reader, roll)
 	}
 }
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -78,7 +78,7 @@
 
 func newNetwork(seed uint64) *network {
 	return &network{
-		rng: rand.New(rand.NewPCG(seed, 7)), now: eventloop.Second, delay: 20 * eventloop.Milli,
+		rng: rand.New(rand.NewPCG(seed, 7)), now: eventloop.Second, delay: 20 * eventloop.Millisecond,
 		promises: map[string]bool{}, founded: map[string]bool{},
 	}
 }
@@ -125,7 +125,7 @@
 	var tick func()
 	tick = func() {
 		if h.run == run {
-			h.step(eventloop.Mail{Body: eventloop.Tick{}})
+			h.step(eventloop.Message{Body: eventloop.Tick{}})
 			n.after(Pace, tick)
 		}
 	}
@@ -134,10 +134,10 @@
 
 func (h *host) stop() { h.run = 0 }
 
-func (h *host) step(mail eventloop.Mail) { h.table.Step(h.net.now, mail, h) }
+func (h *host) step(mail eventloop.Message) { h.table.Step(h.net.now, mail, h) }
 
-func (h *host) Send(string, any)   {}
-func (h *host) Answer(uint64, any) {}
+func (h *host) Send(string, any)    {}
+func (h *host) Respond(uint64, any) {}
 
 func (h *host) Dial(address string, body any) {
 	n := h.net
@@ -160,9 +160,9 @@
 			continue
 		}
 		run, from, copied := to.run, h.id, proto.Clone(body.(*schema.Gossip))
-		n.after(eventloop.Milli/5+n.draw(n.delay), func() {
+		n.after(eventloop.Millisecond/5+n.draw(n.delay), func() {
 			if run > 0 && to.run == run {
-				to.step(eventloop.Mail{From: from, Body: copied})
+				to.step(eventloop.Message{From: from, Body: copied})
 			}
 		})
 	}
@@ -193,14 +193,14 @@
 
 func init() { gob.Register(&schema.Gossip{}) }
 
-func (h *host) Tell(table string, body any) {
+func (h *host) Notify(table string, body any) {
 	n := h.net
 	switch body := body.(type) {
 	case *Roll:
 		h.roll = body
 	case KeepSelf:
 		run := h.run
-		n.after(eventloop.Milli+n.draw(30*eventloop.Milli), func() {
+		n.after(eventloop.Millisecond+n.draw(30*eventloop.Millisecond), func() {
 			if h.run != run {
 				return
 			}
@@ -213,9 +213,9 @@
 				n.foundAt = n.now
 			}
 			// It may end between the sync and its word.
-			n.after(n.draw(5*eventloop.Milli), func() {
+			n.after(n.draw(5*eventloop.Millisecond), func() {
 				if h.run == run {
-					h.step(eventloop.Mail{Body: SelfKept{Self: body.Self}})
+					h.step(eventloop.Message{Body: SelfKept{Self: body.Self}})
 				}
 			})
 		})
@@ -289,23 +289,23 @@
 		founders int              // 0: depends on the draw
 		by       eventloop.Micros // founded so long after the start; -1: never
 	}{
-		{"three stores, each other's seeds, nothing said", "sssfhh", false, 0, 0, 20 * eventloop.Milli, 100 * eventloop.Milli, 0, 0, 3, 2 * eventloop.Second},
-		{"a spare store beside them", "sssSfhh", false, 0, 0, 20 * eventloop.Milli, 100 * eventloop.Milli, 0, 0, 3, 2 * eventloop.Second},
-		{"two seeds, nothing said", "ssfh", false, 0, 0, 20 * eventloop.Milli, 100 * eventloop.Milli, 0, 0, 2, 2 * eventloop.Second},
-		{"one seed, nothing said", "sfh", false, 0, 0, 20 * eventloop.Milli, 100 * eventloop.Milli, 0, 0, 1, 2 * eventloop.Second},
-		{"seeds without disks", "FFFSSShhh", true, 1, 0, 20 * eventloop.Milli, 100 * eventloop.Milli, 0, 0, 3, 2 * eventloop.Second},
-		{"one seed with a disk, six stores", "FsFSSSSSfhhh", true, 1, 0, 20 * eventloop.Milli, 100 * eventloop.Milli, 0, 0, 3, 2 * eventloop.Second},
-		{"two losses, six stores", "sssSSShhh", true, 2, 0, 20 * eventloop.Milli, 100 * eventloop.Milli, 0, 0, 5, 2 * eventloop.Second},
-		{"fewer stores than wished for", "FFsShh", true, 1, 0, 20 * eventloop.Milli, 100 * eventloop.Milli, 0, 0, 2, 8 * eventloop.Second},
-		{"messages lost", "FsFSSSfhh", true, 1, 0.4, 60 * eventloop.Milli, eventloop.Second, 0, 0, 3, 10 * eventloop.Second},
-		{"messages late", "FsFSSSfhh", true, 1, 0.1, 900 * eventloop.Milli, eventloop.Second, 0, 0, 3, 20 * eventloop.Second},
-		{"a late store that is needed", "FFFSSSh", true, 1, 0.1, 50 * eventloop.Milli, 200 * eventloop.Milli, 3 * eventloop.Second, 0, 3, 12 * eventloop.Second},
-		{"a late store that isn't", "sFFSSSSh", true, 1, 0.2, 50 * eventloop.Milli, eventloop.Second, 1200 * eventloop.Milli, 0, 3, 12 * eventloop.Second},
-		{"restarts", "FsFSSSfhh", true, 1, 0.2, 50 * eventloop.Milli, eventloop.Second, 0, 6, 3, 14 * eventloop.Second},
-		{"restarts, nothing said", "sssSfhh", false, 0, 0.2, 50 * eventloop.Milli, eventloop.Second, 0, 6, 3, 14 * eventloop.Second},
-		{"restarts, two losses, late", "sFsSSSSh", true, 2, 0.3, 300 * eventloop.Milli, 2 * eventloop.Second, 2 * eventloop.Second, 8, 0, 20 * eventloop.Second},
-		{"empty stores that weren't told that all begins", "sssSSh", false, 1, 0, 20 * eventloop.Milli, eventloop.Second, 0, 0, 0, never},
-		{"a front at a seed's address, nothing said", "ssFSh", false, 0, 0, 20 * eventloop.Milli, eventloop.Second, 0, 0, 0, never},
+		{"three stores, each other's seeds, nothing said", "sssfhh", false, 0, 0, 20 * eventloop.Millisecond, 100 * eventloop.Millisecond, 0, 0, 3, 2 * eventloop.Second},
+		{"a spare store beside them", "sssSfhh", false, 0, 0, 20 * eventloop.Millisecond, 100 * eventloop.Millisecond, 0, 0, 3, 2 * eventloop.Second},
+		{"two seeds, nothing said", "ssfh", false, 0, 0, 20 * eventloop.Millisecond, 100 * eventloop.Millisecond, 0, 0, 2, 2 * eventloop.Second},
+		{"one seed, nothing said", "sfh", false, 0, 0, 20 * eventloop.Millisecond, 100 * eventloop.Millisecond, 0, 0, 1, 2 * eventloop.Second},
+		{"seeds without disks", "FFFSSShhh", true, 1, 0, 20 * eventloop.Millisecond, 100 * eventloop.Millisecond, 0, 0, 3, 2 * eventloop.Second},
+		{"one seed with a disk, six stores", "FsFSSSSSfhhh", true, 1, 0, 20 * eventloop.Millisecond, 100 * eventloop.Millisecond, 0, 0, 3, 2 * eventloop.Second},
+		{"two losses, six stores", "sssSSShhh", true, 2, 0, 20 * eventloop.Millisecond, 100 * eventloop.Millisecond, 0, 0, 5, 2 * eventloop.Second},
+		{"fewer stores than wished for", "FFsShh", true, 1, 0, 20 * eventloop.Millisecond, 100 * eventloop.Millisecond, 0, 0, 2, 8 * eventloop.Second},
+		{"messages lost", "FsFSSSfhh", true, 1, 0.4, 60 * eventloop.Millisecond, eventloop.Second, 0, 0, 3, 10 * eventloop.Second},
+		{"messages late", "FsFSSSfhh", true, 1, 0.1, 900 * eventloop.Millisecond, eventloop.Second, 0, 0, 3, 20 * eventloop.Second},
+		{"a late store that is needed", "FFFSSSh", true, 1, 0.1, 50 * eventloop.Millisecond, 200 * eventloop.Millisecond, 3 * eventloop.Second, 0, 3, 12 * eventloop.Second},
+		{"a late store that isn't", "sFFSSSSh", true, 1, 0.2, 50 * eventloop.Millisecond, eventloop.Second, 1200 * eventloop.Millisecond, 0, 3, 12 * eventloop.Second},
+		{"restarts", "FsFSSSfhh", true, 1, 0.2, 50 * eventloop.Millisecond, eventloop.Second, 0, 6, 3, 14 * eventloop.Second},
+		{"restarts, nothing said", "sssSfhh", false, 0, 0.2, 50 * eventloop.Millisecond, eventloop.Second, 0, 6, 3, 14 * eventloop.Second},
+		{"restarts, two losses, late", "sFsSSSSh", true, 2, 0.3, 300 * eventloop.Millisecond, 2 * eventloop.Second, 2 * eventloop.Second, 8, 0, 20 * eventloop.Second},
+		{"empty stores that weren't told that all begins", "sssSSh", false, 1, 0, 20 * eventloop.Millisecond, eventloop.Second, 0, 0, 0, never},
+		{"a front at a seed's address, nothing said", "ssFSh", false, 0, 0, 20 * eventloop.Millisecond, eventloop.Second, 0, 0, 0, never},
 	} {
 		Convey(each.name, t, func() {
 			var slowest eventloop.Micros
@@ -326,7 +326,7 @@
 					n.after(n.draw(3*eventloop.Second), func() {
 						if h.run > 0 {
 							h.stop()
-							n.after(n.draw(500*eventloop.Milli), func() {
+							n.after(n.draw(500*eventloop.Millisecond), func() {
 								if h.run == 0 {
 									h.start()
 								}
@@ -336,7 +336,7 @@
 				}
 				// Whatever is on the way a while after founding could still do harm.
 				for end := eventloop.Second + max(each.by, 8*eventloop.Second); n.now < end && (n.foundAt == 0 || !n.isFounded() || n.now < n.foundAt+3*eventloop.Second); {
-					n.runTo(n.now + 250*eventloop.Milli)
+					n.runTo(n.now + 250*eventloop.Millisecond)
 				}
 				if each.by == never {
 					if len(n.promises) != 0 {
@@ -350,7 +350,7 @@
 					So(fmt.Sprintf("seed %d: promised %v, founded %v after %d us", seed, n.promises, n.founded, n.foundAt-eventloop.Second), ShouldEqual, "")
 				}
 			}
-			t.Logf("%s: founded after %d ms at the latest", each.name, slowest/eventloop.Milli)
+			t.Logf("%s: founded after %d ms at the latest", each.name, slowest/eventloop.Millisecond)
 		})
 	}
 }
@@ -386,7 +386,7 @@
 		n.startAll(0)
 		n.runTo(2 * eventloop.Second)
 		h := n.hosts[0]
-		h.step(eventloop.Mail{Body: SelfKept{Self: &schema.StoreIdentity{Id: h.id, Joined: true}}})
+		h.step(eventloop.Message{Body: SelfKept{Self: &schema.StoreIdentity{Id: h.id, Joined: true}}})
 		So(h.table.isSystem, ShouldBeTrue)
 	})
 }
@@ -420,9 +420,9 @@
 // nine side machines.
 func running(seed uint64) *network {
 	n := newNetwork(seed)
-	n.delay = 2 * eventloop.Milli
+	n.delay = 2 * eventloop.Millisecond
 	n.fleet("FsFSSSSSfhhhhhhhhh", true, 1)
-	n.startAll(200 * eventloop.Milli)
+	n.startAll(200 * eventloop.Millisecond)
 	n.runTo(12 * eventloop.Second)
 	return n
 }
@@ -432,7 +432,7 @@
 func (n *network) oldest(span eventloop.Micros, watches func(by, of *host) bool) eventloop.Micros {
 	var worst eventloop.Micros
 	for end := n.now + span; n.now < end; {
-		n.runTo(n.now + 50*eventloop.Milli)
+		n.runTo(n.now + 50*eventloop.Millisecond)
 		for _, by := range n.hosts {
 			for _, of := range n.hosts {
 				if by == of || by.run == 0 || !watches(by, of) {
@@ -462,24 +462,24 @@
 	}
 	each("In a system of eighteen everybody goes on hearing of the stores and fronts, and the stores of everybody", func(n *network) {
 		So(n.isFounded(), ShouldBeTrue)
-		So(n.oldest(20*eventloop.Second, isStore), ShouldBeLessThan, 1000*eventloop.Milli)
-		So(n.oldest(20*eventloop.Second, isOwed), ShouldBeLessThan, 1500*eventloop.Milli)
+		So(n.oldest(20*eventloop.Second, isStore), ShouldBeLessThan, 1000*eventloop.Millisecond)
+		So(n.oldest(20*eventloop.Second, isOwed), ShouldBeLessThan, 1500*eventloop.Millisecond)
 	})
 	each("also if one message in ten is lost", func(n *network) {
 		n.loss, n.lossEnd = 0.1, n.now+eventloop.Second*60
 		bySide := func(by, of *host) bool { return by.terms.IsSide && of.hasDisk }
-		So(n.oldest(20*eventloop.Second, bySide), ShouldBeLessThan, 1500*eventloop.Milli)
+		So(n.oldest(20*eventloop.Second, bySide), ShouldBeLessThan, 1500*eventloop.Millisecond)
 	})
 	each("also if a side machine is cut off from a store", func(n *network) {
 		store, side := n.hosts[1], n.hosts[12]
 		n.isCut = func(from, to *host) bool { return from == store && to == side || from == side && to == store }
-		So(n.oldest(20*eventloop.Second, isStore), ShouldBeLessThan, 1500*eventloop.Milli)
+		So(n.oldest(20*eventloop.Second, isStore), ShouldBeLessThan, 1500*eventloop.Millisecond)
 	})
 	each("A store that the other stores don't hear is heard of by way of others", func(n *network) {
 		store := n.hosts[4]
 		n.isCut = func(from, to *host) bool { return from == store && to.hasDisk || from.hasDisk && to == store }
 		n.runTo(n.now + 5*eventloop.Second)
-		So(n.oldest(20*eventloop.Second, func(by, of *host) bool { return of == store && by.terms.IsSide }), ShouldBeLessThan, 2500*eventloop.Milli)
+		So(n.oldest(20*eventloop.Second, func(by, of *host) bool { return of == store && by.terms.IsSide }), ShouldBeLessThan, 2500*eventloop.Millisecond)
 	})
 	each("A store that died is soon unheard of, and the others are not", func(n *network) {
 		store := n.hosts[5]
@@ -488,24 +488,24 @@
 		n.runTo(n.now + 3*eventloop.Second)
 		for _, by := range n.hosts {
 			if by.run > 0 {
-				So(by.table.known[store.id].Heard-died, ShouldBeLessThan, 600*eventloop.Milli)
+				So(by.table.known[store.id].Heard-died, ShouldBeLessThan, 600*eventloop.Millisecond)
 			}
 		}
-		So(n.oldest(20*eventloop.Second, func(_, of *host) bool { return of.hasDisk && of != store }), ShouldBeLessThan, 1500*eventloop.Milli)
+		So(n.oldest(20*eventloop.Second, func(_, of *host) bool { return of.hasDisk && of != store }), ShouldBeLessThan, 1500*eventloop.Millisecond)
 	})
 	each("A process that starts is soon known everywhere, and one that leaves too", func(n *network) {
 		front := n.hosts[8]
 		front.stop()
 		front.start()
-		n.runTo(n.now + 2500*eventloop.Milli)
+		n.runTo(n.now + 2500*eventloop.Millisecond)
 		for _, by := range n.hosts {
 			if by != front {
 				So(by.roll.Known, ShouldContainKey, front.id)
 				So(by.book.Address(front.id), ShouldEqual, front.address)
 			}
 		}
-		front.step(eventloop.Mail{Body: Leaving{}})
-		n.runTo(n.now + 600*eventloop.Milli)
+		front.step(eventloop.Message{Body: Leaving{}})
+		n.runTo(n.now + 600*eventloop.Millisecond)
 		for _, by := range n.hosts {
 			if by != front && by.terms.IsSide {
 				So(by.table.known[front.id].Member.Draining, ShouldBeTrue)
@@ -550,9 +550,9 @@
 	})
 	Convey("A system of 80 tells its side machines little", t, func() {
 		n := newNetwork(2)
-		n.delay = 2 * eventloop.Milli
+		n.delay = 2 * eventloop.Millisecond
 		n.fleet("FsFSSSSSffffffff"+strings.Repeat("h", 64), true, 1)
-		n.startAll(200 * eventloop.Milli)
+		n.startAll(200 * eventloop.Millisecond)
 		n.runTo(12 * eventloop.Second)
 		most, fronts := 0, 0
 		n.saw = func(_, to *host, hello *schema.Gossip) {
@@ -587,12 +587,12 @@
 	Convey("After a freeze nobody looks gone, and no word from before is promised on", t, func() {
 		n := newNetwork(3)
 		n.fleet("sss", false, 0)
-		n.startAll(100 * eventloop.Milli)
-		n.runTo(eventloop.Second + 400*eventloop.Milli)
+		n.startAll(100 * eventloop.Millisecond)
+		n.runTo(eventloop.Second + 400*eventloop.Millisecond)
 		h := n.hosts[0]
 		others := slices.Sorted(maps.Keys(h.table.known))
 		So(len(others), ShouldEqual, 2)
-		h.table.Step(n.now+30*eventloop.Second, eventloop.Mail{Body: eventloop.Tick{}}, h)
+		h.table.Step(n.now+30*eventloop.Second, eventloop.Message{Body: eventloop.Tick{}}, h)
 		for _, id := range others {
 			So(h.roll.Live(id, n.now+30*eventloop.Second, eventloop.Second), ShouldBeTrue)
 		}
@@ -612,9 +612,9 @@
 			}
 			// The stores find each other by whom they met before, the seeds come last.
 			for _, h := range n.hosts[:3] {
-				h.at = 300*eventloop.Milli + n.draw(300*eventloop.Milli)
+				h.at = 300*eventloop.Millisecond + n.draw(300*eventloop.Millisecond)
 			}
-			n.startAll(100 * eventloop.Milli)
+			n.startAll(100 * eventloop.Millisecond)
 			n.runTo(n.now + 2*eventloop.Second)
 			for _, h := range n.hosts {
 				if h.terms.IsSide {
--- a/internal/membership/seeds_test.go
+++ b/internal/membership/seeds_test.go
@@ -15,9 +15,9 @@
 // answered with whole ones.
 type dialled struct{ whole map[string]int }
 
-func (d *dialled) Send(string, any)   {}
-func (d *dialled) Tell(string, any)   {}
-func (d *dialled) Answer(uint64, any) {}
+func (d *dialled) Send(string, any)    {}
+func (d *dialled) Notify(string, any)  {}
+func (d *dialled) Respond(uint64, any) {}
 func (d *dialled) Dial(address string, body any) {
 	for _, member := range body.(*schema.Gossip).Members {
 		if member.InternalAddress != "" {
@@ -76,7 +76,7 @@
 		for range 200 {
 			now += Pace
 			clear(out.whole)
-			table.Step(now, eventloop.Mail{Body: eventloop.Tick{}}, out)
+			table.Step(now, eventloop.Message{Body: eventloop.Tick{}}, out)
 			asked += out.whole[store.InternalAddress]
 			if !isToldOf {
 				// It begins when a seed has just been called.
@@ -87,7 +87,7 @@
 			if isToldOf {
 				answer.Members = []*schema.Member{{Id: "new", Incarnation: 1, Heartbeat: store.Heartbeat}}
 			}
-			table.Step(now+eventloop.Milli, eventloop.Mail{From: store.Id, Body: answer}, out)
+			table.Step(now+eventloop.Millisecond, eventloop.Message{From: store.Id, Body: answer}, out)
 		}
 		So(isToldOf, ShouldBeTrue)
 		So(asked, ShouldBeGreaterThan, 0)
--- a/internal/modelcheck/schedule.go
+++ b/internal/modelcheck/schedule.go
@@ -120,7 +120,7 @@
 	}
 	for k := range w.machines {
 		m := w.own(k)
-		m.clock += eventloop.Micros(millis) * eventloop.Milli
+		m.clock += eventloop.Micros(millis) * eventloop.Millisecond
 		if m.group != nil {
 			m.group.Tick(m.clock)
 			w.settle(m)
--- a/internal/process/caller.go
+++ b/internal/process/caller.go
@@ -21,7 +21,7 @@
 	return &callerTable{hand: hand, reply: reply, calls: make(chan struct{}, mostCalls), looks: make(chan struct{}, mostLooks)}
 }
 
-func (c *callerTable) Step(now eventloop.Micros, mail eventloop.Mail, out eventloop.Out) {
+func (c *callerTable) Step(now eventloop.Micros, mail eventloop.Message, out eventloop.Effects) {
 	call, isCall := mail.Body.(agent.Call)
 	if !isCall {
 		return
--- a/internal/process/caller_test.go
+++ b/internal/process/caller_test.go
@@ -27,7 +27,7 @@
 		number := uint64(0)
 		call := func(act agent.Act) {
 			number++
-			table.Step(0, eventloop.Mail{Body: agent.Call{Number: number, Act: act}}, nil)
+			table.Step(0, eventloop.Message{Body: agent.Call{Number: number, Act: act}}, nil)
 		}
 		for k := 0; k < mostLooks; k++ {
 			call(agent.Look)
--- a/internal/process/papers.go
+++ b/internal/process/papers.go
@@ -22,7 +22,7 @@
 // Berth is one table of a process and its pace.
 type Berth struct {
 	Name  string
-	Table eventloop.Table
+	Table eventloop.Component
 	Pace  eventloop.Micros
 }
 
--- a/internal/process/real.go
+++ b/internal/process/real.go
@@ -44,7 +44,7 @@
 	book    *membership.Book
 	opened  *Opened
 	store   *storage.Store
-	writes  *eventloop.Ring[replica.Batch]
+	writes  *eventloop.Queue[replica.Batch]
 	mu      sync.Mutex
 	waiting map[uint64]chan any
 	next    atomic.Uint64
@@ -85,7 +85,7 @@
 func StartWith(opened *Opened, options *schema.Settings, role schema.Role, log *zap.Logger, hands ...agent.Caller) (*Real, error) {
 	r := &Real{
 		Options: options, Clock: eventloop.RealClock(), Failed: make(chan error, 4), Reopened: make(chan *Opened), log: log, book: &membership.Book{},
-		waiting: map[uint64]chan any{}, writes: eventloop.NewRing[replica.Batch](4),
+		waiting: map[uint64]chan any{}, writes: eventloop.NewQueue[replica.Batch](4),
 	}
 	r.Member = &schema.Member{Id: newId(), Incarnation: 1, Role: role, Zone: options.Cell, InternalAddress: options.Inner, HttpAddress: options.Outer}
 	if options.Data != "" {
@@ -97,8 +97,8 @@
 	// in a later life than it was asked for: no two lives share a number.
 	r.next.Store(r.Member.Incarnation << bootShift)
 	r.process = eventloop.NewProcess(r.Clock)
-	r.process.Out = (*outside)(r)
-	r.process.Broken = func(table string, cause any, stack []byte) {
+	r.process.Outbound = (*outside)(r)
+	r.process.OnPanic = func(table string, cause any, stack []byte) {
 		log.Error("panic", zap.String("table", table), zap.Any("cause", cause), zap.ByteString("stack", stack))
 		r.Failed <- fmt.Errorf("table %s: %v", table, cause)
 	}
@@ -127,7 +127,7 @@
 	r.process.Add("storage", (*storageTable)(r), 0)
 	if papers.Calls {
 		r.process.Add("caller", newCallerTable(hands[0], func(reply agent.Reply) {
-			r.process.PostWait("agent", eventloop.Mail{Body: reply})
+			r.process.PostWait("agent", eventloop.Message{Body: reply})
 		}), 0)
 	}
 	// From here on messages come in, so the mailboxes must stand by now.
@@ -144,11 +144,11 @@
 	r.cancel = cancel
 	r.process.Run(ctx)
 	// The first look for the others needn't wait for the pace.
-	r.process.Post("membership", eventloop.Mail{Body: eventloop.Tick{}})
-	r.duty(func() { r.writes.Drain(ctx, 0, func(batch replica.Batch) { r.commit(ctx, batch) }, nil) })
+	r.process.Post("membership", eventloop.Message{Body: eventloop.Tick{}})
+	r.duty(func() { r.writes.Consume(ctx, 0, func(batch replica.Batch) { r.commit(ctx, batch) }, nil) })
 	r.duty(func() {
 		wasHanging := false
-		eventloop.NewRing[int](1).Drain(ctx, 250*eventloop.Milli, nil, func() {
+		eventloop.NewQueue[int](1).Consume(ctx, 250*eventloop.Millisecond, nil, func() {
 			r.tellLatency()
 			if isHanging := r.isHanging() && !r.isRefused.Load(); isHanging != wasHanging {
 				wasHanging = isHanging
@@ -214,24 +214,26 @@
 // storageTable passes batches on to the duty that may block on the disk.
 type storageTable Real
 
-func (v *storageTable) Step(now eventloop.Micros, mail eventloop.Mail, out eventloop.Out) {
-	if batch, isBatch := mail.Body.(replica.Batch); isBatch && !v.writes.Offer(batch) {
+func (v *storageTable) Step(now eventloop.Micros, mail eventloop.Message, out eventloop.Effects) {
+	if batch, isBatch := mail.Body.(replica.Batch); isBatch && !v.writes.TryPut(batch) {
 		// There is never more than one batch out, so this can't be.
 		v.log.Error("the storage's ring is full")
 	}
 }
 
 func (r *Real) deliver(from string, body any) {
-	r.process.Post(Table(r.Member.Role, body), eventloop.Mail{From: from, Body: body})
+	r.process.Post(Table(r.Member.Role, body), eventloop.Message{From: from, Body: body})
 }
 
 // Beat takes a worker's word of itself; false when it couldn't be taken.
-func (r *Real) Beat(beat agent.Beat) bool { return r.process.Post("agent", eventloop.Mail{Body: beat}) }
+func (r *Real) Beat(beat agent.Beat) bool {
+	return r.process.Post("agent", eventloop.Message{Body: beat})
+}
 
 // Depart takes a worker's word that it has ended; false when it couldn't be
 // taken.
 func (r *Real) Depart(departed agent.Departed) bool {
-	return r.process.Post("agent", eventloop.Mail{Body: departed})
+	return r.process.Post("agent", eventloop.Message{Body: departed})
 }
 
 // outside carries what leaves the tables.
@@ -248,9 +250,9 @@
 
 func (o *outside) Dial(address string, body any) { o.net.Send(address, body) }
 
-func (o *outside) Tell(table string, body any) { o.process.Tell(table, body) }
+func (o *outside) Notify(table string, body any) { o.process.Notify(table, body) }
 
-func (o *outside) Answer(request uint64, body any) {
+func (o *outside) Respond(request uint64, body any) {
 	o.mu.Lock()
 	waiter := o.waiting[request]
 	delete(o.waiting, request)
@@ -273,10 +275,10 @@
 		delete(r.waiting, id)
 		r.mu.Unlock()
 	}()
-	if !r.process.Post(table, eventloop.Mail{Body: build(id, r.Clock.Now()+span)}) {
+	if !r.process.Post(table, eventloop.Message{Body: build(id, r.Clock.Now()+span)}) {
 		return gateway.Answer{Code: 429, Body: gateway.Fault("front_full", "this front has too much in hand", ""), Retry: 1}
 	}
-	timer := time.NewTimer(span.Span())
+	timer := time.NewTimer(span.Duration())
 	defer timer.Stop()
 	select {
 	case answer := <-waiter:
@@ -284,7 +286,7 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	r.process.Post(table, eventloop.Mail{Body: gateway.Forget{Request: id}})
+	r.process.Post(table, eventloop.Message{Body: gateway.Forget{Request: id}})
 	return nil
 }
 
@@ -297,7 +299,7 @@
 
 // Counts reads them.
 func (r *Real) Counts() Counts {
-	counts := Counts{Wire: r.net.Counts(), Lost: r.process.Lost()}
+	counts := Counts{Wire: r.net.Counts(), Lost: r.process.Dropped()}
 	if stats := r.stats.Load(); stats != nil {
 		counts.Storage = *stats
 	}
@@ -306,9 +308,9 @@
 
 // Warn tells every table that this process is to leave.
 func (r *Real) Warn() {
-	r.process.Post("gateway", eventloop.Mail{Body: gateway.Warned{}})
-	r.process.Post("membership", eventloop.Mail{Body: membership.Leaving{}})
-	r.process.Post("replica", eventloop.Mail{Body: replica.Warned{}})
+	r.process.Post("gateway", eventloop.Message{Body: gateway.Warned{}})
+	r.process.Post("membership", eventloop.Message{Body: membership.Leaving{}})
+	r.process.Post("replica", eventloop.Message{Body: replica.Warned{}})
 }
 
 // IsNeeded tells whether this process still has something to hand over.
--- a/internal/process/store.go
+++ b/internal/process/store.go
@@ -180,11 +180,11 @@
 			err = r.store.Commit(batch.Changes)
 		}
 		r.isRefused.Store(false)
-		r.log.Warn("the store takes writes again", zap.Duration("after", (r.Clock.Now()-began).Span()))
+		r.log.Warn("the store takes writes again", zap.Duration("after", (r.Clock.Now()-began).Duration()))
 		r.tellLatency()
 	}
 	if least := time.Duration(r.Options.TestSyncUs) * time.Microsecond; least > 0 {
-		if spent := (r.Clock.Now() - began).Span(); spent < least {
+		if spent := (r.Clock.Now() - began).Duration(); spent < least {
 			<-time.After(least - spent)
 		}
 	}
@@ -194,14 +194,14 @@
 	}
 	counts := r.store.Counts()
 	r.stats.Store(&counts)
-	r.process.PostWait("replica", eventloop.Mail{Body: replica.Written{Number: batch.Number}})
+	r.process.PostWait("replica", eventloop.Message{Body: replica.Written{Number: batch.Number}})
 }
 
 // refuse tells the replicas and the book that the store takes no writes.
 func (r *Real) refuse(batch replica.Batch, err error) {
 	r.log.Error("the store takes no writes: what is led here goes to others, and nothing is confirmed or voted for", zap.Error(err))
 	r.isRefused.Store(true)
-	r.process.PostWait("replica", eventloop.Mail{Body: replica.Refused{Number: batch.Number, Why: err.Error()}})
+	r.process.PostWait("replica", eventloop.Message{Body: replica.Refused{Number: batch.Number, Why: err.Error()}})
 	r.tellLatency()
 }
 
@@ -218,7 +218,7 @@
 
 // tellLatency tells the book of this process's worst recent delay.
 func (r *Real) tellLatency() {
-	worst := max(r.process.Latency(), eventloop.Micros(r.worst.Load()))
+	worst := max(r.process.TickLatency(), eventloop.Micros(r.worst.Load()))
 	// A sync that hasn't come back yet counts as long as it lasts.
 	if began := r.syncing.Load(); began > 0 {
 		worst = max(worst, r.Clock.Now()-eventloop.Micros(began))
@@ -226,5 +226,5 @@
 	if r.isRefused.Load() || r.isHanging() {
 		worst = membership.RefusedLatency
 	}
-	r.process.Post("membership", eventloop.Mail{Body: membership.Latency{Worst: worst}})
+	r.process.Post("membership", eventloop.Message{Body: membership.Latency{Worst: worst}})
 }
--- a/internal/process/store_test.go
+++ b/internal/process/store_test.go
@@ -37,7 +37,7 @@
 // ear is a table that passes on what it is told.
 type ear chan any
 
-func (e ear) Step(_ eventloop.Micros, mail eventloop.Mail, _ eventloop.Out) { e <- mail.Body }
+func (e ear) Step(_ eventloop.Micros, mail eventloop.Message, _ eventloop.Effects) { e <- mail.Body }
 
 func TestCommitGoesOn(t *testing.T) {
 	Convey("A store that refuses is told of at once, and its batch once it lasts", t, func() {
--- a/internal/raft/members_test.go
+++ b/internal/raft/members_test.go
@@ -83,7 +83,7 @@
 		r.isDown[old.self] = true
 		var lead *Group
 		for lead == nil {
-			r.run(10 * eventloop.Milli)
+			r.run(10 * eventloop.Millisecond)
 			for _, id := range othersThan(old.self) {
 				// Its first record is on its way to the other, which then falls silent.
 				if r.groups[id].IsLeader() {
@@ -119,7 +119,7 @@
 			_, _, err := lead.Propose(r.now, []byte("one"))
 			So(err, ShouldBeNil)
 			r.collect(lead.self)
-			r.run(300 * eventloop.Milli)
+			r.run(300 * eventloop.Millisecond)
 			So(r.groups["d"].Last(), ShouldEqual, lead.Last())
 			So(lead.Commit(), ShouldEqual, commit)
 		})
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -29,7 +29,7 @@
 }
 
 // UsualTimes are the defaults of the chosen design.
-var UsualTimes = Times{ElectionLeast: 450 * eventloop.Milli, ElectionMost: 750 * eventloop.Milli, Beat: 100 * eventloop.Milli}
+var UsualTimes = Times{ElectionLeast: 450 * eventloop.Millisecond, ElectionMost: 750 * eventloop.Millisecond, Beat: 100 * eventloop.Millisecond}
 
 // acting is how long after a round that a quorum answered a leader may act
 // outward: less than any of those waits before it votes for another.
@@ -44,12 +44,12 @@
 
 	keptReplies = 16 // beats whose answering is remembered
 
-	callRest  = 50 * eventloop.Milli // between two calls of a founder that stands
+	callRest  = 50 * eventloop.Millisecond // between two calls of a founder that stands
 	mostCalls = 12
 
-	yieldSpan  = 150 * eventloop.Milli // how much longer others wait after a start than whoever led last
-	youngSpan  = 150 * eventloop.Milli // spread of their waits
-	youngAgain = 100 * eventloop.Milli // and between two pre-votes of one, until somebody leads
+	yieldSpan  = 150 * eventloop.Millisecond // how much longer others wait after a start than whoever led last
+	youngSpan  = 150 * eventloop.Millisecond // spread of their waits
+	youngAgain = 100 * eventloop.Millisecond // and between two pre-votes of one, until somebody leads
 )
 
 type role int
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -105,7 +105,7 @@
 
 // run lets time pass in steps of 10 ms, delivering everything each time.
 func (r *rig) run(span eventloop.Micros) {
-	for end := r.now + span; r.now < end; r.now += 10 * eventloop.Milli {
+	for end := r.now + span; r.now < end; r.now += 10 * eventloop.Millisecond {
 		for _, id := range sortedIDs(r.groups) {
 			if !r.isDown[id] {
 				r.groups[id].Tick(r.now)
@@ -195,7 +195,7 @@
 			r.cut = func(from, to string) bool { return from == old.self || to == old.self }
 			r.propose("lost")
 			So(old.Acting(r.now), ShouldBeTrue)
-			r.run(500 * eventloop.Milli)
+			r.run(500 * eventloop.Millisecond)
 			So(old.Acting(r.now), ShouldBeFalse)
 			r.run(5 * eventloop.Second)
 			So(old.IsLeader(), ShouldBeFalse)
@@ -215,7 +215,7 @@
 			}
 			old.Pass(r.now, to)
 			r.collect(old.self)
-			r.run(50 * eventloop.Milli)
+			r.run(50 * eventloop.Millisecond)
 			So(r.leader().self, ShouldEqual, to)
 		})
 	})
@@ -348,7 +348,7 @@
 		Convey("as one that was handed the group", func() {
 			old.Pass(r.now, to)
 			r.collect(old.self)
-			r.run(50 * eventloop.Milli)
+			r.run(50 * eventloop.Millisecond)
 			So(r.groups[to].Acting(r.now), ShouldBeTrue)
 			So(r.appends, ShouldBeLessThan, 10)
 		})
@@ -356,10 +356,10 @@
 			r.cut = func(from, other string) bool { return len(r.applied[to]) > 0 && r.groups[to].IsLeader() }
 			old.Pass(r.now, to)
 			r.collect(old.self)
-			r.run(50 * eventloop.Milli)
+			r.run(50 * eventloop.Millisecond)
 			So(r.groups[to].IsLeader(), ShouldBeTrue)
 			r.cut = func(string, string) bool { return false }
-			r.run(500 * eventloop.Milli)
+			r.run(500 * eventloop.Millisecond)
 			So(r.groups[to].Acting(r.now), ShouldBeTrue)
 			So(r.appends, ShouldBeLessThan, 20)
 		})
@@ -380,7 +380,7 @@
 				isSplit = isSplit || id != old && r.images[id].Hard.Vote == id
 				r.start(id)
 			}
-			r.run(UsualTimes.acting() + 50*eventloop.Milli)
+			r.run(UsualTimes.acting() + 50*eventloop.Millisecond)
 			if !isSplit {
 				So(r.leader().self, ShouldEqual, old)
 			}
@@ -463,7 +463,7 @@
 		lead := r.leader()
 		So(lead.Read(r.now, 1), ShouldBeNil)
 		r.collect(lead.self)
-		r.run(20 * eventloop.Milli)
+		r.run(20 * eventloop.Millisecond)
 		So(r.reads[lead.self], ShouldResemble, []uint64{1})
 		r.cut = func(from, to string) bool { return from == lead.self || to == lead.self }
 		So(lead.Read(r.now, 2), ShouldBeNil)
@@ -600,7 +600,7 @@
 		g.AgreeWall(now, right)
 		g.beat(now)
 		r.collect(g.self)
-		r.run(20 * eventloop.Milli)
+		r.run(20 * eventloop.Millisecond)
 		// The leader goes; its successor has heard one clock besides its own.
 		r.isDown[g.self] = true
 		r.run(4 * eventloop.Second)
@@ -644,7 +644,7 @@
 				for id, other := range r.groups {
 					So(id == g.self || !other.IsLeader(), ShouldBeTrue)
 				}
-				r.run(10 * eventloop.Milli)
+				r.run(10 * eventloop.Millisecond)
 			}
 			So(g.Acting(r.now), ShouldBeFalse)
 		}
@@ -668,10 +668,10 @@
 		for seed := uint64(1); seed <= 20; seed++ {
 			r := newRig(seed, ids...)
 			r.groups["b"].Stand(r.now)
-			r.run(50 * eventloop.Milli)
+			r.run(50 * eventloop.Millisecond)
 			So(r.leader(), ShouldEqual, r.groups["b"])
 			So(r.propose("x"), ShouldBeTrue)
-			r.run(400 * eventloop.Milli)
+			r.run(400 * eventloop.Millisecond)
 			So(r.applied["a"], ShouldResemble, []string{"x"})
 		}
 	})
@@ -681,10 +681,10 @@
 		delete(r.groups, "a")
 		delete(r.groups, "c")
 		r.groups["b"].Stand(r.now)
-		r.run(230 * eventloop.Milli)
+		r.run(230 * eventloop.Millisecond)
 		So(r.leader(), ShouldBeNil)
 		r.groups["c"] = others["c"]
-		r.run(callRest + 20*eventloop.Milli)
+		r.run(callRest + 20*eventloop.Millisecond)
 		So(r.leader(), ShouldEqual, r.groups["b"])
 		So(r.groups["b"].Term(), ShouldEqual, 1)
 	})
@@ -693,7 +693,7 @@
 			r := newRig(seed, ids...)
 			r.loss = 0.5
 			r.groups["b"].Stand(r.now)
-			r.run(600 * eventloop.Milli)
+			r.run(600 * eventloop.Millisecond)
 			r.loss = 0
 			r.run(4 * eventloop.Second)
 			So(r.leader(), ShouldNotBeNil)
@@ -733,20 +733,20 @@
 		r.images["c"] = &storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}}
 		r.start("c")
 		r.groups["a"].Stand(r.now)
-		r.run(300 * eventloop.Milli)
+		r.run(300 * eventloop.Millisecond)
 		So(r.propose("x"), ShouldBeTrue)
-		r.run(300 * eventloop.Milli)
+		r.run(300 * eventloop.Millisecond)
 		So(r.applied["c"], ShouldResemble, []string{"x"})
 		r.groups["c"].Found(ids)
 		r.collect("c")
 		So(r.groups["c"].MemberSet().Voters, ShouldResemble, ids)
 		r.start("c")
 		So(r.propose("y"), ShouldBeTrue)
-		r.run(300 * eventloop.Milli)
+		r.run(300 * eventloop.Millisecond)
 		So(r.groups["c"].MemberSet().Voters, ShouldResemble, ids)
 		So(r.applied["c"], ShouldResemble, []string{"x", "y"})
 		r.groups["a"].Pass(r.now, "c")
-		r.run(100 * eventloop.Milli)
+		r.run(100 * eventloop.Millisecond)
 		So(r.leader(), ShouldEqual, r.groups["c"])
 	})
 }
--- a/internal/raft/time.go
+++ b/internal/raft/time.go
@@ -20,11 +20,11 @@
 
 // wallSlack is how much later than by the last agreement a clock may seem to be
 // right; group time stands still without a leader, so a right one is later.
-const wallSlack = 50 * eventloop.Milli
+const wallSlack = 50 * eventloop.Millisecond
 
 const (
-	stepLeast = 300 * eventloop.Milli // a jump of the middle clock that isn't believed at once
-	stepSpan  = 20 * eventloop.Second // for so long
+	stepLeast = 300 * eventloop.Millisecond // a jump of the middle clock that isn't believed at once
+	stepSpan  = 20 * eventloop.Second       // for so long
 )
 
 // WallTime is the median of the voters' wall clocks, so that one clock that
--- a/internal/raft/transfer_test.go
+++ b/internal/raft/transfer_test.go
@@ -46,7 +46,7 @@
 	return s
 }
 
-const slowStep = 5 * eventloop.Milli
+const slowStep = 5 * eventloop.Millisecond
 
 // runSlow lets time pass; look is called after each step.
 func (s *slowRig) runSlow(span eventloop.Micros, look func()) {
@@ -226,9 +226,9 @@
 	Convey("Over a fast link that is long, more is on its way at a time, and when it turns slow less again", t, func() {
 		const size = 2 << 20
 		s, lead, far, state := lagging(1, size)
-		s.speed, s.way = 100_000_000, 30*eventloop.Milli
+		s.speed, s.way = 100_000_000, 30*eventloop.Millisecond
 		lead.peers[far].roundTrip = 0 // as if it had always been so long
-		s.runSlow(2500*eventloop.Milli, nil)
+		s.runSlow(2500*eventloop.Millisecond, nil)
 		So(s.applied[far], ShouldHaveLength, 2)
 		So(s.applied[far][0] == state, ShouldBeTrue)
 		So(lead.window(lead.peers[far]), ShouldEqual, windowMost*lead.window(&progress{}))
@@ -241,7 +241,7 @@
 	})
 	Convey("Over links three times slower still, or very long ones, parts are not repeated while they wait", t, func() {
 		const size = 200 << 10
-		for _, way := range []eventloop.Micros{0, 140 * eventloop.Milli} {
+		for _, way := range []eventloop.Micros{0, 140 * eventloop.Millisecond} {
 			s, lead, far, state := lagging(1, size)
 			if s.way = way; way == 0 {
 				s.speed = eventloop.SlowestLink / 3
@@ -270,11 +270,11 @@
 	Convey("A replica that restarts at any moment of an installation starts again from what is durable", t, func() {
 		for at := 1; at <= 8; at++ {
 			s, _, far, state := lagging(uint64(at), size)
-			s.runSlow(eventloop.Micros(at)*110*eventloop.Milli, nil)
+			s.runSlow(eventloop.Micros(at)*110*eventloop.Millisecond, nil)
 			isWhole := len(s.applied[far]) > 0
 			So(isWhole || s.images[far].Checkpoint.Index == 0, ShouldBeTrue)
 			s.isDown[far] = true
-			s.runSlow(50*eventloop.Milli, nil)
+			s.runSlow(50*eventloop.Millisecond, nil)
 			s.start(far)
 			s.runSlow(4*eventloop.Second, nil)
 			// After a restart the checkpoint is the store's, not told again.
@@ -294,7 +294,7 @@
 					s.collect(id)
 				}
 			}
-			s.runSlow(eventloop.Micros(at)*110*eventloop.Milli, nil)
+			s.runSlow(eventloop.Micros(at)*110*eventloop.Millisecond, nil)
 			s.isDown[lead.self] = true
 			s.runSlow(6*eventloop.Second, nil)
 			So(s.leader(), ShouldNotBeNil)
@@ -305,13 +305,13 @@
 	})
 	Convey("A replica that holds half of one can't come to lead with it", t, func() {
 		s, lead, far, _ := lagging(3, size)
-		s.runSlow(300*eventloop.Milli, nil)
+		s.runSlow(300*eventloop.Millisecond, nil)
 		So(s.applied[far], ShouldBeEmpty)
 		for _, id := range ids {
 			s.isDown[id] = id == lead.self
 		}
 		for end := s.now + 5*eventloop.Second; s.now < end; {
-			s.runSlow(50*eventloop.Milli, nil)
+			s.runSlow(50*eventloop.Millisecond, nil)
 			So(s.groups[far].IsLeader(), ShouldBeFalse)
 			if len(s.applied[far]) > 0 {
 				break
@@ -351,9 +351,9 @@
 			}
 			s.runSlow(eventloop.Second, nil)
 			s.isDown[far] = true
-			s.runSlow(200*eventloop.Milli, nil)
+			s.runSlow(200*eventloop.Millisecond, nil)
 			s.start(far)
-			s.runSlow(2*UsualTimes.Beat+20*eventloop.Milli, nil)
+			s.runSlow(2*UsualTimes.Beat+20*eventloop.Millisecond, nil)
 			So(s.groups[far].Commit(), ShouldEqual, s.leader().Commit())
 			So(s.applied[far], ShouldHaveLength, 10)
 			s.runSlow(2*UsualTimes.Beat, nil)
--- a/internal/raft/writable_test.go
+++ b/internal/raft/writable_test.go
@@ -66,12 +66,12 @@
 		r.noSync[leader.self] = true
 		So(r.propose("one"), ShouldBeTrue)
 		So(leader.Read(r.now, 7), ShouldBeNil)
-		r.run(300 * eventloop.Milli)
+		r.run(300 * eventloop.Millisecond)
 		So(r.applied[leader.self], ShouldResemble, []string{"one"})
 		So(r.reads[leader.self], ShouldResemble, []uint64{7})
 		leader.Pass(r.now, others(leader.self)[0])
 		r.collect(leader.self)
-		r.run(200 * eventloop.Milli)
+		r.run(200 * eventloop.Millisecond)
 		So(r.leader().self, ShouldEqual, others(leader.self)[0])
 		// It went by the votes of those two alone.
 		So(r.images[leader.self].Hard.Term, ShouldBeLessThan, r.leader().Term())
@@ -84,7 +84,7 @@
 		r.run(2 * eventloop.Second)
 		for _, text := range []string{"one", "two", "three"} {
 			So(r.propose(text), ShouldBeTrue)
-			r.run(100 * eventloop.Milli)
+			r.run(100 * eventloop.Millisecond)
 		}
 		leader := r.leader()
 		leader.Release(leader.Applied()-1, []byte("state"))
--- a/internal/replica/answers_test.go
+++ b/internal/replica/answers_test.go
@@ -17,7 +17,7 @@
 		old := c.leader("")
 		group := c.tables[old].groups[clusterstate.Group].group
 		c.isCut = func(from, to string) bool { return from != "" && (from == old || to == old) }
-		c.run(10 * eventloop.Milli)
+		c.run(10 * eventloop.Millisecond)
 		next := group.Last() + 1
 		for id := uint64(71); id <= 74; id++ {
 			sheet := queuesSheet(2, "cut off", "cut", "off")
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -20,7 +20,7 @@
 	end     *schema.TaskEndReport
 }
 
-func (t *Table) apply(now eventloop.Micros, r *replica, record *schema.Entry, out eventloop.Out) {
+func (t *Table) apply(now eventloop.Micros, r *replica, record *schema.Entry, out eventloop.Effects) {
 	waiting, isWaited := r.waiting[record.Index]
 	delete(r.waiting, record.Index)
 	// What was asked for under another term was replaced in the log; its
@@ -59,7 +59,7 @@
 		t.applied[key].Results = append(t.applied[key].Results, outcome)
 	}
 	if len(effects.Shifts) > 0 && r.termTold == r.group.Term() {
-		out.Tell("scheduler", t.shifts(r, effects.Shifts, false, effects.Shifts[len(effects.Shifts)-1].Hand))
+		out.Notify("scheduler", t.shifts(r, effects.Shifts, false, effects.Shifts[len(effects.Shifts)-1].Hand))
 	}
 	if isWaited && waiting.end != nil {
 		t.endNoted(waiting.from, waiting.end, out)
@@ -78,7 +78,7 @@
 }
 
 // standings tells the scheduler of queues newly led, and of those led no more.
-func (t *Table) standings(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) standings(now eventloop.Micros, out eventloop.Effects) {
 	for _, name := range t.names() {
 		r := t.groups[name]
 		if r.queue == nil {
@@ -87,7 +87,7 @@
 		if !r.group.IsLeader() {
 			if r.termTold != 0 {
 				r.termTold = 0
-				out.Tell("scheduler", Lost{Queue: r.name})
+				out.Notify("scheduler", Lost{Queue: r.name})
 			}
 			if len(r.waiting) > 0 {
 				r.waiting = map[uint64]waiter{}
@@ -100,21 +100,21 @@
 		if r.termTold != r.group.Term() && r.group.Acting(now) {
 			r.termTold = r.group.Term()
 			list, hand := r.queue.Standings()
-			out.Tell("scheduler", t.shifts(r, list, true, hand))
+			out.Notify("scheduler", t.shifts(r, list, true, hand))
 		}
 	}
 }
 
-func (t *Table) clusterStateChanged(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) clusterStateChanged(now eventloop.Micros, out eventloop.Effects) {
 	if t.clusterState.Version() == t.state.Version && t.state.Version != 0 {
 		return
 	}
 	old := t.state
 	t.setState(t.clusterState.Copy())
 	for _, table := range []string{"gateway", "scheduler"} {
-		out.Tell(table, &schema.ClusterStateResponse{State: t.state, Version: t.state.Version})
+		out.Notify(table, &schema.ClusterStateResponse{State: t.state, Version: t.state.Version})
 	}
-	out.Tell("membership", membership.ClusterState{Version: t.state.Version})
+	out.Notify("membership", membership.ClusterState{Version: t.state.Version})
 	if old.Configuration != t.state.Configuration {
 		for _, r := range t.groups {
 			// Urgency may have changed with the plan. Nothing else in the cluster state is
--- a/internal/replica/changes_test.go
+++ b/internal/replica/changes_test.go
@@ -69,7 +69,7 @@
 func (c *core) putLarge(sheet *schema.ConfigurationUpdate) int32 {
 	reply := c.put(sheet)
 	for k := 0; reply == nil && k < 100; k++ {
-		c.run(10 * eventloop.Milli)
+		c.run(10 * eventloop.Millisecond)
 		for _, each := range c.heard["h"] {
 			reply, _ = each.(*schema.Response)
 		}
@@ -94,7 +94,7 @@
 		most := 0
 		for edition := uint64(1); edition <= count; edition++ {
 			So(c.putLarge(largeSheet(edition)), ShouldEqual, 200)
-			c.run(20 * eventloop.Milli)
+			c.run(20 * eventloop.Millisecond)
 			for _, id := range stores {
 				most = max(most, c.tables[id].groups[clusterstate.Group].logBytes)
 			}
@@ -120,7 +120,7 @@
 	Convey("A replica that comes back behind tells nobody of the cluster state, and gives its placer no leave, before it holds all that was acknowledged", t, func() {
 		c := newCore()
 		So(c.put(queuesSheet(1, "one", "l")).Code, ShouldEqual, 200)
-		c.run(500 * eventloop.Milli)
+		c.run(500 * eventloop.Millisecond)
 		lagging := "a"
 		if c.leader("") == "a" {
 			lagging = "b"
@@ -147,7 +147,7 @@
 		for k := 0; k < 3000 && !isCaught; k++ {
 			c.heard["f"], c.heard[lagging+"/placer"] = nil, nil
 			c.step(lagging, "f", &schema.ClusterStateRequest{})
-			c.run(2 * eventloop.Milli)
+			c.run(2 * eventloop.Millisecond)
 			for _, each := range c.heard["f"] {
 				if tell, isTell := each.(*schema.ClusterStateResponse); isTell {
 					isCaught = true
@@ -170,12 +170,12 @@
 	Convey("Who asks often is sent the rows of a large plan once, and again when they must have been lost", t, func() {
 		c := newCore()
 		So(c.putLarge(largeSheet(1)), ShouldEqual, 200)
-		c.run(300 * eventloop.Milli)
+		c.run(300 * eventloop.Millisecond)
 		ask := func(span eventloop.Micros) (withRows, all int) {
 			c.heard["f"] = nil
 			for end := c.now + span; c.now < end; {
 				c.step("a", "f", &schema.ClusterStateRequest{})
-				c.run(20 * eventloop.Milli)
+				c.run(20 * eventloop.Millisecond)
 			}
 			for _, each := range c.heard["f"] {
 				if tell, isTell := each.(*schema.ClusterStateResponse); isTell {
@@ -187,7 +187,7 @@
 			}
 			return withRows, all
 		}
-		withRows, all := ask(200 * eventloop.Milli)
+		withRows, all := ask(200 * eventloop.Millisecond)
 		So(withRows, ShouldEqual, 1)
 		So(all, ShouldEqual, 1)
 		withRows, _ = ask(2 * eventloop.Second)
--- a/internal/replica/confirm_test.go
+++ b/internal/replica/confirm_test.go
@@ -24,7 +24,7 @@
 			c.step(leader, "f", &schema.SubmitRequest{Queue: "l", Enqueues: []*schema.Enqueue{{
 				Session: &schema.Session{Gateway: "f", Incarnation: 1, Client: "c"}, Number: number, LowestUnconfirmed: number, Name: "j" + string(rune('0'+number)), Job: job,
 			}}})
-			c.run(200 * eventloop.Milli)
+			c.run(200 * eventloop.Millisecond)
 			for _, each := range c.heard["f"] {
 				if applied, isIt := each.(*schema.SubmitResponse); isIt {
 					for _, outcome := range applied.Results {
--- a/internal/replica/durable.go
+++ b/internal/replica/durable.go
@@ -41,7 +41,7 @@
 }
 
 // flush carries out what the groups have left, until nothing is left.
-func (t *Table) flush(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) flush(now eventloop.Micros, out eventloop.Effects) {
 	beats := map[string]*schema.HeartbeatBatch{}
 	for isMore := true; isMore; {
 		isMore = false
@@ -87,7 +87,7 @@
 	t.write(now, out)
 }
 
-func (t *Table) post(post raft.Post, beats map[string]*schema.HeartbeatBatch, out eventloop.Out) {
+func (t *Table) post(post raft.Post, beats map[string]*schema.HeartbeatBatch, out eventloop.Effects) {
 	if beats[post.To] == nil {
 		beats[post.To] = &schema.HeartbeatBatch{}
 	}
@@ -102,7 +102,7 @@
 	}
 }
 
-func (t *Table) sendBeats(beats map[string]*schema.HeartbeatBatch, out eventloop.Out) {
+func (t *Table) sendBeats(beats map[string]*schema.HeartbeatBatch, out eventloop.Effects) {
 	ids := slices.Sorted(maps.Keys(beats))
 	for _, id := range ids {
 		if len(beats[id].Heartbeats)+len(beats[id].Responses) > 0 {
@@ -111,7 +111,7 @@
 	}
 }
 
-func (t *Table) sendApplied(out eventloop.Out) {
+func (t *Table) sendApplied(out eventloop.Effects) {
 	ids := slices.Sorted(maps.Keys(t.applied))
 	for _, id := range ids {
 		applied := t.applied[id]
@@ -122,7 +122,7 @@
 
 // write hands everything that has gathered to the storage as one batch, so that
 // one sync serves every group; the next gathers meanwhile.
-func (t *Table) write(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) write(now eventloop.Micros, out eventloop.Effects) {
 	if t.writing != nil || len(t.next.changes)+len(t.next.posts)+len(t.next.selfs) == 0 {
 		return
 	}
@@ -136,10 +136,10 @@
 		t.flush(now, out)
 		return
 	}
-	out.Tell("storage", Batch{Number: t.number, Changes: batch.changes})
+	out.Notify("storage", Batch{Number: t.number, Changes: batch.changes})
 }
 
-func (t *Table) written(now eventloop.Micros, m Written, out eventloop.Out) {
+func (t *Table) written(now eventloop.Micros, m Written, out eventloop.Effects) {
 	if t.writing == nil || m.Number != t.number {
 		return
 	}
@@ -152,7 +152,7 @@
 	}
 	t.sendBeats(beats, out)
 	for _, self := range batch.selfs {
-		out.Tell("membership", membership.SelfKept{Self: self})
+		out.Notify("membership", membership.SelfKept{Self: self})
 	}
 	names := slices.Sorted(maps.Keys(batch.marks))
 	for _, name := range names {
--- a/internal/replica/fresh_test.go
+++ b/internal/replica/fresh_test.go
@@ -17,7 +17,7 @@
 		look := func(id string) (isFresh, isTold bool) {
 			c.heard["h"] = nil
 			c.step(id, "h", &schema.ClusterStateRequest{})
-			c.run(200 * eventloop.Milli)
+			c.run(200 * eventloop.Millisecond)
 			for _, each := range c.heard[id+"/scheduler"] {
 				if fresh, isIt := each.(Fresh); isIt {
 					isFresh = fresh.ClusterState
--- a/internal/replica/leadership.go
+++ b/internal/replica/leadership.go
@@ -74,7 +74,7 @@
 func (t *Table) isFit(now eventloop.Micros, r *replica, id string) bool {
 	match, heard := r.group.Match(id)
 	isKnown := t.roll != nil && t.roll.Live(id, now, liveSpan) && !t.roll.Known[id].Member.Draining
-	return isKnown && heard > 0 && now-heard < 500*eventloop.Milli && r.group.Last()-match < 256
+	return isKnown && heard > 0 && now-heard < 500*eventloop.Millisecond && r.group.Last()-match < 256
 }
 
 // leaderOf names who leads a group, or is about to.
--- a/internal/replica/list_test.go
+++ b/internal/replica/list_test.go
@@ -54,7 +54,7 @@
 		for id, isTold := range map[string]bool{"h": true, "s": false, "f": true, "unknown": true} {
 			c.heard[id] = nil
 			c.step(lead, id, &schema.ClusterStateRequest{})
-			c.run(20 * eventloop.Milli)
+			c.run(20 * eventloop.Millisecond)
 			So(c.heard[id], ShouldHaveLength, 1)
 			tell := c.heard[id][0].(*schema.ClusterStateResponse)
 			So(tell.Leaders[clusterstate.Group], ShouldEqual, lead)
--- a/internal/replica/maintenance.go
+++ b/internal/replica/maintenance.go
@@ -13,7 +13,7 @@
 	"sparnotch/internal/schema"
 )
 
-func (t *Table) tick(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) tick(now eventloop.Micros, out eventloop.Effects) {
 	t.noteLease(now)
 	hasAsked, hasChanged := false, false
 	for _, name := range t.names() {
@@ -45,7 +45,7 @@
 		}
 	}
 	fresh.ClusterState = t.isClusterStateFresh(now)
-	out.Tell("scheduler", fresh)
+	out.Notify("scheduler", fresh)
 }
 
 // isClusterStateFresh tells whether our copy of the cluster state held, a moment ago, all
@@ -121,7 +121,7 @@
 }
 
 // queues makes what the cluster state says of queues true here.
-func (t *Table) queues(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) queues(now eventloop.Micros, out eventloop.Effects) {
 	if t.groups[clusterstate.Group] == nil {
 		return
 	}
@@ -141,7 +141,7 @@
 			t.listed = nil
 			t.next.changes = append(t.next.changes, &schema.StoreChange{Group: name, Removed: true})
 			delete(t.next.marks, name)
-			out.Tell("scheduler", Lost{Queue: QueueOf(name)})
+			out.Notify("scheduler", Lost{Queue: QueueOf(name)})
 		}
 	}
 }
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -14,7 +14,7 @@
 )
 
 // heardSpan is how long ago whoever is counted on may have answered last.
-const heardSpan = 500 * eventloop.Milli
+const heardSpan = 500 * eventloop.Millisecond
 
 func (t *Table) reroster(now eventloop.Micros, m *schema.ChangeMembers) {
 	r := t.groups[m.Group]
--- a/internal/replica/members_test.go
+++ b/internal/replica/members_test.go
@@ -26,7 +26,7 @@
 	m.Group, m.FencingToken = clusterstate.Group, c.lease()
 	lead := c.leader("")
 	c.step(lead, "h", m)
-	c.run(200 * eventloop.Milli)
+	c.run(200 * eventloop.Millisecond)
 	return c.tables[lead].groups[clusterstate.Group].group.MemberSet()
 }
 
@@ -104,7 +104,7 @@
 		})
 		Convey("with one it stays, also while no controller renews the lease", func() {
 			for beat := range uint64(80) {
-				c.run(250 * eventloop.Milli)
+				c.run(250 * eventloop.Millisecond)
 				hears(&schema.Member{Id: "d", HasStorage: true, Incarnation: 1, Heartbeat: beat})
 				So(isNeeded(), ShouldBeTrue)
 			}
--- a/internal/replica/plan_test.go
+++ b/internal/replica/plan_test.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	syncSpan = 500                 // of every disk
-	wayTime  = 1 * eventloop.Milli // of every message
-	stepTime = eventloop.Milli
+	syncSpan = 500                       // of every disk
+	wayTime  = 1 * eventloop.Millisecond // of every message
+	stepTime = eventloop.Millisecond
 )
 
 // core is three stores that hold the cluster state, with disks and a network that
@@ -52,9 +52,9 @@
 func (p port) Send(to string, body any) {
 	p.core.mail = append(p.core.mail, letter{p.core.now + wayTime, p.id, to, body})
 }
-func (p port) Dial(string, any)   {}
-func (p port) Answer(uint64, any) {}
-func (p port) Tell(table string, body any) {
+func (p port) Dial(string, any)    {}
+func (p port) Respond(uint64, any) {}
+func (p port) Notify(table string, body any) {
 	if batch, isBatch := body.(Batch); isBatch {
 		if p.core.hangs[p.id] {
 			return
@@ -95,7 +95,7 @@
 }
 
 func (c *core) step(id, from string, body any) {
-	c.tables[id].Step(c.now, eventloop.Mail{From: from, Body: body}, port{c, id})
+	c.tables[id].Step(c.now, eventloop.Message{From: from, Body: body}, port{c, id})
 }
 
 func (c *core) run(span eventloop.Micros) {
@@ -148,7 +148,7 @@
 	}
 	c.heard["h"] = nil
 	c.step(c.leader(""), "h", request)
-	c.run(20 * eventloop.Milli)
+	c.run(20 * eventloop.Millisecond)
 	for _, each := range c.heard["h"] {
 		if reply, isReply := each.(*schema.Response); isReply {
 			return reply
@@ -185,13 +185,13 @@
 		So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: place}}).Code, ShouldEqual, 200)
 		for k, queue := range []string{"l", "m", "n"} {
 			for c.leader(queue) == "" && c.now < began+eventloop.Second {
-				c.run(eventloop.Milli)
+				c.run(eventloop.Millisecond)
 			}
 			So(c.leader(queue), ShouldEqual, stores[k])
 		}
-		So(c.now-began, ShouldBeLessThan, 150*eventloop.Milli)
+		So(c.now-began, ShouldBeLessThan, 150*eventloop.Millisecond)
 		Convey("and every founder is a voter of it, also one that its leader reached first", func() {
-			c.run(300 * eventloop.Milli)
+			c.run(300 * eventloop.Millisecond)
 			for _, id := range stores {
 				So(c.tables[id].groups, ShouldHaveLength, 4)
 				for _, r := range c.tables[id].groups {
@@ -223,11 +223,11 @@
 		So(protojson.Unmarshal(c.ask("plan", nil).Body, plan), ShouldBeNil)
 		So(string(plan.Document), ShouldEqual, "another")
 		So(plan.Version, ShouldEqual, 2)
-		c.run(300 * eventloop.Milli)
+		c.run(300 * eventloop.Millisecond)
 		for _, id := range stores {
 			c.step(id, "f", &schema.ClusterStateRequest{})
 		}
-		c.run(10 * eventloop.Milli)
+		c.run(10 * eventloop.Millisecond)
 		tells := append([]any{}, c.heard["f"]...)
 		for _, id := range stores {
 			tells = append(tells, c.heard[id+"/gateway"]...)
--- a/internal/replica/refusal.go
+++ b/internal/replica/refusal.go
@@ -35,7 +35,7 @@
 // refusalText is why the store takes no writes, empty if it does.
 func (t *Table) refusalText(now eventloop.Micros) string {
 	if !t.refuses() && t.isStalled(now) {
-		return fmt.Sprintf("no answer for %v", (now - t.began).Span().Round(time.Millisecond))
+		return fmt.Sprintf("no answer for %v", (now - t.began).Duration().Round(time.Millisecond))
 	}
 	return t.refusal.why
 }
--- a/internal/replica/refusal_test.go
+++ b/internal/replica/refusal_test.go
@@ -33,7 +33,7 @@
 func (c *core) runTold(span eventloop.Micros) {
 	for end := c.now + span; c.now < end; {
 		c.tellAll()
-		c.run(50 * eventloop.Milli)
+		c.run(50 * eventloop.Millisecond)
 	}
 }
 
@@ -82,12 +82,12 @@
 		c := newLedCore()
 		c.refuse("a")
 		c.handIn("a", "j1", 1)
-		c.runTold(150 * eventloop.Milli)
+		c.runTold(150 * eventloop.Millisecond)
 		heir := c.leader("q")
 		So(heir, ShouldBeIn, "b", "c")
 		So(c.tables["a"].belief(c.now).Refusal, ShouldEqual, "no room")
 		c.handIn(heir, "j1", 1)
-		c.runTold(50 * eventloop.Milli)
+		c.runTold(50 * eventloop.Millisecond)
 		So(c.confirmed(), ShouldBeGreaterThan, 0)
 		Convey("it gets nothing back while it refuses, though it is named", func() {
 			c.runTold(7 * eventloop.Second)
@@ -108,7 +108,7 @@
 		c := newLedCore()
 		c.hangs["a"] = true
 		c.handIn("a", "j1", 1)
-		c.runTold(stallSpan + 150*eventloop.Milli)
+		c.runTold(stallSpan + 150*eventloop.Millisecond)
 		So(c.leader("q"), ShouldBeIn, "b", "c")
 		So(c.tables["a"].belief(c.now).Refusal, ShouldContainSubstring, "no answer")
 		// It follows its successor, and tells it nothing of a term that may not last.
@@ -144,7 +144,7 @@
 			c.accept("c")
 			c.runTold(2 * eventloop.Second)
 			c.handIn(c.leader("q"), "j1", 1)
-			c.runTold(200 * eventloop.Milli)
+			c.runTold(200 * eventloop.Millisecond)
 			So(c.confirmed(), ShouldBeGreaterThan, 0)
 		})
 	})
@@ -173,7 +173,7 @@
 				Group: clusterstate.Group, Term: term, PrevIndex: prev, PrevTerm: prevTerm, Commit: prev + 1, Entries: []*schema.Entry{record},
 			})
 			prev, prevTerm = prev+1, term
-			c.runTold(20 * eventloop.Milli)
+			c.runTold(20 * eventloop.Millisecond)
 			So(table.state.Configuration.Version, ShouldEqual, version)
 			waiting := c.tables["c"].next
 			most = max(most, waiting.bytes)
@@ -219,7 +219,7 @@
 		leader := c.leader("")
 		before := c.tables[leader].groups[clusterstate.Group].group.Last()
 		c.step(leader, "h", &schema.Request{Id: 1, Kind: "clusterstate", Group: clusterstate.Group, Body: []byte("\xff\xff\xff")})
-		c.run(50 * eventloop.Milli)
+		c.run(50 * eventloop.Millisecond)
 		So(c.tables[leader].groups[clusterstate.Group].group.Last(), ShouldEqual, before)
 		So(c.heard["h"][len(c.heard["h"])-1].(*schema.Response).Code, ShouldEqual, 400)
 	})
@@ -238,7 +238,7 @@
 				Session: &schema.Session{Gateway: "f", Incarnation: 1, Client: "c"}, Number: number, LowestUnconfirmed: 1, Name: fmt.Sprint("j", number), Digest: []byte("d"),
 				Job: &schema.Job{Text: text, Steps: []*schema.Step{{Name: "s", Tasks: 1}}},
 			}}})
-			c.runTold(200 * eventloop.Milli)
+			c.runTold(200 * eventloop.Millisecond)
 		}
 		table := c.tables["a"]
 		taken := c.confirmed()
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -32,17 +32,17 @@
 )
 
 // Pace is the tick of the replicas.
-const Pace = 25 * eventloop.Milli
+const Pace = 25 * eventloop.Millisecond
 
 const (
-	stallSpan    = 600 * eventloop.Milli // a sync that takes longer makes a leader pass its queues on
-	liveSpan     = 2 * eventloop.Second  // a process heard of within it is there
-	passRest     = 5 * eventloop.Second  // between two attempts to pass a queue on
-	launchSpan   = 200 * eventloop.Milli // the starts of a group that was decided on have left by then
-	waitMost     = 400 * eventloop.Milli // how long passing on waits for that
-	maxUnsettled = 8192                  // proposals of one group not applied yet
+	stallSpan    = 600 * eventloop.Millisecond // a sync that takes longer makes a leader pass its queues on
+	liveSpan     = 2 * eventloop.Second        // a process heard of within it is there
+	passRest     = 5 * eventloop.Second        // between two attempts to pass a queue on
+	launchSpan   = 200 * eventloop.Millisecond // the starts of a group that was decided on have left by then
+	waitMost     = 400 * eventloop.Millisecond // how long passing on waits for that
+	maxUnsettled = 8192                        // proposals of one group not applied yet
 	tickTimed    = eventloop.Second
-	wallMost     = 100 * eventloop.Milli // a queue's timed jobs may be away from the time of day by so much
+	wallMost     = 100 * eventloop.Millisecond // a queue's timed jobs may be away from the time of day by so much
 	tickKept     = 5 * eventloop.Second
 )
 
@@ -189,7 +189,7 @@
 }
 
 // Step implements eventloop.Table.
-func (t *Table) Step(now eventloop.Micros, mail eventloop.Mail, out eventloop.Out) {
+func (t *Table) Step(now eventloop.Micros, mail eventloop.Message, out eventloop.Effects) {
 	switch body := mail.Body.(type) {
 	case eventloop.Tick:
 		t.tick(now, out)
@@ -240,7 +240,7 @@
 	case *schema.ClusterStateRequest:
 		t.tellClusterState(now, mail.From, body, out)
 	case Belief:
-		out.Answer(body.Request, t.belief(now))
+		out.Respond(body.Request, t.belief(now))
 	case Warned:
 		t.isWarned = true
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -51,7 +51,7 @@
 				for _, id := range stores {
 					c.step(id, "", roll)
 				}
-				c.run(100 * eventloop.Milli)
+				c.run(100 * eventloop.Millisecond)
 			}
 		}
 		So(c.put(queuesSheet(1, "", "l")).Code, ShouldEqual, 200)
@@ -59,10 +59,10 @@
 		run(eventloop.Second)
 		So(c.leader("l"), ShouldEqual, "a")
 		place("b")
-		run(1500 * eventloop.Milli)
+		run(1500 * eventloop.Millisecond)
 		So(c.leader("l"), ShouldEqual, "b")
 		place("c")
-		run(1500 * eventloop.Milli)
+		run(1500 * eventloop.Millisecond)
 		So(c.leader("l"), ShouldEqual, "c")
 	})
 }
@@ -88,15 +88,15 @@
 		c.step("a", "f", &schema.SubmitRequest{Queue: "l", Enqueues: []*schema.Enqueue{{
 			Session: &schema.Session{Gateway: "f", Incarnation: 1, Client: "c"}, Number: 1, Name: "j", Digest: []byte("d"), Job: job,
 		}}})
-		c.run(500 * eventloop.Milli)
+		c.run(500 * eventloop.Millisecond)
 		// Nobody is left who could lead.
 		c.isDown["a"], c.isDown["b"] = true, true
 		c.run(4 * eventloop.Second)
 		c.isDown["b"] = false
-		c.run(due - c.now - 200*eventloop.Milli)
+		c.run(due - c.now - 200*eventloop.Millisecond)
 		queue := c.tables[c.leader("l")].groups["l#"+c.generation("l")].queue
 		So(queue.Counts().Waiting, ShouldEqual, 0)
-		c.run(400 * eventloop.Milli)
+		c.run(400 * eventloop.Millisecond)
 		So(queue.Counts().Waiting, ShouldEqual, 1)
 	})
 }
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -17,7 +17,7 @@
 	"sparnotch/internal/schema"
 )
 
-func (t *Table) request(now eventloop.Micros, from string, m *schema.Request, out eventloop.Out) {
+func (t *Table) request(now eventloop.Micros, from string, m *schema.Request, out eventloop.Effects) {
 	r := t.groupFor(m)
 	if r == nil || !r.group.IsLeader() || r.group.Passing() != "" {
 		out.Send(from, &schema.Response{Id: m.Id, Group: m.Group, Leader: leaderOf(r)})
@@ -66,7 +66,7 @@
 	return nil
 }
 
-func (t *Table) read(now eventloop.Micros, r *replica, number uint64, out eventloop.Out) {
+func (t *Table) read(now eventloop.Micros, r *replica, number uint64, out eventloop.Effects) {
 	asked, isKnown := r.reading[number]
 	if !isKnown {
 		return
@@ -99,11 +99,11 @@
 	}
 }
 
-func (t *Table) reply(asked waiter, code int32, body []byte, group *raft.Group, out eventloop.Out) {
+func (t *Table) reply(asked waiter, code int32, body []byte, group *raft.Group, out eventloop.Effects) {
 	out.Send(asked.from, &schema.Response{Id: asked.request.Id, Code: code, Body: body, Leader: t.id, Group: asked.request.Group})
 }
 
-func (t *Table) answerClusterState(asked waiter, result *clusterstate.Result, r *replica, out eventloop.Out) {
+func (t *Table) answerClusterState(asked waiter, result *clusterstate.Result, r *replica, out eventloop.Effects) {
 	var body []byte
 	switch {
 	case result.Fault != nil:
@@ -145,7 +145,7 @@
 }
 
 // tellClusterState answers whoever carries a copy of the cluster state.
-func (t *Table) tellClusterState(now eventloop.Micros, from string, m *schema.ClusterStateRequest, out eventloop.Out) {
+func (t *Table) tellClusterState(now eventloop.Micros, from string, m *schema.ClusterStateRequest, out eventloop.Effects) {
 	r := t.groups[clusterstate.Group]
 	// A copy that may be behind would only hold the asker back.
 	if !t.isClusterStateFresh(now) {
--- a/internal/replica/submissions.go
+++ b/internal/replica/submissions.go
@@ -26,7 +26,7 @@
 	return r.group.Last()-r.group.Applied() > maxUnsettled
 }
 
-func (t *Table) submit(now eventloop.Micros, from string, m *schema.SubmitRequest, out eventloop.Out) {
+func (t *Table) submit(now eventloop.Micros, from string, m *schema.SubmitRequest, out eventloop.Effects) {
 	place := clusterstate.Place(t.state, m.Queue)
 	if place == nil {
 		return
@@ -87,7 +87,7 @@
 	t.proposeQueue(now, r, m.Command)
 }
 
-func (t *Table) end(now eventloop.Micros, from string, m *schema.TaskEndReport, out eventloop.Out) {
+func (t *Table) end(now eventloop.Micros, from string, m *schema.TaskEndReport, out eventloop.Effects) {
 	place := clusterstate.Place(t.state, m.Queue)
 	if place == nil {
 		// The queue is over, and with it whatever the task was for. A cluster state
@@ -128,10 +128,10 @@
 	return &schema.QueueCommand{Body: &schema.QueueCommand_Return{Return: &schema.Return{Key: m.Key, Attempt: m.Attempt, Cause: cause, Checkpoint: m.Checkpoint}}}
 }
 
-func (t *Table) endNoted(from string, m *schema.TaskEndReport, out eventloop.Out) {
+func (t *Table) endNoted(from string, m *schema.TaskEndReport, out eventloop.Effects) {
 	reply := &schema.TaskEndAck{Queue: m.Queue, Key: m.Key, Attempt: m.Attempt, Worker: m.Worker}
 	if from == "" {
-		out.Tell("scheduler", reply)
+		out.Notify("scheduler", reply)
 	} else {
 		out.Send(from, reply)
 	}
--- a/internal/replica/voters_test.go
+++ b/internal/replica/voters_test.go
@@ -20,7 +20,7 @@
 		reroster := func(m *schema.ChangeMembers) []string {
 			m.Group, m.FencingToken = clusterstate.Group, lease
 			c.step(lead, "h", m)
-			c.run(50 * eventloop.Milli)
+			c.run(50 * eventloop.Millisecond)
 			return c.tables[lead].groups[clusterstate.Group].group.MemberSet().Voters
 		}
 		reroster(&schema.ChangeMembers{AddLearner: "d"})
@@ -59,17 +59,17 @@
 		c.run(eventloop.Second)
 		So(c.leader("l"), ShouldEqual, leader)
 		lease := c.lease()
-		c.run(200 * eventloop.Milli)
+		c.run(200 * eventloop.Millisecond)
 		group := c.tables[leader].groups["l#"+c.generation("l")].group
 		learners := func(id string) []string {
 			c.step(leader, "h", &schema.ChangeMembers{Group: group.Name(), AddLearner: id, FencingToken: lease})
-			c.run(100 * eventloop.Milli)
+			c.run(100 * eventloop.Millisecond)
 			return group.MemberSet().Learners
 		}
 		So(learners("d"), ShouldResemble, []string{"d"})
 		// It still leads the queue with the third store, but hears nothing of the cluster state.
 		c.isCut = func(from, to string) bool { return from == lead && to == leader || from == leader && to == lead }
-		c.run(timing.Of(nil).Fresh + 100*eventloop.Milli)
+		c.run(timing.Of(nil).Fresh + 100*eventloop.Millisecond)
 		So(c.leader("l"), ShouldEqual, leader)
 		So(c.tables[leader].clusterState.IsController(lease), ShouldBeTrue)
 		So(learners("e"), ShouldResemble, []string{"d"})
--- a/internal/scheduler/agent_test.go
+++ b/internal/scheduler/agent_test.go
@@ -214,7 +214,7 @@
 		d := begin()
 		d.announce("v", run(0))
 		d.announce("w", run(1))
-		d.pass(100 * eventloop.Milli)
+		d.pass(100 * eventloop.Millisecond)
 		for _, tell := range d.tells {
 			if propose, isPropose := tell.(replica.Propose); isPropose {
 				So(propose.Command.GetStartGang(), ShouldBeNil)
@@ -252,7 +252,7 @@
 		for k := 0; k < 25; k++ {
 			d.announce("v", run(0))
 			d.announce("w", gathering(nil))
-			d.pass(100 * eventloop.Milli)
+			d.pass(100 * eventloop.Millisecond)
 		}
 		stops := map[uint32]bool{}
 		for _, order := range d.acts(count, "stop") {
@@ -380,19 +380,19 @@
 			began := d.now
 			stoppedAt := eventloop.Micros(0)
 			percent := int64(0)
-			for d.now < began+3600*eventloop.Milli {
+			for d.now < began+3600*eventloop.Millisecond {
 				d.announce("w", named(func(a *schema.WorkerHeartbeat) {
 					a.Draining, a.DepartsInUs = true, int64(began+4*eventloop.Second-d.now)
 					a.Running = []*schema.TaskStatus{{Name: "j1", Attempt: 1, State: "running", Percent: percent}}
 				}))
-				d.pass(100 * eventloop.Milli)
+				d.pass(100 * eventloop.Millisecond)
 				percent = each.percent
 				if stoppedAt == 0 && len(d.acts(0, "stop")) > 0 {
 					stoppedAt = d.now
 				}
 			}
 			if each.isSaved {
-				So(stoppedAt, ShouldBeBetween, began+3300*eventloop.Milli, began+4*eventloop.Second)
+				So(stoppedAt, ShouldBeBetween, began+3300*eventloop.Millisecond, began+4*eventloop.Second)
 			} else {
 				So(stoppedAt, ShouldEqual, 0)
 			}
@@ -435,7 +435,7 @@
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), {Queue: "l", Job: 2, Attempt: 1, State: "running", RunUs: 20_000_000, Checkpoint: "x", CoresMilli: 400}}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
 			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{2: 1}},
 		{what: "lasting tasks late", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "v", lasting), shift(1, 3, 0, queue.Out, "w", lasting), shift(1, 4, 0, queue.Out, "w", lasting)},
-			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), run(2, 0, eventloop.Milli)}, "w": {run(3, 0, eventloop.Milli), run(4, 0, eventloop.Milli)}},
+			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), run(2, 0, eventloop.Millisecond)}, "w": {run(3, 0, eventloop.Millisecond), run(4, 0, eventloop.Millisecond)}},
 			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{1: 1}},
 		{what: "no more than is needed, but enough for all that waits", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "v", mid), shift(1, 3, 0, queue.Out, "w", mid), shift(1, 4, 0, queue.Out, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second), run(2, 0, 3*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
@@ -470,9 +470,9 @@
 			d.queue("m", 50, each.urgent...)
 			d.pass(preemptAfter - Pace)
 			So(stops(d), ShouldBeEmpty) // it waits a little first
-			d.pass(60 * eventloop.Milli)
+			d.pass(60 * eventloop.Millisecond)
 			say()
-			d.pass(100 * eventloop.Milli)
+			d.pass(100 * eventloop.Millisecond)
 			So(stops(d), ShouldResemble, each.want)
 		})
 	}
@@ -510,7 +510,7 @@
 			d.announce("w", nil)
 			d.queue("l", 10, shift(1, 5, 0, queue.Ready, "", gang), shift(1, 5, 1, queue.Ready, "", gang))
 			So(d.picks(), ShouldBeEmpty)
-			d.pass(1600 * eventloop.Milli)
+			d.pass(1600 * eventloop.Millisecond)
 			d.announce("v", busy)
 			d.announce("w", nil)
 			d.queue("m", urgency, shift(1, 6, 0, queue.Ready, "", small))
@@ -599,14 +599,14 @@
 				d.announce("a", runs(&schema.TaskStatus{Name: "j7", Attempt: 1, State: "running", Percent: percent}))
 				finish(d, "b", eventloop.Second)
 				finish(d, "c", eventloop.Second)
-				d.pass(100 * eventloop.Milli)
+				d.pass(100 * eventloop.Millisecond)
 			}
 		}
 		isStopped := func() bool { return len(d.acts(0, "stop")) > 0 }
 		Convey("where nothing moves", func() {
-			play(3900*eventloop.Milli, 0)
+			play(3900*eventloop.Millisecond, 0)
 			So(isStopped(), ShouldBeFalse)
-			play(500*eventloop.Milli, 0)
+			play(500*eventloop.Millisecond, 0)
 			So(isStopped(), ShouldBeTrue)
 			d.tells = nil
 			d.announce("a", ends(&schema.TaskStatus{Name: "j7", Attempt: 1, State: "stopped"}))
@@ -648,7 +648,7 @@
 			has := named(func(a *schema.WorkerHeartbeat) { a.Labels = []string{"x"} })
 			d.announce("a", has)
 			So(d.picks(), ShouldBeEmpty)
-			d.pass(1100 * eventloop.Milli)
+			d.pass(1100 * eventloop.Millisecond)
 			d.announce("a", has)
 			So(len(d.picks()), ShouldEqual, 1)
 		})
@@ -706,7 +706,7 @@
 		So(d.t.workers["a"].isOnTrial, ShouldBeTrue)
 		So(d.picks(), ShouldBeEmpty)
 		for k := 0; k < 6; k++ {
-			d.pass(500 * eventloop.Milli)
+			d.pass(500 * eventloop.Millisecond)
 			d.announce("a", has(runs))
 		}
 		So(len(d.picks()), ShouldEqual, 1)
@@ -753,7 +753,7 @@
 		}
 		d.shifts(true, 100, append(list, shift(101, 101, 0, queue.Ready, "", one))...)
 		for k := 0; k < 3; k++ {
-			d.pass(200 * eventloop.Milli)
+			d.pass(200 * eventloop.Millisecond)
 			d.announce("w", nil)
 		}
 		So(len(d.picks()), ShouldEqual, 1)
@@ -766,7 +766,7 @@
 		d := newDesk("w")
 		d.announce("w", func(a *schema.WorkerHeartbeat) { a.Draining = true })
 		d.queue("m", 10, shift(1, 1, 0, queue.Ready, "", one))
-		d.pass(100 * eventloop.Milli)
+		d.pass(100 * eventloop.Millisecond)
 		d.queue("k", 10, shift(1, 2, 0, queue.Ready, "", one))
 		d.queue("l", 20, shift(1, 3, 0, queue.Ready, "", one))
 		d.announce("w", nil)
@@ -799,13 +799,13 @@
 		d.queue("m", 50, shift(1, 9, 0, queue.Ready, "", mid))
 		other := d.t.views["l"].tasks[taskKey{"l", 2, 0, 0}]
 		for k := 0; k < 25; k++ {
-			d.pass(100 * eventloop.Milli)
+			d.pass(100 * eventloop.Millisecond)
 			say()
 		}
 		So(d.t.views["l"].tasks[taskKey{"l", 1, 0, 0}].evict, ShouldEqual, "stopped")
 		So(other.evict, ShouldEqual, "")
 		for end := d.now + preemptAfter + eventloop.Second; d.now < end; {
-			d.pass(100 * eventloop.Milli)
+			d.pass(100 * eventloop.Millisecond)
 			say()
 		}
 		So(other.evict, ShouldEqual, "stopped")
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -78,7 +78,7 @@
 				}
 				over[id] = over[id][:len(over[id]):len(over[id])]
 				say(id)
-				d.now += eventloop.Milli
+				d.now += eventloop.Millisecond
 				if k%20 == 0 {
 					d.fresh(true)
 					d.step(eventloop.Tick{})
--- a/internal/scheduler/chance_test.go
+++ b/internal/scheduler/chance_test.go
@@ -45,7 +45,7 @@
 	})
 	Convey("Among what comes in time urgency decides", t, func() {
 		d := setUp()
-		d.queue("m", 10, way(shift(1, 2, 0, queue.Ready, "", step), 100*eventloop.Milli, eventloop.Second))
+		d.queue("m", 10, way(shift(1, 2, 0, queue.Ready, "", step), 100*eventloop.Millisecond, eventloop.Second))
 		d.queue("l", 20, way(shift(1, 1, 0, queue.Ready, "", step), 0, eventloop.Second))
 		d.announce("w", named(nil))
 		So(len(d.picks()), ShouldEqual, 1)
@@ -89,7 +89,7 @@
 		d.announce("y", named(nil))
 		So(d.picks(), ShouldBeEmpty)
 		for k := 0; k < 6; k++ {
-			d.pass(500 * eventloop.Milli)
+			d.pass(500 * eventloop.Millisecond)
 			for _, id := range []string{"w", "x", "y"} {
 				d.announce(id, named(nil))
 			}
@@ -100,20 +100,20 @@
 		d := newDesk("w")
 		d.announce("w", named(nil))
 		d.queue("l", 20, shift(1, 1, 0, queue.Out, "w", wide))
-		d.pass(100 * eventloop.Milli)
+		d.pass(100 * eventloop.Millisecond)
 		d.step(replica.Shifts{Queue: "l", Group: "l#1", Term: 1, Hand: 2, List: []*queue.Shift{shift(2, 1, 0, queue.Gone, "", wide)}, Running: 1000, Urgency: 20})
 		d.announce("w", named(nil))
 		d.queue("m", 10, way(shift(1, 2, 0, queue.Ready, "", long), 0, 6*eventloop.Second))
 		d.announce("w", named(nil))
 		So(d.picks(), ShouldBeEmpty)
 		Convey("but not by what is soon over", func() {
-			d.queue("k", 10, way(shift(1, 3, 0, queue.Ready, "", brief), 0, 500*eventloop.Milli))
+			d.queue("k", 10, way(shift(1, 3, 0, queue.Ready, "", brief), 0, 500*eventloop.Millisecond))
 			d.announce("w", named(nil))
 			So(len(d.picks()), ShouldEqual, 1)
 		})
 		Convey("and not for long where little is in use", func() {
 			for k := 0; k < 6; k++ {
-				d.pass(500 * eventloop.Milli)
+				d.pass(500 * eventloop.Millisecond)
 				d.announce("w", named(nil))
 			}
 			So(d.picks()[0].Key.Job, ShouldEqual, 2)
--- a/internal/scheduler/deaf_test.go
+++ b/internal/scheduler/deaf_test.go
@@ -22,7 +22,7 @@
 		answered := d.now
 		deaf := func(a *schema.WorkerHeartbeat) { a.Unanswered = true }
 		for d.now < answered+5*eventloop.Second {
-			d.now += 100 * eventloop.Milli
+			d.now += 100 * eventloop.Millisecond
 			d.fresh(true)
 			d.announce("w", deaf)
 			// That grants nothing, so the lease ends by the last answer before.
@@ -30,7 +30,7 @@
 			d.step(eventloop.Tick{})
 			So(d.ended(), ShouldBeEmpty)
 		}
-		d.now += 100 * eventloop.Milli
+		d.now += 100 * eventloop.Millisecond
 		d.fresh(true)
 		d.announce("w", deaf)
 		d.step(eventloop.Tick{})
--- a/internal/scheduler/groups.go
+++ b/internal/scheduler/groups.go
@@ -48,7 +48,7 @@
 // is a record of the queue before any start leaves, so that a successor carries
 // it out instead of breaking it; and it waits for a moment until every worker
 // has an announce open, so that all starts leave in one step.
-func (t *Table) launch(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) launch(now eventloop.Micros, out eventloop.Effects) {
 	// Few of many queues have a group that isn't decided on.
 	var names []string
 	for name, v := range t.views {
@@ -77,7 +77,7 @@
 				member.launchAt = now
 				command.Attempts = append(command.Attempts, member.attempt)
 			}
-			out.Tell("replica", replica.Propose{Group: v.group, Term: v.term, Command: &schema.QueueCommand{
+			out.Notify("replica", replica.Propose{Group: v.group, Term: v.term, Command: &schema.QueueCommand{
 				Body: &schema.QueueCommand_StartGang{StartGang: command},
 			}})
 		}
--- a/internal/scheduler/meter.go
+++ b/internal/scheduler/meter.go
@@ -13,13 +13,13 @@
 // says it sooner, set against what alike tasks make elsewhere.
 
 const (
-	meterSpan  = 700 * eventloop.Milli  // within which what was seen is mostly forgotten
-	meterLeast = 2.0                    // tasks' worth of progress to be expected before a worker is judged
-	meterCount = 20                     // runs that alike tasks' pace must be known from
-	meterSlow  = 0.35                   // of the progress expected: less is slow
-	frozenLook = 2200 * eventloop.Milli // without any progress on a worker; an agent looks about each second
-	frozenWant = 0.1                    // tasks' worth of progress to be expected in that time
-	crawl      = 0.05                   // of the usual pace, that a worker is taken to keep at least
+	meterSpan  = 700 * eventloop.Millisecond  // within which what was seen is mostly forgotten
+	meterLeast = 2.0                          // tasks' worth of progress to be expected before a worker is judged
+	meterCount = 20                           // runs that alike tasks' pace must be known from
+	meterSlow  = 0.35                         // of the progress expected: less is slow
+	frozenLook = 2200 * eventloop.Millisecond // without any progress on a worker; an agent looks about each second
+	frozenWant = 0.1                          // tasks' worth of progress to be expected in that time
+	crawl      = 0.05                         // of the usual pace, that a worker is taken to keep at least
 )
 
 // meter is the progress that a worker's tasks have made lately, and that which
--- a/internal/scheduler/meter_test.go
+++ b/internal/scheduler/meter_test.go
@@ -54,21 +54,21 @@
 			d.announce("a", named(func(a *schema.WorkerHeartbeat) { a.Running = notes }))
 			d.announce("b", named(nil))
 			d.announce("c", named(nil))
-			d.pass(100 * eventloop.Milli)
+			d.pass(100 * eventloop.Millisecond)
 			made += percent
 		}
 	}
 	isAside := func(d *desk) bool { return d.now < d.t.workers["a"].asideUntil }
 	Convey("A worker whose tasks make a fifth of the usual progress rests, and they go elsewhere", t, func() {
 		d := setUp()
-		play(d, 1900*eventloop.Milli, 2)
+		play(d, 1900*eventloop.Millisecond, 2)
 		So(isAside(d), ShouldBeTrue)
 		So(len(d.acts(0, "stop")), ShouldBeGreaterThanOrEqualTo, 3)
 		So(d.t.workers["a"].rest, ShouldEqual, slowRest)
 	})
 	Convey("One whose tasks make nearly the usual progress doesn't", t, func() {
 		d := setUp()
-		play(d, 1500*eventloop.Milli, 6)
+		play(d, 1500*eventloop.Millisecond, 6)
 		So(isAside(d), ShouldBeFalse)
 		So(d.acts(0, "stop"), ShouldBeEmpty)
 	})
@@ -77,7 +77,7 @@
 		play(d, 2*eventloop.Second, 0)
 		So(isAside(d), ShouldBeFalse)
 		Convey("but when it isn't for long, the worker rests", func() {
-			play(d, 1000*eventloop.Milli, 0)
+			play(d, 1000*eventloop.Millisecond, 0)
 			So(isAside(d), ShouldBeTrue)
 		})
 	})
--- a/internal/scheduler/name.go
+++ b/internal/scheduler/name.go
@@ -131,7 +131,7 @@
 
 // buried takes an agent's word for the workers that stood on its machine
 // before: nothing of theirs runs, so their tasks are given back at once.
-func (t *Table) buried(now eventloop.Micros, list []string, teller string, out eventloop.Out) {
+func (t *Table) buried(now eventloop.Micros, list []string, teller string, out eventloop.Effects) {
 	for _, id := range list {
 		if id == teller {
 			continue
@@ -148,7 +148,7 @@
 	}
 }
 
-func (t *Table) buryOne(now eventloop.Micros, id string, out eventloop.Out) {
+func (t *Table) buryOne(now eventloop.Micros, id string, out eventloop.Effects) {
 	for _, key := range slices.SortedFunc(maps.Keys(t.placed[id]), compareKeys) {
 		each := t.placed[id][key]
 		// What it had told before it died goes its own way.
@@ -160,7 +160,7 @@
 }
 
 // bury gives back what has come to be known of dead workers since.
-func (t *Table) bury(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) bury(now eventloop.Micros, out eventloop.Effects) {
 	for _, id := range slices.Sorted(maps.Keys(t.over)) {
 		at := t.over[id]
 		if len(t.placed[id]) > 0 {
--- a/internal/scheduler/orders.go
+++ b/internal/scheduler/orders.go
@@ -17,7 +17,7 @@
 	return max(2*eventloop.Micros(t.bounds.GetStopUs()), stopSpan)
 }
 
-func (t *Table) answerAll(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) answerAll(now eventloop.Micros, out eventloop.Effects) {
 	for _, w := range t.inOrder() {
 		if w.poll == nil || !w.isDirty && now < w.poll.until {
 			continue
@@ -29,11 +29,11 @@
 	}
 }
 
-func (t *Table) answer(now eventloop.Micros, w *worker, out eventloop.Out) {
+func (t *Table) answer(now eventloop.Micros, w *worker, out eventloop.Effects) {
 	t.answerWith(now, w, t.orders(now, w), out)
 }
 
-func (t *Table) answerWith(now eventloop.Micros, w *worker, list []*schema.TaskOrder, out eventloop.Out) {
+func (t *Table) answerWith(now eventloop.Micros, w *worker, list []*schema.TaskOrder, out eventloop.Effects) {
 	p := w.poll
 	w.poll = nil
 	if !t.isSure(now) || now-w.heard > silentSpan {
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -10,15 +10,15 @@
 
 const (
 	firstRest  = 5 * eventloop.Second
-	slowRest   = 1500 * eventloop.Milli // of a worker that is slow: whether it still is shows soon
-	slowTasks  = 3                      // at a time, that it is tried with
+	slowRest   = 1500 * eventloop.Millisecond // of a worker that is slow: whether it still is shows soon
+	slowTasks  = 3                            // at a time, that it is tried with
 	mostRest   = 60 * eventloop.Second
 	stuckSpan  = 2 * eventloop.Second
 	stuckTimes = 4
 	alikeSpan  = 10 * eventloop.Second
-	stillSpan  = 3 * eventloop.Second  // without progress; an agent looks only now and then
-	frozenSpan = 4 * eventloop.Second  // without progress, for tasks that tell it
-	shortRun   = 500 * eventloop.Milli // shorter runs say nothing of a worker's pace
+	stillSpan  = 3 * eventloop.Second        // without progress; an agent looks only now and then
+	frozenSpan = 4 * eventloop.Second        // without progress, for tasks that tell it
+	shortRun   = 500 * eventloop.Millisecond // shorter runs say nothing of a worker's pace
 
 	badShare    = 0.5  // of its runs a bad worker fails about so many
 	leastShare  = 0.01 // of the runs that sound workers fail is at least taken for granted
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -194,7 +194,7 @@
 
 // pass runs over the ready tasks, most urgent queue first, and checks out what
 // finds room.
-func (t *Table) pass(now eventloop.Micros, out eventloop.Out) {
+func (t *Table) pass(now eventloop.Micros, out eventloop.Effects) {
 	var views []*view
 	oldest := map[*view]eventloop.Micros{}
 	for _, v := range t.views {
@@ -310,7 +310,7 @@
 	return queues
 }
 
-func (t *Table) passQueue(now eventloop.Micros, v *view, turn chance, waiting *heads, list, all []*room, p *passage, out eventloop.Out) {
+func (t *Table) passQueue(now eventloop.Micros, v *view, turn chance, waiting *heads, list, all []*room, p *passage, out eventloop.Effects) {
 	var picks []*schema.Placement
 	spare := math.MaxInt64
 	if turn == lost {
@@ -395,7 +395,7 @@
 		}
 	}
 	if len(picks) > 0 {
-		out.Tell("replica", replica.Propose{Group: v.group, Term: v.term, Command: &schema.QueueCommand{
+		out.Notify("replica", replica.Propose{Group: v.group, Term: v.term, Command: &schema.QueueCommand{
 			Body: &schema.QueueCommand_Checkout{Checkout: &schema.Checkout{Placements: picks}},
 		}})
 	}
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -11,7 +11,7 @@
 )
 
 // reports passes ended tasks on to their queues' leaders until they are noted.
-func (t *Table) reports(now eventloop.Micros, w *worker, notes []*schema.TaskStatus, out eventloop.Out) {
+func (t *Table) reports(now eventloop.Micros, w *worker, notes []*schema.TaskStatus, out eventloop.Effects) {
 	fresh := map[attemptKey]*ended{}
 	for _, note := range notes {
 		key := noteKey(note)
@@ -26,7 +26,7 @@
 	t.passReports(now, w, out)
 }
 
-func (t *Table) passReports(now eventloop.Micros, w *worker, out eventloop.Out) {
+func (t *Table) passReports(now eventloop.Micros, w *worker, out eventloop.Effects) {
 	for _, key := range endedKeys(w) {
 		e := w.ended[key]
 		if e.isNoted || now-e.sentAt < endSpan {
@@ -71,7 +71,7 @@
 		}
 		e.sentAt = now
 		end.Outcome = outcome
-		out.Tell("replica", replica.Ended{End: end})
+		out.Notify("replica", replica.Ended{End: end})
 	}
 }
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -15,31 +15,31 @@
 )
 
 // Pace is the tick of the table.
-const Pace = 20 * eventloop.Milli
+const Pace = 20 * eventloop.Millisecond
 
 const (
-	silentSpan   = eventloop.Second       // no order to a worker not heard for this long
-	actSpan      = timing.ActSpan         // how old a leader's word may be for an order to leave
-	holdSpan     = 400 * eventloop.Milli  // how long an announce is held back at most
-	endSpan      = 300 * eventloop.Milli  // a report that isn't settled is passed on again
-	reserveSpan  = 3 * eventloop.Second   // a checkout that was never heard of is given up
-	launchSpan   = 500 * eventloop.Milli  // a decision to begin a group that isn't heard of is proposed again
-	pollSpan     = 50 * eventloop.Milli   // an announce that is to be answered sooner may be gone by the decision
-	wholeSpan    = eventloop.Second       // how long a failure in a group waits for the others to begin
-	leaveSpan    = 500 * eventloop.Milli  // a decided start may still reach a worker that has just said it leaves
-	groupSpan    = 3 * eventloop.Second   // a group that isn't held by then is let go
-	gatherSpan   = 2 * eventloop.Second   // a member that hasn't begun by then lets the others go, unless the bounds say more
-	preemptAfter = 500 * eventloop.Milli  // how long urgent work waits before it displaces
-	claimAfter   = 1500 * eventloop.Milli // how long wide work waits before workers are kept free for it
-	asideAfter   = 2500 * eventloop.Milli // how long work that nobody else could run waits before it goes to workers that are set aside
-	outAfter     = 12 * eventloop.Second  // the same for other work
-	stopSpan     = 3 * eventloop.Second   // a stop that takes longer is waited for no more, unless the bounds say more
-	departLead   = 500 * eventloop.Milli  // how long before its worker goes a task is stopped to keep its progress
-	overSpan     = 60 * eventloop.Second  // how long a worker stays known as dead after the last word of it
-	maxPicks     = 64                     // of one checkout, groups apart
-	maxMisses    = 32                     // steps that find no room, of one queue and pass
-	wholePass    = eventloop.Second / 2   // between two passes that look at every step
-	passRest     = 10 * eventloop.Milli   // after a pass that has left much waiting
+	silentSpan   = eventloop.Second             // no order to a worker not heard for this long
+	actSpan      = timing.ActSpan               // how old a leader's word may be for an order to leave
+	holdSpan     = 400 * eventloop.Millisecond  // how long an announce is held back at most
+	endSpan      = 300 * eventloop.Millisecond  // a report that isn't settled is passed on again
+	reserveSpan  = 3 * eventloop.Second         // a checkout that was never heard of is given up
+	launchSpan   = 500 * eventloop.Millisecond  // a decision to begin a group that isn't heard of is proposed again
+	pollSpan     = 50 * eventloop.Millisecond   // an announce that is to be answered sooner may be gone by the decision
+	wholeSpan    = eventloop.Second             // how long a failure in a group waits for the others to begin
+	leaveSpan    = 500 * eventloop.Millisecond  // a decided start may still reach a worker that has just said it leaves
+	groupSpan    = 3 * eventloop.Second         // a group that isn't held by then is let go
+	gatherSpan   = 2 * eventloop.Second         // a member that hasn't begun by then lets the others go, unless the bounds say more
+	preemptAfter = 500 * eventloop.Millisecond  // how long urgent work waits before it displaces
+	claimAfter   = 1500 * eventloop.Millisecond // how long wide work waits before workers are kept free for it
+	asideAfter   = 2500 * eventloop.Millisecond // how long work that nobody else could run waits before it goes to workers that are set aside
+	outAfter     = 12 * eventloop.Second        // the same for other work
+	stopSpan     = 3 * eventloop.Second         // a stop that takes longer is waited for no more, unless the bounds say more
+	departLead   = 500 * eventloop.Millisecond  // how long before its worker goes a task is stopped to keep its progress
+	overSpan     = 60 * eventloop.Second        // how long a worker stays known as dead after the last word of it
+	maxPicks     = 64                           // of one checkout, groups apart
+	maxMisses    = 32                           // steps that find no room, of one queue and pass
+	wholePass    = eventloop.Second / 2         // between two passes that look at every step
+	passRest     = 10 * eventloop.Millisecond   // after a pass that has left much waiting
 )
 
 // Table is the scheduler's table.
@@ -92,7 +92,7 @@
 }
 
 // Step implements eventloop.Table.
-func (t *Table) Step(now eventloop.Micros, mail eventloop.Mail, out eventloop.Out) {
+func (t *Table) Step(now eventloop.Micros, mail eventloop.Message, out eventloop.Effects) {
 	switch body := mail.Body.(type) {
 	case eventloop.Tick:
 		t.tick(now, out)
@@ -110,7 +110,7 @@
 	case *schema.TaskEndAck:
 		t.noted(body)
 	case Why:
-		out.Answer(body.Request, t.placements(now))
+		out.Respond(body.Request, t.placements(now))
 	}
 	if t.isDirty && now >= t.passAt {
 		t.isDirty = false
@@ -130,7 +130,7 @@
 
 func (t *Table) plan(key string) int64 { return t.values.Fleet(key) }
 
-func (t *Table) clusterState(now eventloop.Micros, m *schema.ClusterStateResponse, out eventloop.Out) {
+func (t *Table) clusterState(now eventloop.Micros, m *schema.ClusterStateResponse, out eventloop.Effects) {
 	if m.State == nil {
 		return
 	}
@@ -177,8 +177,8 @@
 	t.isDirty = true
 }
 
-func (t *Table) tick(now eventloop.Micros, out eventloop.Out) {
-	lease := eventloop.Micros(t.plan("lease_ms")+t.plan("margin_ms")) * eventloop.Milli
+func (t *Table) tick(now eventloop.Micros, out eventloop.Effects) {
+	lease := eventloop.Micros(t.plan("lease_ms")+t.plan("margin_ms")) * eventloop.Millisecond
 	for _, w := range t.inOrder() {
 		w.isDirty = true
 		t.passReports(now, w, out)
@@ -244,7 +244,7 @@
 			if own > 0 {
 				return own
 			}
-			return t.values.Of("queue", key.queue, usual) * int64(eventloop.Milli)
+			return t.values.Of("queue", key.queue, usual) * int64(eventloop.Millisecond)
 		}
 		if limit := stated(each.spec.TimeLimitUs, "limit_ms"); limit > 0 && note.State == "running" && note.RunUs+age > limit {
 			t.evict(each, "failed")
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -26,10 +26,10 @@
 		d.replies = append(d.replies, reply)
 	}
 }
-func (d *desk) Dial(string, any)     {}
-func (d *desk) Answer(uint64, any)   {}
-func (d *desk) Tell(_ string, m any) { d.tells = append(d.tells, m) }
-func (d *desk) step(body any)        { d.t.Step(d.now, eventloop.Mail{From: "front", Body: body}, d) }
+func (d *desk) Dial(string, any)       {}
+func (d *desk) Respond(uint64, any)    {}
+func (d *desk) Notify(_ string, m any) { d.tells = append(d.tells, m) }
+func (d *desk) step(body any)          { d.t.Step(d.now, eventloop.Message{From: "front", Body: body}, d) }
 func (d *desk) fresh(isClusterState bool) {
 	d.step(replica.Fresh{Groups: map[string]uint64{"l#1": 1}, ClusterState: isClusterState})
 }
@@ -146,7 +146,7 @@
 		So(len(d.last().Orders.Acknowledged), ShouldEqual, 1)
 		from := len(d.replies)
 		d.announce("w", nil)
-		d.pass(600 * eventloop.Milli)
+		d.pass(600 * eventloop.Millisecond)
 		So(d.acts(from, "start"), ShouldBeEmpty)
 		next := shift(2, 1, 0, queue.Out, "w", one)
 		next.Attempt = 2
@@ -162,7 +162,7 @@
 		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "w", one))
 		d.announce("w", nil)
 		for k := 0; k < 100; k++ {
-			d.now += 100 * eventloop.Milli
+			d.now += 100 * eventloop.Millisecond
 			d.fresh(false)
 			d.step(eventloop.Tick{})
 		}
@@ -206,12 +206,12 @@
 		d.announce("w", nil)
 		answered := d.now
 		for d.now < answered+5*eventloop.Second {
-			d.now += 100 * eventloop.Milli
+			d.now += 100 * eventloop.Millisecond
 			d.fresh(true)
 			d.step(eventloop.Tick{})
 			So(len(d.ended()), ShouldEqual, 0)
 		}
-		d.now += 100 * eventloop.Milli
+		d.now += 100 * eventloop.Millisecond
 		d.fresh(true)
 		d.step(eventloop.Tick{})
 		So(len(d.ended()), ShouldEqual, 1)
@@ -229,11 +229,11 @@
 		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "w", one))
 		began := d.now
 		for len(d.ended()) == 0 && d.now < began+20*eventloop.Second {
-			d.now += 100 * eventloop.Milli
+			d.now += 100 * eventloop.Millisecond
 			d.fresh(true)
 			d.step(eventloop.Tick{})
 		}
-		So(d.now-began, ShouldBeGreaterThan, 6250*eventloop.Milli)
+		So(d.now-began, ShouldBeGreaterThan, 6250*eventloop.Millisecond)
 		So(d.now-began, ShouldBeLessThan, 7*eventloop.Second)
 	})
 }
@@ -325,7 +325,7 @@
 		d := newDesk("v", "w")
 		d.shifts(true, 2, shift(1, 1, 0, queue.Out, "v", gang), shift(2, 1, 1, queue.Out, "w", gang))
 		d.announce("w", nil)
-		d.now += groupSpan + eventloop.Milli
+		d.now += groupSpan + eventloop.Millisecond
 		d.fresh(true)
 		d.announce("v", held(0))
 		d.announce("v", held(0))
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -59,7 +59,7 @@
 
 func before(a, b *task) bool { return lessKey(a.key, b.key) }
 
-func (t *Table) shifts(now eventloop.Micros, m replica.Shifts, out eventloop.Out) {
+func (t *Table) shifts(now eventloop.Micros, m replica.Shifts, out eventloop.Effects) {
 	v := t.views[m.Queue]
 	if m.IsWhole {
 		was := map[taskKey]task{}
@@ -92,7 +92,7 @@
 			if shift.Hand != v.hand+1 {
 				// A hand-over is missing: ask for the whole list.
 				t.counts.Gaps++
-				out.Tell("replica", replica.Query{Group: m.Group})
+				out.Notify("replica", replica.Query{Group: m.Group})
 				break
 			}
 			v.hand = shift.Hand
