--- a/internal/scheduler/workers.go
+++ b/internal/scheduler/workers.go
@@ -68,7 +68,7 @@
 	return t.placed[id]
 }
 
-func (t *Table) dismiss(w *worker, out eventloop.Out) {
+func (t *Table) dismiss(w *worker, out eventloop.Effects) {
 	if w.poll != nil {
 		out.Send(w.poll.front, &schema.WorkerPollResponse{Id: w.poll.id, Scheduler: t.id})
 		w.poll = nil
@@ -97,7 +97,7 @@
 	return t.isSure(now) && t.fresh.Groups[v.group] == v.term
 }
 
-func (t *Table) heard(now eventloop.Micros, front string, m *schema.WorkerPollRequest, out eventloop.Out) {
+func (t *Table) heard(now eventloop.Micros, front string, m *schema.WorkerPollRequest, out eventloop.Effects) {
 	w := t.workers[m.Worker]
 	a := m.Heartbeat
 	// Who isn't sure of being the ward gives no lease.
@@ -182,7 +182,7 @@
 
 // forsaken returns what an earlier incarnation of the worker had: by its own
 // word nothing of that runs.
-func (t *Table) forsaken(now eventloop.Micros, w *worker, out eventloop.Out) {
+func (t *Table) forsaken(now eventloop.Micros, w *worker, out eventloop.Effects) {
 	for _, each := range t.tasksOf(w) {
 		if each.incarnation < w.incarnation {
 			t.giveBack(now, each, "lost", out)
@@ -199,13 +199,13 @@
 	return list
 }
 
-func (t *Table) giveBack(now eventloop.Micros, each *task, outcome string, out eventloop.Out) {
+func (t *Table) giveBack(now eventloop.Micros, each *task, outcome string, out eventloop.Effects) {
 	if now-each.lostAt < endSpan && each.lostAt > 0 {
 		return
 	}
 	each.lostAt = now
 	t.counts.LostTasks++
-	out.Tell("replica", replica.Ended{End: &schema.TaskEndReport{
+	out.Notify("replica", replica.Ended{End: &schema.TaskEndReport{
 		Queue: each.key.queue, Key: &schema.TaskKey{Job: each.key.job, Step: each.key.step, Task: each.key.task},
 		Attempt: each.attempt, Outcome: outcome, Worker: each.worker, Checkpoint: each.keptProgress(),
 	}})
--- a/internal/sim/called.go
+++ b/internal/sim/called.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	calledPace = 5 * eventloop.Milli
-	beatUsual  = 1500 * eventloop.Milli
+	calledPace = 5 * eventloop.Millisecond
+	beatUsual  = 1500 * eventloop.Millisecond
 	stillness  = 30 // a task that stands still takes so much longer
 )
 
@@ -188,7 +188,7 @@
 		worker := k.Name()
 		k.gone()
 		if h.isHere() {
-			h.mail("agent", eventloop.Mail{Body: agent.Departed{Worker: worker}})
+			h.mail("agent", eventloop.Message{Body: agent.Departed{Worker: worker}})
 		}
 		return
 	}
@@ -210,18 +210,18 @@
 	k.beatAt = w.Now + every*9/10 + eventloop.Micros(k.rng.Int64N(int64(every)/5))
 	if !h.isHere() {
 		// Nobody acknowledges it; a frozen process finds it when it wakes.
-		k.beatAt = w.Now + 500*eventloop.Milli
+		k.beatAt = w.Now + 500*eventloop.Millisecond
 		if h.frozen && h.IsUp {
 			beat := k.hand.Beat(w.Now)
-			h.do(h.run, func() { h.mail("agent", eventloop.Mail{Body: beat}) })
+			h.do(h.run, func() { h.mail("agent", eventloop.Message{Body: beat}) })
 		}
 		return
 	}
-	h.mail("agent", eventloop.Mail{Body: k.hand.Beat(w.Now)})
+	h.mail("agent", eventloop.Message{Body: k.hand.Beat(w.Now)})
 	if k.isLeaving && !k.isLeaveHeard {
 		k.isLeaveHeard = true
 		if k.isOrderly {
-			k.hand.Leave(w.Now, eventloop.Micros(w.bounds.DrainUs)+500*eventloop.Milli)
+			k.hand.Leave(w.Now, eventloop.Micros(w.bounds.DrainUs)+500*eventloop.Millisecond)
 		}
 		w.Tell(checker.Event{Kind: checker.Leave, Who: k.Name()})
 	}
@@ -247,11 +247,11 @@
 	k := w.called[h.place()]
 	way := func() eventloop.Micros { return 100 + eventloop.Micros(w.Rng.Int64N(300)) }
 	back := func(reply agent.Reply) {
-		w.After(way(), func() { h.do(run, func() { h.mail("agent", eventloop.Mail{Body: reply}) }) })
+		w.After(way(), func() { h.do(run, func() { h.mail("agent", eventloop.Message{Body: reply}) }) })
 	}
 	w.After(way(), func() {
 		if k.hand == nil {
-			w.After(400*eventloop.Milli, func() { back(agent.Reply{Number: call.Number, Verdict: agent.Silent}) })
+			w.After(400*eventloop.Millisecond, func() { back(agent.Reply{Number: call.Number, Verdict: agent.Silent}) })
 			return
 		}
 		k.hand.Take(w.Now, call, func(reply agent.Reply) {
@@ -412,7 +412,7 @@
 // read, and send one again as it was after no clear answer.
 func (w *World) putEdition(who string, rows []*schema.ConfigurationRow) {
 	rows = w.withPools(rows)
-	again := func() { w.After(200*eventloop.Milli, func() { w.putEdition(who, rows) }) }
+	again := func() { w.After(200*eventloop.Millisecond, func() { w.putEdition(who, rows) }) }
 	w.readPlan(w.pickFront(w.anyCell()), func(plan *schema.Configuration) {
 		if plan == nil {
 			again()
@@ -451,7 +451,7 @@
 		switch {
 		case reply.Code == 200:
 		case reply.Code == 0 || reply.Code >= 500 || reply.Code == 429:
-			w.After(200*eventloop.Milli, func() { w.sendEdition(who, sheet, again) })
+			w.After(200*eventloop.Millisecond, func() { w.sendEdition(who, sheet, again) })
 		default:
 			again()
 		}
@@ -486,24 +486,24 @@
 	plain := func(name string, tasks uint32, cores int64, run eventloop.Micros, after ...string) *schema.Step {
 		return &schema.Step{Name: name, Tasks: tasks, CoresMilli: cores, MemoryMb: 256, Dependencies: after, EstimatedRunUs: int64(run)}
 	}
-	saving := plain("rows", 8, 2000, 1500*eventloop.Milli, "load")
+	saving := plain("rows", 8, 2000, 1500*eventloop.Millisecond, "load")
 	saving.Checkpoints, saving.DataRack = true, "r1"
-	gang := plain("gang", 4, 1000, 600*eventloop.Milli)
+	gang := plain("gang", 4, 1000, 600*eventloop.Millisecond)
 	gang.Gang, gang.OneRack, gang.Checkpoints = true, true, true
-	spread := plain("spread", 3, 500, 300*eventloop.Milli)
+	spread := plain("spread", 3, 500, 300*eventloop.Millisecond)
 	spread.MaxPerWorker, spread.Labels, spread.Accelerators = 1, []string{"a"}, 1
 	lasting := plain("lasting", 2, 500, 0)
 	lasting.RunUntilCancelled = true
 	return []Kind{
-		{Queue: "quick", Every: 250 * eventloop.Milli, Attempts: 4, Job: &schema.Job{Text: "quick", Steps: []*schema.Step{plain("rates", 3, 500, 40*eventloop.Milli), plain("sum", 1, 500, 30*eventloop.Milli, "rates")}}},
-		{Queue: "slow", Every: 2 * eventloop.Second, Attempts: 4, Cancel: 0.2, Job: &schema.Job{Text: "slow", Steps: []*schema.Step{plain("load", 3, 2000, 400*eventloop.Milli), saving, plain("pack", 1, 1000, 100*eventloop.Milli, "rows")}}},
-		{Queue: "group", Every: eventloop.Second, Attempts: 4, Cancel: 0.1, Job: &schema.Job{Text: "gang fail=0.03", Steps: []*schema.Step{gang, plain("after", 1, 500, 50*eventloop.Milli, "gang")}}},
-		{Name: "spread", Queue: "group", Every: 1500 * eventloop.Milli, Attempts: 4, Job: &schema.Job{Text: "spread", Steps: []*schema.Step{spread}}},
-		{Queue: "timed", Every: 2 * eventloop.Second, Attempts: 3, Cancel: 0.1, Wall: 1500 * eventloop.Milli, Job: &schema.Job{Text: "rounds fail=0.05", Rounds: 3, PeriodUs: int64(900 * eventloop.Milli), Steps: []*schema.Step{plain("one", 2, 500, 500*eventloop.Milli), plain("two", 1, 500, 600*eventloop.Milli, "one")}}},
+		{Queue: "quick", Every: 250 * eventloop.Millisecond, Attempts: 4, Job: &schema.Job{Text: "quick", Steps: []*schema.Step{plain("rates", 3, 500, 40*eventloop.Millisecond), plain("sum", 1, 500, 30*eventloop.Millisecond, "rates")}}},
+		{Queue: "slow", Every: 2 * eventloop.Second, Attempts: 4, Cancel: 0.2, Job: &schema.Job{Text: "slow", Steps: []*schema.Step{plain("load", 3, 2000, 400*eventloop.Millisecond), saving, plain("pack", 1, 1000, 100*eventloop.Millisecond, "rows")}}},
+		{Queue: "group", Every: eventloop.Second, Attempts: 4, Cancel: 0.1, Job: &schema.Job{Text: "gang fail=0.03", Steps: []*schema.Step{gang, plain("after", 1, 500, 50*eventloop.Millisecond, "gang")}}},
+		{Name: "spread", Queue: "group", Every: 1500 * eventloop.Millisecond, Attempts: 4, Job: &schema.Job{Text: "spread", Steps: []*schema.Step{spread}}},
+		{Queue: "timed", Every: 2 * eventloop.Second, Attempts: 3, Cancel: 0.1, Wall: 1500 * eventloop.Millisecond, Job: &schema.Job{Text: "rounds fail=0.05", Rounds: 3, PeriodUs: int64(900 * eventloop.Millisecond), Steps: []*schema.Step{plain("one", 2, 500, 500*eventloop.Millisecond), plain("two", 1, 500, 600*eventloop.Millisecond, "one")}}},
 		{Name: "lasting", Queue: "timed", Every: 6 * eventloop.Second, Attempts: 3, Cancel: 1, CancelAfter: 8 * eventloop.Second, Job: &schema.Job{Text: "lasting", Steps: []*schema.Step{lasting}}},
-		{Name: "poison", Queue: "timed", Every: 4 * eventloop.Second, Attempts: 3, Job: &schema.Job{Text: "poison fail=1", Steps: []*schema.Step{plain("bad", 2, 500, 60*eventloop.Milli), plain("never", 1, 500, 60*eventloop.Milli, "bad")}}},
+		{Name: "poison", Queue: "timed", Every: 4 * eventloop.Second, Attempts: 3, Job: &schema.Job{Text: "poison fail=1", Steps: []*schema.Step{plain("bad", 2, 500, 60*eventloop.Millisecond), plain("never", 1, 500, 60*eventloop.Millisecond, "bad")}}},
 		{Name: "bad-gang", Queue: "group", Every: 9 * eventloop.Second, Attempts: 4, Job: &schema.Job{Text: "poison fail=0.7", Steps: []*schema.Step{{Name: "bad", Tasks: 3, CoresMilli: 500, MemoryMb: 128, Gang: true, EstimatedRunUs: 100_000}}}},
-		{Queue: "far", Every: 700 * eventloop.Milli, Attempts: 2, Job: &schema.Job{Text: "far", Steps: []*schema.Step{plain("far", 2, 500, 100*eventloop.Milli)}}},
+		{Queue: "far", Every: 700 * eventloop.Millisecond, Attempts: 2, Job: &schema.Job{Text: "far", Steps: []*schema.Step{plain("far", 2, 500, 100*eventloop.Millisecond)}}},
 	}
 }
 
@@ -530,9 +530,9 @@
 var SmallCalled = Size{
 	Name: "small-called", Fronts: 5, Sides: 6, Workers: 6, PerRack: 2, Cores: 8000, Memory: 16000, Kinds: CalledKinds(), Rows: CalledRows,
 	Bounds: &schema.Bounds{
-		HoldMostUs: int64(6 * eventloop.Second), StopUs: int64(400 * eventloop.Milli), GatherUs: int64(3 * eventloop.Second), StatusUs: int64(120 * eventloop.Second),
-		ApplyUs: int64(2 * eventloop.Second), AwayMilli: 1500, SaveUs: int64(300 * eventloop.Milli), RestoreUs: int64(50 * eventloop.Milli),
-		BeatUs: int64(1500 * eventloop.Milli), DrainUs: int64(2 * eventloop.Second),
+		HoldMostUs: int64(6 * eventloop.Second), StopUs: int64(400 * eventloop.Millisecond), GatherUs: int64(3 * eventloop.Second), StatusUs: int64(120 * eventloop.Second),
+		ApplyUs: int64(2 * eventloop.Second), AwayMilli: 1500, SaveUs: int64(300 * eventloop.Millisecond), RestoreUs: int64(50 * eventloop.Millisecond),
+		BeatUs: int64(1500 * eventloop.Millisecond), DrainUs: int64(2 * eventloop.Second),
 	},
 }
 
--- a/internal/sim/changes_test.go
+++ b/internal/sim/changes_test.go
@@ -84,7 +84,7 @@
 	o.send(o.configuration(edition, size), func() {
 		o.taken = append(o.taken, o.Now)
 		o.look()
-		o.After(max(o.every-(o.Now-began), 10*eventloop.Milli), func() { o.next(edition + 1) })
+		o.After(max(o.every-(o.Now-began), 10*eventloop.Millisecond), func() { o.next(edition + 1) })
 	})
 }
 
@@ -99,7 +99,7 @@
 		case reply.Code == 200:
 			back()
 		case reply.Code == 0 || reply.Code >= 500 || reply.Code == 429:
-			o.After(200*eventloop.Milli, func() { o.send(sheet, back) })
+			o.After(200*eventloop.Millisecond, func() { o.send(sheet, back) })
 		default:
 			o.say("edition %d was refused: %d %s", sheet.Version, reply.Code, reply.Body)
 		}
@@ -232,7 +232,7 @@
 			o.say("%s hasn't caught up %.1f s after its start", h.Name, float64(o.Now-began)/1e6)
 			return
 		}
-		o.After(20*eventloop.Milli, watch)
+		o.After(20*eventloop.Millisecond, watch)
 	}
 	watch()
 }
--- a/internal/sim/cut_sides_test.go
+++ b/internal/sim/cut_sides_test.go
@@ -39,7 +39,7 @@
 	cutKinds[kind].apply(r, side, true)
 	if cutKinds[kind].restarts {
 		f.After(3*eventloop.Second, r.host.Kill)
-		f.After(3500*eventloop.Milli, r.host.Start)
+		f.After(3500*eventloop.Millisecond, r.host.Start)
 	}
 	f.Run(f.Now + supersededSpan)
 	if belief := r.voter("leader").Belief(); belief.Controller == old {
--- a/internal/sim/cut_test.go
+++ b/internal/sim/cut_test.go
@@ -18,15 +18,15 @@
 
 const (
 	cutSpan      = 20 * eventloop.Second
-	inForceSpan  = 2 * eventloop.Second   // a new plan is in force everywhere
-	wayMost      = 10 * eventloop.Milli   // nothing is on its way for longer
-	atOnce       = 25 * eventloop.Milli   // of which six are the caller's way
-	youngMost    = 1100 * eventloop.Milli // what a process that never had word takes for a call it can't know about
-	readySpan    = 600 * eventloop.Milli  // after a cut
-	editionGap   = 1500 * eventloop.Milli // between two plans
-	probeGap     = 510 * eventloop.Milli  // between two rounds of calls
-	announceSpan = 1200 * eventloop.Milli // and a worker
-	callSpan     = 3 * eventloop.Second   // a caller waits
+	inForceSpan  = 2 * eventloop.Second         // a new plan is in force everywhere
+	wayMost      = 10 * eventloop.Millisecond   // nothing is on its way for longer
+	atOnce       = 25 * eventloop.Millisecond   // of which six are the caller's way
+	youngMost    = 1100 * eventloop.Millisecond // what a process that never had word takes for a call it can't know about
+	readySpan    = 600 * eventloop.Millisecond  // after a cut
+	editionGap   = 1500 * eventloop.Millisecond // between two plans
+	probeGap     = 510 * eventloop.Millisecond  // between two rounds of calls
+	announceSpan = 1200 * eventloop.Millisecond // and a worker
+	callSpan     = 3 * eventloop.Second         // a caller waits
 )
 
 // cutRun is a fleet one machine of which is cut off, while an operator goes on
@@ -61,7 +61,7 @@
 		r.AddHost(fmt.Sprintf("heed%d", k+1), fmt.Sprintf("c%d", k+1), schema.Role_ROLE_CONTROLLER, false)
 	}
 	for _, h := range r.Hosts {
-		r.After(eventloop.Micros(r.Rng.Int64N(int64(300*eventloop.Milli))), h.Start)
+		r.After(eventloop.Micros(r.Rng.Int64N(int64(300*eventloop.Millisecond))), h.Start)
 	}
 	r.After(eventloop.Second, func() { r.publish(1, nil) })
 	r.Run(r.Now + 6*eventloop.Second)
@@ -115,7 +115,7 @@
 			if at == next {
 				next = r.Hosts[r.Rng.IntN(5)]
 			}
-			r.After(100*eventloop.Milli, func() { r.publish(edition, next) })
+			r.After(100*eventloop.Millisecond, func() { r.publish(edition, next) })
 		default:
 			r.fail(at, "replace", sent, reply, "the only operator's order was refused")
 		}
@@ -168,7 +168,7 @@
 		r.fail(h, what, sent, reply, fmt.Sprintf("took %d us", span))
 	case r.isDark(sent) && r.isYoung && sent > r.downTo && span > youngMost:
 		r.fail(h, what, sent, reply, fmt.Sprintf("took %d us in a young process", span))
-	case r.isDark(sent) && span > inForceSpan+200*eventloop.Milli:
+	case r.isDark(sent) && span > inForceSpan+200*eventloop.Millisecond:
 		r.fail(h, what, sent, reply, fmt.Sprintf("took %d us", span))
 	}
 }
@@ -364,7 +364,7 @@
 				return fresh
 			}
 		}
-		r.Run(r.Now + eventloop.Milli)
+		r.Run(r.Now + eventloop.Millisecond)
 	}
 }
 
@@ -466,8 +466,8 @@
 	if cut.restarts {
 		r.After(3*eventloop.Second, func() {
 			r.host.Kill()
-			r.downAt, r.downTo = r.Now, r.Now+500*eventloop.Milli
-			r.After(500*eventloop.Milli, func() {
+			r.downAt, r.downTo = r.Now, r.Now+500*eventloop.Millisecond
+			r.After(500*eventloop.Millisecond, func() {
 				r.host.Start()
 				r.isYoung = true
 			})
--- a/internal/sim/disk_scenarios.go
+++ b/internal/sim/disk_scenarios.go
@@ -115,7 +115,7 @@
 }
 
 // handoverMost is a redirect or two, and a resend of what was lost with them.
-const handoverMost = 1200 * eventloop.Milli
+const handoverMost = 1200 * eventloop.Millisecond
 
 // DiskScenarios are disks that refuse; a stall is among the Scenarios.
 var DiskScenarios = []Scenario{
@@ -128,7 +128,7 @@
 			f.After(4*eventloop.Second, func() { f.killed(leader, eventloop.Second) })
 		})
 	}, After: caughtUp},
-	{Name: "every disk is full, one after another", Net: CalmNet, Sync: 5 * eventloop.Milli, Span: 40 * eventloop.Second, Plan: func(f *Fleet) {
+	{Name: "every disk is full, one after another", Net: CalmNet, Sync: 5 * eventloop.Millisecond, Span: 40 * eventloop.Second, Plan: func(f *Fleet) {
 		for k, h := range f.Stores() {
 			f.At(f.Began+eventloop.Micros(3+10*k)*eventloop.Second, func() { f.refused(h, Fault{IsFull: true}, fullSpan) })
 		}
@@ -165,7 +165,7 @@
 	{Name: "most disks hang", Net: CalmNet, Sync: 500, Span: 25 * eventloop.Second, Plan: func(f *Fleet) {
 		f.At(f.Began+4*eventloop.Second, func() { mostHang(f, process.HangSpan+fullSpan) })
 	}, After: turnedAway},
-	{Name: "every disk is full at once, rough net", Net: RoughNet, Sync: 5 * eventloop.Milli, Span: 30 * eventloop.Second, Plan: func(f *Fleet) {
+	{Name: "every disk is full at once, rough net", Net: RoughNet, Sync: 5 * eventloop.Millisecond, Span: 30 * eventloop.Second, Plan: func(f *Fleet) {
 		f.At(f.Began+4*eventloop.Second, func() {
 			f.Fault("every disk takes no more")
 			for _, h := range f.Stores() {
@@ -176,8 +176,8 @@
 	{Name: "the disk is full again and again while the leader is killed", Net: CalmNet, Sync: 500, Span: 45 * eventloop.Second, Plan: func(f *Fleet) {
 		for k := range 5 {
 			during(f, eventloop.Micros(3+7*k)*eventloop.Second, func(leader *Host) {
-				leader.Refuse(Fault{IsFull: k%2 == 0, SyncFails: k%2 == 1}, 1500*eventloop.Milli)
-				f.After(2200*eventloop.Milli, func() {
+				leader.Refuse(Fault{IsFull: k%2 == 0, SyncFails: k%2 == 1}, 1500*eventloop.Millisecond)
+				f.After(2200*eventloop.Millisecond, func() {
 					if other := f.Leader(); other != nil {
 						f.killed(other, eventloop.Second)
 					}
@@ -212,7 +212,7 @@
 		if e.Code == 201 && e.At < to {
 			wrong = append(wrong, fmt.Sprintf("%s was confirmed by %s while most disks took nothing", e.Name, e.Front))
 		}
-		if e.At-e.Sent > 500*eventloop.Milli {
+		if e.At-e.Sent > 500*eventloop.Millisecond {
 			slow++
 		}
 	}
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -47,11 +47,11 @@
 	due := step("due", 1, 500)
 	due.StallTimeoutUs = int64(eventloop.Second)
 	return []Kind{
-		{Queue: "quick", Every: 250 * eventloop.Milli, Job: &schema.Job{Text: "run_us=30000", Steps: []*schema.Step{step("rates", 3, 500), step("sum", 1, 500, "rates")}}},
+		{Queue: "quick", Every: 250 * eventloop.Millisecond, Job: &schema.Job{Text: "run_us=30000", Steps: []*schema.Step{step("rates", 3, 500), step("sum", 1, 500, "rates")}}},
 		{Queue: "slow", Every: 2 * eventloop.Second, Cancel: 0.2, Job: &schema.Job{Text: "run_us=700000", Steps: []*schema.Step{step("load", 4, 2000), step("rows", 10, 2000, "load"), step("pack", 1, 1000, "rows")}}},
 		{Queue: "group", Every: eventloop.Second, Job: &schema.Job{Text: "run_us=200000 fail=0.05", Steps: []*schema.Step{together, step("after", 1, 500, "gang")}}},
 		{Name: "due", Queue: "timed", Every: 4 * eventloop.Second, Wall: 2 * eventloop.Second, Job: &schema.Job{Text: "run_us=20000", Steps: []*schema.Step{due}}},
-		{Queue: "timed", Every: 700 * eventloop.Milli, Cancel: 0.2, Job: &schema.Job{Text: "run_us=20000 fail=0.2", DelayUs: int64(1500 * eventloop.Milli), Steps: []*schema.Step{limited}}},
+		{Queue: "timed", Every: 700 * eventloop.Millisecond, Cancel: 0.2, Job: &schema.Job{Text: "run_us=20000 fail=0.2", DelayUs: int64(1500 * eventloop.Millisecond), Steps: []*schema.Step{limited}}},
 	}
 }
 
@@ -145,9 +145,9 @@
 		f.addCalled()
 	}
 	for _, h := range f.Hosts {
-		f.After(eventloop.Micros(f.Rng.Int64N(int64(300*eventloop.Milli))), h.Start)
+		f.After(eventloop.Micros(f.Rng.Int64N(int64(300*eventloop.Millisecond))), h.Start)
 	}
-	f.After(500*eventloop.Milli, func() { f.Put("operator", f.Rows(60)) })
+	f.After(500*eventloop.Millisecond, func() { f.Put("operator", f.Rows(60)) })
 	f.After(eventloop.Second, func() {
 		for k := 0; k < size.Workers && size.Bounds == nil; k++ {
 			rack := k / size.PerRack
@@ -162,7 +162,7 @@
 		for _, kind := range size.Kinds {
 			f.Load(kind, f.Over)
 		}
-		f.Read(500*eventloop.Milli, f.Over+20*eventloop.Second)
+		f.Read(500*eventloop.Millisecond, f.Over+20*eventloop.Second)
 	})
 	return f
 }
--- a/internal/sim/lanes_test.go
+++ b/internal/sim/lanes_test.go
@@ -32,7 +32,7 @@
 		return false
 	}
 	for !taken() {
-		f.Run(f.Now + eventloop.Milli)
+		f.Run(f.Now + eventloop.Millisecond)
 	}
 	began := f.Now
 	open := 0
@@ -49,7 +49,7 @@
 					return gateway.Ask{Request: request, Kind: "list", Group: queue, Most: 1, Deadline: deadline}
 				}, func(answer any) {
 					if reply, _ := answer.(gateway.Answer); reply.Code != 200 {
-						f.After(10*eventloop.Milli, try)
+						f.After(10*eventloop.Millisecond, try)
 						return
 					}
 					open--
@@ -60,7 +60,7 @@
 		}
 	}
 	for f.Now < began+10*eventloop.Second && open > 0 {
-		f.Run(f.Now + 10*eventloop.Milli)
+		f.Run(f.Now + 10*eventloop.Millisecond)
 	}
 	So(open, ShouldEqual, 0)
 	return spans
@@ -75,6 +75,6 @@
 			}
 		}
 		t.Logf("%d queues at fronts: mean %d us, worst %d us", count, sum/eventloop.Micros(count), worst)
-		So(worst, ShouldBeLessThan, 300*eventloop.Milli)
+		So(worst, ShouldBeLessThan, 300*eventloop.Millisecond)
 	})
 }
--- a/internal/sim/losses.go
+++ b/internal/sim/losses.go
@@ -14,7 +14,7 @@
 			if e.Kind != checker.Begin || e.Queue != "group" || e.Step != 0 {
 				return false
 			}
-			f.After(eventloop.Micros(f.Rng.Int64N(int64(4*eventloop.Milli))), strike)
+			f.After(eventloop.Micros(f.Rng.Int64N(int64(4*eventloop.Millisecond))), strike)
 			return true
 		})
 	})
@@ -30,6 +30,6 @@
 	{Name: "controller frozen, leader killed between a group's starts", Net: CalmNet, Sync: 500, Span: 30 * eventloop.Second, Plan: func(f *Fleet) {
 		from := 3 * eventloop.Second
 		f.At(f.Began+from, func() { f.frozen(f.controller(), 12*eventloop.Second) })
-		onGroupStart(f, from+200*eventloop.Milli, func() { f.killed(f.host("leader"), 5*eventloop.Second) })
+		onGroupStart(f, from+200*eventloop.Millisecond, func() { f.killed(f.host("leader"), 5*eventloop.Second) })
 	}},
 }
--- a/internal/sim/members_test.go
+++ b/internal/sim/members_test.go
@@ -24,7 +24,7 @@
 const catchUp = 4 * eventloop.Second
 
 // lookSpan is how often the groups are looked at.
-const lookSpan = 50 * eventloop.Milli
+const lookSpan = 50 * eventloop.Millisecond
 
 // core is a fleet of disk machines that bear so many losses, with fronts and
 // side machines.
@@ -52,9 +52,9 @@
 		f.sides = append(f.sides, h)
 	}
 	for _, h := range f.Hosts {
-		f.After(eventloop.Micros(f.Rng.Int64N(int64(300*eventloop.Milli))), h.Start)
+		f.After(eventloop.Micros(f.Rng.Int64N(int64(300*eventloop.Millisecond))), h.Start)
 	}
-	f.After(500*eventloop.Milli, func() { f.Put("operator", f.Rows(60)) })
+	f.After(500*eventloop.Millisecond, func() { f.Put("operator", f.Rows(60)) })
 	f.Began = f.Now + 4*eventloop.Second
 	if hasLoad {
 		f.After(eventloop.Second, func() {
@@ -207,7 +207,7 @@
 	began := c.Now
 	c.Put("operator", c.Rows(int(61+c.Now/eventloop.Second%30)))
 	for c.Now < began+limit {
-		c.Run(c.Now + 20*eventloop.Milli)
+		c.Run(c.Now + 20*eventloop.Millisecond)
 		for k := len(c.History) - 1; k >= 0 && c.History[k].At > began; k-- {
 			if e := c.History[k]; e.Kind == checker.PlanPut && e.Code == 200 && e.Sent >= began {
 				return c.Now - began, true
@@ -246,8 +246,8 @@
 }
 
 var memberCases = []memberCase{
-	{name: "wiped, back at once", lose: wiped(300 * eventloop.Milli)},
-	{name: "wiped, back after 1.2 s", lose: wiped(1200 * eventloop.Milli)},
+	{name: "wiped, back at once", lose: wiped(300 * eventloop.Millisecond)},
+	{name: "wiped, back after 1.2 s", lose: wiped(1200 * eventloop.Millisecond)},
 	{name: "wiped, back after 3 s", lose: wiped(3 * eventloop.Second)},
 	{name: "successor at the loss", lose: replacedAfter(0)},
 	{name: "successor 1 s after the loss", lose: replacedAfter(eventloop.Second)},
@@ -277,7 +277,7 @@
 	}, further: timing.RepairSpan},
 	{name: "restarted", lose: func(c *core, victim *Host) eventloop.Micros {
 		victim.Kill()
-		c.pass(500 * eventloop.Milli)
+		c.pass(500 * eventloop.Millisecond)
 		victim.Start()
 		return c.Now
 	}},
@@ -348,7 +348,7 @@
 // lost), and -v shows the worst of them.
 func TestToleranceReturns(t *testing.T) {
 	sizes := []struct{ stores, losses int }{{3, 1}, {5, 2}, {7, 2}}
-	syncs := []eventloop.Micros{500, 5 * eventloop.Milli, 12 * eventloop.Milli}
+	syncs := []eventloop.Micros{500, 5 * eventloop.Millisecond, 12 * eventloop.Millisecond}
 	for k, each := range memberCases {
 		for n, size := range sizes {
 			first, last := 1, *memberSeeds
@@ -379,7 +379,7 @@
 			t.Run(each.name, func(t *testing.T) {
 				t.Parallel()
 				for seed := range uint64(max(1, *memberSeeds)) {
-					took := playMembers(t, each, seed+1, 3, 1, 5*eventloop.Milli, false, seed%2 == 0, false, bounds)
+					took := playMembers(t, each, seed+1, 3, 1, 5*eventloop.Millisecond, false, seed%2 == 0, false, bounds)
 					t.Logf("%.2f s", float64(took)/1e6)
 				}
 			})
--- a/internal/sim/operators_test.go
+++ b/internal/sim/operators_test.go
@@ -145,7 +145,9 @@
 	if o.Now >= o.until {
 		return
 	}
-	again := func() { o.After(eventloop.Micros(20+o.rng.IntN(200))*eventloop.Milli, func() { o.work(operator) }) }
+	again := func() {
+		o.After(eventloop.Micros(20+o.rng.IntN(200))*eventloop.Millisecond, func() { o.work(operator) })
+	}
 	o.read(operator, func(plan *schema.Configuration) {
 		if plan == nil {
 			again()
@@ -192,7 +194,7 @@
 			if o.rng.IntN(200) == 0 && o.Now < o.until {
 				each.isGiven = true
 			}
-			o.After(eventloop.Micros(20+o.rng.IntN(300))*eventloop.Milli, func() { o.send(each, done) })
+			o.After(eventloop.Micros(20+o.rng.IntN(300))*eventloop.Millisecond, func() { o.send(each, done) })
 		})
 	}
 }
@@ -216,7 +218,7 @@
 			}
 			// Whoever has an answer may still have copies on their way, or ask again.
 			if o.rng.IntN(3) == 0 {
-				o.After(eventloop.Micros(o.rng.IntN(5000))*eventloop.Milli, func() { o.try(each, func() {}) })
+				o.After(eventloop.Micros(o.rng.IntN(5000))*eventloop.Millisecond, func() { o.try(each, func() {}) })
 			}
 		case each.code != reply.Code:
 			o.fail("%s was answered %d and then %d", each.sheet.Document, each.code, reply.Code)
--- a/internal/sim/outage.go
+++ b/internal/sim/outage.go
@@ -22,11 +22,11 @@
 const (
 	// probes are sent much more often than a caller would, and to each front in
 	// turn, so that what is measured is the system's part and not the callers'.
-	replaceProbeEvery = 50 * eventloop.Milli
-	handInProbeEvery  = 50 * eventloop.Milli
+	replaceProbeEvery = 50 * eventloop.Millisecond
+	handInProbeEvery  = 50 * eventloop.Millisecond
 	replaceProbeSpan  = eventloop.Second
 	handInProbeSpan   = 3 * eventloop.Second
-	processRestart    = 550 * eventloop.Milli // until a killed process is started again
+	processRestart    = 550 * eventloop.Millisecond // until a killed process is started again
 	outageWarm        = 4 * eventloop.Second
 	outageWatched     = 14 * eventloop.Second
 )
@@ -131,7 +131,7 @@
 	}
 	f.After(handInProbeEvery, func() { p.handIn(until) })
 	p.number++
-	job := &schema.Job{Text: "probe", Steps: []*schema.Step{{Name: "probe", Tasks: 1, CoresMilli: 100, MemoryMb: 16, EstimatedRunUs: int64(10 * eventloop.Milli)}}}
+	job := &schema.Job{Text: "probe", Steps: []*schema.Step{{Name: "probe", Tasks: 1, CoresMilli: 100, MemoryMb: 16, EstimatedRunUs: int64(10 * eventloop.Millisecond)}}}
 	kind, name, front := Kind{Queue: "quick", Attempts: 4, Job: job}, fmt.Sprintf("probe-%d", p.number), p.front()
 	f.known[name] = handed{kind.Queue, kind.Job}
 	f.Ask(front, handInProbeSpan, func(request uint64, deadline eventloop.Micros) any {
--- a/internal/sim/people.go
+++ b/internal/sim/people.go
@@ -123,7 +123,7 @@
 			k.announce(run)
 		}
 	}
-	w.After(5*eventloop.Milli, func() { k.pace(run) })
+	w.After(5*eventloop.Millisecond, func() { k.pace(run) })
 }
 
 func (k *Worker) announce(run int) {
@@ -148,10 +148,10 @@
 		k.hand.Take(w.Now, sent, a.Seq, orders)
 	}
 	if k.isCut {
-		w.After(1200*eventloop.Milli, func() { back(nil) })
+		w.After(1200*eventloop.Millisecond, func() { back(nil) })
 		return
 	}
-	w.Ask(k.front, 1200*eventloop.Milli, func(request uint64, deadline eventloop.Micros) any {
+	w.Ask(k.front, 1200*eventloop.Millisecond, func(request uint64, deadline eventloop.Micros) any {
 		return gateway.PollIn{Request: request, Worker: k.name, Announce: a, Deadline: deadline}
 	}, func(answer any) {
 		if k.isCut {
@@ -287,17 +287,17 @@
 		switch {
 		case reply.Code == 200 || reply.Code == 201:
 			if w.Rng.Float64() < kind.Cancel {
-				w.After(kind.CancelAfter+eventloop.Micros(w.Rng.Int64N(int64(300*eventloop.Milli))), func() { w.cancel(kind, name) })
+				w.After(kind.CancelAfter+eventloop.Micros(w.Rng.Int64N(int64(300*eventloop.Millisecond))), func() { w.cancel(kind, name) })
 			}
 			// Who has just been told that it is taken may ask at once, anywhere.
 			w.ask(kind, "status", name, nil)
-			w.After(150*eventloop.Milli, func() { w.follow(kind, name, 200*eventloop.Milli) })
+			w.After(150*eventloop.Millisecond, func() { w.follow(kind, name, 200*eventloop.Millisecond) })
 		case reply.Code >= 400 && reply.Code < 500 && reply.Code != 429:
 		default:
 			if reply.Code != 0 {
 				front = nil
 			}
-			w.After(max(300*eventloop.Milli, eventloop.Micros(reply.Retry)*eventloop.Second), func() { w.handIn(kind, name, cell, front) })
+			w.After(max(300*eventloop.Millisecond, eventloop.Micros(reply.Retry)*eventloop.Second), func() { w.handIn(kind, name, cell, front) })
 		}
 	})
 }
@@ -323,7 +323,7 @@
 			back(reply.Code, view)
 		case reply.Code == 0 || reply.Code >= 500:
 			// Who gets no answer asks again.
-			w.After(400*eventloop.Milli, func() { w.ask(kind, what, name, nil) })
+			w.After(400*eventloop.Millisecond, func() { w.ask(kind, what, name, nil) })
 		}
 	})
 }
@@ -332,7 +332,7 @@
 func (w *World) follow(kind Kind, name string, span eventloop.Micros) {
 	w.ask(kind, "status", name, func(code int32, view *schema.JobView) {
 		if code == 200 && (view.State == "complete" || view.State == "failed" || view.State == "cancelled") {
-			for _, later := range []eventloop.Micros{1, 20 * eventloop.Milli, 300 * eventloop.Milli, 10 * eventloop.Second, 118 * eventloop.Second} {
+			for _, later := range []eventloop.Micros{1, 20 * eventloop.Millisecond, 300 * eventloop.Millisecond, 10 * eventloop.Second, 118 * eventloop.Second} {
 				w.After(later, func() { w.ask(kind, "status", name, nil) })
 			}
 			return
@@ -345,7 +345,7 @@
 	w.Tell(checker.Event{Kind: checker.CancelSent, Who: "caller", Queue: kind.Queue, Name: name})
 	w.ask(kind, "cancel", name, func(code int32, view *schema.JobView) {
 		if code == 0 || code >= 500 {
-			w.After(300*eventloop.Milli, func() { w.cancel(kind, name) })
+			w.After(300*eventloop.Millisecond, func() { w.cancel(kind, name) })
 		}
 	})
 }
@@ -380,7 +380,7 @@
 		w.putEdition(who, rows)
 		return
 	}
-	again := func() { w.After(200*eventloop.Milli, func() { w.Put(who, rows) }) }
+	again := func() { w.After(200*eventloop.Millisecond, func() { w.Put(who, rows) }) }
 	w.readPlan(w.pickFront(w.anyCell()), func(plan *schema.Configuration) {
 		if plan == nil {
 			again()
--- a/internal/sim/replace_test.go
+++ b/internal/sim/replace_test.go
@@ -70,7 +70,7 @@
 	call  func(o *operators)
 }{
 	{"answers are lost", 0, RoughNet, 500, nil},
-	{"the leader is killed", 5 * eventloop.Second, CalmNet, 12 * eventloop.Milli, func(o *operators) { o.kill(o.leads(), o.span(200*eventloop.Milli, 3*eventloop.Second)) }},
+	{"the leader is killed", 5 * eventloop.Second, CalmNet, 12 * eventloop.Millisecond, func(o *operators) { o.kill(o.leads(), o.span(200*eventloop.Millisecond, 3*eventloop.Second)) }},
 	{"the leader is cut off, whole or one way", 6 * eventloop.Second, CalmNet, 500, func(o *operators) {
 		leader, way := o.leads(), o.rng.IntN(3)
 		cut := func(isCut bool) {
@@ -84,9 +84,9 @@
 			}
 		}
 		cut(true)
-		o.After(o.span(300*eventloop.Milli, 4*eventloop.Second), func() { cut(false) })
+		o.After(o.span(300*eventloop.Millisecond, 4*eventloop.Second), func() { cut(false) })
 	}},
-	{"the leader is frozen", 6 * eventloop.Second, CalmNet, 5 * eventloop.Milli, func(o *operators) { o.leads().Freeze(o.span(300*eventloop.Milli, 4*eventloop.Second)) }},
+	{"the leader is frozen", 6 * eventloop.Second, CalmNet, 5 * eventloop.Millisecond, func(o *operators) { o.leads().Freeze(o.span(300*eventloop.Millisecond, 4*eventloop.Second)) }},
 	{"the leader leaves in order", 6 * eventloop.Second, CalmNet, 500, func(o *operators) {
 		leader := o.leads()
 		if !leader.IsUp {
@@ -96,12 +96,12 @@
 		var back func()
 		back = func() {
 			if leader.IsUp {
-				o.After(50*eventloop.Milli, back)
+				o.After(50*eventloop.Millisecond, back)
 				return
 			}
 			leader.Start()
 		}
-		o.After(300*eventloop.Milli, back)
+		o.After(300*eventloop.Millisecond, back)
 	}},
 	{"a disk is lost", 10 * eventloop.Second, CalmNet, 500, func(o *operators) {
 		if !o.isWhole() {
@@ -110,12 +110,12 @@
 		stores := o.Stores()
 		h := stores[o.rng.IntN(len(stores))]
 		h.Wipe()
-		o.After(o.span(200*eventloop.Milli, 2*eventloop.Second), h.Start)
+		o.After(o.span(200*eventloop.Millisecond, 2*eventloop.Second), h.Start)
 	}},
-	{"all are killed", 8 * eventloop.Second, CalmNet, 5 * eventloop.Milli, func(o *operators) {
+	{"all are killed", 8 * eventloop.Second, CalmNet, 5 * eventloop.Millisecond, func(o *operators) {
 		for _, h := range o.Hosts {
 			if h.IsUp {
-				o.kill(h, o.span(300*eventloop.Milli, 700*eventloop.Milli))
+				o.kill(h, o.span(300*eventloop.Millisecond, 700*eventloop.Millisecond))
 			}
 		}
 	}},
@@ -135,7 +135,7 @@
 		o.AddHost(fmt.Sprint("controller", k+1), fmt.Sprint("c", k%3+1), schema.Role_ROLE_CONTROLLER, false)
 	}
 	for _, h := range o.Hosts {
-		o.After(eventloop.Micros(o.rng.Int64N(int64(300*eventloop.Milli))), h.Start)
+		o.After(eventloop.Micros(o.rng.Int64N(int64(300*eventloop.Millisecond))), h.Start)
 	}
 	return o
 }
@@ -157,7 +157,7 @@
 	o.lost = 0
 	for k, each := range o.orders {
 		if each.code != 0 {
-			o.After(eventloop.Micros(k)*2*eventloop.Milli, func() { o.try(each, func() {}) })
+			o.After(eventloop.Micros(k)*2*eventloop.Millisecond, func() { o.try(each, func() {}) })
 		}
 	}
 	o.read(0, func(plan *schema.Configuration) {
@@ -219,14 +219,14 @@
 // TestReadsOfANewLeader: the leader is killed on its word, before the others
 // know that it has committed, and everybody reads at once.
 func TestReadsOfANewLeader(t *testing.T) {
-	o := newOperators(1, CalmNet, 12*eventloop.Milli)
+	o := newOperators(1, CalmNet, 12*eventloop.Millisecond)
 	o.Run(o.Now + 3*eventloop.Second)
 	o.until = o.Now + 60*eventloop.Second
 	for range 8 {
 		o.send(o.order(0, o.confirmed), func() {
 			o.kill(o.leads(), 2*eventloop.Second)
 			for k := range 300 {
-				o.After(eventloop.Micros(k)*5*eventloop.Milli, func() { o.read(1, func(*schema.Configuration) {}) })
+				o.After(eventloop.Micros(k)*5*eventloop.Millisecond, func() { o.read(1, func(*schema.Configuration) {}) })
 			}
 		})
 		o.Run(o.Now + 6*eventloop.Second)
@@ -250,14 +250,14 @@
 		leader, base := o.leads(), o.confirmed
 		o.Isolate(leader, true)
 		for k := range 6 {
-			o.After(eventloop.Micros(k)*10*eventloop.Milli, func() {
-				o.tryAt(leader, 4500*eventloop.Milli, o.order(0, base), func() {})
+			o.After(eventloop.Micros(k)*10*eventloop.Millisecond, func() {
+				o.tryAt(leader, 4500*eventloop.Millisecond, o.order(0, base), func() {})
 			})
 		}
 		for k := range 6 {
-			o.After(1500*eventloop.Milli+eventloop.Micros(k)*50*eventloop.Milli, func() { o.send(o.order(1, o.confirmed), func() {}) })
+			o.After(1500*eventloop.Millisecond+eventloop.Micros(k)*50*eventloop.Millisecond, func() { o.send(o.order(1, o.confirmed), func() {}) })
 		}
-		o.After(eventloop.Micros(3000+37*round)*eventloop.Milli, func() { o.Isolate(leader, false) })
+		o.After(eventloop.Micros(3000+37*round)*eventloop.Millisecond, func() { o.Isolate(leader, false) })
 		o.Run(o.Now + 8*eventloop.Second)
 		if o.confirmed == base {
 			t.Fatalf("round %d: nothing was taken", round)
--- a/internal/sim/scenarios.go
+++ b/internal/sim/scenarios.go
@@ -27,7 +27,7 @@
 		leader := f.Leader()
 		if leader == nil {
 			// Between two leaders: a moment later there is one again.
-			during(f, f.Now-f.Began+200*eventloop.Milli, call)
+			during(f, f.Now-f.Began+200*eventloop.Millisecond, call)
 			return
 		}
 		call(leader)
@@ -94,11 +94,11 @@
 var Scenarios = []Scenario{
 	{Name: "calm", Net: CalmNet, Sync: 500, Span: 15 * eventloop.Second},
 	{Name: "rough net", Net: RoughNet, Sync: 500, Span: 15 * eventloop.Second},
-	{Name: "slow disks", Net: CalmNet, Sync: 5 * eventloop.Milli, Span: 15 * eventloop.Second},
+	{Name: "slow disks", Net: CalmNet, Sync: 5 * eventloop.Millisecond, Span: 15 * eventloop.Second},
 	{Name: "leader killed", Net: CalmNet, Sync: 500, Span: 25 * eventloop.Second, Plan: func(f *Fleet) {
 		during(f, 4*eventloop.Second, func(leader *Host) { f.killed(leader, 4*eventloop.Second) })
 	}},
-	{Name: "leaders killed in turn, rough net", Net: RoughNet, Sync: 5 * eventloop.Milli, Span: 45 * eventloop.Second, Plan: func(f *Fleet) {
+	{Name: "leaders killed in turn, rough net", Net: RoughNet, Sync: 5 * eventloop.Millisecond, Span: 45 * eventloop.Second, Plan: func(f *Fleet) {
 		for k := 0; k < 3; k++ {
 			during(f, eventloop.Micros(3+13*k)*eventloop.Second, func(leader *Host) { f.killed(leader, 3*eventloop.Second) })
 		}
@@ -168,7 +168,7 @@
 	{Name: "slow disk", Net: CalmNet, Sync: 500, Span: 60 * eventloop.Second, Plan: func(f *Fleet) {
 		during(f, 4*eventloop.Second, func(leader *Host) {
 			f.Fault("the disk of %s is slow", leader.Name)
-			leader.SyncUs = 450 * eventloop.Milli
+			leader.SyncUs = 450 * eventloop.Millisecond
 			f.slow = leader
 		})
 	}, After: func(f *Fleet) []string {
@@ -195,7 +195,7 @@
 				f.Fault("%s swapped out", old.Name)
 				old.Kill()
 				fresh := f.AddHost(old.Name+"'", old.Cell, old.Role, false)
-				f.After(500*eventloop.Milli, fresh.Start)
+				f.After(500*eventloop.Millisecond, fresh.Start)
 			})
 		}
 		during(f, 18*eventloop.Second, func(leader *Host) { f.killed(leader, 3*eventloop.Second) })
@@ -208,8 +208,8 @@
 		})
 		// The leader dies while nobody may act, and again when the old controller
 		// has woken beside its successor.
-		during(f, 3500*eventloop.Milli, func(leader *Host) { f.killed(leader, 5*eventloop.Second) })
-		during(f, 15100*eventloop.Milli, func(leader *Host) { f.killed(leader, 5*eventloop.Second) })
+		during(f, 3500*eventloop.Millisecond, func(leader *Host) { f.killed(leader, 5*eventloop.Second) })
+		during(f, 15100*eventloop.Millisecond, func(leader *Host) { f.killed(leader, 5*eventloop.Second) })
 	}},
 	{Name: "controller isolated", Net: CalmNet, Sync: 500, Span: 45 * eventloop.Second, Plan: func(f *Fleet) {
 		f.At(f.Began+3*eventloop.Second, func() { f.isolated(f.controller(), 15*eventloop.Second) })
@@ -235,7 +235,7 @@
 			(&outlet{front}).Send(f.Leader().Id, &schema.SubmitRequest{Queue: "quick", Enqueues: []*schema.Enqueue{{
 				Session: &schema.Session{Gateway: front.Id, Incarnation: 1, Client: "stuck"}, Number: 2, LowestUnconfirmed: 1, Name: "stuck", Digest: []byte("x"), Job: Kinds()[0].Job,
 			}}})
-			f.After(100*eventloop.Milli, func() {
+			f.After(100*eventloop.Millisecond, func() {
 				f.Fault("%s killed", front.Name)
 				front.Kill()
 			})
@@ -256,7 +256,7 @@
 		}
 		return wrong
 	}},
-	{Name: "clocks jump", Net: CalmNet, Sync: 5 * eventloop.Milli, Span: 25 * eventloop.Second, Plan: func(f *Fleet) {
+	{Name: "clocks jump", Net: CalmNet, Sync: 5 * eventloop.Millisecond, Span: 25 * eventloop.Second, Plan: func(f *Fleet) {
 		for k := 0; k < 6; k++ {
 			f.At(f.Began+eventloop.Micros(2+3*k)*eventloop.Second, func() {
 				h := f.Hosts[f.Rng.IntN(len(f.Hosts))]
@@ -291,7 +291,7 @@
 	}},
 	{Name: "worker cut off while its leader dies", Net: CalmNet, Sync: 500, Span: 30 * eventloop.Second, Plan: func(f *Fleet) {
 		f.At(f.Began+4*eventloop.Second, func() { f.Workers[2].Cut(true); f.After(12*eventloop.Second, func() { f.Workers[2].Cut(false) }) })
-		during(f, 4500*eventloop.Milli, func(leader *Host) { f.killed(leader, 3*eventloop.Second) })
+		during(f, 4500*eventloop.Millisecond, func(leader *Host) { f.killed(leader, 3*eventloop.Second) })
 	}},
 	{Name: "the table takes effect", Net: CalmNet, Sync: 500, Span: 35 * eventloop.Second, Plan: func(f *Fleet) {
 		row := func(kind, name, key, value string) *schema.ConfigurationRow {
@@ -304,7 +304,7 @@
 		f.At(f.Began+18*eventloop.Second, func() { f.Put("operator", append(f.Rows(60), row("queue", "extra", "urgency", "5"))) })
 		during(f, 14*eventloop.Second, func(leader *Host) { f.killed(leader, 3*eventloop.Second) })
 		for k := range f.Fronts() {
-			f.At(f.Began+21*eventloop.Second+eventloop.Micros(k)*100*eventloop.Milli, func() {
+			f.At(f.Began+21*eventloop.Second+eventloop.Micros(k)*100*eventloop.Millisecond, func() {
 				f.HandIn(Kind{Queue: "extra", Job: Kinds()[0].Job}, fmt.Sprint("extra-", k))
 			})
 		}
@@ -315,7 +315,7 @@
 			f.At(f.Began+eventloop.Micros(1+3*k)*eventloop.Second, func() {
 				kind, name := Kind{Queue: "slow", Job: long}, fmt.Sprint("long-", k)
 				f.HandIn(kind, name)
-				f.After(1500*eventloop.Milli, func() { f.cancel(kind, name) })
+				f.After(1500*eventloop.Millisecond, func() { f.cancel(kind, name) })
 			})
 		}
 		during(f, 8*eventloop.Second, func(leader *Host) { f.killed(leader, 3*eventloop.Second) })
@@ -410,10 +410,10 @@
 		}
 		return nil
 	}},
-	{Name: "a flood of jobs that can never run", Net: CalmNet, Sync: 5 * eventloop.Milli, Span: 20 * eventloop.Second, Plan: func(f *Fleet) {
+	{Name: "a flood of jobs that can never run", Net: CalmNet, Sync: 5 * eventloop.Millisecond, Span: 20 * eventloop.Second, Plan: func(f *Fleet) {
 		huge := &schema.Job{Text: "run_us=1000", Steps: []*schema.Step{step("huge", 1, max(60_000, f.Size.Cores+1))}}
 		for k := 0; k < 300; k++ {
-			f.At(f.Began+2*eventloop.Second+eventloop.Micros(k)*20*eventloop.Milli, func() {
+			f.At(f.Began+2*eventloop.Second+eventloop.Micros(k)*20*eventloop.Millisecond, func() {
 				name := fmt.Sprint("huge-", k)
 				f.HandIn(Kind{Queue: "timed", Job: huge}, name)
 				f.After(10*eventloop.Second, func() { f.cancel(Kind{Queue: "timed"}, name) })
@@ -484,7 +484,7 @@
 				continue
 			}
 			for _, at := range f.warned {
-				if span := e.At - sent[e.Name]; sent[e.Name] >= at && sent[e.Name] < at+3*eventloop.Second && span > 1200*eventloop.Milli {
+				if span := e.At - sent[e.Name]; sent[e.Name] >= at && sent[e.Name] < at+3*eventloop.Second && span > 1200*eventloop.Millisecond {
 					wrong = append(wrong, fmt.Sprintf("%s waited %d us while a leader left", e.Name, span))
 				}
 			}
@@ -569,7 +569,7 @@
 		w := func(k int) *CalledWorker { return f.Workers[k].(*CalledWorker) }
 		f.At(f.Began+2*eventloop.Second, func() { w(0).Start() })
 		f.At(f.Began+4*eventloop.Second, func() { w(1).Crash(); f.After(9*eventloop.Second, w(1).Start) })
-		f.At(f.Began+6*eventloop.Second, func() { w(2).leave(700*eventloop.Milli, false); f.After(4*eventloop.Second, w(2).Start) })
+		f.At(f.Began+6*eventloop.Second, func() { w(2).leave(700*eventloop.Millisecond, false); f.After(4*eventloop.Second, w(2).Start) })
 		f.At(f.Began+12*eventloop.Second, func() { w(3).Leave(); f.After(8*eventloop.Second, w(3).Start) })
 		f.At(f.Began+15*eventloop.Second, func() { w(0).ail(); w(0).habits.FailShare = 0.5; w(2).ail(); w(2).habits.StillRate = 0.2 })
 		f.At(f.Began+22*eventloop.Second, func() { w(1).Sick(0.5, 0); w(3).ail(); w(3).habits.Slowness = 6 })
--- a/internal/sim/schedule.go
+++ b/internal/sim/schedule.go
@@ -24,7 +24,7 @@
 
 // String is the form that ReadSchedule takes.
 func (s Stroke) String() string {
-	return fmt.Sprintf("%s/%s:%v@%v", s.What, s.Whom, s.Span.Span(), s.At.Span())
+	return fmt.Sprintf("%s/%s:%v@%v", s.What, s.Whom, s.Span.Duration(), s.At.Duration())
 }
 
 // Schedule is faults that may overlap.
@@ -96,7 +96,7 @@
 		h := f.host(n)
 		f.Fault("the disk of %s is slow", h.Name)
 		usual := h.SyncUs
-		h.SyncUs = 200 * eventloop.Milli
+		h.SyncUs = 200 * eventloop.Millisecond
 		f.After(span, func() { h.SyncUs = usual })
 	}},
 	"clock": {"store", false, func(f *Fleet, n string, span eventloop.Micros) {
@@ -169,7 +169,7 @@
 	}},
 	"hurry": {"called", false, func(f *Fleet, n string, span eventloop.Micros) {
 		w := f.worker(n).(*CalledWorker)
-		w.leave(700*eventloop.Milli, false)
+		w.leave(700*eventloop.Millisecond, false)
 		f.After(max(span, eventloop.Second), w.Start)
 	}},
 	"table": {"all", false, func(f *Fleet, _ string, _ eventloop.Micros) { f.Put("one", f.Rows(20+f.Rng.IntN(60))) }},
@@ -193,7 +193,7 @@
 	}},
 	"flood": {"all", false, func(f *Fleet, _ string, span eventloop.Micros) {
 		huge := &schema.Job{Text: "run_us=1000", Steps: []*schema.Step{step("huge", 1, 65_000+f.Size.Cores)}}
-		kind := Kind{Name: fmt.Sprintf("huge%d", f.Now/eventloop.Second), Queue: "timed", Every: 10 * eventloop.Milli, Job: huge}
+		kind := Kind{Name: fmt.Sprintf("huge%d", f.Now/eventloop.Second), Queue: "timed", Every: 10 * eventloop.Millisecond, Job: huge}
 		if f.Size.Bounds != nil {
 			// Nobody knows how large the workers of a pool may become, so these wait.
 			kind.Cancel, kind.CancelAfter = 1, 8*eventloop.Second
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -11,7 +11,7 @@
 )
 
 // againSpan lies between two attempts to write to a disk that refused.
-const againSpan = 100 * eventloop.Milli
+const againSpan = 100 * eventloop.Millisecond
 
 // openStore opens the host's disk and takes the number of this start; false if
 // the disk refuses, and then the process starts without a store.
@@ -78,8 +78,8 @@
 			}
 			if !h.isRefused {
 				h.isRefused = true
-				h.mail("replica", eventloop.Mail{Body: replica.Refused{Number: batch.Number, Why: err.Error()}})
-				h.mail("membership", eventloop.Mail{Body: membership.Latency{Worst: membership.RefusedLatency}})
+				h.mail("replica", eventloop.Message{Body: replica.Refused{Number: batch.Number, Why: err.Error()}})
+				h.mail("membership", eventloop.Message{Body: membership.Latency{Worst: membership.RefusedLatency}})
 			}
 			w.After(againSpan, func() { h.attempt(run, batch) })
 		})
@@ -91,9 +91,9 @@
 	h.worst = max(h.worst, h.world.Now-h.began)
 	if h.isRefused {
 		h.isRefused = false
-		h.mail("membership", eventloop.Mail{Body: membership.Latency{Worst: h.worst}})
+		h.mail("membership", eventloop.Message{Body: membership.Latency{Worst: h.worst}})
 	}
-	h.mail("replica", eventloop.Mail{Body: replica.Written{Number: batch.Number}})
+	h.mail("replica", eventloop.Message{Body: replica.Written{Number: batch.Number}})
 }
 
 // Refuse has the host's disk refuse in some way for a span.
--- a/internal/sim/sweep.go
+++ b/internal/sim/sweep.go
@@ -128,7 +128,7 @@
 		r.spent[h][table] += nanos
 	}
 	r.build()
-	r.After(500*eventloop.Milli, func() { r.plan(0) })
+	r.After(500*eventloop.Millisecond, func() { r.plan(0) })
 	ready := r.untilReady()
 	r.call()
 	r.Run(r.Now + setup.Warm)
@@ -170,7 +170,7 @@
 	}
 	// As at a start after a power cut: within a few seconds, whole racks at a time.
 	for k, h := range r.Hosts {
-		r.After(eventloop.Micros(k)*2*eventloop.Milli, h.Start)
+		r.After(eventloop.Micros(k)*2*eventloop.Millisecond, h.Start)
 	}
 }
 
@@ -219,7 +219,7 @@
 func (r *hollowRun) untilReady() eventloop.Micros {
 	from := r.Now
 	for r.Now < from+120*eventloop.Second {
-		r.Run(r.Now + 500*eventloop.Milli)
+		r.Run(r.Now + 500*eventloop.Millisecond)
 		leads, wards := 0, 0
 		for _, h := range r.Stores() {
 			belief := h.Belief()
@@ -285,7 +285,7 @@
 	}, func(answer any) {
 		reply, _ := answer.(gateway.Answer)
 		if reply.Code != 200 && reply.Code != 412 {
-			r.After(200*eventloop.Milli, func() { r.plan(change) })
+			r.After(200*eventloop.Millisecond, func() { r.plan(change) })
 			return
 		}
 		r.put[generation+1] = sent
@@ -321,7 +321,7 @@
 		return gateway.HandIn{Request: request, Queue: queue, Client: "c-" + front.Name, Name: name, Digest: gateway.Digest(job), Job: job, Deadline: deadline}
 	}, func(answer any) {
 		if reply, _ := answer.(gateway.Answer); reply.Code != 200 && reply.Code != 201 {
-			r.After(200*eventloop.Milli, func() { r.handInHollow(queue, name) })
+			r.After(200*eventloop.Millisecond, func() { r.handInHollow(queue, name) })
 		}
 	})
 }
@@ -476,7 +476,7 @@
 		}
 	}
 	for r.Now < r.lostAt+40*eventloop.Second && (r.firstAt == 0 || len(r.wanted) > 0) {
-		r.Run(r.Now + 500*eventloop.Milli)
+		r.Run(r.Now + 500*eventloop.Millisecond)
 	}
 	list := []Result{{"whole", "lost_processes", float64(hit)}, {"whole", "lost_tasks", float64(wanted)}, {"whole", "not_again", float64(len(r.wanted))}}
 	if r.firstAt > 0 {
--- a/internal/sim/transport_test.go
+++ b/internal/sim/transport_test.go
@@ -65,15 +65,15 @@
 
 type realTransport struct {
 	ends  [2]*transport.Net
-	boxes [2]chan eventloop.Mail
+	boxes [2]chan eventloop.Message
 	isCut atomic.Bool
 }
 
 func openReal() *realTransport {
 	r := &realTransport{}
 	for k := range r.ends {
-		r.boxes[k] = make(chan eventloop.Mail, 256)
-		n, err := transport.Listen(transport.Identity{ID: []string{"end0", "end1"}[k]}, "127.0.0.1:0", func(from string, body any) { r.boxes[k] <- eventloop.Mail{From: from, Body: body} })
+		r.boxes[k] = make(chan eventloop.Message, 256)
+		n, err := transport.Listen(transport.Identity{ID: []string{"end0", "end1"}[k]}, "127.0.0.1:0", func(from string, body any) { r.boxes[k] <- eventloop.Message{From: from, Body: body} })
 		So(err, ShouldBeNil)
 		n.IsCut = func(string) bool { return r.isCut.Load() }
 		r.ends[k] = n
@@ -105,9 +105,9 @@
 
 // --- the simulated one ---
 
-type catcher struct{ mails []eventloop.Mail }
+type catcher struct{ mails []eventloop.Message }
 
-func (c *catcher) Step(_ eventloop.Micros, mail eventloop.Mail, _ eventloop.Out) {
+func (c *catcher) Step(_ eventloop.Micros, mail eventloop.Message, _ eventloop.Effects) {
 	c.mails = append(c.mails, mail)
 }
 
@@ -123,7 +123,7 @@
 		h := s.world.AddHost([]string{"end0", "end1"}[k], "c1", schema.Role_ROLE_SERVER, false)
 		s.boxes[k] = &catcher{}
 		h.IsUp, h.Id = true, h.Name
-		h.tables = map[string]eventloop.Table{"replica": s.boxes[k], "gateway": s.boxes[k]}
+		h.tables = map[string]eventloop.Component{"replica": s.boxes[k], "gateway": s.boxes[k]}
 		s.ends[k] = h
 	}
 	return s
--- a/internal/sim/troubles.go
+++ b/internal/sim/troubles.go
@@ -188,7 +188,7 @@
 				other.Seeds = seeds
 				f.Fault("%s starts inside the cut", other.Name)
 				other.Abort()
-				f.After(200*eventloop.Milli, other.Start)
+				f.After(200*eventloop.Millisecond, other.Start)
 			}
 		}
 	})
@@ -209,7 +209,7 @@
 		h.Seeds = seeds
 		if h.Disk == nil && h.IsUp && k%4 == 3 {
 			h.Abort()
-			f.After(500*eventloop.Milli, h.Start)
+			f.After(500*eventloop.Millisecond, h.Start)
 		}
 	}
 }
@@ -265,7 +265,7 @@
 		if !isHandIn && !isReplace {
 			return false
 		}
-		f.After(eventloop.Micros(f.Rng.Int64N(int64(4*eventloop.Milli))), func() { strike(f.host(strings.TrimRight(e.Front, "'"))) })
+		f.After(eventloop.Micros(f.Rng.Int64N(int64(4*eventloop.Millisecond))), func() { strike(f.host(strings.TrimRight(e.Front, "'"))) })
 		return true
 	})
 }
@@ -327,7 +327,7 @@
 			targets := deeds[what].names(size)
 			stroke := Stroke{
 				What: what, Whom: targets[rng.IntN(len(targets))],
-				Span: eventloop.Micros(2+rng.IntN(11)) * eventloop.Second / 2, At: from + eventloop.Micros(rng.Int64N(int64(spread/eventloop.Milli)))*eventloop.Milli,
+				Span: eventloop.Micros(2+rng.IntN(11)) * eventloop.Second / 2, At: from + eventloop.Micros(rng.Int64N(int64(spread/eventloop.Millisecond)))*eventloop.Millisecond,
 			}
 			isAgain := slices.ContainsFunc(list, func(other Stroke) bool { return other.What == what })
 			if next := append(slices.Clone(list), stroke); !isAgain && next.Check(size) == nil {
--- a/internal/sim/troubles_test.go
+++ b/internal/sim/troubles_test.go
@@ -74,7 +74,7 @@
 		So(len(faults), ShouldEqual, 2)
 		So(strings.HasSuffix(faults[0], "loses its disk"), ShouldBeTrue)
 		for _, wait := range waits {
-			So(wait, ShouldBeLessThanOrEqualTo, 4*eventloop.Milli)
+			So(wait, ShouldBeLessThanOrEqualTo, 4*eventloop.Millisecond)
 		}
 	})
 }
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -58,10 +58,10 @@
 const stormLimit = 400_000
 
 // CalmNet is the brief's network.
-var CalmNet = Net{Near: 200, Far: eventloop.Milli, Jitter: 300}
+var CalmNet = Net{Near: 200, Far: eventloop.Millisecond, Jitter: 300}
 
 // RoughNet loses, doubles and reorders.
-var RoughNet = Net{Near: 200, Far: eventloop.Milli, Jitter: 20 * eventloop.Milli, Loss: 0.03, Twice: 0.02}
+var RoughNet = Net{Near: 200, Far: eventloop.Millisecond, Jitter: 20 * eventloop.Millisecond, Loss: 0.03, Twice: 0.02}
 
 // World is one simulated run.
 type World struct {
@@ -130,7 +130,7 @@
 	isLeaving bool // takes no new requests
 	backlog   []func()
 	ticking   map[string]bool
-	tables    map[string]eventloop.Table
+	tables    map[string]eventloop.Component
 	last      map[string]eventloop.Micros // latest delivery to each table: mailboxes keep order
 	store     *storage.Store
 	book      *membership.Book
@@ -178,7 +178,7 @@
 	w.Now = until
 }
 
-// Tell adds to the history.
+// Notify adds to the history.
 func (w *World) Tell(e checker.Event) {
 	if e.At == 0 {
 		e.At = w.Now
@@ -273,7 +273,7 @@
 	if h.Also != nil {
 		berths = h.Also(papers, berths)
 	}
-	h.tables = map[string]eventloop.Table{}
+	h.tables = map[string]eventloop.Component{}
 	h.worst = 0
 	h.noteLatency(h.run)
 	for _, berth := range berths {
@@ -301,8 +301,8 @@
 		worst = max(worst, h.world.Now-h.began)
 	}
 	h.worst = h.worst * 15 / 16
-	h.do(run, func() { h.step("membership", eventloop.Mail{Body: membership.Latency{Worst: worst}}) })
-	h.world.After(250*eventloop.Milli, func() { h.noteLatency(run) })
+	h.do(run, func() { h.step("membership", eventloop.Message{Body: membership.Latency{Worst: worst}}) })
+	h.world.After(250*eventloop.Millisecond, func() { h.noteLatency(run) })
 }
 
 const wallZero = 1_800_000_000_000_000
@@ -352,7 +352,7 @@
 		body  any
 	}{{"gateway", gateway.Warned{}}, {"membership", membership.Leaving{}}, {"replica", replica.Warned{}}} {
 		if h.tables[each.table] != nil {
-			h.step(each.table, eventloop.Mail{Body: each.body})
+			h.step(each.table, eventloop.Message{Body: each.body})
 		}
 	}
 	// Open requests are finished, new ones not taken.
@@ -370,7 +370,7 @@
 			h.Kill()
 			return
 		}
-		h.world.After(50*eventloop.Milli, look)
+		h.world.After(50*eventloop.Millisecond, look)
 	}
 	look()
 }
@@ -442,7 +442,7 @@
 			h.ticking[name] = true
 			h.work(run, func() {
 				h.ticking[name] = false
-				h.step(name, eventloop.Mail{Body: eventloop.Tick{}})
+				h.step(name, eventloop.Message{Body: eventloop.Tick{}})
 			})
 		}
 		h.pace(name, pace, pace)
@@ -452,7 +452,7 @@
 // now is the process's own monotonic clock: a young process has small times.
 func (h *Host) now() eventloop.Micros { return h.world.Now - h.zero }
 
-func (h *Host) step(name string, mail eventloop.Mail) {
+func (h *Host) step(name string, mail eventloop.Message) {
 	if table := h.tables[name]; table != nil {
 		h.Steps++
 		if h.world.Cpu == nil {
@@ -466,7 +466,7 @@
 }
 
 // mail puts a message into a table's mailbox: soon, and in order.
-func (h *Host) mail(name string, mail eventloop.Mail) {
+func (h *Host) mail(name string, mail eventloop.Message) {
 	run := h.run
 	at := max(h.world.Now+eventloop.Micros(10+h.world.Rng.Int64N(60)), h.last[name])
 	h.last[name] = at
@@ -478,7 +478,7 @@
 func (o *outlet) Send(to string, body any) {
 	h := o.host
 	if to == h.Id {
-		h.mail(process.Table(h.Role, body), eventloop.Mail{From: to, Body: body})
+		h.mail(process.Table(h.Role, body), eventloop.Message{From: to, Body: body})
 		return
 	}
 	h.world.carry(h, to, h.book.Address(to), body)
@@ -486,7 +486,7 @@
 
 func (o *outlet) Dial(address string, body any) { o.host.world.carry(o.host, "", address, body) }
 
-func (o *outlet) Tell(table string, body any) {
+func (o *outlet) Notify(table string, body any) {
 	h := o.host
 	if call, isCall := body.(agent.Call); isCall {
 		h.call(call)
@@ -497,11 +497,11 @@
 		return
 	}
 	if h.tables[table] != nil {
-		h.mail(table, eventloop.Mail{Body: body})
+		h.mail(table, eventloop.Message{Body: body})
 	}
 }
 
-func (o *outlet) Answer(request uint64, body any) {
+func (o *outlet) Respond(request uint64, body any) {
 	if answer := o.host.waiting[request]; answer != nil {
 		delete(o.host.waiting, request)
 		answer(body)
@@ -565,7 +565,7 @@
 			if to := w.hostAt(address); to != nil && (id == "" || id == to.Id) {
 				run := to.run
 				for _, table := range to.routes(body) {
-					to.work(run, func() { to.step(table, eventloop.Mail{From: sender, Body: body}) })
+					to.work(run, func() { to.step(table, eventloop.Message{From: sender, Body: body}) })
 				}
 			}
 		})
@@ -574,7 +574,7 @@
 
 // resetWindow is how long messages of a machine get lost whose connections are
 // reset: what was on the wire, and what is sent until new ones are open.
-const resetWindow = 30 * eventloop.Milli
+const resetWindow = 30 * eventloop.Millisecond
 
 // isReset draws whether a message is lost to a reset of a host's connections.
 func (w *World) isReset(h *Host) bool {
@@ -639,11 +639,11 @@
 		}
 		run := h.run
 		h.waiting[id] = func(answer any) { w.After(w.outside(), func() { finish(answer) }) }
-		h.mail("gateway", eventloop.Mail{Body: mail(id, h.now()+span)})
+		h.mail("gateway", eventloop.Message{Body: mail(id, h.now()+span)})
 		w.After(span, func() {
 			if !isDone && h.run == run && h.waiting[id] != nil {
 				delete(h.waiting, id)
-				h.mail("gateway", eventloop.Mail{Body: gateway.Forget{Request: id}})
+				h.mail("gateway", eventloop.Message{Body: gateway.Forget{Request: id}})
 			}
 		})
 	})
@@ -652,7 +652,7 @@
 
 // Clients are three milliseconds away.
 func (w *World) outside() eventloop.Micros {
-	return 3*eventloop.Milli + eventloop.Micros(w.Rng.Int64N(500))
+	return 3*eventloop.Millisecond + eventloop.Micros(w.Rng.Int64N(500))
 }
 
 // Fronts lists the hosts that serve HTTP to callers.
@@ -684,7 +684,7 @@
 		return nil
 	}
 	var belief *replica.NodeBelief
-	table.Step(h.now(), eventloop.Mail{Body: replica.Belief{Request: 1}}, &grab{outlet{h}, func(body any) { belief, _ = body.(*replica.NodeBelief) }})
+	table.Step(h.now(), eventloop.Message{Body: replica.Belief{Request: 1}}, &grab{outlet{h}, func(body any) { belief, _ = body.(*replica.NodeBelief) }})
 	return belief
 }
 
@@ -706,7 +706,7 @@
 	take func(any)
 }
 
-func (g *grab) Answer(_ uint64, body any) { g.take(body) }
+func (g *grab) Respond(_ uint64, body any) { g.take(body) }
 
 // Leader is the store that leads most queues.
 func (w *World) Leader() *Host {
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -28,17 +28,17 @@
 
 const (
 	// ActSpan is how old a leader's word may be for an order of the scheduler to leave.
-	ActSpan = 250 * eventloop.Milli
+	ActSpan = 250 * eventloop.Millisecond
 	// RepairSpan is what the steps of a repair take: the word of a loss or of a newcomer
 	// through the book (two hops of 250 ms), and three changes of members, each with its
 	// commits, the copy of what the newcomer lacks, and the word that it is done.
-	RepairSpan = 1500 * eventloop.Milli
+	RepairSpan = 1500 * eventloop.Millisecond
 
 	usualContact = 3 * eventloop.Second
 	usualCatchUp = 4 * eventloop.Second
 
-	mostSuspect  = 1500 * eventloop.Milli
-	mostReplaced = 2500 * eventloop.Milli
+	mostSuspect  = 1500 * eventloop.Millisecond
+	mostReplaced = 2500 * eventloop.Millisecond
 	mostLost     = 6 * eventloop.Second
 	mostFresh    = eventloop.Second
 )
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -12,8 +12,8 @@
 
 func TestSpans(t *testing.T) {
 	usual := Spans{
-		Suspect: 1500 * eventloop.Milli, Replaced: 2500 * eventloop.Milli, Lost: 6 * eventloop.Second,
-		Fresh: eventloop.Second, Ward: 1250 * eventloop.Milli,
+		Suspect: 1500 * eventloop.Millisecond, Replaced: 2500 * eventloop.Millisecond, Lost: 6 * eventloop.Second,
+		Fresh: eventloop.Second, Ward: 1250 * eventloop.Millisecond,
 	}
 	bounds := func(contact, catchUp, acknowledge eventloop.Micros) *schema.Bounds {
 		return &schema.Bounds{ContactUs: int64(contact), CatchUpUs: int64(catchUp), AcknowledgeUs: int64(acknowledge)}
@@ -24,8 +24,8 @@
 		So(Of(bounds(3*eventloop.Second, 4*eventloop.Second, 4*eventloop.Second)), ShouldResemble, usual)
 		So(Of(bounds(4*eventloop.Second, 6*eventloop.Second, 5*eventloop.Second)), ShouldResemble, usual)
 	})
-	for contact := 500 * eventloop.Milli; contact <= 10*eventloop.Second; contact += 500 * eventloop.Milli {
-		for catchUp := eventloop.Second; catchUp <= 20*eventloop.Second; catchUp += 500 * eventloop.Milli {
+	for contact := 500 * eventloop.Millisecond; contact <= 10*eventloop.Second; contact += 500 * eventloop.Millisecond {
+		for catchUp := eventloop.Second; catchUp <= 20*eventloop.Second; catchUp += 500 * eventloop.Millisecond {
 			Convey(fmt.Sprintf("The sums hold with a contact of %d ms and a catch-up of %d ms", contact/1000, catchUp/1000), t, func() {
 				b := bounds(contact, catchUp, contact+eventloop.Second)
 				s := Of(b)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -91,7 +91,7 @@
 	stop     context.CancelFunc
 	listener net.Listener
 	mu       sync.Mutex
-	wires    map[string]*eventloop.Ring[queued]
+	wires    map[string]*eventloop.Queue[queued]
 	inbound  map[net.Conn]*sender
 	running  sync.WaitGroup
 
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, Errors.NewType("listen").Wrap(err, "inner address")
 	}
-	n := &Net{self: self, deliver: deliver, listener: listener, now: time.Now, wires: map[string]*eventloop.Ring[queued]{}, inbound: map[net.Conn]*sender{}}
+	n := &Net{self: self, deliver: deliver, listener: listener, now: time.Now, wires: map[string]*eventloop.Queue[queued]{}, inbound: map[net.Conn]*sender{}}
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	n.running.Add(1)
 	go n.accept()
@@ -145,13 +145,13 @@
 	n.mu.Lock()
 	ring := n.wires[address]
 	if ring == nil {
-		ring = eventloop.NewRing[queued](ringSize)
+		ring = eventloop.NewQueue[queued](ringSize)
 		n.wires[address] = ring
 		n.running.Add(1)
 		go n.carry(address, ring)
 	}
 	n.mu.Unlock()
-	if !ring.Offer(queued{Envelope{To: id, Body: body}, n.now()}) {
+	if !ring.TryPut(queued{Envelope{To: id, Body: body}, n.now()}) {
 		n.lost.Add(1)
 	}
 }
@@ -179,7 +179,7 @@
 	isOver  *atomic.Bool // the peer has closed the connection
 }
 
-func (n *Net) carry(address string, ring *eventloop.Ring[queued]) {
+func (n *Net) carry(address string, ring *eventloop.Queue[queued]) {
 	defer n.running.Done()
 	out := &outgoing{}
 	defer out.close()
@@ -205,11 +205,11 @@
 		}
 	}
 	// Whatever waits is written in one go; nothing waits for more to come.
-	ring.Drain(n.ctx, eventloop.Second, func(item queued) {
+	ring.Consume(n.ctx, eventloop.Second, func(item queued) {
 		out.letGo()
 		put(item)
 		for k := 1; k < batchMost; k++ {
-			next, isThere := ring.Take()
+			next, isThere := ring.TryTake()
 			if !isThere {
 				break
 			}
