--- a/cmd/sparnotchctl/folder.go
+++ b/cmd/sparnotchctl/folder.go
@@ -23,17 +23,17 @@
 // written there.
 const exitBroken = 1
 
-func openFolder(set *flag.FlagSet, name string) (*storage.Content, subcommands.ExitStatus) {
+func openFolder(set *flag.FlagSet, name string) (*storage.State, subcommands.ExitStatus) {
 	if set.NArg() != 1 {
 		fmt.Fprintf(os.Stderr, "sparnotchctl: %s takes one data folder\n", name)
 		return nil, exitUsage
 	}
-	store, err := storage.Glance(set.Arg(0))
+	store, err := storage.OpenReadOnly(set.Arg(0))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "sparnotchctl:", err)
 		return nil, exitUsage
 	}
-	return store.Content(), subcommands.ExitSuccess
+	return store.State(), subcommands.ExitSuccess
 }
 
 // folderCheck looks whether what a folder holds fits together.
@@ -58,7 +58,7 @@
 	if content == nil {
 		return code
 	}
-	fmt.Printf("store %s, started %d times, belongs to a system: %v\n", content.Self.GetId(), content.Self.GetStarts(), content.Self.GetJoined())
+	fmt.Printf("store %s, started %d times, belongs to a system: %v\n", content.Identity.GetId(), content.Identity.GetStarts(), content.Identity.GetJoined())
 	isBroken := false
 	for _, group := range slices.Sorted(maps.Keys(content.Groups)) {
 		image := content.Groups[group]
@@ -67,7 +67,7 @@
 			isBroken = true
 			continue
 		}
-		fmt.Printf("%s: term %d, checkpoint at %d, %d records after it\n", group, image.Hard.GetTerm(), image.Checkpoint.GetIndex(), len(image.Records))
+		fmt.Printf("%s: term %d, checkpoint at %d, %d records after it\n", group, image.HardState.GetTerm(), image.Snapshot.GetIndex(), len(image.Entries))
 	}
 	if isBroken {
 		return exitBroken
@@ -75,9 +75,9 @@
 	return subcommands.ExitSuccess
 }
 
-func checkGroup(group string, image *storage.Image) error {
-	index, term := image.Checkpoint.GetIndex(), image.Checkpoint.GetTerm()
-	for _, record := range image.Records {
+func checkGroup(group string, image *storage.GroupState) error {
+	index, term := image.Snapshot.GetIndex(), image.Snapshot.GetTerm()
+	for _, record := range image.Entries {
 		if record.Index != index+1 {
 			return fmt.Errorf("record %d follows record %d", record.Index, index)
 		}
@@ -86,13 +86,13 @@
 		}
 		index, term = record.Index, record.Term
 	}
-	if term > image.Hard.GetTerm() {
-		return fmt.Errorf("record %d is of term %d, and the store knows of %d only", index, term, image.Hard.GetTerm())
+	if term > image.HardState.GetTerm() {
+		return fmt.Errorf("record %d is of term %d, and the store knows of %d only", index, term, image.HardState.GetTerm())
 	}
 	if group == clusterstate.Group {
-		machine, err := clusterstate.Restore(image.Checkpoint.GetData())
-		for k := 0; err == nil && k < len(image.Records); k++ {
-			if record := image.Records[k]; record.Kind == schema.EntryKind_ENTRY_COMMAND {
+		machine, err := clusterstate.Restore(image.Snapshot.GetData())
+		for k := 0; err == nil && k < len(image.Entries); k++ {
+			if record := image.Entries[k]; record.Kind == schema.EntryKind_ENTRY_COMMAND {
 				if _, err = machine.Apply(record.TimeUs, record.Data); err != nil {
 					err = fmt.Errorf("record %d: %w", record.Index, err)
 				}
@@ -105,13 +105,13 @@
 }
 
 // replay runs a queue's records through its machine up to an index, 0 for all.
-func replay(group string, image *storage.Image, to uint64, see func(*schema.Entry, *schema.QueueCommand, *queue.Effects)) (*queue.Machine, uint64, error) {
-	machine, err := queue.Restore(replica.QueueOf(group), image.Checkpoint.GetIndex(), image.Checkpoint.GetData())
+func replay(group string, image *storage.GroupState, to uint64, see func(*schema.Entry, *schema.QueueCommand, *queue.Effects)) (*queue.Machine, uint64, error) {
+	machine, err := queue.Restore(replica.QueueOf(group), image.Snapshot.GetIndex(), image.Snapshot.GetData())
 	if err != nil {
-		return nil, 0, fmt.Errorf("checkpoint at %d: %w", image.Checkpoint.GetIndex(), err)
+		return nil, 0, fmt.Errorf("checkpoint at %d: %w", image.Snapshot.GetIndex(), err)
 	}
-	at := image.Checkpoint.GetIndex()
-	for _, record := range image.Records {
+	at := image.Snapshot.GetIndex()
+	for _, record := range image.Entries {
 		if to > 0 && record.Index > to {
 			break
 		}
@@ -179,11 +179,11 @@
 		return exitUsage
 	}
 	image := content.Groups[group]
-	if c.to > 0 && (c.to < image.Checkpoint.GetIndex() || c.to > image.Checkpoint.GetIndex()+uint64(len(image.Records))) {
-		fmt.Fprintf(os.Stderr, "sparnotchctl: to: the folder holds %s from %d to %d\n", group, image.Checkpoint.GetIndex(), image.Checkpoint.GetIndex()+uint64(len(image.Records)))
+	if c.to > 0 && (c.to < image.Snapshot.GetIndex() || c.to > image.Snapshot.GetIndex()+uint64(len(image.Entries))) {
+		fmt.Fprintf(os.Stderr, "sparnotchctl: to: the folder holds %s from %d to %d\n", group, image.Snapshot.GetIndex(), image.Snapshot.GetIndex()+uint64(len(image.Entries)))
 		return exitUsage
 	}
-	fmt.Printf("%s from the checkpoint at %d\n", group, image.Checkpoint.GetIndex())
+	fmt.Printf("%s from the checkpoint at %d\n", group, image.Snapshot.GetIndex())
 	machine, at, err := replay(group, image, c.to, c.show)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "sparnotchctl:", err)
--- a/cmd/sparnotchctl/folder_test.go
+++ b/cmd/sparnotchctl/folder_test.go
@@ -36,7 +36,7 @@
 }
 
 // fill writes a store with one queue, in which one task fails and is run again.
-func fill(path string, change func([]*schema.Entry) []*schema.Entry) (*storage.Folder, *queue.Machine) {
+func fill(path string, change func([]*schema.Entry) []*schema.Entry) (*storage.Dir, *queue.Machine) {
 	key := &schema.TaskKey{Job: 1}
 	pick := &schema.QueueCommand{Body: &schema.QueueCommand_Checkout{Checkout: &schema.Checkout{Placements: []*schema.Placement{{Key: key, Worker: "w1", Incarnation: 1}}}}}
 	commands := []*schema.QueueCommand{
@@ -59,7 +59,7 @@
 		_, err = machine.Apply(record.Index, record.TimeUs, record.Data)
 		So(err, ShouldBeNil)
 	}
-	folder, err := storage.OpenFolder(path)
+	folder, err := storage.OpenDir(path)
 	So(err, ShouldBeNil)
 	store, err := storage.Open(folder)
 	So(err, ShouldBeNil)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -130,7 +130,7 @@
 	if err := serve(loaded, role, signals, log, ring, open, hands); err != nil {
 		log.Error("failed", zap.Error(err))
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
-		if storage.IsForeign(err) || errorx.IsOfType(err, config.Bad) {
+		if storage.IsDirRejected(err) || errorx.IsOfType(err, config.Bad) {
 			return ExitOptions
 		}
 		return ExitFailed
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -56,7 +56,7 @@
 	})
 	Convey("A store whose checkpoint can't be read: code 2, with folder and group", t, func() {
 		data := t.TempDir()
-		folder, err := storage.OpenFolder(data)
+		folder, err := storage.OpenDir(data)
 		So(err, ShouldBeNil)
 		store, err := storage.Open(folder)
 		So(err, ShouldBeNil)
--- a/internal/modelcheck/disk.go
+++ b/internal/modelcheck/disk.go
@@ -15,7 +15,7 @@
 
 // disk is a machine's durable content.
 type disk interface {
-	content() *storage.Content
+	content() *storage.State
 	commit(changes []*schema.StoreChange) error
 	// crash loses what wasn't synced, with a torn part of the changes that
 	// were being written.
@@ -24,12 +24,12 @@
 }
 
 // pure is a disk whose batches last whole or not at all; it is cheap to branch.
-type pure struct{ held *storage.Content }
+type pure struct{ held *storage.State }
 
-func (p *pure) content() *storage.Content { return p.held }
+func (p *pure) content() *storage.State { return p.held }
 
 func (p *pure) commit(changes []*schema.StoreChange) error {
-	next := &storage.Content{Self: p.held.Self, Groups: map[string]*storage.Image{}}
+	next := &storage.State{Identity: p.held.Identity, Groups: map[string]*storage.GroupState{}}
 	for name, image := range p.held.Groups {
 		next.Groups[name] = copyImage(image)
 	}
@@ -45,8 +45,8 @@
 func (p *pure) clone() disk { return &pure{held: p.held} }
 
 // copyImage shares the records, but never the room behind them.
-func copyImage(image *storage.Image) *storage.Image {
-	return &storage.Image{Hard: image.Hard, Checkpoint: image.Checkpoint, Records: slices.Clip(image.Records)}
+func copyImage(image *storage.GroupState) *storage.GroupState {
+	return &storage.GroupState{HardState: image.HardState, Snapshot: image.Snapshot, Entries: slices.Clip(image.Entries)}
 }
 
 // logLimit is small, so that slots are turned often.
@@ -67,11 +67,11 @@
 }
 
 func (s *stored) open() (err error) {
-	s.store, err = storage.OpenLimited(s.files, logLimit)
+	s.store, err = storage.OpenWithLogLimit(s.files, logLimit)
 	return err
 }
 
-func (s *stored) content() *storage.Content { return s.store.Content() }
+func (s *stored) content() *storage.State { return s.store.State() }
 
 func (s *stored) commit(changes []*schema.StoreChange) error { return s.store.Commit(changes) }
 
@@ -130,7 +130,7 @@
 	return err
 }
 
-func (f *files) Cut(name string, size int64) error {
+func (f *files) Truncate(name string, size int64) error {
 	w := fileWrite{name: name, offset: -1, size: size}
 	err := f.spend(1)
 	f.writes = append(f.writes, w)
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -184,7 +184,7 @@
 			continue
 		}
 		add("t%d", k)
-		if m.applied > m.memory.Checkpoint.Index {
+		if m.applied > m.memory.Snapshot.Index {
 			add("f%d", k)
 		}
 		if m.group.IsLeader() {
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -88,7 +88,7 @@
 
 func (b *batch) fingerprint(to []byte) []byte {
 	for _, change := range b.changes {
-		to = imprint(append(to, 'c'), &storage.Image{Hard: change.HardState, Checkpoint: change.Snapshot, Records: change.Entries})
+		to = imprint(append(to, 'c'), &storage.GroupState{HardState: change.HardState, Snapshot: change.Snapshot, Entries: change.Entries})
 	}
 	for _, post := range b.posts {
 		to = numbers(append(to, 'p'), uint64(keyOf("", post.To, post.Body)))
@@ -96,10 +96,10 @@
 	return numbers(to, b.mark.Index, b.mark.Term)
 }
 
-func imprint(to []byte, image *storage.Image) []byte {
-	to = numbers(to, image.Hard.GetTerm(), image.Checkpoint.GetIndex(), image.Checkpoint.GetTerm(), uint64(len(image.Records)))
-	to = append(to, image.Hard.GetVote()...)
-	for _, record := range image.Records {
+func imprint(to []byte, image *storage.GroupState) []byte {
+	to = numbers(to, image.HardState.GetTerm(), image.Snapshot.GetIndex(), image.Snapshot.GetTerm(), uint64(len(image.Entries)))
+	to = append(to, image.HardState.GetVote()...)
+	for _, record := range image.Entries {
 		to = numbers(to, record.Index, record.Term)
 		if record.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
 			to = append(to, 'r')
--- a/internal/modelcheck/invariants.go
+++ b/internal/modelcheck/invariants.go
@@ -42,8 +42,8 @@
 // one place (index and term) has one record, over one other. From that follows
 // log matching: two logs that agree at a place agree below it.
 func (w *World) checkChange(m *machine, change *schema.StoreChange) {
-	if change.HardState != nil && change.HardState.Term < m.memory.Hard.Term {
-		w.fail("the term of %s goes back from %d to %d", m.id, m.memory.Hard.Term, change.HardState.Term)
+	if change.HardState != nil && change.HardState.Term < m.memory.HardState.Term {
+		w.fail("the term of %s goes back from %d to %d", m.id, m.memory.HardState.Term, change.HardState.Term)
 	}
 	for k, record := range change.Entries {
 		below := uint64(0)
@@ -91,7 +91,7 @@
 	if !overlaps(old.GetVoters(), next.Voters) {
 		w.fail("members: majorities of %v and %v need not overlap", old.GetVoters(), next.Voters)
 	}
-	for _, each := range m.memory.Records {
+	for _, each := range m.memory.Entries {
 		if each.Kind == schema.EntryKind_ENTRY_MEMBER_SET && each.Index < record.Index && each.Index > uint64(len(w.committed)) {
 			w.fail("members: changed at %d on %s while the change at %d isn't committed", record.Index, m.id, each.Index)
 		}
@@ -110,9 +110,9 @@
 }
 
 // changedAt is where the membership below an index was made; 0 for the first.
-func changedAt(image *storage.Image, index uint64) uint64 {
+func changedAt(image *storage.GroupState, index uint64) uint64 {
 	at := uint64(0)
-	for _, record := range image.Records {
+	for _, record := range image.Entries {
 		if record.Index < index && record.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
 			at = record.Index
 		}
@@ -120,7 +120,7 @@
 	return at
 }
 
-func (w *World) durable(id string) *storage.Image {
+func (w *World) durable(id string) *storage.GroupState {
 	if m := w.machineOf(id); m != nil {
 		return m.disk.content().Groups[group]
 	}
@@ -161,7 +161,7 @@
 		return
 	}
 	image := m.disk.content().Groups[group]
-	isHeld := image != nil && (match <= image.Checkpoint.Index || match <= lastOf(image) && (match <= m.memory.Checkpoint.Index || termAt(image, match) == termAt(m.memory, match)))
+	isHeld := image != nil && (match <= image.Snapshot.Index || match <= lastOf(image) && (match <= m.memory.Snapshot.Index || termAt(image, match) == termAt(m.memory, match)))
 	if !isHeld {
 		w.fail("durability: %s says it holds record %d, which doesn't last", m.id, match)
 	}
@@ -172,7 +172,7 @@
 func (w *World) checkTold(m *machine, post raft.Post) {
 	hard := &schema.HardState{}
 	if image := m.disk.content().Groups[group]; image != nil {
-		hard = image.Hard
+		hard = image.HardState
 	}
 	needs := func(term uint64) {
 		if hard.Term < term {
@@ -257,7 +257,7 @@
 	if count < majority(voters) {
 		w.fail("election: %s leads term %d with %d votes of %v", m.id, term, count, voters)
 	}
-	if hard := m.disk.content().Groups[group].Hard; hard.Term < term {
+	if hard := m.disk.content().Groups[group].HardState; hard.Term < term {
 		w.fail("durability: %s leads term %d before that lasts", m.id, term)
 	}
 	for k, each := range w.committed {
@@ -282,15 +282,15 @@
 // checkMemory: what a replica holds is what its changes come to; what lies above a
 // snapshot continues it.
 func (w *World) checkMemory(m *machine) {
-	if m.group.Last() != lastOf(m.memory) || m.group.Base() != m.memory.Checkpoint.Index {
-		w.fail("durability: %s holds records %d to %d, its store %d to %d", m.id, m.group.Base()+1, m.group.Last(), m.memory.Checkpoint.Index+1, lastOf(m.memory))
+	if m.group.Last() != lastOf(m.memory) || m.group.Base() != m.memory.Snapshot.Index {
+		w.fail("durability: %s holds records %d to %d, its store %d to %d", m.id, m.group.Base()+1, m.group.Last(), m.memory.Snapshot.Index+1, lastOf(m.memory))
 	}
-	if len(m.memory.Records) == 0 || m.memory.Checkpoint.Index == 0 {
+	if len(m.memory.Entries) == 0 || m.memory.Snapshot.Index == 0 {
 		return
 	}
-	first := m.memory.Records[0]
-	if below := w.records[place{first.Index, first.Term}].below; below != m.memory.Checkpoint.Term {
-		w.fail("log matching: %s holds record %d of term %d, which stands on term %d, on a snapshot of term %d", m.id, first.Index, first.Term, below, m.memory.Checkpoint.Term)
+	first := m.memory.Entries[0]
+	if below := w.records[place{first.Index, first.Term}].below; below != m.memory.Snapshot.Term {
+		w.fail("log matching: %s holds record %d of term %d, which stands on term %d, on a snapshot of term %d", m.id, first.Index, first.Term, below, m.memory.Snapshot.Term)
 	}
 }
 
@@ -367,10 +367,10 @@
 
 // checkOpened: what a store shows after a crash is what was synced, or that and
 // the whole write that was under way.
-func (w *World) checkOpened(m *machine, before *storage.Image, changes []*schema.StoreChange) {
+func (w *World) checkOpened(m *machine, before *storage.GroupState, changes []*schema.StoreChange) {
 	after := before
 	if len(changes) > 0 {
-		if after = (&storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}}); before != nil {
+		if after = (&storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}}); before != nil {
 			after = copyImage(before)
 		}
 		for _, change := range changes {
@@ -383,15 +383,15 @@
 	}
 }
 
-func isSame(a, b *storage.Image) bool {
+func isSame(a, b *storage.GroupState) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
-	if !proto.Equal(a.Hard, b.Hard) || !proto.Equal(a.Checkpoint, b.Checkpoint) || len(a.Records) != len(b.Records) {
+	if !proto.Equal(a.HardState, b.HardState) || !proto.Equal(a.Snapshot, b.Snapshot) || len(a.Entries) != len(b.Entries) {
 		return false
 	}
-	for k := range a.Records {
-		if !proto.Equal(a.Records[k], b.Records[k]) {
+	for k := range a.Entries {
+		if !proto.Equal(a.Entries[k], b.Entries[k]) {
 			return false
 		}
 	}
--- a/internal/modelcheck/machine.go
+++ b/internal/modelcheck/machine.go
@@ -46,7 +46,7 @@
 	clock   eventloop.Micros
 	disk    disk
 	group   *raft.Group
-	memory  *storage.Image // what the replica's changes come to, synced or not
+	memory  *storage.GroupState // what the replica's changes come to, synced or not
 	state   *clusterstate.Machine
 	isOwn   bool // the state isn't shared with another branch
 	next    batch
@@ -91,10 +91,10 @@
 	}
 }
 
-func (m *machine) open(image *storage.Image) {
+func (m *machine) open(image *storage.GroupState) {
 	m.memory = copyImage(image)
 	m.group = raft.New(group, m.id, copyImage(image), times, least{}, m.clock)
-	m.restore(image.Checkpoint)
+	m.restore(image.Snapshot)
 }
 
 func (m *machine) restore(point *schema.Snapshot) {
@@ -127,37 +127,37 @@
 		default:
 			return
 		}
-		m.open(&storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}})
+		m.open(&storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}})
 	}
 	m.group.Step(m.clock, from, body)
 }
 
 // termAt is the term of an image's record; 0 where it holds none.
-func termAt(image *storage.Image, index uint64) uint64 {
+func termAt(image *storage.GroupState, index uint64) uint64 {
 	switch {
 	case image == nil:
 		return 0
-	case index == image.Checkpoint.Index:
-		return image.Checkpoint.Term
-	case index < image.Checkpoint.Index || index > lastOf(image):
+	case index == image.Snapshot.Index:
+		return image.Snapshot.Term
+	case index < image.Snapshot.Index || index > lastOf(image):
 		return 0
 	}
-	return image.Records[index-image.Checkpoint.Index-1].Term
+	return image.Entries[index-image.Snapshot.Index-1].Term
 }
 
-func lastOf(image *storage.Image) uint64 {
-	return image.Checkpoint.Index + uint64(len(image.Records))
+func lastOf(image *storage.GroupState) uint64 {
+	return image.Snapshot.Index + uint64(len(image.Entries))
 }
 
 // holds tells whether an image has a record, or what stands for it.
-func holds(image *storage.Image, index, term uint64) bool {
-	return image != nil && (index < image.Checkpoint.Index || termAt(image, index) == term)
+func holds(image *storage.GroupState, index, term uint64) bool {
+	return image != nil && (index < image.Snapshot.Index || termAt(image, index) == term)
 }
 
 // membersUnder is the membership in force below an index.
-func membersUnder(image *storage.Image, index uint64) *schema.MemberSet {
-	members := image.Checkpoint.MemberSet
-	for _, record := range image.Records {
+func membersUnder(image *storage.GroupState, index uint64) *schema.MemberSet {
+	members := image.Snapshot.MemberSet
+	for _, record := range image.Entries {
 		if record.Index < index && record.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
 			members = record.MemberSet
 		}
@@ -166,8 +166,8 @@
 }
 
 // applyTo makes a change of an image in memory.
-func applyTo(image *storage.Image, change *schema.StoreChange) *storage.Image {
-	content := &storage.Content{Groups: map[string]*storage.Image{group: image}}
+func applyTo(image *storage.GroupState, change *schema.StoreChange) *storage.GroupState {
+	content := &storage.State{Groups: map[string]*storage.GroupState{group: image}}
 	content.Apply(change)
 	return content.Groups[group]
 }
--- a/internal/modelcheck/schedule.go
+++ b/internal/modelcheck/schedule.go
@@ -198,7 +198,7 @@
 		}
 		w.sync(m)
 	case 'f':
-		if m.applied <= m.memory.Checkpoint.Index {
+		if m.applied <= m.memory.Snapshot.Index {
 			return false
 		}
 		m.group.Release(m.applied, m.state.Rest())
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -86,7 +86,7 @@
 
 // equip gives a machine an empty disk; a store on it draws an id of its own.
 func (w *World) equip(m *machine) {
-	m.disk = &pure{held: &storage.Content{Self: &schema.StoreIdentity{}, Groups: map[string]*storage.Image{}}}
+	m.disk = &pure{held: &storage.State{Identity: &schema.StoreIdentity{}, Groups: map[string]*storage.GroupState{}}}
 	if w.limits.IsFiles {
 		m.disk = newStored()
 	}
@@ -322,7 +322,7 @@
 	return true
 }
 
-func copyOf(image *storage.Image) *storage.Image {
+func copyOf(image *storage.GroupState) *storage.GroupState {
 	if image == nil {
 		return nil
 	}
@@ -331,15 +331,15 @@
 
 // ghost is what the checker knows and no machine does.
 type ghost struct {
-	leaders     map[uint64]string         // by term
-	records     map[place]recorded        // every record there ever was
-	committedIn []uint64                  // the leader's term that committed it, by index - 1
-	committed   []recorded                // by index - 1
-	states      map[uint64]uint64         // digest of the state by index
-	votes       map[ballot]string         // as told
-	graves      map[string]*storage.Image // what wiped disks held
-	told        uint64                    // highest edition anybody was told of
-	sum         uint64                    // of all of this, for fingerprints
+	leaders     map[uint64]string              // by term
+	records     map[place]recorded             // every record there ever was
+	committedIn []uint64                       // the leader's term that committed it, by index - 1
+	committed   []recorded                     // by index - 1
+	states      map[uint64]uint64              // digest of the state by index
+	votes       map[ballot]string              // as told
+	graves      map[string]*storage.GroupState // what wiped disks held
+	told        uint64                         // highest edition anybody was told of
+	sum         uint64                         // of all of this, for fingerprints
 }
 
 type place struct{ index, term uint64 }
@@ -354,7 +354,7 @@
 func newGhost() ghost {
 	return ghost{
 		leaders: map[uint64]string{}, records: map[place]recorded{}, states: map[uint64]uint64{},
-		votes: map[ballot]string{}, graves: map[string]*storage.Image{},
+		votes: map[ballot]string{}, graves: map[string]*storage.GroupState{},
 	}
 }
 
--- a/internal/process/papers.go
+++ b/internal/process/papers.go
@@ -35,7 +35,7 @@
 	Losses         uint32            // stores that may be lost at once; 0: one
 	Zones, Regions uint32            // that may be lost whole
 	RegionOf       map[string]string // of each zone
-	Store          *storage.Content  // nil without a data folder
+	Store          *storage.State    // nil without a data folder
 	Book           *membership.Book
 	Wall           func() int64
 	Seed           uint64
@@ -57,7 +57,7 @@
 	var account *schema.StoreIdentity
 	readers := []string{"gateway"}
 	if p.Store != nil {
-		account = p.Store.Self
+		account = p.Store.Identity
 		readers = append(readers, "replica")
 	}
 	member := p.Member
--- a/internal/process/real.go
+++ b/internal/process/real.go
@@ -52,7 +52,7 @@
 	duties  sync.WaitGroup
 	worst   atomic.Int64 // recent worst sync, decayed
 	syncing atomic.Int64 // when the sync that is under way began
-	stats   atomic.Pointer[storage.Counts]
+	stats   atomic.Pointer[storage.Stats]
 
 	awaited   opening     // of a store that couldn't be opened yet; nil: none
 	isRefused atomic.Bool // the store takes no writes
@@ -114,12 +114,12 @@
 		log.Warn("the losses that are to be borne can't be", zap.String("why", short))
 	}
 	if r.store != nil {
-		papers.Store = r.store.Content()
+		papers.Store = r.store.State()
 	}
 	berths, err := berthsOf(role, papers)
 	if err != nil {
 		r.opened.Close()
-		return nil, storage.Foreign.Wrap(err, "data folder %s", options.Data)
+		return nil, storage.DirRejected.Wrap(err, "data folder %s", options.Data)
 	}
 	for _, berth := range berths {
 		r.process.Add(berth.Name, berth.Table, berth.Pace)
@@ -293,7 +293,7 @@
 // Counts are what a process has done so far.
 type Counts struct {
 	Wire    transport.Counts  `json:"wire"`
-	Storage storage.Counts    `json:"storage"`
+	Storage storage.Stats     `json:"storage"`
 	Lost    map[string]uint64 `json:"lost_mails"`
 }
 
--- a/internal/process/store.go
+++ b/internal/process/store.go
@@ -28,7 +28,7 @@
 
 // Opened is a data folder whose store has taken this start's number.
 type Opened struct {
-	folder *storage.Folder
+	folder *storage.Dir
 	store  *storage.Store
 	self   *schema.StoreIdentity
 }
@@ -36,7 +36,7 @@
 // openStore opens the data folder. A damaged store never comes back under its
 // old id: it is put aside, the process says so, and goes on as a new member.
 func openStore(path string, log *zap.Logger) (*Opened, error) {
-	folder, err := storage.OpenFolder(path)
+	folder, err := storage.OpenDir(path)
 	if err != nil {
 		return nil, err
 	}
@@ -48,11 +48,11 @@
 	return opened, nil
 }
 
-func openFolder(folder *storage.Folder, log *zap.Logger) (*Opened, error) {
+func openFolder(folder *storage.Dir, log *zap.Logger) (*Opened, error) {
 	store, err := storage.Open(folder)
-	if storage.IsDamaged(err) {
+	if storage.IsCorrupted(err) {
 		log.Error("the store is damaged; it is put aside and this machine comes back as a new member", zap.Error(err))
-		if err := folder.Retire("damaged-" + newId()); err != nil {
+		if err := folder.Quarantine("damaged-" + newId()); err != nil {
 			return nil, err
 		}
 		store, err = storage.Open(folder)
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	self := proto.Clone(store.Content().Self).(*schema.StoreIdentity)
+	self := proto.Clone(store.State().Identity).(*schema.StoreIdentity)
 	if self.Id == "" {
 		self.Id = newId()
 	}
@@ -105,7 +105,7 @@
 		attempt := startOpening(r.Options.Data, r.log)
 		select {
 		case result := <-attempt:
-			if storage.IsForeign(result.err) {
+			if storage.IsDirRejected(result.err) {
 				return result.err
 			}
 			if result.err != nil {
@@ -192,7 +192,7 @@
 	if took := int64(r.Clock.Now() - began); took > r.worst.Load() {
 		r.worst.Store(took)
 	}
-	counts := r.store.Counts()
+	counts := r.store.Stats()
 	r.stats.Store(&counts)
 	r.process.PostWait("replica", eventloop.Message{Body: replica.Written{Number: batch.Number}})
 }
--- a/internal/process/store_test.go
+++ b/internal/process/store_test.go
@@ -21,7 +21,7 @@
 
 // brokenDisk is a folder whose writes fail while it is told so.
 type brokenDisk struct {
-	*storage.Folder
+	*storage.Dir
 	broken chan bool // holds something while writes fail
 }
 
@@ -31,7 +31,7 @@
 	if len(d.broken) > 0 {
 		return errBroken
 	}
-	return d.Folder.Write(name, offset, data)
+	return d.Dir.Write(name, offset, data)
 }
 
 // ear is a table that passes on what it is told.
@@ -41,7 +41,7 @@
 
 func TestCommitGoesOn(t *testing.T) {
 	Convey("A store that refuses is told of at once, and its batch once it lasts", t, func() {
-		folder, err := storage.OpenFolder(t.TempDir())
+		folder, err := storage.OpenDir(t.TempDir())
 		So(err, ShouldBeNil)
 		Reset(folder.Close)
 		disk := &brokenDisk{folder, make(chan bool, 1)}
@@ -71,7 +71,7 @@
 		<-done
 		So((<-replicas).(replica.Written).Number, ShouldEqual, 7)
 		So((<-book).(membership.Latency).Worst, ShouldBeLessThan, membership.RefusedLatency)
-		So(store.Content().Self.Id, ShouldEqual, "x")
+		So(store.State().Identity.Id, ShouldEqual, "x")
 		So(len(r.Failed), ShouldEqual, 0)
 	})
 }
@@ -128,7 +128,7 @@
 		So(os.WriteFile(filepath.Join(data, "family.jpg"), []byte("x"), 0o600), ShouldBeNil)
 		options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}}
 		_, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
-		So(storage.IsForeign(err), ShouldBeTrue)
+		So(storage.IsDirRejected(err), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "family.jpg")
 		entries, err := os.ReadDir(data)
 		So(err, ShouldBeNil)
--- a/internal/raft/members_test.go
+++ b/internal/raft/members_test.go
@@ -12,7 +12,7 @@
 
 // empty gives the rig a replica with an empty disk.
 func (r *rig) empty(id string) {
-	r.images[id] = &storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}}
+	r.images[id] = &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}}
 	r.start(id)
 }
 
--- a/internal/raft/membership_step_test.go
+++ b/internal/raft/membership_step_test.go
@@ -16,7 +16,7 @@
 		r.run(4 * eventloop.Second)
 		lead := r.leader()
 		r.propose("one")
-		r.images["d"] = &storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}}
+		r.images["d"] = &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}}
 		r.start("d")
 		r.run(eventloop.Second)
 		change := func(voters []string, learners ...string) error {
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -141,10 +141,10 @@
 }
 
 // New makes a replica from what its store holds.
-func New(name, self string, image *storage.Image, times Times, rng Source, now eventloop.Micros) *Group {
-	g := &Group{name: name, self: self, times: times, rng: rng, base: image.Checkpoint}
-	g.term, g.vote = image.Hard.Term, image.Hard.Vote
-	g.log = append(g.log, image.Records...)
+func New(name, self string, image *storage.GroupState, times Times, rng Source, now eventloop.Micros) *Group {
+	g := &Group{name: name, self: self, times: times, rng: rng, base: image.Snapshot}
+	g.term, g.vote = image.HardState.Term, image.HardState.Vote
+	g.log = append(g.log, image.Entries...)
 	g.commit, g.applied = g.base.Index, g.base.Index
 	g.stable = g.lastIndex()
 	g.findMemberSet()
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -18,8 +18,8 @@
 	now     eventloop.Micros
 	rng     *rand.Rand
 	groups  map[string]*Group
-	images  map[string]*storage.Image // what is durable
-	pending map[string][]Post         // posts that wait for a sync
+	images  map[string]*storage.GroupState // what is durable
+	pending map[string][]Post              // posts that wait for a sync
 	changes map[string][]*schema.StoreChange
 	applied map[string][]string
 	reads   map[string][]uint64
@@ -42,12 +42,12 @@
 
 func newRig(seed uint64, members ...string) *rig {
 	r := &rig{
-		now: eventloop.Second, rng: rand.New(rand.NewPCG(seed, 1)), groups: map[string]*Group{}, images: map[string]*storage.Image{},
+		now: eventloop.Second, rng: rand.New(rand.NewPCG(seed, 1)), groups: map[string]*Group{}, images: map[string]*storage.GroupState{},
 		pending: map[string][]Post{}, changes: map[string][]*schema.StoreChange{}, applied: map[string][]string{}, reads: map[string][]uint64{},
 		isDown: map[string]bool{}, noSync: map[string]bool{}, cut: func(string, string) bool { return false },
 	}
 	for _, id := range members {
-		r.images[id] = &storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: members}}}
+		r.images[id] = &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: members}}}
 		r.start(id)
 	}
 	return r
@@ -58,7 +58,7 @@
 	r.pending[id], r.changes[id] = nil, nil
 	r.applied[id] = nil
 	image := r.images[id]
-	copied := &storage.Image{Hard: image.Hard, Checkpoint: image.Checkpoint, Records: append([]*schema.Entry(nil), image.Records...)}
+	copied := &storage.GroupState{HardState: image.HardState, Snapshot: image.Snapshot, Entries: append([]*schema.Entry(nil), image.Entries...)}
 	r.groups[id] = New("g", id, copied, UsualTimes, rand.New(rand.NewPCG(r.rng.Uint64(), 2)), r.now)
 }
 
@@ -87,7 +87,7 @@
 	if r.noSync[id] {
 		return
 	}
-	content := &storage.Content{Groups: map[string]*storage.Image{"g": r.images[id]}}
+	content := &storage.State{Groups: map[string]*storage.GroupState{"g": r.images[id]}}
 	changes := r.changes[id]
 	r.changes[id] = nil
 	for _, change := range changes {
@@ -377,7 +377,7 @@
 			isSplit := false
 			for _, id := range ids {
 				// Who stood against the leader has voted for itself as well.
-				isSplit = isSplit || id != old && r.images[id].Hard.Vote == id
+				isSplit = isSplit || id != old && r.images[id].HardState.Vote == id
 				r.start(id)
 			}
 			r.run(UsualTimes.acting() + 50*eventloop.Millisecond)
@@ -433,7 +433,7 @@
 			lost = "a"
 		}
 		r.isDown[lost] = true
-		r.images["d"] = &storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}}
+		r.images["d"] = &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}}
 		r.start("d")
 		r.run(3 * eventloop.Second)
 		So(r.groups["d"].Term(), ShouldEqual, 0) // it never campaigns unasked
@@ -722,7 +722,7 @@
 		}
 		r.run(2 * eventloop.Second)
 		So(r.leader().Term(), ShouldEqual, term)
-		stranger := New("g", "x", &storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}}, UsualTimes, r.rng, r.now)
+		stranger := New("g", "x", &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}}, UsualTimes, r.rng, r.now)
 		stranger.Stand(r.now)
 		effects, _ := stranger.Take()
 		So(effects.Changes, ShouldBeEmpty)
@@ -730,7 +730,7 @@
 	Convey("A founder that its leader reached before it had founded becomes a voter, and stays one", t, func() {
 		r := newRig(9, ids...)
 		// c was opened empty, by the leader's first word.
-		r.images["c"] = &storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}}
+		r.images["c"] = &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}}
 		r.start("c")
 		r.groups["a"].Stand(r.now)
 		r.run(300 * eventloop.Millisecond)
--- a/internal/raft/transfer_test.go
+++ b/internal/raft/transfer_test.go
@@ -272,13 +272,13 @@
 			s, _, far, state := lagging(uint64(at), size)
 			s.runSlow(eventloop.Micros(at)*110*eventloop.Millisecond, nil)
 			isWhole := len(s.applied[far]) > 0
-			So(isWhole || s.images[far].Checkpoint.Index == 0, ShouldBeTrue)
+			So(isWhole || s.images[far].Snapshot.Index == 0, ShouldBeTrue)
 			s.isDown[far] = true
 			s.runSlow(50*eventloop.Millisecond, nil)
 			s.start(far)
 			s.runSlow(4*eventloop.Second, nil)
 			// After a restart the checkpoint is the store's, not told again.
-			So(string(s.images[far].Checkpoint.Data) == state, ShouldBeTrue)
+			So(string(s.images[far].Snapshot.Data) == state, ShouldBeTrue)
 			last := s.applied[far][len(s.applied[far])-1]
 			So(last, ShouldEqual, "after")
 		}
@@ -299,7 +299,7 @@
 			s.runSlow(6*eventloop.Second, nil)
 			So(s.leader(), ShouldNotBeNil)
 			So(s.leader().self, ShouldNotEqual, lead.self)
-			So(bytes.HasPrefix(s.images[far].Checkpoint.Data, []byte(state)), ShouldBeTrue)
+			So(bytes.HasPrefix(s.images[far].Snapshot.Data, []byte(state)), ShouldBeTrue)
 			So(s.groups[far].Applied(), ShouldEqual, s.leader().Applied())
 		}
 	})
--- a/internal/raft/writable_test.go
+++ b/internal/raft/writable_test.go
@@ -74,7 +74,7 @@
 		r.run(200 * eventloop.Millisecond)
 		So(r.leader().self, ShouldEqual, others(leader.self)[0])
 		// It went by the votes of those two alone.
-		So(r.images[leader.self].Hard.Term, ShouldBeLessThan, r.leader().Term())
+		So(r.images[leader.self].HardState.Term, ShouldBeLessThan, r.leader().Term())
 	})
 }
 
@@ -89,15 +89,15 @@
 		leader := r.leader()
 		leader.Release(leader.Applied()-1, []byte("state"))
 		r.collect(leader.self)
-		content := &storage.Content{Groups: map[string]*storage.Image{}}
+		content := &storage.State{Groups: map[string]*storage.GroupState{}}
 		content.Apply(&schema.StoreChange{Group: "g", HardState: &schema.HardState{Term: 99}, Entries: []*schema.Entry{{Index: 1}, {Index: 2}}})
 		content.Apply(leader.Whole())
 		image, durable := content.Groups["g"], r.images[leader.self]
-		So(proto.Equal(image.Hard, durable.Hard), ShouldBeTrue)
-		So(proto.Equal(image.Checkpoint, durable.Checkpoint), ShouldBeTrue)
-		So(len(image.Records), ShouldEqual, len(durable.Records))
-		for k := range image.Records {
-			So(proto.Equal(image.Records[k], durable.Records[k]), ShouldBeTrue)
+		So(proto.Equal(image.HardState, durable.HardState), ShouldBeTrue)
+		So(proto.Equal(image.Snapshot, durable.Snapshot), ShouldBeTrue)
+		So(len(image.Entries), ShouldEqual, len(durable.Entries))
+		for k := range image.Entries {
+			So(proto.Equal(image.Entries[k], durable.Entries[k]), ShouldBeTrue)
 		}
 	})
 }
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -31,7 +31,7 @@
 	if name != clusterstate.Group && (QueueOf(name) == "" || t.isEnded(name)) {
 		return nil
 	}
-	r := t.open(now, name, &storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}})
+	r := t.open(now, name, &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}})
 	if !t.self.Joined {
 		// Counted in, so this store may found nothing any more.
 		self := proto.Clone(t.self).(*schema.StoreIdentity)
@@ -44,8 +44,8 @@
 }
 
 func (t *Table) found(now eventloop.Micros, name string, voters []string) {
-	image := &storage.Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: voters}}}
-	t.next.changes = append(t.next.changes, &schema.StoreChange{Group: name, Snapshot: image.Checkpoint})
+	image := &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: voters}}}
+	t.next.changes = append(t.next.changes, &schema.StoreChange{Group: name, Snapshot: image.Snapshot})
 	t.open(now, name, image)
 }
 
--- a/internal/replica/changes_test.go
+++ b/internal/replica/changes_test.go
@@ -42,7 +42,7 @@
 	return nil
 }
 
-func (m *memory) Cut(name string, size int64) error {
+func (m *memory) Truncate(name string, size int64) error {
 	m.files[name] = append(make([]byte, 0, size), m.files[name][:min(size, int64(len(m.files[name])))]...)[:size]
 	return nil
 }
@@ -107,9 +107,9 @@
 		Convey("and a process that starts from that disk holds the last of them", func() {
 			again, err := storage.Open(disk)
 			So(err, ShouldBeNil)
-			table := New("a", again.Content(), func() int64 { return 0 }, raft.UsualTimes, 1, c.now)
-			image := again.Content().Groups[clusterstate.Group]
-			So(image.Checkpoint.Index, ShouldEqual, r.group.Base())
+			table := New("a", again.State(), func() int64 { return 0 }, raft.UsualTimes, 1, c.now)
+			image := again.State().Groups[clusterstate.Group]
+			So(image.Snapshot.Index, ShouldEqual, r.group.Base())
 			So(table.state.Configuration.Revision, ShouldBeGreaterThan, count-20)
 			So(table.isClusterStateFresh(c.now), ShouldBeFalse)
 		})
--- a/internal/replica/members_test.go
+++ b/internal/replica/members_test.go
@@ -16,7 +16,7 @@
 
 // empty adds a store with an empty disk.
 func (c *core) empty(id string) {
-	content := &storage.Content{Self: &schema.StoreIdentity{Id: id}, Groups: map[string]*storage.Image{}}
+	content := &storage.State{Identity: &schema.StoreIdentity{Id: id}, Groups: map[string]*storage.GroupState{}}
 	c.tables[id] = New(id, content, func() int64 { return 0 }, raft.UsualTimes, 4, c.now)
 }
 
--- a/internal/replica/plan_test.go
+++ b/internal/replica/plan_test.go
@@ -84,7 +84,7 @@
 		return c.day + int64(c.now)
 	}
 	for k, id := range stores {
-		content := &storage.Content{Self: &schema.StoreIdentity{Id: id}, Groups: map[string]*storage.Image{}}
+		content := &storage.State{Identity: &schema.StoreIdentity{Id: id}, Groups: map[string]*storage.GroupState{}}
 		c.tables[id] = New(id, content, wall, raft.UsualTimes, uint64(k+1), c.now)
 	}
 	for _, id := range stores {
--- a/internal/replica/refusal_test.go
+++ b/internal/replica/refusal_test.go
@@ -185,19 +185,19 @@
 		So(most, ShouldBeLessThan, whole+pendingBytes+1<<20)
 		So(whole, ShouldBeLessThan, most)
 		So(table.next.wholeBytes, ShouldBeGreaterThan, 0)
-		before := &storage.Content{Groups: map[string]*storage.Image{}}
+		before := &storage.State{Groups: map[string]*storage.GroupState{}}
 		for _, change := range append(append([]*schema.StoreChange(nil), table.writing.changes...), table.next.changes...) {
 			before.Apply(change)
 		}
 		table.condense()
-		after := &storage.Content{Groups: map[string]*storage.Image{}}
+		after := &storage.State{Groups: map[string]*storage.GroupState{}}
 		for _, change := range append(append([]*schema.StoreChange(nil), table.writing.changes...), table.next.changes...) {
 			after.Apply(change)
 		}
 		for name := range after.Groups {
 			one, two := before.Groups[name], after.Groups[name]
-			So(proto.Equal(one.Hard, two.Hard), ShouldBeTrue)
-			So(one.Checkpoint.GetIndex(), ShouldEqual, two.Checkpoint.GetIndex())
+			So(proto.Equal(one.HardState, two.HardState), ShouldBeTrue)
+			So(one.Snapshot.GetIndex(), ShouldEqual, two.Snapshot.GetIndex())
 			So(last(one), ShouldEqual, last(two))
 		}
 		c.accept("c")
@@ -208,8 +208,8 @@
 	})
 }
 
-func last(image *storage.Image) uint64 {
-	return image.Checkpoint.GetIndex() + uint64(len(image.Records))
+func last(image *storage.GroupState) uint64 {
+	return image.Snapshot.GetIndex() + uint64(len(image.Entries))
 }
 
 func TestUnreadableCommand(t *testing.T) {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -97,9 +97,9 @@
 }
 
 // New makes the table from a store's content.
-func New(id string, content *storage.Content, wall func() int64, times raft.Times, seed uint64, now eventloop.Micros) *Table {
+func New(id string, content *storage.State, wall func() int64, times raft.Times, seed uint64, now eventloop.Micros) *Table {
 	t := &Table{
-		id: id, self: content.Self, losses: 1, spans: timing.Of(nil), wall: wall, times: times, groups: map[string]*replica{},
+		id: id, self: content.Identity, losses: 1, spans: timing.Of(nil), wall: wall, times: times, groups: map[string]*replica{},
 		clusterState: clusterstate.New(), applied: map[string]*schema.SubmitResponse{}, plansTold: map[string]planTold{},
 	}
 	hash := fnv.New64a()
@@ -126,14 +126,14 @@
 	return t
 }
 
-func (t *Table) open(now eventloop.Micros, name string, image *storage.Image) *replica {
+func (t *Table) open(now eventloop.Micros, name string, image *storage.GroupState) *replica {
 	r := &replica{
 		group:   raft.New(name, t.id, image, t.times, t.patience, now),
 		waiting: map[uint64]waiter{}, reading: map[uint64]waiter{},
 	}
 	r.group.SetWritable(!t.refuses())
 	t.groups[name], t.listed = r, nil
-	t.restore(r, image.Checkpoint)
+	t.restore(r, image.Snapshot)
 	return r
 }
 
--- a/internal/sim/called.go
+++ b/internal/sim/called.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// Cut cuts its machine off while the worker runs on, or mends that.
+// Truncate cuts its machine off while the worker runs on, or mends that.
 func (k *CalledWorker) Cut(isCut bool) { k.world.Isolate(k.host(), isCut) }
 
 // Freeze stops the agent's process for a span; the worker runs on.
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// Cut sets a file to a length in bytes.
-func (d *Disk) Cut(name string, size int64) error {
+// Truncate sets a file to a length in bytes.
+func (d *Disk) Truncate(name string, size int64) error {
 	if err := d.op(); err != nil {
 		return err
 	}
--- a/internal/sim/people.go
+++ b/internal/sim/people.go
@@ -88,7 +88,7 @@
 // Leave makes it say that it leaves.
 func (k *Worker) Leave() { k.hand.Leave(k.world.Now) }
 
-// Cut cuts it off from every front, or mends that.
+// Truncate cuts it off from every front, or mends that.
 func (k *Worker) Cut(isCut bool) {
 	k.isCut = isCut
 	e := checker.Event{Kind: checker.Cut, Who: k.name}
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -18,7 +18,7 @@
 func (h *Host) openStore() bool {
 	w := h.world
 	store, err := storage.Open(h.Disk)
-	if storage.IsDamaged(err) {
+	if storage.IsCorrupted(err) {
 		// As a real process does: it says so and comes back as a new member.
 		w.Damaged = append(w.Damaged, err.Error())
 		h.Disk = NewDisk()
@@ -27,7 +27,7 @@
 	if err != nil {
 		return false
 	}
-	self := proto.Clone(store.Content().Self).(*schema.StoreIdentity)
+	self := proto.Clone(store.State().Identity).(*schema.StoreIdentity)
 	if self.Id == "" {
 		self.Id = w.newId()
 	}
@@ -45,7 +45,7 @@
 	h.world.After(againSpan, func() {
 		h.do(run, func() {
 			store, err := storage.Open(h.Disk)
-			if err != nil || store.Commit([]*schema.StoreChange{{Identity: store.Content().Self}}) != nil {
+			if err != nil || store.Commit([]*schema.StoreChange{{Identity: store.State().Identity}}) != nil {
 				h.awaitStore(run)
 				return
 			}
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -260,7 +260,7 @@
 	papers.Wall = func() int64 { return wallZero + int64(w.Now) + h.WallOff }
 	if h.Disk != nil {
 		if h.openStore() {
-			papers.Store = h.store.Content()
+			papers.Store = h.store.State()
 		} else {
 			h.awaitStore(h.run)
 		}
@@ -588,7 +588,7 @@
 	return []string{process.Table(h.Role, body)}
 }
 
-// Cut cuts or mends the way from one host to another.
+// Truncate cuts or mends the way from one host to another.
 func (w *World) Cut(from, to *Host, isCut bool) {
 	way := [2]string{from.Address, to.Address}
 	w.cuts[way] = isCut
--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -8,7 +8,7 @@
 
 // BenchmarkApply is one record that is added to a log of 2,000.
 func BenchmarkApply(b *testing.B) {
-	content := newContent()
+	content := newState()
 	index := uint64(0)
 	add := func() {
 		index++
--- a/internal/storage/folder.go
+++ b/internal/storage/dir.go
@@ -10,78 +10,78 @@
 	"github.com/joomcode/errorx"
 )
 
-// Folder is the real disk: one data folder, held by one process at a time.
-type Folder struct {
+// Dir is the real disk: one data folder, held by one process at a time.
+type Dir struct {
 	path  string
 	files map[string]*os.File
 	lock  *os.File
 }
 
-// OpenFolder makes the folder if need be and locks it. One that isn't ours, or
+// OpenDir makes the folder if need be and locks it. One that isn't ours, or
 // is in use, is an error of type Foreign, and nothing is written there.
-func OpenFolder(path string) (*Folder, error) {
-	if err := checkOurs(path); err != nil {
+func OpenDir(path string) (*Dir, error) {
+	if err := checkOwned(path); err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return nil, Failed.Wrap(err, "data folder")
+		return nil, IOFailed.Wrap(err, "data folder")
 	}
 	lock, err := os.OpenFile(filepath.Join(path, "lock"), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, Failed.Wrap(err, "data folder")
+		return nil, IOFailed.Wrap(err, "data folder")
 	}
 	// Two processes on one store would each vote in its name.
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
-		return nil, Foreign.New("data folder %s is in use by another process", path)
+		return nil, DirRejected.New("data folder %s is in use by another process", path)
 	}
-	return &Folder{path: path, files: map[string]*os.File{}, lock: lock}, nil
+	return &Dir{path: path, files: map[string]*os.File{}, lock: lock}, nil
 }
 
-// ourNames begin the names of a store's files; what a file system itself puts
+// ownedPrefixes begin the names of a store's files; what a file system itself puts
 // into its root is nobody's.
-var ourNames = []string{"lock", "slot-", "log-", "lost+found"}
+var ownedPrefixes = []string{"lock", "slot-", "log-", "lost+found"}
 
-// checkOurs refuses what is no folder, can't be looked into, or holds files and
+// checkOwned refuses what is no folder, can't be looked into, or holds files and
 // among them none of a store's.
-func checkOurs(path string) error {
+func checkOwned(path string) error {
 	entries, err := os.ReadDir(path)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 		return nil
 	case errors.Is(err, syscall.ENOTDIR):
-		return Foreign.New("data folder %s: is no folder", path)
+		return DirRejected.New("data folder %s: is no folder", path)
 	case errors.Is(err, os.ErrPermission):
-		return Foreign.New("data folder %s: may not be read by this process", path)
+		return DirRejected.New("data folder %s: may not be read by this process", path)
 	case err != nil:
-		return Failed.Wrap(err, "data folder")
+		return IOFailed.Wrap(err, "data folder")
 	}
 	for _, entry := range entries {
-		for _, ours := range ourNames {
-			if strings.HasPrefix(entry.Name(), ours) {
+		for _, prefix := range ownedPrefixes {
+			if strings.HasPrefix(entry.Name(), prefix) {
 				return nil
 			}
 		}
 	}
 	if len(entries) > 0 {
-		return Foreign.New("data folder %s holds %s and no store: is it somebody else's?", path, entries[0].Name())
+		return DirRejected.New("data folder %s holds %s and no store: is it somebody else's?", path, entries[0].Name())
 	}
 	return nil
 }
 
-// IsForeign tells whether an error of OpenFolder means that the folder isn't
+// IsDirRejected tells whether an error of OpenDir means that the folder isn't
 // this process's to use.
-func IsForeign(err error) bool { return err != nil && errorx.IsOfType(err, Foreign) }
+func IsDirRejected(err error) bool { return err != nil && errorx.IsOfType(err, DirRejected) }
 
 // Close lets the folder go.
-func (f *Folder) Close() {
+func (f *Dir) Close() {
 	for _, file := range f.files {
 		file.Close()
 	}
 	f.lock.Close()
 }
 
-func (f *Folder) file(name string) (*os.File, error) {
+func (f *Dir) file(name string) (*os.File, error) {
 	if file := f.files[name]; file != nil {
 		return file, nil
 	}
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	// The name itself must last as well as the content.
-	if err := f.syncFolder(); err != nil {
+	if err := f.syncDir(); err != nil {
 		file.Close()
 		return nil, err
 	}
@@ -98,18 +98,18 @@
 	return file, nil
 }
 
-func (f *Folder) syncFolder() error {
-	folder, err := os.Open(f.path)
+func (f *Dir) syncDir() error {
+	dir, err := os.Open(f.path)
 	if err != nil {
 		return err
 	}
-	defer folder.Close()
-	return folder.Sync()
+	defer dir.Close()
+	return dir.Sync()
 }
 
-func (f *Folder) Read(name string) ([]byte, error) { return os.ReadFile(filepath.Join(f.path, name)) }
+func (f *Dir) Read(name string) ([]byte, error) { return os.ReadFile(filepath.Join(f.path, name)) }
 
-func (f *Folder) Write(name string, offset int64, data []byte) error {
+func (f *Dir) Write(name string, offset int64, data []byte) error {
 	file, err := f.file(name)
 	if err != nil {
 		return err
@@ -118,8 +118,8 @@
 	return err
 }
 
-// Cut sets a file to a length in bytes.
-func (f *Folder) Cut(name string, size int64) error {
+// Truncate sets a file to a length in bytes.
+func (f *Dir) Truncate(name string, size int64) error {
 	file, err := f.file(name)
 	if err != nil {
 		return err
@@ -128,7 +128,7 @@
 }
 
 // Sync returns when the file's content is durable.
-func (f *Folder) Sync(name string) error {
+func (f *Dir) Sync(name string) error {
 	file, err := f.file(name)
 	if err != nil {
 		return err
@@ -136,9 +136,9 @@
 	return file.Sync()
 }
 
-// Retire moves a damaged store's files aside, so that the machine comes back
+// Quarantine moves a damaged store's files aside, so that the machine comes back
 // as a new member while the evidence is kept.
-func (f *Folder) Retire(suffix string) error {
+func (f *Dir) Quarantine(suffix string) error {
 	for name, file := range f.files {
 		file.Close()
 		delete(f.files, name)
@@ -146,8 +146,8 @@
 	for _, name := range []string{"slot-0", "slot-1", "log-0", "log-1"} {
 		path := filepath.Join(f.path, name)
 		if err := os.Rename(path, path+"."+suffix); err != nil && !os.IsNotExist(err) {
-			return Failed.Wrap(err, "retiring %s", name)
+			return IOFailed.Wrap(err, "retiring %s", name)
 		}
 	}
-	return f.syncFolder()
+	return f.syncDir()
 }
--- a/internal/storage/folder_test.go
+++ b/internal/storage/dir_test.go
@@ -10,14 +10,14 @@
 	"sparnotch/internal/storage"
 )
 
-func TestForeignFolders(t *testing.T) {
+func TestRejectedDirs(t *testing.T) {
 	Convey("What isn't a store's folder is refused by name, and stays as it is", t, func() {
 		path := t.TempDir()
 		file := filepath.Join(path, "file")
 		So(os.WriteFile(file, []byte("x"), 0o600), ShouldBeNil)
 		for place, what := range map[string]string{path: "holds file and no store", file: "is no folder"} {
-			_, err := storage.OpenFolder(place)
-			So(storage.IsForeign(err), ShouldBeTrue)
+			_, err := storage.OpenDir(place)
+			So(storage.IsDirRejected(err), ShouldBeTrue)
 			So(err.Error(), ShouldContainSubstring, place)
 			So(err.Error(), ShouldContainSubstring, what)
 		}
@@ -29,12 +29,12 @@
 		path := t.TempDir()
 		So(os.Mkdir(filepath.Join(path, "lost+found"), 0o700), ShouldBeNil)
 		for range 2 {
-			folder, err := storage.OpenFolder(path)
+			folder, err := storage.OpenDir(path)
 			So(err, ShouldBeNil)
 			_, err = storage.Open(folder)
 			So(err, ShouldBeNil)
-			_, err = storage.OpenFolder(path)
-			So(storage.IsForeign(err), ShouldBeTrue)
+			_, err = storage.OpenDir(path)
+			So(storage.IsDirRejected(err), ShouldBeTrue)
 			So(err.Error(), ShouldContainSubstring, "in use")
 			folder.Close()
 		}
--- a/internal/storage/encoding_test.go
+++ b/internal/storage/encoding_test.go
@@ -17,11 +17,11 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	record := &schema.Entry{Index: 123456, Term: 3, TimeUs: 123456789, Data: settle}
+	entry := &schema.Entry{Index: 123456, Term: 3, TimeUs: 123456789, Data: settle}
 	b.Run("protobuf", func(b *testing.B) {
 		size := 0
 		for b.Loop() {
-			data, err := proto.Marshal(record)
+			data, err := proto.Marshal(entry)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -33,7 +33,7 @@
 		size := 0
 		for b.Loop() {
 			var out bytes.Buffer
-			if err := gob.NewEncoder(&out).Encode(record); err != nil {
+			if err := gob.NewEncoder(&out).Encode(entry); err != nil {
 				b.Fatal(err)
 			}
 			size = out.Len()
--- a/internal/storage/repair.go
+++ b/internal/storage/repair.go
@@ -1,54 +1,54 @@
 package storage
 
-// condition is what is known of the end of the log.
-type condition int
+// tail is what is known of the end of the log.
+type tailCondition int
 
 const (
-	whole condition = iota
+	tailIntact tailCondition = iota
 	// A write failed: what stands after the last good frame is cut off, and that
 	// must last, before anything follows it.
-	torn
+	tailTorn
 	// A sync failed: the system may hold as clean what never reached the disk, so
 	// syncing again proves nothing. Nothing of this log is written on; all that
 	// was acknowledged goes, as new writes, into the other slot.
-	unsure
+	tailUncertain
 )
 
 // repair makes the store writable again after a failed commit. It relies on
 // nothing that a failed write or sync left behind.
 func (s *Store) repair() error {
-	if s.condition == torn {
-		if err := s.cutTail(); err != nil {
-			s.condition = unsure
+	if s.tail == tailTorn {
+		if err := s.truncateTail(); err != nil {
+			s.tail = tailUncertain
 			return err
 		}
-		s.condition = whole
+		s.tail = tailIntact
 	}
-	if s.condition == unsure {
+	if s.tail == tailUncertain {
 		// It cuts the log before last first, so that a full disk has some room.
-		if err := s.turn(); err != nil {
+		if err := s.switchSlot(); err != nil {
 			return err
 		}
-		s.condition = whole
+		s.tail = tailIntact
 	}
 	return nil
 }
 
-// cutTail cuts the log where the last frame that counts ends.
-func (s *Store) cutTail() error {
-	if err := s.disk.Cut(logName(s.epoch), s.size); err != nil {
+// truncateTail cuts the log where the last frame that counts ends.
+func (s *Store) truncateTail() error {
+	if err := s.disk.Truncate(logName(s.epoch), s.logSize); err != nil {
 		return err
 	}
 	return s.disk.Sync(logName(s.epoch))
 }
 
-// worsen notes that a commit failed. A second failure to write in a row may be
+// noteFailure notes that a commit failed. A second failure to write in a row may be
 // for want of room, which only the next slot can bring.
-func (s *Store) worsen(failure condition) {
-	if s.hasFailed && failure == torn {
-		failure = unsure
+func (s *Store) noteFailure(failure tailCondition) {
+	if s.lastCommitFailed && failure == tailTorn {
+		failure = tailUncertain
 	}
-	s.condition, s.hasFailed = max(s.condition, failure), true
+	s.tail, s.lastCommitFailed = max(s.tail, failure), true
 }
 
 // rewriteSlot is rewrite for the slot in force.
@@ -58,21 +58,21 @@
 	if err != nil {
 		return err
 	}
-	return s.rewrite(name, data, 0)
+	return s.rewriteUnsynced(name, data, 0)
 }
 
-// rewrite writes once more what was read and isn't known to last: a failed sync
+// rewriteUnsynced writes once more what was read and isn't known to last: a failed sync
 // in a former life may have left it in the system's memory alone, marked as
 // written. Of a log the frames that no later one knew as synced; of a slot all,
 // unless its log has begun, which it does only after the slot was synced.
-func (s *Store) rewrite(name string, data []byte, from int) error {
+func (s *Store) rewriteUnsynced(name string, data []byte, from int) error {
 	if from < len(data) {
 		if err := s.disk.Write(name, int64(from), data[from:]); err != nil {
-			return Failed.Wrap(err, "rewriting %s at %d", name, from)
+			return IOFailed.Wrap(err, "rewriting %s at %d", name, from)
 		}
 	}
 	if err := s.disk.Sync(name); err != nil {
-		return Failed.Wrap(err, "syncing %s", name)
+		return IOFailed.Wrap(err, "syncing %s", name)
 	}
 	return nil
 }
--- a/internal/storage/repair_test.go
+++ b/internal/storage/repair_test.go
@@ -10,36 +10,36 @@
 	"sparnotch/internal/storage"
 )
 
-// batch is the k-th of a run: now and then a large one, so that slots are
+// testBatch is the k-th of a run: now and then a large one, so that slots are
 // written too.
-func batch(k uint64) []*schema.StoreChange {
+func testBatch(k uint64) []*schema.StoreChange {
 	size := 10
 	if k%7 == 0 {
 		size = 1_500
 	}
-	return []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(k, size)}, Snapshot: &schema.Snapshot{Index: max(k, 4) - 4}}}
+	return []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(k, size)}, Snapshot: &schema.Snapshot{Index: max(k, 4) - 4}}}
 }
 
-func lastOf(s *storage.Store) uint64 {
-	image := s.Content().Groups["g"]
-	if image == nil || len(image.Records) == 0 {
+func lastIndex(s *storage.Store) uint64 {
+	image := s.State().Groups["g"]
+	if image == nil || len(image.Entries) == 0 {
 		return 0
 	}
-	return image.Records[len(image.Records)-1].Index
+	return image.Entries[len(image.Entries)-1].Index
 }
 
-// failing is a run in which chosen operations fail, each commit is tried again
+// faultyRun is a run in which chosen operations fail, each commit is tried again
 // until it succeeds, and the power goes at the end.
-type failing struct {
+type faultyRun struct {
 	disk         *sim.Disk
 	store        *storage.Store
 	acknowledged uint64
 	failures     int
 }
 
-func (f *failing) commit(k uint64) error {
+func (f *faultyRun) commit(k uint64) error {
 	for range 12 {
-		if err := f.store.Commit(batch(k)); err == nil {
+		if err := f.store.Commit(testBatch(k)); err == nil {
 			f.acknowledged = k
 			return nil
 		}
@@ -49,39 +49,39 @@
 }
 
 // reopen loses the power and looks at what is there.
-func (f *failing) reopen(rng *rand.Rand, asked uint64) error {
+func (f *faultyRun) reopen(rng *rand.Rand, requested uint64) error {
 	f.disk.Fault = sim.Fault{}
 	f.disk.PowerCut(rng)
-	store, err := storage.OpenLimited(f.disk, 2000)
+	store, err := storage.OpenWithLogLimit(f.disk, 2000)
 	if err != nil {
 		return err
 	}
 	f.store = store
-	if last := lastOf(store); last < f.acknowledged || last > asked {
-		return fmt.Errorf("acknowledged to %d, asked for to %d, found to %d", f.acknowledged, asked, last)
+	if last := lastIndex(store); last < f.acknowledged || last > requested {
+		return fmt.Errorf("acknowledged to %d, asked for to %d, found to %d", f.acknowledged, requested, last)
 	}
 	return nil
 }
 
-// TestEachCallFails: whichever call to the file system fails, once or twice
+// TestEachDiskCallFails: whichever call to the file system fails, once or twice
 // within a commit, the store goes on, and what was acknowledged is there after a
 // loss of power.
-func TestEachCallFails(t *testing.T) {
+func TestEachDiskCallFails(t *testing.T) {
 	failures := 0
 	for at := 1; at < 150; at++ {
 		for gap := range 6 {
 			disk := sim.NewDisk()
-			store, err := storage.OpenLimited(disk, 2000)
+			store, err := storage.OpenWithLogLimit(disk, 2000)
 			if err != nil {
 				t.Fatal(err)
 			}
-			run := &failing{disk: disk, store: store}
+			run := &faultyRun{disk: disk, store: store}
 			disk.Fault.FailAt = at
-			asked := uint64(0)
+			requested := uint64(0)
 			for k := uint64(1); k <= 40; k++ {
-				asked = k
-				isAgain := run.failures == 1 && gap > 0
-				if isAgain {
+				requested = k
+				retried := run.failures == 1 && gap > 0
+				if retried {
 					disk.Fault.FailAt, gap = gap, 0
 				}
 				if err := run.commit(k); err != nil {
@@ -94,7 +94,7 @@
 				}
 			}
 			failures += run.failures
-			if err := run.reopen(rand.New(rand.NewPCG(uint64(at), uint64(gap))), asked); err != nil {
+			if err := run.reopen(rand.New(rand.NewPCG(uint64(at), uint64(gap))), requested); err != nil {
 				t.Fatalf("call %d failed, then the power went: %v", at, err)
 			}
 		}
@@ -104,17 +104,17 @@
 	}
 }
 
-// TestFailedSyncIsNoSync: a sync that follows a failed one proves nothing of
+// TestSyncAfterFailedSync: a sync that follows a failed one proves nothing of
 // what the failed one should have kept.
-func TestFailedSyncIsNoSync(t *testing.T) {
+func TestSyncAfterFailedSync(t *testing.T) {
 	for seed := uint64(0); seed < 40; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		disk := sim.NewDisk()
-		store, err := storage.OpenLimited(disk, 2000)
+		store, err := storage.OpenWithLogLimit(disk, 2000)
 		if err != nil {
 			t.Fatal(err)
 		}
-		run := &failing{disk: disk, store: store}
+		run := &faultyRun{disk: disk, store: store}
 		for k := uint64(1); k <= seed%9+1; k++ {
 			if err := run.commit(k); err != nil {
 				t.Fatal(err)
@@ -123,7 +123,7 @@
 		next := run.acknowledged + 1
 		disk.Fault.SyncFails = true
 		for range 3 {
-			if store.Commit(batch(next)) == nil {
+			if store.Commit(testBatch(next)) == nil {
 				t.Fatal("a batch was acknowledged though every sync fails")
 			}
 		}
@@ -131,10 +131,10 @@
 		// In this life, or in the next one, which reads from memory what the disk
 		// doesn't hold.
 		if seed%2 == 1 {
-			if run.store, err = storage.OpenLimited(disk, 2000); err != nil {
+			if run.store, err = storage.OpenWithLogLimit(disk, 2000); err != nil {
 				t.Fatal(err)
 			}
-			run.acknowledged = max(run.acknowledged, lastOf(run.store))
+			run.acknowledged = max(run.acknowledged, lastIndex(run.store))
 			next = run.acknowledged + 1
 		}
 		if err := run.commit(next); err != nil {
@@ -152,11 +152,11 @@
 func TestFullDisk(t *testing.T) {
 	for seed := uint64(0); seed < 40; seed++ {
 		disk := sim.NewDisk()
-		store, err := storage.OpenLimited(disk, 2000)
+		store, err := storage.OpenWithLogLimit(disk, 2000)
 		if err != nil {
 			t.Fatal(err)
 		}
-		run := &failing{disk: disk, store: store}
+		run := &faultyRun{disk: disk, store: store}
 		for k := uint64(1); k <= seed+1; k++ {
 			if err := run.commit(k); err != nil {
 				t.Fatal(err)
@@ -164,20 +164,20 @@
 		}
 		disk.Fault.IsFull = true
 		for range 5 {
-			if store.Commit(batch(seed+2)) == nil {
+			if store.Commit(testBatch(seed+2)) == nil {
 				t.Fatal("a full disk took a batch")
 			}
-			if lastOf(store) != seed+1 {
-				t.Fatalf("what was durable reads as %d of %d", lastOf(store), seed+1)
+			if lastIndex(store) != seed+1 {
+				t.Fatalf("what was durable reads as %d of %d", lastIndex(store), seed+1)
 			}
 		}
 		if seed%3 == 0 {
 			// Killed meanwhile: a full disk is opened only once it takes writes.
-			if _, err := storage.OpenLimited(disk, 2000); err == nil {
+			if _, err := storage.OpenWithLogLimit(disk, 2000); err == nil {
 				t.Fatal("a store was opened that takes no writes")
 			}
 			disk.Fault.IsFull = false
-			if run.store, err = storage.OpenLimited(disk, 2000); err != nil {
+			if run.store, err = storage.OpenWithLogLimit(disk, 2000); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -187,8 +187,8 @@
 				t.Fatal(err)
 			}
 		}
-		if records := run.store.Content().Groups["g"].Records; records[len(records)-1].Index-records[0].Index != uint64(len(records)-1) {
-			t.Fatalf("records %v", records)
+		if entries := run.store.State().Groups["g"].Entries; entries[len(entries)-1].Index-entries[0].Index != uint64(len(entries)-1) {
+			t.Fatalf("records %v", entries)
 		}
 		if err := run.reopen(rand.New(rand.NewPCG(seed, 2)), seed+5); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
@@ -196,21 +196,21 @@
 	}
 }
 
-// TestFailedTurn: while the next slot can't be written, or can't be known to
+// TestFailedSlotSwitch: while the next slot can't be written, or can't be known to
 // last, the log it would replace takes nothing more: were that slot found after
 // a loss of power, all that followed in the old log would be gone.
-func TestFailedTurn(t *testing.T) {
+func TestFailedSlotSwitch(t *testing.T) {
 	for seed := uint64(0); seed < 40; seed++ {
 		disk := sim.NewDisk()
-		store, err := storage.OpenLimited(disk, 2000)
+		store, err := storage.OpenWithLogLimit(disk, 2000)
 		if err != nil {
 			t.Fatal(err)
 		}
-		run := &failing{disk: disk, store: store}
+		run := &faultyRun{disk: disk, store: store}
 		disk.Fault = sim.Fault{SyncFails: seed%2 == 0, IsFull: seed%2 == 1, Only: "slot-"}
-		asked := uint64(0)
+		requested := uint64(0)
 		for k := uint64(1); k <= 30+seed; k++ {
-			asked = k
+			requested = k
 			if run.commit(k) != nil {
 				break
 			}
@@ -220,11 +220,11 @@
 		}
 		if seed%4 > 1 {
 			disk.Fault = sim.Fault{}
-			if err := run.commit(asked); err != nil {
+			if err := run.commit(requested); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := run.reopen(rand.New(rand.NewPCG(seed, 3)), asked); err != nil {
+		if err := run.reopen(rand.New(rand.NewPCG(seed, 3)), requested); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
@@ -233,19 +233,19 @@
 // TestTornTail: what a failed write left behind is cut before anything follows,
 // so that nothing of it stands after a shorter frame.
 func TestTornTail(t *testing.T) {
-	long := []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(2, 900)}}}
-	short := []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(2, 1)}}}
+	long := []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(2, 900)}}}
+	short := []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(2, 1)}}}
 	sizes := map[bool]int{}
-	for _, isFailing := range []bool{false, true} {
+	for _, withFailure := range []bool{false, true} {
 		disk := sim.NewDisk()
 		store, err := storage.Open(disk)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := store.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(1, 10)}}}); err != nil {
+		if err := store.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(1, 10)}}}); err != nil {
 			t.Fatal(err)
 		}
-		if isFailing {
+		if withFailure {
 			disk.Fault.IsFull = true
 			if store.Commit(long) == nil {
 				t.Fatal("a full disk took a batch")
@@ -255,26 +255,26 @@
 		if err := store.Commit(short); err != nil {
 			t.Fatal(err)
 		}
-		sizes[isFailing] = disk.Size("log-0")
+		sizes[withFailure] = disk.Size("log-0")
 	}
 	if sizes[true] != sizes[false] {
 		t.Errorf("%d bytes after a failed write, %d without one", sizes[true], sizes[false])
 	}
 }
 
-// TestRoomIsKeptForTheNextSlot: on a disk that others have filled up, a store
+// TestSpaceReservedForNextSlot: on a disk that others have filled up, a store
 // whose content doesn't grow goes on for ever in the room that its own files
 // hold: the log before last is kept until the next slot needs its room.
-func TestRoomIsKeptForTheNextSlot(t *testing.T) {
+func TestSpaceReservedForNextSlot(t *testing.T) {
 	for seed := uint64(0); seed < 20; seed++ {
 		disk := sim.NewDisk()
-		store, err := storage.OpenLimited(disk, 2000)
+		store, err := storage.OpenWithLogLimit(disk, 2000)
 		if err != nil {
 			t.Fatal(err)
 		}
-		run := &failing{disk: disk, store: store}
+		run := &faultyRun{disk: disk, store: store}
 		steady := func(k uint64) {
-			run.commitOnly(t, []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(k, 60)}, Snapshot: &schema.Snapshot{Index: max(k, 4) - 4}}})
+			run.mustCommit(t, []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(k, 60)}, Snapshot: &schema.Snapshot{Index: max(k, 4) - 4}}})
 			run.acknowledged = k
 		}
 		k := uint64(1)
@@ -282,12 +282,12 @@
 			steady(k)
 		}
 		disk.Fault.Room = disk.Used()
-		turned := store.Counts().Slots
+		turned := store.Stats().Slots
 		for ; k < 400; k++ {
 			steady(k)
 		}
-		if store.Counts().Slots < turned+3 {
-			t.Fatalf("%d slots were written on a full disk", store.Counts().Slots-turned)
+		if store.Stats().Slots < turned+3 {
+			t.Fatalf("%d slots were written on a full disk", store.Stats().Slots-turned)
 		}
 		if err := run.reopen(rand.New(rand.NewPCG(seed, 4)), k); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
@@ -295,8 +295,8 @@
 	}
 }
 
-// commitOnly commits until that succeeds.
-func (f *failing) commitOnly(t *testing.T, changes []*schema.StoreChange) {
+// mustCommit commits until that succeeds.
+func (f *faultyRun) mustCommit(t *testing.T, changes []*schema.StoreChange) {
 	t.Helper()
 	for range 12 {
 		if f.store.Commit(changes) == nil {
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -23,43 +23,43 @@
 var (
 	// Errors is the namespace of what this package refuses.
 	Errors = errorx.NewNamespace("storage")
-	// Damaged means that acknowledged content can't be read back; the error names file and offset.
-	Damaged = Errors.NewType("damaged")
-	// Failed means that the disk refused or broke off an operation.
-	Failed = Errors.NewType("failed")
-	// Foreign is a data folder that isn't this process's to use.
-	Foreign = Errors.NewType("foreign")
+	// Corrupted means that acknowledged content can't be read back; the error names file and offset.
+	Corrupted = Errors.NewType("damaged")
+	// IOFailed means that the disk refused or broke off an operation.
+	IOFailed = Errors.NewType("failed")
+	// DirRejected is a data folder that isn't this process's to use.
+	DirRejected = Errors.NewType("foreign")
 )
 
 // Disk is what a store needs of files. What is written lasts only once synced.
 type Disk interface {
 	Read(name string) ([]byte, error) // os.ErrNotExist where there is none
 	Write(name string, offset int64, data []byte) error
-	Cut(name string, size int64) error // makes the file where there is none
+	Truncate(name string, size int64) error // makes the file where there is none
 	Sync(name string) error
 }
 
-// Image is the durable content of one group.
-type Image struct {
-	Hard       *schema.HardState
-	Checkpoint *schema.Snapshot
-	Records    []*schema.Entry
+// GroupState is the durable content of one group.
+type GroupState struct {
+	HardState *schema.HardState
+	Snapshot  *schema.Snapshot
+	Entries   []*schema.Entry
 }
 
-// Content is the durable content of a process.
-type Content struct {
-	Self   *schema.StoreIdentity
-	Groups map[string]*Image
+// State is the durable content of a process.
+type State struct {
+	Identity *schema.StoreIdentity
+	Groups   map[string]*GroupState
 }
 
-func newContent() *Content {
-	return &Content{Self: &schema.StoreIdentity{}, Groups: map[string]*Image{}}
+func newState() *State {
+	return &State{Identity: &schema.StoreIdentity{}, Groups: map[string]*GroupState{}}
 }
 
 // Apply makes one change.
-func (c *Content) Apply(change *schema.StoreChange) {
+func (c *State) Apply(change *schema.StoreChange) {
 	if change.Identity != nil {
-		c.Self = change.Identity
+		c.Identity = change.Identity
 	}
 	if change.Group == "" {
 		return
@@ -68,95 +68,95 @@
 		delete(c.Groups, change.Group)
 		return
 	}
-	image := c.Groups[change.Group]
-	if image == nil {
-		image = &Image{Hard: &schema.HardState{}, Checkpoint: &schema.Snapshot{}}
-		c.Groups[change.Group] = image
+	group := c.Groups[change.Group]
+	if group == nil {
+		group = &GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}}
+		c.Groups[change.Group] = group
 	}
-	image.apply(change)
+	group.apply(change)
 }
 
-func (i *Image) apply(change *schema.StoreChange) {
+func (i *GroupState) apply(change *schema.StoreChange) {
 	if change.HardState != nil {
-		i.Hard = change.HardState
+		i.HardState = change.HardState
 	}
-	if point := change.Snapshot; point != nil {
-		i.Checkpoint = point
+	if snapshot := change.Snapshot; snapshot != nil {
+		i.Snapshot = snapshot
 		if change.ReplacesLog {
-			i.Records = nil
+			i.Entries = nil
 		}
-		i.Records = after(i.Records, point.Index)
+		i.Entries = entriesAfter(i.Entries, snapshot.Index)
 	}
 	if len(change.Entries) > 0 {
-		i.Records = append(before(i.Records, change.Entries[0].Index), change.Entries...)
+		i.Entries = append(entriesBefore(i.Entries, change.Entries[0].Index), change.Entries...)
 	}
 }
 
-func after(records []*schema.Entry, index uint64) []*schema.Entry {
-	at := sort.Search(len(records), func(k int) bool { return records[k].Index > index })
-	return append([]*schema.Entry(nil), records[at:]...)
+func entriesAfter(entries []*schema.Entry, index uint64) []*schema.Entry {
+	at := sort.Search(len(entries), func(k int) bool { return entries[k].Index > index })
+	return append([]*schema.Entry(nil), entries[at:]...)
 }
 
-func before(records []*schema.Entry, index uint64) []*schema.Entry {
-	at := sort.Search(len(records), func(k int) bool { return records[k].Index >= index })
-	if at == len(records) {
+func entriesBefore(entries []*schema.Entry, index uint64) []*schema.Entry {
+	at := sort.Search(len(entries), func(k int) bool { return entries[k].Index >= index })
+	if at == len(entries) {
 		// What follows them is added in place: a long log isn't copied for each
 		// batch. Nobody else adds to this list.
-		return records
+		return entries
 	}
-	return records[:at:at]
+	return entries[:at:at]
 }
 
-// changes is the content as the fewest changes that make it.
-func (c *Content) changes() []*schema.StoreChange {
-	list := []*schema.StoreChange{{Identity: c.Self}}
+// asChanges is the content as the fewest changes that make it.
+func (c *State) asChanges() []*schema.StoreChange {
+	list := []*schema.StoreChange{{Identity: c.Identity}}
 	names := slices.Sorted(maps.Keys(c.Groups))
 	for _, name := range names {
-		image := c.Groups[name]
-		list = append(list, &schema.StoreChange{Group: name, HardState: image.Hard, Snapshot: image.Checkpoint, Entries: image.Records})
+		group := c.Groups[name]
+		list = append(list, &schema.StoreChange{Group: name, HardState: group.HardState, Snapshot: group.Snapshot, Entries: group.Entries})
 	}
 	return list
 }
 
-// Counts says what a store has cost.
-type Counts struct {
+// Stats says what a store has cost.
+type Stats struct {
 	Bytes, Syncs, Slots uint64
 }
 
 // Store is one process's storage.
 type Store struct {
-	disk    Disk
-	content *Content
-	epoch   uint64
-	seq     uint64 // of the last frame written
-	synced  uint64 // of the last frame known synced
-	size    int64
-	limit   int64 // the log's size at which a slot is written
-	least   int64
-	counts  Counts
-
-	condition condition // of the log's end
-	hasFailed bool      // the last commit
+	disk        Disk
+	state       *State
+	epoch       uint64
+	lastSeq     uint64 // of the last frame written
+	syncedSeq   uint64 // of the last frame known synced
+	logSize     int64
+	logLimit    int64 // the log's size at which a slot is written
+	minLogLimit int64
+	stats       Stats
+
+	tail             tailCondition // of the log's end
+	lastCommitFailed bool          // the last commit
 }
 
 const (
-	frameMagic   = 0x5350464d
-	slotMagic    = 0x5350534c
-	headerBytes  = 12
-	defaultLimit = 4 << 20
+	frameMagic      = 0x5350464d
+	slotMagic       = 0x5350534c
+	headerBytes     = 12
+	defaultLogLimit = 4 << 20
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 // Open reads what stands on the disk. A torn tail that was never synced is
 // cut; damage before acknowledged content is an error of type Damaged which
 // names the file and offset.
-func Open(disk Disk) (*Store, error) { return OpenLimited(disk, defaultLimit) }
+func Open(disk Disk) (*Store, error) { return OpenWithLogLimit(disk, defaultLogLimit) }
 
-// OpenLimited is Open for a log that is to stay shorter than a limit before a
+// OpenWithLogLimit is Open for a log that is to stay shorter than a limit before a
 // slot is written.
-func OpenLimited(disk Disk, limit int64) (*Store, error) {
-	s := &Store{disk: disk, content: newContent(), limit: limit, least: limit}
+func OpenWithLogLimit(disk Disk, limit int64) (*Store, error) {
+	s := &Store{disk: disk, state: newState(), logLimit: limit, minLogLimit: limit}
 	slots := [2]*schema.SnapshotSlot{}
 	for k := range slots {
 		slot, err := readSlot(disk, slotName(uint64(k)))
@@ -165,14 +165,14 @@
 		}
 		slots[k] = slot
 	}
-	best := slots[0]
-	if best == nil || slots[1] != nil && slots[1].Epoch > best.Epoch {
-		best = slots[1]
+	newest := slots[0]
+	if newest == nil || slots[1] != nil && slots[1].Epoch > newest.Epoch {
+		newest = slots[1]
 	}
-	if best != nil {
-		s.epoch = best.Epoch
-		for _, change := range best.Changes {
-			s.content.Apply(change)
+	if newest != nil {
+		s.epoch = newest.Epoch
+		for _, change := range newest.Changes {
+			s.state.Apply(change)
 		}
 	}
 	// The other log can be newer only if the slot it followed has been lost
@@ -182,12 +182,12 @@
 		return nil, err
 	}
 	if frame, _, _ := parseFrame(other); frame != nil && frame.Epoch > s.epoch {
-		return nil, Damaged.New("%s at offset 0: unreadable, yet %s continues it", slotName(s.epoch+1), logName(s.epoch+1))
+		return nil, Corrupted.New("%s at offset 0: unreadable, yet %s continues it", slotName(s.epoch+1), logName(s.epoch+1))
 	}
 	if err := s.replay(); err != nil {
 		return nil, err
 	}
-	if best != nil && s.seq == 0 {
+	if newest != nil && s.lastSeq == 0 {
 		if err := s.rewriteSlot(); err != nil {
 			return nil, err
 		}
@@ -204,7 +204,7 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, Failed.Wrap(err, "reading %s", name)
+		return nil, IOFailed.Wrap(err, "reading %s", name)
 	}
 	return data, nil
 }
@@ -216,7 +216,7 @@
 	if err != nil {
 		return nil, err
 	}
-	payload, _, ok := unseal(data, slotMagic)
+	payload, _, ok := decodeBlock(data, slotMagic)
 	if !ok {
 		return nil, nil
 	}
@@ -227,15 +227,15 @@
 	return slot, nil
 }
 
-func seal(payload []byte, magic uint32) []byte {
+func encodeBlock(payload []byte, magic uint32) []byte {
 	data := make([]byte, headerBytes, headerBytes+len(payload))
 	binary.BigEndian.PutUint32(data[0:], magic)
 	binary.BigEndian.PutUint32(data[4:], uint32(len(payload)))
-	binary.BigEndian.PutUint32(data[8:], crc32.Checksum(payload, table))
+	binary.BigEndian.PutUint32(data[8:], crc32.Checksum(payload, crcTable))
 	return append(data, payload...)
 }
 
-func unseal(data []byte, magic uint32) (payload []byte, used int, ok bool) {
+func decodeBlock(data []byte, magic uint32) (payload []byte, used int, ok bool) {
 	if len(data) < headerBytes || binary.BigEndian.Uint32(data) != magic {
 		return nil, 0, false
 	}
@@ -244,14 +244,14 @@
 		return nil, 0, false
 	}
 	payload = data[headerBytes : headerBytes+length]
-	if crc32.Checksum(payload, table) != binary.BigEndian.Uint32(data[8:]) {
+	if crc32.Checksum(payload, crcTable) != binary.BigEndian.Uint32(data[8:]) {
 		return nil, 0, false
 	}
 	return payload, headerBytes + int(length), true
 }
 
 func parseFrame(data []byte) (*schema.LogFrame, int, bool) {
-	payload, used, ok := unseal(data, frameMagic)
+	payload, used, ok := decodeBlock(data, frameMagic)
 	if !ok {
 		return nil, 0, false
 	}
@@ -268,46 +268,46 @@
 	if err != nil {
 		return err
 	}
-	offset, certain := 0, 0
+	offset, syncedEnd := 0, 0
 	ends := map[uint64]int{}
 	for offset < len(data) {
 		frame, used, ok := parseFrame(data[offset:])
 		if ok && frame.Epoch < s.epoch {
 			break // left from two slots ago
 		}
-		if !ok || frame.Epoch != s.epoch || frame.Seq != s.seq+1 {
+		if !ok || frame.Epoch != s.epoch || frame.Seq != s.lastSeq+1 {
 			// A later frame that knew this one as synced proves that it was
 			// acknowledged; without such a witness it is a torn end.
-			if s.witnessed(data[offset+1:], s.seq+1) {
-				return Damaged.New("%s at offset %d: damaged before acknowledged content", name, offset)
+			if s.provesSynced(data[offset+1:], s.lastSeq+1) {
+				return Corrupted.New("%s at offset %d: damaged before acknowledged content", name, offset)
 			}
 			break
 		}
 		for _, change := range frame.Changes {
-			s.content.Apply(change)
+			s.state.Apply(change)
 		}
-		s.seq = frame.Seq
+		s.lastSeq = frame.Seq
 		offset += used
 		ends[frame.Seq] = offset
-		certain = max(certain, ends[frame.Synced])
+		syncedEnd = max(syncedEnd, ends[frame.Synced])
 	}
-	s.synced = s.seq
-	s.size = int64(offset)
+	s.syncedSeq = s.lastSeq
+	s.logSize = int64(offset)
 	if offset < len(data) || len(data) == 0 {
-		if err := s.disk.Cut(name, s.size); err != nil {
-			return Failed.Wrap(err, "cutting %s at %d", name, offset)
+		if err := s.disk.Truncate(name, s.logSize); err != nil {
+			return IOFailed.Wrap(err, "cutting %s at %d", name, offset)
 		}
 	}
 	// What was read may still be only in the machine's memory: it must last
 	// before anybody builds on it.
-	return s.rewrite(name, data[:offset], certain)
+	return s.rewriteUnsynced(name, data[:offset], syncedEnd)
 }
 
-func (s *Store) witnessed(data []byte, seq uint64) bool {
-	var mark [4]byte
-	binary.BigEndian.PutUint32(mark[:], frameMagic)
+func (s *Store) provesSynced(data []byte, seq uint64) bool {
+	var magic [4]byte
+	binary.BigEndian.PutUint32(magic[:], frameMagic)
 	for {
-		at := bytes.Index(data, mark[:])
+		at := bytes.Index(data, magic[:])
 		if at < 0 {
 			return false
 		}
@@ -318,83 +318,83 @@
 	}
 }
 
-// Content is what the store holds; it must not be written to.
-func (s *Store) Content() *Content { return s.content }
+// State is what the store holds; it must not be written to.
+func (s *Store) State() *State { return s.state }
 
-// Counts says what the store has cost since it was opened.
-func (s *Store) Counts() Counts { return s.counts }
+// Stats says what the store has cost since it was opened.
+func (s *Store) Stats() Stats { return s.stats }
 
 // Commit makes changes last. When it returns nil they are synced. After an
 // error none of them counts, though they may turn up after a restart; the same
 // ones may be given again, and the store mends itself first.
 func (s *Store) Commit(changes []*schema.StoreChange) error {
 	if err := s.repair(); err != nil {
-		s.hasFailed = true
-		return Failed.Wrap(err, "mending the store")
+		s.lastCommitFailed = true
+		return IOFailed.Wrap(err, "mending the store")
 	}
 	if err := s.commit(changes); err != nil {
-		return Failed.Wrap(err, "store")
+		return IOFailed.Wrap(err, "store")
 	}
-	s.hasFailed = false
+	s.lastCommitFailed = false
 	return nil
 }
 
 func (s *Store) commit(changes []*schema.StoreChange) error {
-	if err := s.write(changes); err != nil {
-		s.worsen(torn)
+	if err := s.appendFrame(changes); err != nil {
+		s.noteFailure(tailTorn)
 		return err
 	}
 	if err := s.disk.Sync(logName(s.epoch)); err != nil {
-		s.worsen(unsure)
+		s.noteFailure(tailUncertain)
 		return err
 	}
-	s.counts.Syncs++
-	s.synced = s.seq
+	s.stats.Syncs++
+	s.syncedSeq = s.lastSeq
 	for _, change := range changes {
-		s.content.Apply(change)
+		s.state.Apply(change)
 	}
 	// What fails from here on takes nothing back: the changes last.
-	if s.size > s.limit {
-		if s.turn() != nil {
-			s.condition = unsure
+	if s.logSize > s.logLimit {
+		if s.switchSlot() != nil {
+			s.tail = tailUncertain
 		}
 		return nil
 	}
 	// The mark tells a later reader that the frame before it was synced, so
 	// that rot at the very end isn't taken for a torn write. It isn't synced
 	// itself; losing it loses nothing.
-	if s.write(nil) != nil {
-		s.condition = torn
+	if s.appendFrame(nil) != nil {
+		s.tail = tailTorn
 	}
 	return nil
 }
 
-func (s *Store) write(changes []*schema.StoreChange) error {
-	frame := &schema.LogFrame{Epoch: s.epoch, Seq: s.seq + 1, Synced: s.synced, Changes: changes}
+func (s *Store) appendFrame(changes []*schema.StoreChange) error {
+	frame := &schema.LogFrame{Epoch: s.epoch, Seq: s.lastSeq + 1, Synced: s.syncedSeq, Changes: changes}
 	payload, err := proto.Marshal(frame)
 	if err != nil {
 		return err
 	}
-	data := seal(payload, frameMagic)
-	if err := s.disk.Write(logName(s.epoch), s.size, data); err != nil {
+	data := encodeBlock(payload, frameMagic)
+	if err := s.disk.Write(logName(s.epoch), s.logSize, data); err != nil {
 		return err
 	}
-	s.seq++
-	s.size += int64(len(data))
-	s.counts.Bytes += uint64(len(data))
+	s.lastSeq++
+	s.logSize += int64(len(data))
+	s.stats.Bytes += uint64(len(data))
 	return nil
 }
 
-// turn writes the whole content into the other slot and starts its log.
-func (s *Store) turn() error {
+// switchSlot writes the whole content into the other slot and starts its log.
+func (s *Store) switchSlot() error {
 	next := s.epoch + 1
-	payload, err := proto.Marshal(&schema.SnapshotSlot{Epoch: next, Changes: s.content.changes()})
+	payload, err := proto.Marshal(&schema.SnapshotSlot{Epoch: next, Changes: s.state.asChanges()})
 	if err != nil {
 		return err
 	}
-	data := seal(payload, slotMagic)
+	data := encodeBlock(payload, slotMagic)
 	// The log of two slots ago goes first: none of it may follow the new slot.
-	if err := s.disk.Cut(logName(next), 0); err != nil {
+	if err := s.disk.Truncate(logName(next), 0); err != nil {
 		return err
 	}
 	if err := s.disk.Sync(logName(next)); err != nil {
@@ -403,22 +403,22 @@
 	if err := s.disk.Write(slotName(next), 0, data); err != nil {
 		return err
 	}
-	if err := s.disk.Cut(slotName(next), int64(len(data))); err != nil {
+	if err := s.disk.Truncate(slotName(next), int64(len(data))); err != nil {
 		return err
 	}
 	if err := s.disk.Sync(slotName(next)); err != nil {
 		return err
 	}
-	s.epoch, s.seq, s.synced, s.size = next, 0, 0, 0
-	s.counts.Bytes += uint64(len(data))
-	s.counts.Syncs += 2
-	s.counts.Slots++
+	s.epoch, s.lastSeq, s.syncedSeq, s.logSize = next, 0, 0, 0
+	s.stats.Bytes += uint64(len(data))
+	s.stats.Syncs += 2
+	s.stats.Slots++
 	// A log that grows past the slot's own size is not short any more; one
 	// that is much smaller would have the slot written over and over.
-	s.limit = max(int64(len(data)), s.least)
+	s.logLimit = max(int64(len(data)), s.minLogLimit)
 	return nil
 }
 
-// IsDamaged tells whether an error of Open means that the store can't be
+// IsCorrupted tells whether an error of Open means that the store can't be
 // trusted.
-func IsDamaged(err error) bool { return err != nil && errorx.IsOfType(err, Damaged) }
+func IsCorrupted(err error) bool { return err != nil && errorx.IsOfType(err, Corrupted) }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -15,60 +15,60 @@
 	"sparnotch/internal/storage"
 )
 
-func record(index uint64, size int) *schema.Entry {
+func testEntry(index uint64, size int) *schema.Entry {
 	return &schema.Entry{Index: index, Term: 1, Data: make([]byte, size)}
 }
 
-func say(s *storage.Store) string {
-	image := s.Content().Groups["g"]
+func describe(s *storage.Store) string {
+	image := s.State().Groups["g"]
 	if image == nil {
 		return "nothing"
 	}
-	text := fmt.Sprint("term ", image.Hard.GetTerm(), " base ", image.Checkpoint.GetIndex(), " records")
-	for _, r := range image.Records {
+	text := fmt.Sprint("term ", image.HardState.GetTerm(), " base ", image.Snapshot.GetIndex(), " records")
+	for _, r := range image.Entries {
 		text += fmt.Sprint(" ", r.Index)
 	}
 	return text
 }
 
-// contract is what every disk must give the storage.
-func contract(open func() storage.Disk, reopen func(storage.Disk) storage.Disk) {
+// checkDiskContract is what every disk must give the storage.
+func checkDiskContract(open func() storage.Disk, reopen func(storage.Disk) storage.Disk) {
 	disk := open()
 	s, err := storage.Open(disk)
 	So(err, ShouldBeNil)
-	So(s.Commit([]*schema.StoreChange{{Group: "g", HardState: &schema.HardState{Term: 3, Vote: "x"}, Entries: []*schema.Entry{record(1, 5), record(2, 5), record(3, 5)}}}), ShouldBeNil)
-	So(s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(2, 5)}}}), ShouldBeNil)
-	So(say(s), ShouldEqual, "term 3 base 0 records 1 2")
+	So(s.Commit([]*schema.StoreChange{{Group: "g", HardState: &schema.HardState{Term: 3, Vote: "x"}, Entries: []*schema.Entry{testEntry(1, 5), testEntry(2, 5), testEntry(3, 5)}}}), ShouldBeNil)
+	So(s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(2, 5)}}}), ShouldBeNil)
+	So(describe(s), ShouldEqual, "term 3 base 0 records 1 2")
 	disk = reopen(disk)
 	s, err = storage.Open(disk)
 	So(err, ShouldBeNil)
-	So(say(s), ShouldEqual, "term 3 base 0 records 1 2")
+	So(describe(s), ShouldEqual, "term 3 base 0 records 1 2")
 	So(s.Commit([]*schema.StoreChange{{Group: "g", Snapshot: &schema.Snapshot{Index: 1}}}), ShouldBeNil)
 	So(s.Commit([]*schema.StoreChange{{Group: "h", HardState: &schema.HardState{Term: 1}}, {Group: "h", Removed: true}}), ShouldBeNil)
 	// Enough to turn to the other slot, more than once.
 	for k := uint64(3); k < 40; k++ {
-		So(s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(k, 400_000)}, Snapshot: &schema.Snapshot{Index: k - 2}}}), ShouldBeNil)
+		So(s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(k, 400_000)}, Snapshot: &schema.Snapshot{Index: k - 2}}}), ShouldBeNil)
 	}
-	So(s.Counts().Slots, ShouldBeGreaterThan, 2)
+	So(s.Stats().Slots, ShouldBeGreaterThan, 2)
 	disk = reopen(disk)
 	s, err = storage.Open(disk)
 	So(err, ShouldBeNil)
-	So(say(s), ShouldEqual, "term 3 base 37 records 38 39")
-	So(s.Content().Groups["h"], ShouldBeNil)
+	So(describe(s), ShouldEqual, "term 3 base 37 records 38 39")
+	So(s.State().Groups["h"], ShouldBeNil)
 }
 
-func TestEveryDisk(t *testing.T) {
+func TestDiskContract(t *testing.T) {
 	Convey("The real disk keeps the contract", t, func() {
 		path := t.TempDir()
-		var held *storage.Folder
+		var held *storage.Dir
 		open := func() storage.Disk {
-			folder, err := storage.OpenFolder(path)
+			folder, err := storage.OpenDir(path)
 			So(err, ShouldBeNil)
 			held = folder
 			return folder
 		}
-		contract(open, func(storage.Disk) storage.Disk {
-			_, err := storage.OpenFolder(path)
+		checkDiskContract(open, func(storage.Disk) storage.Disk {
+			_, err := storage.OpenDir(path)
 			So(err, ShouldNotBeNil) // one process at a time
 			held.Close()
 			return open()
@@ -77,7 +77,7 @@
 	})
 	Convey("The simulated disk keeps the contract, its power cut each time", t, func() {
 		rng := rand.New(rand.NewPCG(1, 1))
-		contract(func() storage.Disk { return sim.NewDisk() }, func(d storage.Disk) storage.Disk {
+		checkDiskContract(func() storage.Disk { return sim.NewDisk() }, func(d storage.Disk) storage.Disk {
 			d.(*sim.Disk).PowerCut(rng)
 			return d
 		})
@@ -91,47 +91,47 @@
 		for seed := uint64(0); seed < 4; seed++ {
 			disk := sim.NewDisk()
 			rng := rand.New(rand.NewPCG(seed, uint64(cut)))
-			s, err := storage.OpenLimited(disk, 2000)
+			s, err := storage.OpenWithLogLimit(disk, 2000)
 			if err != nil {
 				t.Fatal(err)
 			}
 			disk.OpsLeft = cut
-			acknowledged, asked := uint64(0), uint64(0)
+			acknowledged, requested := uint64(0), uint64(0)
 			for k := uint64(1); k <= 60; k++ {
-				asked = k
+				requested = k
 				size := 10
 				if k%7 == 0 {
 					size = 1_500 // so that slots are turned under the cuts as well
 				}
 				point := &schema.Snapshot{Index: max(k, 4) - 4}
-				if s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(k, size)}, Snapshot: point}}) != nil {
+				if s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(k, size)}, Snapshot: point}}) != nil {
 					break
 				}
 				acknowledged = k
 			}
 			disk.PowerCut(rng)
-			s, err = storage.OpenLimited(disk, 2000)
+			s, err = storage.OpenWithLogLimit(disk, 2000)
 			if err != nil {
 				t.Fatalf("cut at %d, seed %d: %v", cut, seed, err)
 			}
 			last := uint64(0)
-			if image := s.Content().Groups["g"]; image != nil {
-				last = image.Records[len(image.Records)-1].Index
+			if image := s.State().Groups["g"]; image != nil {
+				last = image.Entries[len(image.Entries)-1].Index
 			}
-			if last < acknowledged || last > asked {
-				t.Fatalf("cut at %d, seed %d: %d was acknowledged and %d asked for, %d is there", cut, seed, acknowledged, asked, last)
+			if last < acknowledged || last > requested {
+				t.Fatalf("cut at %d, seed %d: %d was acknowledged and %d asked for, %d is there", cut, seed, acknowledged, requested, last)
 			}
 			// And it can be written to again.
-			if err := s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(last+1, 10)}}}); err != nil {
+			if err := s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(last+1, 10)}}}); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 }
 
-// TestDamageIsNeverTakenForATornEnd: a bit turned round anywhere before the
+// TestCorruptionIsNotTakenForTornTail: a bit turned round anywhere before the
 // end of what was acknowledged is reported, with file and offset, or harmless.
-func TestDamageIsNeverTakenForATornEnd(t *testing.T) {
+func TestCorruptionIsNotTakenForTornTail(t *testing.T) {
 	build := func() (*sim.Disk, *storage.Store) {
 		disk := sim.NewDisk()
 		s, err := storage.Open(disk)
@@ -139,7 +139,7 @@
 			t.Fatal(err)
 		}
 		for k := uint64(1); k <= 20; k++ {
-			if err := s.Commit([]*schema.StoreChange{{Group: "g", HardState: &schema.HardState{Term: k}, Entries: []*schema.Entry{record(k, 30)}}}); err != nil {
+			if err := s.Commit([]*schema.StoreChange{{Group: "g", HardState: &schema.HardState{Term: k}, Entries: []*schema.Entry{testEntry(k, 30)}}}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -152,15 +152,15 @@
 		disk, _ := build()
 		disk.Rot("log-0", offset)
 		s, err := storage.Open(disk)
-		if storage.IsDamaged(err) {
+		if storage.IsCorrupted(err) {
 			reported++
 			continue
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		if say(s) != say(whole) {
-			t.Fatalf("rot at %d of %d went unnoticed: %s", offset, size, say(s))
+		if describe(s) != describe(whole) {
+			t.Fatalf("rot at %d of %d went unnoticed: %s", offset, size, describe(s))
 		}
 	}
 	if reported < size/3*9/10 {
@@ -168,31 +168,31 @@
 	}
 }
 
-func TestDamagedSlot(t *testing.T) {
+func TestCorruptedSlot(t *testing.T) {
 	Convey("A slot that rots after its log has grown is reported", t, func() {
 		disk := sim.NewDisk()
 		s, err := storage.Open(disk)
 		So(err, ShouldBeNil)
-		for k := uint64(1); s.Counts().Slots < 1; k++ {
-			So(s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{record(k, 500_000)}}}), ShouldBeNil)
+		for k := uint64(1); s.Stats().Slots < 1; k++ {
+			So(s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(k, 500_000)}}}), ShouldBeNil)
 		}
 		So(s.Commit([]*schema.StoreChange{{Group: "g", HardState: &schema.HardState{Term: 9}}}), ShouldBeNil)
 		So(disk.Rot("slot-1", 100), ShouldBeTrue)
 		_, err = storage.Open(disk)
-		So(storage.IsDamaged(err), ShouldBeTrue)
+		So(storage.IsCorrupted(err), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "slot-1 at offset")
 	})
 	Convey("A damaged folder is put aside and the evidence kept", t, func() {
 		path := t.TempDir()
-		folder, err := storage.OpenFolder(path)
+		folder, err := storage.OpenDir(path)
 		So(err, ShouldBeNil)
 		s, err := storage.Open(folder)
 		So(err, ShouldBeNil)
 		So(s.Commit([]*schema.StoreChange{{Identity: &schema.StoreIdentity{Id: "old"}}}), ShouldBeNil)
-		So(folder.Retire("damaged-1"), ShouldBeNil)
+		So(folder.Quarantine("damaged-1"), ShouldBeNil)
 		s, err = storage.Open(folder)
 		So(err, ShouldBeNil)
-		So(proto.Equal(s.Content().Self, &schema.StoreIdentity{}), ShouldBeTrue)
+		So(proto.Equal(s.State().Identity, &schema.StoreIdentity{}), ShouldBeTrue)
 		_, err = os.Stat(filepath.Join(path, "log-0.damaged-1"))
 		So(err, ShouldBeNil)
 		folder.Close()
