--- a/internal/controller/members.go
+++ b/internal/controller/members.go
@@ -133,7 +133,7 @@
 		case isWhole && len(note.Voters) >= t.voters:
 			// Whoever it was to stand for is back.
 			return &schema.ChangeMembers{Remove: id}
-		case note.ReplicaLag[id] > raft.CaughtUp:
+		case note.ReplicaLag[id] > raft.MaxLearnerLag:
 			return nil
 		case succeeded != "" && len(note.Voters) >= t.voters:
 			return &schema.ChangeMembers{Remove: succeeded}
--- a/internal/modelcheck/invariants.go
+++ b/internal/modelcheck/invariants.go
@@ -149,7 +149,7 @@
 func majority(voters []string) int { return len(voters)/2 + 1 }
 
 // checkMatch: a replica says that it holds records only once they last.
-func (w *World) checkMatch(m *machine, post raft.Post) {
+func (w *World) checkMatch(m *machine, post raft.Message) {
 	match := uint64(0)
 	switch body := post.Body.(type) {
 	case *schema.AppendResponse:
@@ -169,7 +169,7 @@
 
 // checkTold: a term, and a vote in it, last before anybody hears of them; and
 // one id votes for one candidate a term, whatever disk it has.
-func (w *World) checkTold(m *machine, post raft.Post) {
+func (w *World) checkTold(m *machine, post raft.Message) {
 	hard := &schema.HardState{}
 	if image := m.disk.content().Groups[group]; image != nil {
 		hard = image.HardState
@@ -247,7 +247,7 @@
 	w.ownGhost().leaders[term] = m.id
 	w.sum += hashOf("leader", m.id, term)
 	w.vote(m.id, term, m.id)
-	voters := membersUnder(m.memory, m.group.First()).GetVoters()
+	voters := membersUnder(m.memory, m.group.NoOpIndex()).GetVoters()
 	count := 0
 	for _, id := range voters {
 		if w.votes[ballot{id, term}] == m.id {
@@ -282,8 +282,8 @@
 // checkMemory: what a replica holds is what its changes come to; what lies above a
 // snapshot continues it.
 func (w *World) checkMemory(m *machine) {
-	if m.group.Last() != lastOf(m.memory) || m.group.Base() != m.memory.Snapshot.Index {
-		w.fail("durability: %s holds records %d to %d, its store %d to %d", m.id, m.group.Base()+1, m.group.Last(), m.memory.Snapshot.Index+1, lastOf(m.memory))
+	if m.group.LastIndex() != lastOf(m.memory) || m.group.SnapshotIndex() != m.memory.Snapshot.Index {
+		w.fail("durability: %s holds records %d to %d, its store %d to %d", m.id, m.group.SnapshotIndex()+1, m.group.LastIndex(), m.memory.Snapshot.Index+1, lastOf(m.memory))
 	}
 	if len(m.memory.Entries) == 0 || m.memory.Snapshot.Index == 0 {
 		return
@@ -338,7 +338,7 @@
 	}
 	acting := ""
 	for _, m := range w.machines {
-		if m.group == nil || !m.group.Acting(m.clock) {
+		if m.group == nil || !m.group.HoldsLeaderLease(m.clock) {
 			continue
 		}
 		if acting != "" {
--- a/internal/modelcheck/machine.go
+++ b/internal/modelcheck/machine.go
@@ -15,7 +15,7 @@
 
 // times are the group's; timeouts come when the scheduler says, so only their
 // order to each other matters.
-var times = raft.UsualTimes
+var times = raft.DefaultTimeouts
 
 // least draws the shortest wait every time: the scheduler decides who is first.
 type least struct{}
@@ -25,8 +25,8 @@
 // batch is what one sync makes durable, and the messages that wait for it.
 type batch struct {
 	changes []*schema.StoreChange
-	posts   []raft.Post
-	mark    raft.Mark
+	posts   []raft.Message
+	mark    raft.SyncPoint
 }
 
 // waiting is an operation whose record isn't committed yet.
--- a/internal/modelcheck/operators.go
+++ b/internal/modelcheck/operators.go
@@ -55,7 +55,7 @@
 // way once more.
 func (w *World) put(number, at int) bool {
 	each, m := &w.operators[number], w.own(at)
-	if m.group == nil || !m.group.IsLeader() || m.group.Passing() != "" {
+	if m.group == nil || !m.group.IsLeader() || m.group.Transferee() != "" {
 		return false
 	}
 	if each.current < 0 {
@@ -97,7 +97,7 @@
 		return false
 	}
 	m.reads++
-	if m.group.Read(m.clock, m.reads) != nil {
+	if m.group.ReadIndex(m.clock, m.reads) != nil {
 		return false
 	}
 	each.current = len(w.operations)
--- a/internal/modelcheck/schedule.go
+++ b/internal/modelcheck/schedule.go
@@ -184,13 +184,13 @@
 	}
 	switch kind {
 	case 't':
-		m.clock += times.ElectionMost + 1
+		m.clock += times.ElectionMax + 1
 		m.group.Tick(m.clock)
 	case 'b':
 		if !m.group.IsLeader() {
 			return false
 		}
-		m.clock += times.Beat
+		m.clock += times.HeartbeatInterval
 		m.group.Tick(m.clock)
 	case 's':
 		if m.writing == nil {
@@ -201,9 +201,9 @@
 		if m.applied <= m.memory.Snapshot.Index {
 			return false
 		}
-		m.group.Release(m.applied, m.state.Rest())
+		m.group.Compact(m.applied, m.state.Rest())
 	case 'n':
-		if !m.group.IsLeader() || m.group.Last()-m.group.Applied() > catchUpRecords {
+		if !m.group.IsLeader() || m.group.LastIndex()-m.group.AppliedIndex() > catchUpRecords {
 			return false
 		}
 		for range catchUpRecords + 8 {
@@ -223,10 +223,10 @@
 		return false
 	}
 	if kind == 'h' {
-		if m.group.Passing() != "" || other == m.id {
+		if m.group.Transferee() != "" || other == m.id {
 			return false
 		}
-		m.group.Pass(m.clock, other)
+		m.group.TransferLeadership(m.clock, other)
 		w.settle(m)
 		return true
 	}
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -138,7 +138,7 @@
 	return w.steps
 }
 
-func (w *World) send(m *machine, post raft.Post) {
+func (w *World) send(m *machine, post raft.Message) {
 	w.checkTold(m, post)
 	body := post.Body
 	w.parcels = append(w.parcels, parcel{from: m.id, to: post.To, body: body, key: keyOf(m.id, post.To, body)})
@@ -170,8 +170,8 @@
 func (w *World) settle(m *machine) {
 	for m.group != nil {
 		m.group.FlushReads(m.clock)
-		effects, mark := m.group.Take()
-		isIdle := len(effects.Posts)+len(effects.Changes)+len(effects.Commits)+len(effects.Reads) == 0 && effects.Restore == nil
+		effects, mark := m.group.Ready()
+		isIdle := len(effects.Messages)+len(effects.Changes)+len(effects.CommittedEntries)+len(effects.ReadRequests) == 0 && effects.Snapshot == nil
 		if isIdle {
 			if !w.write(m) {
 				break
@@ -187,15 +187,15 @@
 	}
 }
 
-func (w *World) carryOut(m *machine, effects raft.Effects, mark raft.Mark) {
+func (w *World) carryOut(m *machine, effects raft.Ready, mark raft.SyncPoint) {
 	for _, change := range effects.Changes {
 		w.checkChange(m, change)
 		m.memory = applyTo(m.memory, change)
 	}
 	w.checkMemory(m)
-	for _, post := range effects.Posts {
+	for _, post := range effects.Messages {
 		w.checkMatch(m, post)
-		if post.After {
+		if post.AfterSync {
 			m.next.posts = append(m.next.posts, post)
 		} else {
 			w.send(m, post)
@@ -205,15 +205,15 @@
 		m.next.changes = append(m.next.changes, effects.Changes...)
 		m.next.mark = mark
 	}
-	if effects.Restore != nil {
-		m.restore(effects.Restore)
+	if effects.Snapshot != nil {
+		m.restore(effects.Snapshot)
 		w.checkState(m)
 	}
-	w.checkAdvance(m, effects.Commits)
-	for _, record := range effects.Commits {
+	w.checkAdvance(m, effects.CommittedEntries)
+	for _, record := range effects.CommittedEntries {
 		w.apply(m, record)
 	}
-	for _, number := range effects.Reads {
+	for _, number := range effects.ReadRequests {
 		if operation, isKnown := m.reading[number]; isKnown {
 			delete(m.reading, number)
 			w.answerRead(operation, m.state.Plan())
@@ -249,7 +249,7 @@
 		w.send(m, post)
 	}
 	if len(out.changes) > 0 {
-		m.group.Synced(m.clock, out.mark)
+		m.group.MarkSynced(m.clock, out.mark)
 	}
 }
 
--- a/internal/raft/clone.go
+++ b/internal/raft/clone.go
@@ -11,35 +11,35 @@
 // Clone is a copy that goes its own way, for a model checker to branch with.
 // Records, checkpoints and memberships are shared: nothing writes to them once
 // they are made.
-func (g *Group) Clone(rng Source) *Group {
+func (g *Group) Clone(rng Rand) *Group {
 	c := *g
 	c.rng = rng
 	c.log = slices.Clone(g.log)
 	c.votes = maps.Clone(g.votes)
-	c.rounds = maps.Clone(g.rounds)
-	c.reads = slices.Clone(g.reads)
-	c.replies = slices.Clone(g.replies)
+	c.roundSentAt = maps.Clone(g.roundSentAt)
+	c.pendingReads = slices.Clone(g.pendingReads)
+	c.heartbeatResponses = slices.Clone(g.heartbeatResponses)
 	if g.peers != nil {
 		c.peers = make(map[string]*progress, len(g.peers))
 		for id, p := range g.peers {
 			c.peers[id] = p.clone()
 		}
 	}
-	c.assembly.data = slices.Clone(g.assembly.data)
-	c.out.Posts = slices.Clone(g.out.Posts)
-	c.out.Changes = slices.Clone(g.out.Changes)
-	c.out.Commits = slices.Clone(g.out.Commits)
-	c.out.Reads = slices.Clone(g.out.Reads)
+	c.reassembly.data = slices.Clone(g.reassembly.data)
+	c.ready.Messages = slices.Clone(g.ready.Messages)
+	c.ready.Changes = slices.Clone(g.ready.Changes)
+	c.ready.CommittedEntries = slices.Clone(g.ready.CommittedEntries)
+	c.ready.ReadRequests = slices.Clone(g.ready.ReadRequests)
 	return &c
 }
 
 func (p *progress) clone() *progress {
 	copied := *p
-	copied.flight = slices.Clone(p.flight)
-	if p.transfer != nil {
-		transfer := *p.transfer
-		transfer.payload = slices.Clone(p.transfer.payload)
-		copied.transfer = &transfer
+	copied.inflight = slices.Clone(p.inflight)
+	if p.chunked != nil {
+		transfer := *p.chunked
+		transfer.payload = slices.Clone(p.chunked.payload)
+		copied.chunked = &transfer
 	}
 	return &copied
 }
@@ -65,52 +65,52 @@
 		}
 	}
 	span := func(at eventloop.Micros) {
-		most := g.times.ElectionMost + 1
+		most := g.timeouts.ElectionMax + 1
 		number(uint64(max(-most, min(most, at-now)) + most))
 	}
-	number(g.transfers, g.term, uint64(g.role), g.base.Index, g.base.Term, g.stable, g.commit, g.applied, g.memberSetAt, g.hardSeq-g.hardDone, g.matched, g.round, g.first, uint64(g.calls))
+	number(g.chunkedSends, g.term, uint64(g.role), g.snapshot.Index, g.snapshot.Term, g.stable, g.commit, g.applied, g.memberSetIndex, g.hardStateSeq-g.syncedHardStateSeq, g.matchIndex, g.round, g.noOpIndex, uint64(g.bootstrapRoundsLeft))
 	text(g.vote)
 	text(g.lead)
-	text(g.passTo)
-	flag(g.isYoung, g.isReadOnly, g.assembly.isDone)
-	text(g.assembly.from)
-	number(g.assembly.term, g.assembly.number, uint64(len(g.assembly.data)))
-	for _, record := range g.log {
-		number(record.Term)
+	text(g.transferee)
+	flag(g.justRestarted, g.readOnly, g.reassembly.complete)
+	text(g.reassembly.from)
+	number(g.reassembly.term, g.reassembly.number, uint64(len(g.reassembly.data)))
+	for _, entry := range g.log {
+		number(entry.Term)
 	}
-	span(g.deadline)
-	span(g.heard)
-	span(g.boundUntil)
+	span(g.electionDeadline)
+	span(g.lastHeard)
+	span(g.formerLeaseExpiry)
 	for _, id := range slices.Sorted(maps.Keys(g.votes)) {
 		text(id)
 		flag(g.votes[id])
 	}
 	if g.role == leader {
-		span(g.quorumAt)
-		span(g.nextBeat)
-		span(g.passUntil)
+		span(g.quorumAckedAt)
+		span(g.nextHeartbeat)
+		span(g.transferDeadline)
 		for _, id := range slices.Sorted(maps.Keys(g.peers)) {
 			p := g.peers[id]
 			text(id)
 			number(p.next, p.match, p.round)
-			span(p.moved)
-			flag(p.installing, p.probing, p.probed, p.transfer != nil)
-			if t := p.transfer; t != nil {
-				number(t.number, t.last, uint64(t.held))
-				flag(t.isInstall, t.isAgain)
+			span(p.lastAdvance)
+			flag(p.snapshotPending, p.probing, p.probeSent, p.chunked != nil)
+			if t := p.chunked; t != nil {
+				number(t.number, t.lastIndex, uint64(t.ackedBytes))
+				flag(t.isSnapshot, t.retransmitted)
 				span(t.sentAt)
 			}
-			number(uint64(p.window), uint64(len(p.flight)))
-			for _, f := range p.flight {
-				number(f.last, uint64(f.bytes))
+			number(uint64(p.windowBytes), uint64(len(p.inflight)))
+			for _, f := range p.inflight {
+				number(f.lastIndex, uint64(f.bytes))
 				span(f.sentAt)
 			}
 		}
-		for _, r := range slices.Sorted(maps.Keys(g.rounds)) {
+		for _, r := range slices.Sorted(maps.Keys(g.roundSentAt)) {
 			number(r)
-			span(g.rounds[r])
+			span(g.roundSentAt[r])
 		}
-		for _, r := range g.reads {
+		for _, r := range g.pendingReads {
 			number(r.request, r.index, r.round)
 		}
 	}
--- a/internal/raft/clone_test.go
+++ b/internal/raft/clone_test.go
@@ -11,60 +11,60 @@
 	"sparnotch/internal/schema"
 )
 
-var message = reflect.TypeFor[proto.Message]()
+var messageType = reflect.TypeFor[proto.Message]()
 
-// shared lists what two values hold in common and could write to: maps, lists and what
+// sharedMutable lists what two values hold in common and could write to: maps, lists and what
 // pointers lead to, messages apart, which nothing writes to once they are made.
-func shared(path string, a, b reflect.Value) []string {
+func sharedMutable(path string, a, b reflect.Value) []string {
 	var found []string
 	switch a.Kind() {
 	case reflect.Struct:
 		for k := range a.NumField() {
-			found = append(found, shared(path+"."+a.Type().Field(k).Name, a.Field(k), b.Field(k))...)
+			found = append(found, sharedMutable(path+"."+a.Type().Field(k).Name, a.Field(k), b.Field(k))...)
 		}
 	case reflect.Pointer:
-		if a.IsNil() || a.Type().Implements(message) {
+		if a.IsNil() || a.Type().Implements(messageType) {
 			return nil
 		}
 		if a.Pointer() == b.Pointer() {
 			return []string{path}
 		}
-		return shared(path, a.Elem(), b.Elem())
+		return sharedMutable(path, a.Elem(), b.Elem())
 	case reflect.Slice:
 		if a.Len() > 0 && a.Pointer() == b.Pointer() {
 			return []string{path}
 		}
 		for k := range a.Len() {
-			found = append(found, shared(path, a.Index(k), b.Index(k))...)
+			found = append(found, sharedMutable(path, a.Index(k), b.Index(k))...)
 		}
 	case reflect.Map:
 		if !a.IsNil() && a.Pointer() == b.Pointer() {
 			return []string{path}
 		}
 		for _, key := range a.MapKeys() {
-			found = append(found, shared(path, a.MapIndex(key), b.MapIndex(key))...)
+			found = append(found, sharedMutable(path, a.MapIndex(key), b.MapIndex(key))...)
 		}
 	}
 	return found
 }
 
-func TestACloneSharesNothingThatIsWrittenTo(t *testing.T) {
+func TestCloneIsDeep(t *testing.T) {
 	Convey("A clone of a leader and of a follower shares only messages with it", t, func() {
-		r := newRig(15, ids...)
+		r := newCluster(15, ids...)
 		r.run(4 * eventloop.Second)
 		r.propose("one")
 		r.run(eventloop.Second)
 		lead := r.leader()
-		r.mail = nil
+		r.messages = nil
 		_, _, err := lead.Propose(r.now, make([]byte, 1<<20)) // goes in parts
 		So(err, ShouldBeNil)
-		So(lead.Read(r.now, 7), ShouldBeNil)
-		for _, id := range othersThan(lead.self) {
+		So(lead.ReadIndex(r.now, 7), ShouldBeNil)
+		for _, id := range membersExcept(lead.self) {
 			r.groups[id].Step(r.now, lead.self, &schema.TransferChunk{Group: "g", Term: lead.term, Transfer: 99, Size: 8, Data: []byte("part")})
 		}
 		for _, id := range ids {
 			g := r.groups[id]
-			So(shared("group", reflect.ValueOf(*g), reflect.ValueOf(*g.Clone(nil))), ShouldBeEmpty)
+			So(sharedMutable("group", reflect.ValueOf(*g), reflect.ValueOf(*g.Clone(nil))), ShouldBeEmpty)
 			So(string(g.Clone(nil).Fingerprint(r.now, nil)), ShouldEqual, string(g.Fingerprint(r.now, nil)))
 		}
 	})
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -7,80 +7,80 @@
 	"sparnotch/internal/schema"
 )
 
-func (g *Group) resetDeadline(now eventloop.Micros) {
-	spread := int64(g.times.ElectionMost - g.times.ElectionLeast)
-	g.deadline = now + g.times.ElectionLeast + eventloop.Micros(g.rng.Int64N(spread+1))
+func (g *Group) resetElectionDeadline(now eventloop.Micros) {
+	spread := int64(g.timeouts.ElectionMax - g.timeouts.ElectionMin)
+	g.electionDeadline = now + g.timeouts.ElectionMin + eventloop.Micros(g.rng.Int64N(spread+1))
 }
 
-func (g *Group) setHard(term uint64, vote string) {
+func (g *Group) setHardState(term uint64, vote string) {
 	if term == g.term && vote == g.vote {
 		return
 	}
 	g.term, g.vote = term, vote
-	g.hardSeq++
-	g.out.Changes = append(g.out.Changes, &schema.StoreChange{Group: g.name, HardState: &schema.HardState{Term: term, Vote: vote}})
+	g.hardStateSeq++
+	g.ready.Changes = append(g.ready.Changes, &schema.StoreChange{Group: g.name, HardState: &schema.HardState{Term: term, Vote: vote}})
 }
 
-func (g *Group) follow(now eventloop.Micros, term uint64, lead string) {
+func (g *Group) becomeFollower(now eventloop.Micros, term uint64, lead string) {
 	if term > g.term {
-		g.setHard(term, "")
-		g.matched = 0
+		g.setHardState(term, "")
+		g.matchIndex = 0
 	}
 	if g.role != follower {
-		g.matched = 0
+		g.matchIndex = 0
 	}
 	g.role, g.lead = follower, lead
-	g.isYoung = g.isYoung && lead == ""
-	g.peers, g.votes, g.reads, g.rounds, g.passTo, g.replies, g.calls = nil, nil, nil, nil, "", nil, 0
-	g.resetDeadline(now)
+	g.justRestarted = g.justRestarted && lead == ""
+	g.peers, g.votes, g.pendingReads, g.roundSentAt, g.transferee, g.heartbeatResponses, g.bootstrapRoundsLeft = nil, nil, nil, nil, "", nil, 0
+	g.resetElectionDeadline(now)
 }
 
-func (g *Group) ask(now eventloop.Micros) {
-	g.asks++
-	g.role = asking
+func (g *Group) startPreVote(now eventloop.Micros) {
+	g.preVoteCount++
+	g.role = preCandidate
 	g.votes = map[string]bool{g.self: true}
 	g.requestVotes(g.term+1, true, false)
 	g.countVotes(now)
 }
 
-func (g *Group) campaign(now eventloop.Micros, asked bool) {
+func (g *Group) campaign(now eventloop.Micros, isTransfer bool) {
 	g.role = candidate
 	g.lead = ""
-	g.setHard(g.term+1, g.self)
+	g.setHardState(g.term+1, g.self)
 	g.votes = map[string]bool{g.self: true}
-	g.requestVotes(g.term, false, asked)
-	g.resetDeadline(now)
+	g.requestVotes(g.term, false, isTransfer)
+	g.resetElectionDeadline(now)
 	g.countVotes(now)
 }
 
-// Stand makes a voter campaign in a group that is just being founded, so that it
+// BootstrapCampaign makes a voter campaign in a group that is just being founded, so that it
 // needn't wait for an election's time. Nobody can lead before the first term, so
 // no pre-vote is needed; whoever has lived through any term stays as it is.
 // Others may found the group a little later and drop the first calls, so they
 // are made again for a while.
-func (g *Group) Stand(now eventloop.Micros) {
-	if g.term > 0 || g.lastIndex() > 0 || g.role != follower || !g.isVoter(g.self) || g.isReadOnly {
+func (g *Group) BootstrapCampaign(now eventloop.Micros) {
+	if g.term > 0 || g.lastIndex() > 0 || g.role != follower || !g.isVoter(g.self) || g.readOnly {
 		return
 	}
-	g.calls, g.callAt = mostCalls, now+callRest
+	g.bootstrapRoundsLeft, g.nextBootstrapRound = maxBootstrapVoteRounds, now+bootstrapVoteInterval
 	g.campaign(now, false)
 }
 
-// Found gives the first voters to a replica that was opened by a leader's word
+// Bootstrap gives the first voters to a replica that was opened by a leader's word
 // before it heard that it is one of them itself.
-func (g *Group) Found(voters []string) {
-	if g.base.Index > 0 || len(g.base.MemberSet.GetVoters()) > 0 || len(voters) == 0 {
+func (g *Group) Bootstrap(voters []string) {
+	if g.snapshot.Index > 0 || len(g.snapshot.MemberSet.GetVoters()) > 0 || len(voters) == 0 {
 		return
 	}
-	g.base = &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: voters}}
-	g.findMemberSet()
-	g.out.Changes = append(g.out.Changes, &schema.StoreChange{Group: g.name, Snapshot: g.base})
+	g.snapshot = &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: voters}}
+	g.refreshMemberSet()
+	g.ready.Changes = append(g.ready.Changes, &schema.StoreChange{Group: g.name, Snapshot: g.snapshot})
 }
 
-func (g *Group) requestVotes(term uint64, pre, asked bool) {
+func (g *Group) requestVotes(term uint64, preVote, isTransfer bool) {
 	for _, id := range g.memberSet.Voters {
 		if id != g.self {
-			g.post(id, &schema.VoteRequest{Group: g.name, Term: term, LastIndex: g.lastIndex(), LastTerm: g.lastTerm(), PreVote: pre, LeaderTransfer: asked})
+			g.send(id, &schema.VoteRequest{Group: g.name, Term: term, LastIndex: g.lastIndex(), LastTerm: g.lastTerm(), PreVote: preVote, LeaderTransfer: isTransfer})
 		}
 	}
 }
@@ -96,89 +96,89 @@
 		return
 	}
 	switch {
-	case g.role == asking && !g.isReadOnly:
+	case g.role == preCandidate && !g.readOnly:
 		g.campaign(now, false)
-	case g.role == candidate && !g.dirty():
+	case g.role == candidate && !g.hasUnsyncedHardState():
 		g.becomeLeader(now)
 	}
 }
 
 func (g *Group) becomeLeader(now eventloop.Micros) {
-	g.role, g.lead, g.isYoung = leader, g.self, false
+	g.role, g.lead, g.justRestarted = leader, g.self, false
 	g.peers = map[string]*progress{}
-	g.rounds = map[uint64]eventloop.Micros{}
-	g.reads = nil
-	g.quorumAt = now
-	g.timeBase, g.timeMono, g.steppedAt = g.lastAt(), now, 0
-	g.syncPeers(now, g.lastIndex()+1)
-	g.first = g.lastIndex() + 1
+	g.roundSentAt = map[uint64]eventloop.Micros{}
+	g.pendingReads = nil
+	g.quorumAckedAt = now
+	g.groupTimeBase, g.groupTimeStart, g.clockJumpAt = g.lastEntryTime(), now, 0
+	g.updatePeers(now, g.lastIndex()+1)
+	g.noOpIndex = g.lastIndex() + 1
 	// A leader knows what is committed only through a record of its own term.
-	g.add(now, &schema.Entry{Kind: schema.EntryKind_ENTRY_NO_OP})
-	g.beat(now)
+	g.appendEntry(now, &schema.Entry{Kind: schema.EntryKind_ENTRY_NO_OP})
+	g.broadcastHeartbeat(now)
 }
 
-// Pass hands the leadership to a voter that has the whole log.
-func (g *Group) Pass(now eventloop.Micros, to string) {
-	if g.role != leader || to == g.self || !g.isVoter(to) || g.passTo != "" {
+// TransferLeadership hands the leadership to a voter that has the whole log.
+func (g *Group) TransferLeadership(now eventloop.Micros, to string) {
+	if g.role != leader || to == g.self || !g.isVoter(to) || g.transferee != "" {
 		return
 	}
-	g.passTo, g.passUntil = to, now+g.times.ElectionLeast
-	g.tryPass()
+	g.transferee, g.transferDeadline = to, now+g.timeouts.ElectionMin
+	g.trySendTimeoutNow()
 }
 
-// Passing is whom the leadership is being handed to, if it is.
-func (g *Group) Passing() string { return g.passTo }
+// Transferee is whom the leadership is being handed to, if it is.
+func (g *Group) Transferee() string { return g.transferee }
 
-func (g *Group) tryPass() {
-	if p := g.peers[g.passTo]; g.passTo != "" && p != nil && p.match == g.lastIndex() {
-		g.post(g.passTo, &schema.TimeoutNow{Group: g.name, Term: g.term})
+func (g *Group) trySendTimeoutNow() {
+	if p := g.peers[g.transferee]; g.transferee != "" && p != nil && p.match == g.lastIndex() {
+		g.send(g.transferee, &schema.TimeoutNow{Group: g.name, Term: g.term})
 	}
 }
 
-func (g *Group) onVote(now eventloop.Micros, from string, m *schema.VoteRequest) {
+func (g *Group) handleVoteRequest(now eventloop.Micros, from string, m *schema.VoteRequest) {
 	// Who hears a leader keeps it: a replica that was cut off and comes back
 	// disturbs nobody. A leader's own wish to pass goes through.
-	isLed := g.lead != "" && (g.role == leader || now-g.heard < g.times.ElectionLeast)
+	hasLeader := g.lead != "" && (g.role == leader || now-g.lastHeard < g.timeouts.ElectionMin)
 	// Who has just started may have answered a leader the moment before, and that one
 	// acts on the answer.
-	if (isLed || now < g.boundUntil) && !m.LeaderTransfer {
+	if (hasLeader || now < g.formerLeaseExpiry) && !m.LeaderTransfer {
 		if m.PreVote {
-			g.post(from, &schema.VoteResponse{Group: g.name, Term: g.term, PreVote: true})
+			g.send(from, &schema.VoteResponse{Group: g.name, Term: g.term, PreVote: true})
 		}
 		return
 	}
-	isFresh := m.LastTerm > g.lastTerm() || m.LastTerm == g.lastTerm() && m.LastIndex >= g.lastIndex()
+	upToDate := m.LastTerm > g.lastTerm() || m.LastTerm == g.lastTerm() && m.LastIndex >= g.lastIndex()
 	if m.PreVote {
 		// Of two that ask at once with equal logs one goes first, or the two of
 		// three that are left would split the vote.
-		isFirst := g.role == asking && g.self < from && m.LastTerm == g.lastTerm() && m.LastIndex == g.lastIndex()
-		if m.Term > g.term && isFresh && !isFirst && !g.isReadOnly {
-			g.post(from, &schema.VoteResponse{Group: g.name, Term: m.Term, Granted: true, PreVote: true})
+		campaignsFirst := g.role == preCandidate && g.self < from && m.LastTerm == g.lastTerm() && m.LastIndex == g.lastIndex()
+		if m.Term > g.term && upToDate && !campaignsFirst && !g.readOnly {
+			g.send(from, &schema.VoteResponse{Group: g.name, Term: m.Term, Granted: true, PreVote: true})
 		} else {
-			g.post(from, &schema.VoteResponse{Group: g.name, Term: g.term, PreVote: true})
+			g.send(from, &schema.VoteResponse{Group: g.name, Term: g.term, PreVote: true})
 		}
 		return
 	}
 	if m.Term > g.term {
-		g.follow(now, m.Term, "")
+		g.becomeFollower(now, m.Term, "")
 	}
-	isGranted := m.Term == g.term && isFresh && (g.vote == "" || g.vote == from)
-	if isGranted {
-		g.setHard(g.term, from)
-		g.resetDeadline(now)
+	granted := m.Term == g.term && upToDate && (g.vote == "" || g.vote == from)
+	if granted {
+		g.setHardState(g.term, from)
+		g.resetElectionDeadline(now)
 	}
-	g.post(from, &schema.VoteResponse{Group: g.name, Term: g.term, Granted: isGranted})
+	g.send(from, &schema.VoteResponse{Group: g.name, Term: g.term, Granted: granted})
 }
 
-func (g *Group) onVoteReply(now eventloop.Micros, from string, m *schema.VoteResponse) {
+func (g *Group) handleVoteResponse(now eventloop.Micros, from string, m *schema.VoteResponse) {
 	if !m.Granted {
 		if m.Term > g.term {
-			g.follow(now, m.Term, "")
+			g.becomeFollower(now, m.Term, "")
 		}
 		return
 	}
-	isMine := m.PreVote && g.role == asking && m.Term == g.term+1 || !m.PreVote && g.role == candidate && m.Term == g.term
-	if isMine {
+	expected := m.PreVote && g.role == preCandidate && m.Term == g.term+1 || !m.PreVote && g.role == candidate && m.Term == g.term
+	if expected {
 		g.votes[from] = true
 		g.countVotes(now)
 	}
--- a/internal/raft/membership_step.go
+++ b/internal/raft/member_change.go
@@ -9,19 +9,19 @@
 	"sparnotch/internal/schema"
 )
 
-// NotOneStep says that a change of members isn't one step from those there are.
-var NotOneStep = Errors.NewType("not_one_step")
+// NotSingleServerChange says that a change of members isn't one step from those there are.
+var NotSingleServerChange = Errors.NewType("not_one_step")
 
-// checkStep tells why a change of members may not be made now. One voter comes or goes
+// checkSingleServerChange tells why a change of members may not be made now. One voter comes or goes
 // at most, so that every majority of the old and the new shares a voter; who comes was
 // a learner before and has caught up, so that the group can bear as much at once.
-func (g *Group) checkStep(next *schema.MemberSet) error {
+func (g *Group) checkSingleServerChange(next *schema.MemberSet) error {
 	old := g.memberSet
-	come, gone := missingFrom(old.Voters, next.Voters), missingFrom(next.Voters, old.Voters)
-	if len(next.Voters) == 0 || len(come)+len(gone) > 1 {
-		return NotOneStep.New("%s: from %v to %v isn't one step", g.name, old.Voters, next.Voters)
+	added, removed := missingFrom(old.Voters, next.Voters), missingFrom(next.Voters, old.Voters)
+	if len(next.Voters) == 0 || len(added)+len(removed) > 1 {
+		return NotSingleServerChange.New("%s: from %v to %v isn't one step", g.name, old.Voters, next.Voters)
 	}
-	for _, id := range come {
+	for _, id := range added {
 		if !slices.Contains(old.Learners, id) || !g.IsCaughtUp(id) {
 			return Busy.New("%s: %s hasn't caught up", g.name, id)
 		}
--- a/internal/raft/membership_step_test.go
+++ b/internal/raft/member_change_test.go
@@ -10,18 +10,18 @@
 	"sparnotch/internal/storage"
 )
 
-func TestMembersChangeByOneStep(t *testing.T) {
+func TestSingleServerChange(t *testing.T) {
 	Convey("Given a group of three and an empty fourth store", t, func() {
-		r := newRig(5, ids...)
+		r := newCluster(5, ids...)
 		r.run(4 * eventloop.Second)
 		lead := r.leader()
 		r.propose("one")
-		r.images["d"] = &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}}
+		r.durable["d"] = &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}}
 		r.start("d")
 		r.run(eventloop.Second)
 		change := func(voters []string, learners ...string) error {
 			err := lead.ProposeMemberSet(r.now, &schema.MemberSet{Voters: voters, Learners: learners})
-			r.collect(lead.self)
+			r.processReady(lead.self)
 			return err
 		}
 		Convey("A leader leaves no majority beside another, whoever asks", func() {
@@ -34,11 +34,11 @@
 		Convey("A store becomes a voter only after it has learnt what there is", func() {
 			four := append(append([]string{}, ids...), "d")
 			So(change(four), ShouldNotBeNil)
-			r.isDown["d"] = true
+			r.down["d"] = true
 			So(change(ids, "d"), ShouldBeNil)
 			r.run(eventloop.Second)
 			So(change(four), ShouldNotBeNil)
-			r.isDown["d"] = false
+			r.down["d"] = false
 			r.run(eventloop.Second)
 			r.propose("two")
 			r.run(eventloop.Second)
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -10,26 +10,26 @@
 	"sparnotch/internal/schema"
 )
 
-// CaughtUp is how many records a learner may lack to be given a vote.
-const CaughtUp = 64
+// MaxLearnerLag is how many records a learner may lack to be given a vote.
+const MaxLearnerLag = 64
 
-func (g *Group) findMemberSet() {
-	g.memberSet, g.memberSetAt = g.base.MemberSet, g.base.Index
+func (g *Group) refreshMemberSet() {
+	g.memberSet, g.memberSetIndex = g.snapshot.MemberSet, g.snapshot.Index
 	if g.memberSet == nil {
 		g.memberSet = &schema.MemberSet{}
 	}
-	for _, record := range g.log {
-		if record.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
-			g.memberSet, g.memberSetAt = record.MemberSet, record.Index
+	for _, entry := range g.log {
+		if entry.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
+			g.memberSet, g.memberSetIndex = entry.MemberSet, entry.Index
 		}
 	}
 }
 
-func (g *Group) memberSetUnder(index uint64) *schema.MemberSet {
-	memberSet := g.base.MemberSet
-	for _, record := range g.log {
-		if record.Index <= index && record.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
-			memberSet = record.MemberSet
+func (g *Group) memberSetAsOf(index uint64) *schema.MemberSet {
+	memberSet := g.snapshot.MemberSet
+	for _, entry := range g.log {
+		if entry.Index <= index && entry.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
+			memberSet = entry.MemberSet
 		}
 	}
 	return memberSet
@@ -45,13 +45,13 @@
 	if g.role != leader {
 		return NotLeader.New("%s is led by %q", g.name, g.lead)
 	}
-	if g.memberSetAt > g.commit || g.commit < g.first {
+	if g.memberSetIndex > g.commit || g.commit < g.noOpIndex {
 		return Busy.New("%s: the last change of members isn't committed", g.name)
 	}
-	if err := g.checkStep(memberSet); err != nil {
+	if err := g.checkSingleServerChange(memberSet); err != nil {
 		return err
 	}
-	g.add(now, &schema.Entry{Kind: schema.EntryKind_ENTRY_MEMBER_SET, MemberSet: memberSet})
+	g.appendEntry(now, &schema.Entry{Kind: schema.EntryKind_ENTRY_MEMBER_SET, MemberSet: memberSet})
 	return nil
 }
 
@@ -60,32 +60,32 @@
 // lag alone says nothing in a young group, whose whole log is that short.
 func (g *Group) IsCaughtUp(id string) bool {
 	p := g.peers[id]
-	return p != nil && p.match >= g.memberSetAt && g.lastIndex()-p.match <= CaughtUp
+	return p != nil && p.match >= g.memberSetIndex && g.lastIndex()-p.match <= MaxLearnerLag
 }
 
-// Margin is how many of these voters may be lost before no quorum of them is left:
+// FailureTolerance is how many of these voters may be lost before no quorum of them is left:
 // those that answer this leader and lack little, less a quorum.
-func (g *Group) Margin(now eventloop.Micros, voters []string) int {
-	live := 0
+func (g *Group) FailureTolerance(now eventloop.Micros, voters []string) int {
+	alive := 0
 	for _, id := range voters {
 		p := g.peers[id]
-		isNear := p != nil && p.heard > 0 && now-p.heard <= g.times.ElectionLeast && g.lastIndex()-p.match <= maxFlight
-		if id == g.self || isNear {
-			live++
+		healthy := p != nil && p.lastHeard > 0 && now-p.lastHeard <= g.timeouts.ElectionMin && g.lastIndex()-p.match <= maxInflightEntries
+		if id == g.self || healthy {
+			alive++
 		}
 	}
-	return live - (len(voters)/2 + 1)
+	return alive - (len(voters)/2 + 1)
 }
 
-// MemberSetAt is the index of the latest change of members, committed or not.
-func (g *Group) MemberSetAt() uint64 { return g.memberSetAt }
+// MemberSetIndex is the index of the latest change of members, committed or not.
+func (g *Group) MemberSetIndex() uint64 { return g.memberSetIndex }
 
-// dismiss sends the record that drops them to those who are no members any more: they
+// notifyRemoved sends the record that drops them to those who are no members any more: they
 // would go on asking for votes, and one that leaves waits for it.
-func (g *Group) dismiss(now eventloop.Micros) {
+func (g *Group) notifyRemoved(now eventloop.Micros) {
 	for _, id := range slices.Sorted(maps.Keys(g.peers)) {
 		if !g.isVoter(id) && !slices.Contains(g.memberSet.Learners, id) {
-			g.feed(now, id)
+			g.replicateTo(now, id)
 		}
 	}
 }
--- a/internal/raft/writable_test.go
+++ b/internal/raft/readonly_test.go
@@ -11,7 +11,7 @@
 	"sparnotch/internal/storage"
 )
 
-func others(self string) []string {
+func votersExcept(self string) []string {
 	var list []string
 	for _, id := range ids {
 		if id != self {
@@ -23,34 +23,34 @@
 
 func TestReadOnlyReplica(t *testing.T) {
 	Convey("A replica whose store takes no writes follows, and neither stands nor votes", t, func() {
-		r := newRig(3, ids...)
+		r := newCluster(3, ids...)
 		r.run(3 * eventloop.Second)
 		leader := r.leader()
-		refusing := r.groups[others(leader.self)[0]]
+		refusing := r.groups[votersExcept(leader.self)[0]]
 		refusing.SetWritable(false)
-		r.noSync[refusing.self] = true
+		r.stalledDisks[refusing.self] = true
 		term := leader.Term()
 		Convey("when it misses its leader, it asks nobody for votes, and grants none", func() {
-			r.cut = func(from, to string) bool { return from == leader.self || to == leader.self }
-			asked := refusing.Asks()
+			r.blocked = func(from, to string) bool { return from == leader.self || to == leader.self }
+			asked := refusing.PreVoteCount()
 			r.run(6 * eventloop.Second)
-			So(refusing.Asks(), ShouldEqual, asked)
+			So(refusing.PreVoteCount(), ShouldEqual, asked)
 			So(refusing.IsLeader(), ShouldBeFalse)
 			// The third alone is no majority, and nobody has encouraged it to try.
-			third := r.groups[others(leader.self)[1]]
+			third := r.groups[votersExcept(leader.self)[1]]
 			So(third.IsLeader(), ShouldBeFalse)
 			So(third.Term(), ShouldEqual, term)
 			Convey("and once its store takes writes there is a leader again", func() {
 				refusing.SetWritable(true)
-				r.noSync[refusing.self] = false
+				r.stalledDisks[refusing.self] = false
 				r.run(2 * eventloop.Second)
 				So(r.leader() != leader, ShouldBeTrue)
 				So(r.leader().Term(), ShouldBeGreaterThan, term)
 			})
 		})
 		Convey("it takes over from nobody", func() {
-			leader.Pass(r.now, refusing.self)
-			r.collect(leader.self)
+			leader.TransferLeadership(r.now, refusing.self)
+			r.processReady(leader.self)
 			r.run(3 * eventloop.Second)
 			So(r.leader(), ShouldEqual, leader)
 			So(leader.Term(), ShouldEqual, term)
@@ -59,40 +59,40 @@
 		})
 	})
 	Convey("A leader whose store takes no writes commits by the others, answers reads, and hands over", t, func() {
-		r := newRig(4, ids...)
+		r := newCluster(4, ids...)
 		r.run(3 * eventloop.Second)
 		leader := r.leader()
 		leader.SetWritable(false)
-		r.noSync[leader.self] = true
+		r.stalledDisks[leader.self] = true
 		So(r.propose("one"), ShouldBeTrue)
-		So(leader.Read(r.now, 7), ShouldBeNil)
+		So(leader.ReadIndex(r.now, 7), ShouldBeNil)
 		r.run(300 * eventloop.Millisecond)
 		So(r.applied[leader.self], ShouldResemble, []string{"one"})
 		So(r.reads[leader.self], ShouldResemble, []uint64{7})
-		leader.Pass(r.now, others(leader.self)[0])
-		r.collect(leader.self)
+		leader.TransferLeadership(r.now, votersExcept(leader.self)[0])
+		r.processReady(leader.self)
 		r.run(200 * eventloop.Millisecond)
-		So(r.leader().self, ShouldEqual, others(leader.self)[0])
+		So(r.leader().self, ShouldEqual, votersExcept(leader.self)[0])
 		// It went by the votes of those two alone.
-		So(r.images[leader.self].HardState.Term, ShouldBeLessThan, r.leader().Term())
+		So(r.durable[leader.self].HardState.Term, ShouldBeLessThan, r.leader().Term())
 	})
 }
 
-func TestWhole(t *testing.T) {
+func TestFullState(t *testing.T) {
 	Convey("The whole is what all changes come to", t, func() {
-		r := newRig(5, ids...)
+		r := newCluster(5, ids...)
 		r.run(2 * eventloop.Second)
 		for _, text := range []string{"one", "two", "three"} {
 			So(r.propose(text), ShouldBeTrue)
 			r.run(100 * eventloop.Millisecond)
 		}
 		leader := r.leader()
-		leader.Release(leader.Applied()-1, []byte("state"))
-		r.collect(leader.self)
+		leader.Compact(leader.AppliedIndex()-1, []byte("state"))
+		r.processReady(leader.self)
 		content := &storage.State{Groups: map[string]*storage.GroupState{}}
 		content.Apply(&schema.StoreChange{Group: "g", HardState: &schema.HardState{Term: 99}, Entries: []*schema.Entry{{Index: 1}, {Index: 2}}})
-		content.Apply(leader.Whole())
-		image, durable := content.Groups["g"], r.images[leader.self]
+		content.Apply(leader.FullState())
+		image, durable := content.Groups["g"], r.durable[leader.self]
 		So(proto.Equal(image.HardState, durable.HardState), ShouldBeTrue)
 		So(proto.Equal(image.Snapshot, durable.Snapshot), ShouldBeTrue)
 		So(len(image.Entries), ShouldEqual, len(durable.Entries))
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -11,40 +11,40 @@
 )
 
 type progress struct {
-	next, match uint64
-	round       uint64
-	moved       eventloop.Micros // last time match or next went on
-	installing  bool
-	probing     bool             // it turned records away: one Append at a time until it takes one
-	probed      bool             // and that one is on its way
-	wall        int64            // the replica's wall clock, less our monotonic one
-	heard       eventloop.Micros // last answer of any kind
-	transfer    *transfer        // what is on its way in parts; nothing else is sent meanwhile
-	flight      []flight         // Appends sent beyond what is known matched
-	window      int              // bytes that may be on their way, where more than the least
-	roundTrip   eventloop.Micros // the shortest time in which a beat was answered; 0: none was
+	next, match     uint64
+	round           uint64
+	lastAdvance     eventloop.Micros // last time match or next went on
+	snapshotPending bool
+	probing         bool             // it turned records away: one Append at a time until it takes one
+	probeSent       bool             // and that one is on its way
+	wallOffset      int64            // the replica's wall clock, less our monotonic one
+	lastHeard       eventloop.Micros // last answer of any kind
+	chunked         *chunkedSend     // what is on its way in parts; nothing else is sent meanwhile
+	inflight        []inflightAppend // Appends sent beyond what is known matched
+	windowBytes     int              // bytes that may be on their way, where more than the least
+	minRoundTrip    eventloop.Micros // the shortest time in which a beat was answered; 0: none was
 }
 
-// reply is when a beat was answered.
-type reply struct {
-	round uint64
-	at    eventloop.Micros
+// heartbeatResponse is when a beat was answered.
+type heartbeatResponse struct {
+	round      uint64
+	receivedAt eventloop.Micros
 }
 
-func (g *Group) beat(now eventloop.Micros) {
-	g.nextBeat = now + g.times.Beat
+func (g *Group) broadcastHeartbeat(now eventloop.Micros) {
+	g.nextHeartbeat = now + g.timeouts.HeartbeatInterval
 	g.round++
-	g.rounds[g.round] = now
-	for _, id := range g.others() {
-		g.post(id, &schema.Heartbeat{
-			Group: g.name, Term: g.term, Commit: g.commit, CommitTerm: g.termAt(g.commit), Round: g.round, CommitConfirmed: g.commit >= g.first, WallOffsetUs: g.wallOffset,
+	g.roundSentAt[g.round] = now
+	for _, id := range g.otherMembers() {
+		g.send(id, &schema.Heartbeat{
+			Group: g.name, Term: g.term, Commit: g.commit, CommitTerm: g.termAt(g.commit), Round: g.round, CommitConfirmed: g.commit >= g.noOpIndex, WallOffsetUs: g.wallOffset,
 			AckedRound: g.peers[id].round,
 		})
 	}
-	g.countRounds(now)
+	g.confirmRounds(now)
 }
 
-func (g *Group) others() []string {
+func (g *Group) otherMembers() []string {
 	var list []string
 	for _, id := range append(append([]string(nil), g.memberSet.Voters...), g.memberSet.Learners...) {
 		if id != g.self {
@@ -54,14 +54,14 @@
 	return list
 }
 
-// syncPeers makes the peers those of the member set. The record at next is what a new
+// updatePeers makes the peers those of the member set. The record at next is what a new
 // one is sent first: it must exist soon, or the peer would hear of its group with the
 // next record only, and a group at rest may never have one.
-func (g *Group) syncPeers(now eventloop.Micros, next uint64) {
-	for _, id := range g.others() {
+func (g *Group) updatePeers(now eventloop.Micros, next uint64) {
+	for _, id := range g.otherMembers() {
 		if g.peers[id] == nil {
 			// Nothing is known of its log yet: one Append asks whether it is ours.
-			g.peers[id] = &progress{next: next, moved: now, probing: true}
+			g.peers[id] = &progress{next: next, lastAdvance: now, probing: true}
 		}
 	}
 	for id := range g.peers {
@@ -71,18 +71,18 @@
 	}
 }
 
-func (g *Group) add(now eventloop.Micros, record *schema.Entry) uint64 {
-	record.Index, record.Term, record.TimeUs = g.lastIndex()+1, g.term, g.GroupTime(now)
-	g.put([]*schema.Entry{record})
-	if record.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
-		g.dismiss(now)
-		g.syncPeers(now, record.Index)
-	}
-	for _, id := range g.others() {
-		g.feed(now, id)
-	}
-	g.advance(now)
-	return record.Index
+func (g *Group) appendEntry(now eventloop.Micros, entry *schema.Entry) uint64 {
+	entry.Index, entry.Term, entry.TimeUs = g.lastIndex()+1, g.term, g.GroupTime(now)
+	g.truncateAndAppend([]*schema.Entry{entry})
+	if entry.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
+		g.notifyRemoved(now)
+		g.updatePeers(now, entry.Index)
+	}
+	for _, id := range g.otherMembers() {
+		g.replicateTo(now, id)
+	}
+	g.maybeCommit(now)
+	return entry.Index
 }
 
 // Propose appends a command; its index and term tell it apart when applied.
@@ -90,114 +90,114 @@
 	if g.role != leader {
 		return 0, 0, NotLeader.New("%s is led by %q", g.name, g.lead)
 	}
-	if g.passTo != "" {
+	if g.transferee != "" {
 		return 0, 0, Busy.New("%s is being handed over", g.name)
 	}
-	return g.add(now, &schema.Entry{Kind: schema.EntryKind_ENTRY_COMMAND, Data: data}), g.term, nil
+	return g.appendEntry(now, &schema.Entry{Kind: schema.EntryKind_ENTRY_COMMAND, Data: data}), g.term, nil
 }
 
-// Announce tells at once what is committed, rather than with the next beat or record.
-func (g *Group) Announce(now eventloop.Micros) {
+// BroadcastCommit tells at once what is committed, rather than with the next beat or record.
+func (g *Group) BroadcastCommit(now eventloop.Micros) {
 	if g.role == leader {
-		g.beat(now)
+		g.broadcastHeartbeat(now)
 	}
 }
 
-// Synced says that a batch with this mark lasts.
-func (g *Group) Synced(now eventloop.Micros, mark Mark) {
-	if mark.Hard > g.hardDone {
-		g.hardDone = mark.Hard
+// MarkSynced says that a batch with this mark lasts.
+func (g *Group) MarkSynced(now eventloop.Micros, point SyncPoint) {
+	if point.HardStateSeq > g.syncedHardStateSeq {
+		g.syncedHardStateSeq = point.HardStateSeq
 		g.countVotes(now)
 	}
 	// The record may have been replaced since: the same index in another term
 	// isn't the record that was synced.
-	if mark.Index > g.stable && mark.Index >= g.base.Index && g.termAt(mark.Index) == mark.Term {
-		g.stable = mark.Index
+	if point.Index > g.stable && point.Index >= g.snapshot.Index && g.termAt(point.Index) == point.Term {
+		g.stable = point.Index
 		if g.role == leader {
-			g.advance(now)
-		} else if g.lead != "" && g.matched > 0 {
+			g.maybeCommit(now)
+		} else if g.lead != "" && g.matchIndex > 0 {
 			g.acknowledge(g.lead)
 		}
 	}
 }
 
 func (g *Group) acknowledge(to string) {
-	g.post(to, &schema.AppendResponse{Group: g.name, Term: g.term, Match: min(g.matched, g.stable)})
+	g.send(to, &schema.AppendResponse{Group: g.name, Term: g.term, Match: min(g.matchIndex, g.stable)})
 }
 
-// led notes word of a term's leader and tells whether it is to be heeded.
-func (g *Group) led(now eventloop.Micros, from string, term uint64) bool {
+// acceptLeader notes word of a term's leader and tells whether it is to be heeded.
+func (g *Group) acceptLeader(now eventloop.Micros, from string, term uint64) bool {
 	if term < g.term {
 		return false
 	}
 	if term > g.term || g.role != follower || g.lead != from {
-		g.follow(now, term, from)
+		g.becomeFollower(now, term, from)
 	}
-	g.heard = now
-	g.resetDeadline(now)
+	g.lastHeard = now
+	g.resetElectionDeadline(now)
 	return true
 }
 
-func (g *Group) onAppend(now eventloop.Micros, from string, m *schema.AppendRequest) {
-	if !g.led(now, from, m.Term) {
-		g.post(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true})
+func (g *Group) handleAppendRequest(now eventloop.Micros, from string, m *schema.AppendRequest) {
+	if !g.acceptLeader(now, from, m.Term) {
+		g.send(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true})
 		return
 	}
-	prev, prevTerm, records := m.PrevIndex, m.PrevTerm, m.Entries
+	prev, prevTerm, entries := m.PrevIndex, m.PrevTerm, m.Entries
 	// What lies under our base is committed, so it is the leader's too.
-	for prev < g.base.Index && len(records) > 0 && records[0].Index <= g.base.Index {
-		prev, prevTerm, records = records[0].Index, records[0].Term, records[1:]
+	for prev < g.snapshot.Index && len(entries) > 0 && entries[0].Index <= g.snapshot.Index {
+		prev, prevTerm, entries = entries[0].Index, entries[0].Term, entries[1:]
 	}
-	if prev < g.base.Index {
-		g.matched = max(g.matched, g.base.Index)
+	if prev < g.snapshot.Index {
+		g.matchIndex = max(g.matchIndex, g.snapshot.Index)
 		g.acknowledge(from)
 		return
 	}
 	if prev > g.lastIndex() || g.termAt(prev) != prevTerm {
-		g.post(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true, Hint: min(g.lastIndex(), prev-1), PrevIndex: m.PrevIndex})
+		g.send(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true, Hint: min(g.lastIndex(), prev-1), PrevIndex: m.PrevIndex})
 		return
 	}
-	isNew := false
-	for k, record := range records {
-		if record.Index > g.lastIndex() || g.termAt(record.Index) != record.Term {
-			g.put(records[k:])
-			isNew = true
+	appended := false
+	for k, entry := range entries {
+		if entry.Index > g.lastIndex() || g.termAt(entry.Index) != entry.Term {
+			g.truncateAndAppend(entries[k:])
+			appended = true
 			break
 		}
 	}
-	g.matched = max(g.matched, prev+uint64(len(records)))
-	g.commitTo(min(m.Commit, g.matched))
-	if !isNew {
+	g.matchIndex = max(g.matchIndex, prev+uint64(len(entries)))
+	g.commitTo(min(m.Commit, g.matchIndex))
+	if !appended {
 		g.acknowledge(from)
 	}
 }
 
-func (g *Group) onBeat(now eventloop.Micros, from string, m *schema.Heartbeat) {
-	if !g.led(now, from, m.Term) {
-		g.post(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true})
+func (g *Group) handleHeartbeat(now eventloop.Micros, from string, m *schema.Heartbeat) {
+	if !g.acceptLeader(now, from, m.Term) {
+		g.send(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true})
 		return
 	}
 	// After a restart nothing is known of how far our log is the leader's, and in a
 	// quiet group no Append comes to tell.
 	if m.CommitTerm > 0 && m.Commit <= g.lastIndex() && g.termAt(m.Commit) == m.CommitTerm {
-		g.matched = max(g.matched, m.Commit)
+		g.matchIndex = max(g.matchIndex, m.Commit)
 	}
-	g.commitTo(min(m.Commit, g.matched))
+	g.commitTo(min(m.Commit, g.matchIndex))
 	if m.WallOffsetUs != 0 {
 		g.wallOffset = m.WallOffsetUs
 	}
 	// A beat may have lain in a buffer for any time, ours while we were frozen, or
 	// the wire's. It is only surely younger than the reply of ours it has heard.
-	for _, each := range g.replies {
-		if m.CommitConfirmed && g.applied >= m.Commit && each.round == m.AckedRound {
-			g.caught = max(g.caught, each.at)
+	for _, reply := range g.heartbeatResponses {
+		if m.CommitConfirmed && g.applied >= m.Commit && reply.round == m.AckedRound {
+			g.freshAsOf = max(g.freshAsOf, reply.receivedAt)
 		}
 	}
-	g.replies = append(g.replies, reply{m.Round, now})
-	if len(g.replies) > keptReplies {
-		g.replies = g.replies[1:]
+	g.heartbeatResponses = append(g.heartbeatResponses, heartbeatResponse{m.Round, now})
+	if len(g.heartbeatResponses) > maxHeartbeatResponses {
+		g.heartbeatResponses = g.heartbeatResponses[1:]
 	}
-	g.post(from, &schema.HeartbeatResponse{Group: g.name, Term: g.term, Round: m.Round, Match: min(g.matched, g.stable)})
+	g.send(from, &schema.HeartbeatResponse{Group: g.name, Term: g.term, Round: m.Round, Match: min(g.matchIndex, g.stable)})
 }
 
 func (g *Group) commitTo(index uint64) {
@@ -205,40 +205,40 @@
 		return
 	}
 	g.commit = index
-	g.out.Commits = append(g.out.Commits, g.between(g.applied, g.commit)...)
+	g.ready.CommittedEntries = append(g.ready.CommittedEntries, g.entriesBetween(g.applied, g.commit)...)
 	g.applied = g.commit
 }
 
-func (g *Group) feed(now eventloop.Micros, id string) {
+func (g *Group) replicateTo(now eventloop.Micros, id string) {
 	p := g.peers[id]
-	if p == nil || p.installing || p.transfer != nil {
+	if p == nil || p.snapshotPending || p.chunked != nil {
 		return
 	}
-	if p.next <= g.base.Index {
-		p.installing, p.moved = true, now
-		g.sendInstall(now, id, p)
+	if p.next <= g.snapshot.Index {
+		p.snapshotPending, p.lastAdvance = true, now
+		g.sendSnapshot(now, id, p)
 		return
 	}
-	if p.probing && p.probed {
+	if p.probing && p.probeSent {
 		return
 	}
 	if p.next == 1 && p.match == 0 {
 		// The first member set stands in no record: a founder that hears of its group
 		// before it has founded it itself would never know who votes.
-		g.post(id, &schema.InstallSnapshot{Group: g.name, Term: g.term, Snapshot: g.base})
+		g.send(id, &schema.InstallSnapshot{Group: g.name, Term: g.term, Snapshot: g.snapshot})
 	}
 	// Where nothing is known to match, the end of a long log lies further away
 	// than that, and a probe is a single Append anyway.
-	for p.next <= g.lastIndex() && (p.probing || p.hasRoom(g.window(p))) {
-		records, size := g.batch(p.next, g.window(p))
-		g.sendAppend(now, id, p, records, size)
-		p.moved = now
+	for p.next <= g.lastIndex() && (p.probing || p.canSend(g.inflightWindow(p))) {
+		entries, size := g.nextBatch(p.next, g.inflightWindow(p))
+		g.sendAppend(now, id, p, entries, size)
+		p.lastAdvance = now
 		if p.probing {
-			p.probed = true
+			p.probeSent = true
 			return
 		}
-		p.next += uint64(len(records))
-		if p.transfer != nil {
+		p.next += uint64(len(entries))
+		if p.chunked != nil {
 			return
 		}
 	}
@@ -246,14 +246,14 @@
 
 // probe goes back to a place and sends from there one Append alone.
 func (g *Group) probe(now eventloop.Micros, id string, p *progress, next uint64) {
-	p.next, p.probing, p.probed = next, true, false
-	p.transfer, p.flight = nil, nil
-	g.feed(now, id)
+	p.next, p.probing, p.probeSent = next, true, false
+	p.chunked, p.inflight = nil, nil
+	g.replicateTo(now, id)
 }
 
-func (g *Group) heardFrom(now eventloop.Micros, from string, term uint64) *progress {
+func (g *Group) acceptResponse(now eventloop.Micros, from string, term uint64) *progress {
 	if term > g.term {
-		g.follow(now, term, "")
+		g.becomeFollower(now, term, "")
 		return nil
 	}
 	if g.role != leader || term < g.term {
@@ -261,13 +261,13 @@
 	}
 	p := g.peers[from]
 	if p != nil {
-		p.heard = now
+		p.lastHeard = now
 	}
 	return p
 }
 
-func (g *Group) onAppendReply(now eventloop.Micros, from string, m *schema.AppendResponse) {
-	p := g.heardFrom(now, from, m.Term)
+func (g *Group) handleAppendResponse(now eventloop.Micros, from string, m *schema.AppendResponse) {
+	p := g.acceptResponse(now, from, m.Term)
 	if p == nil {
 		return
 	}
@@ -275,9 +275,9 @@
 		// Of all that were on their way only the first refusal counts: were each
 		// answered with all that follows, every one would be refused anew, and
 		// the more so the more there are.
-		isStale := m.PrevIndex <= p.match || p.probing && m.PrevIndex != p.next-1
-		if !isStale {
-			p.installing = false
+		stale := m.PrevIndex <= p.match || p.probing && m.PrevIndex != p.next-1
+		if !stale {
+			p.snapshotPending = false
 			g.probe(now, from, p, max(min(m.Hint+1, m.PrevIndex), p.match+1))
 		}
 		return
@@ -285,42 +285,42 @@
 	if m.Match+1 >= p.next {
 		p.probing = false
 	}
-	g.progressed(now, from, p, m.Match)
+	g.advanceMatch(now, from, p, m.Match)
 }
 
-func (g *Group) progressed(now eventloop.Micros, from string, p *progress, match uint64) {
+func (g *Group) advanceMatch(now eventloop.Micros, from string, p *progress, match uint64) {
 	if match > p.match {
-		p.match, p.moved = match, now
+		p.match, p.lastAdvance = match, now
 		p.next = max(p.next, match+1)
 		p.probing = false
-		if p.installing && match >= g.base.Index {
-			p.installing = false
+		if p.snapshotPending && match >= g.snapshot.Index {
+			p.snapshotPending = false
 		}
-		g.arrived(now, p, match)
-		g.advance(now)
-		g.tryPass()
+		g.ackInflight(now, p, match)
+		g.maybeCommit(now)
+		g.trySendTimeoutNow()
 	}
 	if g.role == leader {
-		g.feed(now, from)
+		g.replicateTo(now, from)
 	}
 }
 
-func (g *Group) onBeatReply(now eventloop.Micros, from string, m *schema.HeartbeatResponse) {
-	p := g.heardFrom(now, from, m.Term)
+func (g *Group) handleHeartbeatResponse(now eventloop.Micros, from string, m *schema.HeartbeatResponse) {
+	p := g.acceptResponse(now, from, m.Term)
 	if p == nil {
 		return
 	}
 	p.round = max(p.round, m.Round)
-	if sent, isOpen := g.rounds[m.Round]; isOpen && (p.roundTrip == 0 || now-sent < p.roundTrip) {
-		p.roundTrip = max(now-sent, 1)
+	if sent, open := g.roundSentAt[m.Round]; open && (p.minRoundTrip == 0 || now-sent < p.minRoundTrip) {
+		p.minRoundTrip = max(now-sent, 1)
 	}
-	p.wall = m.WallUs - int64(now)
-	g.progressed(now, from, p, m.Match)
+	p.wallOffset = m.WallUs - int64(now)
+	g.advanceMatch(now, from, p, m.Match)
 	// Nothing moved for two beats though something is outstanding: it was lost
 	// on the way, so go back to what is known.
-	if p.match < g.lastIndex() && now-p.moved > 2*g.times.Beat && !g.resume(now, from, p) {
-		if now-p.moved > g.times.ElectionLeast {
-			p.installing = false
+	if p.match < g.lastIndex() && now-p.lastAdvance > 2*g.timeouts.HeartbeatInterval && !g.resumeChunkedSend(now, from, p) {
+		if now-p.lastAdvance > g.timeouts.ElectionMin {
+			p.snapshotPending = false
 		}
 		// A probe that was lost is made again where it was: from what is known,
 		// which may be nothing, all of a long log would go out once more.
@@ -330,33 +330,33 @@
 		}
 		g.probe(now, from, p, next)
 	}
-	g.countRounds(now)
+	g.confirmRounds(now)
 }
 
-func (g *Group) countRounds(now eventloop.Micros) {
-	round := g.nth(func(id string) uint64 {
+func (g *Group) confirmRounds(now eventloop.Micros) {
+	round := g.quorumValue(func(id string) uint64 {
 		if id == g.self {
 			return g.round
 		}
 		return g.peers[id].round
 	})
-	if sent, known := g.rounds[round]; known {
-		g.quorumAt = max(g.quorumAt, sent)
-		for old := range g.rounds {
+	if sent, known := g.roundSentAt[round]; known {
+		g.quorumAckedAt = max(g.quorumAckedAt, sent)
+		for old := range g.roundSentAt {
 			if old < round {
-				delete(g.rounds, old)
+				delete(g.roundSentAt, old)
 			}
 		}
 	}
 	k := 0
-	for ; k < len(g.reads) && g.reads[k].round <= round; k++ {
-		g.out.Reads = append(g.out.Reads, g.reads[k].request)
+	for ; k < len(g.pendingReads) && g.pendingReads[k].round <= round; k++ {
+		g.ready.ReadRequests = append(g.ready.ReadRequests, g.pendingReads[k].request)
 	}
-	g.reads = g.reads[k:]
+	g.pendingReads = g.pendingReads[k:]
 }
 
-// nth is the greatest value that a quorum of voters has reached.
-func (g *Group) nth(value func(id string) uint64) uint64 {
+// quorumValue is the greatest value that a quorum of voters has reached.
+func (g *Group) quorumValue(value func(id string) uint64) uint64 {
 	var values []uint64
 	for _, id := range g.memberSet.Voters {
 		if id == g.self || g.peers[id] != nil {
@@ -372,11 +372,11 @@
 	return values[g.quorum()-1]
 }
 
-func (g *Group) advance(now eventloop.Micros) {
+func (g *Group) maybeCommit(now eventloop.Micros) {
 	if g.role != leader {
 		return
 	}
-	index := g.nth(func(id string) uint64 {
+	index := g.quorumValue(func(id string) uint64 {
 		if id == g.self {
 			return g.stable
 		}
@@ -386,8 +386,8 @@
 	if index > g.commit && g.termAt(index) == g.term {
 		g.commitTo(index)
 		// A leader that has been voted out stays until that is committed.
-		if g.memberSetAt <= g.commit && !g.isVoter(g.self) {
-			g.follow(now, g.term, "")
+		if g.memberSetIndex <= g.commit && !g.isVoter(g.self) {
+			g.becomeFollower(now, g.term, "")
 		}
 	}
 }
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -7,31 +7,31 @@
 	"sparnotch/internal/schema"
 )
 
-func (g *Group) onInstall(now eventloop.Micros, from string, m *schema.InstallSnapshot) {
-	if !g.led(now, from, m.Term) {
-		g.post(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true})
+func (g *Group) handleInstallSnapshot(now eventloop.Micros, from string, m *schema.InstallSnapshot) {
+	if !g.acceptLeader(now, from, m.Term) {
+		g.send(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true})
 		return
 	}
-	point := m.Snapshot
-	if point.Index == 0 {
-		g.Found(point.MemberSet.GetVoters())
+	snapshot := m.Snapshot
+	if snapshot.Index == 0 {
+		g.Bootstrap(snapshot.MemberSet.GetVoters())
 		return
 	}
-	g.matched = max(g.matched, point.Index)
-	if point.Index <= g.commit {
+	g.matchIndex = max(g.matchIndex, snapshot.Index)
+	if snapshot.Index <= g.commit {
 		g.acknowledge(from)
 		return
 	}
-	isKept := g.termAt(point.Index) == point.Term && point.Index <= g.lastIndex()
-	if isKept {
-		g.log = append([]*schema.Entry(nil), g.log[point.Index-g.base.Index:]...)
+	keepsTail := g.termAt(snapshot.Index) == snapshot.Term && snapshot.Index <= g.lastIndex()
+	if keepsTail {
+		g.log = append([]*schema.Entry(nil), g.log[snapshot.Index-g.snapshot.Index:]...)
 	} else {
 		g.log = nil
 	}
-	g.base = point
-	g.commit, g.applied = point.Index, point.Index
-	g.stable = min(g.stable, point.Index-1)
-	g.findMemberSet()
-	g.out.Changes = append(g.out.Changes, &schema.StoreChange{Group: g.name, Snapshot: point, ReplacesLog: !isKept})
-	g.out.Restore, g.out.Commits = point, nil
+	g.snapshot = snapshot
+	g.commit, g.applied = snapshot.Index, snapshot.Index
+	g.stable = min(g.stable, snapshot.Index-1)
+	g.refreshMemberSet()
+	g.ready.Changes = append(g.ready.Changes, &schema.StoreChange{Group: g.name, Snapshot: snapshot, ReplacesLog: !keepsTail})
+	g.ready.Snapshot, g.ready.CommittedEntries = snapshot, nil
 }
--- a/internal/replica/answers_test.go
+++ b/internal/replica/answers_test.go
@@ -18,13 +18,13 @@
 		group := c.tables[old].groups[clusterstate.Group].group
 		c.isCut = func(from, to string) bool { return from != "" && (from == old || to == old) }
 		c.run(10 * eventloop.Millisecond)
-		next := group.Last() + 1
+		next := group.LastIndex() + 1
 		for id := uint64(71); id <= 74; id++ {
 			sheet := queuesSheet(2, "cut off", "cut", "off")
 			command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}}
 			c.step(old, "h", &schema.Request{Id: id, Kind: "clusterstate", Group: clusterstate.Group, Body: ClusterStateBody(command)})
 		}
-		So(group.Last(), ShouldBeGreaterThanOrEqualTo, next+3)
+		So(group.LastIndex(), ShouldBeGreaterThanOrEqualTo, next+3)
 		c.run(3 * eventloop.Second)
 		c.isDown[old] = true // it stands still meanwhile, so that its successor is asked
 		for edition := uint64(2); edition <= 5; edition++ {
@@ -33,7 +33,7 @@
 		c.isCut, c.isDown[old] = nil, false
 		c.heard["h"] = nil
 		c.run(2 * eventloop.Second)
-		So(group.Applied(), ShouldBeGreaterThan, next+3)
+		So(group.AppliedIndex(), ShouldBeGreaterThan, next+3)
 		So(c.tables[old].state.Configuration.Version, ShouldEqual, 5)
 		for _, body := range c.heard["h"] {
 			if reply, isReply := body.(*schema.Response); isReply {
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -46,7 +46,7 @@
 		panic(Unreadable.Wrap(err, "record of %s", r.group.Name()))
 	}
 	if effects.Release != nil {
-		r.group.Release(effects.Release.Index, effects.Release.Data)
+		r.group.Compact(effects.Release.Index, effects.Release.Data)
 	}
 	if !r.group.IsLeader() {
 		return
@@ -97,7 +97,7 @@
 			}
 			continue
 		}
-		if r.termTold != r.group.Term() && r.group.Acting(now) {
+		if r.termTold != r.group.Term() && r.group.HoldsLeaderLease(now) {
 			r.termTold = r.group.Term()
 			list, hand := r.queue.Standings()
 			out.Notify("scheduler", t.shifts(r, list, true, hand))
@@ -129,7 +129,7 @@
 		return
 	}
 	if len(old.Queues) != len(t.state.Queues) {
-		r.group.Announce(now)
+		r.group.BroadcastCommit(now)
 	}
 	// Workers whose ward went elsewhere are served again as soon as their agents
 	// have heard.
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -55,13 +55,13 @@
 	name := GroupOf(place)
 	if r := t.groups[name]; r != nil {
 		// Its leader was faster than our copy of the cluster state.
-		if r.group.Base() == 0 {
-			r.group.Found(place.InitialVoters)
+		if r.group.SnapshotIndex() == 0 {
+			r.group.Bootstrap(place.InitialVoters)
 		}
 		return
 	}
 	t.found(now, name, place.InitialVoters)
 	if place.PreferredLeader == t.id && !t.isWarned {
-		t.groups[name].group.Stand(now)
+		t.groups[name].group.BootstrapCampaign(now)
 	}
 }
--- a/internal/replica/changes_test.go
+++ b/internal/replica/changes_test.go
@@ -100,16 +100,16 @@
 			}
 		}
 		r := c.tables["a"].groups[clusterstate.Group]
-		So(most, ShouldBeLessThanOrEqualTo, max(stateLogBytes, r.group.BaseBytes()))
-		So(r.group.Base(), ShouldBeGreaterThan, 0)
-		t.Logf("base %d bytes, log %d, disk %d", r.group.BaseBytes(), most, disk.peak)
+		So(most, ShouldBeLessThanOrEqualTo, max(stateLogBytes, r.group.SnapshotBytes()))
+		So(r.group.SnapshotIndex(), ShouldBeGreaterThan, 0)
+		t.Logf("base %d bytes, log %d, disk %d", r.group.SnapshotBytes(), most, disk.peak)
 		So(disk.peak, ShouldBeLessThan, 32<<20)
 		Convey("and a process that starts from that disk holds the last of them", func() {
 			again, err := storage.Open(disk)
 			So(err, ShouldBeNil)
-			table := New("a", again.State(), func() int64 { return 0 }, raft.UsualTimes, 1, c.now)
+			table := New("a", again.State(), func() int64 { return 0 }, raft.DefaultTimeouts, 1, c.now)
 			image := again.State().Groups[clusterstate.Group]
-			So(image.Snapshot.Index, ShouldEqual, r.group.Base())
+			So(image.Snapshot.Index, ShouldEqual, r.group.SnapshotIndex())
 			So(table.state.Configuration.Revision, ShouldBeGreaterThan, count-20)
 			So(table.isClusterStateFresh(c.now), ShouldBeFalse)
 		})
--- a/internal/replica/durable.go
+++ b/internal/replica/durable.go
@@ -14,8 +14,8 @@
 
 type pending struct {
 	changes []*schema.StoreChange
-	posts   []raft.Post
-	marks   map[string]raft.Mark
+	posts   []raft.Message
+	marks   map[string]raft.SyncPoint
 	selfs   []*schema.StoreIdentity
 
 	bytes, wholeBytes int // of the changes: now, and when they last were whole states
@@ -48,13 +48,13 @@
 		for _, name := range t.names() {
 			r := t.groups[name]
 			r.group.FlushReads(now)
-			effects, mark := r.group.Take()
-			if len(effects.Posts)+len(effects.Changes)+len(effects.Commits)+len(effects.Reads) == 0 && effects.Restore == nil {
+			effects, mark := r.group.Ready()
+			if len(effects.Messages)+len(effects.Changes)+len(effects.CommittedEntries)+len(effects.ReadRequests) == 0 && effects.Snapshot == nil {
 				continue
 			}
 			isMore = true
-			for _, post := range effects.Posts {
-				if post.After {
+			for _, post := range effects.Messages {
+				if post.AfterSync {
 					t.next.posts = append(t.next.posts, post)
 				} else {
 					t.post(post, beats, out)
@@ -65,17 +65,17 @@
 				t.next.bytes += bytesOf(effects.Changes)
 				t.next.marks[name] = mark
 			}
-			if effects.Restore != nil {
-				t.restore(r, effects.Restore)
+			if effects.Snapshot != nil {
+				t.restore(r, effects.Snapshot)
 				r.termTold = 0
 				if r.queue == nil {
 					t.clusterStateChanged(now, out)
 				}
 			}
-			for _, record := range effects.Commits {
+			for _, record := range effects.CommittedEntries {
 				t.apply(now, r, record, out)
 			}
-			for _, number := range effects.Reads {
+			for _, number := range effects.ReadRequests {
 				t.read(now, r, number, out)
 			}
 		}
@@ -87,7 +87,7 @@
 	t.write(now, out)
 }
 
-func (t *Table) post(post raft.Post, beats map[string]*schema.HeartbeatBatch, out eventloop.Effects) {
+func (t *Table) post(post raft.Message, beats map[string]*schema.HeartbeatBatch, out eventloop.Effects) {
 	if beats[post.To] == nil {
 		beats[post.To] = &schema.HeartbeatBatch{}
 	}
@@ -127,7 +127,7 @@
 		return
 	}
 	batch := t.next
-	t.next = pending{marks: map[string]raft.Mark{}}
+	t.next = pending{marks: map[string]raft.SyncPoint{}}
 	t.writing = &batch
 	t.number++
 	t.began = now
@@ -157,7 +157,7 @@
 	names := slices.Sorted(maps.Keys(batch.marks))
 	for _, name := range names {
 		if r := t.groups[name]; r != nil {
-			r.group.Synced(now, batch.marks[name])
+			r.group.MarkSynced(now, batch.marks[name])
 		}
 	}
 }
--- a/internal/replica/leadership.go
+++ b/internal/replica/leadership.go
@@ -58,7 +58,7 @@
 	}
 	if wanted != "" {
 		r.passAt, r.leaderAt = now, named
-		r.group.Pass(now, wanted)
+		r.group.TransferLeadership(now, wanted)
 	}
 }
 
@@ -72,9 +72,9 @@
 
 // isFit tells whether a voter is near enough to take a group over.
 func (t *Table) isFit(now eventloop.Micros, r *replica, id string) bool {
-	match, heard := r.group.Match(id)
+	match, heard := r.group.PeerProgress(id)
 	isKnown := t.roll != nil && t.roll.Live(id, now, liveSpan) && !t.roll.Known[id].Member.Draining
-	return isKnown && heard > 0 && now-heard < 500*eventloop.Millisecond && r.group.Last()-match < 256
+	return isKnown && heard > 0 && now-heard < 500*eventloop.Millisecond && r.group.LastIndex()-match < 256
 }
 
 // leaderOf names who leads a group, or is about to.
@@ -82,7 +82,7 @@
 	if r == nil {
 		return ""
 	}
-	if next := r.group.Passing(); next != "" {
+	if next := r.group.Transferee(); next != "" {
 		return next
 	}
 	return r.group.Leader()
--- a/internal/replica/maintenance.go
+++ b/internal/replica/maintenance.go
@@ -18,11 +18,11 @@
 	hasAsked, hasChanged := false, false
 	for _, name := range t.names() {
 		r := t.groups[name]
-		wasAsked := r.group.Asks()
+		wasAsked := r.group.PreVoteCount()
 		r.group.Tick(now)
-		hasAsked = hasAsked || r.group.Asks() != wasAsked
+		hasAsked = hasAsked || r.group.PreVoteCount() != wasAsked
 		if r.group.IsLeader() {
-			r.group.AgreeWall(now, t.wall())
+			r.group.UpdateWallOffset(now, t.wall())
 			t.tend(now, r)
 			t.passOn(now, r)
 			hasChanged = r.hasNewMembers() || hasChanged
@@ -40,7 +40,7 @@
 	t.lookAtRoom(now)
 	fresh := Fresh{Groups: map[string]uint64{}, At: now}
 	for name, r := range t.groups {
-		if r.queue != nil && r.group.Acting(now) {
+		if r.queue != nil && r.group.HoldsLeaderLease(now) {
 			fresh.Groups[name] = r.group.Term()
 		}
 	}
@@ -52,20 +52,20 @@
 // that was committed.
 func (t *Table) isClusterStateFresh(now eventloop.Micros) bool {
 	r := t.groups[clusterstate.Group]
-	return r != nil && r.group.Fresh() > 0 && now-r.group.Fresh() < t.spans.Fresh
+	return r != nil && r.group.FreshAsOf() > 0 && now-r.group.FreshAsOf() < t.spans.Fresh
 }
 
 // tend proposes what a queue's leader owes to time and to the plan.
 func (t *Table) tend(now eventloop.Micros, r *replica) {
 	g := r.group
-	if !g.Acting(now) {
+	if !g.HoldsLeaderLease(now) {
 		return
 	}
 	if r.queue == nil {
 		return
 	}
 	m, at := r.queue, g.GroupTime(now)
-	if next, any := m.NextStart(); any && next <= at && r.tickIdx <= g.Applied() {
+	if next, any := m.NextStart(); any && next <= at && r.tickIdx <= g.AppliedIndex() {
 		r.tickIdx = t.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Tick{Tick: &schema.Tick{}}})
 		r.tickAt = now
 	}
@@ -81,20 +81,20 @@
 	}
 	// Jobs that are to start at a time of day keep to it, though queue time has
 	// stood still without a leader.
-	if m.Timed() > 0 && r.tickIdx <= g.Applied() {
+	if m.Timed() > 0 && r.tickIdx <= g.AppliedIndex() {
 		offset, isKnown := g.WallOffset(now, t.wall())
 		if away := offset - m.WallOffset(); isKnown && (away > int64(wallMost) || away < -int64(wallMost)) {
 			r.tickIdx = t.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Tick{Tick: &schema.Tick{WallOffsetUs: offset}}})
 			r.tickAt = now
 		}
 	}
-	if wanted := t.adopt; !proto.Equal(wanted, m.Adopted()) && r.adoptIdx <= g.Applied() {
+	if wanted := t.adopt; !proto.Equal(wanted, m.Adopted()) && r.adoptIdx <= g.AppliedIndex() {
 		r.adoptIdx = t.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_ApplySettings{ApplySettings: wanted}})
 	}
 	// One old job must not pin the log for ever: it enters it anew.
 	limit := uint64(t.values.Fleet("carry_records"))
-	if g.Last()-g.Base() > limit && r.carryIdx <= g.Applied() {
-		if id, index, payload := m.Oldest(); id != 0 && g.Last()-index > limit/2 {
+	if g.LastIndex()-g.SnapshotIndex() > limit && r.carryIdx <= g.AppliedIndex() {
+		if id, index, payload := m.Oldest(); id != 0 && g.LastIndex()-index > limit/2 {
 			r.carryIdx = t.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Reenqueue{Reenqueue: &schema.Reenqueue{Job: id, Payload: payload}}})
 		}
 	}
@@ -113,10 +113,10 @@
 func (t *Table) releaseClusterState(r *replica, record *schema.Entry) {
 	g := r.group
 	r.logBytes += len(record.Data)
-	if record.Index-g.Base() <= stateLogRecords && r.logBytes <= max(stateLogBytes, g.BaseBytes()) {
+	if record.Index-g.SnapshotIndex() <= stateLogRecords && r.logBytes <= max(stateLogBytes, g.SnapshotBytes()) {
 		return
 	}
-	g.Release(record.Index, clusterstate.Pack(t.clusterState.Rest()))
+	g.Compact(record.Index, clusterstate.Pack(t.clusterState.Rest()))
 	r.logBytes = 0
 }
 
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -45,8 +45,8 @@
 	}
 	// The controller's view may be old, or its order late: whatever it believes, no step
 	// leaves a quorum that the losses to be borne could break, unless it was so before.
-	margin := r.group.Margin(now, memberSet.Voters)
-	if margin < t.losses && margin < r.group.Margin(now, r.group.MemberSet().Voters) {
+	margin := r.group.FailureTolerance(now, memberSet.Voters)
+	if margin < t.losses && margin < r.group.FailureTolerance(now, r.group.MemberSet().Voters) {
 		return
 	}
 	// A refusal (a change is under way) is no matter: the controller asks again.
@@ -56,7 +56,7 @@
 // mayVote tells whether a learner may be made a voter: it has caught up, and answered
 // just now. Of four voters, one lost and one that doesn't answer, there is no majority.
 func mayVote(now eventloop.Micros, group *raft.Group, id string) bool {
-	_, heard := group.Match(id)
+	_, heard := group.PeerProgress(id)
 	return now-heard < heardSpan && group.IsCaughtUp(id)
 }
 
@@ -74,7 +74,7 @@
 // learner that has caught up.
 func (r *replica) hasNewMembers() bool {
 	g, isNews := r.group, false
-	if at := g.MemberSetAt(); at <= g.Commit() && at != r.membersTold {
+	if at := g.MemberSetIndex(); at <= g.CommitIndex() && at != r.membersTold {
 		r.membersTold, isNews = at, true
 	}
 	for _, id := range g.MemberSet().Learners {
--- a/internal/replica/members_test.go
+++ b/internal/replica/members_test.go
@@ -17,7 +17,7 @@
 // empty adds a store with an empty disk.
 func (c *core) empty(id string) {
 	content := &storage.State{Identity: &schema.StoreIdentity{Id: id}, Groups: map[string]*storage.GroupState{}}
-	c.tables[id] = New(id, content, func() int64 { return 0 }, raft.UsualTimes, 4, c.now)
+	c.tables[id] = New(id, content, func() int64 { return 0 }, raft.DefaultTimeouts, 4, c.now)
 }
 
 // change has the controller ask the leader for a change of members, and gives what
--- a/internal/replica/plan_test.go
+++ b/internal/replica/plan_test.go
@@ -85,7 +85,7 @@
 	}
 	for k, id := range stores {
 		content := &storage.State{Identity: &schema.StoreIdentity{Id: id}, Groups: map[string]*storage.GroupState{}}
-		c.tables[id] = New(id, content, wall, raft.UsualTimes, uint64(k+1), c.now)
+		c.tables[id] = New(id, content, wall, raft.DefaultTimeouts, uint64(k+1), c.now)
 	}
 	for _, id := range stores {
 		c.step(id, "", membership.KeepSelf{Self: &schema.StoreIdentity{Id: id, Joined: true}, Found: stores})
@@ -209,7 +209,7 @@
 		table.state.Queues = []*schema.QueuePlacement{place}
 		c.step("b", "", eventloop.Tick{})
 		So(table.groups["l#1"].group.MemberSet().Voters, ShouldResemble, stores)
-		So(table.groups["l#1"].group.Last(), ShouldEqual, 1)
+		So(table.groups["l#1"].group.LastIndex(), ShouldEqual, 1)
 	})
 }
 
--- a/internal/replica/refusal.go
+++ b/internal/replica/refusal.go
@@ -124,7 +124,7 @@
 		return
 	}
 	if over := len(t.next.posts) - pendingPosts; over > 0 {
-		t.next.posts = append([]raft.Post(nil), t.next.posts[over:]...)
+		t.next.posts = append([]raft.Message(nil), t.next.posts[over:]...)
 	}
 	if t.next.bytes-t.next.wholeBytes > pendingBytes {
 		t.condense()
@@ -145,7 +145,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
 		if r := t.groups[name]; r != nil {
-			list = append(list, r.group.Whole())
+			list = append(list, r.group.FullState())
 		} else {
 			list = append(list, &schema.StoreChange{Group: name, Removed: true})
 		}
--- a/internal/replica/refusal_test.go
+++ b/internal/replica/refusal_test.go
@@ -98,7 +98,7 @@
 				c.runTold(eventloop.Second)
 				So(c.tables["a"].belief(c.now).Refusal, ShouldBeBlank)
 				replica := c.tables["a"].groups["q#"+c.generation("q")].group
-				So(replica.Stable(), ShouldEqual, replica.Last())
+				So(replica.StableIndex(), ShouldEqual, replica.LastIndex())
 				c.runTold(7 * eventloop.Second)
 				So(c.leader("q"), ShouldEqual, "a")
 			})
@@ -114,7 +114,7 @@
 		// It follows its successor, and tells it nothing of a term that may not last.
 		old := c.tables["a"].groups["q#"+c.generation("q")].group
 		So(old.Leader(), ShouldEqual, c.leader("q"))
-		match, _ := c.tables[c.leader("q")].groups["q#"+c.generation("q")].group.Match("a")
+		match, _ := c.tables[c.leader("q")].groups["q#"+c.generation("q")].group.PeerProgress("a")
 		So(match, ShouldEqual, 0)
 	})
 	Convey("A refusing store confirms nothing and tells no vote", t, func() {
@@ -163,7 +163,7 @@
 		// that doesn't mind sends all of it here.
 		c.isDown["a"], c.isDown["b"] = true, true
 		root := table.groups[clusterstate.Group].group
-		prev, prevTerm, term := root.Last(), root.Term(), root.Term()+1
+		prev, prevTerm, term := root.LastIndex(), root.Term(), root.Term()+1
 		for range 700 {
 			version++
 			sheet := queuesSheet(version, fmt.Sprintf("%d%s", version, text), "q")
@@ -202,8 +202,8 @@
 		}
 		c.accept("c")
 		c.runTold(2 * eventloop.Second)
-		So(root.Stable(), ShouldEqual, root.Last())
-		So(root.Last(), ShouldEqual, prev)
+		So(root.StableIndex(), ShouldEqual, root.LastIndex())
+		So(root.LastIndex(), ShouldEqual, prev)
 		So(table.state.Configuration.Version, ShouldEqual, version)
 	})
 }
@@ -217,10 +217,10 @@
 		c := newLedCore()
 		c.heard["h"] = nil
 		leader := c.leader("")
-		before := c.tables[leader].groups[clusterstate.Group].group.Last()
+		before := c.tables[leader].groups[clusterstate.Group].group.LastIndex()
 		c.step(leader, "h", &schema.Request{Id: 1, Kind: "clusterstate", Group: clusterstate.Group, Body: []byte("\xff\xff\xff")})
 		c.run(50 * eventloop.Millisecond)
-		So(c.tables[leader].groups[clusterstate.Group].group.Last(), ShouldEqual, before)
+		So(c.tables[leader].groups[clusterstate.Group].group.LastIndex(), ShouldEqual, before)
 		So(c.heard["h"][len(c.heard["h"])-1].(*schema.Response).Code, ShouldEqual, 400)
 	})
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -74,7 +74,7 @@
 	tolerance    membership.Tolerance // what may be lost at once
 	losses       int                  // how many stores that may be at most
 	wall         func() int64
-	times        raft.Times
+	times        raft.Timeouts
 	patience     *patience
 	groups       map[string]*replica
 	listed       []string // names of the groups, in order; nil: to be made anew
@@ -97,7 +97,7 @@
 }
 
 // New makes the table from a store's content.
-func New(id string, content *storage.State, wall func() int64, times raft.Times, seed uint64, now eventloop.Micros) *Table {
+func New(id string, content *storage.State, wall func() int64, times raft.Timeouts, seed uint64, now eventloop.Micros) *Table {
 	t := &Table{
 		id: id, self: content.Identity, losses: 1, spans: timing.Of(nil), wall: wall, times: times, groups: map[string]*replica{},
 		clusterState: clusterstate.New(), applied: map[string]*schema.SubmitResponse{}, plansTold: map[string]planTold{},
@@ -107,7 +107,7 @@
 	t.patience = &patience{rng: rand.New(rand.NewPCG(seed, hash.Sum64()))}
 	t.patience.draw()
 	t.setState(t.clusterState.Copy())
-	t.next.marks = map[string]raft.Mark{}
+	t.next.marks = map[string]raft.SyncPoint{}
 	for name, image := range content.Groups {
 		t.open(now, name, image)
 	}
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -19,7 +19,7 @@
 
 func (t *Table) request(now eventloop.Micros, from string, m *schema.Request, out eventloop.Effects) {
 	r := t.groupFor(m)
-	if r == nil || !r.group.IsLeader() || r.group.Passing() != "" {
+	if r == nil || !r.group.IsLeader() || r.group.Transferee() != "" {
 		out.Send(from, &schema.Response{Id: m.Id, Group: m.Group, Leader: leaderOf(r)})
 		return
 	}
@@ -31,7 +31,7 @@
 	switch m.Kind {
 	case "status", "list", "counts", "plan", "history", "state":
 		t.reads++
-		if r.group.Read(now, t.reads) != nil {
+		if r.group.ReadIndex(now, t.reads) != nil {
 			// Elected a moment ago: what is committed isn't known before our first record is.
 			out.Send(from, &schema.Response{Id: m.Id, Group: m.Group})
 			return
@@ -152,7 +152,7 @@
 		return
 	}
 	tell := &schema.ClusterStateResponse{
-		Sequence: m.Sequence, AgeUs: int64(now - r.group.Fresh()), Version: t.state.Version,
+		Sequence: m.Sequence, AgeUs: int64(now - r.group.FreshAsOf()), Version: t.state.Version,
 		Leaders: t.leaders(), ControllerLeaseExpiresUs: t.clusterState.ControllerUntil(),
 	}
 	if t.state.Version > m.Version {
@@ -217,13 +217,13 @@
 	}
 	for _, id := range append(append([]string(nil), note.Voters...), note.Learners...) {
 		if id != t.id {
-			match, _ := g.Match(id)
-			note.ReplicaLag[id] = g.Last() - match
+			match, _ := g.PeerProgress(id)
+			note.ReplicaLag[id] = g.LastIndex() - match
 		}
 	}
 	for _, id := range note.Learners {
 		if !g.IsCaughtUp(id) {
-			note.ReplicaLag[id] = max(note.ReplicaLag[id], raft.CaughtUp+1)
+			note.ReplicaLag[id] = max(note.ReplicaLag[id], raft.MaxLearnerLag+1)
 		}
 	}
 	if r.queue != nil {
@@ -287,8 +287,8 @@
 		r := t.groups[name]
 		g := r.group
 		b := &GroupBelief{
-			Group: name, Role: g.Role(), Leader: g.Leader(), Term: g.Term(), Commit: g.Commit(), Applied: g.Applied(),
-			Last: g.Last(), Stable: g.Stable(), Released: g.Base(), Voters: g.MemberSet().Voters, Learners: g.MemberSet().Learners,
+			Group: name, Role: g.Role(), Leader: g.Leader(), Term: g.Term(), Commit: g.CommitIndex(), Applied: g.AppliedIndex(),
+			Last: g.LastIndex(), Stable: g.StableIndex(), Released: g.SnapshotIndex(), Voters: g.MemberSet().Voters, Learners: g.MemberSet().Learners,
 		}
 		if r.queue != nil {
 			b.Live, b.Kept, b.Carries, b.Sessions = r.queue.Live(), r.queue.Kept(), r.queue.Carries(), len(r.queue.Boots())
--- a/internal/replica/room.go
+++ b/internal/replica/room.go
@@ -37,7 +37,7 @@
 func (t *Table) contentBytes() int64 {
 	size := 0
 	for _, r := range t.groups {
-		size += r.group.Bytes()
+		size += r.group.StoredBytes()
 	}
 	return int64(size)
 }
--- a/internal/replica/submissions.go
+++ b/internal/replica/submissions.go
@@ -23,7 +23,7 @@
 }
 
 func (t *Table) isFull(r *replica) bool {
-	return r.group.Last()-r.group.Applied() > maxUnsettled
+	return r.group.LastIndex()-r.group.AppliedIndex() > maxUnsettled
 }
 
 func (t *Table) submit(now eventloop.Micros, from string, m *schema.SubmitRequest, out eventloop.Effects) {
@@ -32,7 +32,7 @@
 		return
 	}
 	r := t.groups[GroupOf(place)]
-	if r == nil || !r.group.IsLeader() || r.group.Passing() != "" {
+	if r == nil || !r.group.IsLeader() || r.group.Transferee() != "" {
 		out.Send(from, &schema.SubmitResponse{Queue: m.Queue, Leader: leaderOf(r)})
 		return
 	}
@@ -72,7 +72,7 @@
 
 func (t *Table) quit(now eventloop.Micros, m *schema.EndSessionsRequest) {
 	if place := clusterstate.Place(t.state, m.Queue); place != nil {
-		if r := t.groups[GroupOf(place)]; r != nil && r.group.Acting(now) {
+		if r := t.groups[GroupOf(place)]; r != nil && r.group.HoldsLeaderLease(now) {
 			t.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_EndSessions{EndSessions: &schema.EndSessions{Sessions: m.Sessions, Gateways: m.Gateways}}})
 		}
 	}
@@ -81,7 +81,7 @@
 func (t *Table) propose(now eventloop.Micros, m Propose) {
 	r := t.groups[m.Group]
 	// A scheduler that acts for an older term has an older list.
-	if r == nil || r.queue == nil || r.group.Term() != m.Term || !r.group.Acting(now) || t.isFull(r) {
+	if r == nil || r.queue == nil || r.group.Term() != m.Term || !r.group.HoldsLeaderLease(now) || t.isFull(r) {
 		return
 	}
 	t.proposeQueue(now, r, m.Command)
--- a/internal/replica/voters_test.go
+++ b/internal/replica/voters_test.go
@@ -26,7 +26,7 @@
 		reroster(&schema.ChangeMembers{AddLearner: "d"})
 		group := c.tables[lead].groups[clusterstate.Group].group
 		So(group.MemberSet().Learners, ShouldResemble, []string{"d"})
-		So(group.Last(), ShouldBeLessThan, uint64(raft.CaughtUp))
+		So(group.LastIndex(), ShouldBeLessThan, uint64(raft.MaxLearnerLag))
 		So(reroster(&schema.ChangeMembers{Promote: "d"}), ShouldResemble, stores)
 		answer := func(match uint64) {
 			c.step(lead, "d", &schema.AppendResponse{Group: clusterstate.Group, Term: group.Term(), Match: match})
@@ -36,13 +36,13 @@
 			So(reroster(&schema.ChangeMembers{Promote: "d"}), ShouldResemble, stores)
 		})
 		Convey("nor one that answered long ago", func() {
-			answer(group.Last())
+			answer(group.LastIndex())
 			c.run(heardSpan)
 			lease = c.lease()
 			So(reroster(&schema.ChangeMembers{Promote: "d"}), ShouldResemble, stores)
 		})
 		Convey("but one that holds the log and answers is", func() {
-			answer(group.Last())
+			answer(group.LastIndex())
 			So(reroster(&schema.ChangeMembers{Promote: "d"}), ShouldResemble, append(stores[:3:3], "d"))
 		})
 	})
--- a/internal/sim/members_test.go
+++ b/internal/sim/members_test.go
@@ -160,7 +160,7 @@
 		live := 0
 		for _, each := range list {
 			// What is on its way in one sync is no lag.
-			isNear := each.Stable+raft.CaughtUp >= lead.Commit
+			isNear := each.Stable+raft.MaxLearnerLag >= lead.Commit
 			if slices.Contains(lead.Voters, each.host.Id) && !each.host.isLeaving && isNear {
 				live++
 			}
