--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -63,7 +63,7 @@
 	number    uint64
 	turn      int // whose turn it is to be asked
 	voters    int // how many each group is to have
-	spans     timing.Spans
+	spans     timing.Timeouts
 	tolerance membership.Tolerance // what may be lost at once
 	readers   []string
 }
@@ -72,14 +72,14 @@
 // at once (0: one). Readers are the tables of this process that want the cluster state.
 func New(id string, losses uint32, readers ...string) *Table {
 	return &Table{
-		id: id, spans: timing.Of(nil), voters: membership.Terms{Losses: losses}.Founders(), readers: readers, state: &schema.ClusterState{}, values: clusterstate.Read(nil), told: map[string]told{}, claims: map[uint64]eventloop.Micros{},
+		id: id, spans: timing.FromBounds(nil), voters: membership.Terms{Losses: losses}.Founders(), readers: readers, state: &schema.ClusterState{}, values: clusterstate.Read(nil), told: map[string]told{}, claims: map[uint64]eventloop.Micros{},
 		acted: map[string]eventloop.Micros{}, gone: map[string]eventloop.Micros{}, homes: map[string]home{},
 	}
 }
 
 // Bind sets what the deployment promises and asks; nil or zero: the defaults.
 func (t *Table) Bind(bounds *schema.Bounds) *Table {
-	t.spans = timing.Of(bounds)
+	t.spans = timing.FromBounds(bounds)
 	return t
 }
 
@@ -167,7 +167,7 @@
 func (t *Table) stores(now eventloop.Micros) []string {
 	var ids []string
 	for _, id := range t.memberIDs() {
-		if known := t.roll.Known[id]; known.Member.HasStorage && t.roll.Live(id, now, t.spans.Suspect) {
+		if known := t.roll.Known[id]; known.Member.HasStorage && t.roll.Live(id, now, t.spans.SuspectTimeout) {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -34,7 +34,7 @@
 func (t *Table) rank(now eventloop.Micros) (int, bool) {
 	cells := map[string]string{t.id: t.roll.Self.GetZone()}
 	for id, known := range t.roll.Known {
-		if known.Member.Role == schema.Role_ROLE_CONTROLLER && t.roll.Live(id, now, t.spans.Suspect) {
+		if known.Member.Role == schema.Role_ROLE_CONTROLLER && t.roll.Live(id, now, t.spans.SuspectTimeout) {
 			cells[id] = known.Member.Zone
 		}
 	}
@@ -133,7 +133,7 @@
 	var claimed eventloop.Micros
 	for _, id := range stores {
 		word, isKnown := t.told[id]
-		if !isKnown || now-word.at > t.spans.Suspect {
+		if !isKnown || now-word.at > t.spans.SuspectTimeout {
 			continue
 		}
 		leader := word.tell.Leaders[group]
--- a/internal/controller/members.go
+++ b/internal/controller/members.go
@@ -36,16 +36,16 @@
 // given to another. Where an empty store has come of late, it is the other.
 func (t *Table) isLost(now eventloop.Micros, id string) bool {
 	known, isKnown := t.roll.Known[id]
-	if isKnown && now-known.Heard < t.spans.Suspect {
+	if isKnown && now-known.Heard < t.spans.SuspectTimeout {
 		delete(t.gone, id)
 		return false
 	}
 	silent := t.lostFor(now, id)
 	if isKnown {
 		// Its last word is older than our notice of that.
-		silent += t.spans.Suspect
+		silent += t.spans.SuspectTimeout
 	}
-	return t.isSucceeded(now, id) || silent > t.spans.Lost || silent > t.spans.Replaced && t.hasCome(now)
+	return t.isSucceeded(now, id) || silent > t.spans.ReplaceTimeout || silent > t.spans.ReplaceByNewTimeout && t.hasCome(now)
 }
 
 // isSucceeded tells whether another store lives at a silent one's address: its
@@ -60,7 +60,7 @@
 		return false
 	}
 	for other, known := range t.roll.Known {
-		if other != id && known.Member.HasStorage && known.Member.InternalAddress == old.inner && known.Heard > old.heard && t.roll.Live(other, now, t.spans.Suspect) {
+		if other != id && known.Member.HasStorage && known.Member.InternalAddress == old.inner && known.Heard > old.heard && t.roll.Live(other, now, t.spans.SuspectTimeout) {
 			return true
 		}
 	}
@@ -78,7 +78,7 @@
 
 // hasCome tells whether a store that has never run before has come of late.
 func (t *Table) hasCome(now eventloop.Micros) bool {
-	return t.roll.Newcomer(now, t.spans.Lost, t.age(now), nil) != ""
+	return t.roll.Newcomer(now, t.spans.ReplaceTimeout, t.age(now), nil) != ""
 }
 
 // age is for how long the cluster has been there, at least: until the last grant of the
@@ -172,7 +172,7 @@
 func (t *Table) leaver(now eventloop.Micros, note *schema.QueueStatus) string {
 	// Once promoted the new one is no newcomer any more, and the leaver still to go.
 	isUnderWay := len(note.Learners) > 0 || len(note.Voters) > t.voters
-	if isUnderWay || t.roll.Newcomer(now, t.spans.Suspect, t.age(now), note.Voters) != "" {
+	if isUnderWay || t.roll.Newcomer(now, t.spans.SuspectTimeout, t.age(now), note.Voters) != "" {
 		for _, id := range note.Voters {
 			if known, isKnown := t.roll.Known[id]; isKnown && known.Member.Draining {
 				return id
@@ -185,7 +185,7 @@
 // mayLearn tells whether a store can be made a learner of a group.
 func (t *Table) mayLearn(now eventloop.Micros, note *schema.QueueStatus, id string) bool {
 	return !slices.Contains(note.Voters, id) && !slices.Contains(note.Learners, id) &&
-		t.roll.Live(id, now, t.spans.Suspect) && !t.roll.Known[id].Member.Draining && !t.roll.Refuses(id)
+		t.roll.Live(id, now, t.spans.SuspectTimeout) && !t.roll.Known[id].Member.Draining && !t.roll.Refuses(id)
 }
 
 // spare is a store to learn next, in the place of another if one is to go. Queues follow
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -17,7 +17,7 @@
 	notes := map[string]*schema.QueueStatus{}
 	for _, id := range t.stores(now) {
 		word, isKnown := t.told[id]
-		if !isKnown || now-word.at > t.spans.Suspect {
+		if !isKnown || now-word.at > t.spans.SuspectTimeout {
 			continue
 		}
 		for _, note := range word.tell.QueueStatuses {
@@ -103,7 +103,7 @@
 		word, isKnown := t.told[id]
 		// Who can't say how the cluster state stands is cut off from it, and could
 		// neither lead nor ward.
-		if !isKnown || now-word.at > t.spans.Suspect || !t.roll.Live(id, now, t.spans.Suspect) || t.roll.Known[id].Member.Draining || t.isDeposed(now, id) {
+		if !isKnown || now-word.at > t.spans.SuspectTimeout || !t.roll.Live(id, now, t.spans.SuspectTimeout) || t.roll.Known[id].Member.Draining || t.isDeposed(now, id) {
 			continue
 		}
 		list = append(list, candidate{id, t.roll.Known[id].Member.LatencyUs})
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -22,7 +22,7 @@
 			key := "gateway/" + boot.Gateway
 			known, isKnown := t.roll.Known[boot.Gateway]
 			isNewer := isKnown && known.Member.Incarnation != boot.Incarnation&(1<<32-1)
-			if isKnown && !isNewer && now-known.Heard < t.spans.Suspect {
+			if isKnown && !isNewer && now-known.Heard < t.spans.SuspectTimeout {
 				delete(t.gone, key)
 				continue
 			}
--- a/internal/mutation/members_mutants.go
+++ b/internal/mutation/members_mutants.go
@@ -37,10 +37,10 @@
 		"	if goer == \"\" || !t.canSpread() {", "	if true {"}}},
 	{Guard: "a badly placed vote is moved", Test: "internal/controller TestVotersAreSpreadOverZones", Edits: []Edit{{"internal/controller",
 		"	return t.misplaced(now, note)\n", "	return \"\"\n"}}},
-	{Guard: "a repair is over within the catch-up of the bounds", Test: "internal/timing TestSpans", Edits: []Edit{{"internal/timing",
-		"min(mostReplaced, catchUp-RepairSpan)", "mostReplaced"}}},
-	{Guard: "a former ward is waited for as long as its word may be old", Test: "internal/timing TestSpans", Edits: []Edit{{"internal/timing",
-		"s.Ward = s.Fresh + ActSpan", "s.Ward = s.Fresh"}}},
+	{Guard: "a repair is over within the catch-up of the bounds", Test: "internal/timing TestTimeouts", Edits: []Edit{{"internal/timing",
+		"min(maxReplaceByNewTimeout, catchUp-RepairDuration)", "maxReplaceByNewTimeout"}}},
+	{Guard: "a former ward is waited for as long as its word may be old", Test: "internal/timing TestTimeouts", Edits: []Edit{{"internal/timing",
+		"timeouts.FormerLeaseTimeout = timeouts.MaxStateAge + MaxLeaderStatusAge", "timeouts.FormerLeaseTimeout = timeouts.MaxStateAge"}}},
 }
 
 func init() { Mutants = append(Mutants, memberMutants...) }
--- a/internal/replica/fresh_test.go
+++ b/internal/replica/fresh_test.go
@@ -36,7 +36,7 @@
 			So(isTold, ShouldBeTrue)
 		}
 		c.isDown["a"], c.isDown["b"] = true, true
-		c.run(timing.Of(nil).Fresh + 2*eventloop.Second)
+		c.run(timing.FromBounds(nil).MaxStateAge + 2*eventloop.Second)
 		isFresh, isTold := look("c")
 		So(isFresh, ShouldBeFalse)
 		So(isTold, ShouldBeFalse)
--- a/internal/replica/maintenance.go
+++ b/internal/replica/maintenance.go
@@ -52,7 +52,7 @@
 // that was committed.
 func (t *Table) isClusterStateFresh(now eventloop.Micros) bool {
 	r := t.groups[clusterstate.Group]
-	return r != nil && r.group.FreshAsOf() > 0 && now-r.group.FreshAsOf() < t.spans.Fresh
+	return r != nil && r.group.FreshAsOf() > 0 && now-r.group.FreshAsOf() < t.spans.MaxStateAge
 }
 
 // tend proposes what a queue's leader owes to time and to the plan.
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -68,7 +68,7 @@
 type Table struct {
 	id           string
 	self         *schema.StoreIdentity
-	spans        timing.Spans
+	spans        timing.Timeouts
 	until        int64                // the controller's lease as last seen, in the cluster state's time
 	untilAt      eventloop.Micros     // and when that was
 	tolerance    membership.Tolerance // what may be lost at once
@@ -99,7 +99,7 @@
 // New makes the table from a store's content.
 func New(id string, content *storage.State, wall func() int64, times raft.Timeouts, seed uint64, now eventloop.Micros) *Table {
 	t := &Table{
-		id: id, self: content.Identity, losses: 1, spans: timing.Of(nil), wall: wall, times: times, groups: map[string]*replica{},
+		id: id, self: content.Identity, losses: 1, spans: timing.FromBounds(nil), wall: wall, times: times, groups: map[string]*replica{},
 		clusterState: clusterstate.New(), applied: map[string]*schema.SubmitResponse{}, plansTold: map[string]planTold{},
 	}
 	hash := fnv.New64a()
@@ -116,7 +116,7 @@
 
 // Bind sets what the deployment promises and asks; nil or zero: the defaults.
 func (t *Table) Bind(bounds *schema.Bounds) *Table {
-	t.spans = timing.Of(bounds)
+	t.spans = timing.FromBounds(bounds)
 	return t
 }
 
--- a/internal/replica/voters_test.go
+++ b/internal/replica/voters_test.go
@@ -69,7 +69,7 @@
 		So(learners("d"), ShouldResemble, []string{"d"})
 		// It still leads the queue with the third store, but hears nothing of the cluster state.
 		c.isCut = func(from, to string) bool { return from == lead && to == leader || from == leader && to == lead }
-		c.run(timing.Of(nil).Fresh + 100*eventloop.Millisecond)
+		c.run(timing.FromBounds(nil).MaxStateAge + 100*eventloop.Millisecond)
 		So(c.leader("l"), ShouldEqual, leader)
 		So(c.tables[leader].clusterState.IsController(lease), ShouldBeTrue)
 		So(learners("e"), ShouldResemble, []string{"d"})
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -19,7 +19,7 @@
 
 const (
 	silentSpan   = eventloop.Second             // no order to a worker not heard for this long
-	actSpan      = timing.ActSpan               // how old a leader's word may be for an order to leave
+	actSpan      = timing.MaxLeaderStatusAge    // how old a leader's word may be for an order to leave
 	holdSpan     = 400 * eventloop.Millisecond  // how long an announce is held back at most
 	endSpan      = 300 * eventloop.Millisecond  // a report that isn't settled is passed on again
 	reserveSpan  = 3 * eventloop.Second         // a checkout that was never heard of is given up
@@ -184,7 +184,7 @@
 		t.passReports(now, w, out)
 		// Whoever warded it before us may have answered it a little longer
 		// than we know.
-		last := max(w.answered, w.since+timing.Of(t.bounds).Ward)
+		last := max(w.answered, w.since+timing.FromBounds(t.bounds).FormerLeaseTimeout)
 		// Who isn't sure of being the ward may have a successor that the worker
 		// answers to.
 		if now-w.heard > silentSpan && now-last > lease && t.isSure(now) {
--- a/internal/sim/members_test.go
+++ b/internal/sim/members_test.go
@@ -274,7 +274,7 @@
 		c.pass(eventloop.Second)
 		c.leave(victim, other)
 		return began
-	}, further: timing.RepairSpan},
+	}, further: timing.RepairDuration},
 	{name: "restarted", lose: func(c *core, victim *Host) eventloop.Micros {
 		victim.Kill()
 		c.pass(500 * eventloop.Millisecond)
