--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -175,7 +175,7 @@
 			real.Stop()
 			return next, nil
 		case got := <-signals:
-			if !isWarning(got, log, ring.Spill) {
+			if !isWarning(got, log, ring.Flush) {
 				continue
 			}
 			log.Info("warned", zap.String("signal", got.String()))
@@ -209,7 +209,7 @@
 		for {
 			select {
 			case got := <-signals:
-				if isWarning(got, log, ring.Spill) {
+				if isWarning(got, log, ring.Flush) {
 					cancel()
 				}
 			case <-ctx.Done():
--- a/internal/logring/logring.go
+++ b/internal/logring/logring.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-const ringLines = 2048
+const maxLines = 2048
 
 // Ring is the log's memory.
 type Ring struct {
@@ -29,7 +29,7 @@
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(config), ring, zapcore.DebugLevel)
 	logger := zap.New(core, zap.Hooks(func(entry zapcore.Entry) error {
 		if entry.Level >= zapcore.ErrorLevel {
-			return ring.Spill()
+			return ring.Flush()
 		}
 		return nil
 	}))
@@ -40,12 +40,12 @@
 func (r *Ring) Write(line []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	kept := append([]byte(nil), line...)
-	if len(r.lines) < ringLines {
-		r.lines = append(r.lines, kept)
+	copied := append([]byte(nil), line...)
+	if len(r.lines) < maxLines {
+		r.lines = append(r.lines, copied)
 	} else {
-		r.lines[r.next] = kept
-		r.next = (r.next + 1) % ringLines
+		r.lines[r.next] = copied
+		r.next = (r.next + 1) % maxLines
 	}
 	return len(line), nil
 }
@@ -53,8 +53,8 @@
 // Sync implements zapcore.WriteSyncer; what is in memory needs none.
 func (r *Ring) Sync() error { return nil }
 
-// Spill writes the ring out, oldest line first, and empties it.
-func (r *Ring) Spill() error {
+// Flush writes the ring out, oldest line first, and empties it.
+func (r *Ring) Flush() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var sink io.Writer = os.Stderr
