--- a/cmd/sparnotchctl/plan.go
+++ b/cmd/sparnotchctl/plan.go
@@ -127,7 +127,7 @@
 		complain("%s: %v", set.Arg(0), err)
 		return nil, exitTurnedAway
 	}
-	if fault := clusterstate.CheckRows(sheet.Rows); fault != nil {
+	if fault := clusterstate.ValidateRows(sheet.Rows); fault != nil {
 		complain("%s: %s [%s]", set.Arg(0), fault.Message, fault.Field)
 		return nil, exitTurnedAway
 	}
@@ -349,6 +349,6 @@
 func (*planForm) Usage() string          { return "sparnotchctl plan-form\n" }
 func (*planForm) SetFlags(*flag.FlagSet) {}
 func (*planForm) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	fmt.Println(strings.Join(clusterstate.Form(), "\n"))
+	fmt.Println(strings.Join(clusterstate.DescribeKeys(), "\n"))
 	return subcommands.ExitSuccess
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -375,7 +375,7 @@
 
 // takeWard takes over what the cluster state says of the worker's ward.
 func (t *Table) takeWard(l *life) {
-	ward := clusterstate.WardOf(t.state, l.worker)
+	ward := clusterstate.FindWorkerLease(t.state, l.worker)
 	if ward == nil || ward.FencingToken < l.fence {
 		return
 	}
@@ -412,7 +412,7 @@
 }
 
 func (t *Table) meet(now eventloop.Micros, l *life, out eventloop.Effects) {
-	if t.state.Version == 0 || t.leader == "" || l.metAt > 0 && now-l.metAt < meetSpan || clusterstate.WardOf(t.state, l.worker) != nil {
+	if t.state.Version == 0 || t.leader == "" || l.metAt > 0 && now-l.metAt < meetSpan || clusterstate.FindWorkerLease(t.state, l.worker) != nil {
 		return
 	}
 	l.metAt = now
--- a/internal/clusterstate/clusterstate.go
+++ b/internal/clusterstate/clusterstate.go
@@ -17,58 +17,58 @@
 // Group is the name of the system's own group.
 const Group = "clusterstate"
 
-// LeaseUs is how long a controller's lease lasts in the group's time.
-const LeaseUs = 2_000_000
+// ControllerLeaseUs is how long a controller's lease lasts in the group's time.
+const ControllerLeaseUs = 2_000_000
 
 // What the cluster state keeps of the past is bounded, for the whole of it is its
 // checkpoint: of old plans the rows, of editions only what tells them apart.
 const (
-	keptPlans    = 20
-	keptBytes    = 512 << 10 // of all old plans but the last
-	keptEditions = 1024      // changes whose resend is known again
-	maxDocument  = 256 << 10
-	digestBytes  = 16
+	maxHistory           = 20
+	maxHistoryBytes      = 512 << 10 // of all old plans but the last
+	maxRememberedUpdates = 1024      // changes whose resend is known again
+	maxDocumentBytes     = 256 << 10
+	digestBytes          = 16
 )
 
 // Result is what a command came to, in HTTP's numbers.
 type Result struct {
-	Code  int32
-	Fault *schema.Error
-	Lease uint64
-	Plan  *schema.Configuration
+	Code          int32
+	Error         *schema.Error
+	FencingToken  uint64
+	Configuration *schema.Configuration
 }
 
-// Machine is the cluster state's state.
-type Machine struct {
-	state     *schema.ClusterState
-	isChanged bool // by the command in hand; renewals change nothing others need
-	values    *Values
-	read      *schema.Configuration // of which the values and the bare plan were made
-	bare      *schema.Configuration
-	packed    []byte                // rows of a plan as they are told
-	packedOf  *schema.Configuration // and of which
+// StateMachine is the cluster state's state.
+type StateMachine struct {
+	state           *schema.ClusterState
+	changed         bool // by the command in hand; renewals change nothing others need
+	values          *Values
+	parsedFrom      *schema.Configuration // of which the values and the bare plan were made
+	withoutDocument *schema.Configuration
+	compressedRows  []byte                // rows of a plan as they are told
+	compressedFrom  *schema.Configuration // and of which
 }
 
 // New makes an empty cluster state; Restore one from a checkpoint.
-func New() *Machine {
-	return &Machine{state: &schema.ClusterState{Configuration: &schema.Configuration{}, ControllerLease: &schema.ControllerLease{}, NextToken: 1}}
+func New() *StateMachine {
+	return &StateMachine{state: &schema.ClusterState{Configuration: &schema.Configuration{}, ControllerLease: &schema.ControllerLease{}, NextToken: 1}}
 }
 
 // Restore makes the cluster state that a snapshot holds; none is an empty one.
-func Restore(data []byte) (*Machine, error) {
+func Restore(data []byte) (*StateMachine, error) {
 	m := New()
 	if len(data) == 0 {
 		return m, nil
 	}
-	whole, err := Unpack(data)
+	decompressed, err := Decompress(data)
 	if err != nil {
 		return m, err
 	}
-	return m, proto.Unmarshal(whole, m.state)
+	return m, proto.Unmarshal(decompressed, m.state)
 }
 
-// Rest encodes the state.
-func (m *Machine) Rest() []byte {
+// Snapshot encodes the state.
+func (m *StateMachine) Snapshot() []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m.state)
 	if err != nil {
 		panic("cluster state: state can't be encoded: " + err.Error())
@@ -77,59 +77,59 @@
 }
 
 // State is a copy that may be handed to others.
-func (m *Machine) State() *schema.ClusterState {
+func (m *StateMachine) State() *schema.ClusterState {
 	return proto.Clone(m.state).(*schema.ClusterState)
 }
 
-// Plan is the plan with its document, not to be changed.
-func (m *Machine) Plan() *schema.Configuration { return m.state.Configuration }
+// Configuration is the plan with its document, not to be changed.
+func (m *StateMachine) Configuration() *schema.Configuration { return m.state.Configuration }
 
 // History is the old plans, the oldest first, not to be changed.
-func (m *Machine) History() []*schema.Configuration { return m.state.PreviousConfigurations }
+func (m *StateMachine) History() []*schema.Configuration { return m.state.PreviousConfigurations }
 
 // Values are the plan's weights and limits.
-func (m *Machine) Values() *Values {
-	m.readPlan()
+func (m *StateMachine) Values() *Values {
+	m.refreshParsed()
 	return m.values
 }
 
-// Copy is what every process carries. It goes out whole with each change, so
+// SharedState is what every process carries. It goes out whole with each change, so
 // what only readers of the plan ask for isn't in it: document, history, and the
 // editions taken. The plan in it is the same as long as the plan is.
-func (m *Machine) Copy() *schema.ClusterState {
-	m.readPlan()
-	s := m.state
-	shown := &schema.ClusterState{Version: s.Version, Configuration: m.bare, Voters: s.Voters, NowUs: s.NowUs, NextToken: s.NextToken}
-	shown.ControllerLease = proto.Clone(s.ControllerLease).(*schema.ControllerLease)
-	for _, place := range s.Queues {
-		shown.Queues = append(shown.Queues, proto.Clone(place).(*schema.QueuePlacement))
+func (m *StateMachine) SharedState() *schema.ClusterState {
+	m.refreshParsed()
+	state := m.state
+	shared := &schema.ClusterState{Version: state.Version, Configuration: m.withoutDocument, Voters: state.Voters, NowUs: state.NowUs, NextToken: state.NextToken}
+	shared.ControllerLease = proto.Clone(state.ControllerLease).(*schema.ControllerLease)
+	for _, placement := range state.Queues {
+		shared.Queues = append(shared.Queues, proto.Clone(placement).(*schema.QueuePlacement))
 	}
-	for _, ward := range s.WorkerLeases {
-		shown.WorkerLeases = append(shown.WorkerLeases, proto.Clone(ward).(*schema.WorkerLease))
+	for _, lease := range state.WorkerLeases {
+		shared.WorkerLeases = append(shared.WorkerLeases, proto.Clone(lease).(*schema.WorkerLease))
 	}
-	return shown
+	return shared
 }
 
-func (m *Machine) readPlan() {
-	if m.values == nil || m.read != m.state.Configuration {
-		m.read, m.values, m.bare = m.state.Configuration, Read(m.state.Configuration), Bare(m.state.Configuration)
+func (m *StateMachine) refreshParsed() {
+	if m.values == nil || m.parsedFrom != m.state.Configuration {
+		m.parsedFrom, m.values, m.withoutDocument = m.state.Configuration, ParseValues(m.state.Configuration), WithoutDocument(m.state.Configuration)
 	}
 }
 
-// Bare is a plan without its document.
-func Bare(plan *schema.Configuration) *schema.Configuration {
-	return &schema.Configuration{Revision: plan.GetRevision(), Rows: plan.GetRows(), Version: plan.GetVersion()}
+// WithoutDocument is a plan without its document.
+func WithoutDocument(configuration *schema.Configuration) *schema.Configuration {
+	return &schema.Configuration{Revision: configuration.GetRevision(), Rows: configuration.GetRows(), Version: configuration.GetVersion()}
 }
 
-// ControllerUntil is when the controller's lease ends, in the group's time.
-func (m *Machine) ControllerUntil() int64 { return m.state.ControllerLease.GetExpiresUs() }
+// ControllerLeaseExpiry is when the controller's lease ends, in the group's time.
+func (m *StateMachine) ControllerLeaseExpiry() int64 { return m.state.ControllerLease.GetExpiresUs() }
 
 // Version goes up by one with each change of the cluster state.
-func (m *Machine) Version() uint64 { return m.state.Version }
+func (m *StateMachine) Version() uint64 { return m.state.Version }
 
 // Apply takes one record's command.
-func (m *Machine) Apply(at int64, data []byte) (*Result, error) {
-	command, err := ReadCommand(data)
+func (m *StateMachine) Apply(at int64, data []byte) (*Result, error) {
+	command, err := DecodeCommand(data)
 	if err != nil {
 		return nil, err
 	}
@@ -139,159 +139,159 @@
 	var result *Result
 	switch body := command.Body.(type) {
 	case *schema.ClusterStateCommand_UpdateConfiguration:
-		result = m.put(body.UpdateConfiguration.Update)
+		result = m.replaceConfiguration(body.UpdateConfiguration.Update)
 	case *schema.ClusterStateCommand_ClaimControllerLease:
-		result = m.claim(body.ClaimControllerLease.Holder)
+		result = m.claimLease(body.ClaimControllerLease.Holder)
 	case *schema.ClusterStateCommand_PlaceQueues:
 		result = m.placeQueues(body.PlaceQueues)
 	case *schema.ClusterStateCommand_AssignWorkers:
-		result = m.moveWards(body.AssignWorkers)
+		result = m.assignWorkers(body.AssignWorkers)
 	case *schema.ClusterStateCommand_RegisterWorker:
-		result = m.meet(body.RegisterWorker.Worker)
+		result = m.registerWorker(body.RegisterWorker.Worker)
 	default:
 		result = &Result{Code: 400}
 	}
-	if m.isChanged {
+	if m.changed {
 		m.state.Version++
-		m.isChanged = false
+		m.changed = false
 	}
 	return result, nil
 }
 
-func (m *Machine) next() uint64 {
+func (m *StateMachine) nextToken() uint64 {
 	m.state.NextToken++
 	return m.state.NextToken - 1
 }
 
-func (m *Machine) claim(id string) *Result {
-	s := m.state.ControllerLease
-	isFree := s.Holder == "" || s.ExpiresUs <= m.state.NowUs
-	if s.Holder != id && !isFree {
-		return &Result{Code: 409, Fault: &schema.Error{Code: "controller_taken", Message: "another controller holds the lease"}}
+func (m *StateMachine) claimLease(id string) *Result {
+	current := m.state.ControllerLease
+	expired := current.Holder == "" || current.ExpiresUs <= m.state.NowUs
+	if current.Holder != id && !expired {
+		return &Result{Code: 409, Error: &schema.Error{Code: "controller_taken", Message: "another controller holds the lease"}}
 	}
-	lease := s.FencingToken
+	token := current.FencingToken
 	// Whoever let it lapse gets a new one: what it sent under the old one may
 	// still be on its way.
-	if s.Holder != id || isFree {
-		lease = m.next()
-		m.isChanged = true
+	if current.Holder != id || expired {
+		token = m.nextToken()
+		m.changed = true
 	}
-	m.state.ControllerLease = &schema.ControllerLease{Holder: id, FencingToken: lease, ExpiresUs: m.state.NowUs + LeaseUs}
-	return &Result{Code: 200, Lease: lease}
+	m.state.ControllerLease = &schema.ControllerLease{Holder: id, FencingToken: token, ExpiresUs: m.state.NowUs + ControllerLeaseUs}
+	return &Result{Code: 200, FencingToken: token}
 }
 
-// IsController tells whether a lease is the current one and hasn't run out.
-func (m *Machine) IsController(lease uint64) bool {
-	s := m.state.ControllerLease
-	return s.FencingToken == lease && lease != 0 && s.ExpiresUs > m.state.NowUs
+// HoldsControllerLease tells whether a lease is the current one and hasn't run out.
+func (m *StateMachine) HoldsControllerLease(lease uint64) bool {
+	current := m.state.ControllerLease
+	return current.FencingToken == lease && lease != 0 && current.ExpiresUs > m.state.NowUs
 }
 
-func fenced() *Result {
-	return &Result{Code: 403, Fault: &schema.Error{Code: "lease_over", Message: "the controller lease is not the current one"}}
+func staleLease() *Result {
+	return &Result{Code: 403, Error: &schema.Error{Code: "lease_over", Message: "the controller lease is not the current one"}}
 }
 
-func (m *Machine) placeQueues(c *schema.PlaceQueues) *Result {
-	if !m.IsController(c.FencingToken) {
-		return fenced()
+func (m *StateMachine) placeQueues(command *schema.PlaceQueues) *Result {
+	if !m.HoldsControllerLease(command.FencingToken) {
+		return staleLease()
 	}
 	values := m.Values()
-	for _, name := range c.Removed {
-		for k, place := range m.state.Queues {
+	for _, removed := range command.Removed {
+		for k, placement := range m.state.Queues {
 			// A queue that has rows again was wanted back meanwhile.
-			if isMeant(place, name) && !values.HasQueue(place.Queue) {
+			if matchesQueue(placement, removed) && !values.HasQueue(placement.Queue) {
 				m.state.Queues = append(m.state.Queues[:k:k], m.state.Queues[k+1:]...)
-				m.isChanged = true
+				m.changed = true
 				break
 			}
 		}
 	}
-	for _, wanted := range c.Queues {
-		if place := Place(m.state, wanted.Queue); place != nil {
-			m.isChanged = m.isChanged || place.PreferredLeader != wanted.PreferredLeader
-			place.PreferredLeader = wanted.PreferredLeader
+	for _, wanted := range command.Queues {
+		if placement := FindQueue(m.state, wanted.Queue); placement != nil {
+			m.changed = m.changed || placement.PreferredLeader != wanted.PreferredLeader
+			placement.PreferredLeader = wanted.PreferredLeader
 			continue
 		}
 		if values.HasQueue(wanted.Queue) && len(wanted.InitialVoters) > 0 {
-			m.isChanged = true
-			m.state.Queues = slices.Insert(m.state.Queues, queueAt(m.state.Queues, wanted.Queue), &schema.QueuePlacement{
-				Queue: wanted.Queue, Generation: m.next(), InitialVoters: wanted.InitialVoters, PreferredLeader: wanted.PreferredLeader,
+			m.changed = true
+			m.state.Queues = slices.Insert(m.state.Queues, searchQueue(m.state.Queues, wanted.Queue), &schema.QueuePlacement{
+				Queue: wanted.Queue, Generation: m.nextToken(), InitialVoters: wanted.InitialVoters, PreferredLeader: wanted.PreferredLeader,
 			})
 		}
 	}
 	return &Result{Code: 200}
 }
 
-// isMeant tells whether a queue that is to go is this one. The word of it may come
+// matchesQueue tells whether a queue that is to go is this one. The word of it may come
 // late, when a queue of that name has been made anew: that is another one. Logs of
 // older programs have the bare name.
-func isMeant(place *schema.QueuePlacement, name string) bool {
-	return name == place.Queue || name == place.Queue+"#"+strconv.FormatUint(place.Generation, 10)
+func matchesQueue(placement *schema.QueuePlacement, name string) bool {
+	return name == placement.Queue || name == placement.Queue+"#"+strconv.FormatUint(placement.Generation, 10)
 }
 
-func (m *Machine) moveWards(c *schema.AssignWorkers) *Result {
-	if !m.IsController(c.FencingToken) {
-		return fenced()
+func (m *StateMachine) assignWorkers(command *schema.AssignWorkers) *Result {
+	if !m.HoldsControllerLease(command.FencingToken) {
+		return staleLease()
 	}
-	for _, wanted := range c.WorkerLeases {
-		ward := WardOf(m.state, wanted.Worker)
+	for _, wanted := range command.WorkerLeases {
+		lease := FindWorkerLease(m.state, wanted.Worker)
 		switch {
-		case ward == nil:
-			m.isChanged = true
-			m.addWard(wanted.Worker, wanted.Scheduler)
-		case ward.Scheduler != wanted.Scheduler:
-			m.isChanged = true
-			ward.Scheduler, ward.FencingToken = wanted.Scheduler, m.next()
+		case lease == nil:
+			m.changed = true
+			m.insertWorkerLease(wanted.Worker, wanted.Scheduler)
+		case lease.Scheduler != wanted.Scheduler:
+			m.changed = true
+			lease.Scheduler, lease.FencingToken = wanted.Scheduler, m.nextToken()
 		}
 	}
 	return &Result{Code: 200}
 }
 
 // Queues and wards are listed by name.
-func queueAt(list []*schema.QueuePlacement, queue string) int {
-	return sort.Search(len(list), func(k int) bool { return list[k].Queue >= queue })
+func searchQueue(placements []*schema.QueuePlacement, queue string) int {
+	return sort.Search(len(placements), func(k int) bool { return placements[k].Queue >= queue })
 }
 
-func wardAt(list []*schema.WorkerLease, worker string) int {
-	return sort.Search(len(list), func(k int) bool { return list[k].Worker >= worker })
+func searchWorkerLease(leases []*schema.WorkerLease, worker string) int {
+	return sort.Search(len(leases), func(k int) bool { return leases[k].Worker >= worker })
 }
 
-func (m *Machine) addWard(worker, scheduler string) {
-	m.state.WorkerLeases = slices.Insert(m.state.WorkerLeases, wardAt(m.state.WorkerLeases, worker), &schema.WorkerLease{Worker: worker, Scheduler: scheduler, FencingToken: m.next()})
+func (m *StateMachine) insertWorkerLease(worker, scheduler string) {
+	m.state.WorkerLeases = slices.Insert(m.state.WorkerLeases, searchWorkerLease(m.state.WorkerLeases, worker), &schema.WorkerLease{Worker: worker, Scheduler: scheduler, FencingToken: m.nextToken()})
 }
 
-// meet gives a new worker to the scheduler that wards most, so that it can work
+// registerWorker gives a new worker to the scheduler that wards most, so that it can work
 // before a controller looks.
-func (m *Machine) meet(worker string) *Result {
-	if WardOf(m.state, worker) != nil {
+func (m *StateMachine) registerWorker(worker string) *Result {
+	if FindWorkerLease(m.state, worker) != nil {
 		return &Result{Code: 200}
 	}
 	counts := map[string]int{}
-	best := ""
-	for _, ward := range m.state.WorkerLeases {
-		counts[ward.Scheduler]++
-		if ward.Scheduler != "" && (best == "" || counts[ward.Scheduler] > counts[best]) {
-			best = ward.Scheduler
+	scheduler := ""
+	for _, lease := range m.state.WorkerLeases {
+		counts[lease.Scheduler]++
+		if lease.Scheduler != "" && (scheduler == "" || counts[lease.Scheduler] > counts[scheduler]) {
+			scheduler = lease.Scheduler
 		}
 	}
-	m.isChanged = true
-	m.addWard(worker, best)
+	m.changed = true
+	m.insertWorkerLease(worker, scheduler)
 	return &Result{Code: 200}
 }
 
-// Place finds a queue's place; the cluster state lists them by name.
-func Place(state *schema.ClusterState, queue string) *schema.QueuePlacement {
-	list := state.GetQueues()
-	if at := queueAt(list, queue); at < len(list) && list[at].Queue == queue {
-		return list[at]
+// FindQueue finds a queue's place; the cluster state lists them by name.
+func FindQueue(state *schema.ClusterState, queue string) *schema.QueuePlacement {
+	placements := state.GetQueues()
+	if at := searchQueue(placements, queue); at < len(placements) && placements[at].Queue == queue {
+		return placements[at]
 	}
 	return nil
 }
 
-// WardOf finds a worker's ward; the cluster state lists them by name.
-func WardOf(state *schema.ClusterState, worker string) *schema.WorkerLease {
-	list := state.GetWorkerLeases()
-	if at := wardAt(list, worker); at < len(list) && list[at].Worker == worker {
-		return list[at]
+// FindWorkerLease finds a worker's ward; the cluster state lists them by name.
+func FindWorkerLease(state *schema.ClusterState, worker string) *schema.WorkerLease {
+	leases := state.GetWorkerLeases()
+	if at := searchWorkerLease(leases, worker); at < len(leases) && leases[at].Worker == worker {
+		return leases[at]
 	}
 	return nil
 }
--- a/internal/clusterstate/plan.go
+++ b/internal/clusterstate/configuration.go
@@ -11,15 +11,15 @@
 )
 
 // A key is one weight or limit of the plan.
-type key struct {
-	kind, name  string
-	usual       int64
-	least, most int64
-	why         string
+type numberKey struct {
+	kind, name   string
+	defaultValue int64
+	min, max     int64
+	help         string
 }
 
-// keys is the whole form of the plan: what isn't here is turned away.
-var keys = []key{
+// numberKeys is the whole form of the plan: what isn't here is turned away.
+var numberKeys = []numberKey{
 	{"fleet", "status_s", 150, 120, 86_400, "how long an ended job can be asked for"},
 	{"fleet", "window", 1024, 1, 65_536, "unapplied submissions a client may have at one front"},
 	{"fleet", "cache_every", 64, 1, 65_536, "enqueues between two cached checkpoints"},
@@ -49,52 +49,52 @@
 
 // A textKey is a key whose value is a text; where no row states it, it is empty.
 type textKey struct {
-	kind, name string
-	form       *regexp.Regexp
-	most       int // bytes
-	what, why  string
+	kind, name   string
+	pattern      *regexp.Regexp
+	maxBytes     int // bytes
+	format, help string
 }
 
 // textKeys are the rest of the form.
 var textKeys = []textKey{
-	{"queue", "pool", poolForm, 63, "the name of a pool", "whose workers take the queue's work; without: those of no pool"},
+	{"queue", "pool", poolPattern, 63, "the name of a pool", "whose workers take the queue's work; without: those of no pool"},
 	{"queue", "host", regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9._-]*[A-Za-z0-9])?$`), 253, "a host's name, without a port", "with prefix the queue's entry; without: any host"},
 	{"queue", "prefix", regexp.MustCompile(`^/[^\x00-\x20?#\x7f]*$`), 256, "the beginning of a path", "with host the queue's entry: the longest that fits counts"},
 }
 
 var (
-	keyOf     = map[[2]string]*key{}
-	textKeyOf = map[[2]string]*textKey{}
+	numberKeyIndex = map[[2]string]*numberKey{}
+	textKeyIndex   = map[[2]string]*textKey{}
 )
 
 func init() {
-	for k := range keys {
-		keyOf[[2]string{keys[k].kind, keys[k].name}] = &keys[k]
+	for k := range numberKeys {
+		numberKeyIndex[[2]string{numberKeys[k].kind, numberKeys[k].name}] = &numberKeys[k]
 	}
 	for k := range textKeys {
-		textKeyOf[[2]string{textKeys[k].kind, textKeys[k].name}] = &textKeys[k]
+		textKeyIndex[[2]string{textKeys[k].kind, textKeys[k].name}] = &textKeys[k]
 	}
 }
 
-func findKey(kind, name string) *key { return keyOf[[2]string{kind, name}] }
+func findNumberKey(kind, name string) *numberKey { return numberKeyIndex[[2]string{kind, name}] }
 
-func findTextKey(kind, name string) *textKey { return textKeyOf[[2]string{kind, name}] }
+func findTextKey(kind, name string) *textKey { return textKeyIndex[[2]string{kind, name}] }
 
-var poolForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+var poolPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// GoodName tells whether a queue, rack or worker may be called so.
-func GoodName(name string) bool { return nameForm.MatchString(name) }
+// IsValidName tells whether a queue, rack or worker may be called so.
+func IsValidName(name string) bool { return namePattern.MatchString(name) }
 
-// GoodPool tells whether a pool may be called so.
-func GoodPool(name string) bool { return poolForm.MatchString(name) }
+// IsValidPoolName tells whether a pool may be called so.
+func IsValidPoolName(name string) bool { return poolPattern.MatchString(name) }
 
 // maxRows holds 2000 queues that state every key.
 const maxRows = 40_000
 
-// CheckRows finds the first row that can't be taken.
-func CheckRows(rows []*schema.ConfigurationRow) *schema.Error {
+// ValidateRows finds the first row that can't be taken.
+func ValidateRows(rows []*schema.ConfigurationRow) *schema.Error {
 	fault := func(at int, field, form string, args ...any) *schema.Error {
 		return &schema.Error{Code: "bad_row", Field: fmt.Sprintf("rows[%d].%s", at, field), Message: fmt.Sprintf("row %d: ", at+1) + fmt.Sprintf(form, args...)}
 	}
@@ -110,14 +110,14 @@
 				return fault(at, "name", "a fleet row has no name, this one says %q", row.Name)
 			}
 		case "queue", "rack":
-			if !GoodName(row.Name) {
+			if !IsValidName(row.Name) {
 				return fault(at, "name", "%q is no name: lower-case letters, digits, '.', '_' and '-', at most 63", row.Name)
 			}
 			if row.Kind == "queue" && row.Name == Group {
 				return fault(at, "name", "%q is the system's own group", row.Name)
 			}
 		case "pool":
-			if !GoodPool(row.Name) {
+			if !IsValidPoolName(row.Name) {
 				return fault(at, "name", "%q is no name of a pool: letters, digits, '.', '_' and '-', at most 63", row.Name)
 			}
 			pools[row.Name] = true
@@ -125,11 +125,11 @@
 			return fault(at, "kind", "%q is neither fleet, queue, rack nor pool", row.GetKind())
 		}
 		if text := findTextKey(row.Kind, row.Key); text != nil {
-			if len(row.Value) > text.most || !text.form.MatchString(row.Value) {
-				return fault(at, "value", "%q is not %s, at most %d bytes", row.Value, text.what, text.most)
+			if len(row.Value) > text.maxBytes || !text.pattern.MatchString(row.Value) {
+				return fault(at, "value", "%q is not %s, at most %d bytes", row.Value, text.format, text.maxBytes)
 			}
 		} else {
-			k := findKey(row.Kind, row.Key)
+			k := findNumberKey(row.Kind, row.Key)
 			if k == nil {
 				return fault(at, "key", "%q is no key of kind %s", row.Key, row.Kind)
 			}
@@ -137,8 +137,8 @@
 			if err != nil {
 				return fault(at, "value", "%q is no whole number", row.Value)
 			}
-			if value < k.least || value > k.most {
-				return fault(at, "value", "%s must lie between %d and %d", row.Key, k.least, k.most)
+			if value < k.min || value > k.max {
+				return fault(at, "value", "%s must lie between %d and %d", row.Key, k.min, k.max)
 			}
 		}
 		id := [3]string{row.Kind, row.Name, row.Key}
@@ -147,16 +147,16 @@
 		}
 		seen[id] = true
 	}
-	return checkEntries(rows, pools, fault)
+	return validateRoutes(rows, pools, fault)
 }
 
-// checkEntries finds queues of no known pool, and two that are entered the same way.
-func checkEntries(rows []*schema.ConfigurationRow, pools map[string]bool, fault func(at int, field, form string, args ...any) *schema.Error) *schema.Error {
-	type place struct {
-		entry
+// validateRoutes finds queues of no known pool, and two that are entered the same way.
+func validateRoutes(rows []*schema.ConfigurationRow, pools map[string]bool, fault func(at int, field, form string, args ...any) *schema.Error) *schema.Error {
+	type located struct {
+		route
 		at int
 	}
-	entries := map[string]*place{}
+	routes := map[string]*located{}
 	var names []string
 	for at, row := range rows {
 		if row.Kind != "queue" {
@@ -168,28 +168,28 @@
 				return fault(at, "value", "no row names a pool %q", row.Value)
 			}
 		case "host", "prefix":
-			if entries[row.Name] == nil {
-				entries[row.Name] = &place{entry: entry{queue: row.Name}}
+			if routes[row.Name] == nil {
+				routes[row.Name] = &located{route: route{queue: row.Name}}
 				names = append(names, row.Name)
 			}
-			entries[row.Name].set(row)
-			entries[row.Name].at = at
+			routes[row.Name].setRow(row)
+			routes[row.Name].at = at
 		}
 	}
 	seen := map[[2]string]string{}
 	for _, name := range names {
-		each := entries[name]
-		id := [2]string{each.host, each.path()}
+		candidate := routes[name]
+		id := [2]string{candidate.host, candidate.pathPrefix()}
 		if other, isTaken := seen[id]; isTaken {
-			return fault(each.at, "value", "queues %s and %s have the same host and prefix", other, name)
+			return fault(candidate.at, "value", "queues %s and %s have the same host and prefix", other, name)
 		}
 		seen[id] = name
 	}
 	return nil
 }
 
-// lines are rows in an order of their own.
-func lines(rows []*schema.ConfigurationRow) []string {
+// canonicalRows are rows in an order of their own.
+func canonicalRows(rows []*schema.ConfigurationRow) []string {
 	var list []string
 	for _, row := range rows {
 		list = append(list, row.Kind+"\x00"+row.Name+"\x00"+row.Key+"\x00"+row.Value)
@@ -198,12 +198,12 @@
 	return list
 }
 
-// SameRows tells whether two sheets say the same, in whatever order.
-func SameRows(a, b []*schema.ConfigurationRow) bool {
+// EqualRows tells whether two sheets say the same, in whatever order.
+func EqualRows(a, b []*schema.ConfigurationRow) bool {
 	if len(a) != len(b) {
 		return false
 	}
-	x, y := lines(a), lines(b)
+	x, y := canonicalRows(a), canonicalRows(b)
 	for k := range x {
 		if x[k] != y[k] {
 			return false
@@ -213,11 +213,11 @@
 }
 
 // An entry is how a queue is found by the host and path a caller names.
-type entry struct {
+type route struct {
 	queue, host, prefix string
 }
 
-func (e *entry) set(row *schema.ConfigurationRow) {
+func (e *route) setRow(row *schema.ConfigurationRow) {
 	switch row.Key {
 	case "host":
 		e.host = strings.ToLower(row.Value)
@@ -226,8 +226,8 @@
 	}
 }
 
-// path is what a path begins with: a host alone is entered by every path.
-func (e *entry) path() string {
+// pathPrefix is what a path begins with: a host alone is entered by every path.
+func (e *route) pathPrefix() string {
 	if e.prefix == "" {
 		return "/"
 	}
@@ -236,63 +236,63 @@
 
 // Values are a plan's weights and limits, read once.
 type Values struct {
-	set     map[[3]string]int64
-	texts   map[[3]string]string
-	queues  map[string]bool
-	names   []string           // of queues, sorted
-	entries map[string][]entry // by host, the longest prefix first
-	of      uint64             // generation of the plan; 0: none that could be known again
+	numbers      map[[3]string]int64
+	texts        map[[3]string]string
+	queueSet     map[string]bool
+	queueNames   []string           // of queues, sorted
+	routesByHost map[string][]route // by host, the longest prefix first
+	revision     uint64             // generation of the plan; 0: none that could be known again
 }
 
-// Renew gives a plan's values: the same ones while it is the same plan, for the
+// Refresh gives a plan's values: the same ones while it is the same plan, for the
 // cluster state changes more often than its plan.
-func (v *Values) Renew(plan *schema.Configuration) *Values {
-	if v.of > 0 && v.of == plan.GetRevision() {
+func (v *Values) Refresh(configuration *schema.Configuration) *Values {
+	if v.revision > 0 && v.revision == configuration.GetRevision() {
 		return v
 	}
-	return Read(plan)
+	return ParseValues(configuration)
 }
 
-// Read makes a plan's values.
-func Read(plan *schema.Configuration) *Values {
-	v := &Values{set: map[[3]string]int64{}, texts: map[[3]string]string{}, queues: map[string]bool{}, entries: map[string][]entry{}, of: plan.GetRevision()}
-	entries := map[string]*entry{}
-	for _, row := range plan.GetRows() {
-		if row.Kind == "queue" && !v.queues[row.Name] {
-			v.queues[row.Name] = true
-			v.names = append(v.names, row.Name)
+// ParseValues makes a plan's values.
+func ParseValues(configuration *schema.Configuration) *Values {
+	v := &Values{numbers: map[[3]string]int64{}, texts: map[[3]string]string{}, queueSet: map[string]bool{}, routesByHost: map[string][]route{}, revision: configuration.GetRevision()}
+	routes := map[string]*route{}
+	for _, row := range configuration.GetRows() {
+		if row.Kind == "queue" && !v.queueSet[row.Name] {
+			v.queueSet[row.Name] = true
+			v.queueNames = append(v.queueNames, row.Name)
 		}
 		if findTextKey(row.Kind, row.Key) != nil {
 			v.texts[[3]string{row.Kind, row.Name, row.Key}] = row.Value
 			if row.Kind == "queue" && (row.Key == "host" || row.Key == "prefix") {
-				if entries[row.Name] == nil {
-					entries[row.Name] = &entry{queue: row.Name}
+				if routes[row.Name] == nil {
+					routes[row.Name] = &route{queue: row.Name}
 				}
-				entries[row.Name].set(row)
+				routes[row.Name].setRow(row)
 			}
 		} else if value, err := strconv.ParseInt(row.Value, 10, 64); err == nil {
-			v.set[[3]string{row.Kind, row.Name, row.Key}] = value
+			v.numbers[[3]string{row.Kind, row.Name, row.Key}] = value
 		}
 	}
-	sort.Strings(v.names)
-	for _, name := range v.names {
-		if e := entries[name]; e != nil {
-			v.entries[e.host] = append(v.entries[e.host], *e)
+	sort.Strings(v.queueNames)
+	for _, name := range v.queueNames {
+		if found := routes[name]; found != nil {
+			v.routesByHost[found.host] = append(v.routesByHost[found.host], *found)
 		}
 	}
-	for _, list := range v.entries {
-		sort.SliceStable(list, func(a, b int) bool { return len(list[a].path()) > len(list[b].path()) })
+	for _, list := range v.routesByHost {
+		sort.SliceStable(list, func(a, b int) bool { return len(list[a].pathPrefix()) > len(list[b].pathPrefix()) })
 	}
 	return v
 }
 
-// QueueAt finds the queue that a host and path lead to, and what follows its
+// MatchRoute finds the queue that a host and path lead to, and what follows its
 // prefix in the path. Queues of that very host come first, then those of any.
-func (v *Values) QueueAt(host, path string) (queue, rest string, isFound bool) {
-	for _, name := range []string{hostName(host), ""} {
-		for _, e := range v.entries[name] {
-			if rest, isHere := strings.CutPrefix(path, e.path()); isHere {
-				return e.queue, rest, true
+func (v *Values) MatchRoute(host, path string) (queue, rest string, found bool) {
+	for _, name := range []string{normalizeHost(host), ""} {
+		for _, candidate := range v.routesByHost[name] {
+			if rest, isHere := strings.CutPrefix(path, candidate.pathPrefix()); isHere {
+				return candidate.queue, rest, true
 			}
 		}
 		if name == "" {
@@ -302,8 +302,8 @@
 	return "", "", false
 }
 
-// hostName is a host as entries hold it: without a port, in lower case.
-func hostName(host string) string {
+// normalizeHost is a host as entries hold it: without a port, in lower case.
+func normalizeHost(host string) string {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:at]
 	}
@@ -318,45 +318,47 @@
 	return v.texts[[3]string{kind, name, keyName}]
 }
 
-// IsStated tells whether a row states a whole number, rather than that its
+// IsSet tells whether a row states a whole number, rather than that its
 // default holds.
-func (v *Values) IsStated(kind, name, keyName string) bool {
-	_, isSet := v.set[[3]string{kind, name, keyName}]
+func (v *Values) IsSet(kind, name, keyName string) bool {
+	_, isSet := v.numbers[[3]string{kind, name, keyName}]
 	return isSet
 }
 
 // Queues are the names of the plan's queues, sorted.
-func (v *Values) Queues() []string { return v.names }
+func (v *Values) Queues() []string { return v.queueNames }
 
-// Of reads one weight or limit, or its default.
-func (v *Values) Of(kind, name, keyName string) int64 {
-	if value, isSet := v.set[[3]string{kind, name, keyName}]; isSet {
+// Number reads one weight or limit, or its default.
+func (v *Values) Number(kind, name, keyName string) int64 {
+	if value, isSet := v.numbers[[3]string{kind, name, keyName}]; isSet {
 		return value
 	}
-	k := findKey(kind, keyName)
+	k := findNumberKey(kind, keyName)
 	if k == nil {
 		panic("cluster state: no such key: " + kind + "/" + keyName)
 	}
-	return k.usual
+	return k.defaultValue
 }
 
 // Fleet reads a value of the fleet.
-func (v *Values) Fleet(keyName string) int64 { return v.Of("fleet", "", keyName) }
+func (v *Values) Fleet(keyName string) int64 { return v.Number("fleet", "", keyName) }
 
 // HasQueue tells whether the plan has rows for a queue.
-func (v *Values) HasQueue(name string) bool { return v.queues[name] }
+func (v *Values) HasQueue(name string) bool { return v.queueSet[name] }
 
 // QueueNames lists the plan's queues.
-func QueueNames(plan *schema.Configuration) []string { return Read(plan).Queues() }
+func QueueNames(configuration *schema.Configuration) []string {
+	return ParseValues(configuration).Queues()
+}
 
-// Form describes every key, for help and docs.
-func Form() []string {
+// DescribeKeys describes every key, for help and docs.
+func DescribeKeys() []string {
 	var list []string
-	for _, k := range keys {
-		list = append(list, fmt.Sprintf("%-6s %-20s %8d  (%d to %d)  %s", k.kind, k.name, k.usual, k.least, k.most, k.why))
+	for _, k := range numberKeys {
+		list = append(list, fmt.Sprintf("%-6s %-20s %8d  (%d to %d)  %s", k.kind, k.name, k.defaultValue, k.min, k.max, k.help))
 	}
 	for _, k := range textKeys {
-		list = append(list, fmt.Sprintf("%-6s %-20s %8s  (%s)  %s", k.kind, k.name, "", k.what, k.why))
+		list = append(list, fmt.Sprintf("%-6s %-20s %8s  (%s)  %s", k.kind, k.name, "", k.format, k.help))
 	}
 	return list
 }
--- a/internal/clusterstate/late_test.go
+++ b/internal/clusterstate/queue_removal_test.go
@@ -23,10 +23,10 @@
 			for _, lane := range lanes {
 				rows = append(rows, row("queue", lane, "urgency", "1"))
 			}
-			So(edition(m, number+1, number, "", rows...).Code, ShouldEqual, 200)
+			So(putVersion(m, number+1, number, "", rows...).Code, ShouldEqual, 200)
 			number++
 		}
-		lease := do(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: "h"}}}).Lease
+		lease := do(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: "h"}}}).FencingToken
 		lanes := func(command *schema.PlaceQueues) {
 			command.FencingToken = lease
 			So(do(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: command}}).Code, ShouldEqual, 200)
@@ -35,29 +35,29 @@
 			return &schema.PlaceQueues{Queues: []*schema.QueuePlacement{{Queue: "l", InitialVoters: []string{"a"}, PreferredLeader: "a"}}}
 		}
 		gone := func() *schema.PlaceQueues {
-			return &schema.PlaceQueues{Removed: []string{"l#" + strconv.FormatUint(Place(m.State(), "l").Generation, 10)}}
+			return &schema.PlaceQueues{Removed: []string{"l#" + strconv.FormatUint(FindQueue(m.State(), "l").Generation, 10)}}
 		}
 		table("l", "k")
 		lanes(place())
 		table("k")
 		first := gone()
 		lanes(first)
-		So(Place(m.State(), "l"), ShouldBeNil)
+		So(FindQueue(m.State(), "l"), ShouldBeNil)
 		table("l", "k")
 		lanes(place())
-		anew := Place(m.State(), "l").Generation
+		anew := FindQueue(m.State(), "l").Generation
 		table("k")
 		Convey("the word that the former was to go, come late, leaves the new one, whose jobs still run", func() {
 			lanes(first)
-			So(Place(m.State(), "l").GetGeneration(), ShouldEqual, anew)
+			So(FindQueue(m.State(), "l").GetGeneration(), ShouldEqual, anew)
 			Convey("and it goes by its own", func() {
 				lanes(gone())
-				So(Place(m.State(), "l"), ShouldBeNil)
+				So(FindQueue(m.State(), "l"), ShouldBeNil)
 			})
 		})
 		Convey("a log of an older program, which has the bare name, does what it did", func() {
 			lanes(&schema.PlaceQueues{Removed: []string{"l"}})
-			So(Place(m.State(), "l"), ShouldBeNil)
+			So(FindQueue(m.State(), "l"), ShouldBeNil)
 		})
 	})
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -72,7 +72,7 @@
 // at once (0: one). Readers are the tables of this process that want the cluster state.
 func New(id string, losses uint32, readers ...string) *Table {
 	return &Table{
-		id: id, spans: timing.FromBounds(nil), voters: membership.Terms{Losses: losses}.Founders(), readers: readers, state: &schema.ClusterState{}, values: clusterstate.Read(nil), told: map[string]told{}, claims: map[uint64]eventloop.Micros{},
+		id: id, spans: timing.FromBounds(nil), voters: membership.Terms{Losses: losses}.Founders(), readers: readers, state: &schema.ClusterState{}, values: clusterstate.ParseValues(nil), told: map[string]told{}, claims: map[uint64]eventloop.Micros{},
 		acted: map[string]eventloop.Micros{}, gone: map[string]eventloop.Micros{}, homes: map[string]home{},
 	}
 }
@@ -123,13 +123,13 @@
 }
 
 func (t *Table) hear(now eventloop.Micros, from string, m *schema.ClusterStateResponse, out eventloop.Effects) {
-	state, err := clusterstate.Incoming(m, t.state.Configuration)
+	state, err := clusterstate.DecodeUpdate(m, t.state.Configuration)
 	if err != nil {
 		return // it is asked for again
 	}
 	isNew := state != nil && state.Version > t.state.Version
 	if state != nil && state.Version >= t.state.Version {
-		t.state, t.values = state, t.values.Renew(state.Configuration)
+		t.state, t.values = state, t.values.Refresh(state.Configuration)
 		out.Notify("membership", membership.ClusterState{Version: state.Version})
 	}
 	if m.ControllerLeaseExpiresUs > t.until {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -75,7 +75,7 @@
 	notes = append(notes, &schema.QueueStatus{Group: clusterstate.Group, Leader: "a", Voters: []string{"a", "b", "c"}})
 	until := int64(0)
 	if d.born > 0 {
-		until = int64(d.now-d.born) + clusterstate.LeaseUs
+		until = int64(d.now-d.born) + clusterstate.ControllerLeaseUs
 	}
 	d.t.Step(d.now, eventloop.Message{From: "a", Body: &schema.ClusterStateResponse{
 		State: proto.Clone(d.state).(*schema.ClusterState), Version: d.state.Version, Leaders: map[string]string{clusterstate.Group: "a"}, QueueStatuses: notes, ControllerLeaseExpiresUs: until,
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -66,13 +66,13 @@
 		return
 	}
 	stale := now - t.untilAt
-	isVacant := t.until == 0 || stale > eventloop.Micros(clusterstate.LeaseUs)
+	isVacant := t.until == 0 || stale > eventloop.Micros(clusterstate.ControllerLeaseUs)
 	// A controller that nobody hears needn't be waited for, but the cluster state will
 	// only give its lease away when it has run out.
 	// Whoever held it last may take it up again at once: while the cluster state had no
 	// leader nobody could renew anything.
 	isLast := t.state.ControllerLease.GetHolder() == t.id
-	if isLast || isVacant && stale > eventloop.Micros(clusterstate.LeaseUs)+eventloop.Micros(rank)*300*eventloop.Millisecond || t.until == 0 && now > eventloop.Micros(rank)*300*eventloop.Millisecond {
+	if isLast || isVacant && stale > eventloop.Micros(clusterstate.ControllerLeaseUs)+eventloop.Micros(rank)*300*eventloop.Millisecond || t.until == 0 && now > eventloop.Micros(rank)*300*eventloop.Millisecond {
 		t.claim(now, out)
 	}
 }
@@ -109,7 +109,7 @@
 	}
 	// Counted from when it was asked for, so it ends here before it ends there.
 	t.lease = result.Lease
-	t.mine = max(t.mine, sent+eventloop.Micros(clusterstate.LeaseUs)-guardSpan)
+	t.mine = max(t.mine, sent+eventloop.Micros(clusterstate.ControllerLeaseUs)-guardSpan)
 }
 
 // send gives a command to the cluster state's leader.
--- a/internal/controller/members.go
+++ b/internal/controller/members.go
@@ -88,7 +88,7 @@
 	if t.until == 0 {
 		return 0
 	}
-	return eventloop.Micros(t.until-clusterstate.LeaseUs) + now - t.untilAt
+	return eventloop.Micros(t.until-clusterstate.ControllerLeaseUs) + now - t.untilAt
 }
 
 // watch keeps in mind who is silent, and where the stores live, also before this
--- a/internal/controller/members_test.go
+++ b/internal/controller/members_test.go
@@ -13,7 +13,7 @@
 
 // aged lets the council's controller know that the cluster is a minute old.
 func (c *council) aged() {
-	c.t.until, c.t.untilAt = int64(60*eventloop.Second)+clusterstate.LeaseUs, c.now
+	c.t.until, c.t.untilAt = int64(60*eventloop.Second)+clusterstate.ControllerLeaseUs, c.now
 }
 
 // comes adds an empty store that has just started.
@@ -100,8 +100,8 @@
 		So(h.hasCome(eventloop.Second), ShouldBeFalse)
 		h.until, h.untilAt = int64(60*eventloop.Second), eventloop.Second
 		So(h.hasCome(eventloop.Second), ShouldBeTrue)
-		So(h.age(eventloop.Second), ShouldEqual, 60*eventloop.Second-clusterstate.LeaseUs)
+		So(h.age(eventloop.Second), ShouldEqual, 60*eventloop.Second-clusterstate.ControllerLeaseUs)
 		// Also while nobody renews the lease: else who came of late would count as a founder.
-		So(h.age(10*eventloop.Second), ShouldEqual, 69*eventloop.Second-clusterstate.LeaseUs)
+		So(h.age(10*eventloop.Second), ShouldEqual, 69*eventloop.Second-clusterstate.ControllerLeaseUs)
 	})
 }
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -44,7 +44,7 @@
 	command := &schema.PlaceQueues{FencingToken: t.lease}
 	leader := ""
 	for _, name := range t.values.Queues() {
-		if clusterstate.Place(t.state, name) != nil {
+		if clusterstate.FindQueue(t.state, name) != nil {
 			continue
 		}
 		if len(command.Queues) == 0 {
--- a/internal/gateway/clusterstate.go
+++ b/internal/gateway/clusterstate.go
@@ -14,12 +14,12 @@
 }
 
 func (t *Table) clusterState(now eventloop.Micros, m *schema.ClusterStateResponse, out eventloop.Effects) {
-	state, err := clusterstate.Incoming(m, t.state.Configuration)
+	state, err := clusterstate.DecodeUpdate(m, t.state.Configuration)
 	if err != nil {
 		return // it is asked for again, and until then nothing fresh has been heard
 	}
 	if state != nil && state.Version >= t.state.Version {
-		t.state, t.values = state, t.values.Renew(state.Configuration)
+		t.state, t.values = state, t.values.Refresh(state.Configuration)
 		t.countUnled(now)
 		t.endDropped(now, out)
 	}
--- a/internal/gateway/dropped.go
+++ b/internal/gateway/dropped.go
@@ -18,13 +18,13 @@
 		return cmp.Or(cmp.Compare(a.queue, b.queue), cmp.Compare(a.client, b.client))
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(t.sessions), byName) {
-		if clusterstate.Place(t.state, key.queue) == nil {
+		if clusterstate.FindQueue(t.state, key.queue) == nil {
 			t.endSession(key, out)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.requests)) {
 		ask := t.requests[id].ask
-		if ask.Group == clusterstate.Group || clusterstate.Place(t.state, ask.Group) != nil {
+		if ask.Group == clusterstate.Group || clusterstate.FindQueue(t.state, ask.Group) != nil {
 			continue
 		}
 		delete(t.requests, id)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -76,7 +76,7 @@
 // New makes the table of the front with this id and boot.
 func New(id string, boot uint64, isLocal bool, rng *rand.Rand) *Table {
 	return &Table{
-		id: id, boot: boot, rng: rng, isLocal: isLocal, state: &schema.ClusterState{}, values: clusterstate.Read(nil),
+		id: id, boot: boot, rng: rng, isLocal: isLocal, state: &schema.ClusterState{}, values: clusterstate.ParseValues(nil),
 		leaders: map[string]string{}, unled: map[string]eventloop.Micros{}, waits: map[string]*schema.QueueStatus{}, sessions: map[queueClient]*session{}, byId: map[string]*session{},
 		requests: map[uint64]*request{}, polls: map[uint64]PollIn{}, met: map[string]eventloop.Micros{}, quitting: map[string][]*schema.Session{},
 		queueHas: map[string]int{}, asked: map[uint64]*submission{}, redirected: map[string]eventloop.Micros{}, owed: map[string]bool{}, denied: map[queueStore]eventloop.Micros{},
--- a/internal/gateway/leaders.go
+++ b/internal/gateway/leaders.go
@@ -17,7 +17,7 @@
 
 func (t *Table) unlead(now eventloop.Micros, group string) {
 	delete(t.leaders, group)
-	if _, isKnown := t.unled[group]; !isKnown && clusterstate.Place(t.state, group) != nil {
+	if _, isKnown := t.unled[group]; !isKnown && clusterstate.FindQueue(t.state, group) != nil {
 		t.unled[group] = now
 	}
 }
@@ -46,7 +46,7 @@
 		}
 	}
 	for queue := range t.unled {
-		if clusterstate.Place(t.state, queue) == nil {
+		if clusterstate.FindQueue(t.state, queue) == nil {
 			delete(t.unled, queue)
 		}
 	}
@@ -60,7 +60,7 @@
 	}
 	// A queue's leader tells its voters now and then; until it has, who founded it
 	// stands for them.
-	voters := clusterstate.Place(t.state, queue).GetInitialVoters()
+	voters := clusterstate.FindQueue(t.state, queue).GetInitialVoters()
 	if note := t.waits[queue]; note != nil {
 		voters = note.Voters
 	}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -39,9 +39,9 @@
 	}
 	mail := m
 	if m.Group == "" {
-		m.Group, m.Name, _ = t.values.QueueAt(m.Host, m.Path)
+		m.Group, m.Name, _ = t.values.MatchRoute(m.Host, m.Path)
 	}
-	if m.Group != clusterstate.Group && clusterstate.Place(t.state, m.Group) == nil {
+	if m.Group != clusterstate.Group && clusterstate.FindQueue(t.state, m.Group) == nil {
 		t.unknownQueue(now, m.Request, m.Group, mail, isConfirmed, out)
 		return
 	}
@@ -72,7 +72,7 @@
 		if m.Leader != "" {
 			t.lead(m.Group, m.Leader)
 		}
-		whole, err := clusterstate.Unpack(m.Body)
+		whole, err := clusterstate.Decompress(m.Body)
 		if err != nil {
 			out.Respond(m.Id, unknown())
 			return
--- a/internal/gateway/submissions.go
+++ b/internal/gateway/submissions.go
@@ -44,9 +44,9 @@
 	// What is parked must be looked up anew, so the mail stays as it came.
 	mail := m
 	if m.Queue == "" {
-		m.Queue, m.Name, _ = t.values.QueueAt(m.Host, m.Path)
+		m.Queue, m.Name, _ = t.values.MatchRoute(m.Host, m.Path)
 	}
-	if !t.values.HasQueue(m.Queue) || clusterstate.Place(t.state, m.Queue) == nil {
+	if !t.values.HasQueue(m.Queue) || clusterstate.FindQueue(t.state, m.Queue) == nil {
 		t.unknownQueue(now, m.Request, m.Queue, mail, isConfirmed, out)
 		return
 	}
@@ -143,8 +143,8 @@
 // digest is of what the caller gave, so a resend is the same job whatever the
 // plan has become.
 func withAttempts(values *clusterstate.Values, queue string, job *schema.Job) *schema.Job {
-	attempts := values.Of("queue", queue, "attempts")
-	if !values.IsStated("queue", queue, "attempts") || attempts <= 1 {
+	attempts := values.Number("queue", queue, "attempts")
+	if !values.IsSet("queue", queue, "attempts") || attempts <= 1 {
 		return job
 	}
 	job = proto.Clone(job).(*schema.Job)
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -17,7 +17,7 @@
 		t.notReady(now, m.Request, out)
 		return
 	}
-	ward := clusterstate.WardOf(t.state, m.Worker)
+	ward := clusterstate.FindWorkerLease(t.state, m.Worker)
 	if ward == nil && t.state.Version > 0 && now-t.met[m.Worker] > eventloop.Second {
 		t.met[m.Worker] = now
 		if to := t.leader(now, clusterstate.Group); to != "" {
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -114,7 +114,7 @@
 	if !h.worker.Due(now) || len(h.open) >= openMost || h.state == nil {
 		return
 	}
-	ward := clusterstate.WardOf(h.state, h.worker.Name)
+	ward := clusterstate.FindWorkerLease(h.state, h.worker.Name)
 	if ward == nil || ward.Scheduler == "" {
 		if now-h.metAt > eventloop.Second && h.leader != "" {
 			h.metAt = now
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -292,7 +292,7 @@
 		fault(ctx, 400, "bad_json", message, "")
 		return
 	}
-	if bad := clusterstate.CheckRows(sheet.Rows); bad != nil {
+	if bad := clusterstate.ValidateRows(sheet.Rows); bad != nil {
 		text, _ := json.Marshal(bad)
 		write(ctx, gateway.Answer{Code: 422, Body: text})
 		return
@@ -303,7 +303,7 @@
 
 func (s *Server) announce(ctx iris.Context) {
 	worker := ctx.Params().Get("worker")
-	if !clusterstate.GoodName(worker) {
+	if !clusterstate.IsValidName(worker) {
 		fault(ctx, 422, "bad_name", "lower-case letters, digits, '.', '_' and '-', at most 63", "worker")
 		return
 	}
@@ -324,7 +324,7 @@
 		fault(ctx, 422, "bad_value", "must not be negative", "cores_milli")
 	case announce.MemoryMb < 0:
 		fault(ctx, 422, "bad_value", "must not be negative", "memory_mb")
-	case announce.Rack != "" && !clusterstate.GoodName(announce.Rack):
+	case announce.Rack != "" && !clusterstate.IsValidName(announce.Rack):
 		fault(ctx, 422, "bad_name", "lower-case letters, digits, '.', '_' and '-', at most 63", "rack")
 	default:
 		s.run(ctx, pollSpan, func(id uint64, deadline eventloop.Micros) any {
--- a/internal/modelcheck/describe_test.go
+++ b/internal/modelcheck/describe_test.go
@@ -29,7 +29,7 @@
 			continue
 		}
 		g := m.group
-		list = append(list, fmt.Sprintf("%s %s term %d last %d stable %d commit %d edition %d", m.id, g.Role(), g.Term(), g.LastIndex(), g.StableIndex(), g.CommitIndex(), m.state.Plan().GetVersion()))
+		list = append(list, fmt.Sprintf("%s %s term %d last %d stable %d commit %d edition %d", m.id, g.Role(), g.Term(), g.LastIndex(), g.StableIndex(), g.CommitIndex(), m.state.Configuration().GetVersion()))
 	}
 	return strings.Join(list, " | ")
 }
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -72,7 +72,7 @@
 		return to
 	}
 	to = m.group.Fingerprint(m.clock, append(to, '/'))
-	to = numbers(to, m.version, m.applied, maphash.Bytes(seed, m.state.Rest()))
+	to = numbers(to, m.version, m.applied, maphash.Bytes(seed, m.state.Snapshot()))
 	to = m.next.fingerprint(append(to, 'n'))
 	if m.writing != nil {
 		to = m.writing.fingerprint(append(to, 'w'))
--- a/internal/modelcheck/invariants.go
+++ b/internal/modelcheck/invariants.go
@@ -351,7 +351,7 @@
 // checkState: one index, one state, on whatever machine and by whatever way; and
 // no life of a process sees it go back.
 func (w *World) checkState(m *machine) {
-	digest := maphash.Bytes(seed, m.state.Rest())
+	digest := maphash.Bytes(seed, m.state.Snapshot())
 	known, isKnown := w.states[m.applied]
 	if isKnown && known != digest {
 		w.fail("state machine safety: the state of %s at %d isn't that of others", m.id, m.applied)
--- a/internal/modelcheck/machine.go
+++ b/internal/modelcheck/machine.go
@@ -47,7 +47,7 @@
 	disk    disk
 	group   *raft.Group
 	memory  *storage.GroupState // what the replica's changes come to, synced or not
-	state   *clusterstate.Machine
+	state   *clusterstate.StateMachine
 	isOwn   bool // the state isn't shared with another branch
 	next    batch
 	writing *batch
@@ -111,7 +111,7 @@
 	if m.isOwn {
 		return
 	}
-	state, err := clusterstate.Restore(m.state.Rest())
+	state, err := clusterstate.Restore(m.state.Snapshot())
 	if err != nil {
 		panic("state can't be copied: " + err.Error())
 	}
--- a/internal/modelcheck/operators.go
+++ b/internal/modelcheck/operators.go
@@ -134,7 +134,7 @@
 			w.fail("operation %d was confirmed, yet nobody has taken it", number)
 		}
 	default:
-		each.knows = result.Fault.GetCurrent()
+		each.knows = result.Error.GetCurrent()
 		if o.isTaken {
 			w.fail("operation %d was taken and refused", number)
 		}
--- a/internal/modelcheck/schedule.go
+++ b/internal/modelcheck/schedule.go
@@ -201,7 +201,7 @@
 		if m.applied <= m.memory.Snapshot.Index {
 			return false
 		}
-		m.group.Compact(m.applied, m.state.Rest())
+		m.group.Compact(m.applied, m.state.Snapshot())
 	case 'n':
 		if !m.group.IsLeader() || m.group.LastIndex()-m.group.AppliedIndex() > catchUpRecords {
 			return false
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -216,7 +216,7 @@
 	for _, number := range effects.ReadRequests {
 		if operation, isKnown := m.reading[number]; isKnown {
 			delete(m.reading, number)
-			w.answerRead(operation, m.state.Plan())
+			w.answerRead(operation, m.state.Configuration())
 		}
 	}
 }
@@ -260,13 +260,13 @@
 	m.applied = record.Index
 	if record.Kind == schema.EntryKind_ENTRY_COMMAND {
 		m.own()
-		before := m.state.Plan()
+		before := m.state.Configuration()
 		result, err := m.state.Apply(record.TimeUs, record.Data)
 		if err != nil {
 			w.fail("record %d can't be applied on %s: %v", record.Index, m.id, err)
 			return
 		}
-		if after := m.state.Plan(); after != before {
+		if after := m.state.Configuration(); after != before {
 			w.taken(before, after)
 		}
 		w.checkState(m)
--- a/internal/mutation/calls_mutants.go
+++ b/internal/mutation/calls_mutants.go
@@ -30,7 +30,7 @@
 		{Guard: "an outcome names its front's life", Test: "internal/gateway TestWordForOthers", Edits: []Edit{{"internal/gateway", " || outcome.Session.Incarnation != t.boot {", " {"}}},
 		{Guard: "an older claim's answer counts no more", Test: "internal/controller TestAnswersToClaims", Edits: []Edit{{"internal/controller", "if m.Id < t.answered {", "if false {"}}},
 		{Guard: "a queue that is to go is named with its making", Test: "internal/clusterstate TestLateWordOfAQueueThatIsToGo", Edits: []Edit{{"internal/clusterstate",
-			`name == place.Queue+"#"+strconv.FormatUint(place.Generation, 10)`, `len(name) > len(place.Queue) && name[:len(place.Queue)+1] == place.Queue+"#" && strconv.Itoa(0) == "0"`}}},
+			`name == placement.Queue+"#"+strconv.FormatUint(placement.Generation, 10)`, `len(name) > len(placement.Queue) && name[:len(placement.Queue)+1] == placement.Queue+"#" && strconv.Itoa(0) == "0"`}}},
 		{Guard: "a former life's hello counts no more", Test: "internal/membership TestLateHellos", Edits: []Edit{{"internal/membership",
 			"isKnown && hello.Self.Incarnation < former.Member.Incarnation {", "isKnown && former.Member == nil {"}}},
 	}...)
--- a/internal/mutation/changes_mutants.go
+++ b/internal/mutation/changes_mutants.go
@@ -32,7 +32,7 @@
 		{Guard: "rows that may be on their way aren't sent again", Test: "internal/replica TestRowsOnTheirWay",
 			Edits: []Edit{{"internal/replica", "	if last.generation == plan.Revision && now < last.until {\n", "	if last.generation == plan.Revision && now < last.until && false {\n"}}},
 		{Guard: "a copy without the plan is taken by who holds it", Test: "internal/clusterstate TestCopiesOnTheirWay",
-			Edits: []Edit{{"internal/clusterstate", "	case tell.ConfigurationOmitted:\n", "	case tell.ConfigurationOmitted && false:\n"}}},
+			Edits: []Edit{{"internal/clusterstate", "	case message.ConfigurationOmitted:\n", "	case message.ConfigurationOmitted && false:\n"}}},
 		{Guard: "a life never goes back to an older copy", Test: "internal/gateway TestCopiesOfTheClusterState",
 			Edits: []Edit{{"internal/gateway", "	if state != nil && state.Version >= t.state.Version {\n", "	if state != nil {\n"}}},
 		{Guard: "a large request isn't sent again while it may be on its way", Test: "internal/gateway TestLargeRequestsAreSentAgainLater",
--- a/internal/mutation/cut_mutants.go
+++ b/internal/mutation/cut_mutants.go
@@ -9,14 +9,17 @@
 			{"internal/replica", "	if margin < t.losses && margin", "	if false && margin"},
 			{"internal/raft", "if !slices.Contains(old.Learners, id) || !g.IsCaughtUp(id) {", "if !slices.Contains(old.Learners, id) {"}}},
 		{Guard: "a controller is fenced by a fresh cluster state", Test: "internal/replica TestAControllerIsFencedByAFreshClusterState", Edits: []Edit{{"internal/replica",
-			"!t.isClusterStateFresh(now) || !t.clusterState.IsController(m.FencingToken)", "!t.clusterState.IsController(m.FencingToken)"}}},
+			"!t.isClusterStateFresh(now) || !t.clusterState.HoldsControllerLease(m.FencingToken)", "!t.clusterState.HoldsControllerLease(m.FencingToken)"}}},
 		{Guard: "a majority is asked before a read", Rule: 11, Test: "internal/sim TestCutOffLeader", Edits: []Edit{{"internal/replica",
 			"			return\n		}\n		r.reading[t.reads] = asked\n",
 			"		}\n		r.reading[t.reads] = asked\n		t.read(now, r, t.reads, out)\n"}}},
 		{Guard: "a majority is asked before a refusal", Rule: 11, Test: "internal/sim TestCutOffLeader", Edits: []Edit{{"internal/replica",
 			"		if index, _, err := r.group.Propose(now, m.Body); err == nil {\n",
-			"		preview, _ := clusterstate.Restore(t.clusterState.Rest())\n" +
-				"		if result, err := preview.Apply(0, m.Body); err == nil && result.Fault != nil {\n			t.answerClusterState(asked, result, r, out)\n			return\n		}\n" +
+			"		preview, _ := clusterstate.Restore(t.clusterState.Snapshot())\n" +
+				"		if result, err := preview.Apply(0, m.Body); err == nil && result.Error != nil {\n" +
+				"			t.answerClusterState(asked, result, r, out)\n" +
+				"			return\n" +
+				"		}\n" +
 				"		if index, _, err := r.group.Propose(now, m.Body); err == nil {\n"}}},
 		{Guard: "that a queue is unknown is confirmed for the very call", Rule: 11, Test: "internal/sim TestCutOffFront", Edits: []Edit{{"internal/gateway",
 			"	case !isConfirmed:\n", "	case false:\n"}}},
--- a/internal/mutation/disk_mutants.go
+++ b/internal/mutation/disk_mutants.go
@@ -35,7 +35,7 @@
 	{Guard: "somebody else's folder is left alone", Test: "internal/storage TestRejectedDirs", Edits: []Edit{{"internal/storage",
 		"	if err := checkOwned(path); err != nil {\n", "	if err := checkOwned(path); false {\n"}}},
 	{Guard: "a command that can't be read isn't proposed", Test: "internal/replica TestUnreadableCommand", Edits: []Edit{{"internal/replica",
-		"		if _, err := clusterstate.ReadCommand(m.Body); err != nil {\n", "		if false {\n"}}},
+		"		if _, err := clusterstate.DecodeCommand(m.Body); err != nil {\n", "		if false {\n"}}},
 	{Guard: "hand-ins leave room for the next slot", Test: "internal/replica TestRoomForHandIns", Edits: []Edit{{"internal/replica",
 		"	if t.isFull(r) || t.room.isNarrow {\n", "	if t.isFull(r) {\n"}}},
 }
--- a/internal/mutation/fault_mutants.go
+++ b/internal/mutation/fault_mutants.go
@@ -6,12 +6,12 @@
 		{
 			Guard: "an edition that was taken is acknowledged when it comes again", Rule: 11, Size: "small-called", Seed: 2,
 			Faults: "ackloss/all:6s@3s,race/all:1s@3500ms,crowd/all:1s@5s",
-			Edits:  []Edit{{"internal/clusterstate", "	if m.isTaken(sheet.Version, digest) {\n", "	if false {\n"}},
+			Edits:  []Edit{{"internal/clusterstate", "	if m.isApplied(update.Version, digest) {\n", "	if false {\n"}},
 		},
 		{
 			Guard: "an edition that isn't above the present one is refused", Rule: 11, Size: "small-called", Seed: 2,
 			Faults: "bad/all:1s@4s,bad/all:1s@9s",
-			Edits:  []Edit{{"internal/clusterstate", "	if sheet.Version <= sheet.BaseVersion {\n", "	if false {\n"}},
+			Edits:  []Edit{{"internal/clusterstate", "	if update.Version <= update.BaseVersion {\n", "	if false {\n"}},
 		},
 	}...)
 }
--- a/internal/mutation/model_mutants.go
+++ b/internal/mutation/model_mutants.go
@@ -50,5 +50,5 @@
 	{Guard: "what a former ward granted is waited for", Rule: 2, Scenario: "leader warned, then the next", Seed: 1, Edits: []Edit{{"internal/scheduler",
 		"last := max(w.answered, w.since+timing.FromBounds(t.bounds).FormerLeaseTimeout)", "last := w.answered"}}},
 	{Guard: "a taken edition is known again", Rule: 11, Test: walks, Edits: []Edit{{"internal/clusterstate",
-		"taken.Version == edition && bytes.Equal(taken.Digest, digest) {", "taken.Version > edition && bytes.Equal(taken.Digest, digest) {"}}},
+		"applied.Version == version && bytes.Equal(applied.Digest, digest) {", "applied.Version > version && bytes.Equal(applied.Digest, digest) {"}}},
 }
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -72,8 +72,8 @@
 func (t *Table) shifts(r *replica, list []*queue.Shift, isWhole bool, hand uint64) Shifts {
 	return Shifts{
 		Queue: r.name, Group: r.group.Name(), Term: r.group.Term(), Hand: hand, List: list, IsWhole: isWhole,
-		Urgency: t.values.Of("queue", r.name, "urgency"),
-		Running: t.values.Of("queue", r.name, "running"),
+		Urgency: t.values.Number("queue", r.name, "urgency"),
+		Running: t.values.Number("queue", r.name, "running"),
 	}
 }
 
@@ -110,7 +110,7 @@
 		return
 	}
 	old := t.state
-	t.setState(t.clusterState.Copy())
+	t.setState(t.clusterState.SharedState())
 	for _, table := range []string{"gateway", "scheduler"} {
 		out.Notify(table, &schema.ClusterStateResponse{State: t.state, Version: t.state.Version})
 	}
--- a/internal/replica/leadership.go
+++ b/internal/replica/leadership.go
@@ -67,7 +67,7 @@
 	if r.queue == nil {
 		return ""
 	}
-	return clusterstate.Place(t.state, r.name).GetPreferredLeader()
+	return clusterstate.FindQueue(t.state, r.name).GetPreferredLeader()
 }
 
 // isFit tells whether a voter is near enough to take a group over.
--- a/internal/replica/maintenance.go
+++ b/internal/replica/maintenance.go
@@ -116,7 +116,7 @@
 	if record.Index-g.SnapshotIndex() <= stateLogRecords && r.logBytes <= max(stateLogBytes, g.SnapshotBytes()) {
 		return
 	}
-	g.Compact(record.Index, clusterstate.Pack(t.clusterState.Rest()))
+	g.Compact(record.Index, clusterstate.Compress(t.clusterState.Snapshot()))
 	r.logBytes = 0
 }
 
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -19,7 +19,7 @@
 func (t *Table) reroster(now eventloop.Micros, m *schema.ChangeMembers) {
 	r := t.groups[m.Group]
 	// An old copy of the cluster state knows nothing of a lease that has gone to another.
-	if r == nil || !r.group.IsLeader() || !t.isClusterStateFresh(now) || !t.clusterState.IsController(m.FencingToken) {
+	if r == nil || !r.group.IsLeader() || !t.isClusterStateFresh(now) || !t.clusterState.HoldsControllerLease(m.FencingToken) {
 		return
 	}
 	memberSet := proto.Clone(r.group.MemberSet()).(*schema.MemberSet)
@@ -109,7 +109,7 @@
 
 // noteLease keeps when the lease was last seen renewed, which tells the cluster's age.
 func (t *Table) noteLease(now eventloop.Micros) {
-	if until := t.clusterState.ControllerUntil(); until != t.until {
+	if until := t.clusterState.ControllerLeaseExpiry(); until != t.until {
 		t.until, t.untilAt = until, now
 	}
 }
@@ -119,5 +119,5 @@
 	if t.until == 0 {
 		return 0
 	}
-	return eventloop.Micros(t.until-clusterstate.LeaseUs) + now - t.untilAt
+	return eventloop.Micros(t.until-clusterstate.ControllerLeaseUs) + now - t.untilAt
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -78,7 +78,7 @@
 	patience     *patience
 	groups       map[string]*replica
 	listed       []string // names of the groups, in order; nil: to be made anew
-	clusterState *clusterstate.Machine
+	clusterState *clusterstate.StateMachine
 	values       *clusterstate.Values
 	adopt        *schema.ApplySettings // what the plan asks of every queue
 	state        *schema.ClusterState  // copy of the cluster state that others may hold
@@ -106,7 +106,7 @@
 	hash.Write([]byte(id))
 	t.patience = &patience{rng: rand.New(rand.NewPCG(seed, hash.Sum64()))}
 	t.patience.draw()
-	t.setState(t.clusterState.Copy())
+	t.setState(t.clusterState.SharedState())
 	t.next.marks = map[string]raft.SyncPoint{}
 	for name, image := range content.Groups {
 		t.open(now, name, image)
@@ -159,7 +159,7 @@
 			panic(Unreadable.Wrap(err, "checkpoint of %s", r.group.Name()))
 		}
 		t.clusterState, r.logBytes = machine, 0
-		t.setState(machine.Copy())
+		t.setState(machine.SharedState())
 		return
 	}
 	r.name = QueueOf(r.group.Name())
@@ -263,7 +263,7 @@
 // isEnded tells that the cluster state we hold knows a newer queue of that name, or
 // none though it once was there.
 func (t *Table) isEnded(group string) bool {
-	if place := clusterstate.Place(t.state, QueueOf(group)); place != nil {
+	if place := clusterstate.FindQueue(t.state, QueueOf(group)); place != nil {
 		return GroupOf(place) != group
 	}
 	return t.isOver(group)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -103,5 +103,5 @@
 
 // generation is that of a queue's place.
 func (c *core) generation(queue string) string {
-	return strconv.FormatUint(clusterstate.Place(c.tables["c"].state, queue).GetGeneration(), 10)
+	return strconv.FormatUint(clusterstate.FindQueue(c.tables["c"].state, queue).GetGeneration(), 10)
 }
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -44,7 +44,7 @@
 		}
 	case "clusterstate":
 		// What can't be read mustn't get into the log: no replica could go on from it.
-		if _, err := clusterstate.ReadCommand(m.Body); err != nil {
+		if _, err := clusterstate.DecodeCommand(m.Body); err != nil {
 			t.reply(asked, 400, faultBody("bad_request", "the command can't be read"), r.group, out)
 			return
 		}
@@ -60,7 +60,7 @@
 	if m.Group == clusterstate.Group {
 		return t.groups[clusterstate.Group]
 	}
-	if place := clusterstate.Place(t.state, m.Group); place != nil {
+	if place := clusterstate.FindQueue(t.state, m.Group); place != nil {
 		return t.groups[GroupOf(place)]
 	}
 	return nil
@@ -86,16 +86,16 @@
 	case "counts":
 		t.reply(asked, 200, mustJSON(r.queue.Counts()), r.group, out)
 	case "plan":
-		t.reply(asked, 200, clusterstate.Pack(planBody(t.clusterState.Plan())), r.group, out)
+		t.reply(asked, 200, clusterstate.Compress(planBody(t.clusterState.Configuration())), r.group, out)
 	case "state":
 		t.reply(asked, 200, t.stateBody(now, asked), r.group, out)
 	case "history":
 		history := t.clusterState.History()
 		parts := make([]json.RawMessage, 0, len(history)+1)
-		for _, plan := range append(history[:len(history):len(history)], clusterstate.Bare(t.clusterState.Plan())) {
+		for _, plan := range append(history[:len(history):len(history)], clusterstate.WithoutDocument(t.clusterState.Configuration())) {
 			parts = append(parts, planBody(plan))
 		}
-		t.reply(asked, 200, clusterstate.Pack(mustJSON(parts)), r.group, out)
+		t.reply(asked, 200, clusterstate.Compress(mustJSON(parts)), r.group, out)
 	}
 }
 
@@ -106,13 +106,13 @@
 func (t *Table) answerClusterState(asked waiter, result *clusterstate.Result, r *replica, out eventloop.Effects) {
 	var body []byte
 	switch {
-	case result.Fault != nil:
-		body = mustJSON(result.Fault)
-	case result.Plan != nil:
+	case result.Error != nil:
+		body = mustJSON(result.Error)
+	case result.Configuration != nil:
 		// Who has sent the document needn't get it back.
-		body = clusterstate.Pack(planBody(clusterstate.Bare(result.Plan)))
+		body = clusterstate.Compress(planBody(clusterstate.WithoutDocument(result.Configuration)))
 	default:
-		body = mustJSON(map[string]uint64{"lease": result.Lease})
+		body = mustJSON(map[string]uint64{"lease": result.FencingToken})
 	}
 	t.reply(asked, result.Code, body, r.group, out)
 }
@@ -153,10 +153,10 @@
 	}
 	tell := &schema.ClusterStateResponse{
 		Sequence: m.Sequence, AgeUs: int64(now - r.group.FreshAsOf()), Version: t.state.Version,
-		Leaders: t.leaders(), ControllerLeaseExpiresUs: t.clusterState.ControllerUntil(),
+		Leaders: t.leaders(), ControllerLeaseExpiresUs: t.clusterState.ControllerLeaseExpiry(),
 	}
 	if t.state.Version > m.Version {
-		tell.State, tell.ConfigurationOmitted = t.clusterState.Outgoing(t.state, m.HeldRevision)
+		tell.State, tell.ConfigurationOmitted = t.clusterState.EncodeUpdate(t.state, m.HeldRevision)
 		if !tell.ConfigurationOmitted && t.isOnItsWay(now, from, tell.State.Configuration) {
 			// Its leaders and the controller's lease are news to a side; a front is
 			// ready only with the whole, and waits for it.
@@ -182,7 +182,7 @@
 func (t *Table) stateBody(now eventloop.Micros, asked waiter) []byte {
 	ask, tell := &schema.ClusterStateRequest{}, &schema.ClusterStateResponse{Version: t.state.Version, Leaders: t.leaders()}
 	if proto.Unmarshal(asked.request.Body, ask) != nil || ask.Version < t.state.Version {
-		tell.State, tell.ConfigurationOmitted = t.clusterState.Outgoing(t.state, ask.HeldRevision)
+		tell.State, tell.ConfigurationOmitted = t.clusterState.EncodeUpdate(t.state, ask.HeldRevision)
 		if !tell.ConfigurationOmitted && t.isOnItsWay(now, asked.from, tell.State.Configuration) {
 			tell.State = nil
 		}
@@ -294,7 +294,7 @@
 			b.Live, b.Kept, b.Carries, b.Sessions = r.queue.Live(), r.queue.Kept(), r.queue.Carries(), len(r.queue.Boots())
 			b.Digest = Digest(r.queue.Rest(true))
 		} else {
-			b.Digest = Digest(t.clusterState.Rest())
+			b.Digest = Digest(t.clusterState.Snapshot())
 			belief.Fresh = t.isClusterStateFresh(now)
 		}
 		belief.Groups = append(belief.Groups, b)
@@ -314,7 +314,7 @@
 	if err != nil {
 		panic("replica: " + err.Error())
 	}
-	return clusterstate.Pack(data)
+	return clusterstate.Compress(data)
 }
 
 // Digest is a state's digest as `belief` shows it.
--- a/internal/replica/submissions.go
+++ b/internal/replica/submissions.go
@@ -27,7 +27,7 @@
 }
 
 func (t *Table) submit(now eventloop.Micros, from string, m *schema.SubmitRequest, out eventloop.Effects) {
-	place := clusterstate.Place(t.state, m.Queue)
+	place := clusterstate.FindQueue(t.state, m.Queue)
 	if place == nil {
 		return
 	}
@@ -71,7 +71,7 @@
 }
 
 func (t *Table) quit(now eventloop.Micros, m *schema.EndSessionsRequest) {
-	if place := clusterstate.Place(t.state, m.Queue); place != nil {
+	if place := clusterstate.FindQueue(t.state, m.Queue); place != nil {
 		if r := t.groups[GroupOf(place)]; r != nil && r.group.HoldsLeaderLease(now) {
 			t.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_EndSessions{EndSessions: &schema.EndSessions{Sessions: m.Sessions, Gateways: m.Gateways}}})
 		}
@@ -88,7 +88,7 @@
 }
 
 func (t *Table) end(now eventloop.Micros, from string, m *schema.TaskEndReport, out eventloop.Effects) {
-	place := clusterstate.Place(t.state, m.Queue)
+	place := clusterstate.FindQueue(t.state, m.Queue)
 	if place == nil {
 		// The queue is over, and with it whatever the task was for. A cluster state
 		// that is still catching up says nothing of the kind.
--- a/internal/replica/voters_test.go
+++ b/internal/replica/voters_test.go
@@ -71,7 +71,7 @@
 		c.isCut = func(from, to string) bool { return from == lead && to == leader || from == leader && to == lead }
 		c.run(timing.FromBounds(nil).MaxStateAge + 100*eventloop.Millisecond)
 		So(c.leader("l"), ShouldEqual, leader)
-		So(c.tables[leader].clusterState.IsController(lease), ShouldBeTrue)
+		So(c.tables[leader].clusterState.HoldsControllerLease(lease), ShouldBeTrue)
 		So(learners("e"), ShouldResemble, []string{"d"})
 	})
 }
--- a/internal/scheduler/chance.go
+++ b/internal/scheduler/chance.go
@@ -37,8 +37,8 @@
 
 func (t *Table) aimOf(name string) aim {
 	return aim{
-		stretch: float64(t.values.Of("queue", name, "stretch_milli")) / 1000,
-		target:  eventloop.Micros(t.values.Of("queue", name, "target_ms")) * eventloop.Millisecond,
+		stretch: float64(t.values.Number("queue", name, "stretch_milli")) / 1000,
+		target:  eventloop.Micros(t.values.Number("queue", name, "target_ms")) * eventloop.Millisecond,
 	}
 }
 
--- a/internal/scheduler/room.go
+++ b/internal/scheduler/room.go
@@ -159,8 +159,8 @@
 		if !w.isHere(now) || w.isLeaving {
 			continue
 		}
-		weight := t.values.Of("rack", w.rack, "weight")
-		if !clusterstate.GoodName(w.rack) || weight == 0 {
+		weight := t.values.Number("rack", w.rack, "weight")
+		if !clusterstate.IsValidName(w.rack) || weight == 0 {
 			if w.rack != "" {
 				continue
 			}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -75,7 +75,7 @@
 // New makes the table of the scheduler with this process id.
 func New(id string) *Table {
 	return &Table{
-		id: id, state: &schema.ClusterState{}, values: clusterstate.Read(nil), views: map[string]*view{}, workers: map[string]*worker{},
+		id: id, state: &schema.ClusterState{}, values: clusterstate.ParseValues(nil), views: map[string]*view{}, workers: map[string]*worker{},
 		placed: map[string]map[taskKey]*task{}, names: map[nameKey][]*task{}, over: map[string]eventloop.Micros{}, paces: map[paceKey]*pace{},
 	}
 }
@@ -134,7 +134,7 @@
 	if m.State == nil {
 		return
 	}
-	t.state, t.values = m.State, clusterstate.Read(m.State.Configuration)
+	t.state, t.values = m.State, clusterstate.ParseValues(m.State.Configuration)
 	mine := map[string]*schema.WorkerLease{}
 	for _, ward := range t.state.WorkerLeases {
 		if ward.Scheduler == t.id {
@@ -244,7 +244,7 @@
 			if own > 0 {
 				return own
 			}
-			return t.values.Of("queue", key.queue, usual) * int64(eventloop.Millisecond)
+			return t.values.Number("queue", key.queue, usual) * int64(eventloop.Millisecond)
 		}
 		if limit := stated(each.spec.TimeLimitUs, "limit_ms"); limit > 0 && note.State == "running" && note.RunUs+age > limit {
 			t.evict(each, "failed")
--- a/internal/sim/called.go
+++ b/internal/sim/called.go
@@ -418,7 +418,7 @@
 			again()
 			return
 		}
-		if clusterstate.SameRows(plan.Rows, rows) {
+		if clusterstate.EqualRows(plan.Rows, rows) {
 			return
 		}
 		edition := plan.Version + 1 + uint64(w.Rng.IntN(3))
--- a/internal/sim/people.go
+++ b/internal/sim/people.go
@@ -386,7 +386,7 @@
 			again()
 			return
 		}
-		if clusterstate.SameRows(plan.Rows, rows) {
+		if clusterstate.EqualRows(plan.Rows, rows) {
 			return
 		}
 		generation := plan.Revision
