--- a/cmd/sparnotch-bench/hollow_part.go
+++ b/cmd/sparnotch-bench/hollow_part.go
@@ -271,7 +271,7 @@
 type hollowNet struct {
 	id      string
 	net     *transport.Net
-	book    *membership.Book
+	book    *membership.AddressBook
 	running *eventloop.Process
 }
 
@@ -303,7 +303,7 @@
 		Id: fmt.Sprintf("%016x", seed), Incarnation: 1, Role: schema.Role_ROLE_CONTROLLER, Zone: p.setup.cell(k),
 		InternalAddress: p.setup.address(host, 7400), HttpAddress: p.setup.address(host, 8400),
 	}
-	book := &membership.Book{}
+	book := &membership.AddressBook{}
 	papers := &process.Papers{Member: member, Seeds: p.setup.seeds(), Book: book, Wall: clock.Wall, Seed: seed, Now: clock.Now()}
 	running := eventloop.NewProcess(clock)
 	out := &hollowNet{id: member.Id, book: book, running: running}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -45,7 +45,7 @@
 	id        string
 	state     *schema.ClusterState
 	values    *clusterstate.Values
-	roll      *membership.Roll
+	roll      *membership.View
 	told      map[string]told
 	until     int64 // the lease's end as last seen, in the cluster state's time
 	untilAt   eventloop.Micros
@@ -64,7 +64,7 @@
 	turn      int // whose turn it is to be asked
 	voters    int // how many each group is to have
 	spans     timing.Timeouts
-	tolerance membership.Tolerance // what may be lost at once
+	tolerance membership.FaultTolerance // what may be lost at once
 	readers   []string
 }
 
@@ -72,7 +72,7 @@
 // at once (0: one). Readers are the tables of this process that want the cluster state.
 func New(id string, losses uint32, readers ...string) *Table {
 	return &Table{
-		id: id, spans: timing.FromBounds(nil), voters: membership.Terms{Losses: losses}.Founders(), readers: readers, state: &schema.ClusterState{}, values: clusterstate.ParseValues(nil), told: map[string]told{}, claims: map[uint64]eventloop.Micros{},
+		id: id, spans: timing.FromBounds(nil), voters: membership.Config{MachineFailures: losses}.VoterCount(), readers: readers, state: &schema.ClusterState{}, values: clusterstate.ParseValues(nil), told: map[string]told{}, claims: map[uint64]eventloop.Micros{},
 		acted: map[string]eventloop.Micros{}, gone: map[string]eventloop.Micros{}, homes: map[string]home{},
 	}
 }
@@ -84,7 +84,7 @@
 }
 
 // Tolerate sets what may be lost at once: voters are spread so that a majority is left.
-func (t *Table) Tolerate(tolerance membership.Tolerance) *Table {
+func (t *Table) Tolerate(tolerance membership.FaultTolerance) *Table {
 	t.tolerance, t.voters = tolerance, tolerance.Voters()
 	return t
 }
@@ -107,7 +107,7 @@
 	switch body := mail.Body.(type) {
 	case eventloop.Tick:
 		t.tick(now, out)
-	case *membership.Roll:
+	case *membership.View:
 		t.roll = body
 	case *schema.ClusterStateResponse:
 		t.hear(now, mail.From, body, out)
@@ -116,7 +116,7 @@
 	case Belief:
 		b := &SideBelief{Node: t.id, Version: t.state.Version, Controller: t.state.ControllerLease.GetHolder(), Lease: t.state.ControllerLease.GetFencingToken(), IsMine: t.isController(now)}
 		for _, id := range t.memberIDs() {
-			b.Members = append(b.Members, t.roll.Known[id].Member)
+			b.Members = append(b.Members, t.roll.Members[id].Member)
 		}
 		out.Respond(body.Request, b)
 	}
@@ -130,7 +130,7 @@
 	isNew := state != nil && state.Version > t.state.Version
 	if state != nil && state.Version >= t.state.Version {
 		t.state, t.values = state, t.values.Refresh(state.Configuration)
-		out.Notify("membership", membership.ClusterState{Version: state.Version})
+		out.Notify("membership", membership.ClusterStateObserved{Version: state.Version})
 	}
 	if m.ControllerLeaseExpiresUs > t.until {
 		t.until, t.untilAt = m.ControllerLeaseExpiresUs, now
@@ -156,7 +156,7 @@
 func (t *Table) memberIDs() []string {
 	var ids []string
 	if t.roll != nil {
-		for id := range t.roll.Known {
+		for id := range t.roll.Members {
 			ids = append(ids, id)
 		}
 	}
@@ -167,7 +167,7 @@
 func (t *Table) stores(now eventloop.Micros) []string {
 	var ids []string
 	for _, id := range t.memberIDs() {
-		if known := t.roll.Known[id]; known.Member.HasStorage && t.roll.Live(id, now, t.spans.SuspectTimeout) {
+		if known := t.roll.Members[id]; known.Member.HasStorage && t.roll.IsAlive(id, now, t.spans.SuspectTimeout) {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -56,16 +56,16 @@
 }
 
 func (d *desk) roll() {
-	roll := &membership.Roll{Known: map[string]membership.Known{}}
+	roll := &membership.View{Members: map[string]membership.MemberStatus{}}
 	for _, id := range []string{"a", "b", "c"} {
 		heard := d.now
 		if since, isSilent := d.silent[id]; isSilent {
 			heard = since
 		}
-		roll.Known[id] = membership.Known{Member: &schema.Member{Id: id, HasStorage: true, Role: schema.Role_ROLE_SERVER, InternalAddress: "10.0.0." + id}, Heard: heard}
+		roll.Members[id] = membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true, Role: schema.Role_ROLE_SERVER, InternalAddress: "10.0.0." + id}, LastHeard: heard}
 	}
 	for id, member := range d.others {
-		roll.Known[id] = membership.Known{Member: member, Heard: d.now}
+		roll.Members[id] = membership.MemberStatus{Member: member, LastHeard: d.now}
 	}
 	d.t.Step(d.now, eventloop.Message{Body: roll}, d)
 }
@@ -188,10 +188,10 @@
 		}
 		for d.now < silentAt+10*eventloop.Second && len(d.asks) == 0 {
 			d.now += Pace
-			roll := &membership.Roll{Known: map[string]membership.Known{}}
+			roll := &membership.View{Members: map[string]membership.MemberStatus{}}
 			hear := func(id string, boot uint64, began, at eventloop.Micros) {
-				beat := uint64((at - began) / membership.Pace)
-				roll.Known[id] = membership.Known{Member: &schema.Member{Id: id, Incarnation: boot, Heartbeat: beat, HasStorage: true, Role: schema.Role_ROLE_SERVER}, Heard: at}
+				beat := uint64((at - began) / membership.TickInterval)
+				roll.Members[id] = membership.MemberStatus{Member: &schema.Member{Id: id, Incarnation: boot, Heartbeat: beat, HasStorage: true, Role: schema.Role_ROLE_SERVER}, LastHeard: at}
 			}
 			hear("a", 1, born, d.now)
 			hear("b", 1, born, d.now)
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -33,12 +33,12 @@
 // rank is our place among the side machines that stand for controller, if we do.
 func (t *Table) rank(now eventloop.Micros) (int, bool) {
 	cells := map[string]string{t.id: t.roll.Self.GetZone()}
-	for id, known := range t.roll.Known {
-		if known.Member.Role == schema.Role_ROLE_CONTROLLER && t.roll.Live(id, now, t.spans.SuspectTimeout) {
+	for id, known := range t.roll.Members {
+		if known.Member.Role == schema.Role_ROLE_CONTROLLER && t.roll.IsAlive(id, now, t.spans.SuspectTimeout) {
 			cells[id] = known.Member.Zone
 		}
 	}
-	rank := slices.Index(membership.Spread(cells, membership.Candidates), t.id)
+	rank := slices.Index(membership.SpreadOverZones(cells, membership.MaxControllerCandidates), t.id)
 	return rank, rank >= 0
 }
 
--- a/internal/controller/members.go
+++ b/internal/controller/members.go
@@ -35,8 +35,8 @@
 // isLost tells whether a store has been silent for so long that its place may be
 // given to another. Where an empty store has come of late, it is the other.
 func (t *Table) isLost(now eventloop.Micros, id string) bool {
-	known, isKnown := t.roll.Known[id]
-	if isKnown && now-known.Heard < t.spans.SuspectTimeout {
+	known, isKnown := t.roll.Members[id]
+	if isKnown && now-known.LastHeard < t.spans.SuspectTimeout {
 		delete(t.gone, id)
 		return false
 	}
@@ -59,8 +59,8 @@
 	if !isKnown || old.inner == "" {
 		return false
 	}
-	for other, known := range t.roll.Known {
-		if other != id && known.Member.HasStorage && known.Member.InternalAddress == old.inner && known.Heard > old.heard && t.roll.Live(other, now, t.spans.SuspectTimeout) {
+	for other, known := range t.roll.Members {
+		if other != id && known.Member.HasStorage && known.Member.InternalAddress == old.inner && known.LastHeard > old.heard && t.roll.IsAlive(other, now, t.spans.SuspectTimeout) {
 			return true
 		}
 	}
@@ -78,7 +78,7 @@
 
 // hasCome tells whether a store that has never run before has come of late.
 func (t *Table) hasCome(now eventloop.Micros) bool {
-	return t.roll.Newcomer(now, t.spans.ReplaceTimeout, t.age(now), nil) != ""
+	return t.roll.FindNewlyJoined(now, t.spans.ReplaceTimeout, t.age(now), nil) != ""
 }
 
 // age is for how long the cluster has been there, at least: until the last grant of the
@@ -94,9 +94,9 @@
 // watch keeps in mind who is silent, and where the stores live, also before this
 // machine becomes the controller.
 func (t *Table) watch(now eventloop.Micros) {
-	for id, known := range t.roll.Known {
+	for id, known := range t.roll.Members {
 		if known.Member.HasStorage {
-			t.homes[id] = home{inner: known.Member.InternalAddress, cell: known.Member.Zone, heard: known.Heard}
+			t.homes[id] = home{inner: known.Member.InternalAddress, cell: known.Member.Zone, heard: known.LastHeard}
 			t.isLost(now, id)
 		}
 	}
@@ -172,9 +172,9 @@
 func (t *Table) leaver(now eventloop.Micros, note *schema.QueueStatus) string {
 	// Once promoted the new one is no newcomer any more, and the leaver still to go.
 	isUnderWay := len(note.Learners) > 0 || len(note.Voters) > t.voters
-	if isUnderWay || t.roll.Newcomer(now, t.spans.SuspectTimeout, t.age(now), note.Voters) != "" {
+	if isUnderWay || t.roll.FindNewlyJoined(now, t.spans.SuspectTimeout, t.age(now), note.Voters) != "" {
 		for _, id := range note.Voters {
-			if known, isKnown := t.roll.Known[id]; isKnown && known.Member.Draining {
+			if known, isKnown := t.roll.Members[id]; isKnown && known.Member.Draining {
 				return id
 			}
 		}
@@ -185,7 +185,7 @@
 // mayLearn tells whether a store can be made a learner of a group.
 func (t *Table) mayLearn(now eventloop.Micros, note *schema.QueueStatus, id string) bool {
 	return !slices.Contains(note.Voters, id) && !slices.Contains(note.Learners, id) &&
-		t.roll.Live(id, now, t.spans.SuspectTimeout) && !t.roll.Known[id].Member.Draining && !t.roll.Refuses(id)
+		t.roll.IsAlive(id, now, t.spans.SuspectTimeout) && !t.roll.Members[id].Member.Draining && !t.roll.RefusesWrites(id)
 }
 
 // spare is a store to learn next, in the place of another if one is to go. Queues follow
--- a/internal/controller/members_test.go
+++ b/internal/controller/members_test.go
@@ -94,8 +94,8 @@
 func TestTheAgeOfTheCluster(t *testing.T) {
 	Convey("A controller that has just started knows the age of the cluster from the lease, and counts a newcomer", t, func() {
 		h := New("h", 0)
-		h.roll = &membership.Roll{Known: map[string]membership.Known{
-			"d": {Member: &schema.Member{Id: "d", HasStorage: true, Incarnation: 1, Heartbeat: 4}, Heard: eventloop.Second},
+		h.roll = &membership.View{Members: map[string]membership.MemberStatus{
+			"d": {Member: &schema.Member{Id: "d", HasStorage: true, Incarnation: 1, Heartbeat: 4}, LastHeard: eventloop.Second},
 		}}
 		So(h.hasCome(eventloop.Second), ShouldBeFalse)
 		h.until, h.untilAt = int64(60*eventloop.Second), eventloop.Second
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -103,10 +103,10 @@
 		word, isKnown := t.told[id]
 		// Who can't say how the cluster state stands is cut off from it, and could
 		// neither lead nor ward.
-		if !isKnown || now-word.at > t.spans.SuspectTimeout || !t.roll.Live(id, now, t.spans.SuspectTimeout) || t.roll.Known[id].Member.Draining || t.isDeposed(now, id) {
+		if !isKnown || now-word.at > t.spans.SuspectTimeout || !t.roll.IsAlive(id, now, t.spans.SuspectTimeout) || t.roll.Members[id].Member.Draining || t.isDeposed(now, id) {
 			continue
 		}
-		list = append(list, candidate{id, t.roll.Known[id].Member.LatencyUs})
+		list = append(list, candidate{id, t.roll.Members[id].Member.LatencyUs})
 	}
 	if len(list) == 0 {
 		return ""
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -20,9 +20,9 @@
 		var over []*schema.ExpiredGateway
 		for _, boot := range note.Gateways {
 			key := "gateway/" + boot.Gateway
-			known, isKnown := t.roll.Known[boot.Gateway]
+			known, isKnown := t.roll.Members[boot.Gateway]
 			isNewer := isKnown && known.Member.Incarnation != boot.Incarnation&(1<<32-1)
-			if isKnown && !isNewer && now-known.Heard < t.spans.SuspectTimeout {
+			if isKnown && !isNewer && now-known.LastHeard < t.spans.SuspectTimeout {
 				delete(t.gone, key)
 				continue
 			}
--- a/internal/controller/voters_test.go
+++ b/internal/controller/voters_test.go
@@ -54,13 +54,13 @@
 func (c *council) run(span eventloop.Micros) {
 	for end := c.now + span; c.now < end; {
 		c.now += 250 * eventloop.Millisecond
-		roll := &membership.Roll{Known: map[string]membership.Known{}}
+		roll := &membership.View{Members: map[string]membership.MemberStatus{}}
 		for id, member := range c.members {
 			heard := c.now
 			if since, isSilent := c.silent[id]; isSilent {
 				heard = since
 			}
-			roll.Known[id] = membership.Known{Member: member, Heard: heard}
+			roll.Members[id] = membership.MemberStatus{Member: member, LastHeard: heard}
 		}
 		c.t.roll = roll
 		c.t.watch(c.now)
@@ -187,16 +187,16 @@
 		}
 		h := New(side(self).Id, 2)
 		for now := 100 * eventloop.Second; now < 110*eventloop.Second; now += Pace {
-			roll := &membership.Roll{Self: side(self), Known: map[string]membership.Known{}}
+			roll := &membership.View{Self: side(self), Members: map[string]membership.MemberStatus{}}
 			for _, id := range []string{"a", "b", "c", "d", "e"} {
-				roll.Known[id] = membership.Known{Member: &schema.Member{Id: id, HasStorage: true, Role: schema.Role_ROLE_SERVER}, Heard: now}
+				roll.Members[id] = membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true, Role: schema.Role_ROLE_SERVER}, LastHeard: now}
 			}
 			for k := range 20 {
 				heard := now
 				if slices.Contains(gone, k) {
 					heard = 95 * eventloop.Second
 				}
-				roll.Known[side(k).Id] = membership.Known{Member: side(k), Heard: heard}
+				roll.Members[side(k).Id] = membership.MemberStatus{Member: side(k), LastHeard: heard}
 			}
 			h.Step(now, eventloop.Message{Body: roll}, a)
 			h.Step(now, eventloop.Message{From: "a", Body: &schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{clusterstate.Group: "a"}}}, a)
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -9,7 +9,7 @@
 
 // cellOf is the zone of a store, also of one that the book has let go.
 func (t *Table) cellOf(id string) string {
-	if known, isKnown := t.roll.Known[id]; isKnown {
+	if known, isKnown := t.roll.Members[id]; isKnown {
 		return known.Member.GetZone()
 	}
 	return t.homes[id].cell
@@ -18,7 +18,7 @@
 // excess is by how many voters too many the zones or regions that may be lost would
 // hold, were one voter gone and another there; empty: none.
 func (t *Table) excess(note *schema.QueueStatus, gone, there string) int {
-	if !t.tolerance.IsSpread() {
+	if !t.tolerance.RequiresSpread() {
 		return 0
 	}
 	var zones []string
@@ -30,19 +30,19 @@
 	if there != "" {
 		zones = append(zones, t.cellOf(there))
 	}
-	return t.tolerance.Excess(zones)
+	return t.tolerance.ExcessVoters(zones)
 }
 
 // canSpread tells whether the stores that are known, the silent ones too, stand so that
 // the zones and regions can be lost.
 func (t *Table) canSpread() bool {
 	var zones []string
-	for _, known := range t.roll.Known {
+	for _, known := range t.roll.Members {
 		if known.Member.HasStorage {
 			zones = append(zones, known.Member.Zone)
 		}
 	}
-	return t.tolerance.IsSpread() && t.tolerance.Short(zones) == ""
+	return t.tolerance.RequiresSpread() && t.tolerance.Shortfall(zones) == ""
 }
 
 // mayReplace tells whether the vote of one may go to another: not where that leaves the
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -11,7 +11,7 @@
 
 // zoned is a council whose voters a, b, ... stand in these zones, and which is to bear
 // the loss of a zone.
-func zoned(tolerance membership.Tolerance, zones ...string) *council {
+func zoned(tolerance membership.FaultTolerance, zones ...string) *council {
 	ids := []string{"a", "b", "c", "d", "e"}[:len(zones)]
 	c := newCouncil(0, ids...)
 	c.t.Tolerate(tolerance)
@@ -22,7 +22,7 @@
 }
 
 func TestVotersAreSpreadOverZones(t *testing.T) {
-	oneZone := membership.Tolerance{Machines: 1, Zones: 1}
+	oneZone := membership.FaultTolerance{Machines: 1, Zones: 1}
 	Convey("Where a zone may be lost, a lost voter's vote stays in its zone", t, func() {
 		c := zoned(oneZone, "x", "y", "z")
 		c.run(3 * eventloop.Second)
@@ -55,7 +55,7 @@
 		So(c.steps, ShouldHaveLength, 3)
 	})
 	Convey("Regions likewise", t, func() {
-		c := zoned(membership.Tolerance{Machines: 1, Regions: 1, RegionOf: map[string]string{"x": "r", "y": "r", "z": "s", "w": "q"}}, "x", "y", "z")
+		c := zoned(membership.FaultTolerance{Machines: 1, Regions: 1, RegionByZone: map[string]string{"x": "r", "y": "r", "z": "s", "w": "q"}}, "x", "y", "z")
 		c.run(5 * eventloop.Second)
 		So(c.steps, ShouldBeEmpty)
 		c.add("d", "10.0.0.d", "w")
@@ -71,7 +71,7 @@
 		So(c.steps, ShouldResemble, []string{"learn d", "promote d", "drop b"})
 	})
 	Convey("Where zones needn't be borne, a spare is taken wherever it stands", t, func() {
-		c := zoned(membership.Tolerance{Machines: 1}, "x", "y", "z")
+		c := zoned(membership.FaultTolerance{Machines: 1}, "x", "y", "z")
 		c.run(3 * eventloop.Second)
 		c.silent["c"] = c.now
 		c.add("d", "10.0.0.d", "x")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -50,7 +50,7 @@
 	leaders      map[string]string
 	unled        map[string]eventloop.Micros // queues that nobody is known to lead, and since when
 	waits        map[string]*schema.QueueStatus
-	roll         *membership.Roll
+	roll         *membership.View
 	sessions     map[queueClient]*session
 	byId         map[string]*session
 	requests     map[uint64]*request
@@ -117,10 +117,10 @@
 		t.polled(body, out)
 	case *schema.ClusterStateResponse:
 		t.clusterState(now, body, out)
-	case *membership.Roll:
+	case *membership.View:
 		t.roll = body
 		for group, id := range t.leaders {
-			if known, isKnown := body.Known[id]; isKnown && known.Member.Draining {
+			if known, isKnown := body.Members[id]; isKnown && known.Member.Draining {
 				t.unlead(now, group)
 			}
 		}
@@ -201,9 +201,9 @@
 func (t *Table) fronts(now eventloop.Micros, m Fronts, out eventloop.Effects) {
 	list := &schema.GatewayList{Gateways: []*schema.GatewayEndpoint{}}
 	if t.roll != nil {
-		ids := slices.Sorted(maps.Keys(t.roll.Known))
+		ids := slices.Sorted(maps.Keys(t.roll.Members))
 		for _, id := range ids {
-			if member := t.roll.Known[id].Member; member.Role == schema.Role_ROLE_SERVER && t.roll.Live(id, now, listedSpan) {
+			if member := t.roll.Members[id].Member; member.Role == schema.Role_ROLE_SERVER && t.roll.IsAlive(id, now, listedSpan) {
 				list.Gateways = append(list.Gateways, &schema.GatewayEndpoint{Address: member.HttpAddress, Zone: member.Zone, Draining: member.Draining})
 			}
 		}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -75,11 +75,11 @@
 
 // stores are heard of now.
 func (d *desk) stores(ids ...string) {
-	known := map[string]membership.Known{}
+	known := map[string]membership.MemberStatus{}
 	for _, id := range ids {
-		known[id] = membership.Known{Member: &schema.Member{Id: id, HasStorage: true}, Heard: d.now}
+		known[id] = membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true}, LastHeard: d.now}
 	}
-	d.step(&membership.Roll{Known: known})
+	d.step(&membership.View{Members: known})
 }
 
 func (d *desk) handIn(client, name string) uint64 {
@@ -368,11 +368,11 @@
 	Convey("A front whose own replica has no word asks other stores", t, func() {
 		d := newDesk()
 		d.t.isLocal = true
-		known := map[string]membership.Known{}
+		known := map[string]membership.MemberStatus{}
 		for _, id := range []string{"me", "a", "b"} {
-			known[id] = membership.Known{Member: &schema.Member{Id: id, HasStorage: true}, Heard: d.now}
+			known[id] = membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true}, LastHeard: d.now}
 		}
-		d.step(&membership.Roll{Known: known})
+		d.step(&membership.View{Members: known})
 		d.step(&schema.ClusterStateResponse{Version: d.t.state.Version, Leaders: map[string]string{"l": "a"}})
 		asked := func() map[string]bool {
 			to := map[string]bool{}
@@ -536,16 +536,16 @@
 	})
 	Convey("The cluster state is looked at more often then, and what was asked goes to whoever leads now", t, func() {
 		d := newDesk()
-		known := func(id string) membership.Known {
-			return membership.Known{Member: &schema.Member{Id: id, HasStorage: true}, Heard: d.now}
+		known := func(id string) membership.MemberStatus {
+			return membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true}, LastHeard: d.now}
 		}
-		d.step(&membership.Roll{Known: map[string]membership.Known{"b": known("b")}})
+		d.step(&membership.View{Members: map[string]membership.MemberStatus{"b": known("b")}})
 		d.step(Ask{Request: 1, Kind: "status", Group: "l", Name: "j", Deadline: d.now + 9*eventloop.Second})
 		requests, looks := 0, 0
 		pass := func() {
 			before := len(d.sent)
 			d.now += Pace
-			d.step(&membership.Roll{Known: map[string]membership.Known{"b": known("b")}})
+			d.step(&membership.View{Members: map[string]membership.MemberStatus{"b": known("b")}})
 			d.step(eventloop.Tick{})
 			requests, looks = 0, 0
 			for _, each := range d.sent[before:] {
--- a/internal/gateway/late_test.go
+++ b/internal/gateway/late_test.go
@@ -108,7 +108,7 @@
 				d.step(eventloop.Tick{})
 			}
 		}
-		d.step(&membership.Roll{Known: map[string]membership.Known{"a": {Member: &schema.Member{Id: "a", HasStorage: true}, Heard: d.now}}})
+		d.step(&membership.View{Members: map[string]membership.MemberStatus{"a": {Member: &schema.Member{Id: "a", HasStorage: true}, LastHeard: d.now}}})
 		pass()
 		requests, submissions := arrivals()
 		So(requests, ShouldHaveLength, 1)
--- a/internal/gateway/leaders.go
+++ b/internal/gateway/leaders.go
@@ -64,7 +64,7 @@
 	if note := t.waits[queue]; note != nil {
 		voters = note.Voters
 	}
-	return t.roll.CanCommit(now, voters, t.roll.Refuses)
+	return t.roll.HasWritableQuorum(now, voters, t.roll.RefusesWrites)
 }
 
 // isUnled tells whether nobody has been known to lead a queue for too long to
@@ -91,8 +91,8 @@
 	if t.roll == nil {
 		return true
 	}
-	known, isKnown := t.roll.Known[id]
-	return !isKnown || !known.Member.Draining && t.roll.Live(id, now, storeSpan)
+	known, isKnown := t.roll.Members[id]
+	return !isKnown || !known.Member.Draining && t.roll.IsAlive(id, now, storeSpan)
 }
 
 // someStore is any store, one that was heard of lately and stays if there is.
@@ -101,13 +101,13 @@
 		return ""
 	}
 	var all, likely []string
-	for _, id := range slices.Sorted(maps.Keys(t.roll.Known)) {
-		known := t.roll.Known[id]
+	for _, id := range slices.Sorted(maps.Keys(t.roll.Members)) {
+		known := t.roll.Members[id]
 		if !known.Member.HasStorage {
 			continue
 		}
 		all = append(all, id)
-		if t.roll.Live(id, now, storeSpan) && !known.Member.Draining {
+		if t.roll.IsAlive(id, now, storeSpan) && !known.Member.Draining {
 			likely = append(likely, id)
 		}
 	}
@@ -127,8 +127,8 @@
 		return nil
 	}
 	var stores []string
-	for _, id := range slices.Sorted(maps.Keys(t.roll.Known)) {
-		if t.roll.Known[id].Member.HasStorage {
+	for _, id := range slices.Sorted(maps.Keys(t.roll.Members)) {
+		if t.roll.Members[id].Member.HasStorage {
 			stores = append(stores, id)
 		}
 	}
--- a/internal/gateway/lease_test.go
+++ b/internal/gateway/lease_test.go
@@ -69,7 +69,7 @@
 	Convey("A front without word asks every store in turn, not those alone that it heard of lately", t, func() {
 		d := newDesk()
 		d.stores("a", "b", "c")
-		d.t.roll.Known["b"].Member.Draining = true
+		d.t.roll.Members["b"].Member.Draining = true
 		d.now += 10 * eventloop.Second
 		asked := map[string]int{}
 		for range 6 {
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -143,7 +143,7 @@
 // Onlooker stands where the controller's table would on a side that is none: it
 // asks one store for the cluster state, and does nothing with it.
 type Onlooker struct {
-	roll    *membership.Roll
+	roll    *membership.View
 	version uint64
 	store   string
 }
@@ -156,7 +156,7 @@
 // Step implements eventloop.Table.
 func (o *Onlooker) Step(now eventloop.Micros, mail eventloop.Message, out eventloop.Effects) {
 	switch body := mail.Body.(type) {
-	case *membership.Roll:
+	case *membership.View:
 		o.roll = body
 	case *schema.ClusterStateResponse:
 		if body.State != nil {
@@ -166,7 +166,7 @@
 		if o.roll == nil {
 			return
 		}
-		if o.store == "" || !o.roll.Live(o.store, now, deadSpan) {
+		if o.store == "" || !o.roll.IsAlive(o.store, now, deadSpan) {
 			o.store = o.pick(now)
 		}
 		if o.store != "" {
@@ -179,8 +179,8 @@
 // them.
 func (o *Onlooker) pick(now eventloop.Micros) string {
 	var stores []string
-	for id, known := range o.roll.Known {
-		if known.Member.HasStorage && o.roll.Live(id, now, deadSpan) {
+	for id, known := range o.roll.Members {
+		if known.Member.HasStorage && o.roll.IsAlive(id, now, deadSpan) {
 			stores = append(stores, id)
 		}
 	}
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -69,9 +69,9 @@
 	Convey("Sides that are no controllers spread over the stores", t, func() {
 		asked := map[string]int{}
 		for k := range 30 {
-			roll := &membership.Roll{Self: &schema.Member{Id: fmt.Sprintf("p%03d", k)}, Known: map[string]membership.Known{}}
+			roll := &membership.View{Self: &schema.Member{Id: fmt.Sprintf("p%03d", k)}, Members: map[string]membership.MemberStatus{}}
 			for _, id := range []string{"a", "b", "c"} {
-				roll.Known[id] = membership.Known{Member: &schema.Member{Id: id, HasStorage: true}, Heard: eventloop.Second}
+				roll.Members[id] = membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true}, LastHeard: eventloop.Second}
 			}
 			o, out := &Onlooker{}, &outlet{}
 			o.Step(eventloop.Second, eventloop.Message{Body: roll}, out)
--- a/internal/membership/book.go
+++ b/internal/membership/address_book.go
@@ -6,16 +6,16 @@
 	"sync/atomic"
 )
 
-// Book resolves ids to inner addresses for the wires; it is written by the
+// AddressBook resolves ids to inner addresses for the wires; it is written by the
 // table alone and read by anyone.
-type Book struct {
+type AddressBook struct {
 	addresses atomic.Pointer[map[string]string]
 }
 
 // Address is where a process listens; empty where it isn't known. Safe for any goroutine.
-func (b *Book) Address(id string) string {
-	if m := b.addresses.Load(); m != nil {
-		return (*m)[id]
+func (b *AddressBook) Address(id string) string {
+	if addresses := b.addresses.Load(); addresses != nil {
+		return (*addresses)[id]
 	}
 	return ""
 }
--- a/internal/membership/bootstrap.go
+++ b/internal/membership/bootstrap.go
@@ -33,168 +33,170 @@
 //
 // Whoever hears a promise that names it joins in: it was made by this rule.
 
-// stores are the ids this process tells it sees.
-func (t *Table) stores() []string {
-	if t.account != nil && len(t.account.BootstrapVote) > 0 {
-		return t.account.BootstrapVote
+// visibleStorageNodes are the ids this process tells it sees.
+func (m *Membership) visibleStorageNodes() []string {
+	if m.identity != nil && len(m.identity.BootstrapVote) > 0 {
+		return m.identity.BootstrapVote
 	}
-	if t.asked != nil && len(t.frozen) > 0 {
-		return t.frozen
+	if m.pendingIdentity != nil && len(m.frozenStorageNodes) > 0 {
+		return m.frozenStorageNodes
 	}
-	seen := slices.Collect(maps.Keys(t.seen))
-	if t.account != nil {
-		seen = append(seen, t.self.Id)
+	ids := slices.Collect(maps.Keys(m.seenStorageNodes))
+	if m.identity != nil {
+		ids = append(ids, m.self.Id)
 	}
-	slices.Sort(seen)
-	return seen
+	slices.Sort(ids)
+	return ids
 }
 
-// isFounder tells whether this store may found: it is empty, and was told that
+// mayBootstrap tells whether this store may found: it is empty, and was told that
 // all begins now.
-func (t *Table) isFounder() bool {
-	return t.account != nil && !t.account.Joined && (t.terms.First || t.isUntold() && t.isSeed())
+func (m *Membership) mayBootstrap() bool {
+	return m.identity != nil && !m.identity.Joined && (m.config.Bootstrap || m.isImplicitBootstrap() && m.isSeed())
 }
 
-// isUntold: settings that say neither which start is the first nor what may be
+// isImplicitBootstrap: settings that say neither which start is the first nor what may be
 // lost leave it to the stores that are each other's seeds. Settings that do say
 // so mean it: a store that comes back empty to a seed's address never founds.
-func (t *Table) isUntold() bool { return !t.terms.First && t.terms.Losses == 0 }
+func (m *Membership) isImplicitBootstrap() bool {
+	return !m.config.Bootstrap && m.config.MachineFailures == 0
+}
 
-func (t *Table) found(now eventloop.Micros, out eventloop.Effects) {
-	if t.account == nil || t.account.Joined || t.asked != nil {
+func (m *Membership) bootstrap(now eventloop.Micros, effects eventloop.Effects) {
+	if m.identity == nil || m.identity.Joined || m.pendingIdentity != nil {
 		return
 	}
-	promise := t.account.BootstrapVote
-	if len(promise) == 0 {
-		if promise = t.joined(); promise == nil {
-			promise = t.settled(now)
+	vote := m.identity.BootstrapVote
+	if len(vote) == 0 {
+		if vote = m.adoptedVote(); vote == nil {
+			vote = m.settledVoters(now)
 		}
-		if promise != nil {
-			next := proto.Clone(t.account).(*schema.StoreIdentity)
-			next.BootstrapVote = promise
-			t.frozen = t.stores()
-			t.asked = next
-			out.Notify("replica", KeepSelf{Self: next})
+		if vote != nil {
+			next := proto.Clone(m.identity).(*schema.StoreIdentity)
+			next.BootstrapVote = vote
+			m.frozenStorageNodes = m.visibleStorageNodes()
+			m.pendingIdentity = next
+			effects.Notify("replica", PersistIdentity{Identity: next})
 		}
 		return
 	}
-	for _, id := range promise {
-		if id != t.self.Id && !slices.Equal(t.told[id].hello.GetBootstrapVote(), promise) {
+	for _, id := range vote {
+		if id != m.self.Id && !slices.Equal(m.reports[id].gossip.GetBootstrapVote(), vote) {
 			return
 		}
 	}
-	next := proto.Clone(t.account).(*schema.StoreIdentity)
+	next := proto.Clone(m.identity).(*schema.StoreIdentity)
 	next.Joined = true
-	t.asked = next
-	out.Notify("replica", KeepSelf{Self: next, Found: next.BootstrapVote})
+	m.pendingIdentity = next
+	effects.Notify("replica", PersistIdentity{Identity: next, BootstrapVoters: next.BootstrapVote})
 }
 
-// joined is the promise of another store that names this one.
-func (t *Table) joined() []string {
-	if t.isSystem {
+// adoptedVote is the promise of another store that names this one.
+func (m *Membership) adoptedVote() []string {
+	if m.clusterExists {
 		return nil
 	}
-	for _, id := range slices.Sorted(maps.Keys(t.told)) {
-		if promise := t.told[id].hello.BootstrapVote; slices.Contains(promise, t.self.Id) && slices.Contains(promise, id) {
-			return slices.Clone(promise)
+	for _, id := range slices.Sorted(maps.Keys(m.reports)) {
+		if vote := m.reports[id].gossip.BootstrapVote; slices.Contains(vote, m.self.Id) && slices.Contains(vote, id) {
+			return slices.Clone(vote)
 		}
 	}
 	return nil
 }
 
-// settled is the set to promise once all have agreed for long enough.
-func (t *Table) settled(now eventloop.Micros) []string {
-	founders, wished := t.agreement(now)
-	key := strings.Join(founders, " ") + "/" + strings.Join(t.stores(), " ")
-	if len(founders) == 0 {
-		t.agreed = ""
+// settledVoters is the set to promise once all have agreed for long enough.
+func (m *Membership) settledVoters(now eventloop.Micros) []string {
+	voters, desired := m.evaluateAgreement(now)
+	key := strings.Join(voters, " ") + "/" + strings.Join(m.visibleStorageNodes(), " ")
+	if len(voters) == 0 {
+		m.agreementKey = ""
 		return nil
 	}
-	if key != t.agreed {
-		t.agreed, t.agreedAt = key, now
+	if key != m.agreementKey {
+		m.agreementKey, m.agreedSince = key, now
 	}
-	span := settleSpan
-	if len(founders) < wished {
-		span = fewSpan
+	period := agreementPeriod
+	if len(voters) < desired {
+		period = reducedAgreementPeriod
 	}
-	if now-t.agreedAt < span || !slices.Contains(founders, t.self.Id) {
+	if now-m.agreedSince < period || !slices.Contains(voters, m.self.Id) {
 		return nil
 	}
-	return founders
+	return voters
 }
 
-// agreement is the founders if all who must have told of the same stores, and
+// evaluateAgreement is the founders if all who must have told of the same stores, and
 // how many founders are wished for.
-func (t *Table) agreement(now eventloop.Micros) ([]string, int) {
-	if t.isSystem || !t.isFounder() {
+func (m *Membership) evaluateAgreement(now eventloop.Micros) ([]string, int) {
+	if m.clusterExists || !m.mayBootstrap() {
 		return nil, 0
 	}
-	seen := t.stores()
-	agrees := func(w word, isHeard bool) bool {
-		return isHeard && now-w.at < toldSpan && !w.hello.Joined && slices.Equal(w.hello.KnownStores, seen)
+	visible := m.visibleStorageNodes()
+	agrees := func(report peerReport, received bool) bool {
+		return received && now-report.receivedAt < reportMaxAge && !report.gossip.Joined && slices.Equal(report.gossip.KnownStores, visible)
 	}
-	cells := map[string]string{}
-	for _, id := range seen {
-		if id == t.self.Id {
-			cells[id] = t.self.Zone
+	zones := map[string]string{}
+	for _, id := range visible {
+		if id == m.self.Id {
+			zones[id] = m.self.Zone
 			continue
 		}
-		w, isHeard := t.told[id]
-		if !agrees(w, isHeard) {
+		report, received := m.reports[id]
+		if !agrees(report, received) {
 			return nil, 0
 		}
 		// One that isn't to found is seen all the same: it will join later.
-		if w.hello.Empty {
-			cells[id] = w.hello.Self.Zone
+		if report.gossip.Empty {
+			zones[id] = report.gossip.Self.Zone
 		}
 	}
-	wished := t.terms.Founders()
-	if !t.terms.First {
-		wished = min(wished, len(t.terms.Seeds))
+	desired := m.config.VoterCount()
+	if !m.config.Bootstrap {
+		desired = min(desired, len(m.config.Seeds))
 	}
-	for _, seed := range t.terms.Seeds {
-		if seed == t.self.InternalAddress {
+	for _, seed := range m.config.Seeds {
+		if seed == m.self.InternalAddress {
 			continue
 		}
-		w, isHeard := t.at(seed)
-		if !agrees(w, isHeard) {
+		report, received := m.reportFrom(seed)
+		if !agrees(report, received) {
 			return nil, 0
 		}
 		// Nobody said that all begins now, so only the seeds together may.
-		if !t.terms.First && !w.hello.Empty {
+		if !m.config.Bootstrap && !report.gossip.Empty {
 			return nil, 0
 		}
 	}
-	return t.terms.Tolerance().Spread(cells, t.terms.Founders()), wished
+	return m.config.Tolerance().SelectVoters(zones, m.config.VoterCount()), desired
 }
 
-// at is the last word heard from an address.
-func (t *Table) at(address string) (word, bool) {
-	var last word
-	for _, w := range t.told {
-		if w.hello.Self.InternalAddress == address && w.at > last.at {
-			last = w
+// reportFrom is the last word heard from an address.
+func (m *Membership) reportFrom(address string) (peerReport, bool) {
+	var last peerReport
+	for _, report := range m.reports {
+		if report.gossip.Self.InternalAddress == address && report.receivedAt > last.receivedAt {
+			last = report
 		}
 	}
-	return last, last.hello != nil
+	return last, last.gossip != nil
 }
 
-// Spread chooses so many of the processes, whose cells are given by id: spread
+// SelectVoters chooses so many of the processes, whose cells are given by id: spread
 // over the cells, lowest ids first. All choose alike.
-func Spread(cells map[string]string, count int) []string {
-	byCell := map[string][]string{}
-	for _, id := range slices.Sorted(maps.Keys(cells)) {
-		byCell[cells[id]] = append(byCell[cells[id]], id)
-	}
-	var founders []string
-	for len(founders) < min(count, len(cells)) {
-		for _, cell := range slices.Sorted(maps.Keys(byCell)) {
-			if ids := byCell[cell]; len(ids) > 0 && len(founders) < count {
-				founders = append(founders, ids[0])
-				byCell[cell] = ids[1:]
+func SpreadOverZones(zones map[string]string, count int) []string {
+	byZone := map[string][]string{}
+	for _, id := range slices.Sorted(maps.Keys(zones)) {
+		byZone[zones[id]] = append(byZone[zones[id]], id)
+	}
+	var chosen []string
+	for len(chosen) < min(count, len(zones)) {
+		for _, zone := range slices.Sorted(maps.Keys(byZone)) {
+			if ids := byZone[zone]; len(ids) > 0 && len(chosen) < count {
+				chosen = append(chosen, ids[0])
+				byZone[zone] = ids[1:]
 			}
 		}
 	}
-	slices.Sort(founders)
-	return founders
+	slices.Sort(chosen)
+	return chosen
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -13,265 +13,265 @@
 	"sparnotch/internal/schema"
 )
 
-// word is the last hello a process sent us itself.
-type word struct {
-	at    eventloop.Micros
-	hello *schema.Gossip
+// peerReport is the last hello a process sent us itself.
+type peerReport struct {
+	receivedAt eventloop.Micros
+	gossip     *schema.Gossip
 }
 
-// detail is how much of the book a hello carries.
-type detail int
+// gossipDetail is how much of the book a hello carries.
+type gossipDetail int
 
-func (t *Table) hello(now eventloop.Micros, much detail) *schema.Gossip {
-	hello := &schema.Gossip{Self: proto.Clone(t.self).(*schema.Member), Joined: t.isSystem}
-	if t.account != nil {
-		hello.Empty = t.isFounder()
-		hello.BootstrapVote = t.account.BootstrapVote
+func (m *Membership) newGossip(now eventloop.Micros, detail gossipDetail) *schema.Gossip {
+	gossip := &schema.Gossip{Self: proto.Clone(m.self).(*schema.Member), Joined: m.clusterExists}
+	if m.identity != nil {
+		gossip.Empty = m.mayBootstrap()
+		gossip.BootstrapVote = m.identity.BootstrapVote
 	}
-	if !t.isSystem {
-		hello.KnownStores = t.stores()
+	if !m.clusterExists {
+		gossip.KnownStores = m.visibleStorageNodes()
 	}
-	if much == alone {
-		return hello
+	if detail == selfOnly {
+		return gossip
 	}
-	for _, id := range t.ids() {
-		known := t.known[id]
-		if now-known.Heard >= freshSpan {
+	for _, id := range m.memberIDs() {
+		known := m.members[id]
+		if now-known.LastHeard >= gossipMaxAge {
 			continue
 		}
-		hello.Members = append(hello.Members, entry(known.Member, much))
+		gossip.Members = append(gossip.Members, gossipEntry(known.Member, detail))
 	}
-	return hello
+	return gossip
 }
 
-// entry is a member as a book tells of it.
-func entry(member *schema.Member, much detail) *schema.Member {
-	if much == whole {
+// gossipEntry is a member as a book tells of it.
+func gossipEntry(member *schema.Member, detail gossipDetail) *schema.Member {
+	if detail == fullMembers {
 		return member
 	}
 	return &schema.Member{Id: member.Id, Incarnation: member.Incarnation, Heartbeat: member.Heartbeat, Draining: member.Draining, LatencyUs: member.LatencyUs}
 }
 
-// report is the hello to a store or seed. Once a store is heard, what a side
+// newGossipToStorageNode is the hello to a store or seed. Once a store is heard, what a side
 // machine knows the stores know better, but for who asks it because they reach
 // no store.
-func (t *Table) report(now eventloop.Micros, much detail) *schema.Gossip {
-	if !t.isSystem || !t.terms.IsSide || len(t.hubs(now)) == 0 {
-		return t.hello(now, much)
+func (m *Membership) newGossipToStorageNode(now eventloop.Micros, detail gossipDetail) *schema.Gossip {
+	if !m.clusterExists || !m.config.IsAgentNode || len(m.liveStorageNodes(now)) == 0 {
+		return m.newGossip(now, detail)
 	}
-	report := t.hello(now, alone)
-	if much == alone {
-		return report
+	gossip := m.newGossip(now, selfOnly)
+	if detail == selfOnly {
+		return gossip
 	}
-	if much == whole {
+	if detail == fullMembers {
 		// Who tells a whole member is answered with whole ones.
-		report.Members = append(report.Members, report.Self)
+		gossip.Members = append(gossip.Members, gossip.Self)
 	}
-	for _, id := range slices.Sorted(maps.Keys(t.askers)) {
-		if known, isKnown := t.known[id]; isKnown && now-known.Heard < freshSpan {
-			report.Members = append(report.Members, entry(known.Member, much))
+	for _, id := range slices.Sorted(maps.Keys(m.requesters)) {
+		if known, isKnown := m.members[id]; isKnown && now-known.LastHeard < gossipMaxAge {
+			gossip.Members = append(gossip.Members, gossipEntry(known.Member, detail))
 		}
 	}
-	return report
+	return gossip
 }
 
-// answer is the hello to one that asks. Only stores need to know of all side
+// newGossipReply is the hello to one that asks. Only stores need to know of all side
 // machines; whoever else asks within a system is told of the stores, the fronts
 // and the candidates: what all know of all would grow with the square of them.
-func (t *Table) answer(now eventloop.Micros, much detail, asker *schema.Gossip) *schema.Gossip {
-	answer := t.hello(now, much)
-	answer.IsReply = true
-	if t.isSystem && asker.Joined && !asker.Self.HasStorage {
-		t.leaveOut(now, answer)
+func (m *Membership) newGossipReply(now eventloop.Micros, detail gossipDetail, request *schema.Gossip) *schema.Gossip {
+	gossip := m.newGossip(now, detail)
+	gossip.IsReply = true
+	if m.clusterExists && request.Joined && !request.Self.HasStorage {
+		m.omitAgentNodes(now, gossip)
 	}
-	return answer
+	return gossip
 }
 
-// leaveOut takes the side machines out of a hello that don't stand for controller.
-func (t *Table) leaveOut(now eventloop.Micros, hello *schema.Gossip) {
-	cells := map[string]string{}
-	for id, known := range t.known {
-		if known.Member.Role == schema.Role_ROLE_CONTROLLER && now-known.Heard < hubSpan {
-			cells[id] = known.Member.Zone
+// omitAgentNodes takes the side machines out of a hello that don't stand for controller.
+func (m *Membership) omitAgentNodes(now eventloop.Micros, gossip *schema.Gossip) {
+	zones := map[string]string{}
+	for id, known := range m.members {
+		if known.Member.Role == schema.Role_ROLE_CONTROLLER && now-known.LastHeard < storageNodeTimeout {
+			zones[id] = known.Member.Zone
 		}
 	}
-	candidates := Spread(cells, Candidates)
-	hello.Members = slices.DeleteFunc(hello.Members, func(member *schema.Member) bool {
-		known, isKnown := t.known[member.Id]
+	candidates := SpreadOverZones(zones, MaxControllerCandidates)
+	gossip.Members = slices.DeleteFunc(gossip.Members, func(member *schema.Member) bool {
+		known, isKnown := m.members[member.Id]
 		return isKnown && known.Member.Role == schema.Role_ROLE_CONTROLLER && !slices.Contains(candidates, member.Id)
 	})
 }
 
-func (t *Table) ids() []string {
-	return slices.Sorted(maps.Keys(t.known))
+func (m *Membership) memberIDs() []string {
+	return slices.Sorted(maps.Keys(m.members))
 }
 
-// hubs are the other stores, those heard of lately. Everybody asks them in
+// liveStorageNodes are the other stores, those heard of lately. Everybody asks them in
 // turn, so a beat takes two hops from anybody to anybody.
-func (t *Table) hubs(now eventloop.Micros) []string {
-	var hubs []string
-	for _, id := range t.ids() {
-		if known := t.known[id]; known.Member.HasStorage && now-known.Heard < hubSpan {
-			hubs = append(hubs, known.Member.InternalAddress)
+func (m *Membership) liveStorageNodes(now eventloop.Micros) []string {
+	var addresses []string
+	for _, id := range m.memberIDs() {
+		if known := m.members[id]; known.Member.HasStorage && now-known.LastHeard < storageNodeTimeout {
+			addresses = append(addresses, known.Member.InternalAddress)
 		}
 	}
-	return hubs
+	return addresses
 }
 
-func (t *Table) isSeed() bool { return slices.Contains(t.terms.Seeds, t.self.InternalAddress) }
+func (m *Membership) isSeed() bool { return slices.Contains(m.config.Seeds, m.self.InternalAddress) }
 
-// someSeed is any seed but ourselves.
-func (t *Table) someSeed() string {
+// randomSeed is any seed but ourselves.
+func (m *Membership) randomSeed() string {
 	var others []string
-	for _, seed := range t.terms.Seeds {
-		if seed != t.self.InternalAddress {
+	for _, seed := range m.config.Seeds {
+		if seed != m.self.InternalAddress {
 			others = append(others, seed)
 		}
 	}
 	if len(others) == 0 {
 		return ""
 	}
-	return others[t.rng.IntN(len(others))]
+	return others[m.rng.IntN(len(others))]
 }
 
-func (t *Table) greet(now eventloop.Micros, out eventloop.Effects) {
-	t.self.Heartbeat++
+func (m *Membership) sendGossip(now eventloop.Micros, effects eventloop.Effects) {
+	m.self.Heartbeat++
 	switch {
-	case len(t.known) == 0:
+	case len(m.members) == 0:
 		// Seeds are asked all the time until somebody answers. They may all
 		// have been replaced while this machine was away; whom it knew then is
 		// worth a try.
-		hello := t.hello(now, whole)
-		sentTo := map[string]bool{t.self.InternalAddress: true}
-		for _, address := range append(slices.Clone(t.terms.Seeds), t.met...) {
+		gossip := m.newGossip(now, fullMembers)
+		sentTo := map[string]bool{m.self.InternalAddress: true}
+		for _, address := range append(slices.Clone(m.config.Seeds), m.knownAddresses...) {
 			if !sentTo[address] {
 				sentTo[address] = true
-				out.Dial(address, hello)
+				effects.Dial(address, gossip)
 			}
 		}
-	case t.isSystem:
-		t.tell(now, out)
+	case m.clusterExists:
+		m.exchange(now, effects)
 	default:
-		t.gather(now, out)
+		m.discover(now, effects)
 	}
 }
 
-// gather: before a system exists, seeds and stores all tell each other whom
+// discover: before a system exists, seeds and stores all tell each other whom
 // they see; the others ask a seed.
-func (t *Table) gather(now eventloop.Micros, out eventloop.Effects) {
-	hello := t.hello(now, whole)
-	if t.account == nil && !t.isSeed() {
-		if seed := t.someSeed(); seed != "" {
-			out.Dial(seed, hello)
+func (m *Membership) discover(now eventloop.Micros, effects eventloop.Effects) {
+	gossip := m.newGossip(now, fullMembers)
+	if m.identity == nil && !m.isSeed() {
+		if seed := m.randomSeed(); seed != "" {
+			effects.Dial(seed, gossip)
 		}
 		return
 	}
-	sentTo := map[string]bool{t.self.InternalAddress: true}
-	for _, seed := range t.terms.Seeds {
+	sentTo := map[string]bool{m.self.InternalAddress: true}
+	for _, seed := range m.config.Seeds {
 		if !sentTo[seed] {
 			sentTo[seed] = true
-			out.Dial(seed, hello)
+			effects.Dial(seed, gossip)
 		}
 	}
 	// Whoever is told here tells us too, in its own turn.
-	word := proto.Clone(hello).(*schema.Gossip)
-	word.IsReply = true
-	for _, id := range t.ids() {
-		if member := t.known[id].Member; member.HasStorage && !sentTo[member.InternalAddress] {
+	unsolicited := proto.Clone(gossip).(*schema.Gossip)
+	unsolicited.IsReply = true
+	for _, id := range m.memberIDs() {
+		if member := m.members[id].Member; member.HasStorage && !sentTo[member.InternalAddress] {
 			sentTo[member.InternalAddress] = true
-			out.Dial(member.InternalAddress, word)
+			effects.Dial(member.InternalAddress, unsolicited)
 		}
 	}
 }
 
-// tell: in a system. A store tells all others at each pace; a side machine
+// exchange: in a system. A store tells all others at each pace; a side machine
 // asks one store at each pace, the others at each second one. Whoever
 // got no word asks one of all besides, for the stores may be cut off from us
 // and not from others.
-func (t *Table) tell(now eventloop.Micros, out eventloop.Effects) {
-	hubs := t.hubs(now)
+func (m *Membership) exchange(now eventloop.Micros, effects eventloop.Effects) {
+	storageNodes := m.liveStorageNodes(now)
 	// Whoever hears of no store asks at each pace: the seed asked before may have
 	// known none itself, as when all have just started.
-	if t.isMissing || len(hubs) == 0 || now-t.wholeAt >= wholeSpan {
+	if m.hasUnknownMember || len(storageNodes) == 0 || now-m.fullSyncAt >= fullSyncInterval {
 		// A seed in turn: that is how two halves that met different seeds find
 		// each other.
-		t.isMissing, t.wholeAt = false, now
-		seed := t.someSeed()
+		m.hasUnknownMember, m.fullSyncAt = false, now
+		seed := m.randomSeed()
 		if seed != "" {
-			report := t.report(now, whole)
-			if !t.isStoreAt(seed) {
-				t.leaveOut(now, report)
+			report := m.newGossipToStorageNode(now, fullMembers)
+			if !m.mayBeStorageNode(seed) {
+				m.omitAgentNodes(now, report)
 			}
-			out.Dial(seed, report)
+			effects.Dial(seed, report)
 		}
 		// The seeds may all have been replaced while we ran on: beats alone don't tell
 		// who somebody new is, so a store that is heard of is asked in their place.
-		if len(hubs) > 0 && !t.isHeardAt(now, seed) {
-			out.Dial(hubs[t.rng.IntN(len(hubs))], t.report(now, whole))
+		if len(storageNodes) > 0 && !m.isAliveAt(now, seed) {
+			effects.Dial(storageNodes[m.rng.IntN(len(storageNodes))], m.newGossipToStorageNode(now, fullMembers))
 		}
 	}
-	if t.ticks < youngPaces {
-		t.callSeeds(now, out)
+	if m.ticks < startupTicks {
+		m.contactSeeds(now, effects)
 	}
-	isStore, isTurn := t.account != nil, t.ticks%2 == 0
-	if !isTurn && !isStore && !t.terms.IsSide && !t.isWaiting && !t.isNews {
+	isStore, isTurn := m.identity != nil, m.ticks%2 == 0
+	if !isTurn && !isStore && !m.config.IsAgentNode && !m.awaitingResponse && !m.hasUnsentChanges {
 		return
 	}
-	much := alone
-	if t.isNews || t.ticks%4 == 0 {
-		much = beats
+	detail := selfOnly
+	if m.hasUnsentChanges || m.ticks%4 == 0 {
+		detail = heartbeatsOnly
 	}
-	if t.isWaiting || len(hubs) == 0 {
-		much = beats
-		ids := t.ids()
-		out.Dial(t.known[ids[t.rng.IntN(len(ids))]].Member.InternalAddress, t.hello(now, beats))
+	if m.awaitingResponse || len(storageNodes) == 0 {
+		detail = heartbeatsOnly
+		ids := m.memberIDs()
+		effects.Dial(m.members[ids[m.rng.IntN(len(ids))]].Member.InternalAddress, m.newGossip(now, heartbeatsOnly))
 	}
 	if isStore {
 		// Of others it tells at each second pace.
 		if !isTurn {
-			much = alone
+			detail = selfOnly
 		} else {
-			much = beats
+			detail = heartbeatsOnly
 		}
-		t.spread(now, much, out)
-	} else if len(hubs) > 0 {
-		t.turn++
-		out.Dial(hubs[t.turn%uint64(len(hubs))], t.report(now, much))
+		m.broadcast(now, detail, effects)
+	} else if len(storageNodes) > 0 {
+		m.pollTurn++
+		effects.Dial(storageNodes[m.pollTurn%uint64(len(storageNodes))], m.newGossipToStorageNode(now, detail))
 	}
-	t.isWaiting, t.isNews = true, false
+	m.awaitingResponse, m.hasUnsentChanges = true, false
 }
 
-// callSeeds: a young process calls every seed that it hasn't heard of yet. They may
+// contactSeeds: a young process calls every seed that it hasn't heard of yet. They may
 // come up after it, as when all have just been restarted, and others who know only
 // them hear of nobody until they do.
-func (t *Table) callSeeds(now eventloop.Micros, out eventloop.Effects) {
-	heard := map[string]bool{t.self.InternalAddress: true}
-	for _, known := range t.known {
-		if now-known.Heard < hubSpan {
-			heard[known.Member.InternalAddress] = true
+func (m *Membership) contactSeeds(now eventloop.Micros, effects eventloop.Effects) {
+	contacted := map[string]bool{m.self.InternalAddress: true}
+	for _, known := range m.members {
+		if now-known.LastHeard < storageNodeTimeout {
+			contacted[known.Member.InternalAddress] = true
 		}
 	}
-	for _, seed := range t.terms.Seeds {
-		if !heard[seed] {
-			heard[seed] = true
-			out.Dial(seed, t.report(now, whole))
+	for _, seed := range m.config.Seeds {
+		if !contacted[seed] {
+			contacted[seed] = true
+			effects.Dial(seed, m.newGossipToStorageNode(now, fullMembers))
 		}
 	}
 }
 
-// isHeardAt tells whether a process at an address was heard of lately.
-func (t *Table) isHeardAt(now eventloop.Micros, address string) bool {
-	for _, known := range t.known {
-		if known.Member.InternalAddress == address && now-known.Heard < hubSpan {
+// isAliveAt tells whether a process at an address was heard of lately.
+func (m *Membership) isAliveAt(now eventloop.Micros, address string) bool {
+	for _, known := range m.members {
+		if known.Member.InternalAddress == address && now-known.LastHeard < storageNodeTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// isStoreAt tells whether a store, or nobody we know, lives at an address.
-func (t *Table) isStoreAt(address string) bool {
-	for _, known := range t.known {
+// mayBeStorageNode tells whether a store, or nobody we know, lives at an address.
+func (m *Membership) mayBeStorageNode(address string) bool {
+	for _, known := range m.members {
 		if known.Member.InternalAddress == address {
 			return known.Member.HasStorage
 		}
@@ -279,83 +279,83 @@
 	return true
 }
 
-// spread tells every store without asking anything.
-func (t *Table) spread(now eventloop.Micros, much detail, out eventloop.Effects) {
-	word := t.hello(now, much)
-	word.IsReply = true
-	for _, hub := range t.hubs(now) {
-		out.Dial(hub, word)
+// broadcast tells every store without asking anything.
+func (m *Membership) broadcast(now eventloop.Micros, detail gossipDetail, effects eventloop.Effects) {
+	unsolicited := m.newGossip(now, detail)
+	unsolicited.IsReply = true
+	for _, address := range m.liveStorageNodes(now) {
+		effects.Dial(address, unsolicited)
 	}
 }
 
-// isBefore tells whether a process said one thing of itself before another.
-func isBefore(a, b *schema.Member) bool {
+// isOlder tells whether a process said one thing of itself before another.
+func isOlder(a, b *schema.Member) bool {
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Heartbeat, b.Heartbeat)) < 0
 }
 
-func (t *Table) hear(now eventloop.Micros, from string, hello *schema.Gossip, out eventloop.Effects) {
-	if hello.Self == nil || hello.Self.Id != from || from == t.self.Id {
+func (m *Membership) handleGossip(now eventloop.Micros, from string, gossip *schema.Gossip, effects eventloop.Effects) {
+	if gossip.Self == nil || gossip.Self.Id != from || from == m.self.Id {
 		return
 	}
 	// What a former life said, and comes late, is nobody's word any more.
-	if former, isKnown := t.known[from]; isKnown && hello.Self.Incarnation < former.Member.Incarnation {
+	if previous, isKnown := m.members[from]; isKnown && gossip.Self.Incarnation < previous.Member.Incarnation {
 		return
 	}
-	wasSystem, seen, known := t.isSystem, len(t.seen), len(t.known)
-	t.isSystem = t.isSystem || hello.Joined
-	t.note(now, hello.Self)
-	if last := t.told[from].hello; last == nil || !isBefore(hello.Self, last.Self) {
-		t.told[from] = word{at: now, hello: hello}
+	clusterExisted, seenBefore, knownBefore := m.clusterExists, len(m.seenStorageNodes), len(m.members)
+	m.clusterExists = m.clusterExists || gossip.Joined
+	m.mergeMember(now, gossip.Self)
+	if lastGossip := m.reports[from].gossip; lastGossip == nil || !isOlder(gossip.Self, lastGossip.Self) {
+		m.reports[from] = peerReport{receivedAt: now, gossip: gossip}
 	}
-	isWhole, isMissing := false, false
-	for _, member := range hello.Members {
-		if member.GetId() == t.self.Id {
+	hasFullMember, unknownMember := false, false
+	for _, member := range gossip.Members {
+		if member.GetId() == m.self.Id {
 			continue
 		}
-		isWhole = isWhole || member.InternalAddress != ""
-		isMissing = !t.note(now, member) || isMissing
+		hasFullMember = hasFullMember || member.InternalAddress != ""
+		unknownMember = !m.mergeMember(now, member) || unknownMember
 	}
-	if hello.IsReply {
-		t.isWaiting = false
+	if gossip.IsReply {
+		m.awaitingResponse = false
 	} else {
 		// Somebody who asks a process that is no store may reach no other.
-		t.isNews = t.isNews || t.account == nil && t.isSystem
-		much := beats
-		if isWhole || !t.isSystem || !hello.Joined {
-			much = whole
+		m.hasUnsentChanges = m.hasUnsentChanges || m.identity == nil && m.clusterExists
+		detail := heartbeatsOnly
+		if hasFullMember || !m.clusterExists || !gossip.Joined {
+			detail = fullMembers
 		}
-		if t.account == nil {
-			t.askers[from] = now
+		if m.identity == nil {
+			m.requesters[from] = now
 		}
-		out.Dial(hello.Self.InternalAddress, t.answer(now, much, hello))
+		effects.Dial(gossip.Self.InternalAddress, m.newGossipReply(now, detail, gossip))
 	}
-	if isMissing && now-t.wholeAt >= Pace {
-		t.wholeAt = now
-		out.Dial(hello.Self.InternalAddress, t.report(now, whole))
-	} else if isMissing {
-		t.isMissing = true
+	if unknownMember && now-m.fullSyncAt >= TickInterval {
+		m.fullSyncAt = now
+		effects.Dial(gossip.Self.InternalAddress, m.newGossipToStorageNode(now, fullMembers))
+	} else if unknownMember {
+		m.hasUnknownMember = true
 	}
 	// Founding shouldn't wait for the pace when a store is news.
-	if isNews := len(t.seen) != seen || t.isSystem != wasSystem; isNews && now-t.rushedAt >= rushSpan {
-		t.rushedAt = now
-		t.greet(now, out)
+	if isChange := len(m.seenStorageNodes) != seenBefore || m.clusterExists != clusterExisted; isChange && now-m.outOfTurnAt >= minGossipInterval {
+		m.outOfTurnAt = now
+		m.sendGossip(now, effects)
 	}
 	// Whoever is new here can be reached from now on.
-	if len(t.known) > known {
-		t.publish(now, out)
+	if len(m.members) > knownBefore {
+		m.publish(now, effects)
 	}
-	t.found(now, out)
+	m.bootstrap(now, effects)
 }
 
-// note takes in what is told of a member; false if it is a mere beat of one
+// mergeMember takes in what is told of a member; false if it is a mere beat of one
 // whom we don't know.
-func (t *Table) note(now eventloop.Micros, member *schema.Member) bool {
+func (m *Membership) mergeMember(now eventloop.Micros, member *schema.Member) bool {
 	if member.GetId() == "" {
 		return true
 	}
-	old, isKnown := t.known[member.Id]
-	isNews := !isKnown || member.Incarnation > old.Member.Incarnation || member.Incarnation == old.Member.Incarnation && member.Heartbeat > old.Member.Heartbeat
-	if !isNews {
+	old, isKnown := m.members[member.Id]
+	isNewer := !isKnown || member.Incarnation > old.Member.Incarnation || member.Incarnation == old.Member.Incarnation && member.Heartbeat > old.Member.Heartbeat
+	if !isNewer {
 		return true
 	}
 	if member.InternalAddress == "" {
@@ -368,16 +368,16 @@
 	}
 	// An address belongs to whoever was heard there last.
 	if !isKnown || old.Member.InternalAddress != member.InternalAddress {
-		for id, other := range t.known {
-			if id != member.Id && other.Member.InternalAddress == member.InternalAddress && now-other.Heard > eventloop.Second {
-				delete(t.known, id)
-				delete(t.told, id)
+		for id, other := range m.members {
+			if id != member.Id && other.Member.InternalAddress == member.InternalAddress && now-other.LastHeard > eventloop.Second {
+				delete(m.members, id)
+				delete(m.reports, id)
 			}
 		}
 	}
-	t.known[member.Id] = Known{Member: member, Heard: now}
+	m.members[member.Id] = MemberStatus{Member: member, LastHeard: now}
 	if member.HasStorage {
-		t.seen[member.Id] = now
+		m.seenStorageNodes[member.Id] = now
 	}
 	return true
 }
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -7,91 +7,91 @@
 	"sparnotch/internal/schema"
 )
 
-// Known is a member and when it was last heard of.
-type Known struct {
-	Member *schema.Member
-	Heard  eventloop.Micros
+// MemberStatus is a member and when it was last heard of.
+type MemberStatus struct {
+	Member    *schema.Member
+	LastHeard eventloop.Micros
 }
 
-// Roll tells the other tables of this process who there is.
-type Roll struct {
-	Self  *schema.Member
-	Known map[string]Known
+// View tells the other tables of this process who there is.
+type View struct {
+	Self    *schema.Member
+	Members map[string]MemberStatus
 }
 
-// Live tells whether a process was heard of within a span.
-func (r *Roll) Live(id string, now, span eventloop.Micros) bool {
-	known, found := r.Known[id]
-	return found && now-known.Heard < span
+// IsAlive tells whether a process was heard of within a span.
+func (r *View) IsAlive(id string, now, timeout eventloop.Micros) bool {
+	status, found := r.Members[id]
+	return found && now-status.LastHeard < timeout
 }
 
-// KeepSelf asks the replicas' table to make our own account durable; it is
-// answered with SelfKept.
-type KeepSelf struct {
-	Self  *schema.StoreIdentity
-	Found []string // found the system's group with these
+// PersistIdentity asks the replicas' table to make our own account durable; it is
+// answered with IdentityPersisted.
+type PersistIdentity struct {
+	Identity        *schema.StoreIdentity
+	BootstrapVoters []string // found the system's group with these
 }
 
-// SelfKept answers KeepSelf once the account is durable.
-type SelfKept struct{ Self *schema.StoreIdentity }
+// IdentityPersisted answers PersistIdentity once the account is durable.
+type IdentityPersisted struct{ Identity *schema.StoreIdentity }
 
-// Latency is this process's own worst recent delay.
-type Latency struct{ Worst eventloop.Micros }
+// LatencyReport is this process's own worst recent delay.
+type LatencyReport struct{ Max eventloop.Micros }
 
-// RefusedLatency is the delay told of a store that takes no writes: no other
+// WritesRefusedLatency is the delay told of a store that takes no writes: no other
 // delay is as long, and whoever chooses among stores passes it over.
-const RefusedLatency = 3600 * eventloop.Second
+const WritesRefusedLatency = 3600 * eventloop.Second
 
-// Refuses tells whether a store says of itself that it takes no writes.
-func (r *Roll) Refuses(id string) bool {
-	member := r.Known[id].Member
+// RefusesWrites tells whether a store says of itself that it takes no writes.
+func (r *View) RefusesWrites(id string) bool {
+	member := r.Members[id].Member
 	if id == r.Self.GetId() {
 		member = r.Self
 	}
-	return member.GetLatencyUs() >= int64(RefusedLatency)
+	return member.GetLatencyUs() >= int64(WritesRefusedLatency)
 }
 
-// awaySpan is how long a store may be unheard of and still count as one at hand.
-const awaySpan = 2 * eventloop.Second
+// awayTimeout is how long a store may be unheard of and still count as one at hand.
+const awayTimeout = 2 * eventloop.Second
 
-// CanCommit tells whether enough of a group's voters take writes, as far as is
+// HasWritableQuorum tells whether enough of a group's voters take writes, as far as is
 // known. Who is merely away says nothing by itself (a group without a quorum has
 // no leader soon); beside a store that refuses it may leave too few.
-func (r *Roll) CanCommit(now eventloop.Micros, voters []string, refuses func(id string) bool) bool {
-	refusing, able := 0, 0
+func (r *View) HasWritableQuorum(now eventloop.Micros, voters []string, refusesWrites func(id string) bool) bool {
+	refusing, writable := 0, 0
 	for _, id := range voters {
 		switch {
-		case refuses(id):
+		case refusesWrites(id):
 			refusing++
-		case id == r.Self.GetId() || r.Live(id, now, awaySpan):
-			able++
+		case id == r.Self.GetId() || r.IsAlive(id, now, awayTimeout):
+			writable++
 		}
 	}
-	return refusing == 0 || able > len(voters)/2
+	return refusing == 0 || writable > len(voters)/2
 }
 
-// Leaving says that this process was warned.
-type Leaving struct{}
+// Draining says that this process was warned.
+type Draining struct{}
 
-// ClusterState tells that this process holds a cluster state, so a system exists.
-type ClusterState struct{ Version uint64 }
+// ClusterStateObserved tells that this process holds a cluster state, so a system exists.
+type ClusterStateObserved struct{ Version uint64 }
 
-// Terms are the settings the book goes by.
-type Terms struct {
-	Seeds  []string
-	First  bool   // the whole system starts for the first time
-	Losses uint32 // stores that may be lost at once; 0: one
-	IsSide bool   // a side machine, which watches the stores
+// Config are the settings the book goes by.
+type Config struct {
+	Seeds           []string
+	Bootstrap       bool   // the whole system starts for the first time
+	MachineFailures uint32 // stores that may be lost at once; 0: one
+	IsAgentNode     bool   // a side machine, which watches the stores
 
-	Zones, Regions uint32            // that may be lost whole
-	RegionOf       map[string]string // of each zone
+	ZoneFailures, RegionFailures uint32            // that may be lost whole
+	RegionByZone                 map[string]string // of each zone
 }
 
-// Tolerance is what may be lost at once.
-func (t Terms) Tolerance() Tolerance {
-	return Tolerance{Machines: int(t.Losses), Zones: int(t.Zones), Regions: int(t.Regions), RegionOf: t.RegionOf}
+// FaultTolerance is what may be lost at once.
+func (t Config) Tolerance() FaultTolerance {
+	return FaultTolerance{Machines: int(t.MachineFailures), Zones: int(t.ZoneFailures), Regions: int(t.RegionFailures), RegionByZone: t.RegionByZone}
 }
 
-// Founders is how many stores the group is founded with if there are so many,
+// VoterCount is how many stores the group is founded with if there are so many,
 // and how many voters each group is to have: a majority outlives the losses.
-func (t Terms) Founders() int { return t.Tolerance().Voters() }
+func (t Config) VoterCount() int { return t.Tolerance().Voters() }
--- a/internal/membership/seeds_test.go
+++ b/internal/membership/seeds_test.go
@@ -11,17 +11,17 @@
 	"sparnotch/internal/schema"
 )
 
-// dialled notes whom a table dials, and whether it tells a whole member, which is
+// fullGossipCounter notes whom a table dials, and whether it tells a whole member, which is
 // answered with whole ones.
-type dialled struct{ whole map[string]int }
+type fullGossipCounter struct{ fullGossips map[string]int }
 
-func (d *dialled) Send(string, any)    {}
-func (d *dialled) Notify(string, any)  {}
-func (d *dialled) Respond(uint64, any) {}
-func (d *dialled) Dial(address string, body any) {
+func (d *fullGossipCounter) Send(string, any)    {}
+func (d *fullGossipCounter) Notify(string, any)  {}
+func (d *fullGossipCounter) Respond(uint64, any) {}
+func (d *fullGossipCounter) Dial(address string, body any) {
 	for _, member := range body.(*schema.Gossip).Members {
 		if member.InternalAddress != "" {
-			d.whole[address]++
+			d.fullGossips[address]++
 			return
 		}
 	}
@@ -32,8 +32,8 @@
 func TestSeedsThatAreGone(t *testing.T) {
 	Convey("When no seed is left, who has run since the first start hears of a store that comes then", t, func() {
 		for seed := range uint64(10) {
-			n := running(seed)
-			seeds := n.hosts[0].terms.Seeds
+			n := newRunningCluster(seed)
+			seeds := n.hosts[0].config.Seeds
 			var today []string // whom settings that are written now name
 			for _, h := range n.hosts {
 				isSeed := false
@@ -47,16 +47,16 @@
 				}
 			}
 			n.runTo(n.now + 5*eventloop.Second)
-			fresh := &host{net: n, address: "10.0.1.1:1", cell: "c0", hasDisk: true, terms: Terms{Seeds: today, Losses: 1}}
+			fresh := &host{net: n, address: "10.0.1.1:1", zone: "c0", hasDisk: true, config: Config{Seeds: today, MachineFailures: 1}}
 			n.hosts = append(n.hosts, fresh)
 			fresh.start()
 			n.runTo(n.now + 3*eventloop.Second)
 			for _, by := range n.hosts {
-				if by.run == 0 || by == fresh {
+				if by.incarnation == 0 || by == fresh {
 					continue
 				}
-				So(by.roll.Known, ShouldContainKey, fresh.id)
-				So(by.book.Address(fresh.id), ShouldEqual, fresh.address)
+				So(by.view.Members, ShouldContainKey, fresh.id)
+				So(by.addresses.Address(fresh.id), ShouldEqual, fresh.address)
 			}
 		}
 	})
@@ -67,27 +67,27 @@
 func TestWhoIsNewWithoutSeeds(t *testing.T) {
 	Convey("Whoever hears a beat of somebody unknown asks a store that it knows, when its seeds don't answer", t, func() {
 		self := &schema.Member{Id: "side", Incarnation: 1, Role: schema.Role_ROLE_CONTROLLER, InternalAddress: "10.0.0.9:1"}
-		terms := Terms{Seeds: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, Losses: 1, IsSide: true}
-		table := New(self, terms, nil, &Book{}, nil, rand.New(rand.NewPCG(1, 1)))
-		out := &dialled{whole: map[string]int{}}
+		config := Config{Seeds: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, MachineFailures: 1, IsAgentNode: true}
+		table := New(self, config, nil, &AddressBook{}, nil, rand.New(rand.NewPCG(1, 1)))
+		effects := &fullGossipCounter{fullGossips: map[string]int{}}
 		store := &schema.Member{Id: "store", Incarnation: 1, HasStorage: true, InternalAddress: "10.0.1.1:1"}
 		now := eventloop.Second
 		isToldOf, asked := false, 0
 		for range 200 {
-			now += Pace
-			clear(out.whole)
-			table.Step(now, eventloop.Message{Body: eventloop.Tick{}}, out)
-			asked += out.whole[store.InternalAddress]
+			now += TickInterval
+			clear(effects.fullGossips)
+			table.Step(now, eventloop.Message{Body: eventloop.Tick{}}, effects)
+			asked += effects.fullGossips[store.InternalAddress]
 			if !isToldOf {
 				// It begins when a seed has just been called.
-				isToldOf, asked = now > 20*eventloop.Second && table.wholeAt == now, 0
+				isToldOf, asked = now > 20*eventloop.Second && table.fullSyncAt == now, 0
 			}
 			store.Heartbeat++
 			answer := &schema.Gossip{Self: proto.Clone(store).(*schema.Member), Joined: true, IsReply: true}
 			if isToldOf {
 				answer.Members = []*schema.Member{{Id: "new", Incarnation: 1, Heartbeat: store.Heartbeat}}
 			}
-			table.Step(now+eventloop.Millisecond, eventloop.Message{From: store.Id, Body: answer}, out)
+			table.Step(now+eventloop.Millisecond, eventloop.Message{From: store.Id, Body: answer}, effects)
 		}
 		So(isToldOf, ShouldBeTrue)
 		So(asked, ShouldBeGreaterThan, 0)
--- a/internal/mutation/changes_mutants.go
+++ b/internal/mutation/changes_mutants.go
@@ -40,6 +40,6 @@
 		{Guard: "a slot is synced before its log is written", Test: "internal/storage TestInterruptedSnapshotInstall",
 			Edits: []Edit{{"internal/storage", "	if err := s.disk.Sync(slotName(next)); err != nil {\n		return err\n	}\n", ""}}},
 		{Guard: "a known store is asked where seeds are gone", Test: "internal/membership TestWhoIsNewWithoutSeeds",
-			Edits: []Edit{{"internal/membership", "	if len(hubs) > 0 && !t.isHeardAt(now, seed) {\n", "	if false {\n"}}},
+			Edits: []Edit{{"internal/membership", "	if len(storageNodes) > 0 && !m.isAliveAt(now, seed) {\n", "	if false {\n"}}},
 	}...)
 }
--- a/internal/process/papers.go
+++ b/internal/process/papers.go
@@ -36,7 +36,7 @@
 	Zones, Regions uint32            // that may be lost whole
 	RegionOf       map[string]string // of each zone
 	Store          *storage.State    // nil without a data folder
-	Book           *membership.Book
+	Book           *membership.AddressBook
 	Wall           func() int64
 	Seed           uint64
 	Now            eventloop.Micros
@@ -46,9 +46,9 @@
 
 func (p *Papers) rng(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(p.Seed, stream)) }
 
-func (p *Papers) terms(isSide bool) membership.Terms {
-	return membership.Terms{
-		Seeds: p.Seeds, First: p.First, Losses: p.Losses, IsSide: isSide, Zones: p.Zones, Regions: p.Regions, RegionOf: p.RegionOf,
+func (p *Papers) terms(isSide bool) membership.Config {
+	return membership.Config{
+		Seeds: p.Seeds, Bootstrap: p.First, MachineFailures: p.Losses, IsAgentNode: isSide, ZoneFailures: p.Zones, RegionFailures: p.Regions, RegionByZone: p.RegionOf,
 	}
 }
 
@@ -62,7 +62,7 @@
 	}
 	member := p.Member
 	berths := []Berth{
-		{"membership", membership.New(proto.Clone(member).(*schema.Member), p.terms(false), account, p.Book, readers, p.rng(1)), membership.Pace},
+		{"membership", membership.New(proto.Clone(member).(*schema.Member), p.terms(false), account, p.Book, readers, p.rng(1)), membership.TickInterval},
 		{"gateway", gateway.New(member.Id, member.Incarnation, p.Store != nil, p.rng(2)).Bind(p.Bounds), gateway.Pace},
 	}
 	if p.Store != nil {
@@ -83,7 +83,7 @@
 		berths = []Berth{{"agent", agent.New(p.Bounds, uint64(p.Wall())), agent.Pace}}
 	}
 	return append([]Berth{
-		{"membership", membership.New(proto.Clone(p.Member).(*schema.Member), p.terms(true), nil, p.Book, []string{"controller"}, p.rng(1)), membership.Pace},
+		{"membership", membership.New(proto.Clone(p.Member).(*schema.Member), p.terms(true), nil, p.Book, []string{"controller"}, p.rng(1)), membership.TickInterval},
 		{"controller", controller.New(p.Member.Id, p.Losses, readers...).Tolerate(p.terms(true).Tolerance()).Bind(p.Bounds), controller.Pace},
 	}, berths...)
 }
--- a/internal/process/real.go
+++ b/internal/process/real.go
@@ -41,7 +41,7 @@
 	log     *zap.Logger
 	process *eventloop.Process
 	net     *transport.Net
-	book    *membership.Book
+	book    *membership.AddressBook
 	opened  *Opened
 	store   *storage.Store
 	writes  *eventloop.Queue[replica.Batch]
@@ -84,7 +84,7 @@
 // StartWith is Start with a store that has been opened already, if one has.
 func StartWith(opened *Opened, options *schema.Settings, role schema.Role, log *zap.Logger, hands ...agent.Caller) (*Real, error) {
 	r := &Real{
-		Options: options, Clock: eventloop.RealClock(), Failed: make(chan error, 4), Reopened: make(chan *Opened), log: log, book: &membership.Book{},
+		Options: options, Clock: eventloop.RealClock(), Failed: make(chan error, 4), Reopened: make(chan *Opened), log: log, book: &membership.AddressBook{},
 		waiting: map[uint64]chan any{}, writes: eventloop.NewQueue[replica.Batch](4),
 	}
 	r.Member = &schema.Member{Id: newId(), Incarnation: 1, Role: role, Zone: options.Cell, InternalAddress: options.Inner, HttpAddress: options.Outer}
@@ -110,7 +110,7 @@
 	if !timing.CanCatchUp(options.Bounds) {
 		log.Warn("a repair takes longer than the catch-up that the bounds allow")
 	}
-	if short := papers.terms(false).Tolerance().ShortOfPlaces(); short != "" {
+	if short := papers.terms(false).Tolerance().TopologyShortfall(); short != "" {
 		log.Warn("the losses that are to be borne can't be", zap.String("why", short))
 	}
 	if r.store != nil {
@@ -309,7 +309,7 @@
 // Warn tells every table that this process is to leave.
 func (r *Real) Warn() {
 	r.process.Post("gateway", eventloop.Message{Body: gateway.Warned{}})
-	r.process.Post("membership", eventloop.Message{Body: membership.Leaving{}})
+	r.process.Post("membership", eventloop.Message{Body: membership.Draining{}})
 	r.process.Post("replica", eventloop.Message{Body: replica.Warned{}})
 }
 
--- a/internal/process/store.go
+++ b/internal/process/store.go
@@ -224,7 +224,7 @@
 		worst = max(worst, r.Clock.Now()-eventloop.Micros(began))
 	}
 	if r.isRefused.Load() || r.isHanging() {
-		worst = membership.RefusedLatency
+		worst = membership.WritesRefusedLatency
 	}
-	r.process.Post("membership", eventloop.Message{Body: membership.Latency{Worst: worst}})
+	r.process.Post("membership", eventloop.Message{Body: membership.LatencyReport{Max: worst}})
 }
--- a/internal/process/store_test.go
+++ b/internal/process/store_test.go
@@ -66,11 +66,11 @@
 		So(isRefused, ShouldBeTrue)
 		So(refused.Number, ShouldEqual, 7)
 		So(refused.Why, ShouldContainSubstring, "no room")
-		So((<-book).(membership.Latency).Worst, ShouldEqual, membership.RefusedLatency)
+		So((<-book).(membership.LatencyReport).Max, ShouldEqual, membership.WritesRefusedLatency)
 		<-disk.broken
 		<-done
 		So((<-replicas).(replica.Written).Number, ShouldEqual, 7)
-		So((<-book).(membership.Latency).Worst, ShouldBeLessThan, membership.RefusedLatency)
+		So((<-book).(membership.LatencyReport).Max, ShouldBeLessThan, membership.WritesRefusedLatency)
 		So(store.State().Identity.Id, ShouldEqual, "x")
 		So(len(r.Failed), ShouldEqual, 0)
 	})
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -114,7 +114,7 @@
 	for _, table := range []string{"gateway", "scheduler"} {
 		out.Notify(table, &schema.ClusterStateResponse{State: t.state, Version: t.state.Version})
 	}
-	out.Notify("membership", membership.ClusterState{Version: t.state.Version})
+	out.Notify("membership", membership.ClusterStateObserved{Version: t.state.Version})
 	if old.Configuration != t.state.Configuration {
 		for _, r := range t.groups {
 			// Urgency may have changed with the plan. Nothing else in the cluster state is
@@ -134,8 +134,8 @@
 	// Workers whose ward went elsewhere are served again as soon as their agents
 	// have heard.
 	if t.roll != nil && areMoved(old.WorkerLeases, t.state.WorkerLeases) {
-		for _, id := range slices.Sorted(maps.Keys(t.roll.Known)) {
-			if t.roll.Known[id].Member.Role == schema.Role_ROLE_CONTROLLER && t.roll.Live(id, now, liveSpan) {
+		for _, id := range slices.Sorted(maps.Keys(t.roll.Members)) {
+			if t.roll.Members[id].Member.Role == schema.Role_ROLE_CONTROLLER && t.roll.IsAlive(id, now, liveSpan) {
 				t.tellClusterState(now, id, &schema.ClusterStateRequest{Version: old.Version}, out)
 			}
 		}
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -26,7 +26,7 @@
 		So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: places}}).Code, ShouldEqual, 200)
 		c.run(eventloop.Second)
 		So(c.leader("l49"), ShouldEqual, "a")
-		for name, body := range map[string]any{"mail": &membership.Roll{}, "tick": eventloop.Tick{}} {
+		for name, body := range map[string]any{"mail": &membership.View{}, "tick": eventloop.Tick{}} {
 			b.Run(name, func(b *testing.B) {
 				b.ReportAllocs()
 				for k := 0; k < b.N; k++ {
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -12,16 +12,16 @@
 	"sparnotch/internal/storage"
 )
 
-func (t *Table) keepSelf(now eventloop.Micros, m membership.KeepSelf) {
+func (t *Table) keepSelf(now eventloop.Micros, m membership.PersistIdentity) {
 	// We may have been counted in since the book made up its account.
-	if t.self.Joined && !m.Self.Joined {
-		m.Self.Joined = true
+	if t.self.Joined && !m.Identity.Joined {
+		m.Identity.Joined = true
 	}
-	t.self = m.Self
-	t.next.changes = append(t.next.changes, &schema.StoreChange{Identity: m.Self})
-	t.next.selfs = append(t.next.selfs, m.Self)
-	if len(m.Found) > 0 && t.groups[clusterstate.Group] == nil {
-		t.found(now, clusterstate.Group, m.Found)
+	t.self = m.Identity
+	t.next.changes = append(t.next.changes, &schema.StoreChange{Identity: m.Identity})
+	t.next.selfs = append(t.next.selfs, m.Identity)
+	if len(m.BootstrapVoters) > 0 && t.groups[clusterstate.Group] == nil {
+		t.found(now, clusterstate.Group, m.BootstrapVoters)
 	}
 }
 
--- a/internal/replica/durable.go
+++ b/internal/replica/durable.go
@@ -152,7 +152,7 @@
 	}
 	t.sendBeats(beats, out)
 	for _, self := range batch.selfs {
-		out.Notify("membership", membership.SelfKept{Self: self})
+		out.Notify("membership", membership.IdentityPersisted{Identity: self})
 	}
 	names := slices.Sorted(maps.Keys(batch.marks))
 	for _, name := range names {
--- a/internal/replica/leadership.go
+++ b/internal/replica/leadership.go
@@ -73,7 +73,7 @@
 // isFit tells whether a voter is near enough to take a group over.
 func (t *Table) isFit(now eventloop.Micros, r *replica, id string) bool {
 	match, heard := r.group.PeerProgress(id)
-	isKnown := t.roll != nil && t.roll.Live(id, now, liveSpan) && !t.roll.Known[id].Member.Draining
+	isKnown := t.roll != nil && t.roll.IsAlive(id, now, liveSpan) && !t.roll.Members[id].Member.Draining
 	return isKnown && heard > 0 && now-heard < 500*eventloop.Millisecond && r.group.LastIndex()-match < 256
 }
 
--- a/internal/replica/list_test.go
+++ b/internal/replica/list_test.go
@@ -44,7 +44,7 @@
 	Convey("Of the sides only the controller is told how the groups stand", t, func() {
 		c := newCore()
 		So(c.lease(), ShouldBeGreaterThan, 0)
-		roll := &membership.Roll{Known: map[string]membership.Known{
+		roll := &membership.View{Members: map[string]membership.MemberStatus{
 			"h": {Member: &schema.Member{Id: "h", Role: schema.Role_ROLE_CONTROLLER}},
 			"s": {Member: &schema.Member{Id: "s", Role: schema.Role_ROLE_CONTROLLER}},
 			"f": {Member: &schema.Member{Id: "f", Role: schema.Role_ROLE_SERVER}},
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -104,7 +104,7 @@
 		return false
 	}
 	isUnderWay := len(members.Learners) > 0 || len(members.Voters)%2 == 0
-	return isUnderWay || t.roll != nil && t.roll.Newcomer(now, liveSpan, age, members.Voters) != ""
+	return isUnderWay || t.roll != nil && t.roll.FindNewlyJoined(now, liveSpan, age, members.Voters) != ""
 }
 
 // noteLease keeps when the lease was last seen renewed, which tells the cluster's age.
--- a/internal/replica/members_test.go
+++ b/internal/replica/members_test.go
@@ -91,9 +91,9 @@
 		leaver := c.follower()
 		isNeeded := func() bool { return c.tables[leaver].belief(c.now).IsNeeded }
 		hears := func(list ...*schema.Member) {
-			roll := &membership.Roll{Known: map[string]membership.Known{}}
+			roll := &membership.View{Members: map[string]membership.MemberStatus{}}
 			for _, member := range list {
-				roll.Known[member.Id] = membership.Known{Member: member, Heard: c.now}
+				roll.Members[member.Id] = membership.MemberStatus{Member: member, LastHeard: c.now}
 			}
 			c.step(leaver, "", roll)
 		}
--- a/internal/replica/plan_test.go
+++ b/internal/replica/plan_test.go
@@ -88,7 +88,7 @@
 		c.tables[id] = New(id, content, wall, raft.DefaultTimeouts, uint64(k+1), c.now)
 	}
 	for _, id := range stores {
-		c.step(id, "", membership.KeepSelf{Self: &schema.StoreIdentity{Id: id, Joined: true}, Found: stores})
+		c.step(id, "", membership.PersistIdentity{Identity: &schema.StoreIdentity{Id: id, Joined: true}, BootstrapVoters: stores})
 	}
 	c.run(4 * eventloop.Second)
 	return c
--- a/internal/replica/refusal.go
+++ b/internal/replica/refusal.go
@@ -79,13 +79,13 @@
 	if id == t.id {
 		return t.refuses()
 	}
-	return t.roll != nil && t.roll.Refuses(id)
+	return t.roll != nil && t.roll.RefusesWrites(id)
 }
 
 // canCommit tells whether enough of a group's voters take writes, as far as is
 // known here.
 func (t *Table) canCommit(now eventloop.Micros, r *replica) bool {
-	return t.roll == nil || t.roll.CanCommit(now, r.group.MemberSet().Voters, t.isRefusing)
+	return t.roll == nil || t.roll.HasWritableQuorum(now, r.group.MemberSet().Voters, t.isRefusing)
 }
 
 // canElectAnother tells whether the other voters at hand can elect one of them
--- a/internal/replica/refusal_test.go
+++ b/internal/replica/refusal_test.go
@@ -17,13 +17,13 @@
 
 // tellAll gives every store the same word of who there is.
 func (c *core) tellAll() {
-	roll := &membership.Roll{Known: map[string]membership.Known{}}
+	roll := &membership.View{Members: map[string]membership.MemberStatus{}}
 	for _, id := range stores {
 		member := &schema.Member{Id: id, HasStorage: true}
 		if c.tables[id].refuses() {
-			member.LatencyUs = int64(membership.RefusedLatency)
+			member.LatencyUs = int64(membership.WritesRefusedLatency)
 		}
-		roll.Known[id] = membership.Known{Member: member, Heard: c.now}
+		roll.Members[id] = membership.MemberStatus{Member: member, LastHeard: c.now}
 	}
 	for _, id := range stores {
 		c.step(id, "", roll)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -69,10 +69,10 @@
 	id           string
 	self         *schema.StoreIdentity
 	spans        timing.Timeouts
-	until        int64                // the controller's lease as last seen, in the cluster state's time
-	untilAt      eventloop.Micros     // and when that was
-	tolerance    membership.Tolerance // what may be lost at once
-	losses       int                  // how many stores that may be at most
+	until        int64                     // the controller's lease as last seen, in the cluster state's time
+	untilAt      eventloop.Micros          // and when that was
+	tolerance    membership.FaultTolerance // what may be lost at once
+	losses       int                       // how many stores that may be at most
 	wall         func() int64
 	times        raft.Timeouts
 	patience     *patience
@@ -82,7 +82,7 @@
 	values       *clusterstate.Values
 	adopt        *schema.ApplySettings // what the plan asks of every queue
 	state        *schema.ClusterState  // copy of the cluster state that others may hold
-	roll         *membership.Roll
+	roll         *membership.View
 	next         pending
 	writing      *pending
 	number       uint64
@@ -121,7 +121,7 @@
 }
 
 // Tolerate sets what may be lost at once.
-func (t *Table) Tolerate(tolerance membership.Tolerance) *Table {
+func (t *Table) Tolerate(tolerance membership.FaultTolerance) *Table {
 	t.tolerance, t.losses = tolerance, tolerance.Voters()/2
 	return t
 }
@@ -197,9 +197,9 @@
 		t.written(now, body, out)
 	case Refused:
 		t.refused(now, body)
-	case membership.KeepSelf:
+	case membership.PersistIdentity:
 		t.keepSelf(now, body)
-	case *membership.Roll:
+	case *membership.View:
 		t.roll = body
 	case *schema.HeartbeatBatch:
 		t.beats(now, mail.From, body)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -44,9 +44,9 @@
 		}
 		run := func(span eventloop.Micros) {
 			for end := c.now + span; c.now < end; {
-				roll := &membership.Roll{Known: map[string]membership.Known{}}
+				roll := &membership.View{Members: map[string]membership.MemberStatus{}}
 				for _, id := range stores {
-					roll.Known[id] = membership.Known{Member: &schema.Member{Id: id, HasStorage: true}, Heard: c.now}
+					roll.Members[id] = membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true}, LastHeard: c.now}
 				}
 				for _, id := range stores {
 					c.step(id, "", roll)
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -206,7 +206,7 @@
 
 // isSide tells whether a process is known to be a side.
 func (t *Table) isSide(id string) bool {
-	return t.roll != nil && t.roll.Known[id].Member.GetRole() == schema.Role_ROLE_CONTROLLER
+	return t.roll != nil && t.roll.Members[id].Member.GetRole() == schema.Role_ROLE_CONTROLLER
 }
 
 func (t *Table) note(r *replica) *schema.QueueStatus {
@@ -300,7 +300,7 @@
 		belief.Groups = append(belief.Groups, b)
 	}
 	if t.roll != nil {
-		for _, known := range t.roll.Known {
+		for _, known := range t.roll.Members {
 			belief.Members = append(belief.Members, known.Member)
 		}
 		sort.Slice(belief.Members, func(a, b int) bool { return belief.Members[a].Id < belief.Members[b].Id })
--- a/internal/replica/tolerance.go
+++ b/internal/replica/tolerance.go
@@ -32,19 +32,19 @@
 		return bears
 	}
 	var voters, live, known []string
-	for id, each := range t.roll.Known {
+	for id, each := range t.roll.Members {
 		if !each.Member.HasStorage {
 			continue
 		}
 		known = append(known, each.Member.Zone)
 		isVoter := slices.Contains(root.group.MemberSet().Voters, id)
-		if isVoter && t.roll.Live(id, now, liveSpan) && !each.Member.Draining {
+		if isVoter && t.roll.IsAlive(id, now, liveSpan) && !each.Member.Draining {
 			live = append(live, each.Member.Zone)
 		}
 	}
 	// Of a voter that the book has let go only the number counts.
 	voters = make([]string, len(root.group.MemberSet().Voters))
-	bears.Machines, bears.Zones, bears.Regions = t.tolerance.Bears(voters, live)
-	bears.Short = t.tolerance.Short(known)
+	bears.Machines, bears.Zones, bears.Regions = t.tolerance.TolerableFailures(voters, live)
+	bears.Short = t.tolerance.Shortfall(known)
 	return bears
 }
--- a/internal/sim/members_test.go
+++ b/internal/sim/members_test.go
@@ -31,8 +31,8 @@
 type core struct {
 	*Fleet
 	losses    int
-	tolerance membership.Tolerance // zones and regions besides
-	badAt     eventloop.Micros     // when a group last couldn't bear the losses
+	tolerance membership.FaultTolerance // zones and regions besides
+	badAt     eventloop.Micros          // when a group last couldn't bear the losses
 	why       string
 	left      eventloop.Micros // the longest that machines which leave had something to hand over
 }
@@ -75,7 +75,7 @@
 func (c *core) told(h *Host, isFirst bool) {
 	h.Also = func(papers *process.Papers, _ []process.Berth) []process.Berth {
 		papers.First, papers.Losses = isFirst && h.run == 1, uint32(c.losses)
-		papers.Zones, papers.Regions, papers.RegionOf = uint32(c.tolerance.Zones), uint32(c.tolerance.Regions), c.tolerance.RegionOf
+		papers.Zones, papers.Regions, papers.RegionOf = uint32(c.tolerance.Zones), uint32(c.tolerance.Regions), c.tolerance.RegionByZone
 		if h.Role == schema.Role_ROLE_CONTROLLER {
 			return process.ControllerTables(papers)
 		}
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -79,7 +79,7 @@
 			if !h.isRefused {
 				h.isRefused = true
 				h.mail("replica", eventloop.Message{Body: replica.Refused{Number: batch.Number, Why: err.Error()}})
-				h.mail("membership", eventloop.Message{Body: membership.Latency{Worst: membership.RefusedLatency}})
+				h.mail("membership", eventloop.Message{Body: membership.LatencyReport{Max: membership.WritesRefusedLatency}})
 			}
 			w.After(againSpan, func() { h.attempt(run, batch) })
 		})
@@ -91,7 +91,7 @@
 	h.worst = max(h.worst, h.world.Now-h.began)
 	if h.isRefused {
 		h.isRefused = false
-		h.mail("membership", eventloop.Message{Body: membership.Latency{Worst: h.worst}})
+		h.mail("membership", eventloop.Message{Body: membership.LatencyReport{Max: h.worst}})
 	}
 	h.mail("replica", eventloop.Message{Body: replica.Written{Number: batch.Number}})
 }
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -133,7 +133,7 @@
 	tables    map[string]eventloop.Component
 	last      map[string]eventloop.Micros // latest delivery to each table: mailboxes keep order
 	store     *storage.Store
-	book      *membership.Book
+	book      *membership.AddressBook
 	waiting   map[uint64]func(any)
 	isWrite   bool
 	isRefused bool             // the store takes no writes
@@ -248,7 +248,7 @@
 	h.zero = w.Now - eventloop.Second
 	h.IsUp, h.frozen, h.backlog, h.isLeaving = true, false, nil, false
 	h.ticking, h.last, h.waiting = map[string]bool{}, map[string]eventloop.Micros{}, map[uint64]func(any){}
-	h.book = &membership.Book{}
+	h.book = &membership.AddressBook{}
 	h.store, h.isWrite, h.isRefused = nil, false, false
 	h.Member = &schema.Member{Id: w.newId(), Incarnation: 1, Role: h.Role, Zone: h.Cell, InternalAddress: h.Address, HttpAddress: h.Address}
 	seeds := h.Seeds
@@ -296,12 +296,12 @@
 	worst := h.worst
 	switch {
 	case h.isRefused || h.isWrite && h.world.Now-h.began > process.HangSpan:
-		worst = membership.RefusedLatency
+		worst = membership.WritesRefusedLatency
 	case h.isWrite:
 		worst = max(worst, h.world.Now-h.began)
 	}
 	h.worst = h.worst * 15 / 16
-	h.do(run, func() { h.step("membership", eventloop.Message{Body: membership.Latency{Worst: worst}}) })
+	h.do(run, func() { h.step("membership", eventloop.Message{Body: membership.LatencyReport{Max: worst}}) })
 	h.world.After(250*eventloop.Millisecond, func() { h.noteLatency(run) })
 }
 
@@ -350,7 +350,7 @@
 	for _, each := range []struct {
 		table string
 		body  any
-	}{{"gateway", gateway.Warned{}}, {"membership", membership.Leaving{}}, {"replica", replica.Warned{}}} {
+	}{{"gateway", gateway.Warned{}}, {"membership", membership.Draining{}}, {"replica", replica.Warned{}}} {
 		if h.tables[each.table] != nil {
 			h.step(each.table, eventloop.Message{Body: each.body})
 		}
--- a/internal/sim/zones_test.go
+++ b/internal/sim/zones_test.go
@@ -14,14 +14,14 @@
 func TestZonesMayBeLost(t *testing.T) {
 	for _, zones := range []int{3, 4, 6} {
 		for _, regions := range []int{1, 2, 3} {
-			tolerance := membership.Tolerance{Machines: 1, Zones: 1, RegionOf: map[string]string{}}
+			tolerance := membership.FaultTolerance{Machines: 1, Zones: 1, RegionByZone: map[string]string{}}
 			if regions > 1 {
 				tolerance.Zones, tolerance.Regions = 0, 1
 			}
 			var list []string
 			for k := range zones {
 				list = append(list, fmt.Sprintf("z%d", k+1))
-				tolerance.RegionOf[list[k]] = fmt.Sprintf("r%d", k*regions/zones+1)
+				tolerance.RegionByZone[list[k]] = fmt.Sprintf("r%d", k*regions/zones+1)
 			}
 			t.Run(fmt.Sprintf("%d zones in %d regions", zones, regions), func(t *testing.T) {
 				t.Parallel()
@@ -31,12 +31,12 @@
 	}
 }
 
-func losePlaces(t *testing.T, seed uint64, zones []string, tolerance membership.Tolerance) {
+func losePlaces(t *testing.T, seed uint64, zones []string, tolerance membership.FaultTolerance) {
 	c := newCore(seed, zones, tolerance.Machines, 500, false)
 	c.tolerance = tolerance
 	c.Run(c.Began + 5*eventloop.Second)
 	bears := c.voters()[0].Belief().Bears
-	canBear := tolerance.Regions == 0 || len(zones) >= 3 && tolerance.ShortOfPlaces() == ""
+	canBear := tolerance.Regions == 0 || len(zones) >= 3 && tolerance.TopologyShortfall() == ""
 	if isTold := bears.Short == ""; isTold != canBear {
 		t.Fatalf("it says %q", bears.Short)
 	}
@@ -55,7 +55,7 @@
 	}
 	place := func(zone string) string { return zone }
 	if tolerance.Regions > 0 {
-		place = func(zone string) string { return tolerance.RegionOf[zone] }
+		place = func(zone string) string { return tolerance.RegionByZone[zone] }
 	}
 	done := map[string]bool{}
 	for _, zone := range zones {
