--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -14,149 +14,149 @@
 	"sparnotch/internal/timing"
 )
 
-// Pace is the tick of the table.
-const Pace = 50 * eventloop.Millisecond
+// TickInterval is the tick of the table.
+const TickInterval = 50 * eventloop.Millisecond
 
 const (
-	askSpan     = 250 * eventloop.Millisecond
-	renewSpan   = 800 * eventloop.Millisecond
-	claimSpan   = 500 * eventloop.Millisecond
-	guardSpan   = 300 * eventloop.Millisecond // a lease is let go this long before it ends
-	missSpan    = 600 * eventloop.Millisecond // one that doesn't answer for so long, while others lead what it led, is passed over
-	actSpan     = 200 * eventloop.Millisecond // between two acts on one thing
-	latencyMost = int64(300 * eventloop.Millisecond)
-	latencyRest = 15 * eventloop.Second // between two moves for latency alone
+	pollInterval        = 250 * eventloop.Millisecond
+	leaseRenewInterval  = 800 * eventloop.Millisecond
+	leaseRetryInterval  = 500 * eventloop.Millisecond
+	leaseSafetyMargin   = 300 * eventloop.Millisecond // a lease is let go this long before it ends
+	deposedTimeout      = 600 * eventloop.Millisecond // one that doesn't answer for so long, while others lead what it led, is passed over
+	actionInterval      = 200 * eventloop.Millisecond // between two acts on one thing
+	maxLatencyUs        = int64(300 * eventloop.Millisecond)
+	latencyMoveCooldown = 15 * eventloop.Second // between two moves for latency alone
 )
 
-// told is the last word of one store.
-type told struct {
-	at   eventloop.Micros
-	tell *schema.ClusterStateResponse
+// storageNodeReport is the last word of one store.
+type storageNodeReport struct {
+	receivedAt eventloop.Micros
+	update     *schema.ClusterStateResponse
 }
 
-// home is where a store lived, in which zone, and when it was last heard there.
-type home struct {
-	inner, cell string
-	heard       eventloop.Micros
+// lastLocation is where a store lived, in which zone, and when it was last heard there.
+type lastLocation struct {
+	address, zone string
+	lastHeard     eventloop.Micros
 }
 
-// Table is the controller's table; every side machine has one, one of them acts.
-type Table struct {
-	id        string
-	state     *schema.ClusterState
-	values    *clusterstate.Values
-	roll      *membership.View
-	told      map[string]told
-	until     int64 // the lease's end as last seen, in the cluster state's time
-	untilAt   eventloop.Micros
-	askedAt   eventloop.Micros
-	claimAt   eventloop.Micros
-	claims    map[uint64]eventloop.Micros
-	answered  uint64 // newest claim that was answered
-	lease     uint64
-	mine      eventloop.Micros // my lease ends, by my clock
-	acted     map[string]eventloop.Micros
-	queuesIn  string // the queues of the last act on queues
-	movedAt   eventloop.Micros
-	gone      map[string]eventloop.Micros
-	homes     map[string]home // where each store lived, as last heard
-	number    uint64
-	turn      int // whose turn it is to be asked
-	voters    int // how many each group is to have
-	spans     timing.Timeouts
-	tolerance membership.FaultTolerance // what may be lost at once
-	readers   []string
+// Controller is the controller's table; every side machine has one, one of them acts.
+type Controller struct {
+	id                  string
+	state               *schema.ClusterState
+	values              *clusterstate.Values
+	view                *membership.View
+	reports             map[string]storageNodeReport
+	leaseExpiryUs       int64 // the lease's end as last seen, in the cluster state's time
+	leaseExpirySeenAt   eventloop.Micros
+	polledAt            eventloop.Micros
+	claimedAt           eventloop.Micros
+	pendingClaims       map[uint64]eventloop.Micros
+	newestAnsweredClaim uint64 // newest claim that was answered
+	fencingToken        uint64
+	leaseValidUntil     eventloop.Micros // my lease ends, by my clock
+	lastActions         map[string]eventloop.Micros
+	lastQueueAction     string // the queues of the last act on queues
+	leadersMovedAt      eventloop.Micros
+	missingSince        map[string]eventloop.Micros
+	lastLocations       map[string]lastLocation // where each store lived, as last heard
+	lastRequestID       uint64
+	pollTurn            int // whose turn it is to be asked
+	votersPerGroup      int // how many each group is to have
+	timeouts            timing.Timeouts
+	tolerance           membership.FaultTolerance // what may be lost at once
+	subscribers         []string
 }
 
 // New makes the table of a side machine. Losses are the stores that may be lost
 // at once (0: one). Readers are the tables of this process that want the cluster state.
-func New(id string, losses uint32, readers ...string) *Table {
-	return &Table{
-		id: id, spans: timing.FromBounds(nil), voters: membership.Config{MachineFailures: losses}.VoterCount(), readers: readers, state: &schema.ClusterState{}, values: clusterstate.ParseValues(nil), told: map[string]told{}, claims: map[uint64]eventloop.Micros{},
-		acted: map[string]eventloop.Micros{}, gone: map[string]eventloop.Micros{}, homes: map[string]home{},
+func New(id string, machineFailures uint32, subscribers ...string) *Controller {
+	return &Controller{
+		id: id, timeouts: timing.FromBounds(nil), votersPerGroup: membership.Config{MachineFailures: machineFailures}.VoterCount(), subscribers: subscribers, state: &schema.ClusterState{}, values: clusterstate.ParseValues(nil), reports: map[string]storageNodeReport{}, pendingClaims: map[uint64]eventloop.Micros{},
+		lastActions: map[string]eventloop.Micros{}, missingSince: map[string]eventloop.Micros{}, lastLocations: map[string]lastLocation{},
 	}
 }
 
-// Bind sets what the deployment promises and asks; nil or zero: the defaults.
-func (t *Table) Bind(bounds *schema.Bounds) *Table {
-	t.spans = timing.FromBounds(bounds)
-	return t
+// WithBounds sets what the deployment promises and asks; nil or zero: the defaults.
+func (c *Controller) WithBounds(bounds *schema.Bounds) *Controller {
+	c.timeouts = timing.FromBounds(bounds)
+	return c
 }
 
-// Tolerate sets what may be lost at once: voters are spread so that a majority is left.
-func (t *Table) Tolerate(tolerance membership.FaultTolerance) *Table {
-	t.tolerance, t.voters = tolerance, tolerance.Voters()
-	return t
+// WithTolerance sets what may be lost at once: voters are spread so that a majority is left.
+func (c *Controller) WithTolerance(tolerance membership.FaultTolerance) *Controller {
+	c.tolerance, c.votersPerGroup = tolerance, tolerance.Voters()
+	return c
 }
 
-// Belief asks what this side machine believes.
-type Belief struct{ Request uint64 }
-
-// SideBelief is what a side machine believes.
-type SideBelief struct {
-	Node       string           `json:"node"`
-	Version    uint64           `json:"cluster_state_version"`
-	Controller string           `json:"controller"`
-	Lease      uint64           `json:"controller_lease"`
-	IsMine     bool             `json:"controller_here"`
-	Members    []*schema.Member `json:"members"`
+// StateViewRequest asks what this side machine believes.
+type StateViewRequest struct{ Request uint64 }
+
+// StateView is what a side machine believes.
+type StateView struct {
+	Node         string           `json:"node"`
+	Version      uint64           `json:"cluster_state_version"`
+	Controller   string           `json:"controller"`
+	FencingToken uint64           `json:"controller_lease"`
+	IsController bool             `json:"controller_here"`
+	Members      []*schema.Member `json:"members"`
 }
 
 // Step implements eventloop.Table.
-func (t *Table) Step(now eventloop.Micros, mail eventloop.Message, out eventloop.Effects) {
-	switch body := mail.Body.(type) {
+func (c *Controller) Step(now eventloop.Micros, message eventloop.Message, effects eventloop.Effects) {
+	switch body := message.Body.(type) {
 	case eventloop.Tick:
-		t.tick(now, out)
+		c.handleTick(now, effects)
 	case *membership.View:
-		t.roll = body
+		c.view = body
 	case *schema.ClusterStateResponse:
-		t.hear(now, mail.From, body, out)
+		c.handleClusterState(now, message.From, body, effects)
 	case *schema.Response:
-		t.replied(now, body)
-	case Belief:
-		b := &SideBelief{Node: t.id, Version: t.state.Version, Controller: t.state.ControllerLease.GetHolder(), Lease: t.state.ControllerLease.GetFencingToken(), IsMine: t.isController(now)}
-		for _, id := range t.memberIDs() {
-			b.Members = append(b.Members, t.roll.Members[id].Member)
+		c.handleClaimReply(now, body)
+	case StateViewRequest:
+		view := &StateView{Node: c.id, Version: c.state.Version, Controller: c.state.ControllerLease.GetHolder(), FencingToken: c.state.ControllerLease.GetFencingToken(), IsController: c.holdsLease(now)}
+		for _, id := range c.memberIDs() {
+			view.Members = append(view.Members, c.view.Members[id].Member)
 		}
-		out.Respond(body.Request, b)
+		effects.Respond(body.Request, view)
 	}
 }
 
-func (t *Table) hear(now eventloop.Micros, from string, m *schema.ClusterStateResponse, out eventloop.Effects) {
-	state, err := clusterstate.DecodeUpdate(m, t.state.Configuration)
+func (c *Controller) handleClusterState(now eventloop.Micros, from string, update *schema.ClusterStateResponse, effects eventloop.Effects) {
+	state, err := clusterstate.DecodeUpdate(update, c.state.Configuration)
 	if err != nil {
 		return // it is asked for again
 	}
-	isNew := state != nil && state.Version > t.state.Version
-	if state != nil && state.Version >= t.state.Version {
-		t.state, t.values = state, t.values.Refresh(state.Configuration)
-		out.Notify("membership", membership.ClusterStateObserved{Version: state.Version})
+	changed := state != nil && state.Version > c.state.Version
+	if state != nil && state.Version >= c.state.Version {
+		c.state, c.values = state, c.values.Refresh(state.Configuration)
+		effects.Notify("membership", membership.ClusterStateObserved{Version: state.Version})
 	}
-	if m.ControllerLeaseExpiresUs > t.until {
-		t.until, t.untilAt = m.ControllerLeaseExpiresUs, now
+	if update.ControllerLeaseExpiresUs > c.leaseExpiryUs {
+		c.leaseExpiryUs, c.leaseExpirySeenAt = update.ControllerLeaseExpiresUs, now
 	}
 	// An answer from before a change must not undo what we know.
-	if m.Version >= t.state.Version {
-		t.told[from] = told{at: now, tell: m}
+	if update.Version >= c.state.Version {
+		c.reports[from] = storageNodeReport{receivedAt: now, update: update}
 		// The whole each time: a reader that missed one isn't told of it again.
-		for _, reader := range t.readers {
-			out.Notify(reader, &schema.ClusterStateResponse{State: t.state, Version: t.state.Version, Leaders: m.Leaders})
+		for _, subscriber := range c.subscribers {
+			effects.Notify(subscriber, &schema.ClusterStateResponse{State: c.state, Version: c.state.Version, Leaders: update.Leaders})
 		}
 	}
 	// A step of a repair waits for the word that the one before is done.
-	if len(m.QueueStatuses) > 0 && t.roll != nil && t.isController(now) {
-		t.members(now, out)
+	if len(update.QueueStatuses) > 0 && c.view != nil && c.holdsLease(now) {
+		c.reconcileMembers(now, effects)
 	}
 	// Queues that a table has just added are waited for.
-	if isNew && t.roll != nil && t.isController(now) {
-		t.queues(now, out)
+	if changed && c.view != nil && c.holdsLease(now) {
+		c.reconcileQueues(now, effects)
 	}
 }
 
-func (t *Table) memberIDs() []string {
+func (c *Controller) memberIDs() []string {
 	var ids []string
-	if t.roll != nil {
-		for id := range t.roll.Members {
+	if c.view != nil {
+		for id := range c.view.Members {
 			ids = append(ids, id)
 		}
 	}
@@ -164,31 +164,31 @@
 	return ids
 }
 
-func (t *Table) stores(now eventloop.Micros) []string {
+func (c *Controller) liveStorageNodes(now eventloop.Micros) []string {
 	var ids []string
-	for _, id := range t.memberIDs() {
-		if known := t.roll.Members[id]; known.Member.HasStorage && t.roll.IsAlive(id, now, t.spans.SuspectTimeout) {
+	for _, id := range c.memberIDs() {
+		if known := c.view.Members[id]; known.Member.HasStorage && c.view.IsAlive(id, now, c.timeouts.SuspectTimeout) {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-func (t *Table) tick(now eventloop.Micros, out eventloop.Effects) {
-	if t.roll == nil {
+func (c *Controller) handleTick(now eventloop.Micros, effects eventloop.Effects) {
+	if c.view == nil {
 		return
 	}
-	if now-t.askedAt >= askSpan {
-		t.askedAt = now
-		t.ask(now, out)
-		t.watch(now)
+	if now-c.polledAt >= pollInterval {
+		c.polledAt = now
+		c.pollClusterState(now, effects)
+		c.observeStorageNodes(now)
 	}
-	t.seek(now, out)
-	if !t.isController(now) {
+	c.acquireOrRenewLease(now, effects)
+	if !c.holdsLease(now) {
 		return
 	}
-	t.queues(now, out)
-	t.leaders(now, out)
-	t.members(now, out)
-	t.sessions(now, out)
+	c.reconcileQueues(now, effects)
+	c.reconcileLeaders(now, effects)
+	c.reconcileMembers(now, effects)
+	c.reconcileSessions(now, effects)
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -13,77 +13,77 @@
 	"sparnotch/internal/schema"
 )
 
-// desk drives a controller by hand; three stores stand, "a" leads the cluster state.
-type desk struct {
-	silent map[string]eventloop.Micros // since when nobody hears them
-	others map[string]*schema.Member
-	asks   []*schema.ChangeMembers
-	t      *Table
-	now    eventloop.Micros
-	state  *schema.ClusterState
-	acts   []*schema.ClusterStateCommand
-	mail   []*schema.Response // on its way back
-	born   eventloop.Micros   // when the cluster began; 0: nobody tells of a lease
+// controllerFixture drives a controller by hand; three stores stand, "a" leads the cluster state.
+type controllerFixture struct {
+	silentSince   map[string]eventloop.Micros // since when nobody hears them
+	otherMembers  map[string]*schema.Member
+	memberChanges []*schema.ChangeMembers
+	controller    *Controller
+	now           eventloop.Micros
+	state         *schema.ClusterState
+	commands      []*schema.ClusterStateCommand
+	replies       []*schema.Response // on its way back
+	clusterStart  eventloop.Micros   // when the cluster began; 0: nobody tells of a lease
 }
 
-func (d *desk) Send(to string, body any) {
+func (d *controllerFixture) Send(to string, body any) {
 	if act, isAct := body.(*schema.ChangeMembers); isAct {
-		d.asks = append(d.asks, act)
+		d.memberChanges = append(d.memberChanges, act)
 	}
 	if request, isRequest := body.(*schema.Request); isRequest {
 		command := &schema.ClusterStateCommand{}
 		So(proto.Unmarshal(request.Body, command), ShouldBeNil)
 		So(to, ShouldEqual, "a")
 		if command.GetClaimControllerLease() != nil {
-			d.mail = append(d.mail, &schema.Response{Id: request.Id, Code: 200, Body: []byte(`{"lease":7}`)})
+			d.replies = append(d.replies, &schema.Response{Id: request.Id, Code: 200, Body: []byte(`{"lease":7}`)})
 			return
 		}
-		d.acts = append(d.acts, command)
+		d.commands = append(d.commands, command)
 	}
 }
-func (d *desk) Dial(string, any)    {}
-func (d *desk) Notify(string, any)  {}
-func (d *desk) Respond(uint64, any) {}
+func (d *controllerFixture) Dial(string, any)    {}
+func (d *controllerFixture) Notify(string, any)  {}
+func (d *controllerFixture) Respond(uint64, any) {}
 
-func (d *desk) tick() {
-	d.now += Pace
-	for _, reply := range d.mail {
-		d.t.Step(d.now, eventloop.Message{From: "a", Body: reply}, d)
+func (d *controllerFixture) tick() {
+	d.now += TickInterval
+	for _, reply := range d.replies {
+		d.controller.Step(d.now, eventloop.Message{From: "a", Body: reply}, d)
 	}
-	d.mail = nil
-	d.roll()
-	d.t.Step(d.now, eventloop.Message{Body: eventloop.Tick{}}, d)
+	d.replies = nil
+	d.sendView()
+	d.controller.Step(d.now, eventloop.Message{Body: eventloop.Tick{}}, d)
 }
 
-func (d *desk) roll() {
-	roll := &membership.View{Members: map[string]membership.MemberStatus{}}
+func (d *controllerFixture) sendView() {
+	view := &membership.View{Members: map[string]membership.MemberStatus{}}
 	for _, id := range []string{"a", "b", "c"} {
 		heard := d.now
-		if since, isSilent := d.silent[id]; isSilent {
+		if since, isSilent := d.silentSince[id]; isSilent {
 			heard = since
 		}
-		roll.Members[id] = membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true, Role: schema.Role_ROLE_SERVER, InternalAddress: "10.0.0." + id}, LastHeard: heard}
+		view.Members[id] = membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true, Role: schema.Role_ROLE_SERVER, InternalAddress: "10.0.0." + id}, LastHeard: heard}
 	}
-	for id, member := range d.others {
-		roll.Members[id] = membership.MemberStatus{Member: member, LastHeard: d.now}
+	for id, member := range d.otherMembers {
+		view.Members[id] = membership.MemberStatus{Member: member, LastHeard: d.now}
 	}
-	d.t.Step(d.now, eventloop.Message{Body: roll}, d)
+	d.controller.Step(d.now, eventloop.Message{Body: view}, d)
 }
 
-// tell is the cluster state leader's word, with its state as it is.
-func (d *desk) tell(notes ...*schema.QueueStatus) {
-	notes = append(notes, &schema.QueueStatus{Group: clusterstate.Group, Leader: "a", Voters: []string{"a", "b", "c"}})
+// update is the cluster state leader's word, with its state as it is.
+func (d *controllerFixture) sendUpdate(statuses ...*schema.QueueStatus) {
+	statuses = append(statuses, &schema.QueueStatus{Group: clusterstate.Group, Leader: "a", Voters: []string{"a", "b", "c"}})
 	until := int64(0)
-	if d.born > 0 {
-		until = int64(d.now-d.born) + clusterstate.ControllerLeaseUs
+	if d.clusterStart > 0 {
+		until = int64(d.now-d.clusterStart) + clusterstate.ControllerLeaseUs
 	}
-	d.t.Step(d.now, eventloop.Message{From: "a", Body: &schema.ClusterStateResponse{
-		State: proto.Clone(d.state).(*schema.ClusterState), Version: d.state.Version, Leaders: map[string]string{clusterstate.Group: "a"}, QueueStatuses: notes, ControllerLeaseExpiresUs: until,
+	d.controller.Step(d.now, eventloop.Message{From: "a", Body: &schema.ClusterStateResponse{
+		State: proto.Clone(d.state).(*schema.ClusterState), Version: d.state.Version, Leaders: map[string]string{clusterstate.Group: "a"}, QueueStatuses: statuses, ControllerLeaseExpiresUs: until,
 	}}, d)
 }
 
-// put makes a table of these queues.
-func (d *desk) put(queues ...string) {
+// putQueues makes a table of these queues.
+func (d *controllerFixture) putQueues(queues ...string) {
 	d.state.Version++
 	d.state.Configuration = &schema.Configuration{Revision: d.state.Configuration.GetRevision() + 1}
 	for _, queue := range queues {
@@ -91,9 +91,9 @@
 	}
 }
 
-func (d *desk) placed() [][]string {
+func (d *controllerFixture) placed() [][]string {
 	var list [][]string
-	for _, act := range d.acts {
+	for _, act := range d.commands {
 		if queues := act.GetPlaceQueues(); queues != nil {
 			var names []string
 			for _, queue := range queues.Queues {
@@ -105,36 +105,36 @@
 	return list
 }
 
-func newDesk() *desk {
-	d := &desk{t: New("h", 0), now: 100 * eventloop.Second, state: &schema.ClusterState{Version: 1, Configuration: &schema.Configuration{}}}
-	d.roll()
-	d.tell()
-	for k := 0; k < 20 && !d.t.isController(d.now); k++ {
+func newControllerFixture() *controllerFixture {
+	d := &controllerFixture{controller: New("h", 0), now: 100 * eventloop.Second, state: &schema.ClusterState{Version: 1, Configuration: &schema.Configuration{}}}
+	d.sendView()
+	d.sendUpdate()
+	for k := 0; k < 20 && !d.controller.holdsLease(d.now); k++ {
 		d.tick()
-		d.tell()
+		d.sendUpdate()
 	}
-	So(d.t.isController(d.now), ShouldBeTrue)
-	d.acts = nil
+	So(d.controller.holdsLease(d.now), ShouldBeTrue)
+	d.commands = nil
 	return d
 }
 
 func TestQueuesArePlaced(t *testing.T) {
 	Convey("Queues that a table adds are placed on hearing of it, all in one command", t, func() {
-		d := newDesk()
+		d := newControllerFixture()
 		var queues []string
 		for k := 0; k < 8; k++ {
 			queues = append(queues, fmt.Sprintf("l%d", k))
 		}
-		d.put(queues...)
-		d.tell()
+		d.putQueues(queues...)
+		d.sendUpdate()
 		So(d.placed(), ShouldResemble, [][]string{queues})
-		first := d.acts[0].GetPlaceQueues()
+		first := d.commands[0].GetPlaceQueues()
 		So(first.FencingToken, ShouldEqual, 7)
 		So(first.Queues[7].InitialVoters, ShouldResemble, []string{"a", "b", "c"})
 		So(first.Queues[7].PreferredLeader, ShouldEqual, "a")
 		Convey("The same act isn't repeated before its effect can be heard of", func() {
 			d.tick()
-			d.tell()
+			d.sendUpdate()
 			d.tick()
 			So(d.placed(), ShouldHaveLength, 1)
 			for k := 0; k < 4; k++ {
@@ -143,32 +143,32 @@
 			So(d.placed(), ShouldHaveLength, 2)
 		})
 		Convey("but another table's queues don't wait for that", func() {
-			d.put(append(queues, "m")...)
-			d.tell()
+			d.putQueues(append(queues, "m")...)
+			d.sendUpdate()
 			So(d.placed(), ShouldResemble, [][]string{queues, append(queues, "m")})
 		})
 	})
 	Convey("A dropped queue goes when its jobs have ended and been kept long enough", t, func() {
-		d := newDesk()
-		d.put()
+		d := newControllerFixture()
+		d.putQueues()
 		d.state.Queues = []*schema.QueuePlacement{{Queue: "l", Generation: 3, PreferredLeader: "a"}}
-		note := &schema.QueueStatus{Group: "l#3", Queue: "l", Leader: "a", Voters: []string{"a", "b", "c"}, LiveJobs: 1}
-		d.tell(note)
+		status := &schema.QueueStatus{Group: "l#3", Queue: "l", Leader: "a", Voters: []string{"a", "b", "c"}, LiveJobs: 1}
+		d.sendUpdate(status)
 		So(d.placed(), ShouldBeEmpty)
-		note.LiveJobs, note.RetainedJobs = 0, 1
-		d.tell(note)
+		status.LiveJobs, status.RetainedJobs = 0, 1
+		d.sendUpdate(status)
 		d.tick()
 		So(d.placed(), ShouldBeEmpty)
-		note.RetainedJobs = 0
-		d.tell(note)
+		status.RetainedJobs = 0
+		d.sendUpdate(status)
 		d.tick()
 		So(d.placed(), ShouldResemble, [][]string{{"l#3"}})
 	})
 	Convey("Who isn't the controller places nothing", t, func() {
-		d := newDesk()
+		d := newControllerFixture()
 		d.now += 3 * eventloop.Second
-		d.put("l")
-		d.tell()
+		d.putQueues("l")
+		d.sendUpdate()
 		So(d.placed(), ShouldBeEmpty)
 	})
 }
@@ -178,20 +178,20 @@
 	// is to learn, from the last word of "c" on.
 	isForgotten := false
 	learns := func(boot uint64, comes eventloop.Micros, isController bool) eventloop.Micros {
-		d := newDesk()
+		d := newControllerFixture()
 		if !isController {
-			d = &desk{t: New("h", 0), now: 100 * eventloop.Second, state: &schema.ClusterState{Version: 1, Configuration: &schema.Configuration{}}}
+			d = &controllerFixture{controller: New("h", 0), now: 100 * eventloop.Second, state: &schema.ClusterState{Version: 1, Configuration: &schema.Configuration{}}}
 		}
 		born, silentAt := d.now, d.now+12*eventloop.Second
 		if isController {
-			d.born = born
+			d.clusterStart = born
 		}
-		for d.now < silentAt+10*eventloop.Second && len(d.asks) == 0 {
-			d.now += Pace
-			roll := &membership.View{Members: map[string]membership.MemberStatus{}}
+		for d.now < silentAt+10*eventloop.Second && len(d.memberChanges) == 0 {
+			d.now += TickInterval
+			view := &membership.View{Members: map[string]membership.MemberStatus{}}
 			hear := func(id string, boot uint64, began, at eventloop.Micros) {
 				beat := uint64((at - began) / membership.TickInterval)
-				roll.Members[id] = membership.MemberStatus{Member: &schema.Member{Id: id, Incarnation: boot, Heartbeat: beat, HasStorage: true, Role: schema.Role_ROLE_SERVER}, LastHeard: at}
+				view.Members[id] = membership.MemberStatus{Member: &schema.Member{Id: id, Incarnation: boot, Heartbeat: beat, HasStorage: true, Role: schema.Role_ROLE_SERVER}, LastHeard: at}
 			}
 			hear("a", 1, born, d.now)
 			hear("b", 1, born, d.now)
@@ -201,21 +201,21 @@
 			if boot > 0 && d.now > silentAt+comes {
 				hear("d", boot, silentAt+comes, d.now)
 			}
-			d.t.Step(d.now, eventloop.Message{Body: roll}, d)
+			d.controller.Step(d.now, eventloop.Message{Body: view}, d)
 			// Before its turn it hears nothing of the lease, so it can't be controller.
 			if isController || d.now > silentAt+2*eventloop.Second {
-				for _, reply := range d.mail {
-					d.t.Step(d.now, eventloop.Message{From: "a", Body: reply}, d)
+				for _, reply := range d.replies {
+					d.controller.Step(d.now, eventloop.Message{From: "a", Body: reply}, d)
 				}
-				d.mail = nil
+				d.replies = nil
 			}
-			d.t.Step(d.now, eventloop.Message{Body: eventloop.Tick{}}, d)
-			d.tell()
+			d.controller.Step(d.now, eventloop.Message{Body: eventloop.Tick{}}, d)
+			d.sendUpdate()
 		}
-		if len(d.asks) == 0 {
+		if len(d.memberChanges) == 0 {
 			return 0
 		}
-		So(d.asks[0].AddLearner, ShouldEqual, "d")
+		So(d.memberChanges[0].AddLearner, ShouldEqual, "d")
 		return d.now - silentAt
 	}
 	Convey("The place of a silent store goes to another after 6 s", t, func() {
@@ -242,77 +242,77 @@
 
 func TestSucceededStore(t *testing.T) {
 	Convey("Given a store that lost its disk and is back as another one", t, func() {
-		d := &desk{t: New("h", 0), now: eventloop.Second, state: clusterstate.New().State(), silent: map[string]eventloop.Micros{}, others: map[string]*schema.Member{}}
+		d := &controllerFixture{controller: New("h", 0), now: eventloop.Second, state: clusterstate.New().State(), silentSince: map[string]eventloop.Micros{}, otherMembers: map[string]*schema.Member{}}
 		d.state.Version = 1
 		run := func(span eventloop.Micros) {
 			for end := d.now + span; d.now < end; {
 				d.tick()
 				if d.now%(250*eventloop.Millisecond) == 0 {
-					d.tell()
+					d.sendUpdate()
 				}
 			}
 		}
 		run(3 * eventloop.Second)
-		d.silent["c"] = d.now
+		d.silentSince["c"] = d.now
 		Convey("Its place is given to the new one within 2 s, not after the wait for one that is only silent", func() {
-			d.others["d"] = &schema.Member{Id: "d", HasStorage: true, Role: schema.Role_ROLE_SERVER, InternalAddress: "10.0.0.c"}
+			d.otherMembers["d"] = &schema.Member{Id: "d", HasStorage: true, Role: schema.Role_ROLE_SERVER, InternalAddress: "10.0.0.c"}
 			run(2 * eventloop.Second)
-			So(d.asks, ShouldNotBeEmpty)
-			So(d.asks[0].AddLearner, ShouldEqual, "d")
+			So(d.memberChanges, ShouldNotBeEmpty)
+			So(d.memberChanges[0].AddLearner, ShouldEqual, "d")
 		})
 		Convey("A store elsewhere doesn't stand for one that is only silent", func() {
-			d.others["d"] = &schema.Member{Id: "d", HasStorage: true, Role: schema.Role_ROLE_SERVER, InternalAddress: "10.0.0.d"}
+			d.otherMembers["d"] = &schema.Member{Id: "d", HasStorage: true, Role: schema.Role_ROLE_SERVER, InternalAddress: "10.0.0.d"}
 			run(4 * eventloop.Second)
-			So(d.asks, ShouldBeEmpty)
+			So(d.memberChanges, ShouldBeEmpty)
 			run(3 * eventloop.Second)
-			So(d.asks, ShouldNotBeEmpty)
+			So(d.memberChanges, ShouldNotBeEmpty)
 		})
 	})
 }
 
 func TestASilentLeaderIsReplaced(t *testing.T) {
 	Convey("Once its peers lead what a silent store led, its queues and wards move, before we suspect it ourselves", t, func() {
-		d := newDesk()
-		d.put("l")
+		d := newControllerFixture()
+		d.putQueues("l")
 		d.state.Queues = []*schema.QueuePlacement{{Queue: "l", Generation: 3, PreferredLeader: "c"}}
 		d.state.WorkerLeases = []*schema.WorkerLease{{Worker: "w", Scheduler: "c"}}
-		word := func(from string, leaders map[string]string) {
-			var notes []*schema.QueueStatus
+		report := func(from string, leaders map[string]string) {
+			var statuses []*schema.QueueStatus
 			if from == "a" {
-				notes = append(notes, &schema.QueueStatus{Group: clusterstate.Group, Leader: "a", Voters: []string{"a", "b", "c"}})
+				statuses = append(statuses, &schema.QueueStatus{Group: clusterstate.Group, Leader: "a", Voters: []string{"a", "b", "c"}})
 			}
-			d.t.Step(d.now, eventloop.Message{From: from, Body: &schema.ClusterStateResponse{
-				State: proto.Clone(d.state).(*schema.ClusterState), Version: d.state.Version, Leaders: leaders, QueueStatuses: notes,
+			d.controller.Step(d.now, eventloop.Message{From: from, Body: &schema.ClusterStateResponse{
+				State: proto.Clone(d.state).(*schema.ClusterState), Version: d.state.Version, Leaders: leaders, QueueStatuses: statuses,
 			}}, d)
 		}
 		before := map[string]string{clusterstate.Group: "a", "l": "c"}
 		for _, id := range []string{"a", "b", "c"} {
-			word(id, before)
+			report(id, before)
 		}
 		d.tick()
-		So(d.acts, ShouldBeEmpty)
+		So(d.commands, ShouldBeEmpty)
 		Convey("as soon as that is so", func() {
 			last := d.now
-			for len(d.acts) == 0 && d.now-last < 2*eventloop.Second {
+			for len(d.commands) == 0 && d.now-last < 2*eventloop.Second {
 				d.tick()
 				after := before
 				if d.now-last > 500*eventloop.Millisecond {
 					after = map[string]string{clusterstate.Group: "a", "l": "b"}
 				}
-				word("a", after)
-				word("b", after)
+				report("a", after)
+				report("b", after)
 			}
-			So(d.now-last, ShouldBeBetweenOrEqual, missSpan, missSpan+150*eventloop.Millisecond)
-			So(d.acts[0].GetPlaceQueues().GetQueues()[0].PreferredLeader, ShouldEqual, "b")
-			So(d.acts[1].GetAssignWorkers().GetWorkerLeases()[0].Scheduler, ShouldEqual, "b")
+			So(d.now-last, ShouldBeBetweenOrEqual, deposedTimeout, deposedTimeout+150*eventloop.Millisecond)
+			So(d.commands[0].GetPlaceQueues().GetQueues()[0].PreferredLeader, ShouldEqual, "b")
+			So(d.commands[1].GetAssignWorkers().GetWorkerLeases()[0].Scheduler, ShouldEqual, "b")
 		})
 		Convey("but not while nobody else leads it", func() {
 			for k := 0; k < 20; k++ {
 				d.tick()
-				word("a", before)
-				word("b", before)
+				report("a", before)
+				report("b", before)
 			}
-			So(d.acts, ShouldBeEmpty)
+			So(d.commands, ShouldBeEmpty)
 		})
 	})
 }
--- a/internal/controller/members_test.go
+++ b/internal/controller/departing_voter_test.go
@@ -11,22 +11,22 @@
 	"sparnotch/internal/schema"
 )
 
-// aged lets the council's controller know that the cluster is a minute old.
-func (c *council) aged() {
-	c.t.until, c.t.untilAt = int64(60*eventloop.Second)+clusterstate.ControllerLeaseUs, c.now
+// setClusterAge lets the council's controller know that the cluster is a minute old.
+func (c *groupFixture) setClusterAge() {
+	c.controller.leaseExpiryUs, c.controller.leaseExpirySeenAt = int64(60*eventloop.Second)+clusterstate.ControllerLeaseUs, c.now
 }
 
-// comes adds an empty store that has just started.
-func (c *council) comes(id string) {
+// addNewlyJoined adds an empty store that has just started.
+func (c *groupFixture) addNewlyJoined(id string) {
 	c.add(id, "10.0.0."+id, "")
 	c.members[id].Incarnation, c.members[id].Heartbeat = 1, 4
 }
 
 func TestALeaverHandsItsVoteOver(t *testing.T) {
 	Convey("Given a voter that says it leaves", t, func() {
-		c := newCouncil(0, "a", "b", "c")
+		c := newGroupFixture(0, "a", "b", "c")
 		c.run(3 * eventloop.Second)
-		c.aged()
+		c.setClusterAge()
 		c.members["c"].Draining = true
 		Convey("it is taken to be restarting, and keeps its vote", func() {
 			c.run(10 * eventloop.Second)
@@ -38,27 +38,27 @@
 			So(c.steps, ShouldBeEmpty)
 		})
 		Convey("one that has come of late gets its vote before it goes", func() {
-			c.comes("d")
+			c.addNewlyJoined("d")
 			c.run(2 * eventloop.Second)
 			So(c.steps, ShouldResemble, []string{"learn d", "promote d", "drop c"})
-			So(c.least, ShouldEqual, 1)
+			So(c.minQuorumMargin, ShouldEqual, 1)
 		})
 		Convey("and not before it has caught up", func() {
-			c.comes("d")
-			c.note.ReplicaLag["d"] = 1000
+			c.addNewlyJoined("d")
+			c.status.ReplicaLag["d"] = 1000
 			c.run(2 * eventloop.Second)
 			So(c.steps, ShouldResemble, []string{"learn d"})
 		})
 		Convey("one that comes when it has gone needn't wait to see whether it is only silent", func() {
-			c.silent["c"] = c.now
-			c.comes("d")
+			c.silentSince["c"] = c.now
+			c.addNewlyJoined("d")
 			c.run(eventloop.Second)
 			So(c.steps, ShouldResemble, []string{"learn d", "promote d", "drop c"})
-			So(c.least, ShouldEqual, 0)
+			So(c.minQuorumMargin, ShouldEqual, 0)
 		})
 		Convey("when it is back it keeps its vote, and who was to stand for it is let go", func() {
-			c.comes("d")
-			c.note.ReplicaLag["d"] = 1000
+			c.addNewlyJoined("d")
+			c.status.ReplicaLag["d"] = 1000
 			c.run(eventloop.Second)
 			c.members["c"] = &schema.Member{Id: "c", Incarnation: 3, HasStorage: true, Role: schema.Role_ROLE_SERVER, InternalAddress: "10.0.0.c"}
 			c.run(eventloop.Second)
@@ -66,22 +66,22 @@
 		})
 	})
 	Convey("Two that leave at once are replaced one after another", t, func() {
-		c := newCouncil(2, "a", "b", "c", "d", "e")
+		c := newGroupFixture(2, "a", "b", "c", "d", "e")
 		c.run(3 * eventloop.Second)
-		c.aged()
+		c.setClusterAge()
 		c.members["a"].Draining, c.members["b"].Draining = true, true
-		c.note.Leader = "e"
-		c.comes("f")
-		c.comes("g")
+		c.status.Leader = "e"
+		c.addNewlyJoined("f")
+		c.addNewlyJoined("g")
 		c.run(3 * eventloop.Second)
 		So(c.steps, ShouldResemble, []string{"learn f", "promote f", "drop a", "learn g", "promote g", "drop b"})
-		So(c.least, ShouldEqual, 2)
+		So(c.minQuorumMargin, ShouldEqual, 2)
 	})
 }
 
 func TestSucceededThoughForgotten(t *testing.T) {
 	Convey("A store whose successor lives at its address is replaced at once, also when the book has let it go", t, func() {
-		c := newCouncil(0, "a", "b", "c")
+		c := newGroupFixture(0, "a", "b", "c")
 		c.run(3 * eventloop.Second)
 		// The book forgets a silent process as soon as another is heard at its address.
 		delete(c.members, "c")
@@ -94,14 +94,14 @@
 func TestTheAgeOfTheCluster(t *testing.T) {
 	Convey("A controller that has just started knows the age of the cluster from the lease, and counts a newcomer", t, func() {
 		h := New("h", 0)
-		h.roll = &membership.View{Members: map[string]membership.MemberStatus{
+		h.view = &membership.View{Members: map[string]membership.MemberStatus{
 			"d": {Member: &schema.Member{Id: "d", HasStorage: true, Incarnation: 1, Heartbeat: 4}, LastHeard: eventloop.Second},
 		}}
-		So(h.hasCome(eventloop.Second), ShouldBeFalse)
-		h.until, h.untilAt = int64(60*eventloop.Second), eventloop.Second
-		So(h.hasCome(eventloop.Second), ShouldBeTrue)
-		So(h.age(eventloop.Second), ShouldEqual, 60*eventloop.Second-clusterstate.ControllerLeaseUs)
+		So(h.hasNewlyJoined(eventloop.Second), ShouldBeFalse)
+		h.leaseExpiryUs, h.leaseExpirySeenAt = int64(60*eventloop.Second), eventloop.Second
+		So(h.hasNewlyJoined(eventloop.Second), ShouldBeTrue)
+		So(h.clusterAge(eventloop.Second), ShouldEqual, 60*eventloop.Second-clusterstate.ControllerLeaseUs)
 		// Also while nobody renews the lease: else who came of late would count as a founder.
-		So(h.age(10*eventloop.Second), ShouldEqual, 69*eventloop.Second-clusterstate.ControllerLeaseUs)
+		So(h.clusterAge(10*eventloop.Second), ShouldEqual, 69*eventloop.Second-clusterstate.ControllerLeaseUs)
 	})
 }
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -13,140 +13,142 @@
 	"sparnotch/internal/schema"
 )
 
-// ask asks after the cluster state: a candidate asks every store, for it must know what
+// pollClusterState asks after the cluster state: a candidate asks every store, for it must know what
 // each of them says once it is controller; the others take turns, for all asking all
 // would cost the stores more than what they are there for.
-func (t *Table) ask(now eventloop.Micros, out eventloop.Effects) {
-	stores := t.stores(now)
-	if len(stores) == 0 {
+func (c *Controller) pollClusterState(now eventloop.Micros, effects eventloop.Effects) {
+	storageNodes := c.liveStorageNodes(now)
+	if len(storageNodes) == 0 {
 		return
 	}
-	if _, isCandidate := t.rank(now); !isCandidate && !t.isController(now) {
-		t.turn++
-		stores = stores[t.turn%len(stores):][:1]
+	if _, isCandidate := c.candidateRank(now); !isCandidate && !c.holdsLease(now) {
+		c.pollTurn++
+		storageNodes = storageNodes[c.pollTurn%len(storageNodes):][:1]
 	}
-	for _, id := range stores {
-		out.Send(id, &schema.ClusterStateRequest{Version: t.state.Version, HeldRevision: t.state.Configuration.GetRevision()})
+	for _, id := range storageNodes {
+		effects.Send(id, &schema.ClusterStateRequest{Version: c.state.Version, HeldRevision: c.state.Configuration.GetRevision()})
 	}
 }
 
-// rank is our place among the side machines that stand for controller, if we do.
-func (t *Table) rank(now eventloop.Micros) (int, bool) {
-	cells := map[string]string{t.id: t.roll.Self.GetZone()}
-	for id, known := range t.roll.Members {
-		if known.Member.Role == schema.Role_ROLE_CONTROLLER && t.roll.IsAlive(id, now, t.spans.SuspectTimeout) {
-			cells[id] = known.Member.Zone
+// candidateRank is our place among the side machines that stand for controller, if we do.
+func (c *Controller) candidateRank(now eventloop.Micros) (int, bool) {
+	zones := map[string]string{c.id: c.view.Self.GetZone()}
+	for id, known := range c.view.Members {
+		if known.Member.Role == schema.Role_ROLE_CONTROLLER && c.view.IsAlive(id, now, c.timeouts.SuspectTimeout) {
+			zones[id] = known.Member.Zone
 		}
 	}
-	rank := slices.Index(membership.SpreadOverZones(cells, membership.MaxControllerCandidates), t.id)
+	rank := slices.Index(membership.SpreadOverZones(zones, membership.MaxControllerCandidates), c.id)
 	return rank, rank >= 0
 }
 
-func (t *Table) isController(now eventloop.Micros) bool { return t.lease != 0 && now < t.mine }
+func (c *Controller) holdsLease(now eventloop.Micros) bool {
+	return c.fencingToken != 0 && now < c.leaseValidUntil
+}
 
-// seek renews the lease, or claims one that nobody renews. Candidates wait
+// acquireOrRenewLease renews the lease, or claims one that nobody renews. Candidates wait
 // by rank, so that seldom two try at once.
-func (t *Table) seek(now eventloop.Micros, out eventloop.Effects) {
-	for id, at := range t.claims {
+func (c *Controller) acquireOrRenewLease(now eventloop.Micros, effects eventloop.Effects) {
+	for id, at := range c.pendingClaims {
 		if now-at > 3*eventloop.Second {
-			delete(t.claims, id)
+			delete(c.pendingClaims, id)
 		}
 	}
-	if t.isController(now) {
-		if now-t.claimAt >= renewSpan {
-			t.claim(now, out)
+	if c.holdsLease(now) {
+		if now-c.claimedAt >= leaseRenewInterval {
+			c.claimLease(now, effects)
 		}
 		return
 	}
-	if len(t.told) == 0 || now-t.claimAt < claimSpan {
+	if len(c.reports) == 0 || now-c.claimedAt < leaseRetryInterval {
 		return
 	}
-	rank, isCandidate := t.rank(now)
+	rank, isCandidate := c.candidateRank(now)
 	if !isCandidate {
 		return
 	}
-	stale := now - t.untilAt
-	isVacant := t.until == 0 || stale > eventloop.Micros(clusterstate.ControllerLeaseUs)
+	unrenewedFor := now - c.leaseExpirySeenAt
+	expired := c.leaseExpiryUs == 0 || unrenewedFor > eventloop.Micros(clusterstate.ControllerLeaseUs)
 	// A controller that nobody hears needn't be waited for, but the cluster state will
 	// only give its lease away when it has run out.
 	// Whoever held it last may take it up again at once: while the cluster state had no
 	// leader nobody could renew anything.
-	isLast := t.state.ControllerLease.GetHolder() == t.id
-	if isLast || isVacant && stale > eventloop.Micros(clusterstate.ControllerLeaseUs)+eventloop.Micros(rank)*300*eventloop.Millisecond || t.until == 0 && now > eventloop.Micros(rank)*300*eventloop.Millisecond {
-		t.claim(now, out)
+	wasHolder := c.state.ControllerLease.GetHolder() == c.id
+	if wasHolder || expired && unrenewedFor > eventloop.Micros(clusterstate.ControllerLeaseUs)+eventloop.Micros(rank)*300*eventloop.Millisecond || c.leaseExpiryUs == 0 && now > eventloop.Micros(rank)*300*eventloop.Millisecond {
+		c.claimLease(now, effects)
 	}
 }
 
-func (t *Table) claim(now eventloop.Micros, out eventloop.Effects) {
-	t.claimAt = now
-	if id := t.send(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: t.id}}}, out); id != 0 {
-		t.claims[id] = now
+func (c *Controller) claimLease(now eventloop.Micros, effects eventloop.Effects) {
+	c.claimedAt = now
+	if id := c.sendCommand(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: c.id}}}, effects); id != 0 {
+		c.pendingClaims[id] = now
 	}
 }
 
-func (t *Table) replied(now eventloop.Micros, m *schema.Response) {
-	sent, isClaim := t.claims[m.Id]
-	if !isClaim || m.Code == 0 {
+func (c *Controller) handleClaimReply(now eventloop.Micros, reply *schema.Response) {
+	sentAt, found := c.pendingClaims[reply.Id]
+	if !found || reply.Code == 0 {
 		return
 	}
-	delete(t.claims, m.Id)
+	delete(c.pendingClaims, reply.Id)
 	// Claims go out before the last one is answered: an answer that comes after one
 	// to a later claim says what was, not what is.
-	if m.Id < t.answered {
+	if reply.Id < c.newestAnsweredClaim {
 		return
 	}
-	t.answered = m.Id
+	c.newestAnsweredClaim = reply.Id
 	var result struct {
 		Lease uint64 `json:"lease"`
 	}
-	if m.Code != 200 || json.Unmarshal(m.Body, &result) != nil || result.Lease == 0 {
-		t.lease = 0
+	if reply.Code != 200 || json.Unmarshal(reply.Body, &result) != nil || result.Lease == 0 {
+		c.fencingToken = 0
 		return
 	}
 	// How the groups stand is told to the active controller alone.
-	if t.lease == 0 {
-		t.askedAt = 0
+	if c.fencingToken == 0 {
+		c.polledAt = 0
 	}
 	// Counted from when it was asked for, so it ends here before it ends there.
-	t.lease = result.Lease
-	t.mine = max(t.mine, sent+eventloop.Micros(clusterstate.ControllerLeaseUs)-guardSpan)
+	c.fencingToken = result.Lease
+	c.leaseValidUntil = max(c.leaseValidUntil, sentAt+eventloop.Micros(clusterstate.ControllerLeaseUs)-leaseSafetyMargin)
 }
 
-// send gives a command to the cluster state's leader.
-func (t *Table) send(now eventloop.Micros, command *schema.ClusterStateCommand, out eventloop.Effects) uint64 {
-	to := t.leaderOf(now, clusterstate.Group)
+// sendCommand gives a command to the cluster state's leader.
+func (c *Controller) sendCommand(now eventloop.Micros, command *schema.ClusterStateCommand, effects eventloop.Effects) uint64 {
+	to := c.leaderOf(now, clusterstate.Group)
 	if to == "" {
 		return 0
 	}
-	t.number++
-	out.Send(to, &schema.Request{Id: t.number, Kind: "clusterstate", Group: clusterstate.Group, Body: replica.ClusterStateBody(command)})
-	return t.number
+	c.lastRequestID++
+	effects.Send(to, &schema.Request{Id: c.lastRequestID, Kind: "clusterstate", Group: clusterstate.Group, Body: replica.ClusterStateBody(command)})
+	return c.lastRequestID
 }
 
 // leaderOf is who says itself that it leads a group, else whom others name.
-func (t *Table) leaderOf(now eventloop.Micros, group string) string {
-	return t.leaderAmong(now, t.stores(now), group)
+func (c *Controller) leaderOf(now eventloop.Micros, group string) string {
+	return c.leaderAmong(now, c.liveStorageNodes(now), group)
 }
 
-func (t *Table) leaderAmong(now eventloop.Micros, stores []string, group string) string {
-	named, claimant := "", ""
-	var claimed eventloop.Micros
-	for _, id := range stores {
-		word, isKnown := t.told[id]
-		if !isKnown || now-word.at > t.spans.SuspectTimeout {
+func (c *Controller) leaderAmong(now eventloop.Micros, storageNodes []string, group string) string {
+	named, selfReported := "", ""
+	var selfReportedAt eventloop.Micros
+	for _, id := range storageNodes {
+		report, isKnown := c.reports[id]
+		if !isKnown || now-report.receivedAt > c.timeouts.SuspectTimeout {
 			continue
 		}
-		leader := word.tell.Leaders[group]
+		leader := report.update.Leaders[group]
 		// Of two that say so the later one does: the other may be gone.
-		if leader == id && (claimant == "" || word.at > claimed) {
-			claimant, claimed = id, word.at
+		if leader == id && (selfReported == "" || report.receivedAt > selfReportedAt) {
+			selfReported, selfReportedAt = id, report.receivedAt
 		}
 		if leader != "" {
 			named = leader
 		}
 	}
-	if claimant != "" {
-		return claimant
+	if selfReported != "" {
+		return selfReported
 	}
 	return named
 }
@@ -154,24 +156,24 @@
 // isDeposed tells that a store which doesn't answer has lost all that it led:
 // its peers have missed it already and say so, which is sooner than we would
 // suspect it ourselves.
-func (t *Table) isDeposed(now eventloop.Micros, id string) bool {
-	last := t.told[id]
-	if last.tell == nil || now-last.at <= missSpan {
+func (c *Controller) isDeposed(now eventloop.Micros, id string) bool {
+	lastReport := c.reports[id]
+	if lastReport.update == nil || now-lastReport.receivedAt <= deposedTimeout {
 		return false
 	}
-	hasLed := false
-	for group, leader := range last.tell.Leaders {
+	wasLeader := false
+	for group, leader := range lastReport.update.Leaders {
 		if leader != id {
 			continue
 		}
-		hasLed = true
-		isTaken := false
-		for other, word := range t.told {
-			isTaken = isTaken || other != id && word.at > last.at && word.tell.Leaders[group] == other
+		wasLeader = true
+		superseded := false
+		for other, report := range c.reports {
+			superseded = superseded || other != id && report.receivedAt > lastReport.receivedAt && report.update.Leaders[group] == other
 		}
-		if !isTaken {
+		if !superseded {
 			return false
 		}
 	}
-	return hasLed
+	return wasLeader
 }
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -12,50 +12,50 @@
 	"sparnotch/internal/schema"
 )
 
-// notes are what the leaders say of their groups.
-func (t *Table) notes(now eventloop.Micros) map[string]*schema.QueueStatus {
-	notes := map[string]*schema.QueueStatus{}
-	for _, id := range t.stores(now) {
-		word, isKnown := t.told[id]
-		if !isKnown || now-word.at > t.spans.SuspectTimeout {
+// groupStatuses are what the leaders say of their groups.
+func (c *Controller) groupStatuses(now eventloop.Micros) map[string]*schema.QueueStatus {
+	statuses := map[string]*schema.QueueStatus{}
+	for _, id := range c.liveStorageNodes(now) {
+		report, isKnown := c.reports[id]
+		if !isKnown || now-report.receivedAt > c.timeouts.SuspectTimeout {
 			continue
 		}
-		for _, note := range word.tell.QueueStatuses {
-			notes[note.Group] = note
+		for _, status := range report.update.QueueStatuses {
+			statuses[status.Group] = status
 		}
 	}
-	return notes
+	return statuses
 }
 
-func (t *Table) may(now eventloop.Micros, what string, rest eventloop.Micros) bool {
-	if last, isKnown := t.acted[what]; isKnown && now-last < rest {
+func (c *Controller) allowAction(now eventloop.Micros, action string, interval eventloop.Micros) bool {
+	if last, isKnown := c.lastActions[action]; isKnown && now-last < interval {
 		return false
 	}
-	t.acted[what] = now
+	c.lastActions[action] = now
 	return true
 }
 
-func (t *Table) queues(now eventloop.Micros, out eventloop.Effects) {
-	notes := t.notes(now)
-	root := notes[clusterstate.Group]
+func (c *Controller) reconcileQueues(now eventloop.Micros, effects eventloop.Effects) {
+	statuses := c.groupStatuses(now)
+	root := statuses[clusterstate.Group]
 	if root == nil {
 		return
 	}
-	command := &schema.PlaceQueues{FencingToken: t.lease}
+	command := &schema.PlaceQueues{FencingToken: c.fencingToken}
 	leader := ""
-	for _, name := range t.values.Queues() {
-		if clusterstate.FindQueue(t.state, name) != nil {
+	for _, name := range c.values.Queues() {
+		if clusterstate.FindQueue(c.state, name) != nil {
 			continue
 		}
 		if len(command.Queues) == 0 {
-			leader = t.sturdiest(now)
+			leader = c.mostSuitable(now)
 		}
 		command.Queues = append(command.Queues, &schema.QueuePlacement{Queue: name, InitialVoters: root.Voters, PreferredLeader: leader})
 	}
-	for _, place := range t.state.Queues {
-		note := notes[replica.GroupOf(place)]
-		if !t.values.HasQueue(place.Queue) && note != nil && note.LiveJobs == 0 && note.RetainedJobs == 0 {
-			command.Removed = append(command.Removed, replica.GroupOf(place))
+	for _, placement := range c.state.Queues {
+		status := statuses[replica.GroupOf(placement)]
+		if !c.values.HasQueue(placement.Queue) && status != nil && status.LiveJobs == 0 && status.RetainedJobs == 0 {
+			command.Removed = append(command.Removed, replica.GroupOf(placement))
 		}
 	}
 	if len(command.Queues)+len(command.Removed) == 0 {
@@ -64,35 +64,35 @@
 	// The same act again waits, for its effect may just not be heard of yet;
 	// another one doesn't.
 	var names []string
-	for _, each := range command.Queues {
-		names = append(names, each.Queue)
+	for _, assigned := range command.Queues {
+		names = append(names, assigned.Queue)
 	}
-	set := strings.Join(names, " ") + "/" + strings.Join(command.Removed, " ")
-	if set != t.queuesIn {
-		delete(t.acted, "queues")
+	action := strings.Join(names, " ") + "/" + strings.Join(command.Removed, " ")
+	if action != c.lastQueueAction {
+		delete(c.lastActions, "queues")
 	}
 	// One that finds no leader is tried again at the next tick.
-	if t.leaderOf(now, clusterstate.Group) != "" && t.may(now, "queues", actSpan) {
-		t.queuesIn = set
-		t.send(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: command}}, out)
+	if c.leaderOf(now, clusterstate.Group) != "" && c.allowAction(now, "queues", actionInterval) {
+		c.lastQueueAction = action
+		c.sendCommand(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: command}}, effects)
 	}
 }
 
-// sturdiest is the store where queues and wards should be: the present one as
+// mostSuitable is the store where queues and wards should be: the present one as
 // long as it serves, for moving costs more than it gains.
-func (t *Table) sturdiest(now eventloop.Micros) string {
-	root := t.notes(now)[clusterstate.Group]
+func (c *Controller) mostSuitable(now eventloop.Micros) string {
+	root := c.groupStatuses(now)[clusterstate.Group]
 	if root == nil {
 		return ""
 	}
 	leads, wanted := map[string]int{}, map[string]int{}
-	stores := t.stores(now)
-	for _, place := range t.state.Queues {
-		wanted[place.PreferredLeader]++
-		leads[t.leaderAmong(now, stores, place.Queue)]++
+	storageNodes := c.liveStorageNodes(now)
+	for _, placement := range c.state.Queues {
+		wanted[placement.PreferredLeader]++
+		leads[c.leaderAmong(now, storageNodes, placement.Queue)]++
 	}
-	for _, ward := range t.state.WorkerLeases {
-		wanted[ward.Scheduler]++
+	for _, lease := range c.state.WorkerLeases {
+		wanted[lease.Scheduler]++
 	}
 	type candidate struct {
 		id      string
@@ -100,20 +100,20 @@
 	}
 	var list []candidate
 	for _, id := range root.Voters {
-		word, isKnown := t.told[id]
+		report, isKnown := c.reports[id]
 		// Who can't say how the cluster state stands is cut off from it, and could
 		// neither lead nor ward.
-		if !isKnown || now-word.at > t.spans.SuspectTimeout || !t.roll.IsAlive(id, now, t.spans.SuspectTimeout) || t.roll.Members[id].Member.Draining || t.isDeposed(now, id) {
+		if !isKnown || now-report.receivedAt > c.timeouts.SuspectTimeout || !c.view.IsAlive(id, now, c.timeouts.SuspectTimeout) || c.view.Members[id].Member.Draining || c.isDeposed(now, id) {
 			continue
 		}
-		list = append(list, candidate{id, t.roll.Members[id].Member.LatencyUs})
+		list = append(list, candidate{id, c.view.Members[id].Member.LatencyUs})
 	}
 	if len(list) == 0 {
 		return ""
 	}
 	sort.Slice(list, func(a, b int) bool {
 		x, y := list[a], list[b]
-		if isX, isY := x.latency > latencyMost, y.latency > latencyMost; isX != isY {
+		if isX, isY := x.latency > maxLatencyUs, y.latency > maxLatencyUs; isX != isY {
 			return isY
 		}
 		if wanted[x.id] != wanted[y.id] {
@@ -128,39 +128,39 @@
 	for _, other := range list[1:] {
 		// Latency alone moves nothing twice within a while, nor to a store that is
 		// hardly better; but whoever has let its queues go by itself keeps none.
-		isHome := wanted[other.id] > wanted[best.id] && leads[other.id] > 0
-		if isHome && (now-t.movedAt < latencyRest || other.latency < 3*best.latency) {
+		isCurrent := wanted[other.id] > wanted[best.id] && leads[other.id] > 0
+		if isCurrent && (now-c.leadersMovedAt < latencyMoveCooldown || other.latency < 3*best.latency) {
 			best = other
 		}
 	}
 	return best.id
 }
 
-func (t *Table) leaders(now eventloop.Micros, out eventloop.Effects) {
-	sturdy := t.sturdiest(now)
-	if sturdy == "" {
+func (c *Controller) reconcileLeaders(now eventloop.Micros, effects eventloop.Effects) {
+	target := c.mostSuitable(now)
+	if target == "" {
 		return
 	}
-	wards := &schema.AssignWorkers{FencingToken: t.lease}
-	for _, ward := range t.state.WorkerLeases {
-		if ward.Scheduler != sturdy {
-			wards.WorkerLeases = append(wards.WorkerLeases, &schema.WorkerLease{Worker: ward.Worker, Scheduler: sturdy})
+	moveLeases := &schema.AssignWorkers{FencingToken: c.fencingToken}
+	for _, lease := range c.state.WorkerLeases {
+		if lease.Scheduler != target {
+			moveLeases.WorkerLeases = append(moveLeases.WorkerLeases, &schema.WorkerLease{Worker: lease.Worker, Scheduler: target})
 		}
 	}
-	queues := &schema.PlaceQueues{FencingToken: t.lease}
-	for _, place := range t.state.Queues {
-		if place.PreferredLeader != sturdy {
-			queues.Queues = append(queues.Queues, &schema.QueuePlacement{Queue: place.Queue, PreferredLeader: sturdy})
+	moveQueues := &schema.PlaceQueues{FencingToken: c.fencingToken}
+	for _, placement := range c.state.Queues {
+		if placement.PreferredLeader != target {
+			moveQueues.Queues = append(moveQueues.Queues, &schema.QueuePlacement{Queue: placement.Queue, PreferredLeader: target})
 		}
 	}
-	if len(wards.WorkerLeases)+len(queues.Queues) == 0 || !t.may(now, "leaders", actSpan) {
+	if len(moveLeases.WorkerLeases)+len(moveQueues.Queues) == 0 || !c.allowAction(now, "leaders", actionInterval) {
 		return
 	}
-	t.movedAt = now
-	if len(queues.Queues) > 0 {
-		t.send(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: queues}}, out)
+	c.leadersMovedAt = now
+	if len(moveQueues.Queues) > 0 {
+		c.sendCommand(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: moveQueues}}, effects)
 	}
-	if len(wards.WorkerLeases) > 0 {
-		t.send(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_AssignWorkers{AssignWorkers: wards}}, out)
+	if len(moveLeases.WorkerLeases) > 0 {
+		c.sendCommand(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_AssignWorkers{AssignWorkers: moveLeases}}, effects)
 	}
 }
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -10,28 +10,28 @@
 	"sparnotch/internal/schema"
 )
 
-// sessions ends those of gateway that have been gone longer than the plan lets
+// reconcileSessions ends those of gateway that have been gone longer than the plan lets
 // them timeout.
-func (t *Table) sessions(now eventloop.Micros, out eventloop.Effects) {
-	timeout := eventloop.Micros(t.values.Fleet("session_timeout_s")) * eventloop.Second
-	notes := t.notes(now)
-	for _, group := range slices.Sorted(maps.Keys(notes)) {
-		note := notes[group]
-		var over []*schema.ExpiredGateway
-		for _, boot := range note.Gateways {
-			key := "gateway/" + boot.Gateway
-			known, isKnown := t.roll.Members[boot.Gateway]
-			isNewer := isKnown && known.Member.Incarnation != boot.Incarnation&(1<<32-1)
-			if isKnown && !isNewer && now-known.LastHeard < t.spans.SuspectTimeout {
-				delete(t.gone, key)
+func (c *Controller) reconcileSessions(now eventloop.Micros, effects eventloop.Effects) {
+	timeout := eventloop.Micros(c.values.Fleet("session_timeout_s")) * eventloop.Second
+	statuses := c.groupStatuses(now)
+	for _, group := range slices.Sorted(maps.Keys(statuses)) {
+		status := statuses[group]
+		var ended []*schema.ExpiredGateway
+		for _, session := range status.Gateways {
+			key := "gateway/" + session.Gateway
+			known, isKnown := c.view.Members[session.Gateway]
+			isNewer := isKnown && known.Member.Incarnation != session.Incarnation&(1<<32-1)
+			if isKnown && !isNewer && now-known.LastHeard < c.timeouts.SuspectTimeout {
+				delete(c.missingSince, key)
 				continue
 			}
-			if isNewer || t.lostFor(now, key) > timeout {
-				over = append(over, &schema.ExpiredGateway{Gateway: boot.Gateway, Incarnation: boot.Incarnation})
+			if isNewer || c.missingFor(now, key) > timeout {
+				ended = append(ended, &schema.ExpiredGateway{Gateway: session.Gateway, Incarnation: session.Incarnation})
 			}
 		}
-		if len(over) > 0 && t.may(now, "sessions/"+note.Queue, eventloop.Second) {
-			out.Send(note.Leader, &schema.EndSessionsRequest{Queue: note.Queue, Gateways: over})
+		if len(ended) > 0 && c.allowAction(now, "sessions/"+status.Queue, eventloop.Second) {
+			effects.Send(status.Leader, &schema.EndSessionsRequest{Queue: status.Queue, Gateways: ended})
 		}
 	}
 }
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -7,83 +7,83 @@
 	"sparnotch/internal/schema"
 )
 
-// cellOf is the zone of a store, also of one that the book has let go.
-func (t *Table) cellOf(id string) string {
-	if known, isKnown := t.roll.Members[id]; isKnown {
+// zoneOf is the zone of a store, also of one that the book has let go.
+func (c *Controller) zoneOf(id string) string {
+	if known, isKnown := c.view.Members[id]; isKnown {
 		return known.Member.GetZone()
 	}
-	return t.homes[id].cell
+	return c.lastLocations[id].zone
 }
 
-// excess is by how many voters too many the zones or regions that may be lost would
+// excessVoters is by how many voters too many the zones or regions that may be lost would
 // hold, were one voter gone and another there; empty: none.
-func (t *Table) excess(note *schema.QueueStatus, gone, there string) int {
-	if !t.tolerance.RequiresSpread() {
+func (c *Controller) excessVoters(status *schema.QueueStatus, gone, there string) int {
+	if !c.tolerance.RequiresSpread() {
 		return 0
 	}
 	var zones []string
-	for _, id := range note.Voters {
+	for _, id := range status.Voters {
 		if id != gone {
-			zones = append(zones, t.cellOf(id))
+			zones = append(zones, c.zoneOf(id))
 		}
 	}
 	if there != "" {
-		zones = append(zones, t.cellOf(there))
+		zones = append(zones, c.zoneOf(there))
 	}
-	return t.tolerance.ExcessVoters(zones)
+	return c.tolerance.ExcessVoters(zones)
 }
 
-// canSpread tells whether the stores that are known, the silent ones too, stand so that
+// canTolerateFailures tells whether the stores that are known, the silent ones too, stand so that
 // the zones and regions can be lost.
-func (t *Table) canSpread() bool {
+func (c *Controller) canTolerateFailures() bool {
 	var zones []string
-	for _, known := range t.roll.Members {
+	for _, known := range c.view.Members {
 		if known.Member.HasStorage {
 			zones = append(zones, known.Member.Zone)
 		}
 	}
-	return t.tolerance.RequiresSpread() && t.tolerance.Shortfall(zones) == ""
+	return c.tolerance.RequiresSpread() && c.tolerance.Shortfall(zones) == ""
 }
 
-// mayReplace tells whether the vote of one may go to another: not where that leaves the
+// canReplace tells whether the vote of one may go to another: not where that leaves the
 // zones or regions worse spread than they may be. The lost one's zone may come back;
 // until then the others bear what they bore.
-func (t *Table) mayReplace(note *schema.QueueStatus, goer, id string) bool {
-	if goer == "" || !t.canSpread() {
+func (c *Controller) canReplace(status *schema.QueueStatus, leaving, id string) bool {
+	if leaving == "" || !c.canTolerateFailures() {
 		return true
 	}
-	after := t.excess(note, goer, id)
-	return after == 0 || after < t.excess(note, "", "")
+	after := c.excessVoters(status, leaving, id)
+	return after == 0 || after < c.excessVoters(status, "", "")
 }
 
 // isBetterSpread tells whether one store is to be preferred to another.
-func (t *Table) isBetterSpread(note *schema.QueueStatus, goer, id, other string, inCell map[string]int) bool {
-	if a, b := t.excess(note, goer, id), t.excess(note, goer, other); a != b {
+func (c *Controller) isBetterSpread(status *schema.QueueStatus, leaving, id, other string, votersByZone map[string]int) bool {
+	if a, b := c.excessVoters(status, leaving, id), c.excessVoters(status, leaving, other); a != b {
 		return a < b
 	}
-	return inCell[t.cellOf(id)] < inCell[t.cellOf(other)]
+	return votersByZone[c.zoneOf(id)] < votersByZone[c.zoneOf(other)]
 }
 
-// misplaced is a voter whose vote stands better with another store, where the zones or
+// misplacedVoter is a voter whose vote stands better with another store, where the zones or
 // regions can't be lost as the voters are; never the leader's.
-func (t *Table) misplaced(now eventloop.Micros, note *schema.QueueStatus) string {
-	least := t.excess(note, "", "")
-	if least == 0 || len(note.Voters) != t.voters || !t.canSpread() {
+func (c *Controller) misplacedVoter(now eventloop.Micros, status *schema.QueueStatus) string {
+	fewest := c.excessVoters(status, "", "")
+	if fewest == 0 || len(status.Voters) != c.votersPerGroup || !c.canTolerateFailures() {
 		return ""
 	}
-	others := note.Learners
+	others := status.Learners
 	if len(others) == 0 {
-		for _, id := range t.stores(now) {
-			if t.mayLearn(now, note, id) {
+		for _, id := range c.liveStorageNodes(now) {
+			if c.canLearn(now, status, id) {
 				others = append(others, id)
 			}
 		}
 	}
 	best := ""
-	for _, id := range note.Voters {
+	for _, id := range status.Voters {
 		for _, other := range others {
-			if after := t.excess(note, id, other); id != note.Leader && after < least {
-				best, least = id, after
+			if after := c.excessVoters(status, id, other); id != status.Leader && after < fewest {
+				best, fewest = id, after
 			}
 		}
 	}
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -9,12 +9,12 @@
 	"sparnotch/internal/membership"
 )
 
-// zoned is a council whose voters a, b, ... stand in these zones, and which is to bear
+// newZonedFixture is a council whose voters a, b, ... stand in these zones, and which is to bear
 // the loss of a zone.
-func zoned(tolerance membership.FaultTolerance, zones ...string) *council {
+func newZonedFixture(tolerance membership.FaultTolerance, zones ...string) *groupFixture {
 	ids := []string{"a", "b", "c", "d", "e"}[:len(zones)]
-	c := newCouncil(0, ids...)
-	c.t.Tolerate(tolerance)
+	c := newGroupFixture(0, ids...)
+	c.controller.WithTolerance(tolerance)
 	for k, id := range ids {
 		c.add(id, "10.0.0."+id, zones[k])
 	}
@@ -24,9 +24,9 @@
 func TestVotersAreSpreadOverZones(t *testing.T) {
 	oneZone := membership.FaultTolerance{Machines: 1, Zones: 1}
 	Convey("Where a zone may be lost, a lost voter's vote stays in its zone", t, func() {
-		c := zoned(oneZone, "x", "y", "z")
+		c := newZonedFixture(oneZone, "x", "y", "z")
 		c.run(3 * eventloop.Second)
-		c.silent["c"] = c.now
+		c.silentSince["c"] = c.now
 		c.add("d", "10.0.0.d", "x")
 		Convey("though another zone has a spare", func() {
 			c.run(20 * eventloop.Second)
@@ -44,18 +44,18 @@
 		})
 	})
 	Convey("Voters that stand badly are moved when a zone comes to have a store, never the leader", t, func() {
-		c := zoned(oneZone, "x", "x", "y")
+		c := newZonedFixture(oneZone, "x", "x", "y")
 		c.run(5 * eventloop.Second)
 		So(c.steps, ShouldBeEmpty)
 		c.add("d", "10.0.0.d", "z")
 		c.run(5 * eventloop.Second)
 		So(c.steps, ShouldResemble, []string{"learn d", "promote d", "drop b"})
-		So(c.least, ShouldEqual, 1)
+		So(c.minQuorumMargin, ShouldEqual, 1)
 		c.run(10 * eventloop.Second)
 		So(c.steps, ShouldHaveLength, 3)
 	})
 	Convey("Regions likewise", t, func() {
-		c := zoned(membership.FaultTolerance{Machines: 1, Regions: 1, RegionByZone: map[string]string{"x": "r", "y": "r", "z": "s", "w": "q"}}, "x", "y", "z")
+		c := newZonedFixture(membership.FaultTolerance{Machines: 1, Regions: 1, RegionByZone: map[string]string{"x": "r", "y": "r", "z": "s", "w": "q"}}, "x", "y", "z")
 		c.run(5 * eventloop.Second)
 		So(c.steps, ShouldBeEmpty)
 		c.add("d", "10.0.0.d", "w")
@@ -63,17 +63,17 @@
 		So(c.steps, ShouldResemble, []string{"learn d", "promote d", "drop b"})
 	})
 	Convey("A deployment that can't bear the loss of a zone repairs what it can: the loss of a machine", t, func() {
-		c := zoned(oneZone, "x", "y", "x")
+		c := newZonedFixture(oneZone, "x", "y", "x")
 		c.run(3 * eventloop.Second)
-		c.silent["b"] = c.now
+		c.silentSince["b"] = c.now
 		c.add("d", "10.0.0.d", "x")
 		c.run(20 * eventloop.Second)
 		So(c.steps, ShouldResemble, []string{"learn d", "promote d", "drop b"})
 	})
 	Convey("Where zones needn't be borne, a spare is taken wherever it stands", t, func() {
-		c := zoned(membership.FaultTolerance{Machines: 1}, "x", "y", "z")
+		c := newZonedFixture(membership.FaultTolerance{Machines: 1}, "x", "y", "z")
 		c.run(3 * eventloop.Second)
-		c.silent["c"] = c.now
+		c.silentSince["c"] = c.now
 		c.add("d", "10.0.0.d", "x")
 		c.run(20 * eventloop.Second)
 		So(c.steps, ShouldResemble, []string{"learn d", "promote d", "drop c"})
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -94,7 +94,7 @@
 	if s.real.Member.Role == schema.Role_ROLE_CONTROLLER {
 		app.Get("/readyz", func(ctx iris.Context) { write(ctx, gateway.Answer{Code: 200, Body: []byte(`{"ready":true}`)}) })
 		app.Get("/v1/belief", func(ctx iris.Context) {
-			s.belief(ctx, "controller", func(id uint64, _ eventloop.Micros) any { return controller.Belief{Request: id} })
+			s.belief(ctx, "controller", func(id uint64, _ eventloop.Micros) any { return controller.StateViewRequest{Request: id} })
 		})
 		return
 	}
--- a/internal/process/papers.go
+++ b/internal/process/papers.go
@@ -84,7 +84,7 @@
 	}
 	return append([]Berth{
 		{"membership", membership.New(proto.Clone(p.Member).(*schema.Member), p.terms(true), nil, p.Book, []string{"controller"}, p.rng(1)), membership.TickInterval},
-		{"controller", controller.New(p.Member.Id, p.Losses, readers...).Tolerate(p.terms(true).Tolerance()).Bind(p.Bounds), controller.Pace},
+		{"controller", controller.New(p.Member.Id, p.Losses, readers...).WithTolerance(p.terms(true).Tolerance()).WithBounds(p.Bounds), controller.TickInterval},
 	}, berths...)
 }
 
