--- a/cmd/sparnotch-bench/fleet.go
+++ b/cmd/sparnotch-bench/fleet.go
@@ -203,7 +203,7 @@
 		if err != nil {
 			continue
 		}
-		belief := &replica.NodeBelief{}
+		belief := &replica.NodeStateView{}
 		if json.Unmarshal(data, belief) != nil {
 			continue
 		}
--- a/cmd/sparnotch-bench/hollow.go
+++ b/cmd/sparnotch-bench/hollow.go
@@ -270,7 +270,7 @@
 				}
 			}
 			warded := 0
-			for _, ward := range reading.Belief.Wards {
+			for _, ward := range reading.Belief.WorkerLeases {
 				if ward.Scheduler != "" {
 					warded++
 				}
@@ -344,7 +344,7 @@
 			records, live, kept := 0.0, 0.0, 0.0
 			for _, group := range b.Belief.Groups {
 				records += float64(group.Last - group.Released)
-				live, kept = live+float64(group.Live), kept+float64(group.Kept)
+				live, kept = live+float64(group.LiveJobs), kept+float64(group.RetainedJobs)
 			}
 			whole["records"] = max(whole["records"], records)
 			whole["live_jobs"], whole["kept_jobs"] = max(whole["live_jobs"], live), max(whole["kept_jobs"], kept)
--- a/cmd/sparnotch-bench/hollow_part.go
+++ b/cmd/sparnotch-bench/hollow_part.go
@@ -57,7 +57,7 @@
 	Seen         map[uint64]int64       // plan generation: when the last process of this part saw it, by the wall
 	SeenBy       map[uint64]int         // and how many did
 	Put          map[uint64]int64       // when its put was sent
-	Belief       *replica.NodeBelief    `json:",omitempty"`
+	Belief       *replica.NodeStateView `json:",omitempty"`
 }
 
 // newSpread holds microseconds up to a minute, to three figures.
@@ -142,7 +142,7 @@
 			r.LostMails += lost
 		}
 		if real.Member.HasStorage {
-			r.Belief, _ = real.Run(ctx, "replica", eventloop.Second, func(id uint64, _ eventloop.Micros) any { return replica.Belief{Request: id} }).(*replica.NodeBelief)
+			r.Belief, _ = real.Run(ctx, "replica", eventloop.Second, func(id uint64, _ eventloop.Micros) any { return replica.GetStateView{Request: id} }).(*replica.NodeStateView)
 		}
 	}
 	for _, net := range p.nets {
--- a/cmd/sparnotchctl/folder.go
+++ b/cmd/sparnotchctl/folder.go
@@ -106,7 +106,7 @@
 
 // replay runs a queue's records through its machine up to an index, 0 for all.
 func replay(group string, image *storage.GroupState, to uint64, see func(*schema.Entry, *schema.QueueCommand, *queue.Effects)) (*queue.Machine, uint64, error) {
-	machine, err := queue.Restore(replica.QueueOf(group), image.Snapshot.GetIndex(), image.Snapshot.GetData())
+	machine, err := queue.Restore(replica.QueueName(group), image.Snapshot.GetIndex(), image.Snapshot.GetData())
 	if err != nil {
 		return nil, 0, fmt.Errorf("checkpoint at %d: %w", image.Snapshot.GetIndex(), err)
 	}
@@ -167,7 +167,7 @@
 	var group string
 	var queues []string
 	for _, name := range slices.Sorted(maps.Keys(content.Groups)) {
-		if queue := replica.QueueOf(name); queue != "" {
+		if queue := replica.QueueName(name); queue != "" {
 			queues = append(queues, queue)
 			if queue == c.queue {
 				group = name
--- a/cmd/sparnotchctl/nodes.go
+++ b/cmd/sparnotchctl/nodes.go
@@ -65,10 +65,10 @@
 		complain("two addresses are needed")
 		return exitUsage
 	}
-	var beliefs [2]*replica.NodeBelief
+	var beliefs [2]*replica.NodeStateView
 	for k := range beliefs {
 		code, data, err := once(c.span, "GET", set.Arg(k), "/v1/belief", nil)
-		beliefs[k] = &replica.NodeBelief{}
+		beliefs[k] = &replica.NodeStateView{}
 		if err == nil && code == 200 {
 			err = json.Unmarshal(data, beliefs[k])
 		}
@@ -86,20 +86,20 @@
 	return exitDiffers
 }
 
-func differences(a, b *replica.NodeBelief) []string {
+func differences(a, b *replica.NodeStateView) []string {
 	var lines []string
 	say := func(what string, x, y any) {
 		if fmt.Sprint(x) != fmt.Sprint(y) {
 			lines = append(lines, fmt.Sprintf("%s: %v | %v", what, x, y))
 		}
 	}
-	say("cluster state version", a.Version, b.Version)
-	say("plan generation", a.Generation, b.Generation)
-	say("cluster state fresh", a.Fresh, b.Fresh)
+	say("cluster state version", a.ClusterStateVersion, b.ClusterStateVersion)
+	say("plan generation", a.ConfigurationRevision, b.ConfigurationRevision)
+	say("cluster state fresh", a.IsClusterStateFresh, b.IsClusterStateFresh)
 	say("controller", a.Controller, b.Controller)
-	say("controller lease", a.Lease, b.Lease)
-	groups := map[string][2]*replica.GroupBelief{}
-	for k, belief := range []*replica.NodeBelief{a, b} {
+	say("controller lease", a.ControllerLease, b.ControllerLease)
+	groups := map[string][2]*replica.GroupStateView{}
+	for k, belief := range []*replica.NodeStateView{a, b} {
 		for _, group := range belief.Groups {
 			pair := groups[group.Group]
 			pair[k] = group
@@ -123,8 +123,8 @@
 		say(name+" applied", x.Applied, y.Applied)
 	}
 	wards := map[string][2]string{}
-	for k, belief := range []*replica.NodeBelief{a, b} {
-		for _, ward := range belief.Wards {
+	for k, belief := range []*replica.NodeStateView{a, b} {
+		for _, ward := range belief.WorkerLeases {
 			pair := wards[ward.Worker]
 			pair[k] = fmt.Sprintf("%s@%d", ward.Scheduler, ward.FencingToken)
 			wards[ward.Worker] = pair
@@ -135,7 +135,7 @@
 		say("ward of "+worker, wards[worker][0], wards[worker][1])
 	}
 	members := map[string][2]bool{}
-	for k, belief := range []*replica.NodeBelief{a, b} {
+	for k, belief := range []*replica.NodeStateView{a, b} {
 		for _, member := range belief.Members {
 			pair := members[member.Id+" at "+member.InternalAddress]
 			pair[k] = true
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -417,5 +417,5 @@
 	}
 	l.metAt = now
 	command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_RegisterWorker{RegisterWorker: &schema.RegisterWorker{Worker: l.worker}}}
-	out.Send(t.leader, &schema.Request{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.ClusterStateBody(command)})
+	out.Send(t.leader, &schema.Request{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(command)})
 }
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -53,9 +53,9 @@
 		command.Queues = append(command.Queues, &schema.QueuePlacement{Queue: name, InitialVoters: root.Voters, PreferredLeader: leader})
 	}
 	for _, placement := range c.state.Queues {
-		status := statuses[replica.GroupOf(placement)]
+		status := statuses[replica.GroupName(placement)]
 		if !c.values.HasQueue(placement.Queue) && status != nil && status.LiveJobs == 0 && status.RetainedJobs == 0 {
-			command.Removed = append(command.Removed, replica.GroupOf(placement))
+			command.Removed = append(command.Removed, replica.GroupName(placement))
 		}
 	}
 	if len(command.Queues)+len(command.Removed) == 0 {
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -118,7 +118,7 @@
 	if ward == nil || ward.Scheduler == "" {
 		if now-h.metAt > eventloop.Second && h.leader != "" {
 			h.metAt = now
-			out.Send(h.leader, &schema.Request{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.ClusterStateBody(
+			out.Send(h.leader, &schema.Request{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(
 				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_RegisterWorker{RegisterWorker: &schema.RegisterWorker{Worker: h.worker.Name}}})})
 		}
 		return
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -105,7 +105,7 @@
 		s.run(ctx, eventloop.Second, func(id uint64, _ eventloop.Micros) any { return gateway.Fronts{Request: id} })
 	})
 	app.Get("/v1/belief", func(ctx iris.Context) {
-		s.belief(ctx, "replica", func(id uint64, _ eventloop.Micros) any { return replica.Belief{Request: id} })
+		s.belief(ctx, "replica", func(id uint64, _ eventloop.Micros) any { return replica.GetStateView{Request: id} })
 	})
 	app.Get("/v1/placements", func(ctx iris.Context) {
 		s.belief(ctx, "scheduler", func(id uint64, _ eventloop.Micros) any { return scheduler.Why{Request: id} })
@@ -297,7 +297,7 @@
 		write(ctx, gateway.Answer{Code: 422, Body: text})
 		return
 	}
-	s.ask(ctx, planSpan, gateway.Ask{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.ClusterStateBody(
+	s.ask(ctx, planSpan, gateway.Ask{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(
 		&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})})
 }
 
--- a/internal/mutation/cut_mutants.go
+++ b/internal/mutation/cut_mutants.go
@@ -3,21 +3,21 @@
 // Guards of a machine that is cut off, docs/control/cut.md.
 func init() {
 	Mutants = append(Mutants, []*Mutant{
-		{Guard: "a learner becomes a voter once it has caught up", Test: "internal/replica TestWhoIsMadeAVoter", Edits: []Edit{
-			{"internal/replica", "return now-heard < heardSpan && group.IsCaughtUp(id)", "return now-heard < heardSpan || group.IsCaughtUp(id)"},
+		{Guard: "a learner becomes a voter once it has caught up", Test: "internal/replica TestVoterPromotion", Edits: []Edit{
+			{"internal/replica", "return now-lastHeard < responseTimeout && group.IsCaughtUp(id)", "return now-lastHeard < responseTimeout || group.IsCaughtUp(id)"},
 			// What else would refuse such a learner.
-			{"internal/replica", "	if margin < t.losses && margin", "	if false && margin"},
+			{"internal/replica", "	if margin < h.toleratedLosses && margin", "	if false && margin"},
 			{"internal/raft", "if !slices.Contains(old.Learners, id) || !g.IsCaughtUp(id) {", "if !slices.Contains(old.Learners, id) {"}}},
-		{Guard: "a controller is fenced by a fresh cluster state", Test: "internal/replica TestAControllerIsFencedByAFreshClusterState", Edits: []Edit{{"internal/replica",
-			"!t.isClusterStateFresh(now) || !t.clusterState.HoldsControllerLease(m.FencingToken)", "!t.clusterState.HoldsControllerLease(m.FencingToken)"}}},
+		{Guard: "a controller is fenced by a fresh cluster state", Test: "internal/replica TestStaleClusterStateRejectsMemberChange", Edits: []Edit{{"internal/replica",
+			"!h.isClusterStateFresh(now) || !h.clusterState.HoldsControllerLease(m.FencingToken)", "!h.clusterState.HoldsControllerLease(m.FencingToken)"}}},
 		{Guard: "a majority is asked before a read", Rule: 11, Test: "internal/sim TestCutOffLeader", Edits: []Edit{{"internal/replica",
-			"			return\n		}\n		r.reading[t.reads] = asked\n",
-			"		}\n		r.reading[t.reads] = asked\n		t.read(now, r, t.reads, out)\n"}}},
+			"			return\n		}\n		r.pendingReads[h.lastReadID] = pending\n",
+			"		}\n		r.pendingReads[h.lastReadID] = pending\n		h.completeRead(now, r, h.lastReadID, effects)\n"}}},
 		{Guard: "a majority is asked before a refusal", Rule: 11, Test: "internal/sim TestCutOffLeader", Edits: []Edit{{"internal/replica",
 			"		if index, _, err := r.group.Propose(now, m.Body); err == nil {\n",
-			"		preview, _ := clusterstate.Restore(t.clusterState.Snapshot())\n" +
+			"		preview, _ := clusterstate.Restore(h.clusterState.Snapshot())\n" +
 				"		if result, err := preview.Apply(0, m.Body); err == nil && result.Error != nil {\n" +
-				"			t.answerClusterState(asked, result, r, out)\n" +
+				"			h.replyClusterStateResult(pending, result, r, effects)\n" +
 				"			return\n" +
 				"		}\n" +
 				"		if index, _, err := r.group.Propose(now, m.Body); err == nil {\n"}}},
--- a/internal/mutation/members_mutants.go
+++ b/internal/mutation/members_mutants.go
@@ -2,9 +2,9 @@
 
 // memberMutants are the guards of changes of membership; see docs/control/members.md.
 var memberMutants = []*Mutant{
-	{Guard: "promotion waits for the copy", Test: "internal/replica TestPromotionWaitsForTheCopy", Edits: []Edit{
+	{Guard: "promotion waits for the copy", Test: "internal/replica TestPromotionRequiresCaughtUpLearner", Edits: []Edit{
 		// Both who takes the order and the group itself see to it.
-		{"internal/replica", "		if !mayVote(now, r.group, m.Promote) {\n			return\n		}\n", ""},
+		{"internal/replica", "		if !canPromote(now, r.group, m.Promote) {\n			return\n		}\n", ""},
 		{"internal/raft", "if !slices.Contains(old.Learners, id) || !g.IsCaughtUp(id) {", "if !slices.Contains(old.Learners, id) {"}}},
 	{Guard: "an empty learner isn't caught up in a young group", Test: "internal/raft TestLearnerCaughtUp", Edits: []Edit{{"internal/raft",
 		"p.match >= g.memberSetIndex && g.lastIndex()-p.match <= MaxLearnerLag", "g.lastIndex()-p.match <= MaxLearnerLag"}}},
@@ -16,17 +16,17 @@
 		"g.memberSetIndex > g.commit || g.commit < g.noOpIndex {", "g.commit < g.noOpIndex {"}}},
 	{Guard: "a wiped disk is another member", Test: "internal/process TestAWipedDiskIsAnotherMember", Edits: []Edit{{"internal/process",
 		"		self.Id = newId()\n", "		self.Id = \"store\"\n"}}},
-	{Guard: "no step lowers what may be lost", Test: "internal/replica TestNoStepLowersWhatMayBeLost", Edits: []Edit{{"internal/replica",
-		"	if margin < t.losses && margin", "	if false && margin"}}},
+	{Guard: "no step lowers what may be lost", Test: "internal/replica TestMemberChangesKeepFaultTolerance", Edits: []Edit{{"internal/replica",
+		"	if margin < h.toleratedLosses && margin", "	if false && margin"}}},
 	{Guard: "a leaver goes when its successor has a vote", Test: "internal/controller TestALeaverHandsItsVoteOver", Edits: []Edit{{"internal/controller",
 		"		return &schema.ChangeMembers{Promote: id}\n",
 		"		if departing != \"\" && len(status.Voters) >= c.votersPerGroup {\n			return &schema.ChangeMembers{Remove: departing}\n		}\n		return &schema.ChangeMembers{Promote: id}\n"}}},
-	{Guard: "a leaver stays until its vote is handed over", Test: "internal/replica TestALeaverStaysUntilItsVoteIsHandedOver", Edits: []Edit{{"internal/replica",
-		"t.isWarned && t.isReplaced(now, r.group, age)", "false && t.isReplaced(now, r.group, age)"}}},
+	{Guard: "a leaver stays until its vote is handed over", Test: "internal/replica TestDrainingNodeStaysUntilReplaced", Edits: []Edit{{"internal/replica",
+		"h.isDraining && h.isBeingReplaced(now, r.group, age)", "false && h.isBeingReplaced(now, r.group, age)"}}},
 	{Guard: "a learner of a group at rest is sent a record", Test: "internal/raft TestLearnerInIdleGroup", Edits: []Edit{{"internal/raft",
 		"g.updatePeers(now, entry.Index)", "g.updatePeers(now, entry.Index+1)"}}},
-	{Guard: "a heartbeat counts in", Test: "internal/replica TestALearnerWhoseAppendWasLost", Edits: []Edit{{"internal/replica",
-		"			r = t.join(now, beat.GetGroup())\n", ""}}},
+	{Guard: "a heartbeat counts in", Test: "internal/replica TestHeartbeatCreatesMissingReplica", Edits: []Edit{{"internal/replica",
+		"			r = h.joinGroup(now, heartbeat.GetGroup())\n", ""}}},
 	{Guard: "a founder that is called first learns who votes", Test: "internal/raft TestVoterReachedBeforeBootstrap", Edits: []Edit{{"internal/raft",
 		"	if p.next == 1 && p.match == 0 {\n", "	if false {\n"}}},
 	{Guard: "a succeeded store is known by its address though forgotten", Test: "internal/controller TestSucceededThoughForgotten", Edits: []Edit{{"internal/controller",
--- a/internal/mutation/mutants.go
+++ b/internal/mutation/mutants.go
@@ -3,9 +3,9 @@
 // Mutants are the guards, one taken out at a time.
 var Mutants = []*Mutant{
 	{Guard: "confirm after apply", Rule: 1, Test: "internal/replica TestConfirmAfterApply", Edits: []Edit{{"internal/replica",
-		"		t.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Enqueue{Enqueue: entered}})\n",
-		"		t.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Enqueue{Enqueue: entered}})\n" +
-			"		out.Send(from, &schema.SubmitResponse{Queue: m.Queue, Leader: t.id, Results: []*schema.SubmitResult{{Session: e.Session, Number: e.Number, Code: 201, View: &schema.JobView{Name: e.Name, State: \"running\"}}}})\n"}}},
+		"		h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Enqueue{Enqueue: stamped}})\n",
+		"		h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Enqueue{Enqueue: stamped}})\n" +
+			"		effects.Send(from, &schema.SubmitResponse{Queue: m.Queue, Leader: h.id, Results: []*schema.SubmitResult{{Session: e.Session, Number: e.Number, Code: 201, View: &schema.JobView{Name: e.Name, State: \"running\"}}}})\n"}}},
 	{Guard: "records are synced before they count", Rule: 1, Test: "internal/raft TestSyncBeforeAcknowledge", Edits: []Edit{
 		{"internal/raft", "&schema.AppendResponse{Group: g.name, Term: g.term, Match: min(g.matchIndex, g.stable)}", "&schema.AppendResponse{Group: g.name, Term: g.term, Match: g.matchIndex}"},
 		{"internal/raft", "Round: m.Round, Match: min(g.matchIndex, g.stable)}", "Round: m.Round, Match: g.matchIndex}"},
@@ -21,11 +21,11 @@
 	{Guard: "a worker stops when its lease ends", Rule: 2, Test: "internal/fakeworker TestWhomAWorkerHeeds", Edits: []Edit{{"internal/fakeworker", "isOver := now >= w.lease", "isOver := false"}}},
 	{Guard: "a new ward waits for what the former granted", Rule: 2, Test: "internal/scheduler TestLostOnlyAfterTheLease", Edits: []Edit{{"internal/scheduler", "last := max(w.answered, w.since+timing.FromBounds(t.bounds).FormerLeaseTimeout)", "last := w.answered"}}},
 	{Guard: "an older ward's word is turned away", Rule: 2, Test: "internal/fakeworker TestWhomAWorkerHeeds", Edits: []Edit{{"internal/fakeworker", "orders.FencingToken < w.ward", "false"}, {"internal/scheduler", "|| a.FencingToken > w.generation", ""}}},
-	{Guard: "a ward acts on a fresh cluster state only", Rule: 1, Test: "internal/replica TestFreshClusterState", Edits: []Edit{{"internal/replica", "return r != nil && r.group.FreshAsOf() > 0 && now-r.group.FreshAsOf() < t.spans.MaxStateAge", "return r != nil"}}},
+	{Guard: "a ward acts on a fresh cluster state only", Rule: 1, Test: "internal/replica TestStaleClusterStateIsNotServed", Edits: []Edit{{"internal/replica", "return r != nil && r.group.FreshAsOf() > 0 && now-r.group.FreshAsOf() < h.timeouts.MaxStateAge", "return r != nil"}}},
 	{Guard: "a leader acts while its quorum answers", Rule: 2, Test: "internal/raft TestLeaderLease", Edits: []Edit{{"internal/raft", "g.applied >= g.noOpIndex && now-g.quorumAckedAt <= g.timeouts.leaderLease()", "true"}}},
 	{Guard: "refusal is final or not said", Rule: 3, Test: "internal/gateway TestWhenToComeBack", Edits: []Edit{{"internal/gateway", "return Answer{Code: 504,", "return Answer{Code: 503,"}}},
 	{Guard: "a step waits for its dependencies", Rule: 4, Test: "internal/queue TestSteps", Edits: []Edit{{"internal/queue", "if j.left[first+other] > 0 {", "if j.left[first+other] > 1 {"}}},
-	{Guard: "a timed job waits for its time", Rule: 4, Scenario: "calm", Seed: 1, Edits: []Edit{{"internal/queue", "if !any || next.dueUs() > m.now {", "if !any || next.dueUs() > m.now+200_000 {"}, {"internal/queue", "j.opened < j.rounds() && j.dueUs() <= m.now {", "j.opened < j.rounds() && j.dueUs() <= m.now+200_000 {"}, {"internal/replica", "any && next <= at &&", "any && next <= at+200_000 &&"}}},
+	{Guard: "a timed job waits for its time", Rule: 4, Scenario: "calm", Seed: 1, Edits: []Edit{{"internal/queue", "if !any || next.dueUs() > m.now {", "if !any || next.dueUs() > m.now+200_000 {"}, {"internal/queue", "j.opened < j.rounds() && j.dueUs() <= m.now {", "j.opened < j.rounds() && j.dueUs() <= m.now+200_000 {"}, {"internal/replica", "found && next <= groupTime &&", "found && next <= groupTime+200_000 &&"}}},
 	{Guard: "the middle of three clocks counts", Rule: 4, Test: "internal/raft TestWallTime", Edits: []Edit{{"internal/raft", "		return walls[len(walls)/2]\n	}\n	if g.wallOffset", "		return own\n	}\n	if g.wallOffset"}}},
 	{Guard: "of two clocks the earlier counts", Rule: 4, Test: "internal/raft TestWallTime", Edits: []Edit{{"internal/raft", "	if g.wallOffset == 0 {\n		return walls[0]\n	}", "	if true {\n		return walls[len(walls)-1]\n	}"}}},
 	{Guard: "allowed failures are counted", Rule: 5, Test: "internal/queue TestAttempts", Edits: []Edit{{"internal/queue", "account.failures > step.AllowedFailures &&", "account.failures > step.AllowedFailures+1 &&"}}},
--- a/internal/process/real.go
+++ b/internal/process/real.go
@@ -310,7 +310,7 @@
 func (r *Real) Warn() {
 	r.process.Post("gateway", eventloop.Message{Body: gateway.Warned{}})
 	r.process.Post("membership", eventloop.Message{Body: membership.Draining{}})
-	r.process.Post("replica", eventloop.Message{Body: replica.Warned{}})
+	r.process.Post("replica", eventloop.Message{Body: replica.Drain{}})
 }
 
 // IsNeeded tells whether this process still has something to hand over.
@@ -318,8 +318,8 @@
 	if r.store == nil {
 		return false
 	}
-	belief, _ := r.Run(ctx, "replica", eventloop.Second, func(request uint64, _ eventloop.Micros) any { return replica.Belief{Request: request} }).(*replica.NodeBelief)
-	return belief != nil && belief.IsNeeded
+	belief, _ := r.Run(ctx, "replica", eventloop.Second, func(request uint64, _ eventloop.Micros) any { return replica.GetStateView{Request: request} }).(*replica.NodeStateView)
+	return belief != nil && belief.HasHandoverPending
 }
 
 // stopSpan is how long Stop waits for a disk that doesn't answer: what is out
--- a/internal/process/store.go
+++ b/internal/process/store.go
@@ -201,7 +201,7 @@
 func (r *Real) refuse(batch replica.Batch, err error) {
 	r.log.Error("the store takes no writes: what is led here goes to others, and nothing is confirmed or voted for", zap.Error(err))
 	r.isRefused.Store(true)
-	r.process.PostWait("replica", eventloop.Message{Body: replica.Refused{Number: batch.Number, Why: err.Error()}})
+	r.process.PostWait("replica", eventloop.Message{Body: replica.WriteFailed{Number: batch.Number, Reason: err.Error()}})
 	r.tellLatency()
 }
 
--- a/internal/process/store_test.go
+++ b/internal/process/store_test.go
@@ -62,10 +62,10 @@
 			r.commit(ctx, replica.Batch{Number: 7, Changes: []*schema.StoreChange{{Identity: &schema.StoreIdentity{Id: "x"}}}})
 			close(done)
 		}()
-		refused, isRefused := (<-replicas).(replica.Refused)
+		refused, isRefused := (<-replicas).(replica.WriteFailed)
 		So(isRefused, ShouldBeTrue)
 		So(refused.Number, ShouldEqual, 7)
-		So(refused.Why, ShouldContainSubstring, "no room")
+		So(refused.Reason, ShouldContainSubstring, "no room")
 		So((<-book).(membership.LatencyReport).Max, ShouldEqual, membership.WritesRefusedLatency)
 		<-disk.broken
 		<-done
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -13,147 +13,147 @@
 	"sparnotch/internal/schema"
 )
 
-type waiter struct {
+type pendingReply struct {
 	term    uint64
 	from    string // process that asked; empty: this one
 	request *schema.Request
 	end     *schema.TaskEndReport
 }
 
-func (t *Table) apply(now eventloop.Micros, r *replica, record *schema.Entry, out eventloop.Effects) {
-	waiting, isWaited := r.waiting[record.Index]
-	delete(r.waiting, record.Index)
+func (h *Host) applyEntry(now eventloop.Micros, r *replica, entry *schema.Entry, effects eventloop.Effects) {
+	pending, isPending := r.pendingCommands[entry.Index]
+	delete(r.pendingCommands, entry.Index)
 	// What was asked for under another term was replaced in the log; its
 	// asker asks again.
-	isWaited = isWaited && waiting.term == record.Term
-	if record.Kind != schema.EntryKind_ENTRY_COMMAND {
+	isPending = isPending && pending.term == entry.Term
+	if entry.Kind != schema.EntryKind_ENTRY_COMMAND {
 		return
 	}
 	if r.queue == nil {
-		result, err := t.clusterState.Apply(record.TimeUs, record.Data)
+		result, err := h.clusterState.Apply(entry.TimeUs, entry.Data)
 		if err != nil {
 			panic(Unreadable.Wrap(err, "record of %s", r.group.Name()))
 		}
-		t.releaseClusterState(r, record)
-		t.clusterStateChanged(now, out)
-		if isWaited {
-			t.answerClusterState(waiting, result, r, out)
+		h.compactClusterStateLog(r, entry)
+		h.publishClusterState(now, effects)
+		if isPending {
+			h.replyClusterStateResult(pending, result, r, effects)
 		}
 		return
 	}
-	effects, err := r.queue.Apply(record.Index, record.TimeUs, record.Data)
+	result, err := r.queue.Apply(entry.Index, entry.TimeUs, entry.Data)
 	if err != nil {
 		panic(Unreadable.Wrap(err, "record of %s", r.group.Name()))
 	}
-	if effects.Release != nil {
-		r.group.Compact(effects.Release.Index, effects.Release.Data)
+	if result.Release != nil {
+		r.group.Compact(result.Release.Index, result.Release.Data)
 	}
 	if !r.group.IsLeader() {
 		return
 	}
-	for _, outcome := range effects.Outcomes {
+	for _, outcome := range result.Outcomes {
 		key := outcome.Session.Gateway + "/" + r.name
-		if t.applied[key] == nil {
-			t.applied[key] = &schema.SubmitResponse{Queue: r.name, Leader: t.id}
+		if h.applied[key] == nil {
+			h.applied[key] = &schema.SubmitResponse{Queue: r.name, Leader: h.id}
 		}
-		t.applied[key].Results = append(t.applied[key].Results, outcome)
+		h.applied[key].Results = append(h.applied[key].Results, outcome)
 	}
-	if len(effects.Shifts) > 0 && r.termTold == r.group.Term() {
-		out.Notify("scheduler", t.shifts(r, effects.Shifts, false, effects.Shifts[len(effects.Shifts)-1].Hand))
+	if len(result.Shifts) > 0 && r.notifiedTerm == r.group.Term() {
+		effects.Notify("scheduler", h.newTaskEvents(r, result.Shifts, false, result.Shifts[len(result.Shifts)-1].Hand))
 	}
-	if isWaited && waiting.end != nil {
-		t.endNoted(waiting.from, waiting.end, out)
+	if isPending && pending.end != nil {
+		h.acknowledgeEnd(pending.from, pending.end, effects)
 	}
-	if isWaited && waiting.request != nil {
-		t.reply(waiting, effects.Code, viewOrFault(effects.View), r.group, out)
+	if isPending && pending.request != nil {
+		h.reply(pending, result.Code, jobViewOrFault(result.View), r.group, effects)
 	}
 }
 
-func (t *Table) shifts(r *replica, list []*queue.Shift, isWhole bool, hand uint64) Shifts {
-	return Shifts{
-		Queue: r.name, Group: r.group.Name(), Term: r.group.Term(), Hand: hand, List: list, IsWhole: isWhole,
-		Urgency: t.values.Number("queue", r.name, "urgency"),
-		Running: t.values.Number("queue", r.name, "running"),
+func (h *Host) newTaskEvents(r *replica, events []*queue.Shift, isSnapshot bool, lastSequence uint64) TaskEvents {
+	return TaskEvents{
+		Queue: r.name, Group: r.group.Name(), Term: r.group.Term(), LastSequence: lastSequence, Events: events, IsSnapshot: isSnapshot,
+		Urgency: h.values.Number("queue", r.name, "urgency"),
+		Running: h.values.Number("queue", r.name, "running"),
 	}
 }
 
-// standings tells the scheduler of queues newly led, and of those led no more.
-func (t *Table) standings(now eventloop.Micros, out eventloop.Effects) {
-	for _, name := range t.names() {
-		r := t.groups[name]
+// notifyScheduler tells the scheduler of queues newly led, and of those led no more.
+func (h *Host) notifyScheduler(now eventloop.Micros, effects eventloop.Effects) {
+	for _, name := range h.groupNamesInOrder() {
+		r := h.groups[name]
 		if r.queue == nil {
 			continue
 		}
 		if !r.group.IsLeader() {
-			if r.termTold != 0 {
-				r.termTold = 0
-				out.Notify("scheduler", Lost{Queue: r.name})
+			if r.notifiedTerm != 0 {
+				r.notifiedTerm = 0
+				effects.Notify("scheduler", LeadershipLost{Queue: r.name})
 			}
-			if len(r.waiting) > 0 {
-				r.waiting = map[uint64]waiter{}
+			if len(r.pendingCommands) > 0 {
+				r.pendingCommands = map[uint64]pendingReply{}
 			}
-			if len(r.reading) > 0 {
-				r.reading = map[uint64]waiter{}
+			if len(r.pendingReads) > 0 {
+				r.pendingReads = map[uint64]pendingReply{}
 			}
 			continue
 		}
-		if r.termTold != r.group.Term() && r.group.HoldsLeaderLease(now) {
-			r.termTold = r.group.Term()
-			list, hand := r.queue.Standings()
-			out.Notify("scheduler", t.shifts(r, list, true, hand))
+		if r.notifiedTerm != r.group.Term() && r.group.HoldsLeaderLease(now) {
+			r.notifiedTerm = r.group.Term()
+			events, lastSequence := r.queue.Standings()
+			effects.Notify("scheduler", h.newTaskEvents(r, events, true, lastSequence))
 		}
 	}
 }
 
-func (t *Table) clusterStateChanged(now eventloop.Micros, out eventloop.Effects) {
-	if t.clusterState.Version() == t.state.Version && t.state.Version != 0 {
+func (h *Host) publishClusterState(now eventloop.Micros, effects eventloop.Effects) {
+	if h.clusterState.Version() == h.state.Version && h.state.Version != 0 {
 		return
 	}
-	old := t.state
-	t.setState(t.clusterState.SharedState())
-	for _, table := range []string{"gateway", "scheduler"} {
-		out.Notify(table, &schema.ClusterStateResponse{State: t.state, Version: t.state.Version})
+	old := h.state
+	h.setState(h.clusterState.SharedState())
+	for _, component := range []string{"gateway", "scheduler"} {
+		effects.Notify(component, &schema.ClusterStateResponse{State: h.state, Version: h.state.Version})
 	}
-	out.Notify("membership", membership.ClusterStateObserved{Version: t.state.Version})
-	if old.Configuration != t.state.Configuration {
-		for _, r := range t.groups {
+	effects.Notify("membership", membership.ClusterStateObserved{Version: h.state.Version})
+	if old.Configuration != h.state.Configuration {
+		for _, r := range h.groups {
 			// Urgency may have changed with the plan. Nothing else in the cluster state is
 			// told with the list, which is long while much waits.
-			r.termTold = 0
+			r.notifiedTerm = 0
 		}
 	}
 	// New queues are waited for: the controller places them, and their founders make
 	// them, when they hear of it.
-	r := t.groups[clusterstate.Group]
+	r := h.groups[clusterstate.Group]
 	if !r.group.IsLeader() {
 		return
 	}
-	if len(old.Queues) != len(t.state.Queues) {
+	if len(old.Queues) != len(h.state.Queues) {
 		r.group.BroadcastCommit(now)
 	}
 	// Workers whose ward went elsewhere are served again as soon as their agents
 	// have heard.
-	if t.roll != nil && areMoved(old.WorkerLeases, t.state.WorkerLeases) {
-		for _, id := range slices.Sorted(maps.Keys(t.roll.Members)) {
-			if t.roll.Members[id].Member.Role == schema.Role_ROLE_CONTROLLER && t.roll.IsAlive(id, now, liveSpan) {
-				t.tellClusterState(now, id, &schema.ClusterStateRequest{Version: old.Version}, out)
+	if h.membership != nil && anyLeaseMoved(old.WorkerLeases, h.state.WorkerLeases) {
+		for _, id := range slices.Sorted(maps.Keys(h.membership.Members)) {
+			if h.membership.Members[id].Member.Role == schema.Role_ROLE_CONTROLLER && h.membership.IsAlive(id, now, livenessTimeout) {
+				h.sendClusterState(now, id, &schema.ClusterStateRequest{Version: old.Version}, effects)
 			}
 		}
 		return
 	}
-	if controller := t.state.ControllerLease.GetHolder(); controller != "" && old.Configuration != t.state.Configuration {
-		t.tellClusterState(now, controller, &schema.ClusterStateRequest{Version: old.Version}, out)
+	if controller := h.state.ControllerLease.GetHolder(); controller != "" && old.Configuration != h.state.Configuration {
+		h.sendClusterState(now, controller, &schema.ClusterStateRequest{Version: old.Version}, effects)
 	}
 }
 
-// areMoved tells whether a ward that was there is with another scheduler now.
-func areMoved(old, list []*schema.WorkerLease) bool {
+// anyLeaseMoved tells whether a ward that was there is with another scheduler now.
+func anyLeaseMoved(before, after []*schema.WorkerLease) bool {
 	schedulers := map[string]string{}
-	for _, ward := range old {
-		schedulers[ward.Worker] = ward.Scheduler
+	for _, lease := range before {
+		schedulers[lease.Worker] = lease.Scheduler
 	}
-	for _, ward := range list {
-		if scheduler, isKnown := schedulers[ward.Worker]; isKnown && scheduler != ward.Scheduler {
+	for _, lease := range after {
+		if scheduler, isKnown := schedulers[lease.Worker]; isKnown && scheduler != lease.Scheduler {
 			return true
 		}
 	}
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -15,15 +15,15 @@
 // 50 queues.
 func BenchmarkManyQueues(b *testing.B) {
 	Convey("Fifty queues led by one store", b, func() {
-		c := newCore()
+		c := newTestCluster()
 		var queues []string
-		places := &schema.PlaceQueues{FencingToken: c.lease()}
+		places := &schema.PlaceQueues{FencingToken: c.claimController()}
 		for k := 0; k < 50; k++ {
 			queues = append(queues, fmt.Sprintf("l%02d", k))
-			places.Queues = append(places.Queues, &schema.QueuePlacement{Queue: queues[k], InitialVoters: stores, PreferredLeader: "a"})
+			places.Queues = append(places.Queues, &schema.QueuePlacement{Queue: queues[k], InitialVoters: nodeIDs, PreferredLeader: "a"})
 		}
-		So(c.put(queuesSheet(1, "", queues...)).Code, ShouldEqual, 200)
-		So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: places}}).Code, ShouldEqual, 200)
+		So(c.putConfiguration(queuesUpdate(1, "", queues...)).Code, ShouldEqual, 200)
+		So(c.request("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: places}}).Code, ShouldEqual, 200)
 		c.run(eventloop.Second)
 		So(c.leader("l49"), ShouldEqual, "a")
 		for name, body := range map[string]any{"mail": &membership.View{}, "tick": eventloop.Tick{}} {
--- a/internal/replica/fresh_test.go
+++ b/internal/replica/freshness_test.go
@@ -10,35 +10,35 @@
 	"sparnotch/internal/timing"
 )
 
-func TestFreshClusterState(t *testing.T) {
+func TestStaleClusterStateIsNotServed(t *testing.T) {
 	Convey("Whose copy of the cluster state may be behind tells nobody of it, and gives its scheduler no leave to act", t, func() {
-		c := newCore()
+		c := newTestCluster()
 		// The last word of a store to its scheduler, and what it answers who asks.
-		look := func(id string) (isFresh, isTold bool) {
-			c.heard["h"] = nil
+		statusOf := func(id string) (isFresh, isServed bool) {
+			c.received["h"] = nil
 			c.step(id, "h", &schema.ClusterStateRequest{})
 			c.run(200 * eventloop.Millisecond)
-			for _, each := range c.heard[id+"/scheduler"] {
-				if fresh, isIt := each.(Fresh); isIt {
-					isFresh = fresh.ClusterState
+			for _, body := range c.received[id+"/scheduler"] {
+				if status, ok := body.(LeadershipStatus); ok {
+					isFresh = status.IsClusterStateFresh
 				}
 			}
-			for _, each := range c.heard["h"] {
-				if _, isIt := each.(*schema.ClusterStateResponse); isIt {
-					isTold = true
+			for _, body := range c.received["h"] {
+				if _, ok := body.(*schema.ClusterStateResponse); ok {
+					isServed = true
 				}
 			}
-			return isFresh, isTold
+			return isFresh, isServed
 		}
-		for _, id := range stores {
-			isFresh, isTold := look(id)
+		for _, id := range nodeIDs {
+			isFresh, isServed := statusOf(id)
 			So(isFresh, ShouldBeTrue)
-			So(isTold, ShouldBeTrue)
+			So(isServed, ShouldBeTrue)
 		}
 		c.isDown["a"], c.isDown["b"] = true, true
 		c.run(timing.FromBounds(nil).MaxStateAge + 2*eventloop.Second)
-		isFresh, isTold := look("c")
+		isFresh, isServed := statusOf("c")
 		So(isFresh, ShouldBeFalse)
-		So(isTold, ShouldBeFalse)
+		So(isServed, ShouldBeFalse)
 	})
 }
--- /dev/null
+++ b/internal/replica/large_updates_test.go
@@ -0,0 +1,196 @@
+package replica
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"sparnotch/internal/clusterstate"
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/raft"
+	"sparnotch/internal/schema"
+	"sparnotch/internal/storage"
+)
+
+// memoryDisk is a disk that never fails and knows how much lay on it at most.
+type memoryDisk struct {
+	files map[string][]byte
+	peak  int
+}
+
+func (m *memoryDisk) Read(name string) ([]byte, error) {
+	if data, isThere := m.files[name]; isThere {
+		return append([]byte(nil), data...), nil
+	}
+	return nil, os.ErrNotExist
+}
+
+func (m *memoryDisk) Write(name string, offset int64, data []byte) error {
+	if missing := offset + int64(len(data)) - int64(len(m.files[name])); missing > 0 {
+		m.files[name] = append(m.files[name], make([]byte, missing)...)
+	}
+	copy(m.files[name][offset:], data)
+	total := 0
+	for _, file := range m.files {
+		total += len(file)
+	}
+	m.peak = max(m.peak, total)
+	return nil
+}
+
+func (m *memoryDisk) Truncate(name string, size int64) error {
+	m.files[name] = append(make([]byte, 0, size), m.files[name][:min(size, int64(len(m.files[name])))]...)[:size]
+	return nil
+}
+
+func (m *memoryDisk) Sync(string) error { return nil }
+
+// largeUpdate is a configuration of 256 KB that can hardly be packed.
+func largeUpdate(edition uint64) *schema.ConfigurationUpdate {
+	rng := rand.New(rand.NewPCG(edition, 1))
+	update := queuesUpdate(edition, "", "l")
+	var document strings.Builder
+	for document.Len() < 256<<10 {
+		name := fmt.Sprintf("%x%x", rng.Uint64(), rng.Uint64())
+		document.WriteString(name)
+		if len(update.Rows) < 2000 {
+			update.Rows = append(update.Rows, &schema.ConfigurationRow{Kind: "rack", Name: name, Key: "weight", Value: "50"})
+		}
+	}
+	update.Document = []byte(document.String()[:256<<10])
+	return update
+}
+
+// putLargeConfiguration puts a sheet that takes its time.
+func (c *testCluster) putLargeConfiguration(update *schema.ConfigurationUpdate) int32 {
+	reply := c.putConfiguration(update)
+	for k := 0; reply == nil && k < 100; k++ {
+		c.run(10 * eventloop.Millisecond)
+		for _, body := range c.received["h"] {
+			reply, _ = body.(*schema.Response)
+		}
+	}
+	return reply.GetCode()
+}
+
+func TestLargeUpdatesKeepLogBounded(t *testing.T) {
+	Convey("However many large changes come, the log, the disk and what a replica lacks at most stay bounded", t, func() {
+		c := newTestCluster()
+		disk := &memoryDisk{files: map[string][]byte{}}
+		store, err := storage.Open(disk)
+		So(err, ShouldBeNil)
+		// One store's batches are kept for real.
+		c.onBatch = func(id string, batch Batch) {
+			if id == "a" {
+				So(store.Commit(batch.Changes), ShouldBeNil)
+			}
+		}
+		So(store.Commit([]*schema.StoreChange{{Identity: &schema.StoreIdentity{Id: "a"}}, {Group: clusterstate.Group, Snapshot: &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: nodeIDs}}}}), ShouldBeNil)
+		const count = 24
+		maxLogBytes := 0
+		for edition := uint64(1); edition <= count; edition++ {
+			So(c.putLargeConfiguration(largeUpdate(edition)), ShouldEqual, 200)
+			c.run(20 * eventloop.Millisecond)
+			for _, id := range nodeIDs {
+				maxLogBytes = max(maxLogBytes, c.hosts[id].groups[clusterstate.Group].logBytes)
+			}
+		}
+		r := c.hosts["a"].groups[clusterstate.Group]
+		So(maxLogBytes, ShouldBeLessThanOrEqualTo, max(maxStateLogBytes, r.group.SnapshotBytes()))
+		So(r.group.SnapshotIndex(), ShouldBeGreaterThan, 0)
+		t.Logf("base %d bytes, log %d, disk %d", r.group.SnapshotBytes(), maxLogBytes, disk.peak)
+		So(disk.peak, ShouldBeLessThan, 32<<20)
+		Convey("and a process that starts from that disk holds the last of them", func() {
+			reopened, err := storage.Open(disk)
+			So(err, ShouldBeNil)
+			host := New("a", reopened.State(), func() int64 { return 0 }, raft.DefaultTimeouts, 1, c.now)
+			state := reopened.State().Groups[clusterstate.Group]
+			So(state.Snapshot.Index, ShouldEqual, r.group.SnapshotIndex())
+			So(host.state.Configuration.Revision, ShouldBeGreaterThan, count-20)
+			So(host.isClusterStateFresh(c.now), ShouldBeFalse)
+		})
+	})
+}
+
+func TestLaggingReplicaServesNoClusterState(t *testing.T) {
+	Convey("A replica that comes back behind tells nobody of the cluster state, and gives its placer no leave, before it holds all that was acknowledged", t, func() {
+		c := newTestCluster()
+		So(c.putConfiguration(queuesUpdate(1, "one", "l")).Code, ShouldEqual, 200)
+		c.run(500 * eventloop.Millisecond)
+		lagging := "a"
+		if c.leader("") == "a" {
+			lagging = "b"
+		}
+		host := c.hosts[lagging]
+		c.isDown[lagging] = true
+		acknowledged := uint64(1)
+		for edition := uint64(2); edition <= 12; edition++ {
+			So(c.putLargeConfiguration(largeUpdate(edition)), ShouldEqual, 200)
+			acknowledged = edition
+		}
+		c.run(2 * eventloop.Second)
+		c.isDown[lagging] = false
+		// For a while heartbeats come through and nothing of what it lacks.
+		until := c.now + 2*eventloop.Second
+		c.isLost = func(to string, body any) bool {
+			switch body.(type) {
+			case *schema.TransferChunk, *schema.AppendRequest, *schema.InstallSnapshot:
+				return to == lagging && c.now < until
+			}
+			return false
+		}
+		isCaughtUp := false
+		for k := 0; k < 3000 && !isCaughtUp; k++ {
+			c.received["f"], c.received[lagging+"/placer"] = nil, nil
+			c.step(lagging, "f", &schema.ClusterStateRequest{})
+			c.run(2 * eventloop.Millisecond)
+			for _, each := range c.received["f"] {
+				if update, isUpdate := each.(*schema.ClusterStateResponse); isUpdate {
+					isCaughtUp = true
+					So(c.now, ShouldBeGreaterThanOrEqualTo, until)
+					So(update.Version, ShouldEqual, c.hosts[c.leader("")].state.Version)
+				}
+			}
+			for _, each := range c.received[lagging+"/placer"] {
+				if status, isStatus := each.(LeadershipStatus); isStatus && status.IsClusterStateFresh {
+					So(host.state.Configuration.Revision, ShouldEqual, acknowledged)
+				}
+			}
+		}
+		So(isCaughtUp, ShouldBeTrue)
+		So(host.state.Configuration.Revision, ShouldEqual, acknowledged)
+	})
+}
+
+func TestConfigurationRowsInFlight(t *testing.T) {
+	Convey("Who asks often is sent the rows of a large plan once, and again when they must have been lost", t, func() {
+		c := newTestCluster()
+		So(c.putLargeConfiguration(largeUpdate(1)), ShouldEqual, 200)
+		c.run(300 * eventloop.Millisecond)
+		query := func(duration eventloop.Micros) (withRows, all int) {
+			c.received["f"] = nil
+			for end := c.now + duration; c.now < end; {
+				c.step("a", "f", &schema.ClusterStateRequest{})
+				c.run(20 * eventloop.Millisecond)
+			}
+			for _, body := range c.received["f"] {
+				if update, isUpdate := body.(*schema.ClusterStateResponse); isUpdate {
+					all++
+					if len(update.State.GetConfiguration().GetPackedRows()) > 0 {
+						withRows++
+					}
+				}
+			}
+			return withRows, all
+		}
+		withRows, all := query(200 * eventloop.Millisecond)
+		So(withRows, ShouldEqual, 1)
+		So(all, ShouldEqual, 1)
+		withRows, _ = query(2 * eventloop.Second)
+		So(withRows, ShouldBeBetween, 1, 8)
+	})
+}
--- a/internal/replica/leadership.go
+++ b/internal/replica/leadership.go
@@ -10,75 +10,75 @@
 	"sparnotch/internal/schema"
 )
 
-// patience is one draw for all groups of a process: whoever stops hearing a
+// electionJitter is one draw for all groups of a process: whoever stops hearing a
 // machine that led many calls for votes in all of them at once, so that one
 // machine comes to lead them together.
-type patience struct {
-	rng   *rand.Rand
-	share uint64 // of 1 << 16
+type electionJitter struct {
+	rng      *rand.Rand
+	fraction uint64 // of 1 << 16
 }
 
-func (p *patience) draw() { p.share = p.rng.Uint64N(1 << 16) }
+func (j *electionJitter) redraw() { j.fraction = j.rng.Uint64N(1 << 16) }
 
-func (p *patience) Int64N(n int64) int64 { return n * int64(p.share) >> 16 }
+func (j *electionJitter) Int64N(n int64) int64 { return n * int64(j.fraction) >> 16 }
 
-// urged: somebody hands a group to us. Who is leaving takes none; who takes one
+// handleTimeoutNow: somebody hands a group to us. Who is leaving takes none; who takes one
 // doesn't hand it back at once, though its copy of the cluster state or the book may
 // still speak for the one it came from.
-func (t *Table) urged(now eventloop.Micros, from string, m *schema.TimeoutNow) {
-	if t.isWarned || t.refuses() {
+func (h *Host) handleTimeoutNow(now eventloop.Micros, from string, m *schema.TimeoutNow) {
+	if h.isDraining || h.isReadOnly() {
 		return
 	}
-	if r := t.groups[m.Group]; r != nil {
-		r.passAt, r.leaderAt = now, t.leaderOf(r)
+	if r := h.groups[m.Group]; r != nil {
+		r.transferredAt, r.preferredAtTransfer = now, h.preferredLeader(r)
 	}
-	t.toGroup(now, from, m.Group, m)
+	h.stepGroup(now, from, m.Group, m)
 }
 
-// passOn hands a group over when this process is warned, when its disk
+// transferIfNeeded hands a group over when this process is warned, when its disk
 // refuses or stalls, or when the cluster state wants the queue elsewhere.
-func (t *Table) passOn(now eventloop.Micros, r *replica) {
-	wanted := t.leaderOf(r)
+func (h *Host) transferIfNeeded(now eventloop.Micros, r *replica) {
+	target := h.preferredLeader(r)
 	// A leader that was named since is given the queue at once: its workers have
 	// gone to it already, and nobody else can start anything on them.
-	isRested := now-r.passAt >= passRest || t.isWarned || wanted != r.leaderAt
-	isRefusalNew := t.refuses() && t.refusal.at > r.passAt
-	if r.passAt > 0 && !isRefusalNew && (!isRested || now-r.passAt < eventloop.Second) {
+	isCooledDown := now-r.transferredAt >= transferCooldown || h.isDraining || target != r.preferredAtTransfer
+	isNewlyReadOnly := h.isReadOnly() && h.readOnly.since > r.transferredAt
+	if r.transferredAt > 0 && !isNewlyReadOnly && (!isCooledDown || now-r.transferredAt < eventloop.Second) {
 		return
 	}
-	named := wanted
-	isFit := wanted != t.id && t.isFit(now, r, wanted) && !t.isRefusing(wanted)
+	preferred := target
+	isTargetReady := target != h.id && h.canTakeOver(now, r, target) && !h.isNodeReadOnly(target)
 	switch {
-	case t.isWarned || t.isStalled(now) && t.canElectAnother(now, r):
-		if !isFit {
-			wanted = t.heir(now, r)
+	case h.isDraining || h.isStalled(now) && h.canElectAnother(now, r):
+		if !isTargetReady {
+			target = h.chooseSuccessor(now, r)
 		}
-	case !isFit:
+	case !isTargetReady:
 		return
 	}
-	if wanted != "" {
-		r.passAt, r.leaderAt = now, named
-		r.group.TransferLeadership(now, wanted)
+	if target != "" {
+		r.transferredAt, r.preferredAtTransfer = now, preferred
+		r.group.TransferLeadership(now, target)
 	}
 }
 
-// leaderOf is whom the cluster state names as leader of a queue.
-func (t *Table) leaderOf(r *replica) string {
+// currentLeader is whom the cluster state names as leader of a queue.
+func (h *Host) preferredLeader(r *replica) string {
 	if r.queue == nil {
 		return ""
 	}
-	return clusterstate.FindQueue(t.state, r.name).GetPreferredLeader()
+	return clusterstate.FindQueue(h.state, r.name).GetPreferredLeader()
 }
 
-// isFit tells whether a voter is near enough to take a group over.
-func (t *Table) isFit(now eventloop.Micros, r *replica, id string) bool {
-	match, heard := r.group.PeerProgress(id)
-	isKnown := t.roll != nil && t.roll.IsAlive(id, now, liveSpan) && !t.roll.Members[id].Member.Draining
-	return isKnown && heard > 0 && now-heard < 500*eventloop.Millisecond && r.group.LastIndex()-match < 256
+// canTakeOver tells whether a voter is near enough to take a group over.
+func (h *Host) canTakeOver(now eventloop.Micros, r *replica, id string) bool {
+	match, lastHeard := r.group.PeerProgress(id)
+	isKnown := h.membership != nil && h.membership.IsAlive(id, now, livenessTimeout) && !h.membership.Members[id].Member.Draining
+	return isKnown && lastHeard > 0 && now-lastHeard < 500*eventloop.Millisecond && r.group.LastIndex()-match < 256
 }
 
-// leaderOf names who leads a group, or is about to.
-func leaderOf(r *replica) string {
+// currentLeader names who leads a group, or is about to.
+func currentLeader(r *replica) string {
 	if r == nil {
 		return ""
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/leadership_test.go
@@ -14,10 +14,10 @@
 	"sparnotch/internal/schema"
 )
 
-func TestCommandOf(t *testing.T) {
+func TestCommandForEnd(t *testing.T) {
 	key := &schema.TaskKey{Job: 1, Step: 2, Task: 3}
 	end := func(outcome string) *schema.QueueCommand {
-		return commandOf(&schema.TaskEndReport{Queue: "l", Key: key, Attempt: 4, Outcome: outcome, Checkpoint: "text", WholeGang: true})
+		return commandForEnd(&schema.TaskEndReport{Queue: "l", Key: key, Attempt: 4, Outcome: outcome, Checkpoint: "text", WholeGang: true})
 	}
 	Convey("Done settles, for the whole group where the worker says so", t, func() {
 		wanted := &schema.Settle{Key: key, Attempt: 4, WholeGang: true}
@@ -34,57 +34,57 @@
 	})
 }
 
-func TestNewLeaders(t *testing.T) {
+func TestPreferredLeaderTakesOver(t *testing.T) {
 	Convey("A queue goes to a leader that is named while it has only just been taken over", t, func() {
-		c := newCore()
-		place := func(leader string) {
-			queues := []*schema.QueuePlacement{{Queue: "l", InitialVoters: stores, PreferredLeader: leader}}
-			command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: &schema.PlaceQueues{FencingToken: c.lease(), Queues: queues}}}
-			So(c.ask("clusterstate", command).Code, ShouldEqual, 200)
+		c := newTestCluster()
+		placeQueue := func(leader string) {
+			queues := []*schema.QueuePlacement{{Queue: "l", InitialVoters: nodeIDs, PreferredLeader: leader}}
+			command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: &schema.PlaceQueues{FencingToken: c.claimController(), Queues: queues}}}
+			So(c.request("clusterstate", command).Code, ShouldEqual, 200)
 		}
-		run := func(span eventloop.Micros) {
-			for end := c.now + span; c.now < end; {
-				roll := &membership.View{Members: map[string]membership.MemberStatus{}}
-				for _, id := range stores {
-					roll.Members[id] = membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true}, LastHeard: c.now}
+		run := func(duration eventloop.Micros) {
+			for end := c.now + duration; c.now < end; {
+				members := &membership.View{Members: map[string]membership.MemberStatus{}}
+				for _, id := range nodeIDs {
+					members.Members[id] = membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true}, LastHeard: c.now}
 				}
-				for _, id := range stores {
-					c.step(id, "", roll)
+				for _, id := range nodeIDs {
+					c.step(id, "", members)
 				}
 				c.run(100 * eventloop.Millisecond)
 			}
 		}
-		So(c.put(queuesSheet(1, "", "l")).Code, ShouldEqual, 200)
-		place("a")
+		So(c.putConfiguration(queuesUpdate(1, "", "l")).Code, ShouldEqual, 200)
+		placeQueue("a")
 		run(eventloop.Second)
 		So(c.leader("l"), ShouldEqual, "a")
-		place("b")
+		placeQueue("b")
 		run(1500 * eventloop.Millisecond)
 		So(c.leader("l"), ShouldEqual, "b")
-		place("c")
+		placeQueue("c")
 		run(1500 * eventloop.Millisecond)
 		So(c.leader("l"), ShouldEqual, "c")
 	})
 }
 
-// lease makes the controller "h" and gives its lease.
-func (c *core) lease() uint64 {
-	reply := c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: "h"}}})
+// claimController makes the controller "h" and gives its lease.
+func (c *testCluster) claimController() uint64 {
+	reply := c.request("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: "h"}}})
 	var claimed struct{ Lease uint64 }
 	So(json.Unmarshal(reply.Body, &claimed), ShouldBeNil)
 	return claimed.Lease
 }
 
-func TestTimedJobsAfterALeader(t *testing.T) {
+func TestTimedJobsAfterLeaderLoss(t *testing.T) {
 	Convey("A queue that had no leader for a while keeps its timed jobs to the time of day", t, func() {
-		c := newCore()
-		c.day = 1_800_000_000_000_000
-		So(c.put(queuesSheet(1, "", "l")).Code, ShouldEqual, 200)
-		queues := &schema.PlaceQueues{FencingToken: c.lease(), Queues: []*schema.QueuePlacement{{Queue: "l", InitialVoters: stores, PreferredLeader: "a"}}}
-		So(c.ask("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: queues}}).Code, ShouldEqual, 200)
+		c := newTestCluster()
+		c.wallOffset = 1_800_000_000_000_000
+		So(c.putConfiguration(queuesUpdate(1, "", "l")).Code, ShouldEqual, 200)
+		queues := &schema.PlaceQueues{FencingToken: c.claimController(), Queues: []*schema.QueuePlacement{{Queue: "l", InitialVoters: nodeIDs, PreferredLeader: "a"}}}
+		So(c.request("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: queues}}).Code, ShouldEqual, 200)
 		c.run(eventloop.Second)
 		due := c.now + 8*eventloop.Second
-		job := &schema.Job{StartUnixUs: c.day + int64(due), Rounds: 1, Steps: []*schema.Step{{Name: "s", Tasks: 1}}}
+		job := &schema.Job{StartUnixUs: c.wallOffset + int64(due), Rounds: 1, Steps: []*schema.Step{{Name: "s", Tasks: 1}}}
 		c.step("a", "f", &schema.SubmitRequest{Queue: "l", Enqueues: []*schema.Enqueue{{
 			Session: &schema.Session{Gateway: "f", Incarnation: 1, Client: "c"}, Number: 1, Name: "j", Digest: []byte("d"), Job: job,
 		}}})
@@ -94,14 +94,14 @@
 		c.run(4 * eventloop.Second)
 		c.isDown["b"] = false
 		c.run(due - c.now - 200*eventloop.Millisecond)
-		queue := c.tables[c.leader("l")].groups["l#"+c.generation("l")].queue
+		queue := c.hosts[c.leader("l")].groups["l#"+c.generationOf("l")].queue
 		So(queue.Counts().Waiting, ShouldEqual, 0)
 		c.run(400 * eventloop.Millisecond)
 		So(queue.Counts().Waiting, ShouldEqual, 1)
 	})
 }
 
-// generation is that of a queue's place.
-func (c *core) generation(queue string) string {
-	return strconv.FormatUint(clusterstate.FindQueue(c.tables["c"].state, queue).GetGeneration(), 10)
+// revision is that of a queue's place.
+func (c *testCluster) generationOf(queue string) string {
+	return strconv.FormatUint(clusterstate.FindQueue(c.hosts["c"].state, queue).GetGeneration(), 10)
 }
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -26,36 +26,36 @@
 	Command *schema.QueueCommand
 }
 
-// Shifts tell the scheduler's table what a queue's commands did. Whole replaces
+// TaskEvents tell the scheduler's table what a queue's commands did. Whole replaces
 // all it knew.
-type Shifts struct {
-	Queue, Group string
-	Term, Hand   uint64
-	List         []*queue.Shift
-	IsWhole      bool
-	Urgency      int64
-	Running      int64
+type TaskEvents struct {
+	Queue, Group       string
+	Term, LastSequence uint64
+	Events             []*queue.Shift
+	IsSnapshot         bool
+	Urgency            int64
+	Running            int64
 }
 
-// Query asks for the whole list: the scheduler saw a gap in the numbers.
-type Query struct{ Group string }
+// ResyncQueue asks for the whole list: the scheduler saw a gap in the numbers.
+type ResyncQueue struct{ Group string }
 
-// Lost says that this node leads a queue no more.
-type Lost struct{ Queue string }
+// LeadershipLost says that this node leads a queue no more.
+type LeadershipLost struct{ Queue string }
 
-// Fresh says which queues this node may act for at this moment, and how the
+// LeadershipStatus says which queues this node may act for at this moment, and how the
 // cluster state stands.
-type Fresh struct {
-	Groups       map[string]uint64 // group -> term
-	ClusterState bool              // the cluster state's word is fresh
-	At           eventloop.Micros  // when that was so, by the clock of the process; 0: now
+type LeadershipStatus struct {
+	Terms               map[string]uint64 // group -> term
+	IsClusterStateFresh bool              // the cluster state's word is fresh
+	At                  eventloop.Micros  // when that was so, by the clock of the process; 0: now
 }
 
-// Ended is a worker's report for the queue's leader; Noted answers it.
-type Ended struct{ End *schema.TaskEndReport }
+// TaskEnded is a worker's report for the queue's leader; Noted answers it.
+type TaskEnded struct{ End *schema.TaskEndReport }
 
-// Warned says that this process is to leave.
-type Warned struct{}
+// Drain says that this process is to leave.
+type Drain struct{}
 
-// Belief asks what this node believes.
-type Belief struct{ Request uint64 }
+// GetStateView asks what this node believes.
+type GetStateView struct{ Request uint64 }
--- a/internal/scheduler/agent_test.go
+++ b/internal/scheduler/agent_test.go
@@ -36,15 +36,15 @@
 func (d *desk) pass(span eventloop.Micros) {
 	for end := d.now + span; d.now < end; {
 		d.now += min(Pace, end-d.now)
-		d.step(replica.Fresh{Groups: map[string]uint64{"l#1": 1, "m#1": 1, "k#1": 1}, ClusterState: true})
+		d.step(replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 1, "m#1": 1, "k#1": 1}, IsClusterStateFresh: true})
 		d.step(eventloop.Tick{})
 	}
 }
 
 // queue tells the whole list of a queue.
 func (d *desk) queue(name string, urgency int64, list ...*queue.Shift) {
-	d.step(replica.Fresh{Groups: map[string]uint64{"l#1": 1, "m#1": 1, "k#1": 1}, ClusterState: true})
-	d.step(replica.Shifts{Queue: name, Group: name + "#1", Term: 1, Hand: 1, List: list, IsWhole: true, Running: 1000, Urgency: urgency})
+	d.step(replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 1, "m#1": 1, "k#1": 1}, IsClusterStateFresh: true})
+	d.step(replica.TaskEvents{Queue: name, Group: name + "#1", Term: 1, LastSequence: 1, Events: list, IsSnapshot: true, Running: 1000, Urgency: urgency})
 }
 
 // named is an agent's announce.
@@ -459,7 +459,7 @@
 	} {
 		Convey("Urgent work displaces "+each.what, t, func() {
 			d := newDesk("v", "w")
-			d.step(replica.Fresh{Groups: map[string]uint64{"l#1": 1, "m#1": 1}, ClusterState: true})
+			d.step(replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 1, "m#1": 1}, IsClusterStateFresh: true})
 			d.queue("l", max(each.lessUrgently, 10), each.less...)
 			say := func() {
 				for _, id := range []string{"v", "w"} {
@@ -778,7 +778,7 @@
 			So(d.picks()[0].Key.Job, ShouldEqual, want.job)
 			// Its queue is led elsewhere from now on, which leaves the room to the next.
 			d.tells = nil
-			d.step(replica.Lost{Queue: want.queue})
+			d.step(replica.LeadershipLost{Queue: want.queue})
 		}
 	})
 }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -37,7 +37,7 @@
 			}
 			d.shifts(true, 0)
 			for k := 1; k < size.queues; k++ {
-				d.step(replica.Shifts{Queue: fmt.Sprint("idle", k), Group: fmt.Sprint("idle", k, "#1"), Term: 1, IsWhole: true})
+				d.step(replica.TaskEvents{Queue: fmt.Sprint("idle", k), Group: fmt.Sprint("idle", k, "#1"), Term: 1, IsSnapshot: true})
 			}
 			hand, job := uint64(0), uint64(0)
 			ready := func() {
@@ -63,7 +63,7 @@
 							running[pick.Worker] = append(running[pick.Worker], &schema.TaskStatus{Name: fmt.Sprint("j", pick.Key.Job), Attempt: 1, State: "running"})
 							say(pick.Worker)
 						}
-					case replica.Ended:
+					case replica.TaskEnded:
 						hand++
 						d.shifts(false, hand, shift(hand, m.End.Key.Job, 0, queue.Gone, "", spec()))
 						d.step(&schema.TaskEndAck{Queue: "l", Key: m.End.Key, Attempt: m.End.Attempt, Worker: m.End.Worker})
--- a/internal/scheduler/chance_test.go
+++ b/internal/scheduler/chance_test.go
@@ -101,7 +101,7 @@
 		d.announce("w", named(nil))
 		d.queue("l", 20, shift(1, 1, 0, queue.Out, "w", wide))
 		d.pass(100 * eventloop.Millisecond)
-		d.step(replica.Shifts{Queue: "l", Group: "l#1", Term: 1, Hand: 2, List: []*queue.Shift{shift(2, 1, 0, queue.Gone, "", wide)}, Running: 1000, Urgency: 20})
+		d.step(replica.TaskEvents{Queue: "l", Group: "l#1", Term: 1, LastSequence: 2, Events: []*queue.Shift{shift(2, 1, 0, queue.Gone, "", wide)}, Running: 1000, Urgency: 20})
 		d.announce("w", named(nil))
 		d.queue("m", 10, way(shift(1, 2, 0, queue.Ready, "", long), 0, 6*eventloop.Second))
 		d.announce("w", named(nil))
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -71,7 +71,7 @@
 		}
 		e.sentAt = now
 		end.Outcome = outcome
-		out.Notify("replica", replica.Ended{End: end})
+		out.Notify("replica", replica.TaskEnded{End: end})
 	}
 }
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -49,7 +49,7 @@
 	values    *clusterstate.Values
 	views     map[string]*view
 	workers   map[string]*worker
-	fresh     replica.Fresh
+	fresh     replica.LeadershipStatus
 	freshAt   eventloop.Micros
 	isDirty   bool
 	isStirred bool             // a group may have come to be held
@@ -98,12 +98,12 @@
 		t.tick(now, out)
 	case *schema.ClusterStateResponse:
 		t.clusterState(now, body, out)
-	case replica.Fresh:
+	case replica.LeadershipStatus:
 		// A process that was frozen finds word from before in its mail.
 		t.fresh, t.freshAt = body, cmp.Or(body.At, now)
-	case replica.Shifts:
+	case replica.TaskEvents:
 		t.shifts(now, body, out)
-	case replica.Lost:
+	case replica.LeadershipLost:
 		t.lose(body.Queue)
 	case *schema.WorkerPollRequest:
 		t.heard(now, mail.From, body, out)
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -31,7 +31,7 @@
 func (d *desk) Notify(_ string, m any) { d.tells = append(d.tells, m) }
 func (d *desk) step(body any)          { d.t.Step(d.now, eventloop.Message{From: "front", Body: body}, d) }
 func (d *desk) fresh(isClusterState bool) {
-	d.step(replica.Fresh{Groups: map[string]uint64{"l#1": 1}, ClusterState: isClusterState})
+	d.step(replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 1}, IsClusterStateFresh: isClusterState})
 }
 func (d *desk) last() *schema.WorkerPollResponse { return d.replies[len(d.replies)-1] }
 
@@ -67,7 +67,7 @@
 }
 
 func (d *desk) shifts(isWhole bool, hand uint64, list ...*queue.Shift) {
-	d.step(replica.Shifts{Queue: "l", Group: "l#1", Term: 1, Hand: hand, List: list, IsWhole: isWhole, Running: 1000})
+	d.step(replica.TaskEvents{Queue: "l", Group: "l#1", Term: 1, LastSequence: hand, Events: list, IsSnapshot: isWhole, Running: 1000})
 }
 
 func (d *desk) picks() []*schema.Placement {
@@ -83,7 +83,7 @@
 func (d *desk) ended() []*schema.TaskEndReport {
 	var list []*schema.TaskEndReport
 	for _, tell := range d.tells {
-		if e, isEnd := tell.(replica.Ended); isEnd {
+		if e, isEnd := tell.(replica.TaskEnded); isEnd {
 			list = append(list, e.End)
 		}
 	}
@@ -168,7 +168,7 @@
 		}
 		So(d.ended(), ShouldBeEmpty)
 		// Nor does one that has just thawed, and finds old word in its mail.
-		d.step(replica.Fresh{Groups: map[string]uint64{"l#1": 1}, ClusterState: true, At: d.now - 3*eventloop.Second})
+		d.step(replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 1}, IsClusterStateFresh: true, At: d.now - 3*eventloop.Second})
 		d.step(eventloop.Tick{})
 		So(d.ended(), ShouldBeEmpty)
 		d.fresh(true)
@@ -185,7 +185,7 @@
 		d.announce("w", nil)
 		d.shifts(true, 0)
 		d.shifts(false, 2, shift(2, 1, 0, queue.Out, "w", one))
-		query, isQuery := d.tells[len(d.tells)-1].(replica.Query)
+		query, isQuery := d.tells[len(d.tells)-1].(replica.ResyncQueue)
 		So(isQuery, ShouldBeTrue)
 		So(query.Group, ShouldEqual, "l#1")
 		So(len(d.replies), ShouldEqual, 1)
@@ -303,7 +303,7 @@
 			So(d.last().Orders.Orders[0].Action, ShouldEqual, "start")
 			d.announce("w", func(a *schema.WorkerHeartbeat) { held(1)(a); a.Running[0].State = "running" })
 			d.step(eventloop.Tick{})
-			So(d.tells[len(d.tells)-1].(replica.Ended).End.Outcome, ShouldEqual, "failed")
+			So(d.tells[len(d.tells)-1].(replica.TaskEnded).End.Outcome, ShouldEqual, "failed")
 		})
 		Convey("also on a worker that has just said that it leaves, but not later", func() {
 			d = newDesk("v", "w")
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -59,9 +59,9 @@
 
 func before(a, b *task) bool { return lessKey(a.key, b.key) }
 
-func (t *Table) shifts(now eventloop.Micros, m replica.Shifts, out eventloop.Effects) {
+func (t *Table) shifts(now eventloop.Micros, m replica.TaskEvents, out eventloop.Effects) {
 	v := t.views[m.Queue]
-	if m.IsWhole {
+	if m.IsSnapshot {
 		was := map[taskKey]task{}
 		peak := swing{}
 		if v != nil {
@@ -76,23 +76,23 @@
 		t.lose(m.Queue)
 		t.views[m.Queue] = v
 		v.urgency, v.running, v.peak, v.aim = m.Urgency, m.Running, peak, t.aimOf(m.Queue)
-		for _, shift := range m.List {
+		for _, shift := range m.Events {
 			t.shift(now, v, shift)
 		}
 		t.inherit(was, v)
-		v.hand = m.Hand
+		v.hand = m.LastSequence
 	} else {
 		if v == nil || v.term != m.Term {
 			return
 		}
-		for _, shift := range m.List {
+		for _, shift := range m.Events {
 			if shift.Hand <= v.hand {
 				continue
 			}
 			if shift.Hand != v.hand+1 {
 				// A hand-over is missing: ask for the whole list.
 				t.counts.Gaps++
-				out.Notify("replica", replica.Query{Group: m.Group})
+				out.Notify("replica", replica.ResyncQueue{Group: m.Group})
 				break
 			}
 			v.hand = shift.Hand
@@ -100,7 +100,7 @@
 		}
 	}
 	// What is out now took its room when it was picked.
-	if m.IsWhole || slices.ContainsFunc(m.List, func(s *queue.Shift) bool { return s.State == queue.Ready }) {
+	if m.IsSnapshot || slices.ContainsFunc(m.Events, func(s *queue.Shift) bool { return s.State == queue.Ready }) {
 		t.isDirty = true
 	}
 	t.isStirred = true
--- a/internal/scheduler/workers.go
+++ b/internal/scheduler/workers.go
@@ -88,13 +88,13 @@
 // isSure tells whether the cluster state's word, by which this node is a ward, is
 // fresh.
 func (t *Table) isSure(now eventloop.Micros) bool {
-	return now-t.freshAt < actSpan && t.fresh.ClusterState
+	return now-t.freshAt < actSpan && t.fresh.IsClusterStateFresh
 }
 
 // mayAct tells whether orders for a queue may leave: its leader has just heard
 // its quorum, and the cluster state's word is fresh.
 func (t *Table) mayAct(now eventloop.Micros, v *view) bool {
-	return t.isSure(now) && t.fresh.Groups[v.group] == v.term
+	return t.isSure(now) && t.fresh.Terms[v.group] == v.term
 }
 
 func (t *Table) heard(now eventloop.Micros, front string, m *schema.WorkerPollRequest, out eventloop.Effects) {
@@ -205,7 +205,7 @@
 	}
 	each.lostAt = now
 	t.counts.LostTasks++
-	out.Notify("replica", replica.Ended{End: &schema.TaskEndReport{
+	out.Notify("replica", replica.TaskEnded{End: &schema.TaskEndReport{
 		Queue: each.key.queue, Key: &schema.TaskKey{Job: each.key.job, Step: each.key.step, Task: each.key.task},
 		Attempt: each.attempt, Outcome: outcome, Worker: each.worker, Checkpoint: each.keptProgress(),
 	}})
--- a/internal/sim/called.go
+++ b/internal/sim/called.go
@@ -436,7 +436,7 @@
 		Kind: checker.PlanPut, Who: who, Front: front.Name, Sent: sent, Built: sheet.BaseVersion, Rows: sheet.Rows, Document: string(sheet.Document),
 	}
 	w.Ask(front, 4*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
-		return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.ClusterStateBody(
+		return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
 			&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 	}, func(answer any) {
 		reply, _ := answer.(gateway.Answer)
--- a/internal/sim/changes_test.go
+++ b/internal/sim/changes_test.go
@@ -91,7 +91,7 @@
 func (o *operator) send(sheet *schema.ConfigurationUpdate, back func()) {
 	front := o.pickFront(o.anyCell())
 	o.Ask(front, 4*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
-		return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.ClusterStateBody(
+		return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
 			&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 	}, func(answer any) {
 		reply, _ := answer.(gateway.Answer)
@@ -204,11 +204,11 @@
 	}
 }
 
-func (o *operator) stateOf(h *Host) []*replica.GroupBelief {
+func (o *operator) stateOf(h *Host) []*replica.GroupStateView {
 	if belief := h.Belief(); belief != nil {
 		for _, g := range belief.Groups {
 			if g.Group == clusterstate.Group {
-				return []*replica.GroupBelief{g}
+				return []*replica.GroupStateView{g}
 			}
 		}
 	}
@@ -224,7 +224,7 @@
 		if h.run != run {
 			return
 		}
-		if belief := h.Belief(); belief != nil && belief.Fresh {
+		if belief := h.Belief(); belief != nil && belief.IsClusterStateFresh {
 			o.caught[what] = append(o.caught[what], o.Now-began)
 			return
 		}
@@ -301,12 +301,12 @@
 	newest := uint64(0)
 	for _, h := range o.Stores() {
 		if belief := h.Belief(); belief != nil {
-			newest = max(newest, belief.Generation)
+			newest = max(newest, belief.ConfigurationRevision)
 		}
 	}
 	for _, h := range o.Stores() {
-		if belief := h.Belief(); belief != nil && (belief.Generation != newest || !belief.Fresh) {
-			o.say("%s holds generation %d of %d, fresh %v", h.Name, belief.Generation, newest, belief.Fresh)
+		if belief := h.Belief(); belief != nil && (belief.ConfigurationRevision != newest || !belief.IsClusterStateFresh) {
+			o.say("%s holds generation %d of %d, fresh %v", h.Name, belief.ConfigurationRevision, newest, belief.IsClusterStateFresh)
 		}
 	}
 	for _, each := range o.wrong {
--- a/internal/sim/cut_test.go
+++ b/internal/sim/cut_test.go
@@ -90,7 +90,7 @@
 }
 
 func put(sheet *schema.ConfigurationUpdate) gateway.Ask {
-	return gateway.Ask{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.ClusterStateBody(
+	return gateway.Ask{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(
 		&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 }
 
@@ -331,7 +331,7 @@
 
 // --- the table: role x cut x call ---
 
-func (r *cutRun) stateBelief(h *Host) *replica.GroupBelief {
+func (r *cutRun) stateBelief(h *Host) *replica.GroupStateView {
 	if belief := h.Belief(); belief != nil {
 		for _, group := range belief.Groups {
 			if group.Group == clusterstate.Group {
--- a/internal/sim/day.go
+++ b/internal/sim/day.go
@@ -42,14 +42,14 @@
 		for _, group := range belief.Groups {
 			s.Records = max(s.Records, group.Last-group.Released)
 			if group.Role == "leader" {
-				s.Live, s.Kept, s.Sessions = s.Live+group.Live, s.Kept+group.Kept, s.Sessions+group.Sessions
+				s.Live, s.Kept, s.Sessions = s.Live+group.LiveJobs, s.Kept+group.RetainedJobs, s.Sessions+group.Sessions
 				moves = append(moves, fmt.Sprint(group.Group, " ", group.Leader, " ", group.Term))
 			}
 		}
-		if belief.Fresh && !isTold {
+		if belief.IsClusterStateFresh && !isTold {
 			isTold = true
-			moves = append(moves, fmt.Sprint("controller ", belief.Controller, " ", belief.Lease))
-			for _, ward := range belief.Wards {
+			moves = append(moves, fmt.Sprint("controller ", belief.Controller, " ", belief.ControllerLease))
+			for _, ward := range belief.WorkerLeases {
 				moves = append(moves, fmt.Sprint(ward.Worker, " ", ward.Scheduler, " ", ward.FencingToken))
 			}
 		}
--- a/internal/sim/disk_scenarios.go
+++ b/internal/sim/disk_scenarios.go
@@ -33,7 +33,7 @@
 	case belief == nil:
 		// It has started without its store.
 		return
-	case belief.Refusal == "":
+	case belief.ReadOnlyReason == "":
 		f.wrong = append(f.wrong, h.Name+" doesn't say that its store takes no writes")
 	}
 	for _, group := range belief.Groups {
@@ -52,12 +52,12 @@
 	count := 0
 	for _, other := range f.Stores() {
 		belief := other.Belief()
-		if belief == nil || !slices.ContainsFunc(belief.Groups, func(g *replica.GroupBelief) bool {
+		if belief == nil || !slices.ContainsFunc(belief.Groups, func(g *replica.GroupStateView) bool {
 			return g.Group == clusterstate.Group && g.Role == "leader"
 		}) {
 			continue
 		}
-		for _, ward := range belief.Wards {
+		for _, ward := range belief.WorkerLeases {
 			if ward.Scheduler == h.Id {
 				count++
 			}
@@ -76,8 +76,8 @@
 			wrong = append(wrong, h.Name+" has no store again")
 			continue
 		}
-		if belief.Refusal != "" {
-			wrong = append(wrong, h.Name+" still says that its store refuses: "+belief.Refusal)
+		if belief.ReadOnlyReason != "" {
+			wrong = append(wrong, h.Name+" still says that its store refuses: "+belief.ReadOnlyReason)
 		}
 		for _, group := range belief.Groups {
 			last[group.Group] = max(last[group.Group], group.Commit)
--- a/internal/sim/members_test.go
+++ b/internal/sim/members_test.go
@@ -104,7 +104,7 @@
 // standing is one replica of a group and the machine it lives on.
 type standing struct {
 	host *Host
-	*replica.GroupBelief
+	*replica.GroupStateView
 }
 
 // standings asks every store that is there once what it believes.
@@ -194,7 +194,7 @@
 	for _, h := range hosts {
 		for h.IsUp {
 			c.pass(lookSpan)
-			if belief := h.Belief(); belief != nil && belief.IsNeeded {
+			if belief := h.Belief(); belief != nil && belief.HasHandoverPending {
 				c.left = max(c.left, c.Now-began)
 			}
 		}
--- a/internal/sim/operators_test.go
+++ b/internal/sim/operators_test.go
@@ -205,7 +205,7 @@
 }
 
 func (o *operators) tryAt(front *Host, span eventloop.Micros, each *operatorOrder, done func()) {
-	body := replica.ClusterStateBody(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: each.sheet}}})
+	body := replica.EncodeClusterStateCommand(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: each.sheet}}})
 	o.call(front, span, gateway.Ask{Kind: "clusterstate", Group: clusterstate.Group, Body: body}, func(reply gateway.Answer) {
 		switch {
 		case reply.Code == 0 || reply.Code >= 500:
--- a/internal/sim/outage.go
+++ b/internal/sim/outage.go
@@ -169,7 +169,7 @@
 			return
 		}
 		f.Ask(p.front(), replaceProbeSpan, func(request uint64, deadline eventloop.Micros) any {
-			return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.ClusterStateBody(
+			return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
 				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 		}, func(answer any) {
 			if reply, _ := answer.(gateway.Answer); reply.Code == 200 && !isTaken {
--- a/internal/sim/people.go
+++ b/internal/sim/people.go
@@ -395,7 +395,7 @@
 		w.Tell(checker.Event{Kind: checker.PlanSent, Who: who, Rows: rows})
 		told := checker.Event{Kind: checker.PlanPut, Who: who, Front: front.Name, Sent: sent, Built: generation, Rows: rows}
 		w.Ask(front, 8*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
-			return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.ClusterStateBody(
+			return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
 				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 		}, func(answer any) {
 			reply, _ := answer.(gateway.Answer)
--- a/internal/sim/scenarios.go
+++ b/internal/sim/scenarios.go
@@ -58,7 +58,7 @@
 // controller is the side machine that holds the lease.
 func (f *Fleet) controller() *Host {
 	for _, store := range f.Stores() {
-		if belief := store.Belief(); belief != nil && belief.Fresh {
+		if belief := store.Belief(); belief != nil && belief.IsClusterStateFresh {
 			for _, h := range f.Hosts {
 				if h.Id == belief.Controller && h.IsUp {
 					return h
@@ -178,7 +178,7 @@
 		}
 		moves := map[uint64]bool{}
 		for _, h := range f.Stores() {
-			for _, ward := range h.Belief().Wards {
+			for _, ward := range h.Belief().WorkerLeases {
 				moves[ward.FencingToken] = true
 			}
 		}
@@ -437,7 +437,7 @@
 		carries := uint64(0)
 		for _, h := range f.Stores() {
 			for _, group := range h.Belief().Groups {
-				carries += group.Carries
+				carries += group.Reenqueues
 				if group.Last-group.Released > 1200 {
 					wrong = append(wrong, fmt.Sprintf("%s on %s holds %d records", group.Group, h.Name, group.Last-group.Released))
 				}
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -78,7 +78,7 @@
 			}
 			if !h.isRefused {
 				h.isRefused = true
-				h.mail("replica", eventloop.Message{Body: replica.Refused{Number: batch.Number, Why: err.Error()}})
+				h.mail("replica", eventloop.Message{Body: replica.WriteFailed{Number: batch.Number, Reason: err.Error()}})
 				h.mail("membership", eventloop.Message{Body: membership.LatencyReport{Max: membership.WritesRefusedLatency}})
 			}
 			w.After(againSpan, func() { h.attempt(run, batch) })
--- a/internal/sim/sweep.go
+++ b/internal/sim/sweep.go
@@ -232,7 +232,7 @@
 				}
 			}
 			warded := 0
-			for _, ward := range belief.Wards {
+			for _, ward := range belief.WorkerLeases {
 				if ward.Scheduler != "" {
 					warded++
 				}
@@ -280,7 +280,7 @@
 	sheet := &schema.ConfigurationUpdate{BaseRevision: &generation, Rows: r.planRows(change)}
 	sent := r.Now
 	r.Ask(r.anyFront(), 3*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
-		return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.ClusterStateBody(
+		return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
 			&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 	}, func(answer any) {
 		reply, _ := answer.(gateway.Answer)
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -350,7 +350,7 @@
 	for _, each := range []struct {
 		table string
 		body  any
-	}{{"gateway", gateway.Warned{}}, {"membership", membership.Draining{}}, {"replica", replica.Warned{}}} {
+	}{{"gateway", gateway.Warned{}}, {"membership", membership.Draining{}}, {"replica", replica.Drain{}}} {
 		if h.tables[each.table] != nil {
 			h.step(each.table, eventloop.Message{Body: each.body})
 		}
@@ -365,7 +365,7 @@
 			return
 		}
 		belief := h.Belief()
-		isNeeded := belief != nil && belief.IsNeeded
+		isNeeded := belief != nil && belief.HasHandoverPending
 		if !isNeeded && len(h.waiting) == 0 || h.world.Now >= until {
 			h.Kill()
 			return
@@ -678,13 +678,13 @@
 }
 
 // Belief asks a host's replicas what they believe, outside time.
-func (h *Host) Belief() *replica.NodeBelief {
+func (h *Host) Belief() *replica.NodeStateView {
 	table := h.tables["replica"]
 	if !h.IsUp || table == nil {
 		return nil
 	}
-	var belief *replica.NodeBelief
-	table.Step(h.now(), eventloop.Message{Body: replica.Belief{Request: 1}}, &grab{outlet{h}, func(body any) { belief, _ = body.(*replica.NodeBelief) }})
+	var belief *replica.NodeStateView
+	table.Step(h.now(), eventloop.Message{Body: replica.GetStateView{Request: 1}}, &grab{outlet{h}, func(body any) { belief, _ = body.(*replica.NodeStateView) }})
 	return belief
 }
 
--- a/internal/sim/zones_test.go
+++ b/internal/sim/zones_test.go
@@ -35,10 +35,10 @@
 	c := newCore(seed, zones, tolerance.Machines, 500, false)
 	c.tolerance = tolerance
 	c.Run(c.Began + 5*eventloop.Second)
-	bears := c.voters()[0].Belief().Bears
+	bears := c.voters()[0].Belief().FaultTolerance
 	canBear := tolerance.Regions == 0 || len(zones) >= 3 && tolerance.TopologyShortfall() == ""
-	if isTold := bears.Short == ""; isTold != canBear {
-		t.Fatalf("it says %q", bears.Short)
+	if isTold := bears.Shortfall == ""; isTold != canBear {
+		t.Fatalf("it says %q", bears.Shortfall)
 	}
 	// A machine is replaced in another zone first, so that the repair has to keep the spread.
 	c.voters()[1].Wipe()
