--- a/cmd/sparnotchctl/folder.go
+++ b/cmd/sparnotchctl/folder.go
@@ -189,11 +189,11 @@
 		fmt.Fprintln(os.Stderr, "sparnotchctl:", err)
 		return exitBroken
 	}
-	fmt.Printf("at %d: %d live and %d kept jobs, digest %s\n", at, machine.Live(), machine.Kept(), replica.Digest(machine.Rest(true)))
+	fmt.Printf("at %d: %d live and %d kept jobs, digest %s\n", at, machine.LiveJobs(), machine.RetainedJobs(), replica.Digest(machine.Snapshot(true)))
 	return subcommands.ExitSuccess
 }
 
-var standings = map[queue.Standing]string{queue.Gone: "is closed", queue.Ready: "is ready", queue.Out: "is out", queue.Stopping: "is to stop"}
+var standings = map[queue.Status]string{queue.Inactive: "is closed", queue.Ready: "is ready", queue.CheckedOut: "is out", queue.Stopping: "is to stop"}
 
 func (c *replayCommand) show(record *schema.Entry, command *schema.QueueCommand, effects *queue.Effects) {
 	var lines []string
@@ -205,15 +205,15 @@
 			lines = append(lines, fmt.Sprintf("  %s answered %d, %s", view.Name, outcome.Code, view.State))
 		}
 	}
-	for _, shift := range effects.Shifts {
+	for _, shift := range effects.Events {
 		if c.job != "" && c.job != shift.Name {
 			continue
 		}
-		line := fmt.Sprintf("  %s %s/%d %s", shift.Name, shift.Spec.GetName(), shift.Key.Task, standings[shift.State])
-		if shift.State == queue.Out || shift.State == queue.Stopping {
+		line := fmt.Sprintf("  %s %s/%d %s", shift.Name, shift.Spec.GetName(), shift.Key.Task, standings[shift.Status])
+		if shift.Status == queue.CheckedOut || shift.Status == queue.Stopping {
 			line += fmt.Sprintf(" on %s, attempt %d", shift.Worker, shift.Attempt)
 		}
-		if shift.IsLaunched {
+		if shift.IsGangStarted {
 			line += ", its group begins"
 		}
 		lines = append(lines, line)
--- a/cmd/sparnotchctl/folder_test.go
+++ b/cmd/sparnotchctl/folder_test.go
@@ -101,7 +101,7 @@
 		So(code, ShouldEqual, 0)
 		So(text, ShouldContainSubstring, "Return failed")
 		So(text, ShouldContainSubstring, "first s/0 is out on w1, attempt 2")
-		So(text, ShouldContainSubstring, "digest "+replica.Digest(machine.Rest(true)))
+		So(text, ShouldContainSubstring, "digest "+replica.Digest(machine.Snapshot(true)))
 		code, text = run(&replayCommand{}, "-queue", "quotes", "-to", "3", path)
 		So(code, ShouldEqual, 0)
 		So(text, ShouldContainSubstring, "at 3: 1 live and 0 kept")
--- a/internal/queue/checkout.go
+++ b/internal/queue/checkout.go
@@ -7,158 +7,158 @@
 )
 
 func (m *Machine) checkout(c *schema.Checkout) {
-	type place struct {
+	type selection struct {
 		j    *job
 		s, t int
 		pick *schema.Placement
 	}
-	type group struct {
+	type gang struct {
 		j *job
 		s int
 	}
-	var places []place
-	chosen := map[*task]bool{}
-	whole := map[group]int{}
+	var selected []selection
+	isAvailable := map[*task]bool{}
+	available := map[gang]int{}
 	for _, pick := range c.Placements {
-		j, s, t := m.find(pick.Key)
+		j, s, t := m.findTask(pick.Key)
 		if j == nil {
 			continue
 		}
-		places = append(places, place{j, s, t, pick})
-		if each := &j.tasks[s][t]; j.standing(s, t) == Ready && !chosen[each] {
-			chosen[each] = true
-			whole[group{j, s}]++
+		selected = append(selected, selection{j, s, t, pick})
+		if task := &j.tasks[s][t]; j.status(s, t) == Ready && !isAvailable[task] {
+			isAvailable[task] = true
+			available[gang{j, s}]++
 		}
 	}
-	attempts := map[group]uint32{} // members of one start share their number
-	for _, p := range places {
-		each, g := &p.j.tasks[p.s][p.t], group{p.j, p.s}
+	attempts := map[gang]uint32{} // members of one start share their number
+	for _, chosen := range selected {
+		task, g := &chosen.j.tasks[chosen.s][chosen.t], gang{chosen.j, chosen.s}
 		// A group that must run together goes out whole in one command or
 		// not at all.
-		isGroup := p.j.step(p.s).Gang
-		isWhole := !isGroup || whole[g] == len(p.j.tasks[p.s])
-		if chosen[each] && isWhole {
-			delete(chosen, each)
-			if isGroup && attempts[g] == 0 {
-				for t := range p.j.tasks[p.s] {
-					attempts[g] = max(attempts[g], p.j.tasks[p.s][t].attempt+1)
+		isGang := chosen.j.step(chosen.s).Gang
+		isComplete := !isGang || available[g] == len(chosen.j.tasks[chosen.s])
+		if isAvailable[task] && isComplete {
+			delete(isAvailable, task)
+			if isGang && attempts[g] == 0 {
+				for t := range chosen.j.tasks[chosen.s] {
+					attempts[g] = max(attempts[g], chosen.j.tasks[chosen.s][t].attempt+1)
 				}
 			}
-			each.state, each.attempt = schema.TaskState_TASK_CHECKED_OUT, max(each.attempt+1, attempts[g])
-			each.worker, each.incarnation, each.hand = p.pick.Worker, p.pick.Incarnation, 0
-			p.j.out[p.s]++
-			p.j.outs++
-			p.j.started++
+			task.state, task.attempt = schema.TaskState_TASK_CHECKED_OUT, max(task.attempt+1, attempts[g])
+			task.worker, task.incarnation, task.checkoutSequence = chosen.pick.Worker, chosen.pick.Incarnation, 0
+			chosen.j.checkedOutTasks[chosen.s]++
+			chosen.j.checkedOut++
+			chosen.j.startedTasks++
 		}
-		m.shift(p.j, p.s, p.t)
+		m.emitEvent(chosen.j, chosen.s, chosen.t)
 	}
 }
 
-// launch decides that a group begins: whoever orders its workers from now on,
+// startGang decides that a group begins: whoever orders its workers from now on,
 // also a successor that never saw them held, has every member begin. It takes
 // hold of the whole group as it was checked out, or of nothing.
-func (m *Machine) launch(c *schema.StartGang) {
-	j, s, _ := m.find(&schema.TaskKey{Job: c.Job, Step: c.Step})
+func (m *Machine) startGang(c *schema.StartGang) {
+	j, s, _ := m.findTask(&schema.TaskKey{Job: c.Job, Step: c.Step})
 	if j == nil || !j.step(s).Gang || len(c.Attempts) != len(j.tasks[s]) {
 		return
 	}
 	for t := range j.tasks[s] {
-		if j.standing(s, t) != Out || j.tasks[s][t].attempt != c.Attempts[t] {
+		if j.status(s, t) != CheckedOut || j.tasks[s][t].attempt != c.Attempts[t] {
 			return
 		}
 	}
 	for t := range j.tasks[s] {
-		j.tasks[s][t].isLaunched = true
+		j.tasks[s][t].isGangStarted = true
 	}
-	m.shiftStep(j, s)
+	m.emitStepEvents(j, s)
 }
 
 func (m *Machine) settle(c *schema.Settle) {
-	j, s, t := m.find(c.Key)
+	j, s, t := m.findTask(c.Key)
 	if j == nil {
 		return
 	}
-	each, step := &j.tasks[s][t], j.step(s)
+	task, step := &j.tasks[s][t], j.step(s)
 	if c.WholeGang && step.Gang {
 		// Nothing of the group has been checked out anew while one member is
 		// out, so this end is the end of that start, also where a member was
 		// taken for lost or told to stop meanwhile.
-		if j.out[s] > 0 && each.attempt == c.Attempt {
-			m.settleGroup(j, s)
+		if j.checkedOutTasks[s] > 0 && task.attempt == c.Attempt {
+			m.settleGang(j, s)
 		}
 		return
 	}
 	// A report on another attempt than the one that is out changes nothing.
-	if each.state != schema.TaskState_TASK_CHECKED_OUT || each.attempt != c.Attempt {
+	if task.state != schema.TaskState_TASK_CHECKED_OUT || task.attempt != c.Attempt {
 		return
 	}
 	if step.RunUntilCancelled {
-		j.account(s, t).saved = ""
-		if step.Gang && j.state == schema.JobState_JOB_RUNNING && !each.isBreaking {
-			m.breakGroup(j, s)
+		j.accountingTask(s, t).progress = ""
+		if step.Gang && j.state == schema.JobState_JOB_RUNNING && !task.isGangStopping {
+			m.stopGang(j, s)
 		}
 	}
-	if step.RunUntilCancelled || each.isBreaking {
-		m.takeBack(j, s, t)
+	if step.RunUntilCancelled || task.isGangStopping {
+		m.makeWaiting(j, s, t)
 		return
 	}
-	each.state = schema.TaskState_TASK_DONE
-	m.recall(j, s)
-	j.left[s]--
-	if !step.Gang || j.left[s] == 0 {
-		j.account(s, t).saved = ""
+	task.state = schema.TaskState_TASK_DONE
+	m.countCheckedIn(j, s)
+	j.unfinishedTasks[s]--
+	if !step.Gang || j.unfinishedTasks[s] == 0 {
+		j.accountingTask(s, t).progress = ""
 	}
-	m.shift(j, s, t)
-	m.stepOn(j, s)
+	m.emitEvent(j, s, t)
+	m.advanceJob(j, s)
 }
 
-// settleGroup: one member's end stands for all. Its members have ended
+// settleGang: one member's end stands for all. Its members have ended
 // together, and their later reports find them done.
-func (m *Machine) settleGroup(j *job, s int) {
+func (m *Machine) settleGang(j *job, s int) {
 	isLasting := j.step(s).RunUntilCancelled
 	for t := range j.tasks[s] {
-		each := &j.tasks[s][t]
-		if each.state == schema.TaskState_TASK_CHECKED_OUT {
-			m.recall(j, s)
+		task := &j.tasks[s][t]
+		if task.state == schema.TaskState_TASK_CHECKED_OUT {
+			m.countCheckedIn(j, s)
 		}
-		each.state, each.isBreaking, each.saved = schema.TaskState_TASK_DONE, false, ""
+		task.state, task.isGangStopping, task.progress = schema.TaskState_TASK_DONE, false, ""
 		if isLasting {
-			each.clear()
+			task.reset()
 		}
 	}
 	if !isLasting {
-		j.left[s] = 0
+		j.unfinishedTasks[s] = 0
 	}
-	m.shiftStep(j, s)
-	m.stepOn(j, s)
+	m.emitStepEvents(j, s)
+	m.advanceJob(j, s)
 }
 
-// stepOn follows the end of tasks of a step: what waited for the whole step
+// advanceJob follows the end of tasks of a step: what waited for the whole step
 // opens, and a job with nothing unfinished ends.
-func (m *Machine) stepOn(j *job, s int) {
-	if j.left[s] == 0 {
-		j.unfinished--
+func (m *Machine) advanceJob(j *job, s int) {
+	if j.unfinishedTasks[s] == 0 {
+		j.unfinishedSteps--
 	}
 	if j.state == schema.JobState_JOB_STOPPING {
-		m.endIfStill(j)
+		m.endIfIdle(j)
 		return
 	}
-	if j.left[s] > 0 {
+	if j.unfinishedTasks[s] > 0 {
 		return
 	}
-	part := s % j.parts()
-	for _, other := range j.before[part] {
-		if next := s - part + other; j.left[next] > 0 && j.isOpen(next) {
-			m.shiftStep(j, next)
+	part := s % j.stepsPerRound()
+	for _, other := range j.dependents[part] {
+		if next := s - part + other; j.unfinishedTasks[next] > 0 && j.isStepOpen(next) {
+			m.emitStepEvents(j, next)
 		}
 	}
-	if j.unfinished == 0 {
-		m.end(j, schema.JobState_JOB_COMPLETE)
+	if j.unfinishedSteps == 0 {
+		m.endJob(j, schema.JobState_JOB_COMPLETE)
 	}
 }
 
-// recall notes that a task is out no more.
-func (m *Machine) recall(j *job, s int) {
-	j.out[s]--
-	j.outs--
+// countCheckedIn notes that a task is out no more.
+func (m *Machine) countCheckedIn(j *job, s int) {
+	j.checkedOutTasks[s]--
+	j.checkedOut--
 }
--- a/internal/queue/enqueue.go
+++ b/internal/queue/enqueue.go
@@ -7,28 +7,28 @@
 )
 
 type sessionKey struct {
-	gateway string
-	boot    uint64
-	client  string
+	gateway     string
+	incarnation uint64
+	client      string
 }
 
-type bootKey struct {
-	gateway string
-	boot    uint64
+type gatewayKey struct {
+	gateway     string
+	incarnation uint64
 }
 
 type session struct {
-	next uint64
-	held map[uint64]*schema.PendingEnqueueSnapshot
+	next    uint64
+	pending map[uint64]*schema.PendingEnqueueSnapshot
 }
 
-func keyOf(s *schema.Session) sessionKey {
+func sessionKeyOf(s *schema.Session) sessionKey {
 	return sessionKey{s.GetGateway(), s.GetIncarnation(), s.GetClient()}
 }
 
 func (m *Machine) enqueue(index uint64, e *schema.Enqueue) {
-	key := keyOf(e.Session)
-	if _, isGone := m.gone[bootKey{key.gateway, key.boot}]; isGone {
+	key := sessionKeyOf(e.Session)
+	if _, isDown := m.downGateways[gatewayKey{key.gateway, key.incarnation}]; isDown {
 		// It was given up as dead, and its callers have long gone elsewhere:
 		// what it still has in hand may have run and been forgotten.
 		m.effects.Outcomes = append(m.effects.Outcomes, &schema.SubmitResult{Session: e.Session, Number: e.Number, Code: 410})
@@ -36,64 +36,64 @@
 	}
 	s := m.sessions[key]
 	if s == nil {
-		s = &session{next: max(e.LowestUnconfirmed, 1), held: map[uint64]*schema.PendingEnqueueSnapshot{}}
+		s = &session{next: max(e.LowestUnconfirmed, 1), pending: map[uint64]*schema.PendingEnqueueSnapshot{}}
 		m.sessions[key] = s
 	}
 	switch {
 	case e.Number < s.next:
-		m.outcome(e, m.answerKnown(e, 200))
+		m.addOutcome(e, m.resubmissionCode(e, 200))
 		return
 	case e.Number > s.next:
-		if s.held[e.Number] == nil {
-			s.held[e.Number] = &schema.PendingEnqueueSnapshot{Index: index, Enqueue: e}
-			m.held++
+		if s.pending[e.Number] == nil {
+			s.pending[e.Number] = &schema.PendingEnqueueSnapshot{Index: index, Enqueue: e}
+			m.pendingEnqueues++
 		}
 		return
 	}
-	m.admit(index, e)
+	m.admitJob(index, e)
 	s.next++
 	for {
-		held := s.held[s.next]
-		if held == nil {
+		next := s.pending[s.next]
+		if next == nil {
 			return
 		}
-		delete(s.held, s.next)
-		m.held--
-		m.admit(held.Index, held.Enqueue)
+		delete(s.pending, s.next)
+		m.pendingEnqueues--
+		m.admitJob(next.Index, next.Enqueue)
 		s.next++
 	}
 }
 
-func (m *Machine) down(c *schema.EndSessions) {
-	for _, quit := range c.Sessions {
-		m.forget(keyOf(quit))
+func (m *Machine) closeSessions(c *schema.EndSessions) {
+	for _, session := range c.Sessions {
+		m.removeSession(sessionKeyOf(session))
 	}
-	for _, boot := range c.Gateways {
-		m.gone[bootKey{boot.Gateway, boot.Incarnation}] = m.now
+	for _, gateway := range c.Gateways {
+		m.downGateways[gatewayKey{gateway.Gateway, gateway.Incarnation}] = m.now
 		for key := range m.sessions {
 			// Held submissions were never confirmed, and nobody is left who
 			// could fill the gap below them.
-			if key.gateway == boot.Gateway && key.boot == boot.Incarnation {
-				m.forget(key)
+			if key.gateway == gateway.Gateway && key.incarnation == gateway.Incarnation {
+				m.removeSession(key)
 			}
 		}
 	}
 }
 
-func (m *Machine) forget(key sessionKey) {
+func (m *Machine) removeSession(key sessionKey) {
 	if s := m.sessions[key]; s != nil {
-		m.held -= len(s.held)
+		m.pendingEnqueues -= len(s.pending)
 		delete(m.sessions, key)
 	}
 }
 
-// answerKnown is the code for a name that may already stand; `absent` is for
+// resubmissionCode is the code for a name that may already stand; `absent` is for
 // one that doesn't.
-func (m *Machine) answerKnown(e *schema.Enqueue, absent int32) int32 {
+func (m *Machine) resubmissionCode(e *schema.Enqueue, absent int32) int32 {
 	var digest []byte
-	if live := m.names[e.Name]; live != nil {
-		digest = live.digest
-	} else if ended := m.ended[e.Name]; ended != nil {
+	if running := m.jobsByName[e.Name]; running != nil {
+		digest = running.digest
+	} else if ended := m.endedByName[e.Name]; ended != nil {
 		digest = ended.Digest
 	} else {
 		return absent
@@ -104,63 +104,63 @@
 	return 409
 }
 
-func (m *Machine) outcome(e *schema.Enqueue, code int32) {
+func (m *Machine) addOutcome(e *schema.Enqueue, code int32) {
 	result := &schema.SubmitResult{Session: e.Session, Number: e.Number, Code: code}
 	if code == 409 {
 		result.Error = &schema.Error{Code: "name_taken", Message: "this name stands for a job with other content", Field: "name"}
 	} else {
-		result.View, _ = m.View(e.Name)
+		result.View, _ = m.JobView(e.Name)
 	}
 	m.effects.Outcomes = append(m.effects.Outcomes, result)
 }
 
-func (m *Machine) admit(index uint64, e *schema.Enqueue) {
-	if code := m.answerKnown(e, 201); code != 201 {
-		m.outcome(e, code)
+func (m *Machine) admitJob(index uint64, e *schema.Enqueue) {
+	if code := m.resubmissionCode(e, 201); code != 201 {
+		m.addOutcome(e, code)
 		return
 	}
-	m.nextJob++
+	m.lastJobID++
 	m.enqueues++
 	j := &job{
-		id: m.nextJob, name: e.Name, digest: e.Digest, index: index, startUs: e.StartUs,
+		id: m.lastJobID, name: e.Name, digest: e.Digest, index: index, startUs: e.StartUs,
 		spec: e.Job,
 	}
 	if j.startUs == 0 {
 		j.startUs = m.now // its age and the later rounds are counted from it
 	}
-	j.expand()
-	m.jobs[j.id], m.names[j.name] = j, j
+	j.expandSteps()
+	m.jobs[j.id], m.jobsByName[j.name] = j, j
 	m.byIndex.ReplaceOrInsert(j)
 	j.state = schema.JobState_JOB_SCHEDULED
-	m.openRounds(j)
-	m.outcome(e, 201)
+	m.openDueRounds(j)
+	m.addOutcome(e, 201)
 }
 
-// openRounds opens every round that is due, never one before its time, and
+// openDueRounds opens every round that is due, never one before its time, and
 // sets the job down for the next.
-func (m *Machine) openRounds(j *job) {
-	for j.opened < j.rounds() && j.dueUs() <= m.now {
+func (m *Machine) openDueRounds(j *job) {
+	for j.openedRounds < j.rounds() && j.nextRoundUs() <= m.now {
 		j.state = schema.JobState_JOB_RUNNING
-		j.makeRound()
+		j.openRound()
 		for part := range j.spec.Steps {
-			if len(j.after[part]) == 0 {
-				m.shiftStep(j, j.first(j.opened-1)+part)
+			if len(j.dependencies[part]) == 0 {
+				m.emitStepEvents(j, j.firstStep(j.openedRounds-1)+part)
 			}
 		}
 	}
-	if j.opened < j.rounds() {
+	if j.openedRounds < j.rounds() {
 		m.byStart.ReplaceOrInsert(j)
 	}
 }
 
-func (m *Machine) carry(index uint64, c *schema.Reenqueue) {
+func (m *Machine) reenqueue(index uint64, c *schema.Reenqueue) {
 	j := m.jobs[c.Job]
 	if j == nil {
 		return
 	}
 	m.byIndex.Delete(j)
-	j.index, j.spec, j.isDry = index, c.Payload, false
+	j.index, j.spec, j.isDehydrated = index, c.Payload, false
 	m.byIndex.ReplaceOrInsert(j)
-	m.carries++
+	m.reenqueues++
 	m.enqueues++
 }
--- a/internal/queue/views.go
+++ b/internal/queue/views.go
@@ -15,40 +15,40 @@
 	}[state]
 }
 
-// View is a job as callers see it.
-func (m *Machine) View(name string) (*schema.JobView, bool) {
-	if j := m.names[name]; j != nil {
-		return m.viewOf(j), true
+// CancelView is a job as callers see it.
+func (m *Machine) JobView(name string) (*schema.JobView, bool) {
+	if j := m.jobsByName[name]; j != nil {
+		return m.newJobView(j), true
 	}
-	if ended := m.ended[name]; ended != nil {
+	if ended := m.endedByName[name]; ended != nil {
 		return &schema.JobView{Queue: m.name, Name: name, State: stateName(ended.State), Reason: ended.Reason, Tasks: ended.Tasks, Done: ended.Done}, true
 	}
 	return nil, false
 }
 
-func (m *Machine) viewOf(j *job) *schema.JobView {
-	view := &schema.JobView{Queue: m.name, Name: j.name, State: stateName(j.state), Reason: j.why, StartedTasks: j.started}
+func (m *Machine) newJobView(j *job) *schema.JobView {
+	view := &schema.JobView{Queue: m.name, Name: j.name, State: stateName(j.state), Reason: j.reason, StartedTasks: j.startedTasks}
 	if j.state == schema.JobState_JOB_STOPPING {
-		view.PendingOutcome = stateName(j.verdict)
+		view.PendingOutcome = stateName(j.finalState)
 	}
 	for part, step := range j.spec.Steps {
-		sv := &schema.StepView{Name: step.Name, State: "done"}
-		for s := part; s < len(j.left); s += j.parts() {
-			sv.Failures += j.failures[s]
-			sv.Running += uint32(j.out[s])
-			sv.Waiting += uint32(j.left[s] - j.out[s])
-			sv.Done += step.Tasks - uint32(j.left[s])
+		stepView := &schema.StepView{Name: step.Name, State: "done"}
+		for s := part; s < len(j.unfinishedTasks); s += j.stepsPerRound() {
+			stepView.Failures += j.failures[s]
+			stepView.Running += uint32(j.checkedOutTasks[s])
+			stepView.Waiting += uint32(j.unfinishedTasks[s] - j.checkedOutTasks[s])
+			stepView.Done += step.Tasks - uint32(j.unfinishedTasks[s])
 			switch {
-			case j.left[s] == 0:
-			case j.state == schema.JobState_JOB_RUNNING && j.isOpen(s):
-				sv.State = "open"
-			case sv.State == "done":
-				sv.State = "waiting"
+			case j.unfinishedTasks[s] == 0:
+			case j.state == schema.JobState_JOB_RUNNING && j.isStepOpen(s):
+				stepView.State = "open"
+			case stepView.State == "done":
+				stepView.State = "waiting"
 			}
 		}
 		view.Tasks += uint32(j.rounds()) * step.Tasks
-		view.Done += sv.Done
-		view.Steps = append(view.Steps, sv)
+		view.Done += stepView.Done
+		view.Steps = append(view.Steps, stepView)
 	}
 	return view
 }
@@ -58,13 +58,13 @@
 func (m *Machine) Counts() *schema.QueueCounts {
 	counts := &schema.QueueCounts{Live: uint32(len(m.jobs))}
 	for _, j := range m.jobs {
-		counts.Out += uint32(j.outs)
+		counts.Out += uint32(j.checkedOut)
 		if j.state != schema.JobState_JOB_RUNNING {
 			continue
 		}
-		for s := range j.left[:j.first(j.opened)] {
-			if j.left[s] > 0 && j.isOpen(s) && (!j.step(s).Gang || j.out[s] == 0) {
-				counts.Waiting += uint32(j.left[s] - j.out[s])
+		for s := range j.unfinishedTasks[:j.firstStep(j.openedRounds)] {
+			if j.unfinishedTasks[s] > 0 && j.isStepOpen(s) && (!j.step(s).Gang || j.checkedOutTasks[s] == 0) {
+				counts.Waiting += uint32(j.unfinishedTasks[s] - j.checkedOutTasks[s])
 			}
 		}
 	}
@@ -72,28 +72,28 @@
 }
 
 // List pages over live and kept jobs in order of their names.
-func (m *Machine) List(after string, most int) *schema.JobList {
+func (m *Machine) List(after string, limit int) *schema.JobList {
 	var names []string
-	for name := range m.names {
+	for name := range m.jobsByName {
 		if name > after {
 			names = append(names, name)
 		}
 	}
-	for name := range m.ended {
+	for name := range m.endedByName {
 		if name > after {
 			names = append(names, name)
 		}
 	}
 	sort.Strings(names)
-	list := &schema.JobList{}
+	page := &schema.JobList{}
 	for k, name := range names {
-		if k == most {
-			list.Next = names[k-1]
+		if k == limit {
+			page.Next = names[k-1]
 			break
 		}
-		view, _ := m.View(name)
+		view, _ := m.JobView(name)
 		view.Steps = nil
-		list.Jobs = append(list.Jobs, view)
+		page.Jobs = append(page.Jobs, view)
 	}
-	return list
+	return page
 }
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -45,8 +45,8 @@
 	if err != nil {
 		panic(Unreadable.Wrap(err, "record of %s", r.group.Name()))
 	}
-	if result.Release != nil {
-		r.group.Compact(result.Release.Index, result.Release.Data)
+	if result.ReleaseCursor != nil {
+		r.group.Compact(result.ReleaseCursor.Index, result.ReleaseCursor.Snapshot)
 	}
 	if !r.group.IsLeader() {
 		return
@@ -58,18 +58,18 @@
 		}
 		h.applied[key].Results = append(h.applied[key].Results, outcome)
 	}
-	if len(result.Shifts) > 0 && r.notifiedTerm == r.group.Term() {
-		effects.Notify("scheduler", h.newTaskEvents(r, result.Shifts, false, result.Shifts[len(result.Shifts)-1].Hand))
+	if len(result.Events) > 0 && r.notifiedTerm == r.group.Term() {
+		effects.Notify("scheduler", h.newTaskEvents(r, result.Events, false, result.Events[len(result.Events)-1].Sequence))
 	}
 	if isPending && pending.end != nil {
 		h.acknowledgeEnd(pending.from, pending.end, effects)
 	}
 	if isPending && pending.request != nil {
-		h.reply(pending, result.Code, jobViewOrFault(result.View), r.group, effects)
+		h.reply(pending, result.CancelCode, jobViewOrFault(result.CancelView), r.group, effects)
 	}
 }
 
-func (h *Host) newTaskEvents(r *replica, events []*queue.Shift, isSnapshot bool, lastSequence uint64) TaskEvents {
+func (h *Host) newTaskEvents(r *replica, events []*queue.TaskEvent, isSnapshot bool, lastSequence uint64) TaskEvents {
 	return TaskEvents{
 		Queue: r.name, Group: r.group.Name(), Term: r.group.Term(), LastSequence: lastSequence, Events: events, IsSnapshot: isSnapshot,
 		Urgency: h.values.Number("queue", r.name, "urgency"),
@@ -99,7 +99,7 @@
 		}
 		if r.notifiedTerm != r.group.Term() && r.group.HoldsLeaderLease(now) {
 			r.notifiedTerm = r.group.Term()
-			events, lastSequence := r.queue.Standings()
+			events, lastSequence := r.queue.ActiveTasks()
 			effects.Notify("scheduler", h.newTaskEvents(r, events, true, lastSequence))
 		}
 	}
--- a/internal/replica/maintenance.go
+++ b/internal/replica/maintenance.go
@@ -72,29 +72,29 @@
 	// A queue that nothing happens in must still let time pass for what it
 	// holds, or a new leader would start from an old time.
 	interval := retainedTickInterval
-	if m.Timed() > 0 {
+	if m.TimedJobs() > 0 {
 		interval = timedTickInterval
 	}
-	if (m.Timed() > 0 || m.Kept() > 0) && groupTime-m.Now() > int64(interval) && now-r.tickProposedAt > interval {
+	if (m.TimedJobs() > 0 || m.RetainedJobs() > 0) && groupTime-m.Now() > int64(interval) && now-r.tickProposedAt > interval {
 		r.tickIndex = h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Tick{Tick: &schema.Tick{}}})
 		r.tickProposedAt = now
 	}
 	// Jobs that are to start at a time of day keep to it, though queue time has
 	// stood still without a leader.
-	if m.Timed() > 0 && r.tickIndex <= g.AppliedIndex() {
+	if m.TimedJobs() > 0 && r.tickIndex <= g.AppliedIndex() {
 		offset, isKnown := g.WallOffset(now, h.wallClock())
 		if drift := offset - m.WallOffset(); isKnown && (drift > int64(maxWallDrift) || drift < -int64(maxWallDrift)) {
 			r.tickIndex = h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Tick{Tick: &schema.Tick{WallOffsetUs: offset}}})
 			r.tickProposedAt = now
 		}
 	}
-	if wanted := h.queueSettings; !proto.Equal(wanted, m.Adopted()) && r.settingsIndex <= g.AppliedIndex() {
+	if wanted := h.queueSettings; !proto.Equal(wanted, m.Settings()) && r.settingsIndex <= g.AppliedIndex() {
 		r.settingsIndex = h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_ApplySettings{ApplySettings: wanted}})
 	}
 	// One old job must not pin the log for ever: it enters it anew.
 	limit := uint64(h.values.Fleet("carry_records"))
 	if g.LastIndex()-g.SnapshotIndex() > limit && r.reenqueueIndex <= g.AppliedIndex() {
-		if id, index, payload := m.Oldest(); id != 0 && g.LastIndex()-index > limit/2 {
+		if id, index, payload := m.OldestJob(); id != 0 && g.LastIndex()-index > limit/2 {
 			r.reenqueueIndex = h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Reenqueue{Reenqueue: &schema.Reenqueue{Job: id, Payload: payload}}})
 		}
 	}
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -31,7 +31,7 @@
 type TaskEvents struct {
 	Queue, Group       string
 	Term, LastSequence uint64
-	Events             []*queue.Shift
+	Events             []*queue.TaskEvent
 	IsSnapshot         bool
 	Urgency            int64
 	Running            int64
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -75,7 +75,7 @@
 	m := pending.request
 	switch m.Kind {
 	case "status":
-		view, found := r.queue.View(m.Name)
+		view, found := r.queue.JobView(m.Name)
 		if !found {
 			h.reply(pending, 404, faultJSON("unknown_job", "no job of this name is known in the queue"), r.group, effects)
 			return
@@ -227,9 +227,9 @@
 		}
 	}
 	if r.queue != nil {
-		status.LiveJobs, status.RetainedJobs, status.EndedJobs = uint32(r.queue.Live()), uint32(r.queue.Kept()), r.queue.Ended()
+		status.LiveJobs, status.RetainedJobs, status.EndedJobs = uint32(r.queue.LiveJobs()), uint32(r.queue.RetainedJobs()), r.queue.EndedJobs()
 		seen := map[string]bool{}
-		for _, session := range r.queue.Boots() {
+		for _, session := range r.queue.Sessions() {
 			key := session.Gateway + "/" + strconv.FormatUint(session.Incarnation, 10)
 			if !seen[key] {
 				seen[key] = true
@@ -291,8 +291,8 @@
 			Last: g.LastIndex(), Stable: g.StableIndex(), Released: g.SnapshotIndex(), Voters: g.MemberSet().Voters, Learners: g.MemberSet().Learners,
 		}
 		if r.queue != nil {
-			groupView.LiveJobs, groupView.RetainedJobs, groupView.Reenqueues, groupView.Sessions = r.queue.Live(), r.queue.Kept(), r.queue.Carries(), len(r.queue.Boots())
-			groupView.Digest = Digest(r.queue.Rest(true))
+			groupView.LiveJobs, groupView.RetainedJobs, groupView.Reenqueues, groupView.Sessions = r.queue.LiveJobs(), r.queue.RetainedJobs(), r.queue.Reenqueues(), len(r.queue.Sessions())
+			groupView.Digest = Digest(r.queue.Snapshot(true))
 		} else {
 			groupView.Digest = Digest(h.clusterState.Snapshot())
 			view.IsClusterStateFresh = h.isClusterStateFresh(now)
--- a/internal/scheduler/agent_test.go
+++ b/internal/scheduler/agent_test.go
@@ -42,7 +42,7 @@
 }
 
 // queue tells the whole list of a queue.
-func (d *desk) queue(name string, urgency int64, list ...*queue.Shift) {
+func (d *desk) queue(name string, urgency int64, list ...*queue.TaskEvent) {
 	d.step(replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 1, "m#1": 1, "k#1": 1}, IsClusterStateFresh: true})
 	d.step(replica.TaskEvents{Queue: name, Group: name + "#1", Term: 1, LastSequence: 1, Events: list, IsSnapshot: true, Running: 1000, Urgency: urgency})
 }
@@ -80,9 +80,9 @@
 
 func TestNamedNotes(t *testing.T) {
 	rows := []*schema.ConfigurationRow{queueRow("l", "urgency", "10"), queueRow("m", "urgency", "10")}
-	out := func() *queue.Shift {
-		s := shift(1, 7, 3, queue.Out, "w", &schema.Step{Name: "s", Tasks: 4, CoresMilli: 600, Checkpoints: true})
-		s.Key.Step, s.Round, s.Part, s.Saved = 5, 2, 1, "before"
+	out := func() *queue.TaskEvent {
+		s := shift(1, 7, 3, queue.CheckedOut, "w", &schema.Step{Name: "s", Tasks: 4, CoresMilli: 600, Checkpoints: true})
+		s.Key.Step, s.Round, s.StepInRound, s.Progress = 5, 2, 1, "before"
 		return s
 	}
 	note := func(state string) *schema.TaskStatus {
@@ -159,7 +159,7 @@
 	Convey("What an agent says is dead gives back its tasks at once and gets nothing more", t, func() {
 		d := newDesk("old", "new")
 		saving := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 600, Checkpoints: true}
-		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "old", saving))
+		d.shifts(true, 1, shift(1, 1, 0, queue.CheckedOut, "old", saving))
 		d.announce("old", runs(&schema.TaskStatus{Name: "j1", Attempt: 1, State: "running", Checkpoint: "half"}))
 		d.announce("old", runs(&schema.TaskStatus{Name: "j1", Attempt: 1, State: "running", Checkpoint: "half"}))
 		d.announce("new", named(func(a *schema.WorkerHeartbeat) { a.ReplacedWorkers = []string{"old"} }))
@@ -169,7 +169,7 @@
 		So(d.last().Orders, ShouldBeNil)
 		Convey("also what turns out to be there later", func() {
 			d.tells = nil
-			d.shifts(false, 2, shift(2, 2, 0, queue.Out, "old", saving))
+			d.shifts(false, 2, shift(2, 2, 0, queue.CheckedOut, "old", saving))
 			d.step(eventloop.Tick{})
 			So(d.ended()[0].Key.Job, ShouldEqual, 2)
 		})
@@ -205,7 +205,7 @@
 		d.announce("v", gathering(nil))
 		d.announce("w", gathering(nil))
 		count := len(d.replies)
-		d.shifts(false, 4, shift(3, 1, 0, queue.Out, "v", gang), shift(4, 1, 1, queue.Out, "w", gang))
+		d.shifts(false, 4, shift(3, 1, 0, queue.CheckedOut, "v", gang), shift(4, 1, 1, queue.CheckedOut, "w", gang))
 		So(len(d.acts(count, "start")), ShouldEqual, 2)
 		So(d.acts(0, "hold"), ShouldBeEmpty)
 		return d
@@ -263,7 +263,7 @@
 	Convey("Nothing is started when the worker of another member has left", t, func() {
 		d := newDesk("v", "w")
 		d.announce("w", gathering(func(a *schema.WorkerHeartbeat) { a.Draining = true }))
-		d.shifts(true, 2, shift(1, 1, 0, queue.Out, "v", gang), shift(2, 1, 1, queue.Out, "w", gang))
+		d.shifts(true, 2, shift(1, 1, 0, queue.CheckedOut, "v", gang), shift(2, 1, 1, queue.CheckedOut, "w", gang))
 		d.announce("v", gathering(nil))
 		d.announce("v", gathering(nil))
 		So(d.acts(0, "start"), ShouldBeEmpty)
@@ -316,7 +316,7 @@
 			d.announce("v", each.v)
 			d.announce("w", each.w)
 			each.step.Tasks = uint32(each.tasks)
-			var list []*queue.Shift
+			var list []*queue.TaskEvent
 			for k := 0; k < each.tasks; k++ {
 				list = append(list, shift(uint64(k+1), 1, uint32(k), queue.Ready, "", each.step))
 			}
@@ -336,13 +336,13 @@
 		d.announce("w", func(a *schema.WorkerHeartbeat) {
 			a.Running = []*schema.TaskStatus{{Queue: "l", Job: 1, Task: 2, Attempt: 1, State: "running", CoresMilli: 100}}
 		})
-		d.shifts(true, 4, shift(1, 1, 0, queue.Out, "w", step), shift(2, 1, 1, queue.Ready, "", step), again)
+		d.shifts(true, 4, shift(1, 1, 0, queue.CheckedOut, "w", step), shift(2, 1, 1, queue.Ready, "", step), again)
 		So(d.picks(), ShouldBeEmpty)
 	})
 	Convey("A task isn't started where its queue's pool is another by now", t, func() {
 		d := newDesk("w")
 		d.told([]*schema.ConfigurationRow{queueRow("l", "pool", "p")}, "w")
-		d.queue("l", 10, shift(1, 1, 0, queue.Out, "w", one))
+		d.queue("l", 10, shift(1, 1, 0, queue.CheckedOut, "w", one))
 		d.announce("w", nil)
 		So(d.last().Orders.Orders[0].Action, ShouldEqual, "stop")
 	})
@@ -376,7 +376,7 @@
 	} {
 		Convey("On a worker with a time to go "+each.what, t, func() {
 			d := newDesk("w")
-			d.shifts(true, 1, shift(1, 1, 0, queue.Out, "w", each.step))
+			d.shifts(true, 1, shift(1, 1, 0, queue.CheckedOut, "w", each.step))
 			began := d.now
 			stoppedAt := eventloop.Micros(0)
 			percent := int64(0)
@@ -422,40 +422,40 @@
 	}
 	for _, each := range []struct {
 		what         string
-		less         []*queue.Shift
+		less         []*queue.TaskEvent
 		running      map[string][]*schema.TaskStatus
-		urgent       []*queue.Shift
+		urgent       []*queue.TaskEvent
 		want         map[uint64]int
 		lessUrgently int64
 	}{
-		{what: "what has run least", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "v", mid), shift(1, 3, 0, queue.Out, "w", mid), shift(1, 4, 0, queue.Out, "w", mid)},
+		{what: "what has run least", less: []*queue.TaskEvent{shift(1, 1, 0, queue.CheckedOut, "v", mid), shift(1, 2, 0, queue.CheckedOut, "v", mid), shift(1, 3, 0, queue.CheckedOut, "w", mid), shift(1, 4, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), run(2, 0, 9*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
-			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{3: 1}},
-		{what: "what has kept its progress", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "v", saving), shift(1, 3, 0, queue.Out, "w", mid), shift(1, 4, 0, queue.Out, "w", mid)},
+			urgent:  []*queue.TaskEvent{shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{3: 1}},
+		{what: "what has kept its progress", less: []*queue.TaskEvent{shift(1, 1, 0, queue.CheckedOut, "v", mid), shift(1, 2, 0, queue.CheckedOut, "v", saving), shift(1, 3, 0, queue.CheckedOut, "w", mid), shift(1, 4, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), {Queue: "l", Job: 2, Attempt: 1, State: "running", RunUs: 20_000_000, Checkpoint: "x", CoresMilli: 400}}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
-			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{2: 1}},
-		{what: "lasting tasks late", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "v", lasting), shift(1, 3, 0, queue.Out, "w", lasting), shift(1, 4, 0, queue.Out, "w", lasting)},
+			urgent:  []*queue.TaskEvent{shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{2: 1}},
+		{what: "lasting tasks late", less: []*queue.TaskEvent{shift(1, 1, 0, queue.CheckedOut, "v", mid), shift(1, 2, 0, queue.CheckedOut, "v", lasting), shift(1, 3, 0, queue.CheckedOut, "w", lasting), shift(1, 4, 0, queue.CheckedOut, "w", lasting)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), run(2, 0, eventloop.Millisecond)}, "w": {run(3, 0, eventloop.Millisecond), run(4, 0, eventloop.Millisecond)}},
-			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{1: 1}},
-		{what: "no more than is needed, but enough for all that waits", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "v", mid), shift(1, 3, 0, queue.Out, "w", mid), shift(1, 4, 0, queue.Out, "w", mid)},
+			urgent:  []*queue.TaskEvent{shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{1: 1}},
+		{what: "no more than is needed, but enough for all that waits", less: []*queue.TaskEvent{shift(1, 1, 0, queue.CheckedOut, "v", mid), shift(1, 2, 0, queue.CheckedOut, "v", mid), shift(1, 3, 0, queue.CheckedOut, "w", mid), shift(1, 4, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second), run(2, 0, 3*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
-			urgent:  []*queue.Shift{shift(1, 8, 0, queue.Ready, "", mid), shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{1: 1, 2: 1}},
-		{what: "a group as a whole, which costs all of it", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", group), shift(1, 1, 1, queue.Out, "w", group), shift(1, 2, 0, queue.Out, "v", mid), shift(1, 3, 0, queue.Out, "w", mid)},
+			urgent:  []*queue.TaskEvent{shift(1, 8, 0, queue.Ready, "", mid), shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{1: 1, 2: 1}},
+		{what: "a group as a whole, which costs all of it", less: []*queue.TaskEvent{shift(1, 1, 0, queue.CheckedOut, "v", group), shift(1, 1, 1, queue.CheckedOut, "w", group), shift(1, 2, 0, queue.CheckedOut, "v", mid), shift(1, 3, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 5*eventloop.Second), run(2, 0, 20*eventloop.Second)}, "w": {run(1, 1, 5*eventloop.Second), run(3, 0, 9*eventloop.Second)}},
-			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{3: 1}},
-		{what: "for a group as well", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "v", mid), shift(1, 3, 0, queue.Out, "w", mid), shift(1, 4, 0, queue.Out, "w", mid)},
+			urgent:  []*queue.TaskEvent{shift(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{3: 1}},
+		{what: "for a group as well", less: []*queue.TaskEvent{shift(1, 1, 0, queue.CheckedOut, "v", mid), shift(1, 2, 0, queue.CheckedOut, "v", mid), shift(1, 3, 0, queue.CheckedOut, "w", mid), shift(1, 4, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second), run(2, 0, 3*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
-			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Gang: true}), shift(1, 9, 1, queue.Ready, "", &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Gang: true})}, want: map[uint64]int{1: 1, 3: 1}},
-		{what: "nothing for what then doesn't fit", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "w", mid)},
+			urgent:  []*queue.TaskEvent{shift(1, 9, 0, queue.Ready, "", &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Gang: true}), shift(1, 9, 1, queue.Ready, "", &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Gang: true})}, want: map[uint64]int{1: 1, 3: 1}},
+		{what: "nothing for what then doesn't fit", less: []*queue.TaskEvent{shift(1, 1, 0, queue.CheckedOut, "v", mid), shift(1, 2, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second)}, "w": {run(2, 0, 8*eventloop.Second)}},
-			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", &schema.Step{Name: "x", Tasks: 1, CoresMilli: 1200})}, want: map[uint64]int{}},
-		{what: "nothing for a group of which one doesn't fit", less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "w", mid)},
+			urgent:  []*queue.TaskEvent{shift(1, 9, 0, queue.Ready, "", &schema.Step{Name: "x", Tasks: 1, CoresMilli: 1200})}, want: map[uint64]int{}},
+		{what: "nothing for a group of which one doesn't fit", less: []*queue.TaskEvent{shift(1, 1, 0, queue.CheckedOut, "v", mid), shift(1, 2, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second)}, "w": {run(2, 0, 8*eventloop.Second)}},
-			urgent: []*queue.Shift{shift(1, 9, 0, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Gang: true}), shift(1, 9, 1, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Gang: true}),
+			urgent: []*queue.TaskEvent{shift(1, 9, 0, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Gang: true}), shift(1, 9, 1, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Gang: true}),
 				shift(1, 9, 2, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Gang: true})}, want: map[uint64]int{}},
-		{what: "nothing of the same urgency", lessUrgently: 50, less: []*queue.Shift{shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "w", mid)},
+		{what: "nothing of the same urgency", lessUrgently: 50, less: []*queue.TaskEvent{shift(1, 1, 0, queue.CheckedOut, "v", mid), shift(1, 2, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second)}, "w": {run(2, 0, 8*eventloop.Second)}},
-			urgent:  []*queue.Shift{shift(1, 9, 0, queue.Ready, "", big)}, want: map[uint64]int{}},
+			urgent:  []*queue.TaskEvent{shift(1, 9, 0, queue.Ready, "", big)}, want: map[uint64]int{}},
 	} {
 		Convey("Urgent work displaces "+each.what, t, func() {
 			d := newDesk("v", "w")
@@ -478,7 +478,7 @@
 	}
 	Convey("The room that was freed goes to whom it was freed for", t, func() {
 		d := newDesk("w")
-		d.queue("l", 10, shift(1, 1, 0, queue.Out, "w", mid), shift(1, 2, 0, queue.Out, "w", mid), shift(1, 3, 0, queue.Ready, "", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 300}))
+		d.queue("l", 10, shift(1, 1, 0, queue.CheckedOut, "w", mid), shift(1, 2, 0, queue.CheckedOut, "w", mid), shift(1, 3, 0, queue.Ready, "", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 300}))
 		both := []*schema.TaskStatus{run(1, 0, eventloop.Second), run(2, 0, eventloop.Second)}
 		d.announce("w", func(a *schema.WorkerHeartbeat) { a.Running = both })
 		d.queue("m", 50, shift(1, 9, 0, queue.Ready, "", &schema.Step{Name: "x", Tasks: 1, CoresMilli: 1000}))
@@ -502,7 +502,7 @@
 			d := newDesk("v", "w")
 			gang := &schema.Step{Name: "g", Tasks: 2, CoresMilli: 900, Gang: true}
 			small := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 500}
-			d.queue("k", 10, shift(1, 1, 0, queue.Out, "v", small))
+			d.queue("k", 10, shift(1, 1, 0, queue.CheckedOut, "v", small))
 			busy := func(a *schema.WorkerHeartbeat) {
 				a.Running = []*schema.TaskStatus{{Queue: "k", Job: 1, Attempt: 1, State: "running", CoresMilli: 500}}
 			}
@@ -532,7 +532,7 @@
 	Convey("What doesn't fit holds up nothing that does", t, func() {
 		d := newDesk("w")
 		d.announce("w", nil)
-		var list []*queue.Shift
+		var list []*queue.TaskEvent
 		for job := uint64(1); job <= 40; job++ {
 			list = append(list, shift(job, job, 0, queue.Ready, "", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 5000}))
 		}
@@ -549,11 +549,11 @@
 	finish := func(d *desk, worker string, run eventloop.Micros) {
 		job++
 		hand := d.t.views["l"].hand
-		d.shifts(false, hand+1, shift(hand+1, job, 0, queue.Out, worker, step))
+		d.shifts(false, hand+1, shift(hand+1, job, 0, queue.CheckedOut, worker, step))
 		d.announce(worker, named(func(a *schema.WorkerHeartbeat) {
 			a.Ended = []*schema.TaskStatus{{Name: fmt.Sprint("j", job), Attempt: 1, State: "done", RunUs: int64(run)}}
 		}))
-		d.shifts(false, hand+2, shift(hand+2, job, 0, queue.Gone, "", step))
+		d.shifts(false, hand+2, shift(hand+2, job, 0, queue.Inactive, "", step))
 	}
 	ready := func(d *desk, step *schema.Step) string {
 		job++
@@ -590,7 +590,7 @@
 	Convey("A task that stands still while others end alike ones is displaced, and its worker rests", t, func() {
 		d := setUp()
 		hand := d.t.views["l"].hand
-		d.shifts(false, hand+1, shift(hand+1, 7, 0, queue.Out, "a", step))
+		d.shifts(false, hand+1, shift(hand+1, 7, 0, queue.CheckedOut, "a", step))
 		began := d.now
 		percent := int64(0)
 		play := func(span eventloop.Micros, moves int64) {
@@ -690,7 +690,7 @@
 		fail(d, "a", 1, 2)
 		ready(d, step)
 		hand := d.t.views["l"].hand
-		d.shifts(false, hand+1, shift(hand+1, job, 0, queue.Gone, "", step))
+		d.shifts(false, hand+1, shift(hand+1, job, 0, queue.Inactive, "", step))
 		d.pass(firstRest)
 		has := func(notes ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
 			return named(func(a *schema.WorkerHeartbeat) { a.Labels, a.Running = []string{"x"}, notes })
@@ -698,7 +698,7 @@
 		only := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Labels: []string{"x"}}
 		hand = d.t.views["l"].hand
 		d.tells = nil
-		d.shifts(false, hand+1, shift(hand+1, 900, 0, queue.Out, "a", only))
+		d.shifts(false, hand+1, shift(hand+1, 900, 0, queue.CheckedOut, "a", only))
 		runs := &schema.TaskStatus{Name: "j900", Attempt: 1, State: "running"}
 		d.announce("a", has(runs))
 		d.shifts(false, hand+2, shift(hand+2, 901, 0, queue.Ready, "", only))
@@ -746,7 +746,7 @@
 	Convey("However many steps fit nowhere, what stands behind them is looked at before long", t, func() {
 		d := newDesk("w")
 		d.announce("w", nil)
-		var list []*queue.Shift
+		var list []*queue.TaskEvent
 		for k := uint64(1); k <= 100; k++ {
 			huge := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 10_000 + int64(k)}
 			list = append(list, shift(k, k, 0, queue.Ready, "", huge))
@@ -794,7 +794,7 @@
 				})
 			}
 		}
-		d.queue("l", 10, shift(1, 1, 0, queue.Out, "v", mid), shift(1, 2, 0, queue.Out, "w", mid))
+		d.queue("l", 10, shift(1, 1, 0, queue.CheckedOut, "v", mid), shift(1, 2, 0, queue.CheckedOut, "w", mid))
 		say()
 		d.queue("m", 50, shift(1, 9, 0, queue.Ready, "", mid))
 		other := d.t.views["l"].tasks[taskKey{"l", 2, 0, 0}]
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -59,13 +59,13 @@
 					case replica.Propose:
 						for _, pick := range m.Command.GetCheckout().GetPlacements() {
 							hand++
-							d.shifts(false, hand, shift(hand, pick.Key.Job, 0, queue.Out, pick.Worker, spec()))
+							d.shifts(false, hand, shift(hand, pick.Key.Job, 0, queue.CheckedOut, pick.Worker, spec()))
 							running[pick.Worker] = append(running[pick.Worker], &schema.TaskStatus{Name: fmt.Sprint("j", pick.Key.Job), Attempt: 1, State: "running"})
 							say(pick.Worker)
 						}
 					case replica.TaskEnded:
 						hand++
-						d.shifts(false, hand, shift(hand, m.End.Key.Job, 0, queue.Gone, "", spec()))
+						d.shifts(false, hand, shift(hand, m.End.Key.Job, 0, queue.Inactive, "", spec()))
 						d.step(&schema.TaskEndAck{Queue: "l", Key: m.End.Key, Attempt: m.End.Attempt, Worker: m.End.Worker})
 						over[m.End.Worker] = nil
 						say(m.End.Worker)
--- a/internal/scheduler/chance.go
+++ b/internal/scheduler/chance.go
@@ -26,7 +26,7 @@
 
 // course is the longest way through a round, and that from a step on, itself
 // first.
-type course struct{ span, ahead []queue.Leg }
+type course struct{ span, ahead []queue.PathStep }
 
 // aim is how long a queue's jobs should take at most: so many times their
 // longest way, and so much besides.
@@ -44,7 +44,7 @@
 
 // usual is how long a way should take, where no step may have more cores at
 // once than so many (0: any number); what is wider goes in waves.
-func (t *Table) usual(name string, way []queue.Leg, cores int64) (sum eventloop.Micros) {
+func (t *Table) usual(name string, way []queue.PathStep, cores int64) (sum eventloop.Micros) {
 	p := t.paces[paceKey{name, ""}]
 	for _, each := range way {
 		if each.EstimateUs <= 0 {
@@ -72,7 +72,7 @@
 		return inTime
 	}
 	rest := t.usual(v.queue, each.ahead, 0)
-	if each.standing == queue.Out && each.beganAt > 0 {
+	if each.standing == queue.CheckedOut && each.beganAt > 0 {
 		if w := t.workers[each.worker]; w != nil {
 			rest = min(rest, t.remaining(now, w, each)+t.usual(v.queue, each.ahead[1:], 0))
 		}
--- a/internal/scheduler/chance_test.go
+++ b/internal/scheduler/chance_test.go
@@ -12,9 +12,9 @@
 )
 
 // way gives a ready task its age and the estimates of the steps before it is done.
-func way(s *queue.Shift, age eventloop.Micros, estimate eventloop.Micros) *queue.Shift {
-	legs := []queue.Leg{{EstimateUs: int64(estimate), CoresMilli: s.Spec.CoresMilli}}
-	s.AgeUs, s.Span, s.Ahead = int64(age), legs, legs
+func way(s *queue.TaskEvent, age eventloop.Micros, estimate eventloop.Micros) *queue.TaskEvent {
+	legs := []queue.PathStep{{EstimateUs: int64(estimate), CoresMilli: s.Spec.CoresMilli}}
+	s.RoundAgeUs, s.CriticalPath, s.RemainingPath = int64(age), legs, legs
 	return s
 }
 
@@ -66,7 +66,7 @@
 		d.t.cores = 1000
 		v := &view{queue: "l", aim: d.t.aimOf("l")}
 		each := &task{spec: step, standing: queue.Ready, dueAt: d.now - 3*eventloop.Second}
-		legs := []queue.Leg{{EstimateUs: int64(eventloop.Second), CoresMilli: 250}}
+		legs := []queue.PathStep{{EstimateUs: int64(eventloop.Second), CoresMilli: 250}}
 		each.course = course{legs, legs}
 		So(d.t.chanceOf(d.now, v, each), ShouldEqual, late)
 		legs[0].CoresMilli = 500
@@ -83,7 +83,7 @@
 		for _, id := range []string{"w", "x", "y"} {
 			d.announce(id, named(nil))
 		}
-		d.queue("l", 20, shift(1, 1, 0, queue.Out, "w", long), shift(1, 2, 0, queue.Out, "x", long))
+		d.queue("l", 20, shift(1, 1, 0, queue.CheckedOut, "w", long), shift(1, 2, 0, queue.CheckedOut, "x", long))
 		d.t.setAside(d.now, d.t.workers["y"], firstRest, 1)
 		d.queue("m", 20, way(shift(1, 3, 0, queue.Ready, "", long), 0, 6*eventloop.Second))
 		d.announce("y", named(nil))
@@ -99,9 +99,9 @@
 	Convey("Room that more urgent work has been using of late is left free by what takes long", t, func() {
 		d := newDesk("w")
 		d.announce("w", named(nil))
-		d.queue("l", 20, shift(1, 1, 0, queue.Out, "w", wide))
+		d.queue("l", 20, shift(1, 1, 0, queue.CheckedOut, "w", wide))
 		d.pass(100 * eventloop.Millisecond)
-		d.step(replica.TaskEvents{Queue: "l", Group: "l#1", Term: 1, LastSequence: 2, Events: []*queue.Shift{shift(2, 1, 0, queue.Gone, "", wide)}, Running: 1000, Urgency: 20})
+		d.step(replica.TaskEvents{Queue: "l", Group: "l#1", Term: 1, LastSequence: 2, Events: []*queue.TaskEvent{shift(2, 1, 0, queue.Inactive, "", wide)}, Running: 1000, Urgency: 20})
 		d.announce("w", named(nil))
 		d.queue("m", 10, way(shift(1, 2, 0, queue.Ready, "", long), 0, 6*eventloop.Second))
 		d.announce("w", named(nil))
@@ -131,7 +131,7 @@
 	}
 	play := func(span eventloop.Micros) *desk {
 		d := newDesk("w")
-		d.queue("m", 10, way(shift(1, 1, 0, queue.Out, "w", low), 0, 20*eventloop.Second))
+		d.queue("m", 10, way(shift(1, 1, 0, queue.CheckedOut, "w", low), 0, 20*eventloop.Second))
 		d.announce("w", runs(span))
 		d.queue("l", 20, way(shift(1, 2, 0, queue.Ready, "", high), 0, eventloop.Second))
 		d.pass(preemptAfter + 2*Pace)
--- a/internal/scheduler/deaf_test.go
+++ b/internal/scheduler/deaf_test.go
@@ -14,7 +14,7 @@
 	Convey("A worker that is heard, but hears nothing itself, counts as silent", t, func() {
 		d := newDesk("w")
 		d.announce("w", nil)
-		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "w", one))
+		d.shifts(true, 1, shift(1, 1, 0, queue.CheckedOut, "w", one))
 		d.now += 2 * eventloop.Second
 		d.fresh(true)
 		d.announce("w", nil)
--- a/internal/scheduler/gather.go
+++ b/internal/scheduler/gather.go
@@ -13,7 +13,7 @@
 
 // gather stops the rest of a group one of whose members can't begin any more.
 func (t *Table) gather(now eventloop.Micros, each *task) {
-	if each.standing != queue.Out || each.evict != "" {
+	if each.standing != queue.CheckedOut || each.evict != "" {
 		return
 	}
 	members := t.members(each)
@@ -32,7 +32,7 @@
 		}
 		_, isOver := t.over[member.worker]
 		switch {
-		case member.standing != queue.Out || member.evict != "" || isOver:
+		case member.standing != queue.CheckedOut || member.evict != "" || isOver:
 			isBroken = true
 		case member.beganAt > 0:
 		case now-member.since > t.gatherSpan():
@@ -45,7 +45,7 @@
 		return
 	}
 	for _, member := range members {
-		if member.standing == queue.Out && member.evict == "" {
+		if member.standing == queue.CheckedOut && member.evict == "" {
 			t.evict(member, "stopped")
 		}
 	}
@@ -71,7 +71,7 @@
 	}
 	for _, member := range members {
 		w := t.workers[member.worker]
-		if member.standing != queue.Out || member.evict != "" || w == nil || w.isOver {
+		if member.standing != queue.CheckedOut || member.evict != "" || w == nil || w.isOver {
 			return false
 		}
 		if w.ended[attemptKey{member.key, member.attempt}] != nil || member.beganAt == 0 && (!w.isKnown || w.isLeaving) {
--- a/internal/scheduler/groups.go
+++ b/internal/scheduler/groups.go
@@ -27,7 +27,7 @@
 		return
 	}
 	for _, member := range t.members(each) {
-		if member.standing == queue.Out && member.evict == "" {
+		if member.standing == queue.CheckedOut && member.evict == "" {
 			t.evict(member, outcome)
 		}
 	}
@@ -88,7 +88,7 @@
 func (t *Table) isHeld(members []*task) bool {
 	for _, member := range members {
 		w := t.workers[member.worker]
-		if member.standing != queue.Out || member.evict != "" || w == nil || w.isLeaving || w.gathers {
+		if member.standing != queue.CheckedOut || member.evict != "" || w == nil || w.isLeaving || w.gathers {
 			return false
 		}
 		if t.noteOf(member) == nil {
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -14,7 +14,7 @@
 	Convey("An end is told to its leader until the leader says that it was applied, and noted only then", t, func() {
 		d := newDesk("v")
 		d.announce("v", named(nil))
-		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "v", one))
+		d.shifts(true, 1, shift(1, 1, 0, queue.CheckedOut, "v", one))
 		note := func(state string) *schema.TaskStatus { return &schema.TaskStatus{Name: "j1", Attempt: 1, State: state} }
 		d.announce("v", runs(note("running")))
 		isNoted := func() bool {
@@ -45,7 +45,7 @@
 		d := newDesk("v", "w")
 		d.announce("v", gathering)
 		d.announce("w", gathering)
-		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "v", gang))
+		d.shifts(true, 1, shift(1, 1, 0, queue.CheckedOut, "v", gang))
 		d.announce("v", gathering)
 		So(d.acts(0, "start"), ShouldBeEmpty)
 	})
@@ -53,7 +53,7 @@
 		d := newDesk("v", "w")
 		d.announce("v", gathering)
 		d.announce("w", gathering)
-		d.shifts(true, 2, shift(1, 1, 0, queue.Out, "v", gang), shift(2, 1, 1, queue.Out, "w", gang))
+		d.shifts(true, 2, shift(1, 1, 0, queue.CheckedOut, "v", gang), shift(2, 1, 1, queue.CheckedOut, "w", gang))
 		d.pass(holdSpan)
 		d.announce("v", gathering)
 		d.announce("w", gathering)
@@ -62,7 +62,7 @@
 	Convey("nor while the worker of another hasn't been heard", t, func() {
 		d := newDesk("v", "w")
 		d.announce("v", gathering)
-		d.shifts(true, 2, shift(1, 1, 0, queue.Out, "v", gang), shift(2, 1, 1, queue.Out, "w", gang))
+		d.shifts(true, 2, shift(1, 1, 0, queue.CheckedOut, "v", gang), shift(2, 1, 1, queue.CheckedOut, "w", gang))
 		d.announce("v", gathering)
 		So(d.acts(0, "start"), ShouldBeEmpty)
 	})
--- a/internal/scheduler/meter.go
+++ b/internal/scheduler/meter.go
@@ -117,7 +117,7 @@
 		return
 	}
 	for _, each := range t.tasksOf(w) {
-		if each.standing != queue.Out || each.evict != "" || !t.isMetered(now, w, each) {
+		if each.standing != queue.CheckedOut || each.evict != "" || !t.isMetered(now, w, each) {
 			continue
 		}
 		expected := float64(t.expected(w, each))
--- a/internal/scheduler/meter_test.go
+++ b/internal/scheduler/meter_test.go
@@ -14,19 +14,19 @@
 func TestMeter(t *testing.T) {
 	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimatedRunUs: 1_000_000}
 	job := uint64(100)
-	shifts := func(d *desk, list ...*queue.Shift) {
+	shifts := func(d *desk, list ...*queue.TaskEvent) {
 		for _, each := range list {
-			each.Hand = d.t.views["l"].hand + 1
-			d.shifts(false, each.Hand, each)
+			each.Sequence = d.t.views["l"].hand + 1
+			d.shifts(false, each.Sequence, each)
 		}
 	}
 	finish := func(d *desk, worker string) {
 		job++
-		shifts(d, shift(0, job, 0, queue.Out, worker, step))
+		shifts(d, shift(0, job, 0, queue.CheckedOut, worker, step))
 		d.announce(worker, named(func(a *schema.WorkerHeartbeat) {
 			a.Ended = []*schema.TaskStatus{{Name: fmt.Sprint("j", job), Attempt: 1, State: "done", RunUs: int64(eventloop.Second)}}
 		}))
-		shifts(d, shift(0, job, 0, queue.Gone, "", step))
+		shifts(d, shift(0, job, 0, queue.Inactive, "", step))
 	}
 	setUp := func() *desk {
 		d := newDesk("a", "b", "c")
@@ -39,7 +39,7 @@
 			finish(d, "c")
 		}
 		for k := uint64(1); k <= 3; k++ {
-			shifts(d, shift(0, k, 0, queue.Out, "a", step))
+			shifts(d, shift(0, k, 0, queue.CheckedOut, "a", step))
 		}
 		return d
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -242,7 +242,7 @@
 }
 
 func (t *Table) isDisplaceable(each *task) bool {
-	if each.standing != queue.Out || each.evict != "" {
+	if each.standing != queue.CheckedOut || each.evict != "" {
 		return false
 	}
 	w := t.workers[each.worker]
--- a/internal/scheduler/rest_test.go
+++ b/internal/scheduler/rest_test.go
@@ -15,7 +15,7 @@
 	desk := func(ready int) *desk {
 		d := newDesk("w1", "w2")
 		d.announce("w1", nil)
-		var list []*queue.Shift
+		var list []*queue.TaskEvent
 		for k := 1; k <= ready; k++ {
 			list = append(list, shift(uint64(k), uint64(k), 0, queue.Ready, "", one))
 		}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -252,7 +252,7 @@
 		if limit := stated(each.spec.StallTimeoutUs, "still_ms"); limit > 0 && note.State == "running" && note.IdleUs+age > limit {
 			t.evict(each, "failed")
 		}
-		if each.evict != "" || each.standing != queue.Out {
+		if each.evict != "" || each.standing != queue.CheckedOut {
 			continue
 		}
 		if t.isStuck(now, w, each, note) {
@@ -285,7 +285,7 @@
 			t.gather(now, each)
 			continue
 		}
-		isWaiting := each.spec.Gang && each.standing == queue.Out && !each.isLaunched && each.evict == ""
+		isWaiting := each.spec.Gang && each.standing == queue.CheckedOut && !each.isLaunched && each.evict == ""
 		// Once its start has been proposed, only the log knows what becomes of it.
 		if isWaiting && now-each.since > groupSpan && (each.launchAt == 0 || now-each.launchAt > groupSpan) {
 			t.evict(each, "stopped")
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -55,18 +55,18 @@
 	d.step(&schema.WorkerPollRequest{Id: d.polls, Worker: worker, Heartbeat: a})
 }
 
-func shift(hand, job uint64, task uint32, state queue.Standing, worker string, step *schema.Step) *queue.Shift {
+func shift(hand, job uint64, task uint32, state queue.Status, worker string, step *schema.Step) *queue.TaskEvent {
 	attempt := uint32(0)
 	if state != queue.Ready {
 		attempt = 1
 	}
-	return &queue.Shift{
-		Hand: hand, Key: schema.TaskKey{Job: job, Task: task}, State: state, Attempt: attempt, Worker: worker, Incarnation: 1,
+	return &queue.TaskEvent{
+		Sequence: hand, Key: schema.TaskKey{Job: job, Task: task}, Status: state, Attempt: attempt, Worker: worker, Incarnation: 1,
 		Name: fmt.Sprint("j", job), Spec: step,
 	}
 }
 
-func (d *desk) shifts(isWhole bool, hand uint64, list ...*queue.Shift) {
+func (d *desk) shifts(isWhole bool, hand uint64, list ...*queue.TaskEvent) {
 	d.step(replica.TaskEvents{Queue: "l", Group: "l#1", Term: 1, LastSequence: hand, Events: list, IsSnapshot: isWhole, Running: 1000})
 }
 
@@ -101,14 +101,14 @@
 		d.shifts(true, 1, shift(1, 1, 0, queue.Ready, "", one))
 		So(len(d.picks()), ShouldEqual, 1)
 		So(len(d.replies), ShouldEqual, 1)
-		d.shifts(false, 2, shift(2, 1, 0, queue.Out, "w", one))
+		d.shifts(false, 2, shift(2, 1, 0, queue.CheckedOut, "w", one))
 		So(len(d.replies), ShouldEqual, 2)
 		So(d.last().Orders.Orders[0].Action, ShouldEqual, "start")
 		Convey("not without a quorum heard a moment ago", func() {
 			d := newDesk("w")
 			d.announce("w", nil)
 			d.announce("w", nil)
-			d.shifts(true, 1, shift(1, 1, 0, queue.Out, "w", one))
+			d.shifts(true, 1, shift(1, 1, 0, queue.CheckedOut, "w", one))
 			So(len(d.last().Orders.Orders), ShouldEqual, 1)
 			d.now += actSpan
 			d.announce("w", nil)
@@ -138,7 +138,7 @@
 	Convey("What has been noted as ended isn't started again while its shift is on its way", t, func() {
 		d := newDesk("w")
 		d.announce("w", nil)
-		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "w", one))
+		d.shifts(true, 1, shift(1, 1, 0, queue.CheckedOut, "w", one))
 		d.announce("w", func(a *schema.WorkerHeartbeat) {
 			a.Ended = []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: 1, State: "stopped"}}
 		})
@@ -148,7 +148,7 @@
 		d.announce("w", nil)
 		d.pass(600 * eventloop.Millisecond)
 		So(d.acts(from, "start"), ShouldBeEmpty)
-		next := shift(2, 1, 0, queue.Out, "w", one)
+		next := shift(2, 1, 0, queue.CheckedOut, "w", one)
 		next.Attempt = 2
 		d.shifts(false, 2, next)
 		d.announce("w", nil)
@@ -159,7 +159,7 @@
 func TestLostOnlyByTheWord(t *testing.T) {
 	Convey("A ward that has no fresh word of the cluster state takes no worker for lost", t, func() {
 		d := newDesk("w")
-		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "w", one))
+		d.shifts(true, 1, shift(1, 1, 0, queue.CheckedOut, "w", one))
 		d.announce("w", nil)
 		for k := 0; k < 100; k++ {
 			d.now += 100 * eventloop.Millisecond
@@ -184,15 +184,15 @@
 		d.announce("w", nil)
 		d.announce("w", nil)
 		d.shifts(true, 0)
-		d.shifts(false, 2, shift(2, 1, 0, queue.Out, "w", one))
+		d.shifts(false, 2, shift(2, 1, 0, queue.CheckedOut, "w", one))
 		query, isQuery := d.tells[len(d.tells)-1].(replica.ResyncQueue)
 		So(isQuery, ShouldBeTrue)
 		So(query.Group, ShouldEqual, "l#1")
 		So(len(d.replies), ShouldEqual, 1)
-		d.shifts(true, 2, shift(2, 1, 0, queue.Out, "w", one))
+		d.shifts(true, 2, shift(2, 1, 0, queue.CheckedOut, "w", one))
 		So(d.last().Orders.Orders[0].Action, ShouldEqual, "start")
 		// What comes again is known.
-		d.shifts(false, 2, shift(2, 1, 0, queue.Gone, "", one))
+		d.shifts(false, 2, shift(2, 1, 0, queue.Inactive, "", one))
 		So(len(d.t.views["l"].tasks), ShouldEqual, 1)
 	})
 }
@@ -200,7 +200,7 @@
 func TestLostOnlyAfterTheLease(t *testing.T) {
 	Convey("A silent worker's task is given back after lease and margin, not before", t, func() {
 		d := newDesk("w")
-		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "w", one))
+		d.shifts(true, 1, shift(1, 1, 0, queue.CheckedOut, "w", one))
 		d.now += 2 * eventloop.Second
 		d.fresh(true)
 		d.announce("w", nil)
@@ -219,14 +219,14 @@
 	})
 	Convey("A new incarnation's word gives back the old one's tasks at once", t, func() {
 		d := newDesk("w")
-		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "w", one))
+		d.shifts(true, 1, shift(1, 1, 0, queue.CheckedOut, "w", one))
 		d.announce("w", nil)
 		d.announce("w", func(a *schema.WorkerHeartbeat) { a.Incarnation = 2 })
 		So(len(d.ended()), ShouldEqual, 1)
 	})
 	Convey("A new ward waits for what the former may still have granted", t, func() {
 		d := newDesk("w")
-		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "w", one))
+		d.shifts(true, 1, shift(1, 1, 0, queue.CheckedOut, "w", one))
 		began := d.now
 		for len(d.ended()) == 0 && d.now < began+20*eventloop.Second {
 			d.now += 100 * eventloop.Millisecond
@@ -252,7 +252,7 @@
 		So(len(d.picks()), ShouldEqual, 0) // one worker isn't enough
 		d.announce("w", nil)
 		So(len(d.picks()), ShouldEqual, 2)
-		d.shifts(false, 4, shift(3, 1, 0, queue.Out, "v", gang), shift(4, 1, 1, queue.Out, "w", gang))
+		d.shifts(false, 4, shift(3, 1, 0, queue.CheckedOut, "v", gang), shift(4, 1, 1, queue.CheckedOut, "w", gang))
 		d.announce("v", nil)
 		So(d.last().Orders.Orders[0].Action, ShouldEqual, "hold")
 		d.announce("v", held(0))
@@ -273,8 +273,8 @@
 		launch := d.tells[len(d.tells)-1].(replica.Propose).Command.GetStartGang()
 		So(launch.GetAttempts(), ShouldResemble, []uint32{1, 1})
 		So(len(d.replies), ShouldEqual, count)
-		one, two := shift(5, 1, 0, queue.Out, "v", gang), shift(6, 1, 1, queue.Out, "w", gang)
-		one.IsLaunched, two.IsLaunched = true, true
+		one, two := shift(5, 1, 0, queue.CheckedOut, "v", gang), shift(6, 1, 1, queue.CheckedOut, "w", gang)
+		one.IsGangStarted, two.IsGangStarted = true, true
 		Convey("all at once when it is applied", func() {
 			d.shifts(false, 6, one, two)
 			So(len(d.replies), ShouldEqual, count+2)
@@ -323,7 +323,7 @@
 	})
 	Convey("A hold that doesn't come about lets all go", t, func() {
 		d := newDesk("v", "w")
-		d.shifts(true, 2, shift(1, 1, 0, queue.Out, "v", gang), shift(2, 1, 1, queue.Out, "w", gang))
+		d.shifts(true, 2, shift(1, 1, 0, queue.CheckedOut, "v", gang), shift(2, 1, 1, queue.CheckedOut, "w", gang))
 		d.announce("w", nil)
 		d.now += groupSpan + eventloop.Millisecond
 		d.fresh(true)
@@ -366,7 +366,7 @@
 		} {
 			d := newDesk("w")
 			limited := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 10, TimeLimitUs: 2_000_000, StallTimeoutUs: 1_000_000}
-			d.shifts(true, 1, shift(1, 1, 0, queue.Out, "w", limited))
+			d.shifts(true, 1, shift(1, 1, 0, queue.CheckedOut, "w", limited))
 			d.announce("w", nil)
 			d.announce("w", func(a *schema.WorkerHeartbeat) { a.Running = []*schema.TaskStatus{each} })
 			d.step(eventloop.Tick{})
@@ -384,7 +384,7 @@
 		step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 600, MemoryMb: 1}
 		d := newDesk("w")
 		d.announce("w", nil)
-		d.shifts(true, 1, shift(1, 1, 0, queue.Out, "w", step))
+		d.shifts(true, 1, shift(1, 1, 0, queue.CheckedOut, "w", step))
 		// Something of a queue that isn't led here runs there.
 		other := &schema.TaskStatus{Queue: "other", Job: 9, Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}
 		count := len(d.replies)
--- a/internal/scheduler/task.go
+++ b/internal/scheduler/task.go
@@ -36,7 +36,7 @@
 
 type task struct {
 	key         taskKey
-	standing    queue.Standing
+	standing    queue.Status
 	attempt     uint32
 	worker      string
 	incarnation uint64
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -86,21 +86,21 @@
 			return
 		}
 		for _, shift := range m.Events {
-			if shift.Hand <= v.hand {
+			if shift.Sequence <= v.hand {
 				continue
 			}
-			if shift.Hand != v.hand+1 {
+			if shift.Sequence != v.hand+1 {
 				// A hand-over is missing: ask for the whole list.
 				t.counts.Gaps++
 				out.Notify("replica", replica.ResyncQueue{Group: m.Group})
 				break
 			}
-			v.hand = shift.Hand
+			v.hand = shift.Sequence
 			t.shift(now, v, shift)
 		}
 	}
 	// What is out now took its room when it was picked.
-	if m.IsSnapshot || slices.ContainsFunc(m.Events, func(s *queue.Shift) bool { return s.State == queue.Ready }) {
+	if m.IsSnapshot || slices.ContainsFunc(m.Events, func(s *queue.TaskEvent) bool { return s.Status == queue.Ready }) {
 		t.isDirty = true
 	}
 	t.isStirred = true
@@ -121,18 +121,18 @@
 	}
 }
 
-func (t *Table) shift(now eventloop.Micros, v *view, s *queue.Shift) {
+func (t *Table) shift(now eventloop.Micros, v *view, s *queue.TaskEvent) {
 	key := taskKey{v.queue, s.Key.Job, s.Key.Step, s.Key.Task}
 	old := v.tasks[key]
 	t.remove(v, key)
-	if s.State == queue.Gone {
+	if s.Status == queue.Inactive {
 		return
 	}
 	each := &task{
-		key: key, standing: s.State, attempt: s.Attempt, worker: s.Worker, incarnation: s.Incarnation,
-		hand: s.Hand, name: s.Name, spec: s.Spec, text: s.Text, since: now, isLaunched: s.IsLaunched,
-		round: s.Round, part: s.Part, saved: s.Saved, failures: s.Failures,
-		dueAt: now - eventloop.Micros(s.AgeUs), course: course{s.Span, s.Ahead},
+		key: key, standing: s.Status, attempt: s.Attempt, worker: s.Worker, incarnation: s.Incarnation,
+		hand: s.Sequence, name: s.Name, spec: s.Spec, text: s.Text, since: now, isLaunched: s.IsGangStarted,
+		round: s.Round, part: s.StepInRound, saved: s.Progress, failures: s.Failures,
+		dueAt: now - eventloop.Micros(s.RoundAgeUs), course: course{s.CriticalPath, s.RemainingPath},
 	}
 	if old != nil {
 		each.why, each.strikes = old.why, old.strikes
@@ -146,7 +146,7 @@
 	v.tasks[key] = each
 	name := nameKey{each.name, each.round, each.part, each.key.task}
 	t.names[name] = append(t.names[name], each)
-	if s.State == queue.Ready {
+	if s.Status == queue.Ready {
 		each.worker = ""
 		v.addReady(each)
 		return
@@ -155,7 +155,7 @@
 	v.use.add(sizeOf(each.spec))
 	v.place(each, each.worker, 1)
 	t.placedOn(each.worker)[key] = each
-	if each.spec.Gang && key.task == 0 && each.standing == queue.Out && !each.isLaunched {
+	if each.spec.Gang && key.task == 0 && each.standing == queue.CheckedOut && !each.isLaunched {
 		v.gangs[key] = each
 	}
 	if w := t.workers[each.worker]; w != nil {
