--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -108,7 +108,7 @@
 		s.belief(ctx, "replica", func(id uint64, _ eventloop.Micros) any { return replica.GetStateView{Request: id} })
 	})
 	app.Get("/v1/placements", func(ctx iris.Context) {
-		s.belief(ctx, "scheduler", func(id uint64, _ eventloop.Micros) any { return scheduler.Why{Request: id} })
+		s.belief(ctx, "scheduler", func(id uint64, _ eventloop.Micros) any { return scheduler.StateViewRequest{Request: id} })
 	})
 	app.Put("/v1/queues/{queue}/jobs/{name}", s.handIn)
 	app.Get("/v1/queues/{queue}/jobs/{name}", func(ctx iris.Context) { s.ofJob(ctx, "status") })
--- a/internal/mutation/cut_mutants.go
+++ b/internal/mutation/cut_mutants.go
@@ -39,8 +39,8 @@
 			"	if t.lease.isHalfOver(now) {\n		for _, id", "	if false {\n		for _, id"}}},
 		{Guard: "who isn't told whether it took effect is told when to come back", Rule: 12, Test: "platform TestOperator", Edits: []Edit{{"platform",
 			"answer.Code == 503 || answer.Code == 504 {", "answer.Code == 503 {"}}},
-		{Guard: "a worker that hears nothing counts as silent", Rule: 1, Test: "internal/scheduler TestAWorkerThatHearsNothing", Edits: []Edit{{"internal/scheduler",
-			"	if a.Unanswered && w.isKnown", "	if false && w.isKnown"}}},
+		{Guard: "a worker that hears nothing counts as silent", Rule: 1, Test: "internal/scheduler TestUnansweredWorkerIsUnresponsive", Edits: []Edit{{"internal/scheduler",
+			"	if announce.Unanswered && w.hasAnnounced", "	if false && w.hasAnnounced"}}},
 		{Guard: "an agent says when it hears nothing", Rule: 1, Test: "internal/agent TestAnAgentThatHearsNothing", Edits: []Edit{{"internal/agent",
 			"a.Unanswered = now-l.unansweredSince > deafSpan", "a.Unanswered = false"}}},
 	}...)
--- a/internal/mutation/model_mutants.go
+++ b/internal/mutation/model_mutants.go
@@ -48,7 +48,7 @@
 		"if (hasLeader || now < g.formerLeaseExpiry) && !m.LeaderTransfer {", "if hasLeader && !m.LeaderTransfer {"}}},
 	// Besides its test, a day shows it.
 	{Guard: "what a former ward granted is waited for", Rule: 2, Scenario: "leader warned, then the next", Seed: 1, Edits: []Edit{{"internal/scheduler",
-		"last := max(w.answered, w.since+timing.FromBounds(t.bounds).FormerLeaseTimeout)", "last := w.answered"}}},
+		"last := max(w.lastResponse, w.leaseSince+timing.FromBounds(s.bounds).FormerLeaseTimeout)", "last := w.lastResponse"}}},
 	{Guard: "a taken edition is known again", Rule: 11, Test: walks, Edits: []Edit{{"internal/clusterstate",
 		"applied.Version == version && bytes.Equal(applied.Digest, digest) {", "applied.Version > version && bytes.Equal(applied.Digest, digest) {"}}},
 }
--- a/internal/process/papers.go
+++ b/internal/process/papers.go
@@ -68,7 +68,7 @@
 	if p.Store != nil {
 		berths = append(berths,
 			Berth{"replica", replica.New(member.Id, p.Store, p.Wall, raft.DefaultTimeouts, p.Seed, p.Now).WithTolerance(p.terms(false).Tolerance()).WithBounds(p.Bounds).WithDiskCapacity(p.DiskBytes), replica.TickInterval},
-			Berth{"scheduler", scheduler.New(member.Id).Bind(p.Bounds), scheduler.Pace},
+			Berth{"scheduler", scheduler.New(member.Id).WithBounds(p.Bounds), scheduler.TickInterval},
 		)
 	}
 	return berths
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -20,7 +20,7 @@
 			for k := 0; k < 40; k++ {
 				ids = append(ids, fmt.Sprintf("w%02d", k))
 			}
-			d := newDesk(ids...)
+			h := newHarness(ids...)
 			made := 0
 			spec := func() *schema.Step {
 				made++
@@ -28,22 +28,22 @@
 			}
 			running := map[string][]*schema.TaskStatus{}
 			over := map[string][]*schema.TaskStatus{}
-			say := func(id string) {
-				d.announce(id, func(a *schema.WorkerHeartbeat) { a.TasksByName, a.Running, a.Ended = true, running[id], over[id] })
+			announceAll := func(id string) {
+				h.announce(id, func(a *schema.WorkerHeartbeat) { a.TasksByName, a.Running, a.Ended = true, running[id], over[id] })
 			}
 			for _, id := range ids {
-				say(id)
-				say(id)
+				announceAll(id)
+				announceAll(id)
 			}
-			d.shifts(true, 0)
+			h.deliverEvents(true, 0)
 			for k := 1; k < size.queues; k++ {
-				d.step(replica.TaskEvents{Queue: fmt.Sprint("idle", k), Group: fmt.Sprint("idle", k, "#1"), Term: 1, IsSnapshot: true})
+				h.deliver(replica.TaskEvents{Queue: fmt.Sprint("idle", k), Group: fmt.Sprint("idle", k, "#1"), Term: 1, IsSnapshot: true})
 			}
-			hand, job := uint64(0), uint64(0)
+			sequence, job := uint64(0), uint64(0)
 			ready := func() {
 				job++
-				hand++
-				d.shifts(false, hand, shift(hand, job, 0, queue.Ready, "", spec()))
+				sequence++
+				h.deliverEvents(false, sequence, newEvent(sequence, job, 0, queue.Ready, "", spec()))
 			}
 			for k := 0; k < 300+backlog; k++ {
 				ready()
@@ -52,39 +52,39 @@
 			b.ResetTimer()
 			for k := 0; k < b.N; k++ {
 				ready()
-				tells := d.tells
-				d.tells = nil
+				tells := h.notified
+				h.notified = nil
 				for _, tell := range tells {
 					switch m := tell.(type) {
 					case replica.Propose:
 						for _, pick := range m.Command.GetCheckout().GetPlacements() {
-							hand++
-							d.shifts(false, hand, shift(hand, pick.Key.Job, 0, queue.CheckedOut, pick.Worker, spec()))
+							sequence++
+							h.deliverEvents(false, sequence, newEvent(sequence, pick.Key.Job, 0, queue.CheckedOut, pick.Worker, spec()))
 							running[pick.Worker] = append(running[pick.Worker], &schema.TaskStatus{Name: fmt.Sprint("j", pick.Key.Job), Attempt: 1, State: "running"})
-							say(pick.Worker)
+							announceAll(pick.Worker)
 						}
 					case replica.TaskEnded:
-						hand++
-						d.shifts(false, hand, shift(hand, m.End.Key.Job, 0, queue.Inactive, "", spec()))
-						d.step(&schema.TaskEndAck{Queue: "l", Key: m.End.Key, Attempt: m.End.Attempt, Worker: m.End.Worker})
+						sequence++
+						h.deliverEvents(false, sequence, newEvent(sequence, m.End.Key.Job, 0, queue.Inactive, "", spec()))
+						h.deliver(&schema.TaskEndAck{Queue: "l", Key: m.End.Key, Attempt: m.End.Attempt, Worker: m.End.Worker})
 						over[m.End.Worker] = nil
-						say(m.End.Worker)
+						announceAll(m.End.Worker)
 					}
 				}
-				d.replies = d.replies[:0]
+				h.replies = h.replies[:0]
 				id := ids[k%len(ids)]
 				if list := running[id]; len(list) > 0 {
 					running[id], over[id] = list[1:], append(over[id], list[0])
 				}
 				over[id] = over[id][:len(over[id]):len(over[id])]
-				say(id)
-				d.now += eventloop.Millisecond
+				announceAll(id)
+				h.now += eventloop.Millisecond
 				if k%20 == 0 {
-					d.fresh(true)
-					d.step(eventloop.Tick{})
+					h.confirmLeadership(true)
+					h.deliver(eventloop.Tick{})
 				}
 			}
-			b.ReportMetric(float64(d.t.counts.Starts)/float64(b.N), "starts/op")
+			b.ReportMetric(float64(h.scheduler.counts.Starts)/float64(b.N), "starts/op")
 		})
 	}
 }
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -15,440 +15,442 @@
 )
 
 const (
-	weightData  = 2000 // of the rack that holds a step's data
-	weightOne   = 1000 // of the rack that a step keeps together in
-	weightSlow  = 100  // against workers, for each time their runs take longer
-	weightCold  = 50   // against workers that have just started
-	wideQuarter = 4    // what takes over a quarter of a worker is wide
+	dataRackWeight = 2000 // of the rack that holds a step's data
+	sameRackWeight = 1000 // of the rack that a step keeps together in
+	slowdownWeight = 100  // against workers, for each time their runs take longer
+	warmUpPenalty  = 50   // against workers that have just started
+	wideFraction   = 4    // what takes over a quarter of a worker is wide
 )
 
-// wish is what a pass knows of a step while it looks for room for it.
-type wish struct {
-	step      stepKey
-	spec      *schema.Step
-	need      amount
-	workers   map[string]int // its tasks by worker
-	racks     map[string]int // its tasks by rack
-	favour    string         // the rack it keeps together in
-	mayRest   bool           // it has waited long enough for workers that are set aside or on trial
-	chance    chance
-	isPatient bool // it hasn't waited long
-	isBrief   bool // its tasks end about as soon as they could be stopped
+// placementRequest is what a pass knows of a step while it looks for room for it.
+type placementRequest struct {
+	step           stepKey
+	spec           *schema.Step
+	need           resources
+	tasksPerWorker map[string]int // its tasks by worker
+	tasksPerRack   map[string]int // its tasks by rack
+	preferredRack  string         // the rack it keeps together in
+	mayUseEjected  bool           // it has waited long enough for workers that are set aside or on trial
+	feasibility    deadlineFeasibility
+	isRecent       bool // it hasn't waited long
+	isShort        bool // its tasks end about as soon as they could be stopped
 	// core-microseconds that may be thrown away for one task
-	worthwhile float64
+	maxLoss float64
 }
 
-func (t *Table) wishOf(now eventloop.Micros, v *view, b *band, list []*room) *wish {
-	first, _ := b.ready.Min()
-	x := &wish{
-		step: b.key, spec: b.spec, need: sizeOf(b.spec), workers: map[string]int{}, racks: map[string]int{},
-		isBrief: t.isBrief(v, first),
+func (s *Scheduler) newRequest(now eventloop.Micros, q *queueView, step *stepQueue, candidates []*candidate) *placementRequest {
+	first, _ := step.ready.Min()
+	req := &placementRequest{
+		step: step.key, spec: step.spec, need: resourcesOf(step.spec), tasksPerWorker: map[string]int{}, tasksPerRack: map[string]int{},
+		isShort: s.isShort(q, first),
 	}
-	x.isPatient = now-first.since <= asideAfter
-	x.mayRest = !x.isPatient && (isRoomy(list) || !t.hasHome(list, x)) || now-first.since > outAfter
-	x.worthwhile = t.worthwhile(v, first)
-	for id, count := range v.places[b.key] {
-		x.workers[id] = count
-		if w := t.workers[id]; w != nil {
-			x.racks[w.rack] += count
+	req.isRecent = now-first.since <= ejectedFallbackDelay
+	req.mayUseEjected = !req.isRecent && (isUnderutilized(candidates) || !s.hasHealthyWorker(candidates, req)) || now-first.since > ejectedLastResortDelay
+	req.maxLoss = s.maxLostWork(q, first)
+	for id, count := range q.tasksPerWorker[step.key] {
+		req.tasksPerWorker[id] = count
+		if w := s.workers[id]; w != nil {
+			req.tasksPerRack[w.rack] += count
 		}
 	}
-	if b.spec.OneRack {
-		x.favour = t.favourite(x, list)
+	if step.spec.OneRack {
+		req.preferredRack = s.choosePreferredRack(req, candidates)
 	}
-	return x
+	return req
 }
 
-// favourite is the rack where most of a step stands, else the one with most
+// choosePreferredRack is the rack where most of a step stands, else the one with most
 // room for it.
-func (t *Table) favourite(x *wish, list []*room) string {
-	counts := map[string]int64{}
-	for rack, count := range x.racks {
-		counts[rack] += int64(count) << 32
+func (s *Scheduler) choosePreferredRack(req *placementRequest, candidates []*candidate) string {
+	weights := map[string]int64{}
+	for rack, count := range req.tasksPerRack {
+		weights[rack] += int64(count) << 32
 	}
-	for _, r := range list {
-		if t.suits(r, x) {
-			counts[r.w.rack] += min(r.free.times(x.need), int64(x.spec.Tasks))
+	for _, c := range candidates {
+		if s.isEligible(c, req) {
+			weights[c.worker.rack] += min(c.free.multipleOf(req.need), int64(req.spec.Tasks))
 		}
 	}
 	best := ""
-	for rack, count := range counts {
-		if best == "" || count > counts[best] || count == counts[best] && rack < best {
+	for rack, count := range weights {
+		if best == "" || count > weights[best] || count == weights[best] && rack < best {
 			best = rack
 		}
 	}
 	return best
 }
 
-// hasHome tells whether a worker that isn't set aside or on trial could run the
+// hasHealthyWorker tells whether a worker that isn't set aside or on trial could run the
 // step's tasks once it has room.
-func (t *Table) hasHome(list []*room, x *wish) bool {
-	return slices.ContainsFunc(list, func(r *room) bool {
-		return !r.w.isOnTrial && r.w.whole().has(x.need) && t.hasLabels(r, x)
+func (s *Scheduler) hasHealthyWorker(candidates []*candidate, req *placementRequest) bool {
+	return slices.ContainsFunc(candidates, func(c *candidate) bool {
+		return !c.worker.isOnProbation && c.worker.total().covers(req.need) && s.hasLabels(c, req)
 	})
 }
 
-// suits tells whether a worker may run a step's tasks at all.
-func (t *Table) suits(r *room, x *wish) bool {
-	if r.isClaimed || r.isAside && !x.mayRest || r.w.isOnTrial && !x.isBrief && !x.mayRest {
+// isEligible tells whether a worker may run a step's tasks at all.
+func (s *Scheduler) isEligible(c *candidate, req *placementRequest) bool {
+	if c.isClaimed || c.isEjected && !req.mayUseEjected || c.worker.isOnProbation && !req.isShort && !req.mayUseEjected {
 		return false
 	}
-	return t.hasLabels(r, x)
+	return s.hasLabels(c, req)
 }
 
-func (t *Table) hasLabels(r *room, x *wish) bool {
-	for _, label := range x.spec.Labels {
-		if !slices.Contains(r.w.labels, label) {
+func (s *Scheduler) hasLabels(c *candidate, req *placementRequest) bool {
+	for _, label := range req.spec.Labels {
+		if !slices.Contains(c.worker.labels, label) {
 			return false
 		}
 	}
 	return true
 }
 
-// hasLeave tells whether the worker may have one more of a step's tasks.
-func (t *Table) hasLeave(r *room, x *wish) bool {
-	if x.spec.MaxPerWorker == 0 {
+// isBelowWorkerLimit tells whether the worker may have one more of a step's tasks.
+func (s *Scheduler) isBelowWorkerLimit(c *candidate, req *placementRequest) bool {
+	if req.spec.MaxPerWorker == 0 {
 		return true
 	}
-	count := x.workers[r.w.id]
-	for key := range r.w.running {
-		if key.ofStep() == x.step {
-			if each := r.w.tasks[key.taskKey]; each == nil || each.attempt != key.attempt {
+	count := req.tasksPerWorker[c.worker.id]
+	for key := range c.worker.running {
+		if key.stepKey() == req.step {
+			if t := c.worker.tasks[key.taskKey]; t == nil || t.attempt != key.attempt {
 				count++
 			}
 		}
 	}
-	return count < int(x.spec.MaxPerWorker)
+	return count < int(req.spec.MaxPerWorker)
 }
 
-// isOpen tells whether a worker that is being tried again may have one more
+// acceptsMore tells whether a worker that is being tried again may have one more
 // task: what has waited long needn't wait for the end of the trial as well.
-func (r *room) isOpen(x *wish) bool { return r.mostTasks > 0 || x.mayRest && !r.isAside }
+func (c *candidate) acceptsMore(req *placementRequest) bool {
+	return c.maxTasks > 0 || req.mayUseEjected && !c.isEjected
+}
 
-func (t *Table) fits(r *room, x *wish) bool {
+func (s *Scheduler) fits(c *candidate, req *placementRequest) bool {
 	// Room that is being freed for somebody is given to nobody else.
-	return r.isOpen(x) && r.free.has(x.need) && r.later.has(x.need) && t.suits(r, x) && t.hasLeave(r, x)
+	return c.acceptsMore(req) && c.free.covers(req.need) && c.freeAfterStops.covers(req.need) && s.isEligible(c, req) && s.isBelowWorkerLimit(c, req)
 }
 
 // score weighs a worker for a step: room left in its scarcer kind, spread over
 // racks, failures, pace, and where the data is.
-func (t *Table) score(now eventloop.Micros, r *room, x *wish) float64 {
-	left := func(free, need, whole int64) float64 {
-		if whole <= 0 {
+func (s *Scheduler) score(now eventloop.Micros, c *candidate, req *placementRequest) float64 {
+	left := func(free, need, total int64) float64 {
+		if total <= 0 {
 			return 0
 		}
-		return float64(free-need) / float64(whole)
+		return float64(free-need) / float64(total)
 	}
-	free := math.Min(left(r.free.cores, x.need.cores, r.w.cores), left(r.free.memory, max(x.need.memory, 1), r.w.memory))
-	score := float64(t.plan("weight_room")) * free
-	score -= float64(t.plan("weight_failures")) * failureRate(r.w)
-	score -= weightSlow * math.Max(0, math.Exp(math.Min(r.w.slow, 3))-1)
-	if now < r.w.coldUntil {
-		score -= weightCold
+	free := math.Min(left(c.free.cores, req.need.cores, c.worker.cores), left(c.free.memory, max(req.need.memory, 1), c.worker.memory))
+	score := float64(s.fleetSetting("weight_room")) * free
+	score -= float64(s.fleetSetting("weight_failures")) * failureRate(c.worker)
+	score -= slowdownWeight * math.Max(0, math.Exp(math.Min(c.worker.slowdown, 3))-1)
+	if now < c.worker.warmUpUntil {
+		score -= warmUpPenalty
 	}
 	// Accelerators are kept for who asks for them.
-	if x.need.accelerators == 0 && r.w.accelerators > 0 {
-		score -= float64(t.plan("weight_room"))
+	if req.need.accelerators == 0 && c.worker.accelerators > 0 {
+		score -= float64(s.fleetSetting("weight_room"))
 	}
-	if x.spec.OneRack {
-		if r.w.rack == x.favour {
-			score += weightOne
+	if req.spec.OneRack {
+		if c.worker.rack == req.preferredRack {
+			score += sameRackWeight
 		}
 	} else {
-		score -= float64(t.plan("weight_rack")) * float64(x.racks[r.w.rack]) / float64(max(x.spec.Tasks, 1))
+		score -= float64(s.fleetSetting("weight_rack")) * float64(req.tasksPerRack[c.worker.rack]) / float64(max(req.spec.Tasks, 1))
 	}
-	if x.spec.DataRack != "" && r.w.rack == x.spec.DataRack {
-		score += weightData
+	if req.spec.DataRack != "" && c.worker.rack == req.spec.DataRack {
+		score += dataRackWeight
 	}
 	if score > 0 {
-		score = score * float64(r.weight) / 100
+		score = score * float64(c.rackWeight) / 100
 	}
 	return score
 }
 
-func (t *Table) best(now eventloop.Micros, list []*room, x *wish) (*room, float64) {
-	var best *room
+func (s *Scheduler) bestCandidate(now eventloop.Micros, candidates []*candidate, req *placementRequest) (*candidate, float64) {
+	var best *candidate
 	top := math.Inf(-1)
-	for _, r := range list {
-		if !t.fits(r, x) {
+	for _, c := range candidates {
+		if !s.fits(c, req) {
 			continue
 		}
-		if score := t.score(now, r, x); score > top {
-			best, top = r, score
+		if score := s.score(now, c, req); score > top {
+			best, top = c, score
 		}
 	}
 	return best, top
 }
 
-// put takes room for one task of a step; the answer gives it back.
-func (t *Table) put(r *room, x *wish) (undo func()) {
-	r.take(x.need)
-	x.workers[r.w.id]++
-	x.racks[r.w.rack]++
+// allocate takes room for one task of a step; the answer gives it back.
+func (s *Scheduler) allocate(c *candidate, req *placementRequest) (undo func()) {
+	c.allocate(req.need)
+	req.tasksPerWorker[c.worker.id]++
+	req.tasksPerRack[c.worker.rack]++
 	return func() {
-		r.give(x.need)
-		x.workers[r.w.id]--
-		x.racks[r.w.rack]--
+		c.release(req.need)
+		req.tasksPerWorker[c.worker.id]--
+		req.tasksPerRack[c.worker.rack]--
 	}
 }
 
-// pass runs over the ready tasks, most urgent queue first, and checks out what
+// advance runs over the ready tasks, most urgent queue first, and checks out what
 // finds room.
-func (t *Table) pass(now eventloop.Micros, out eventloop.Effects) {
-	var views []*view
-	oldest := map[*view]eventloop.Micros{}
-	for _, v := range t.views {
-		if v.waits > 0 && t.mayAct(now, v) {
-			views = append(views, v)
-			oldest[v] = v.oldest()
+func (s *Scheduler) pass(now eventloop.Micros, effects eventloop.Effects) {
+	var queues []*queueView
+	oldest := map[*queueView]eventloop.Micros{}
+	for _, q := range s.queues {
+		if q.readyCount > 0 && s.mayActFor(now, q) {
+			queues = append(queues, q)
+			oldest[q] = q.oldestReady()
 		}
 	}
-	if len(views) == 0 {
+	if len(queues) == 0 {
 		return
 	}
 	// Among equals goes first who has waited longest.
-	slices.SortFunc(views, func(a, b *view) int {
-		return cmp.Or(cmp.Compare(b.urgency, a.urgency), cmp.Compare(oldest[a], oldest[b]), cmp.Compare(a.queue, b.queue))
+	slices.SortFunc(queues, func(a, b *queueView) int {
+		return cmp.Or(cmp.Compare(b.urgency, a.urgency), cmp.Compare(oldest[a], oldest[b]), cmp.Compare(a.name, b.name))
 	})
-	list := t.rooms(now)
-	misses := maxMisses
-	if now-t.wholeAt >= wholePass {
-		t.wholeAt, misses = now, math.MaxInt
+	candidates := s.candidates(now)
+	unplaced := maxUnplaced
+	if now-s.fullPassAt >= fullPassInterval {
+		s.fullPassAt, unplaced = now, math.MaxInt
 	}
-	p := &passage{misses: misses, least: math.MaxInt64, groups: map[stepKey]*unit{}, claims: map[string]bool{}}
-	for _, v := range t.views {
-		if v.out > 0 {
-			p.least = min(p.least, v.urgency)
+	pass := &passState{maxUnplaced: unplaced, minRunningUrgency: math.MaxInt64, gangVictims: map[stepKey]*victim{}, claimedPools: map[string]bool{}}
+	for _, q := range s.queues {
+		if q.tasksOut > 0 {
+			pass.minRunningUrgency = min(pass.minRunningUrgency, q.urgency)
 		}
 	}
-	own := map[string][]*room{}
-	for _, r := range list {
-		own[r.w.pool] = append(own[r.w.pool], r)
+	byPool := map[string][]*candidate{}
+	for _, c := range candidates {
+		byPool[c.worker.pool] = append(byPool[c.worker.pool], c)
 	}
-	queues := map[*view]*[lost + 1]heads{}
-	for _, v := range views {
-		list := t.heads(now, v)
-		queues[v] = &list
+	heaps := map[*queueView]*[infeasible + 1]stepHeap{}
+	for _, q := range queues {
+		candidates := s.stepsByFeasibility(now, q)
+		heaps[q] = &candidates
 	}
-	for _, each := range []chance{inTime, late, lost} {
-		for _, v := range views {
-			t.passQueue(now, v, each, &queues[v][each], own[t.values.Text("queue", v.queue, "pool")], list, p, out)
+	for _, feasibility := range []deadlineFeasibility{onTime, late, infeasible} {
+		for _, q := range queues {
+			s.scheduleQueue(now, q, feasibility, &heaps[q][feasibility], byPool[s.config.Text("queue", q.name, "pool")], candidates, pass, effects)
 		}
 	}
-	if p.isFutile {
-		t.futileAt = now
+	if pass.preemptionFailed {
+		s.preemptionFailedAt = now
 	}
 }
 
-// oldest is since when the first steps of the queue have waited.
-func (v *view) oldest() eventloop.Micros {
-	at := eventloop.Micros(math.MaxInt64)
-	for _, r := range v.rows {
-		if b, isThere := r.bands.Min(); isThere {
-			if first, isReady := b.ready.Min(); isReady {
-				at = min(at, first.since)
+// oldestReady is since when the first steps of the queue have waited.
+func (q *queueView) oldestReady() eventloop.Micros {
+	since := eventloop.Micros(math.MaxInt64)
+	for _, group := range q.readyByShape {
+		if step, found := group.steps.Min(); found {
+			if first, found := step.ready.Min(); found {
+				since = min(since, first.since)
 			}
 		}
 	}
-	return at
+	return since
 }
 
-// passage is what a pass has done so far.
-type passage struct {
-	misses   int               // of one queue, after which those behind aren't looked at
-	least    int64             // lowest urgency of what is out
-	claims   map[string]bool   // pools in which workers are kept free
-	isFutile bool              // something that may displace found nothing to displace
-	groups   map[stepKey]*unit // what may be displaced only whole
+// passState is what a pass has done so far.
+type passState struct {
+	maxUnplaced       int                 // of one queue, after which those behind aren't looked at
+	minRunningUrgency int64               // lowest urgency of what is out
+	claimedPools      map[string]bool     // pools in which workers are kept free
+	preemptionFailed  bool                // something that may displace found nothing to displace
+	gangVictims       map[stepKey]*victim // what may be displaced only whole
 }
 
-// heads are the first steps of each shape that are still to be looked at, in
+// stepHeap are the first steps of each shape that are still to be looked at, in
 // the queue's order.
-type heads []*head
+type stepHeap []*stepCursor
 
-type head struct {
-	bands []*band // of one shape and chance
-	at    *band   // the first of them that is still to be looked at; nil: none
+type stepCursor struct {
+	steps   []*stepQueue // of one shape and chance
+	current *stepQueue   // the first of them that is still to be looked at; nil: none
 }
 
-// next goes on to the step behind.
-func (h *head) next() {
-	if h.bands, h.at = h.bands[1:], nil; len(h.bands) > 0 {
-		h.at = h.bands[0]
+// advance goes on to the step behind.
+func (cursor *stepCursor) advance() {
+	if cursor.steps, cursor.current = cursor.steps[1:], nil; len(cursor.steps) > 0 {
+		cursor.current = cursor.steps[0]
 	}
 }
 
-func (h heads) Len() int           { return len(h) }
-func (h heads) Less(a, b int) bool { return beforeBand(h[a].at, h[b].at) }
-func (h heads) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
-func (h *heads) Push(x any)        { *h = append(*h, x.(*head)) }
-func (h *heads) Pop() any {
+func (h stepHeap) Len() int           { return len(h) }
+func (h stepHeap) Less(a, b int) bool { return stepQueueLess(h[a].current, h[b].current) }
+func (h stepHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
+func (h *stepHeap) Push(x any)        { *h = append(*h, x.(*stepCursor)) }
+func (h *stepHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// heads sorts a queue's ready steps by their chance, in one look at each.
-func (t *Table) heads(now eventloop.Micros, v *view) (queues [lost + 1]heads) {
-	for _, r := range v.rows {
-		var bands [lost + 1][]*band
-		r.bands.Ascend(func(b *band) bool {
-			first, _ := b.ready.Min()
-			turn := t.chanceOf(now, v, first)
-			bands[turn] = append(bands[turn], b)
+// stepHeap sorts a queue's ready steps by their chance, in one look at each.
+func (s *Scheduler) stepsByFeasibility(now eventloop.Micros, q *queueView) (heaps [infeasible + 1]stepHeap) {
+	for _, group := range q.readyByShape {
+		var byFeasibility [infeasible + 1][]*stepQueue
+		group.steps.Ascend(func(step *stepQueue) bool {
+			first, _ := step.ready.Min()
+			turn := s.feasibilityOf(now, q, first)
+			byFeasibility[turn] = append(byFeasibility[turn], step)
 			return true
 		})
-		for turn, list := range bands {
-			if len(list) > 0 {
-				queues[turn] = append(queues[turn], &head{list, list[0]})
+		for turn, steps := range byFeasibility {
+			if len(steps) > 0 {
+				heaps[turn] = append(heaps[turn], &stepCursor{steps, steps[0]})
 			}
 		}
 	}
-	for turn := range queues {
-		heap.Init(&queues[turn])
+	for turn := range heaps {
+		heap.Init(&heaps[turn])
 	}
-	return queues
+	return heaps
 }
 
-func (t *Table) passQueue(now eventloop.Micros, v *view, turn chance, waiting *heads, list, all []*room, p *passage, out eventloop.Effects) {
-	var picks []*schema.Placement
-	spare := math.MaxInt64
-	if turn == lost {
-		spare = spareOf(list)
+func (s *Scheduler) scheduleQueue(now eventloop.Micros, q *queueView, feasibility deadlineFeasibility, steps *stepHeap, candidates, allCandidates []*candidate, pass *passState, effects eventloop.Effects) {
+	var placements []*schema.Placement
+	budget := math.MaxInt64
+	if feasibility == infeasible {
+		budget = infeasibleBudget(candidates)
 	}
-	if waiting.Len() == 0 {
+	if steps.Len() == 0 {
 		return
 	}
-	head := t.headroom(v, list)
-	left := int(v.running) - v.out - len(v.reserved)
-	misses := 0
-	for waiting.Len() > 0 && left > 0 && len(picks) < maxPicks && misses < p.misses && spare > 0 {
-		h := (*waiting)[0]
-		b := h.at
-		if h.next(); h.at == nil {
-			heap.Pop(waiting)
+	headroom := s.headroom(q, candidates)
+	left := int(q.maxRunning) - q.tasksOut - len(q.reserved)
+	unplaced := 0
+	for steps.Len() > 0 && left > 0 && len(placements) < maxPlacements && unplaced < pass.maxUnplaced && budget > 0 {
+		cursor := (*steps)[0]
+		step := cursor.current
+		if cursor.advance(); cursor.current == nil {
+			heap.Pop(steps)
 		} else {
-			heap.Fix(waiting, 0)
+			heap.Fix(steps, 0)
 		}
-		x := t.wishOf(now, v, b, list)
-		x.chance = turn
-		var group []*task
-		if b.spec.Gang {
+		req := s.newRequest(now, q, step, candidates)
+		req.feasibility = feasibility
+		var gang []*task
+		if step.spec.Gang {
 			// Members are ready together, or the group isn't whole yet.
-			if b.ready.Len() != int(b.spec.Tasks) || left < b.ready.Len() {
+			if step.ready.Len() != int(step.spec.Tasks) || left < step.ready.Len() {
 				continue
 			}
-			b.ready.Ascend(func(each *task) bool {
-				group = append(group, each)
+			step.ready.Ascend(func(t *task) bool {
+				gang = append(gang, t)
 				return true
 			})
 		}
-		isMissed := false
+		unplacedAny := false
 		// What has waited long while much is free isn't kept waiting for what may
 		// come.
-		mayFill := x.isBrief || !x.isPatient && isRoomy(list)
-		if !mayFill && head.times(x.need) < int64(max(1, len(group))) {
+		mayUseHeadroom := req.isShort || !req.isRecent && isUnderutilized(candidates)
+		if !mayUseHeadroom && headroom.multipleOf(req.need) < int64(max(1, len(gang))) {
 			continue
 		}
-		for left > 0 && len(picks) < maxPicks && b.ready.Len() > 0 && spare > 0 && (mayFill || head.has(x.need)) {
-			members := group
-			if !b.spec.Gang {
-				first, _ := b.ready.Min()
+		for left > 0 && len(placements) < maxPlacements && step.ready.Len() > 0 && budget > 0 && (mayUseHeadroom || headroom.covers(req.need)) {
+			members := gang
+			if !step.spec.Gang {
+				first, _ := step.ready.Min()
 				members = []*task{first}
 			}
-			chosen := t.chooseFor(now, members, list, x)
+			chosen := s.chooseWorkers(now, members, candidates, req)
 			if chosen == nil {
-				isMissed = true
+				unplacedAny = true
 				break
 			}
 			for k, member := range members {
-				t.reserve(v, member, chosen[k].w.id, now)
-				picks = append(picks, &schema.Placement{
+				s.reserve(q, member, chosen[k].worker.id, now)
+				placements = append(placements, &schema.Placement{
 					Key:    &schema.TaskKey{Job: member.key.job, Step: member.key.step, Task: member.key.task},
-					Worker: chosen[k].w.id, Incarnation: chosen[k].w.incarnation,
+					Worker: chosen[k].worker.id, Incarnation: chosen[k].worker.incarnation,
 				})
 				left--
-				spare -= int(x.need.cores)
-				head.sub(x.need)
+				budget -= int(req.need.cores)
+				headroom.sub(req.need)
 			}
 		}
-		if !isMissed {
+		if !unplacedAny {
 			continue
 		}
 		// Whoever stands behind many that don't fit waits its turn: a long row
 		// must not be looked through at every pass.
-		misses++
-		got := t.await(now, v, b, x, left, list, all, p)
+		unplaced++
+		awaited := s.reserveFutureCapacity(now, q, step, req, left, candidates, allCandidates, pass)
 		// Those of the same shape fit nowhere either, but room may be made for
 		// them.
-		if h.at == nil {
+		if cursor.current == nil {
 			continue
 		}
-		heap.Remove(waiting, slices.Index(*waiting, h))
-		for k := 1; got > 0 && h.at != nil && k < maxMisses && t.mayAwait(now, v, list, p); k++ {
-			if next := h.at; !next.spec.Gang || next.ready.Len() == int(next.spec.Tasks) {
-				y := t.wishOf(now, v, next, list)
-				y.chance = turn
-				got = t.await(now, v, next, y, left, list, all, p)
+		heap.Remove(steps, slices.Index(*steps, cursor))
+		for k := 1; awaited > 0 && cursor.current != nil && k < maxUnplaced && s.canGainCapacity(now, q, candidates, pass); k++ {
+			if next := cursor.current; !next.spec.Gang || next.ready.Len() == int(next.spec.Tasks) {
+				nextReq := s.newRequest(now, q, next, candidates)
+				nextReq.feasibility = feasibility
+				awaited = s.reserveFutureCapacity(now, q, next, nextReq, left, candidates, allCandidates, pass)
 			}
-			h.next()
+			cursor.advance()
 		}
 	}
-	if len(picks) > 0 {
-		out.Notify("replica", replica.Propose{Group: v.group, Term: v.term, Command: &schema.QueueCommand{
-			Body: &schema.QueueCommand_Checkout{Checkout: &schema.Checkout{Placements: picks}},
+	if len(placements) > 0 {
+		effects.Notify("replica", replica.Propose{Group: q.raftGroup, Term: q.term, Command: &schema.QueueCommand{
+			Body: &schema.QueueCommand_Checkout{Checkout: &schema.Checkout{Placements: placements}},
 		}})
 	}
 }
 
-// spareOf is how many milli cores may still be taken by what is lost.
-func spareOf(list []*room) int {
-	free, whole := int64(0), int64(0)
-	for _, r := range list {
-		free += r.free.cores
-		whole += r.w.cores
+// infeasibleBudget is how many milli cores may still be taken by what is lost.
+func infeasibleBudget(candidates []*candidate) int {
+	free, total := int64(0), int64(0)
+	for _, c := range candidates {
+		free += c.free.cores
+		total += c.worker.cores
 	}
-	return int(free) - int((1-lostShare)*float64(whole))
+	return int(free) - int((1-infeasibleUtilization)*float64(total))
 }
 
-// chooseFor finds a worker for every task of the group, or none for any.
-func (t *Table) chooseFor(now eventloop.Micros, group []*task, list []*room, x *wish) []*room {
-	if !x.spec.Gang {
-		return t.chooseAmong(now, group, list, x)
+// chooseWorkers finds a worker for every task of the group, or none for any.
+func (s *Scheduler) chooseWorkers(now eventloop.Micros, members []*task, candidates []*candidate, req *placementRequest) []*candidate {
+	if !req.spec.Gang {
+		return s.chooseEach(now, members, candidates, req)
 	}
 	// Members wait for each other at their workers or are held: all alike.
 	for _, gathers := range []bool{true, false} {
-		var alike []*room
-		for _, r := range list {
-			if r.w.gathers == gathers {
-				alike = append(alike, r)
+		var alike []*candidate
+		for _, c := range candidates {
+			if c.worker.hasBarrier == gathers {
+				alike = append(alike, c)
 			}
 		}
 		if len(alike) == 0 {
 			continue
 		}
-		if x.spec.OneRack {
-			if chosen := t.chooseRack(now, group, alike, x); chosen != nil {
+		if req.spec.OneRack {
+			if chosen := s.chooseInOneRack(now, members, alike, req); chosen != nil {
 				return chosen
 			}
 		}
-		if chosen := t.chooseAmong(now, group, alike, x); chosen != nil {
+		if chosen := s.chooseEach(now, members, alike, req); chosen != nil {
 			return chosen
 		}
 	}
 	return nil
 }
 
-// chooseRack finds one rack that holds a whole group, the roomiest first.
-func (t *Table) chooseRack(now eventloop.Micros, group []*task, list []*room, x *wish) []*room {
-	byRack := map[string][]*room{}
-	counts := map[string]int64{}
-	for _, r := range list {
-		if t.suits(r, x) {
-			byRack[r.w.rack] = append(byRack[r.w.rack], r)
-			counts[r.w.rack] += min(r.free.times(x.need), int64(len(group)))
-			if r.w.rack == x.spec.DataRack {
-				counts[r.w.rack] += 1 << 32
+// chooseInOneRack finds one rack that holds a whole group, the roomiest first.
+func (s *Scheduler) chooseInOneRack(now eventloop.Micros, members []*task, candidates []*candidate, req *placementRequest) []*candidate {
+	byRack := map[string][]*candidate{}
+	weights := map[string]int64{}
+	for _, c := range candidates {
+		if s.isEligible(c, req) {
+			byRack[c.worker.rack] = append(byRack[c.worker.rack], c)
+			weights[c.worker.rack] += min(c.free.multipleOf(req.need), int64(len(members)))
+			if c.worker.rack == req.spec.DataRack {
+				weights[c.worker.rack] += 1 << 32
 			}
 		}
 	}
@@ -457,60 +459,60 @@
 		racks = append(racks, rack)
 	}
 	sort.Slice(racks, func(a, b int) bool {
-		if counts[racks[a]] != counts[racks[b]] {
-			return counts[racks[a]] > counts[racks[b]]
+		if weights[racks[a]] != weights[racks[b]] {
+			return weights[racks[a]] > weights[racks[b]]
 		}
 		return racks[a] < racks[b]
 	})
 	for _, rack := range racks {
-		if chosen := t.chooseAmong(now, group, byRack[rack], x); chosen != nil {
+		if chosen := s.chooseEach(now, members, byRack[rack], req); chosen != nil {
 			return chosen
 		}
 	}
 	return nil
 }
 
-func (t *Table) chooseAmong(now eventloop.Micros, group []*task, list []*room, x *wish) []*room {
-	chosen := make([]*room, 0, len(group))
-	undos := make([]func(), 0, len(group))
-	for _, member := range group {
-		r, score := t.best(now, list, x)
-		if r == nil {
+func (s *Scheduler) chooseEach(now eventloop.Micros, members []*task, candidates []*candidate, req *placementRequest) []*candidate {
+	chosen := make([]*candidate, 0, len(members))
+	undos := make([]func(), 0, len(members))
+	for _, member := range members {
+		c, score := s.bestCandidate(now, candidates, req)
+		if c == nil {
 			for _, undo := range undos {
 				undo()
 			}
 			return nil
 		}
-		undos = append(undos, t.put(r, x))
-		member.why = fmt.Sprintf("score %.2f on %s: %d milli cores and %d MB left, rack %s has %d of this step",
-			score, r.w.id, r.free.cores, r.free.memory, r.w.rack, x.racks[r.w.rack])
-		chosen = append(chosen, r)
+		undos = append(undos, s.allocate(c, req))
+		member.placementReason = fmt.Sprintf("score %.2f on %s: %d milli cores and %d MB left, rack %s has %d of this step",
+			score, c.worker.id, c.free.cores, c.free.memory, c.worker.rack, req.tasksPerRack[c.worker.rack])
+		chosen = append(chosen, c)
 	}
 	return chosen
 }
 
-// claim keeps workers free for something wide that would else wait for ever
+// claimWorkers keeps workers free for something wide that would else wait for ever
 // behind narrower work: those that are nearest to being free.
-func (t *Table) claim(x *wish, count int, list []*room) bool {
+func (s *Scheduler) claimWorkers(req *placementRequest, count int, candidates []*candidate) bool {
 	type offer struct {
-		r     *room
+		r     *candidate
 		free  float64
 		times int64
 	}
 	var offers []offer
-	for _, r := range list {
-		whole := r.w.whole()
-		whole.sub(r.w.fixed)
-		times := whole.times(x.need)
-		if x.spec.MaxPerWorker > 0 {
-			times = min(times, int64(x.spec.MaxPerWorker)-int64(x.workers[r.w.id]))
+	for _, c := range candidates {
+		total := c.worker.total()
+		total.sub(c.worker.usedByServices)
+		tasks := total.multipleOf(req.need)
+		if req.spec.MaxPerWorker > 0 {
+			tasks = min(tasks, int64(req.spec.MaxPerWorker)-int64(req.tasksPerWorker[c.worker.id]))
 		}
-		if times > 0 && t.suits(r, x) {
-			offers = append(offers, offer{r, float64(r.later.cores) / float64(max(r.w.cores, 1)), times})
+		if tasks > 0 && s.isEligible(c, req) {
+			offers = append(offers, offer{c, float64(c.freeAfterStops.cores) / float64(max(c.worker.cores, 1)), tasks})
 		}
 	}
 	slices.SortStableFunc(offers, func(a, b offer) int { return cmp.Compare(b.free, a.free) })
-	var taken []*room
+	var taken []*candidate
 	for _, o := range offers {
 		if count <= 0 {
 			break
@@ -521,19 +523,19 @@
 	if count > 0 {
 		return false
 	}
-	for _, r := range taken {
-		r.isClaimed = true
+	for _, c := range taken {
+		c.isClaimed = true
 	}
 	return true
 }
 
 // isWide tells whether a step's tasks can be starved by narrower ones.
-func isWide(x *wish, list []*room) bool {
-	if x.spec.Gang {
+func isWide(req *placementRequest, candidates []*candidate) bool {
+	if req.spec.Gang {
 		return true
 	}
-	for _, r := range list {
-		if r.w.whole().times(x.need) >= wideQuarter {
+	for _, c := range candidates {
+		if c.worker.total().multipleOf(req.need) >= wideFraction {
 			return false
 		}
 	}
@@ -548,56 +550,56 @@
 	Task   uint32 `json:"task"`
 	Worker string `json:"worker"`
 	State  string `json:"state"`
-	Why    string `json:"why"`
+	Reason string `json:"why"`
 }
 
-// WorkerBelief is what the ward believes of a worker.
-type WorkerBelief struct {
+// WorkerView is what the ward believes of a worker.
+type WorkerView struct {
 	Worker       string `json:"worker"`
-	Generation   uint64 `json:"ward_generation"`
-	HeardUs      int64  `json:"heard_us_ago"`
+	FencingToken uint64 `json:"ward_generation"`
+	LastHeardUs  int64  `json:"heard_us_ago"`
 	Rack         string `json:"rack"`
 	Pool         string `json:"pool"`
 	Cores        int64  `json:"cores_milli"`
 	Memory       int64  `json:"memory_mb"`
 	Accelerators int64  `json:"accelerators"`
 	Leaving      bool   `json:"leaving"`
-	Over         bool   `json:"over"`
-	Out          int    `json:"tasks_out"`
-	Running      int    `json:"tasks_running"`
-	Strange      int    `json:"tasks_unknown"`
+	Dead         bool   `json:"over"`
+	TasksOut     int    `json:"tasks_out"`
+	TasksRunning int    `json:"tasks_running"`
+	TasksUnknown int    `json:"tasks_unknown"`
 	FailureRate  string `json:"failure_rate"`
-	Pace         string `json:"times_slower"`
-	SetAside     bool   `json:"set_aside"`
+	Slowdown     string `json:"times_slower"`
+	Ejected      bool   `json:"set_aside"`
 }
 
-// Placements is the scheduler's belief.
-type Placements struct {
-	Workers []*WorkerBelief `json:"workers"`
-	Tasks   []*Placement    `json:"tasks"`
-	Ready   map[string]int  `json:"ready"`
-	Counts  Counts          `json:"counts"`
+// StateView is the scheduler's belief.
+type StateView struct {
+	Workers []*WorkerView  `json:"workers"`
+	Tasks   []*Placement   `json:"tasks"`
+	Ready   map[string]int `json:"ready"`
+	Counts  Counts         `json:"counts"`
 }
 
-func (t *Table) placements(now eventloop.Micros) *Placements {
-	p := &Placements{Ready: map[string]int{}, Counts: t.counts}
-	for _, w := range t.inOrder() {
+func (s *Scheduler) stateView(now eventloop.Micros) *StateView {
+	p := &StateView{Ready: map[string]int{}, Counts: s.counts}
+	for _, w := range s.sortedWorkers() {
 		id := w.id
-		p.Workers = append(p.Workers, &WorkerBelief{
-			Worker: id, Generation: w.generation, HeardUs: int64(now - w.heard), Rack: w.rack, Pool: w.pool, Cores: w.cores, Memory: w.memory,
-			Accelerators: w.accelerators, Leaving: w.isLeaving, Over: w.isOver, Out: len(w.tasks), Running: len(w.running), Strange: len(w.strange),
-			FailureRate: fmt.Sprintf("%.2f", failureRate(w)), Pace: fmt.Sprintf("%.2f", math.Exp(w.slow)), SetAside: now < w.asideUntil,
+		p.Workers = append(p.Workers, &WorkerView{
+			Worker: id, FencingToken: w.fencingToken, LastHeardUs: int64(now - w.lastHeard), Rack: w.rack, Pool: w.pool, Cores: w.cores, Memory: w.memory,
+			Accelerators: w.accelerators, Leaving: w.isDraining, Dead: w.isDead, TasksOut: len(w.tasks), TasksRunning: len(w.running), TasksUnknown: len(w.unknownRuns),
+			FailureRate: fmt.Sprintf("%.2f", failureRate(w)), Slowdown: fmt.Sprintf("%.2f", math.Exp(w.slowdown)), Ejected: now < w.ejectedUntil,
 		})
-		for _, each := range t.tasksOf(w) {
+		for _, t := range s.sortedTasks(w) {
 			state := "out"
-			if each.standing == queue.Stopping || each.evict != "" {
+			if t.state == queue.Stopping || t.evictOutcome != "" {
 				state = "stopping"
 			}
-			p.Tasks = append(p.Tasks, &Placement{Queue: each.key.queue, Job: each.name, Step: each.spec.Name, Task: each.key.task, Worker: id, State: state, Why: each.why})
+			p.Tasks = append(p.Tasks, &Placement{Queue: t.key.queue, Job: t.jobName, Step: t.spec.Name, Task: t.key.task, Worker: id, State: state, Reason: t.placementReason})
 		}
 	}
-	for name, v := range t.views {
-		p.Ready[name] = v.waits + len(v.reserved)
+	for name, q := range s.queues {
+		p.Ready[name] = q.readyCount + len(q.reserved)
 	}
 	return p
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -11,272 +11,272 @@
 )
 
 const (
-	mostAwaits      = 64                    // tasks of one step that room is kept for at once
-	acceleratorCost = 8000                  // milli cores that an accelerator counts as
-	lossTimes       = 2                     // so many times its own work may be thrown away for a task
-	lastingCost     = 30 * eventloop.Second // work that stopping a lasting task counts as at least
+	maxAwaited            = 64                    // tasks of one step that room is kept for at once
+	acceleratorMilliCores = 8000                  // milli cores that an accelerator counts as
+	maxLossFactor         = 2                     // so many times its own work may be thrown away for a task
+	serviceLoss           = 30 * eventloop.Second // work that stopping a lasting task counts as at least
 )
 
-// unit is what can be displaced: a task, or a group as a whole.
-type unit struct {
-	members []*task
-	urgency int64
-	chance  chance
-	cost    float64 // core-microseconds of work that are lost
-	isTaken bool
+// victim is what can be displaced: a task, or a group as a whole.
+type victim struct {
+	members     []*task
+	urgency     int64
+	feasibility deadlineFeasibility
+	loss        float64 // core-microseconds of work that are lost
+	isTaken     bool
 }
 
-// await keeps room for tasks that find none now: room that is being freed, else
+// reserveFutureCapacity keeps room for tasks that find none now: room that is being freed, else
 // room of less urgent work that is displaced for them, else, for what is wide,
 // whole workers until they are free. It tells for how many of them.
-func (t *Table) await(now eventloop.Micros, v *view, b *band, x *wish, left int, list, all []*room, p *passage) (got int) {
-	first, _ := b.ready.Min()
-	mayDisplace := x.chance != lost && t.mayDisplace(now, v, p) && now-first.since >= preemptAfter
-	count := min(b.ready.Len(), left, mostAwaits)
-	if x.spec.Gang {
-		count = b.ready.Len()
+func (s *Scheduler) reserveFutureCapacity(now eventloop.Micros, q *queueView, step *stepQueue, req *placementRequest, limit int, candidates, allCandidates []*candidate, pass *passState) (awaited int) {
+	first, _ := step.ready.Min()
+	mayPreempt := req.feasibility != infeasible && s.mayPreempt(now, q, pass) && now-first.since >= preemptionDelay
+	count := min(step.ready.Len(), limit, maxAwaited)
+	if req.spec.Gang {
+		count = step.ready.Len()
 	}
-	if hasComing(list) || mayDisplace {
-		j := &journal{table: t, now: now, passage: p}
-		for got < count && j.place(v, x, list, all, mayDisplace) {
-			got++
-			if !x.spec.Gang {
-				j.commit()
+	if hasReleasing(candidates) || mayPreempt {
+		tx := &preemptionTx{scheduler: s, now: now, pass: pass}
+		for awaited < count && tx.reserveOne(q, req, candidates, allCandidates, mayPreempt) {
+			awaited++
+			if !req.spec.Gang {
+				tx.commit()
 			}
 		}
 		switch {
-		case !x.spec.Gang:
-		case got == count:
-			j.commit()
+		case !req.spec.Gang:
+		case awaited == count:
+			tx.commit()
 		default:
-			j.undo()
-			got = 0
+			tx.rollback()
+			awaited = 0
 		}
-		if mayDisplace && got < count {
-			p.isFutile = true
+		if mayPreempt && awaited < count {
+			pass.preemptionFailed = true
 		}
 	}
-	pool := t.values.Text("queue", v.queue, "pool")
-	if got == 0 && !p.claims[pool] && now-first.since >= claimAfter && isWide(x, list) {
+	pool := s.config.Text("queue", q.name, "pool")
+	if awaited == 0 && !pass.claimedPools[pool] && now-first.since >= claimDelay && isWide(req, candidates) {
 		count := 1
-		if x.spec.Gang {
-			count = b.ready.Len()
+		if req.spec.Gang {
+			count = step.ready.Len()
 		}
-		p.claims[pool] = t.claim(x, count, list)
+		pass.claimedPools[pool] = s.claimWorkers(req, count, candidates)
 	}
-	return got
+	return awaited
 }
 
-func hasComing(list []*room) bool {
-	return slices.ContainsFunc(list, func(r *room) bool { return r.later != r.free })
+func hasReleasing(candidates []*candidate) bool {
+	return slices.ContainsFunc(candidates, func(c *candidate) bool { return c.freeAfterStops != c.free })
 }
 
-func (t *Table) mayDisplace(now eventloop.Micros, v *view, p *passage) bool {
-	return t.plan("preempt") != 0 && p.least < v.urgency && now-t.futileAt >= Pace
+func (s *Scheduler) mayPreempt(now eventloop.Micros, q *queueView, pass *passState) bool {
+	return s.fleetSetting("preempt") != 0 && pass.minRunningUrgency < q.urgency && now-s.preemptionFailedAt >= TickInterval
 }
 
-// mayAwait tells whether room may come about for what finds none.
-func (t *Table) mayAwait(now eventloop.Micros, v *view, list []*room, p *passage) bool {
-	return hasComing(list) || t.mayDisplace(now, v, p)
+// canGainCapacity tells whether room may come about for what finds none.
+func (s *Scheduler) canGainCapacity(now eventloop.Micros, q *queueView, candidates []*candidate, pass *passState) bool {
+	return hasReleasing(candidates) || s.mayPreempt(now, q, pass)
 }
 
-// journal is a trial: what it takes and displaces stands once it is committed.
-type journal struct {
-	table   *Table
-	now     eventloop.Micros
-	passage *passage
-	undos   []func()
-	units   []*unit
+// preemptionTx is a trial: what it takes and displaces stands once it is committed.
+type preemptionTx struct {
+	scheduler *Scheduler
+	now       eventloop.Micros
+	pass      *passState
+	undos     []func()
+	victims   []*victim
 }
 
-func (j *journal) commit() {
-	for _, u := range j.units {
-		for _, member := range u.members {
-			j.table.evict(member, "stopped")
-			j.table.counts.Preempted++
+func (tx *preemptionTx) commit() {
+	for _, v := range tx.victims {
+		for _, member := range v.members {
+			tx.scheduler.evict(member, "stopped")
+			tx.scheduler.counts.Preempted++
 		}
 	}
-	j.undos, j.units = nil, nil
+	tx.undos, tx.victims = nil, nil
 }
 
-func (j *journal) undo() {
-	for _, undo := range slices.Backward(j.undos) {
+func (tx *preemptionTx) rollback() {
+	for _, undo := range slices.Backward(tx.undos) {
 		undo()
 	}
-	j.undos, j.units = nil, nil
+	tx.undos, tx.victims = nil, nil
 }
 
-// place keeps room for one task.
-func (j *journal) place(v *view, x *wish, list, all []*room, mayDisplace bool) bool {
-	t := j.table
-	var best *room
-	var units []*unit
+// countOnWorker keeps room for one task.
+func (tx *preemptionTx) reserveOne(q *queueView, req *placementRequest, candidates, allCandidates []*candidate, mayPreempt bool) bool {
+	s := tx.scheduler
+	var best *candidate
+	var victims []*victim
 	cost := 0.0
-	for _, r := range list {
-		if !r.isOpen(x) || !t.suits(r, x) || !t.hasLeave(r, x) {
+	for _, c := range candidates {
+		if !c.acceptsMore(req) || !s.isEligible(c, req) || !s.isBelowWorkerLimit(c, req) {
 			continue
 		}
-		if r.later.has(x.need) {
-			best, units = r, nil
+		if c.freeAfterStops.covers(req.need) {
+			best, victims = c, nil
 			break
 		}
-		if !mayDisplace {
+		if !mayPreempt {
 			continue
 		}
-		if found, sum := t.displace(j.now, r, v.urgency, x, j.passage); found != nil && sum <= x.worthwhile && (best == nil || sum < cost) {
-			best, units, cost = r, found, sum
+		if found, sum := s.selectVictims(tx.now, c, q.urgency, req, tx.pass); found != nil && sum <= req.maxLoss && (best == nil || sum < cost) {
+			best, victims, cost = c, found, sum
 		}
 	}
 	if best == nil {
 		return false
 	}
-	for _, u := range units {
-		u.isTaken = true
-		j.units = append(j.units, u)
-		j.undos = append(j.undos, func() { u.isTaken = false })
-		for _, member := range u.members {
-			if at := slices.IndexFunc(all, func(r *room) bool { return r.w.id == member.worker }); at >= 0 {
-				r, size := all[at], sizeOf(member.spec)
-				r.later.add(size)
-				j.undos = append(j.undos, func() { r.later.sub(size) })
+	for _, v := range victims {
+		v.isTaken = true
+		tx.victims = append(tx.victims, v)
+		tx.undos = append(tx.undos, func() { v.isTaken = false })
+		for _, member := range v.members {
+			if at := slices.IndexFunc(allCandidates, func(c *candidate) bool { return c.worker.id == member.worker }); at >= 0 {
+				c, size := allCandidates[at], resourcesOf(member.spec)
+				c.freeAfterStops.add(size)
+				tx.undos = append(tx.undos, func() { c.freeAfterStops.sub(size) })
 			}
 		}
 	}
-	best.later.sub(x.need)
-	x.workers[best.w.id]++
-	x.racks[best.w.rack]++
-	j.undos = append(j.undos, func() {
-		best.later.add(x.need)
-		x.workers[best.w.id]--
-		x.racks[best.w.rack]--
+	best.freeAfterStops.sub(req.need)
+	req.tasksPerWorker[best.worker.id]++
+	req.tasksPerRack[best.worker.rack]++
+	tx.undos = append(tx.undos, func() {
+		best.freeAfterStops.add(req.need)
+		req.tasksPerWorker[best.worker.id]--
+		req.tasksPerRack[best.worker.rack]--
 	})
 	return true
 }
 
-// displace finds what of less urgency must go from a worker for a task to fit,
+// selectVictims finds what of less urgency must go from a worker for a task to fit,
 // with the least work lost; nil if even all of it isn't enough.
-func (t *Table) displace(now eventloop.Micros, r *room, urgency int64, x *wish, p *passage) (units []*unit, cost float64) {
-	if !r.hasUnits {
-		r.hasUnits, r.units = true, t.unitsOf(now, r.w, p)
+func (s *Scheduler) selectVictims(now eventloop.Micros, c *candidate, urgency int64, req *placementRequest, pass *passState) (victims []*victim, cost float64) {
+	if !c.hasVictims {
+		c.hasVictims, c.victims = true, s.listVictims(now, c.worker, pass)
 	}
-	trial, need := r.later, x.need
-	for _, u := range r.units {
-		if trial.has(need) {
+	free, need := c.freeAfterStops, req.need
+	for _, v := range c.victims {
+		if free.covers(need) {
 			break
 		}
-		if u.isTaken || u.urgency >= urgency || u.chance < x.chance || u.members[0].evict != "" {
+		if v.isTaken || v.urgency >= urgency || v.feasibility < req.feasibility || v.members[0].evictOutcome != "" {
 			continue
 		}
-		trial.add(u.on(r.w.id))
-		units = append(units, u)
+		free.add(v.resourcesOn(c.worker.id))
+		victims = append(victims, v)
 	}
-	if !trial.has(need) {
+	if !free.covers(need) {
 		return nil, 0
 	}
 	// What has become needless by those after it stays, the dearest first.
-	for k := len(units) - 1; k >= 0; k-- {
-		less := trial
-		if less.sub(units[k].on(r.w.id)); less.has(need) {
-			trial = less
-			units = slices.Delete(units, k, k+1)
+	for k := len(victims) - 1; k >= 0; k-- {
+		remaining := free
+		if remaining.sub(victims[k].resourcesOn(c.worker.id)); remaining.covers(need) {
+			free = remaining
+			victims = slices.Delete(victims, k, k+1)
 		}
 	}
-	for _, u := range units {
-		cost += u.cost
+	for _, v := range victims {
+		cost += v.loss
 	}
-	return units, cost
+	return victims, cost
 }
 
-// on is the room a unit takes on one worker.
-func (u *unit) on(worker string) (size amount) {
-	for _, member := range u.members {
+// resourcesOn is the room a unit takes on one worker.
+func (v *victim) resourcesOn(worker string) (size resources) {
+	for _, member := range v.members {
 		if member.worker == worker {
-			size.add(sizeOf(member.spec))
+			size.add(resourcesOf(member.spec))
 		}
 	}
 	return size
 }
 
-// unitsOf lists what may be displaced on a worker, the least loss first.
-func (t *Table) unitsOf(now eventloop.Micros, w *worker, p *passage) []*unit {
-	var units []*unit
+// listVictims lists what may be displaced on a worker, the least loss first.
+func (s *Scheduler) listVictims(now eventloop.Micros, w *worker, pass *passState) []*victim {
+	var victims []*victim
 	seen := map[stepKey]bool{}
-	for _, each := range t.tasksOf(w) {
-		if !t.isDisplaceable(each) {
+	for _, t := range s.sortedTasks(w) {
+		if !s.isPreemptible(t) {
 			continue
 		}
-		u := &unit{members: []*task{each}, urgency: t.views[each.key.queue].urgency}
-		if each.spec.Gang {
-			if seen[each.key.ofStep()] {
+		v := &victim{members: []*task{t}, urgency: s.queues[t.key.queue].urgency}
+		if t.spec.Gang {
+			if seen[t.key.stepKey()] {
 				continue
 			}
-			seen[each.key.ofStep()] = true
-			if known := p.groups[each.key.ofStep()]; known != nil {
-				units = append(units, known)
+			seen[t.key.stepKey()] = true
+			if known := pass.gangVictims[t.key.stepKey()]; known != nil {
+				victims = append(victims, known)
 				continue
 			}
-			p.groups[each.key.ofStep()] = u
-			if u.members = t.members(each); !allOf(u.members, t.isDisplaceable) {
-				u.isTaken = true
+			pass.gangVictims[t.key.stepKey()] = v
+			if v.members = s.gangMembers(t); !allOf(v.members, s.isPreemptible) {
+				v.isTaken = true
 				continue
 			}
 		}
-		u.chance = t.chanceOf(now, t.views[each.key.queue], each)
-		for _, member := range u.members {
-			u.cost += loss(now, member)
+		v.feasibility = s.feasibilityOf(now, s.queues[t.key.queue], t)
+		for _, member := range v.members {
+			v.loss += lostWork(now, member)
 		}
 		// What ends about as soon as it would stop frees its room all the same.
-		if t.remaining(now, w, each) < eventloop.Micros(t.bounds.GetStopUs())/2 && each.beganAt > 0 {
+		if s.remainingRuntime(now, w, t) < eventloop.Micros(s.bounds.GetStopUs())/2 && t.startedAt > 0 {
 			continue
 		}
-		units = append(units, u)
+		victims = append(victims, v)
 	}
-	slices.SortStableFunc(units, func(a, b *unit) int {
-		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.urgency, b.urgency), -cmp.Compare(a.members[0].since, b.members[0].since))
+	slices.SortStableFunc(victims, func(a, b *victim) int {
+		return cmp.Or(cmp.Compare(a.loss, b.loss), cmp.Compare(a.urgency, b.urgency), -cmp.Compare(a.members[0].since, b.members[0].since))
 	})
-	return units
+	return victims
 }
 
 func allOf(list []*task, is func(*task) bool) bool {
-	return !slices.ContainsFunc(list, func(each *task) bool { return !is(each) })
+	return !slices.ContainsFunc(list, func(t *task) bool { return !is(t) })
 }
 
-func (t *Table) isDisplaceable(each *task) bool {
-	if each.standing != queue.CheckedOut || each.evict != "" {
+func (s *Scheduler) isPreemptible(t *task) bool {
+	if t.state != queue.CheckedOut || t.evictOutcome != "" {
 		return false
 	}
-	w := t.workers[each.worker]
-	return w == nil || w.ended[attemptKey{each.key, each.attempt}] == nil
+	w := s.workers[t.worker]
+	return w == nil || w.ended[attemptKey{t.key, t.attempt}] == nil
 }
 
-// loss is the work that is lost when a task is stopped now: since its progress
+// lostWork is the work that is lost when a task is stopped now: since its progress
 // was last kept, else since it began.
-func loss(now eventloop.Micros, each *task) float64 {
-	cores := cost(each.spec)
-	if each.spec.RunUntilCancelled {
-		return cores * float64(lastingCost)
+func lostWork(now eventloop.Micros, t *task) float64 {
+	cores := coresOf(t.spec)
+	if t.spec.RunUntilCancelled {
+		return cores * float64(serviceLoss)
 	}
-	if each.beganAt == 0 {
+	if t.startedAt == 0 {
 		return 0
 	}
-	from := each.beganAt
-	if each.spec.Checkpoints {
-		from = max(from, each.savedAt)
+	from := t.startedAt
+	if t.spec.Checkpoints {
+		from = max(from, t.checkpointedAt)
 	}
 	return cores * float64(now-from)
 }
 
-// worthwhile is how much work may be thrown away to begin a task at once: more
+// maxLoss is how much work may be thrown away to begin a task at once: more
 // than about its own isn't gained by it.
-func (t *Table) worthwhile(v *view, each *task) float64 {
-	span := t.usual(v.queue, each.ahead[:min(1, len(each.ahead))], 0)
-	if span == 0 || each.spec.RunUntilCancelled {
+func (s *Scheduler) maxLostWork(q *queueView, t *task) float64 {
+	duration := s.estimateDuration(q.name, t.remaining[:min(1, len(t.remaining))], 0)
+	if duration == 0 || t.spec.RunUntilCancelled {
 		return math.Inf(1)
 	}
-	return lossTimes * cost(each.spec) * float64(span)
+	return maxLossFactor * coresOf(t.spec) * float64(duration)
 }
 
-// cost is what a step's tasks take, in cores.
-func cost(spec *schema.Step) float64 {
-	return float64(spec.CoresMilli+acceleratorCost*spec.Accelerators) / 1000
+// loss is what a step's tasks take, in cores.
+func coresOf(spec *schema.Step) float64 {
+	return float64(spec.CoresMilli+acceleratorMilliCores*spec.Accelerators) / 1000
 }
--- /dev/null
+++ b/internal/scheduler/progress_test.go
@@ -0,0 +1,93 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/queue"
+	"sparnotch/internal/schema"
+)
+
+func TestProgressRate(t *testing.T) {
+	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimatedRunUs: 1_000_000}
+	job := uint64(100)
+	shifts := func(h *harness, list ...*queue.TaskEvent) {
+		for _, each := range list {
+			each.Sequence = h.scheduler.queues["l"].lastSequence + 1
+			h.deliverEvents(false, each.Sequence, each)
+		}
+	}
+	finish := func(h *harness, worker string) {
+		job++
+		shifts(h, newEvent(0, job, 0, queue.CheckedOut, worker, step))
+		h.announce(worker, withNames(func(a *schema.WorkerHeartbeat) {
+			a.Ended = []*schema.TaskStatus{{Name: fmt.Sprint("j", job), Attempt: 1, State: "done", RunUs: int64(eventloop.Second)}}
+		}))
+		shifts(h, newEvent(0, job, 0, queue.Inactive, "", step))
+	}
+	setUp := func() *harness {
+		h := newHarness("a", "b", "c")
+		h.deliverEvents(true, 0)
+		for _, id := range []string{"a", "b", "c"} {
+			h.announce(id, withNames(nil))
+		}
+		for k := 0; k < 10; k++ {
+			finish(h, "b")
+			finish(h, "c")
+		}
+		for k := uint64(1); k <= 3; k++ {
+			shifts(h, newEvent(0, k, 0, queue.CheckedOut, "a", step))
+		}
+		return h
+	}
+	// play lets three tasks run on a worker that makes so much progress in each 100 ms.
+	simulate := func(h *harness, span eventloop.Micros, percent float64) {
+		made := 0.0
+		for end := h.now + span; h.now < end; {
+			var notes []*schema.TaskStatus
+			for k := 1; k <= 3; k++ {
+				notes = append(notes, &schema.TaskStatus{Name: fmt.Sprint("j", k), Attempt: 1, State: "running", Percent: int64(made)})
+			}
+			h.announce("a", withNames(func(a *schema.WorkerHeartbeat) { a.Running = notes }))
+			h.announce("b", withNames(nil))
+			h.announce("c", withNames(nil))
+			h.advance(100 * eventloop.Millisecond)
+			made += percent
+		}
+	}
+	isAside := func(h *harness) bool { return h.now < h.scheduler.workers["a"].ejectedUntil }
+	Convey("A worker whose tasks make a fifth of the usual progress rests, and they go elsewhere", t, func() {
+		h := setUp()
+		simulate(h, 1900*eventloop.Millisecond, 2)
+		So(isAside(h), ShouldBeTrue)
+		So(len(h.ordersOf(0, "stop")), ShouldBeGreaterThanOrEqualTo, 3)
+		So(h.scheduler.workers["a"].ejectionPeriod, ShouldEqual, slowEjectionPeriod)
+	})
+	Convey("One whose tasks make nearly the usual progress doesn't", t, func() {
+		h := setUp()
+		simulate(h, 1500*eventloop.Millisecond, 6)
+		So(isAside(h), ShouldBeFalse)
+		So(h.ordersOf(0, "stop"), ShouldBeEmpty)
+	})
+	Convey("Progress that isn't told for a while says nothing yet", t, func() {
+		h := setUp()
+		simulate(h, 2*eventloop.Second, 0)
+		So(isAside(h), ShouldBeFalse)
+		Convey("but when it isn't for long, the worker rests", func() {
+			simulate(h, 1000*eventloop.Millisecond, 0)
+			So(isAside(h), ShouldBeTrue)
+		})
+	})
+	Convey("Estimates are trusted until more runs are known, since the short ones end first", t, func() {
+		p := &runtimeModel{isEstimated: true}
+		p.observe(16, 12)
+		So(p.predict(16), ShouldBeBetween, 15, 16)
+		for k := 0; k < 100; k++ {
+			p.observe(16, 14)
+		}
+		So(p.predict(16), ShouldBeBetween, 13.9, 14.2)
+	})
+}
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -10,58 +10,58 @@
 	"sparnotch/internal/schema"
 )
 
-// reports passes ended tasks on to their queues' leaders until they are noted.
-func (t *Table) reports(now eventloop.Micros, w *worker, notes []*schema.TaskStatus, out eventloop.Effects) {
-	fresh := map[attemptKey]*ended{}
+// recordEndReports passes ended tasks on to their queues' leaders until they are noted.
+func (s *Scheduler) recordEndReports(now eventloop.Micros, w *worker, notes []*schema.TaskStatus, effects eventloop.Effects) {
+	fresh := map[attemptKey]*endReport{}
 	for _, note := range notes {
-		key := noteKey(note)
-		e := w.ended[key]
-		if e == nil {
-			e = &ended{note: note, at: now, sentAt: -endSpan}
-			t.judge(now, w, key, note)
+		key := attemptKeyOf(note)
+		report := w.ended[key]
+		if report == nil {
+			report = &endReport{note: note, receivedAt: now, sentAt: -reportRetryInterval}
+			s.recordEnd(now, w, key, note)
 		}
-		fresh[key] = e
+		fresh[key] = report
 	}
 	w.ended = fresh
-	t.passReports(now, w, out)
+	s.forwardEndReports(now, w, effects)
 }
 
-func (t *Table) passReports(now eventloop.Micros, w *worker, out eventloop.Effects) {
-	for _, key := range endedKeys(w) {
-		e := w.ended[key]
-		if e.isNoted || now-e.sentAt < endSpan {
+func (s *Scheduler) forwardEndReports(now eventloop.Micros, w *worker, effects eventloop.Effects) {
+	for _, key := range sortedEndKeys(w) {
+		report := w.ended[key]
+		if report.isAcknowledged || now-report.sentAt < reportRetryInterval {
 			continue
 		}
-		outcome := e.note.State
+		outcome := report.note.State
 		end := &schema.TaskEndReport{
 			Queue: key.queue, Key: &schema.TaskKey{Job: key.job, Step: key.step, Task: key.task},
-			Attempt: key.attempt, Worker: w.id, Checkpoint: e.note.Checkpoint, WholeGang: outcome == "done" && w.gathers,
+			Attempt: key.attempt, Worker: w.id, Checkpoint: report.note.Checkpoint, WholeGang: outcome == "done" && w.hasBarrier,
 		}
-		if v := t.views[key.queue]; v != nil && t.mayAct(now, v) {
-			each := v.tasks[key.taskKey]
+		if q := s.queues[key.queue]; q != nil && s.mayActFor(now, q) {
+			t := q.tasks[key.taskKey]
 			// It isn't out under that attempt any more, so nothing is left to
 			// report, but that it failed. That is sure only when nothing is on
 			// its way to us.
-			isPast := each == nil || each.attempt > key.attempt
-			if isPast && outcome != "failed" {
-				e.isNoted = true
+			superseded := t == nil || t.attempt > key.attempt
+			if superseded && outcome != "failed" {
+				report.isAcknowledged = true
 				continue
 			}
 			// Who fails at once would have the others stopped before the last of
 			// them has begun, whose order was lost on the way.
-			if !isPast && outcome == "failed" && now-e.at < wholeSpan && t.isBeginning(each) {
+			if !superseded && outcome == "failed" && now-report.receivedAt < gangFailureGrace && s.isGangStarting(t) {
 				continue
 			}
-			if !isPast && each.attempt == key.attempt && each.evict != "" && outcome == "stopped" {
-				outcome = each.evict
+			if !superseded && t.attempt == key.attempt && t.evictOutcome != "" && outcome == "stopped" {
+				outcome = t.evictOutcome
 			}
-			if each != nil {
-				end.WholeGang = end.WholeGang && each.spec.Gang
+			if t != nil {
+				end.WholeGang = end.WholeGang && t.spec.Gang
 				// A run that ends before it has kept anything new leaves what there was.
-				if end.Checkpoint == "" && each.attempt == key.attempt {
-					end.Checkpoint = each.keptProgress()
+				if end.Checkpoint == "" && t.attempt == key.attempt {
+					end.Checkpoint = t.latestCheckpoint()
 				}
-				if !each.spec.Checkpoints {
+				if !t.spec.Checkpoints {
 					end.Checkpoint = ""
 				}
 			}
@@ -69,49 +69,49 @@
 		if outcome == "done" {
 			end.Checkpoint = ""
 		}
-		e.sentAt = now
+		report.sentAt = now
 		end.Outcome = outcome
-		out.Notify("replica", replica.TaskEnded{End: end})
+		effects.Notify("replica", replica.TaskEnded{End: end})
 	}
 }
 
-func endedKeys(w *worker) []attemptKey {
+func sortedEndKeys(w *worker) []attemptKey {
 	keys := make([]attemptKey, 0, len(w.ended))
 	for key := range w.ended {
 		keys = append(keys, key)
 	}
-	sort.Slice(keys, func(a, b int) bool { return lessKey(keys[a].taskKey, keys[b].taskKey) })
+	sort.Slice(keys, func(a, b int) bool { return taskKeyLess(keys[a].taskKey, keys[b].taskKey) })
 	return keys
 }
 
-func (t *Table) noted(m *schema.TaskEndAck) {
-	if w := t.workers[m.Worker]; w != nil && m.Key != nil {
-		if e := w.ended[attemptKey{taskKey{m.Queue, m.Key.Job, m.Key.Step, m.Key.Task}, m.Attempt}]; e != nil {
-			e.isNoted, w.isDirty = true, true
+func (s *Scheduler) handleEndReply(m *schema.TaskEndAck) {
+	if w := s.workers[m.Worker]; w != nil && m.Key != nil {
+		if report := w.ended[attemptKey{taskKey{m.Queue, m.Key.Job, m.Key.Step, m.Key.Task}, m.Attempt}]; report != nil {
+			report.isAcknowledged, w.needsResponse = true, true
 		}
 	}
 	// The queue has taken the end in, though its shift may not be here yet: this
 	// attempt isn't started any more.
-	if v := t.views[m.Queue]; v != nil && m.Key != nil {
-		if each := v.tasks[taskKey{m.Queue, m.Key.Job, m.Key.Step, m.Key.Task}]; each != nil && each.attempt == m.Attempt && each.worker == m.Worker {
-			each.isOver = true
+	if q := s.queues[m.Queue]; q != nil && m.Key != nil {
+		if t := q.tasks[taskKey{m.Queue, m.Key.Job, m.Key.Step, m.Key.Task}]; t != nil && t.attempt == m.Attempt && t.worker == m.Worker {
+			t.isEndAcknowledged = true
 		}
 	}
 }
 
-func (t *Table) noteOf(each *task) *schema.TaskStatus {
-	w := t.workers[each.worker]
+func (s *Scheduler) runningNote(t *task) *schema.TaskStatus {
+	w := s.workers[t.worker]
 	if w == nil {
 		return nil
 	}
-	return w.running[attemptKey{each.key, each.attempt}]
+	return w.running[attemptKey{t.key, t.attempt}]
 }
 
-func (t *Table) hasNoted(now eventloop.Micros, w *worker) bool {
-	for _, e := range w.ended {
-		if e.isNoted {
+func (s *Scheduler) hasAcknowledgedEnds(now eventloop.Micros, w *worker) bool {
+	for _, report := range w.ended {
+		if report.isAcknowledged {
 			return true
 		}
 	}
-	return len(w.unknown) > 0 && len(t.forgotten(now, w.unknown)) > 0
+	return len(w.unknownEnds) > 0 && len(s.orphanedNotes(now, w.unknownEnds)) > 0
 }
--- a/internal/scheduler/overtaken_test.go
+++ b/internal/scheduler/superseded_test.go
@@ -8,18 +8,18 @@
 	"sparnotch/internal/schema"
 )
 
-func TestOvertakenAnnounces(t *testing.T) {
+func TestSupersededAnnounces(t *testing.T) {
 	// replies are the answers to two announces of which the second follows at once.
 	replies := func(change func(*schema.WorkerHeartbeat)) int {
-		d := newDesk("w")
-		d.announce("w", change)
-		So(d.replies, ShouldHaveLength, 1)
-		d.announce("w", change)
-		d.announce("w", change)
-		return len(d.replies) - 1
+		h := newHarness("w")
+		h.announce("w", change)
+		So(h.replies, ShouldHaveLength, 1)
+		h.announce("w", change)
+		h.announce("w", change)
+		return len(h.replies) - 1
 	}
 	Convey("An announce that an agent has overtaken isn't answered, for it takes none but the newest's", t, func() {
-		So(replies(named(nil)), ShouldEqual, 0)
+		So(replies(withNames(nil)), ShouldEqual, 0)
 	})
 	Convey("Of a worker behind a front each is, for its call is open", t, func() {
 		So(replies(nil), ShouldEqual, 1)
--- a/internal/scheduler/task.go
+++ b/internal/scheduler/task.go
@@ -27,7 +27,7 @@
 	step  uint32
 }
 
-func (k taskKey) ofStep() stepKey { return stepKey{k.queue, k.job, k.step} }
+func (k taskKey) stepKey() stepKey { return stepKey{k.queue, k.job, k.step} }
 
 type attemptKey struct {
 	taskKey
@@ -35,57 +35,57 @@
 }
 
 type task struct {
-	key         taskKey
-	standing    queue.Status
-	attempt     uint32
-	worker      string
-	incarnation uint64
-	hand        uint64
-	name        string
-	spec        *schema.Step
-	text        string
-	reserved    string // worker of a checkout on its way
-	reservedAt  eventloop.Micros
-	since       eventloop.Micros // ready or out since
-	evict       string           // outcome to report once the worker has stopped it
-	why         string           // of the placement
-	lostAt      eventloop.Micros
-	isLaunched  bool             // its group is decided to begin
-	launchAt    eventloop.Micros // when that was proposed
-	heldAt      eventloop.Micros // when the whole group was first seen held
-	isOver      bool             // its end has been noted, by more than we have heard of the queue
-	round, part uint32
-	saved       string // progress its next start carries
-	failures    uint32 // counted so far
-	dueAt       eventloop.Micros
-	course
-	trail
+	key                 taskKey
+	state               queue.Status
+	attempt             uint32
+	worker              string
+	incarnation         uint64
+	sequence            uint64
+	jobName             string
+	spec                *schema.Step
+	text                string
+	reservedWorker      string // worker of a checkout on its way
+	reservedAt          eventloop.Micros
+	since               eventloop.Micros // ready or out since
+	evictOutcome        string           // outcome to report once the worker has stopped it
+	placementReason     string           // of the placement
+	returnedAt          eventloop.Micros
+	isGangStarted       bool             // its group is decided to begin
+	gangStartProposedAt eventloop.Micros // when that was proposed
+	gangHeldAt          eventloop.Micros // when the whole group was first seen held
+	isEndAcknowledged   bool             // its end has been noted, by more than we have heard of the queue
+	round, part         uint32
+	initialCheckpoint   string // progress its next start carries
+	failures            uint32 // counted so far
+	roundDueAt          eventloop.Micros
+	criticalPath
+	attemptProgress
 }
 
-// trail is what was seen of one attempt.
-type trail struct {
-	beganAt eventloop.Micros // first seen running
-	movedAt eventloop.Micros // its progress was last seen to change
-	savedAt eventloop.Micros // its kept progress was last seen to change
-	percent int64
-	seen    string           // kept progress last seen
-	strikes uint32           // times it was stopped for standing still
-	orderAt eventloop.Micros // its start order left last
-	mark    mark
-	stopAt  eventloop.Micros // it was first seen wanting to be stopped
-	isLate  bool             // its stop takes too long to wait for the room
+// attemptProgress is what was seen of one attempt.
+type attemptProgress struct {
+	startedAt       eventloop.Micros // first seen running
+	progressedAt    eventloop.Micros // its progress was last seen to change
+	checkpointedAt  eventloop.Micros // its kept progress was last seen to change
+	percent         int64
+	lastCheckpoint  string           // kept progress last seen
+	strikes         uint32           // times it was stopped for standing still
+	orderedAt       eventloop.Micros // its start order left last
+	sample          progressSample
+	stopRequestedAt eventloop.Micros // it was first seen wanting to be stopped
+	isStopOverdue   bool             // its stop takes too long to wait for the room
 }
 
-// keptProgress is the newest progress known, for steps that keep any.
-func (t *task) keptProgress() string {
+// latestCheckpoint is the newest progress known, for steps that keep any.
+func (t *task) latestCheckpoint() string {
 	if !t.spec.Checkpoints {
 		return ""
 	}
-	return cmp.Or(t.seen, t.saved)
+	return cmp.Or(t.lastCheckpoint, t.initialCheckpoint)
 }
 
-// band is the ready tasks of one step.
-type band struct {
+// stepQueue is the ready tasks of one step.
+type stepQueue struct {
 	key   stepKey
 	spec  *schema.Step
 	ready *btree.BTreeG[*task]
@@ -94,42 +94,42 @@
 // shape is all that decides whether steps fit anywhere: where one doesn't,
 // those of the same shape behind it needn't be tried.
 type shape struct {
-	need     amount
+	need     resources
 	labels   string
 	together uint32  // members of a group
 	own      stepKey // of a step whose other tasks matter
 }
 
 func shapeOf(key stepKey, spec *schema.Step) shape {
-	form := shape{need: sizeOf(spec)}
+	result := shape{need: resourcesOf(spec)}
 	if len(spec.Labels) > 0 {
-		form.labels = strings.Join(spec.Labels, " ")
+		result.labels = strings.Join(spec.Labels, " ")
 	}
 	if spec.Gang {
-		form.together = spec.Tasks
+		result.together = spec.Tasks
 	}
 	if spec.MaxPerWorker > 0 {
-		form.own = key
+		result.own = key
 	}
-	return form
+	return result
 }
 
-// row is the ready steps of one shape, in order.
-type row struct {
-	form  shape
-	bands *btree.BTreeG[*band]
+// shapeGroup is the ready steps of one shape, in order.
+type shapeGroup struct {
+	shape shape
+	steps *btree.BTreeG[*stepQueue]
 }
 
-func beforeBand(a, b *band) bool {
-	return cmp.Or(cmp.Compare(a.key.job, b.key.job), cmp.Compare(a.key.step, b.key.step)) < 0
+func stepQueueLess(a, step *stepQueue) bool {
+	return cmp.Or(cmp.Compare(a.key.job, step.key.job), cmp.Compare(a.key.step, step.key.step)) < 0
 }
 
-func noteKey(note *schema.TaskStatus) attemptKey {
+func attemptKeyOf(note *schema.TaskStatus) attemptKey {
 	return attemptKey{taskKey{note.Queue, note.Job, note.Step, note.Task}, note.Attempt}
 }
 
-func lessKey(a, b taskKey) bool { return compareKeys(a, b) < 0 }
+func taskKeyLess(a, b taskKey) bool { return compareTaskKeys(a, b) < 0 }
 
-func compareKeys(a, b taskKey) int {
+func compareTaskKeys(a, b taskKey) int {
 	return cmp.Or(cmp.Compare(a.queue, b.queue), cmp.Compare(a.job, b.job), cmp.Compare(a.step, b.step), cmp.Compare(a.task, b.task))
 }
--- a/internal/scheduler/workers.go
+++ b/internal/scheduler/workers.go
@@ -10,203 +10,203 @@
 	"sparnotch/internal/schema"
 )
 
-type poll struct {
-	front string
-	id    uint64
-	seq   uint64
-	until eventloop.Micros
+type openPoll struct {
+	gateway  string
+	id       uint64
+	seq      uint64
+	deadline eventloop.Micros
 }
 
 type worker struct {
-	id          string
-	generation  uint64
-	since       eventloop.Micros
-	isKnown     bool // has announced itself to this ward's generation
-	incarnation uint64
-	seq         uint64
-	heard       eventloop.Micros
-	answered    eventloop.Micros
-	cores       int64
-	memory      int64
-	rack        string
-	isLeaving   bool
-	leftAt      eventloop.Micros // when that was first heard
-	running     map[attemptKey]*schema.TaskStatus
-	ended       map[attemptKey]*ended
-	tasks       map[taskKey]*task
-	poll        *poll
-	isDirty     bool    // there may be something to tell it
-	good, bad   float64 // decayed counts of ended tasks
+	id                string
+	fencingToken      uint64
+	leaseSince        eventloop.Micros
+	hasAnnounced      bool // has announced itself to this ward's generation
+	incarnation       uint64
+	seq               uint64
+	lastHeard         eventloop.Micros
+	lastResponse      eventloop.Micros
+	cores             int64
+	memory            int64
+	rack              string
+	isDraining        bool
+	drainingSince     eventloop.Micros // when that was first heard
+	running           map[attemptKey]*schema.TaskStatus
+	ended             map[attemptKey]*endReport
+	tasks             map[taskKey]*task
+	poll              *openPoll
+	needsResponse     bool    // there may be something to tell it
+	succeeded, failed float64 // decayed counts of ended tasks
 	quality
 
 	accelerators int64
 	labels       []string
 	pool         string
-	gathers      bool
-	isNamed      bool
-	isOver       bool             // dead, by its successor's agent's word
-	departAt     eventloop.Micros // while it leaves; 0: not told
-	coldUntil    eventloop.Micros
-	resolved     map[nameAttempt]attemptKey // what its named notes stand for
-	strange      []*schema.TaskStatus       // runs that no task is known for
-	unknown      []*schema.TaskStatus       // ends that no task is known for
-
-	reserved map[taskKey]*task // checkouts on their way
-	isStale  bool              // the sums below are to be made anew
-	used     amount            // by all that is there or on its way
-	coming   amount            // of that, what is being stopped
-	fixed    amount            // of that, what never ends by itself
-	count    int
-	isBlurry bool // it runs something of unknown size
+	hasBarrier   bool
+	usesNames    bool
+	isDead       bool             // dead, by its successor's agent's word
+	departsAt    eventloop.Micros // while it leaves; 0: not told
+	warmUpUntil  eventloop.Micros
+	resolved     map[namedAttempt]attemptKey // what its named notes stand for
+	unknownRuns  []*schema.TaskStatus        // runs that no task is known for
+	unknownEnds  []*schema.TaskStatus        // ends that no task is known for
+
+	reserved        map[taskKey]*task // checkouts on their way
+	isUsageStale    bool              // the sums below are to be made anew
+	used            resources         // by all that is there or on its way
+	releasing       resources         // of that, what is being stopped
+	usedByServices  resources         // of that, what never ends by itself
+	taskCount       int
+	hasUnknownUsage bool // it runs something of unknown size
 }
 
-// placedOn is the tasks out on a worker.
-func (t *Table) placedOn(id string) map[taskKey]*task {
-	if t.placed[id] == nil {
-		t.placed[id] = map[taskKey]*task{}
+// tasksOn is the tasks out on a worker.
+func (s *Scheduler) tasksOn(id string) map[taskKey]*task {
+	if s.tasksByWorker[id] == nil {
+		s.tasksByWorker[id] = map[taskKey]*task{}
 	}
-	return t.placed[id]
+	return s.tasksByWorker[id]
 }
 
-func (t *Table) dismiss(w *worker, out eventloop.Effects) {
+func (s *Scheduler) closePoll(w *worker, effects eventloop.Effects) {
 	if w.poll != nil {
-		out.Send(w.poll.front, &schema.WorkerPollResponse{Id: w.poll.id, Scheduler: t.id})
+		effects.Send(w.poll.gateway, &schema.WorkerPollResponse{Id: w.poll.id, Scheduler: s.id})
 		w.poll = nil
 	}
 }
 
-func (t *Table) lose(name string) {
-	if v := t.views[name]; v != nil {
-		for key := range v.tasks {
-			t.remove(v, key)
+func (s *Scheduler) dropQueue(name string) {
+	if q := s.queues[name]; q != nil {
+		for key := range q.tasks {
+			s.removeTask(q, key)
 		}
-		delete(t.views, name)
-		t.isDirty = true
+		delete(s.queues, name)
+		s.needsPass = true
 	}
 }
 
-// isSure tells whether the cluster state's word, by which this node is a ward, is
+// isClusterStateCurrent tells whether the cluster state's word, by which this node is a ward, is
 // fresh.
-func (t *Table) isSure(now eventloop.Micros) bool {
-	return now-t.freshAt < actSpan && t.fresh.IsClusterStateFresh
+func (s *Scheduler) isClusterStateCurrent(now eventloop.Micros) bool {
+	return now-s.leadershipAt < maxLeadershipAge && s.leadership.IsClusterStateFresh
 }
 
-// mayAct tells whether orders for a queue may leave: its leader has just heard
+// mayActFor tells whether orders for a queue may leave: its leader has just heard
 // its quorum, and the cluster state's word is fresh.
-func (t *Table) mayAct(now eventloop.Micros, v *view) bool {
-	return t.isSure(now) && t.fresh.Terms[v.group] == v.term
+func (s *Scheduler) mayActFor(now eventloop.Micros, q *queueView) bool {
+	return s.isClusterStateCurrent(now) && s.leadership.Terms[q.raftGroup] == q.term
 }
 
-func (t *Table) heard(now eventloop.Micros, front string, m *schema.WorkerPollRequest, out eventloop.Effects) {
-	w := t.workers[m.Worker]
-	a := m.Heartbeat
+func (s *Scheduler) handlePoll(now eventloop.Micros, gateway string, poll *schema.WorkerPollRequest, effects eventloop.Effects) {
+	w := s.workers[poll.Worker]
+	announce := poll.Heartbeat
 	// Who isn't sure of being the ward gives no lease.
-	if w == nil || a == nil || w.isOver || !t.isSure(now) || a.FencingToken > w.generation {
-		out.Send(front, &schema.WorkerPollResponse{Id: m.Id, Scheduler: t.id})
+	if w == nil || announce == nil || w.isDead || !s.isClusterStateCurrent(now) || announce.FencingToken > w.fencingToken {
+		effects.Send(gateway, &schema.WorkerPollResponse{Id: poll.Id, Scheduler: s.id})
 		return
 	}
-	if a.Incarnation < w.incarnation || a.Incarnation == w.incarnation && a.Seq <= w.seq {
-		out.Send(front, &schema.WorkerPollResponse{Id: m.Id, Scheduler: t.id})
+	if announce.Incarnation < w.incarnation || announce.Incarnation == w.incarnation && announce.Seq <= w.seq {
+		effects.Send(gateway, &schema.WorkerPollResponse{Id: poll.Id, Scheduler: s.id})
 		return
 	}
-	if a.Unanswered && w.isKnown && a.Incarnation == w.incarnation {
+	if announce.Unanswered && w.hasAnnounced && announce.Incarnation == w.incarnation {
 		// We hear it, but it doesn't hear us: what was ordered there may never begin, so
 		// it counts as silent. This answer grants nothing, and tells whether it hears again.
-		out.Send(front, &schema.WorkerPollResponse{Id: m.Id, Scheduler: t.id})
+		effects.Send(gateway, &schema.WorkerPollResponse{Id: poll.Id, Scheduler: s.id})
 		return
 	}
-	if a.Incarnation > w.incarnation {
-		w.ended = map[attemptKey]*ended{}
-		w.good, w.bad, w.quality = 0, 0, quality{}
-		w.resolved = map[nameAttempt]attemptKey{}
+	if announce.Incarnation > w.incarnation {
+		w.ended = map[attemptKey]*endReport{}
+		w.succeeded, w.failed, w.quality = 0, 0, quality{}
+		w.resolved = map[namedAttempt]attemptKey{}
 	}
 	type state struct {
-		used, whole         amount
+		used, whole         resources
 		isLeaving, isBlurry bool
 	}
-	stateOf := func() state { return state{w.used, w.whole(), w.isLeaving, w.isBlurry} }
-	t.count(w)
-	was := stateOf()
-	isFirst := !w.isKnown || a.Incarnation != w.incarnation
-	wasSilent := now-w.heard > silentSpan
-	w.incarnation, w.seq, w.heard, w.isKnown = a.Incarnation, a.Seq, now, true
-	w.cores, w.memory, w.rack = a.CoresMilli, a.MemoryMb, a.Rack
-	if a.Draining && (!w.isLeaving || isFirst) {
-		w.leftAt = now
-	}
-	w.isLeaving = a.Draining
-	w.accelerators, w.labels, w.pool, w.gathers, w.isNamed = a.Accelerators, a.Labels, a.Pool, a.GangBarrier, a.TasksByName
-	w.departAt, w.isStale = 0, true
-	if a.WarmUpUs > 0 {
-		w.coldUntil = now + eventloop.Micros(a.WarmUpUs)
+	stateOf := func() state { return state{w.used, w.total(), w.isDraining, w.hasUnknownUsage} }
+	s.refreshUsage(w)
+	before := stateOf()
+	isFirst := !w.hasAnnounced || announce.Incarnation != w.incarnation
+	wasSilent := now-w.lastHeard > unresponsiveTimeout
+	w.incarnation, w.seq, w.lastHeard, w.hasAnnounced = announce.Incarnation, announce.Seq, now, true
+	w.cores, w.memory, w.rack = announce.CoresMilli, announce.MemoryMb, announce.Rack
+	if announce.Draining && (!w.isDraining || isFirst) {
+		w.drainingSince = now
+	}
+	w.isDraining = announce.Draining
+	w.accelerators, w.labels, w.pool, w.hasBarrier, w.usesNames = announce.Accelerators, announce.Labels, announce.Pool, announce.GangBarrier, announce.TasksByName
+	w.departsAt, w.isUsageStale = 0, true
+	if announce.WarmUpUs > 0 {
+		w.warmUpUntil = now + eventloop.Micros(announce.WarmUpUs)
 	} else {
-		w.coldUntil = min(w.coldUntil, now)
+		w.warmUpUntil = min(w.warmUpUntil, now)
 	}
-	if a.Draining && a.DepartsInUs > 0 {
-		w.departAt = now + eventloop.Micros(a.DepartsInUs)
+	if announce.Draining && announce.DepartsInUs > 0 {
+		w.departsAt = now + eventloop.Micros(announce.DepartsInUs)
 	}
-	running, over := t.resolve(w, a)
+	running, ended := s.resolveNotes(w, announce)
 	w.running = map[attemptKey]*schema.TaskStatus{}
 	for _, note := range running {
-		w.running[noteKey(note)] = note
-		t.look(now, w, note)
+		w.running[attemptKeyOf(note)] = note
+		s.observeRun(now, w, note)
 	}
-	t.gauge(now, w)
-	t.reports(now, w, over, out)
-	t.forsaken(now, w, out)
-	t.buried(now, a.ReplacedWorkers, m.Worker, out)
+	s.measureProgress(now, w)
+	s.recordEndReports(now, w, ended, effects)
+	s.returnAbandoned(now, w, effects)
+	s.markDead(now, announce.ReplacedWorkers, poll.Worker, effects)
 	// The older announce is overtaken; its answer would say less, and an agent,
 	// which has one open at a time, doesn't take it.
-	if w.poll != nil && !a.TasksByName {
-		t.answer(now, w, out)
-	}
-	wait := eventloop.Micros(min(max(a.MaxWaitUs, 0), int64(holdSpan)))
-	w.poll, w.isDirty = &poll{front: front, id: m.Id, seq: a.Seq, until: now + wait}, true
-	for _, each := range w.tasks {
-		if each.spec.Gang {
-			if w.gathers {
-				t.gather(now, each)
+	if w.poll != nil && !announce.TasksByName {
+		s.respond(now, w, effects)
+	}
+	wait := eventloop.Micros(min(max(announce.MaxWaitUs, 0), int64(maxPollWait)))
+	w.poll, w.needsResponse = &openPoll{gateway: gateway, id: poll.Id, seq: announce.Seq, deadline: now + wait}, true
+	for _, t := range w.tasks {
+		if t.spec.Gang {
+			if w.hasBarrier {
+				s.breakUpGang(now, t)
 			}
-			t.touchGroup(each)
+			s.markGangDirty(t)
 		}
 	}
 	if isFirst {
 		// The worker must learn of its ward at once, and we have its inventory.
-		t.answer(now, w, out)
+		s.respond(now, w, effects)
 	}
 	// Most announces bring no room.
-	t.count(w)
-	t.isDirty = t.isDirty || isFirst || wasSilent || was != stateOf()
-	t.isStirred = true
+	s.refreshUsage(w)
+	s.needsPass = s.needsPass || isFirst || wasSilent || before != stateOf()
+	s.needsGangStart = true
 }
 
-// forsaken returns what an earlier incarnation of the worker had: by its own
+// returnAbandoned returns what an earlier incarnation of the worker had: by its own
 // word nothing of that runs.
-func (t *Table) forsaken(now eventloop.Micros, w *worker, out eventloop.Effects) {
-	for _, each := range t.tasksOf(w) {
-		if each.incarnation < w.incarnation {
-			t.giveBack(now, each, "lost", out)
+func (s *Scheduler) returnAbandoned(now eventloop.Micros, w *worker, effects eventloop.Effects) {
+	for _, t := range s.sortedTasks(w) {
+		if t.incarnation < w.incarnation {
+			s.returnTask(now, t, "lost", effects)
 		}
 	}
 }
 
-func (t *Table) tasksOf(w *worker) []*task {
+func (s *Scheduler) sortedTasks(w *worker) []*task {
 	list := make([]*task, 0, len(w.tasks))
-	for _, each := range w.tasks {
-		list = append(list, each)
+	for _, t := range w.tasks {
+		list = append(list, t)
 	}
-	slices.SortFunc(list, func(a, b *task) int { return compareKeys(a.key, b.key) })
+	slices.SortFunc(list, func(a, b *task) int { return compareTaskKeys(a.key, b.key) })
 	return list
 }
 
-func (t *Table) giveBack(now eventloop.Micros, each *task, outcome string, out eventloop.Effects) {
-	if now-each.lostAt < endSpan && each.lostAt > 0 {
+func (s *Scheduler) returnTask(now eventloop.Micros, t *task, outcome string, effects eventloop.Effects) {
+	if now-t.returnedAt < reportRetryInterval && t.returnedAt > 0 {
 		return
 	}
-	each.lostAt = now
-	t.counts.LostTasks++
-	out.Notify("replica", replica.TaskEnded{End: &schema.TaskEndReport{
-		Queue: each.key.queue, Key: &schema.TaskKey{Job: each.key.job, Step: each.key.step, Task: each.key.task},
-		Attempt: each.attempt, Outcome: outcome, Worker: each.worker, Checkpoint: each.keptProgress(),
+	t.returnedAt = now
+	s.counts.LostTasks++
+	effects.Notify("replica", replica.TaskEnded{End: &schema.TaskEndReport{
+		Queue: t.key.queue, Key: &schema.TaskKey{Job: t.key.job, Step: t.key.step, Task: t.key.task},
+		Attempt: t.attempt, Outcome: outcome, Worker: t.worker, Checkpoint: t.latestCheckpoint(),
 	}})
 }
