--- a/internal/gateway/confirmation.go
+++ b/internal/gateway/confirmation.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	confirmationSpan = 500 * eventloop.Millisecond // a call for an unknown queue waits so long for the leader's word
-	maxParked        = 256
+	confirmationTimeout     = 500 * eventloop.Millisecond // a call for an unknown queue waits so long for the leader's word
+	maxAwaitingConfirmation = 256
 	// Confirmations are requests of our own, numbered above those of callers.
-	firstConfirmation = 1 << 63
+	firstConfirmationID = 1 << 63
 )
 
 // confirmation holds calls for queues that our copy of the plan lacks until the
@@ -22,113 +22,113 @@
 // what the plan is. Whoever has just put a plan may use it at once, and nobody is told
 // that there is no such queue by a copy that may be old.
 type confirmation struct {
-	number uint64 // of the request that is out; 0: none
-	sentAt eventloop.Micros
-	riding []any // calls that came before it was sent: its answer decides them
-	next   []any // calls that came since
-	last   uint64
+	requestID  uint64 // of the request that is out; 0: none
+	sentAt     eventloop.Micros
+	inFlight   []any // calls that came before it was sent: its answer decides them
+	queued     []any // calls that came since
+	lastNumber uint64
 }
 
-// park holds a call until its queue is found, or confirmed not to be there.
-func (t *Table) park(now eventloop.Micros, call any, out eventloop.Effects) bool {
-	c := &t.confirmation
-	if len(c.riding)+len(c.next) >= maxParked {
+// awaitConfirmation holds a call until its queue is found, or confirmed not to be there.
+func (g *Gateway) awaitConfirmation(now eventloop.Micros, call any, effects eventloop.Effects) bool {
+	c := &g.confirmation
+	if len(c.inFlight)+len(c.queued) >= maxAwaitingConfirmation {
 		return false
 	}
-	c.next = append(c.next, call)
-	if c.number == 0 {
-		t.confirm(now, out)
+	c.queued = append(c.queued, call)
+	if c.requestID == 0 {
+		g.sendConfirmation(now, effects)
 	}
 	return true
 }
 
-// confirm asks for all calls that wait for an answer to a question sent since.
-func (t *Table) confirm(now eventloop.Micros, out eventloop.Effects) {
-	c := &t.confirmation
-	if len(c.next) == 0 {
+// sendConfirmation asks for all calls that wait for an answer to a question sent since.
+func (g *Gateway) sendConfirmation(now eventloop.Micros, effects eventloop.Effects) {
+	c := &g.confirmation
+	if len(c.queued) == 0 {
 		return
 	}
-	c.last++
-	c.number, c.sentAt, c.riding, c.next = firstConfirmation+c.last, now, c.next, nil
-	body, err := proto.Marshal(t.stateAsk())
+	c.lastNumber++
+	c.requestID, c.sentAt, c.inFlight, c.queued = firstConfirmationID+c.lastNumber, now, c.queued, nil
+	body, err := proto.Marshal(g.newStateQuery())
 	if err != nil {
 		panic("gateway: " + err.Error())
 	}
-	each := &request{ask: Ask{Request: c.number, Kind: "state", Group: clusterstate.Group, Body: body, Deadline: now + confirmationSpan}}
-	t.requests[c.number] = each
-	t.carry(now, each, out)
+	confirmationRequest := &request{message: LeaderRequest{RequestID: c.requestID, Kind: "state", Group: clusterstate.Group, Body: body, Deadline: now + confirmationTimeout}}
+	g.requests[c.requestID] = confirmationRequest
+	g.sendRequest(now, confirmationRequest, effects)
 }
 
-// stateConfirmed takes the leader's answer and decides the calls that rode on it.
-func (t *Table) stateConfirmed(now eventloop.Micros, m *schema.Response, out eventloop.Effects) {
-	tell := &schema.ClusterStateResponse{}
-	if m.Code != 200 || proto.Unmarshal(m.Body, tell) != nil {
-		t.stateUnconfirmed(now, out)
+// finishConfirmation takes the leader's answer and decides the calls that rode on it.
+func (g *Gateway) finishConfirmation(now eventloop.Micros, m *schema.Response, effects eventloop.Effects) {
+	update := &schema.ClusterStateResponse{}
+	if m.Code != 200 || proto.Unmarshal(m.Body, update) != nil {
+		g.failConfirmation(now, effects)
 		return
 	}
-	t.clusterState(now, tell, out)
-	if t.state.Version < tell.Version {
+	g.handleClusterState(now, update, effects)
+	if g.state.Version < update.Version {
 		// What is newer is still on its way here.
-		t.stateUnconfirmed(now, out)
+		g.failConfirmation(now, effects)
 		return
 	}
-	t.lease.confirmedAt = max(t.lease.confirmedAt, t.confirmation.sentAt)
-	for _, call := range t.takeRiding() {
+	g.lease.confirmedAt = max(g.lease.confirmedAt, g.confirmation.sentAt)
+	for _, call := range g.takeInFlight() {
 		switch m := call.(type) {
-		case HandIn:
-			t.handIn(now, m, true, out)
-		case Ask:
-			t.ask(now, m, true, out)
+		case SubmitJob:
+			g.handleSubmit(now, m, true, effects)
+		case LeaderRequest:
+			g.handleRequest(now, m, true, effects)
 		}
 	}
-	t.confirm(now, out)
+	g.sendConfirmation(now, effects)
 }
 
-// stateUnconfirmed turns away what rode on the question: nobody knows whether there is
+// failConfirmation turns away what rode on the question: nobody knows whether there is
 // such a queue.
-func (t *Table) stateUnconfirmed(now eventloop.Micros, out eventloop.Effects) {
-	for _, call := range t.takeRiding() {
+func (g *Gateway) failConfirmation(now eventloop.Micros, effects eventloop.Effects) {
+	for _, call := range g.takeInFlight() {
 		switch m := call.(type) {
-		case HandIn:
-			t.notReady(now, m.Request, out)
-		case Ask:
-			t.notReady(now, m.Request, out)
+		case SubmitJob:
+			g.rejectNotReady(now, m.RequestID, effects)
+		case LeaderRequest:
+			g.rejectNotReady(now, m.RequestID, effects)
 		}
 	}
-	t.confirm(now, out)
+	g.sendConfirmation(now, effects)
 }
 
-func (t *Table) takeRiding() []any {
-	c := &t.confirmation
-	list := c.riding
-	delete(t.requests, c.number)
-	c.number, c.riding = 0, nil
-	return list
+func (g *Gateway) takeInFlight() []any {
+	c := &g.confirmation
+	calls := c.inFlight
+	delete(g.requests, c.requestID)
+	c.requestID, c.inFlight = 0, nil
+	return calls
 }
 
-// tickConfirmation gives up on a leader that doesn't answer.
-func (t *Table) tickConfirmation(now eventloop.Micros, out eventloop.Effects) {
-	if t.confirmation.number != 0 && now-t.confirmation.sentAt > confirmationSpan {
-		t.stateUnconfirmed(now, out)
+// expireConfirmation gives up on a leader that doesn't answer.
+func (g *Gateway) expireConfirmation(now eventloop.Micros, effects eventloop.Effects) {
+	if g.confirmation.requestID != 0 && now-g.confirmation.sentAt > confirmationTimeout {
+		g.failConfirmation(now, effects)
 	}
 }
 
-// unknownQueue answers for a queue that isn't placed, or parks the call first. The
+// handleUnknownQueue answers for a queue that isn't placed, or parks the call first. The
 // queue is empty where host and path lead to none.
-func (t *Table) unknownQueue(now eventloop.Micros, request uint64, queue string, call any, isConfirmed bool, out eventloop.Effects) {
+func (g *Gateway) handleUnknownQueue(now eventloop.Micros, requestID uint64, queue string, call any, isConfirmed bool, effects eventloop.Effects) {
 	switch {
-	case !t.lease.isValid(now):
-		t.notReady(now, request, out)
+	case !g.lease.isValid(now):
+		g.rejectNotReady(now, requestID, effects)
 	case !isConfirmed:
-		if !t.park(now, call, out) {
-			t.refuse(request, 503, "not_ready", "too many calls wait to hear what queues there are", 1, out)
+		if !g.awaitConfirmation(now, call, effects) {
+			g.reject(requestID, 503, "not_ready", "too many calls wait to hear what queues there are", 1, effects)
 		}
 	// Before the first plan nobody knows what queues there are to be.
-	case t.state.Configuration.GetRevision() == 0 || t.values.HasQueue(queue):
-		t.refuse(request, 503, "not_ready", "there is no plan yet, or the queue is being made", 1, out)
+	case g.state.Configuration.GetRevision() == 0 || g.values.HasQueue(queue):
+		g.reject(requestID, 503, "not_ready", "there is no plan yet, or the queue is being made", 1, effects)
 	case queue == "":
-		out.Respond(request, Answer{Code: 404, Body: Fault("unknown_queue", "the plan has no queue for this host and path", "path")})
+		effects.Respond(requestID, Response{Code: 404, Body: FaultBody("unknown_queue", "the plan has no queue for this host and path", "path")})
 	default:
-		out.Respond(request, Answer{Code: 404, Body: Fault("unknown_queue", "the plan has no queue "+strconv.Quote(queue), "queue")})
+		effects.Respond(requestID, Response{Code: 404, Body: FaultBody("unknown_queue", "the plan has no queue "+strconv.Quote(queue), "queue")})
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -15,215 +15,215 @@
 	"sparnotch/internal/schema"
 )
 
-// Pace is the tick of the table.
-const Pace = 50 * eventloop.Millisecond
+// TickInterval is the tick of the table.
+const TickInterval = 50 * eventloop.Millisecond
 
 const (
-	resendSpan    = 700 * eventloop.Millisecond  // an unconfirmed submission is sent again after this
-	redirectSpan  = 40 * eventloop.Millisecond   // between two redirects of one thing
-	retrySpan     = 400 * eventloop.Millisecond  // another request is sent again after this
-	storeSpan     = 1200 * eventloop.Millisecond // a store unheard for longer is asked only for want of others
-	askSpan       = 250 * eventloop.Millisecond  // between looks at the cluster state, at most
-	storesPerTurn = 2                            // stores that a front without word asks at once
-	newSpan       = 2 * eventloop.Second         // after a queue lost its leader the cluster state is looked at more often
-	quietSpan     = 30 * eventloop.Second        // a client session that rests this long is ended
-	frozenSpan    = 20 * eventloop.Second        // after a longer pause this front starts afresh
-	listedSpan    = 5 * eventloop.Second         // fronts that weren't heard of for longer aren't listed
-	youngSpan     = 900 * eventloop.Millisecond  // a process that never had word carries an operator's call so long; who calls waits a second
-	maxPending    = 4096                         // requests of all kinds at once
-	rateSpan      = eventloop.Second             // over which what a queue gets done is counted
-	longestRetry  = 30                           // seconds
-	maxResend     = 64                           // submissions resent a queue and tick
-	quietedMost   = 64
-	ledSpan       = 300 * eventloop.Millisecond // a queue without a leader for so long takes no new hand-ins here
+	resendInterval          = 700 * eventloop.Millisecond  // an unconfirmed submission is sent again after this
+	minRedirectInterval     = 40 * eventloop.Millisecond   // between two redirects of one thing
+	requestRetryDelay       = 400 * eventloop.Millisecond  // another request is sent again after this
+	storageNodeTimeout      = 1200 * eventloop.Millisecond // a store unheard for longer is asked only for want of others
+	maxStateQueryInterval   = 250 * eventloop.Millisecond  // between looks at the cluster state, at most
+	storageNodesPerQuery    = 2                            // stores that a front without word asks at once
+	leaderLossPeriod        = 2 * eventloop.Second         // after a queue lost its leader the cluster state is looked at more often
+	sessionIdleTimeout      = 30 * eventloop.Second        // a client session that rests this long is ended
+	maxTickGap              = 20 * eventloop.Second        // after a longer pause this front starts afresh
+	listedGatewayTimeout    = 5 * eventloop.Second         // fronts that weren't heard of for longer aren't listed
+	bootstrapRequestTimeout = 900 * eventloop.Millisecond  // a process that never had word carries an operator's call so long; who calls waits a second
+	maxPending              = 4096                         // requests of all kinds at once
+	minRateWindow           = eventloop.Second             // over which what a queue gets done is counted
+	maxRetryAfterSeconds    = 30                           // seconds
+	maxResendBatch          = 64                           // submissions resent a queue and tick
+	maxEndedSessions        = 64
+	leaderlessGracePeriod   = 300 * eventloop.Millisecond // a queue without a leader for so long takes no new hand-ins here
 )
 
-// Table is the gateway's table.
-type Table struct {
-	id           string
-	boot         uint64
-	epoch        uint64 // of sessions made here, so that none is ever taken up again
-	rng          *rand.Rand
-	state        *schema.ClusterState
-	values       *clusterstate.Values
-	lease        stateLease
-	leaders      map[string]string
-	unled        map[string]eventloop.Micros // queues that nobody is known to lead, and since when
-	waits        map[string]*schema.QueueStatus
-	roll         *membership.View
-	sessions     map[queueClient]*session
-	byId         map[string]*session
-	requests     map[uint64]*request
-	polls        map[uint64]PollIn
-	met          map[string]eventloop.Micros
-	quitting     map[string][]*schema.Session
-	confirmation confirmation // of queues that our copy of the plan lacks
-	pending      int
-	queueHas     map[string]int         // unconfirmed by queue
-	asked        map[uint64]*submission // by request
-	askedAt      eventloop.Micros
-	redirected   map[string]eventloop.Micros     // by queue
-	owed         map[string]bool                 // queues whose redirect waits for the next tick
-	denied       map[queueStore]eventloop.Micros // when a store last said that it doesn't lead a queue
-	last         eventloop.Micros
-	paces        map[string]*pace
-	wasInTouch   bool // requests in hand could be carried at the last tick
-	turn         int  // of stores that are asked without word
-	isWarned     bool
-	isLocal      bool // the cluster state is in this process
+// Gateway is the gateway's table.
+type Gateway struct {
+	id                   string
+	incarnation          uint64
+	lastSession          uint64 // of sessions made here, so that none is ever taken up again
+	rng                  *rand.Rand
+	state                *schema.ClusterState
+	values               *clusterstate.Values
+	lease                stateLease
+	leaders              map[string]string
+	leaderlessSince      map[string]eventloop.Micros // queues that nobody is known to lead, and since when
+	queueStatus          map[string]*schema.QueueStatus
+	membership           *membership.View
+	sessions             map[queueClient]*session
+	sessionsByID         map[string]*session
+	requests             map[uint64]*request
+	announcements        map[uint64]ForwardAnnouncement
+	registrationSentAt   map[string]eventloop.Micros
+	endedSessions        map[string][]*schema.Session
+	confirmation         confirmation // of queues that our copy of the plan lacks
+	unconfirmedCount     int
+	unconfirmedByQueue   map[string]int         // unconfirmed by queue
+	submissionsByRequest map[uint64]*submission // by request
+	stateQueriedAt       eventloop.Micros
+	redirectedAt         map[string]eventloop.Micros    // by queue
+	redirectDue          map[string]bool                // queues whose redirect waits for the next tick
+	leadershipDeniedAt   map[queueNode]eventloop.Micros // when a store last said that it doesn't lead a queue
+	lastTick             eventloop.Micros
+	throughputs          map[string]*throughput
+	wasInContact         bool // requests in hand could be carried at the last tick
+	nextStorageNode      int  // of stores that are asked without word
+	isDraining           bool
+	hasLocalReplica      bool // the cluster state is in this process
 }
 
 // New makes the table of the front with this id and boot.
-func New(id string, boot uint64, isLocal bool, rng *rand.Rand) *Table {
-	return &Table{
-		id: id, boot: boot, rng: rng, isLocal: isLocal, state: &schema.ClusterState{}, values: clusterstate.ParseValues(nil),
-		leaders: map[string]string{}, unled: map[string]eventloop.Micros{}, waits: map[string]*schema.QueueStatus{}, sessions: map[queueClient]*session{}, byId: map[string]*session{},
-		requests: map[uint64]*request{}, polls: map[uint64]PollIn{}, met: map[string]eventloop.Micros{}, quitting: map[string][]*schema.Session{},
-		queueHas: map[string]int{}, asked: map[uint64]*submission{}, redirected: map[string]eventloop.Micros{}, owed: map[string]bool{}, denied: map[queueStore]eventloop.Micros{},
-		paces: map[string]*pace{}, lease: newStateLease(boot),
+func New(id string, incarnation uint64, hasLocalReplica bool, rng *rand.Rand) *Gateway {
+	return &Gateway{
+		id: id, incarnation: incarnation, rng: rng, hasLocalReplica: hasLocalReplica, state: &schema.ClusterState{}, values: clusterstate.ParseValues(nil),
+		leaders: map[string]string{}, leaderlessSince: map[string]eventloop.Micros{}, queueStatus: map[string]*schema.QueueStatus{}, sessions: map[queueClient]*session{}, sessionsByID: map[string]*session{},
+		requests: map[uint64]*request{}, announcements: map[uint64]ForwardAnnouncement{}, registrationSentAt: map[string]eventloop.Micros{}, endedSessions: map[string][]*schema.Session{},
+		unconfirmedByQueue: map[string]int{}, submissionsByRequest: map[uint64]*submission{}, redirectedAt: map[string]eventloop.Micros{}, redirectDue: map[string]bool{}, leadershipDeniedAt: map[queueNode]eventloop.Micros{},
+		throughputs: map[string]*throughput{}, lease: newStateLease(incarnation),
 	}
 }
 
-// Bind takes what the deployment promises.
-func (t *Table) Bind(bounds *schema.Bounds) *Table {
+// WithBounds takes what the deployment promises.
+func (g *Gateway) WithBounds(bounds *schema.Bounds) *Gateway {
 	if apply := eventloop.Micros(bounds.GetApplyUs()); apply > 0 {
-		t.lease.applyBound = apply
+		g.lease.applyBound = apply
 	}
-	return t
+	return g
 }
 
 // Step implements eventloop.Table.
-func (t *Table) Step(now eventloop.Micros, mail eventloop.Message, out eventloop.Effects) {
-	switch body := mail.Body.(type) {
+func (g *Gateway) Step(now eventloop.Micros, message eventloop.Message, effects eventloop.Effects) {
+	switch body := message.Body.(type) {
 	case eventloop.Tick:
-		t.tick(now, out)
-	case HandIn:
-		t.handIn(now, body, false, out)
-	case Ask:
-		t.ask(now, body, false, out)
-	case PollIn:
-		t.poll(now, body, out)
-	case Ready:
-		t.ready(now, body, out)
-	case Fronts:
-		t.fronts(now, body, out)
-	case Forget:
-		t.forget(body.Request)
+		g.handleTick(now, effects)
+	case SubmitJob:
+		g.handleSubmit(now, body, false, effects)
+	case LeaderRequest:
+		g.handleRequest(now, body, false, effects)
+	case ForwardAnnouncement:
+		g.handleAnnouncement(now, body, effects)
+	case CheckReadiness:
+		g.checkReadiness(now, body, effects)
+	case ListGateways:
+		g.listGateways(now, body, effects)
+	case ForgetRequest:
+		g.forgetRequest(body.RequestID)
 	case *schema.SubmitResponse:
-		t.applied(now, mail.From, body, out)
+		g.handleApplied(now, message.From, body, effects)
 	case *schema.Response:
-		t.replied(now, body, out)
+		g.handleReply(now, body, effects)
 	case *schema.WorkerPollResponse:
-		t.polled(body, out)
+		g.handlePollReply(body, effects)
 	case *schema.ClusterStateResponse:
-		t.clusterState(now, body, out)
+		g.handleClusterState(now, body, effects)
 	case *membership.View:
-		t.roll = body
-		for group, id := range t.leaders {
+		g.membership = body
+		for group, id := range g.leaders {
 			if known, isKnown := body.Members[id]; isKnown && known.Member.Draining {
-				t.unlead(now, group)
+				g.clearLeader(now, group)
 			}
 		}
-	case Warned:
-		t.isWarned = true
+	case StartDraining:
+		g.isDraining = true
 	}
 }
 
-func (t *Table) tick(now eventloop.Micros, out eventloop.Effects) {
-	if t.last > 0 && now-t.last > frozenSpan {
+func (g *Gateway) handleTick(now eventloop.Micros, effects eventloop.Effects) {
+	if g.lastTick > 0 && now-g.lastTick > maxTickGap {
 		// Others may have given us up meanwhile, and our callers have.
-		t.restart(now, out)
+		g.restartSessions(now, effects)
 	}
-	t.last = now
+	g.lastTick = now
 	// A replica of our own may not be one of the voters, as after its disk was
 	// lost, or may be cut off from them: then others are asked.
-	if !t.isLocal || t.lease.isHalfOver(now) || t.state.Version == 0 || len(t.leaders) == 0 {
-		t.askClusterState(now, out)
-	} else if now-t.askedAt >= t.askRest(now) {
-		t.askedAt = now
-		t.askAt(now, t.id, out)
-	}
-	queues := map[string]bool{}
-	for key, s := range t.sessions {
-		if len(s.waiting) > 0 {
-			queues[key.queue] = true
+	if !g.hasLocalReplica || g.lease.needsRenewal(now) || g.state.Version == 0 || len(g.leaders) == 0 {
+		g.queryClusterState(now, effects)
+	} else if now-g.stateQueriedAt >= g.stateQueryInterval(now) {
+		g.stateQueriedAt = now
+		g.sendStateQuery(now, g.id, effects)
+	}
+	resendQueues := map[string]bool{}
+	for key, s := range g.sessions {
+		if len(s.unconfirmed) > 0 {
+			resendQueues[key.queue] = true
 		}
 	}
-	for _, queue := range sorted(t.owed) {
-		delete(t.owed, queue)
-		t.redirected[queue] = now
-		if list := t.elsewhere(queue); len(list) > 0 {
-			t.send(now, queue, list, out)
+	for _, queue := range sortedKeys(g.redirectDue) {
+		delete(g.redirectDue, queue)
+		g.redirectedAt[queue] = now
+		if submissions := g.misrouted(queue); len(submissions) > 0 {
+			g.sendSubmissions(now, queue, submissions, effects)
 		}
 	}
-	for _, queue := range sorted(queues) {
-		isOverdue := func(each *submission) bool { return now-each.sent >= resendSpan }
-		if list := t.unconfirmed(queue, isOverdue); len(list) > 0 {
+	for _, queue := range sortedKeys(resendQueues) {
+		isOverdue := func(each *submission) bool { return now-each.sentAt >= resendInterval }
+		if submissions := g.selectUnconfirmed(queue, isOverdue); len(submissions) > 0 {
 			// Whoever doesn't answer may be gone: ask around.
-			t.unlead(now, queue)
-			t.send(now, queue, list, out)
+			g.clearLeader(now, queue)
+			g.sendSubmissions(now, queue, submissions, effects)
 		}
 	}
-	t.tickConfirmation(now, out)
-	for _, p := range t.paces {
-		p.count(now, p.done)
+	g.expireConfirmation(now, effects)
+	for _, throughput := range g.throughputs {
+		throughput.record(now, throughput.done)
 	}
-	isInTouch := !t.lease.isLost(now)
-	if t.wasInTouch && !isInTouch {
-		t.giveUp(now, out)
+	isInContact := !g.lease.isExpired(now)
+	if g.wasInContact && !isInContact {
+		g.failPending(now, effects)
 	}
-	t.wasInTouch = isInTouch
-	t.tickRequests(now, out)
-	t.endQuiet(now, out)
-	for id, m := range t.polls {
-		if now > m.Deadline {
-			delete(t.polls, id)
+	g.wasInContact = isInContact
+	g.retryRequests(now, effects)
+	g.endIdleSessions(now, effects)
+	for id, announcement := range g.announcements {
+		if now > announcement.Deadline {
+			delete(g.announcements, id)
 		}
 	}
-	for key, at := range t.denied {
-		if now-at > resendSpan {
-			delete(t.denied, key)
+	for key, at := range g.leadershipDeniedAt {
+		if now-at > resendInterval {
+			delete(g.leadershipDeniedAt, key)
 		}
 	}
-	for worker, at := range t.met {
+	for worker, at := range g.registrationSentAt {
 		if now-at > 10*eventloop.Second {
-			delete(t.met, worker)
+			delete(g.registrationSentAt, worker)
 		}
 	}
 }
 
-func sorted(set map[string]bool) []string {
-	return slices.Sorted(maps.Keys(set))
+func sortedKeys(keys map[string]bool) []string {
+	return slices.Sorted(maps.Keys(keys))
 }
 
-// fronts lists the fronts heard of lately, so that whoever knows one of them
+// listGateways lists the fronts heard of lately, so that whoever knows one of them
 // finds the others.
-func (t *Table) fronts(now eventloop.Micros, m Fronts, out eventloop.Effects) {
-	list := &schema.GatewayList{Gateways: []*schema.GatewayEndpoint{}}
-	if t.roll != nil {
-		ids := slices.Sorted(maps.Keys(t.roll.Members))
+func (g *Gateway) listGateways(now eventloop.Micros, m ListGateways, effects eventloop.Effects) {
+	gateways := &schema.GatewayList{Gateways: []*schema.GatewayEndpoint{}}
+	if g.membership != nil {
+		ids := slices.Sorted(maps.Keys(g.membership.Members))
 		for _, id := range ids {
-			if member := t.roll.Members[id].Member; member.Role == schema.Role_ROLE_SERVER && t.roll.IsAlive(id, now, listedSpan) {
-				list.Gateways = append(list.Gateways, &schema.GatewayEndpoint{Address: member.HttpAddress, Zone: member.Zone, Draining: member.Draining})
+			if member := g.membership.Members[id].Member; member.Role == schema.Role_ROLE_SERVER && g.membership.IsAlive(id, now, listedGatewayTimeout) {
+				gateways.Gateways = append(gateways.Gateways, &schema.GatewayEndpoint{Address: member.HttpAddress, Zone: member.Zone, Draining: member.Draining})
 			}
 		}
 	}
-	data, err := json.Marshal(list)
+	data, err := json.Marshal(gateways)
 	if err != nil {
-		t.refuse(m.Request, 500, "internal", err.Error(), 0, out)
+		g.reject(m.RequestID, 500, "internal", err.Error(), 0, effects)
 		return
 	}
-	out.Respond(m.Request, Answer{Code: 200, Body: data})
+	effects.Respond(m.RequestID, Response{Code: 200, Body: data})
 }
 
-// ready tells whether this front can take requests and carry them.
-func (t *Table) ready(now eventloop.Micros, m Ready, out eventloop.Effects) {
+// checkReadiness tells whether this front can take requests and carry them.
+func (g *Gateway) checkReadiness(now eventloop.Micros, m CheckReadiness, effects eventloop.Effects) {
 	switch {
-	case t.isWarned:
-		t.refuse(m.Request, 503, "leaving", "this process is leaving", 0, out)
-	case !t.lease.isValid(now):
-		t.refuse(m.Request, 503, "not_ready", "no fresh word of the cluster state", 1, out)
+	case g.isDraining:
+		g.reject(m.RequestID, 503, "leaving", "this process is leaving", 0, effects)
+	case !g.lease.isValid(now):
+		g.reject(m.RequestID, 503, "not_ready", "no fresh word of the cluster state", 1, effects)
 	default:
-		out.Respond(m.Request, Answer{Code: 200, Body: []byte(`{"ready":true}`)})
+		effects.Respond(m.RequestID, Response{Code: 200, Body: []byte(`{"ready":true}`)})
 	}
 }
--- a/internal/gateway/leaders.go
+++ b/internal/gateway/leaders.go
@@ -10,140 +10,140 @@
 	"sparnotch/internal/eventloop"
 )
 
-func (t *Table) lead(group, id string) {
-	t.leaders[group] = id
-	delete(t.unled, group)
+func (g *Gateway) setLeader(group, id string) {
+	g.leaders[group] = id
+	delete(g.leaderlessSince, group)
 }
 
-func (t *Table) unlead(now eventloop.Micros, group string) {
-	delete(t.leaders, group)
-	if _, isKnown := t.unled[group]; !isKnown && clusterstate.FindQueue(t.state, group) != nil {
-		t.unled[group] = now
+func (g *Gateway) clearLeader(now eventloop.Micros, group string) {
+	delete(g.leaders, group)
+	if _, isKnown := g.leaderlessSince[group]; !isKnown && clusterstate.FindQueue(g.state, group) != nil {
+		g.leaderlessSince[group] = now
 	}
 }
 
-// askRest is how long to wait between two looks at the cluster state: less while
+// stateQueryInterval is how long to wait between two looks at the cluster state: less while
 // somebody may just have come to lead a queue.
-func (t *Table) askRest(now eventloop.Micros) eventloop.Micros {
+func (g *Gateway) stateQueryInterval(now eventloop.Micros) eventloop.Micros {
 	// Whoever has no word serves nobody.
-	if t.lease.isHalfOver(now) {
-		return 2 * Pace
+	if g.lease.needsRenewal(now) {
+		return 2 * TickInterval
 	}
-	for _, since := range t.unled {
-		if now-since < newSpan {
-			return Pace
+	for _, since := range g.leaderlessSince {
+		if now-since < leaderLossPeriod {
+			return TickInterval
 		}
 	}
-	return min(askSpan, t.lease.duration()/questionsPerLease)
+	return min(maxStateQueryInterval, g.lease.duration()/queriesPerLease)
 }
 
-// countUnled starts the clock of queues that are new here, and forgets it of
+// updateLeaderless starts the clock of queues that are new here, and forgets it of
 // those that are gone.
-func (t *Table) countUnled(now eventloop.Micros) {
-	for _, place := range t.state.Queues {
-		if _, isKnown := t.unled[place.Queue]; !isKnown && t.leaders[place.Queue] == "" {
-			t.unled[place.Queue] = now
+func (g *Gateway) updateLeaderless(now eventloop.Micros) {
+	for _, placement := range g.state.Queues {
+		if _, isKnown := g.leaderlessSince[placement.Queue]; !isKnown && g.leaders[placement.Queue] == "" {
+			g.leaderlessSince[placement.Queue] = now
 		}
 	}
-	for queue := range t.unled {
-		if clusterstate.FindQueue(t.state, queue) == nil {
-			delete(t.unled, queue)
+	for queue := range g.leaderlessSince {
+		if clusterstate.FindQueue(g.state, queue) == nil {
+			delete(g.leaderlessSince, queue)
 		}
 	}
 }
 
 // canCommit tells whether enough of a queue's voters take writes, as far as is
 // known: while most refuse, nothing new could be confirmed.
-func (t *Table) canCommit(now eventloop.Micros, queue string) bool {
-	if t.roll == nil {
+func (g *Gateway) canCommit(now eventloop.Micros, queue string) bool {
+	if g.membership == nil {
 		return true
 	}
 	// A queue's leader tells its voters now and then; until it has, who founded it
 	// stands for them.
-	voters := clusterstate.FindQueue(t.state, queue).GetInitialVoters()
-	if note := t.waits[queue]; note != nil {
+	voters := clusterstate.FindQueue(g.state, queue).GetInitialVoters()
+	if note := g.queueStatus[queue]; note != nil {
 		voters = note.Voters
 	}
-	return t.roll.HasWritableQuorum(now, voters, t.roll.RefusesWrites)
+	return g.membership.HasWritableQuorum(now, voters, g.membership.RefusesWrites)
 }
 
-// isUnled tells whether nobody has been known to lead a queue for too long to
+// isLeaderless tells whether nobody has been known to lead a queue for too long to
 // take more for it: what has a number can't be turned away any more.
-func (t *Table) isUnled(now eventloop.Micros, queue string) bool {
-	since, isKnown := t.unled[queue]
-	return isKnown && now-since > ledSpan
+func (g *Gateway) isLeaderless(now eventloop.Micros, queue string) bool {
+	since, isKnown := g.leaderlessSince[queue]
+	return isKnown && now-since > leaderlessGracePeriod
 }
 
-// leader is who is believed to lead a queue, or somebody who may know.
-func (t *Table) leader(now eventloop.Micros, group string) string {
-	if id := t.leaders[group]; id != "" {
+// target is who is believed to lead a queue, or somebody who may know.
+func (g *Gateway) target(now eventloop.Micros, group string) string {
+	if id := g.leaders[group]; id != "" {
 		return id
 	}
-	return t.someStore(now)
+	return g.anyStorageNode(now)
 }
 
-// mayLead tells whether somebody named as leader is worth believing in: whoever
+// isPlausibleLeader tells whether somebody named as leader is worth believing in: whoever
 // names one that leaves, or that nobody has heard of for a while, has old word.
-func (t *Table) mayLead(now eventloop.Micros, id string) bool {
+func (g *Gateway) isPlausibleLeader(now eventloop.Micros, id string) bool {
 	if id == "" {
 		return false
 	}
-	if t.roll == nil {
+	if g.membership == nil {
 		return true
 	}
-	known, isKnown := t.roll.Members[id]
-	return !isKnown || !known.Member.Draining && t.roll.IsAlive(id, now, storeSpan)
+	known, isKnown := g.membership.Members[id]
+	return !isKnown || !known.Member.Draining && g.membership.IsAlive(id, now, storageNodeTimeout)
 }
 
-// someStore is any store, one that was heard of lately and stays if there is.
-func (t *Table) someStore(now eventloop.Micros) string {
-	if t.roll == nil {
+// anyStorageNode is any store, one that was heard of lately and stays if there is.
+func (g *Gateway) anyStorageNode(now eventloop.Micros) string {
+	if g.membership == nil {
 		return ""
 	}
-	var all, likely []string
-	for _, id := range slices.Sorted(maps.Keys(t.roll.Members)) {
-		known := t.roll.Members[id]
+	var candidates, live []string
+	for _, id := range slices.Sorted(maps.Keys(g.membership.Members)) {
+		known := g.membership.Members[id]
 		if !known.Member.HasStorage {
 			continue
 		}
-		all = append(all, id)
-		if t.roll.IsAlive(id, now, storeSpan) && !known.Member.Draining {
-			likely = append(likely, id)
+		candidates = append(candidates, id)
+		if g.membership.IsAlive(id, now, storageNodeTimeout) && !known.Member.Draining {
+			live = append(live, id)
 		}
 	}
-	if len(likely) > 0 {
-		all = likely
+	if len(live) > 0 {
+		candidates = live
 	}
-	if len(all) == 0 {
+	if len(candidates) == 0 {
 		return ""
 	}
-	return all[t.rng.IntN(len(all))]
+	return candidates[g.rng.IntN(len(candidates))]
 }
 
-// storesInTurn are the stores whose turn it is to be asked by a front without word.
+// nextStorageNodes are the stores whose turn it is to be asked by a front without word.
 // Those it heard of lately may be cut off together with it, so all have their turns.
-func (t *Table) storesInTurn() []string {
-	if t.roll == nil {
+func (g *Gateway) nextStorageNodes() []string {
+	if g.membership == nil {
 		return nil
 	}
-	var stores []string
-	for _, id := range slices.Sorted(maps.Keys(t.roll.Members)) {
-		if t.roll.Members[id].Member.HasStorage {
-			stores = append(stores, id)
+	var storageNodes []string
+	for _, id := range slices.Sorted(maps.Keys(g.membership.Members)) {
+		if g.membership.Members[id].Member.HasStorage {
+			storageNodes = append(storageNodes, id)
 		}
 	}
-	var list []string
-	for range min(storesPerTurn, len(stores)) {
-		list = append(list, stores[t.turn%len(stores)])
-		t.turn++
+	var selected []string
+	for range min(storageNodesPerQuery, len(storageNodes)) {
+		selected = append(selected, storageNodes[g.nextStorageNode%len(storageNodes)])
+		g.nextStorageNode++
 	}
-	return list
+	return selected
 }
 
-// elsewhere lists a queue's submissions that were last sent to another than who
+// misrouted lists a queue's submissions that were last sent to another than who
 // is now believed to lead it, or to the same before it came to.
-func (t *Table) elsewhere(queue string) []*submission {
-	leader := t.leaders[queue]
-	denied, hasDenied := t.denied[queueStore{queue, leader}]
-	return t.unconfirmed(queue, func(each *submission) bool { return each.to != leader || hasDenied && each.sent < denied })
+func (g *Gateway) misrouted(queue string) []*submission {
+	leader := g.leaders[queue]
+	deniedAt, wasDenied := g.leadershipDeniedAt[queueNode{queue, leader}]
+	return g.selectUnconfirmed(queue, func(each *submission) bool { return each.sentTo != leader || wasDenied && each.sentAt < deniedAt })
 }
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -7,58 +7,58 @@
 	"sparnotch/internal/schema"
 )
 
-// HandIn is a submission from HTTP. Where no queue is named, host and path lead to
+// SubmitJob is a submission from HTTP. Where no queue is named, host and path lead to
 // it by the plan's entries, and what follows the prefix is the job's name.
-type HandIn struct {
-	Request  uint64
-	Queue    string
-	Host     string
-	Path     string
-	Client   string
-	Name     string
-	Digest   []byte
-	Job      *schema.Job
-	Deadline eventloop.Micros
+type SubmitJob struct {
+	RequestID uint64
+	Queue     string
+	Host      string
+	Path      string
+	Client    string
+	Name      string
+	Digest    []byte
+	Job       *schema.Job
+	Deadline  eventloop.Micros
 }
 
-// Ask is any other request that a group's leader answers. Where no group is
-// named, host and path lead to a queue as for HandIn.
-type Ask struct {
-	Request  uint64
-	Kind     string
-	Group    string
-	Host     string
-	Path     string
-	Name     string
-	After    string
-	Most     uint32
-	Body     []byte
-	Deadline eventloop.Micros
+// LeaderRequest is any other request that a group's leader answers. Where no group is
+// named, host and path lead to a queue as for SubmitJob.
+type LeaderRequest struct {
+	RequestID uint64
+	Kind      string
+	Group     string
+	Host      string
+	Path      string
+	Name      string
+	After     string
+	Limit     uint32
+	Body      []byte
+	Deadline  eventloop.Micros
 }
 
-// PollIn is a worker's announce.
-type PollIn struct {
-	Request  uint64
-	Worker   string
-	Announce *schema.WorkerHeartbeat
-	Deadline eventloop.Micros
+// ForwardAnnouncement is a worker's announce.
+type ForwardAnnouncement struct {
+	RequestID uint64
+	Worker    string
+	Announce  *schema.WorkerHeartbeat
+	Deadline  eventloop.Micros
 }
 
-// Ready asks whether this front can serve.
-type Ready struct{ Request uint64 }
+// CheckReadiness asks whether this front can serve.
+type CheckReadiness struct{ RequestID uint64 }
 
-// Fronts asks for all fronts this one knows.
-type Fronts struct{ Request uint64 }
+// ListGateways asks for all fronts this one knows.
+type ListGateways struct{ RequestID uint64 }
 
-// Forget says that nobody waits for a request any more.
-type Forget struct{ Request uint64 }
+// ForgetRequest says that nobody waits for a request any more.
+type ForgetRequest struct{ RequestID uint64 }
 
-// Warned says that this process is to leave.
-type Warned struct{}
+// StartDraining says that this process is to leave.
+type StartDraining struct{}
 
 // Respond goes back to whoever waits.
-type Answer struct {
-	Code  int32
-	Body  []byte
-	Retry int // seconds, for 429 and 503
+type Response struct {
+	Code       int32
+	Body       []byte
+	RetryAfter int // seconds, for 429 and 503
 }
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -11,122 +11,122 @@
 )
 
 type request struct {
-	ask        Ask
-	sent       eventloop.Micros
-	to         string
-	redirected eventloop.Micros
-	isOwed     bool
+	message      LeaderRequest
+	sentAt       eventloop.Micros
+	sentTo       string
+	redirectedAt eventloop.Micros
+	isResendDue  bool
 }
 
-// retryAfter is when a request that wasn't answered is sent again: not while it may
+// retryDelay is when a request that wasn't answered is sent again: not while it may
 // still be on its way over the slowest link, or each would hold up the next.
-func (r *request) retryAfter() eventloop.Micros {
-	return retrySpan + eventloop.LinkTime(len(r.ask.Body))
+func (r *request) retryDelay() eventloop.Micros {
+	return requestRetryDelay + eventloop.LinkTime(len(r.message.Body))
 }
 
-func (t *Table) ask(now eventloop.Micros, m Ask, isConfirmed bool, out eventloop.Effects) {
-	if len(t.requests) >= maxPending {
-		t.refuse(m.Request, 429, "front_full", "this front has too much in hand", t.pace("").turn(now), out)
+func (g *Gateway) handleRequest(now eventloop.Micros, m LeaderRequest, isConfirmed bool, effects eventloop.Effects) {
+	if len(g.requests) >= maxPending {
+		g.reject(m.RequestID, 429, "front_full", "this front has too much in hand", g.throughputOf("").nextRetryAfter(now), effects)
 		return
 	}
-	if !t.lease.isValid(now) {
+	if !g.lease.isValid(now) {
 		// While the system is being founded an operator's call waits a little.
-		if t.lease.confirmedAt > 0 || m.Group != clusterstate.Group {
-			t.notReady(now, m.Request, out)
+		if g.lease.confirmedAt > 0 || m.Group != clusterstate.Group {
+			g.rejectNotReady(now, m.RequestID, effects)
 			return
 		}
-		m.Deadline = min(m.Deadline, now+youngSpan)
+		m.Deadline = min(m.Deadline, now+bootstrapRequestTimeout)
 	}
-	mail := m
+	message := m
 	if m.Group == "" {
-		m.Group, m.Name, _ = t.values.MatchRoute(m.Host, m.Path)
+		m.Group, m.Name, _ = g.values.MatchRoute(m.Host, m.Path)
 	}
-	if m.Group != clusterstate.Group && clusterstate.FindQueue(t.state, m.Group) == nil {
-		t.unknownQueue(now, m.Request, m.Group, mail, isConfirmed, out)
+	if m.Group != clusterstate.Group && clusterstate.FindQueue(g.state, m.Group) == nil {
+		g.handleUnknownQueue(now, m.RequestID, m.Group, message, isConfirmed, effects)
 		return
 	}
-	each := &request{ask: m}
-	t.requests[m.Request] = each
-	t.carry(now, each, out)
+	pending := &request{message: m}
+	g.requests[m.RequestID] = pending
+	g.sendRequest(now, pending, effects)
 }
 
-func (t *Table) carry(now eventloop.Micros, each *request, out eventloop.Effects) {
-	m := each.ask
-	each.sent, each.to = now, t.leader(now, m.Group)
-	if to := each.to; to != "" {
-		out.Send(to, &schema.Request{Id: m.Request, Kind: m.Kind, Group: m.Group, Name: m.Name, PageAfter: m.After, Limit: m.Most, Body: m.Body})
+func (g *Gateway) sendRequest(now eventloop.Micros, pending *request, effects eventloop.Effects) {
+	m := pending.message
+	pending.sentAt, pending.sentTo = now, g.target(now, m.Group)
+	if to := pending.sentTo; to != "" {
+		effects.Send(to, &schema.Request{Id: m.RequestID, Kind: m.Kind, Group: m.Group, Name: m.Name, PageAfter: m.After, Limit: m.Limit, Body: m.Body})
 	}
 }
 
-func (t *Table) replied(now eventloop.Micros, m *schema.Response, out eventloop.Effects) {
-	each := t.requests[m.Id]
-	if each == nil {
+func (g *Gateway) handleReply(now eventloop.Micros, m *schema.Response, effects eventloop.Effects) {
+	pending := g.requests[m.Id]
+	if pending == nil {
 		return
 	}
-	if m.Code != 0 && m.Id == t.confirmation.number {
-		t.stateConfirmed(now, m, out)
+	if m.Code != 0 && m.Id == g.confirmation.requestID {
+		g.finishConfirmation(now, m, effects)
 		return
 	}
 	if m.Code != 0 {
-		delete(t.requests, m.Id)
+		delete(g.requests, m.Id)
 		if m.Leader != "" {
-			t.lead(m.Group, m.Leader)
+			g.setLeader(m.Group, m.Leader)
 		}
-		whole, err := clusterstate.Decompress(m.Body)
+		body, err := clusterstate.Decompress(m.Body)
 		if err != nil {
-			out.Respond(m.Id, unknown())
+			effects.Respond(m.Id, outcomeUnknown())
 			return
 		}
-		answer := Answer{Code: m.Code, Body: whole}
+		response := Response{Code: m.Code, Body: body}
 		if m.Code >= 500 {
-			answer.Retry = 1
+			response.RetryAfter = 1
 		}
-		out.Respond(m.Id, answer)
+		effects.Respond(m.Id, response)
 		return
 	}
-	if m.Leader != each.to && t.mayLead(now, m.Leader) {
-		t.lead(m.Group, m.Leader)
-		if each.isOwed = now-each.redirected <= redirectSpan; !each.isOwed {
-			each.redirected = now
-			t.carry(now, each, out)
+	if m.Leader != pending.sentTo && g.isPlausibleLeader(now, m.Leader) {
+		g.setLeader(m.Group, m.Leader)
+		if pending.isResendDue = now-pending.redirectedAt <= minRedirectInterval; !pending.isResendDue {
+			pending.redirectedAt = now
+			g.sendRequest(now, pending, effects)
 		}
 		return
 	}
 	// Whoever said so may come to lead: then it is asked again.
-	each.to = ""
-	t.unlead(now, m.Group)
+	pending.sentTo = ""
+	g.clearLeader(now, m.Group)
 }
 
-func (t *Table) forget(id uint64) {
-	delete(t.requests, id)
-	delete(t.polls, id)
-	if each := t.asked[id]; each != nil {
+func (g *Gateway) forgetRequest(id uint64) {
+	delete(g.requests, id)
+	delete(g.announcements, id)
+	if pending := g.submissionsByRequest[id]; pending != nil {
 		// The submission itself has a number and goes on being resent: a gap
 		// would hold up all that comes after it.
-		each.request = 0
-		delete(t.asked, id)
+		pending.requestID = 0
+		delete(g.submissionsByRequest, id)
 	}
 }
 
-func (t *Table) tickRequests(now eventloop.Micros, out eventloop.Effects) {
+func (g *Gateway) retryRequests(now eventloop.Micros, effects eventloop.Effects) {
 	var ids []uint64
-	for id, each := range t.requests {
-		if now-each.sent > each.retryAfter() || each.isOwed || now > each.ask.Deadline {
+	for id, pending := range g.requests {
+		if now-pending.sentAt > pending.retryDelay() || pending.isResendDue || now > pending.message.Deadline {
 			ids = append(ids, id)
 		}
 	}
 	sort.Slice(ids, func(a, b int) bool { return ids[a] < ids[b] })
 	for _, id := range ids {
-		each := t.requests[id]
-		if now > each.ask.Deadline {
-			delete(t.requests, id)
-			out.Respond(id, unknown())
+		pending := g.requests[id]
+		if now > pending.message.Deadline {
+			delete(g.requests, id)
+			effects.Respond(id, outcomeUnknown())
 			continue
 		}
-		if !each.isOwed {
-			t.unlead(now, each.ask.Group)
+		if !pending.isResendDue {
+			g.clearLeader(now, pending.message.Group)
 		}
-		each.isOwed = false
-		t.carry(now, each, out)
+		pending.isResendDue = false
+		g.sendRequest(now, pending, effects)
 	}
 }
--- a/internal/gateway/submissions.go
+++ b/internal/gateway/submissions.go
@@ -17,132 +17,132 @@
 )
 
 type submission struct {
-	enqueue *schema.Enqueue
-	request uint64
-	sent    eventloop.Micros
-	to      string
+	enqueue   *schema.Enqueue
+	requestID uint64
+	sentAt    eventloop.Micros
+	sentTo    string
 }
 
 type session struct {
-	queue   string
-	id      *schema.Session
-	next    uint64
-	waiting []*submission // unconfirmed, by number
-	used    eventloop.Micros
+	queue       string
+	id          *schema.Session
+	nextNumber  uint64
+	unconfirmed []*submission // unconfirmed, by number
+	lastUsed    eventloop.Micros
 }
 
-func (s *session) lowest() uint64 {
-	if len(s.waiting) > 0 {
-		return s.waiting[0].enqueue.Number
+func (s *session) lowestUnconfirmed() uint64 {
+	if len(s.unconfirmed) > 0 {
+		return s.unconfirmed[0].enqueue.Number
 	}
-	return s.next
+	return s.nextNumber
 }
 
 type queueClient struct{ queue, client string }
 
-func (t *Table) handIn(now eventloop.Micros, m HandIn, isConfirmed bool, out eventloop.Effects) {
+func (g *Gateway) handleSubmit(now eventloop.Micros, m SubmitJob, isConfirmed bool, effects eventloop.Effects) {
 	// What is parked must be looked up anew, so the mail stays as it came.
-	mail := m
+	message := m
 	if m.Queue == "" {
-		m.Queue, m.Name, _ = t.values.MatchRoute(m.Host, m.Path)
+		m.Queue, m.Name, _ = g.values.MatchRoute(m.Host, m.Path)
 	}
-	if !t.values.HasQueue(m.Queue) || clusterstate.FindQueue(t.state, m.Queue) == nil {
-		t.unknownQueue(now, m.Request, m.Queue, mail, isConfirmed, out)
+	if !g.values.HasQueue(m.Queue) || clusterstate.FindQueue(g.state, m.Queue) == nil {
+		g.handleUnknownQueue(now, m.RequestID, m.Queue, message, isConfirmed, effects)
 		return
 	}
-	if !GoodName(m.Name) {
-		out.Respond(m.Request, Answer{Code: 422, Body: Fault("bad_name", "letters, digits, '.', '_', ':' and '-', at most 128", "name")})
+	if !IsValidName(m.Name) {
+		effects.Respond(m.RequestID, Response{Code: 422, Body: FaultBody("bad_name", "letters, digits, '.', '_', ':' and '-', at most 128", "name")})
 		return
 	}
-	if !t.lease.isValid(now) {
-		t.notReady(now, m.Request, out)
+	if !g.lease.isValid(now) {
+		g.rejectNotReady(now, m.RequestID, effects)
 		return
 	}
-	if fault := tooLarge(t.values, m.Queue, m.Job); fault != nil {
+	if fault := exceedsLargestWorker(g.values, m.Queue, m.Job); fault != nil {
 		data, _ := json.Marshal(fault)
-		out.Respond(m.Request, Answer{Code: 422, Body: data})
+		effects.Respond(m.RequestID, Response{Code: 422, Body: data})
 		return
 	}
-	if !t.canCommit(now, m.Queue) {
-		t.refuse(m.Request, 503, "not_ready", "too many stores take no writes at the moment", 1, out)
+	if !g.canCommit(now, m.Queue) {
+		g.reject(m.RequestID, 503, "not_ready", "too many stores take no writes at the moment", 1, effects)
 		return
 	}
-	if t.isUnled(now, m.Queue) {
-		t.refuse(m.Request, 503, "not_ready", "nobody is known to lead the queue at the moment", 1, out)
+	if g.isLeaderless(now, m.Queue) {
+		g.reject(m.RequestID, 503, "not_ready", "nobody is known to lead the queue at the moment", 1, effects)
 		return
 	}
 	// Turning away is final, so it happens before the submission has a number.
-	s := t.sessions[queueClient{m.Queue, m.Client}]
-	window := int(t.values.Fleet("window"))
-	note := t.waits[m.Queue]
+	s := g.sessions[queueClient{m.Queue, m.Client}]
+	window := int(g.values.Fleet("window"))
+	status := g.queueStatus[m.Queue]
 	switch {
-	case t.pending >= maxPending:
-		t.turnAway(now, m, "front_full", "this front has too much in hand", "", out)
+	case g.unconfirmedCount >= maxPending:
+		g.rejectOverloaded(now, m, "front_full", "this front has too much in hand", "", effects)
 		return
-	case s != nil && len(s.waiting) >= window:
-		t.turnAway(now, m, "window_full", "this client has too many hand-ins unconfirmed", m.Queue, out)
+	case s != nil && len(s.unconfirmed) >= window:
+		g.rejectOverloaded(now, m, "window_full", "this client has too many hand-ins unconfirmed", m.Queue, effects)
 		return
-	case t.queueHas[m.Queue] >= maxPending/2:
-		t.turnAway(now, m, "queue_full", "the queue has too many hand-ins unconfirmed", m.Queue, out)
+	case g.unconfirmedByQueue[m.Queue] >= maxPending/2:
+		g.rejectOverloaded(now, m, "queue_full", "the queue has too many hand-ins unconfirmed", m.Queue, effects)
 		return
-	case note != nil && note.StorageExhausted:
-		t.turnAway(now, m, "store_full", "the stores keep the room they have for the work they hold", "live/"+m.Queue, out)
+	case status != nil && status.StorageExhausted:
+		g.rejectOverloaded(now, m, "store_full", "the stores keep the room they have for the work they hold", "live/"+m.Queue, effects)
 		return
-	case note != nil && int64(note.LiveJobs) >= t.values.Fleet("live_jobs"):
-		t.turnAway(now, m, "queue_full", "the queue has as many live jobs as the plan allows", "live/"+m.Queue, out)
+	case status != nil && int64(status.LiveJobs) >= g.values.Fleet("live_jobs"):
+		g.rejectOverloaded(now, m, "queue_full", "the queue has as many live jobs as the plan allows", "live/"+m.Queue, effects)
 		return
 	}
 	if s == nil {
-		t.epoch++
+		g.lastSession++
 		s = &session{
-			queue: m.Queue, next: 1,
-			id: &schema.Session{Gateway: t.id, Incarnation: t.boot, Client: m.Client + "~" + strconv.FormatUint(t.epoch, 10)},
+			queue: m.Queue, nextNumber: 1,
+			id: &schema.Session{Gateway: g.id, Incarnation: g.incarnation, Client: m.Client + "~" + strconv.FormatUint(g.lastSession, 10)},
 		}
-		t.sessions[queueClient{m.Queue, m.Client}] = s
-		t.byId[s.queue+"/"+s.id.Client] = s
-	}
-	each := &submission{
-		request: m.Request,
-		enqueue: &schema.Enqueue{Session: s.id, Number: s.next, Name: m.Name, Digest: m.Digest, Job: withAttempts(t.values, m.Queue, m.Job)},
-	}
-	s.next++
-	s.used = now
-	s.waiting = append(s.waiting, each)
-	t.pending++
-	t.queueHas[m.Queue]++
-	t.asked[m.Request] = each
-	t.send(now, s.queue, []*submission{each}, out)
+		g.sessions[queueClient{m.Queue, m.Client}] = s
+		g.sessionsByID[s.queue+"/"+s.id.Client] = s
+	}
+	pending := &submission{
+		requestID: m.RequestID,
+		enqueue:   &schema.Enqueue{Session: s.id, Number: s.nextNumber, Name: m.Name, Digest: m.Digest, Job: applyDefaultAttempts(g.values, m.Queue, m.Job)},
+	}
+	s.nextNumber++
+	s.lastUsed = now
+	s.unconfirmed = append(s.unconfirmed, pending)
+	g.unconfirmedCount++
+	g.unconfirmedByQueue[m.Queue]++
+	g.submissionsByRequest[m.RequestID] = pending
+	g.sendSubmissions(now, s.queue, []*submission{pending}, effects)
 }
 
-// giveUp answers at once, when this front has lost touch, all that it can't
+// failPending answers at once, when this front has lost touch, all that it can't
 // carry any more. What was handed in has its number and goes on being resent,
 // so whether it takes effect is unknown.
-func (t *Table) giveUp(now eventloop.Micros, out eventloop.Effects) {
-	for _, id := range slices.Sorted(maps.Keys(t.asked)) {
-		t.asked[id].request = 0
-		delete(t.asked, id)
-		out.Respond(id, unknown())
-	}
-	t.stateUnconfirmed(now, out)
-	for _, id := range slices.Sorted(maps.Keys(t.polls)) {
-		t.notReady(now, id, out)
-		delete(t.polls, id)
-	}
-	for _, id := range slices.Sorted(maps.Keys(t.requests)) {
-		switch t.requests[id].ask.Kind {
+func (g *Gateway) failPending(now eventloop.Micros, effects eventloop.Effects) {
+	for _, id := range slices.Sorted(maps.Keys(g.submissionsByRequest)) {
+		g.submissionsByRequest[id].requestID = 0
+		delete(g.submissionsByRequest, id)
+		effects.Respond(id, outcomeUnknown())
+	}
+	g.failConfirmation(now, effects)
+	for _, id := range slices.Sorted(maps.Keys(g.announcements)) {
+		g.rejectNotReady(now, id, effects)
+		delete(g.announcements, id)
+	}
+	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
+		switch g.requests[id].message.Kind {
 		case "cancel", "clusterstate":
-			out.Respond(id, unknown())
+			effects.Respond(id, outcomeUnknown())
 		default:
-			t.notReady(now, id, out)
+			g.rejectNotReady(now, id, effects)
 		}
-		delete(t.requests, id)
+		delete(g.requests, id)
 	}
 }
 
-// withAttempts states what the queue allows where a step states nothing. The
+// applyDefaultAttempts states what the queue allows where a step states nothing. The
 // digest is of what the caller gave, so a resend is the same job whatever the
 // plan has become.
-func withAttempts(values *clusterstate.Values, queue string, job *schema.Job) *schema.Job {
+func applyDefaultAttempts(values *clusterstate.Values, queue string, job *schema.Job) *schema.Job {
 	attempts := values.Number("queue", queue, "attempts")
 	if !values.IsSet("queue", queue, "attempts") || attempts <= 1 {
 		return job
@@ -156,9 +156,9 @@
 	return job
 }
 
-// tooLarge finds a task that no worker of the plan could ever hold. Of a pool's
+// exceedsLargestWorker finds a task that no worker of the plan could ever hold. Of a pool's
 // workers the plan says nothing: the scheduler sees what they are.
-func tooLarge(values *clusterstate.Values, queue string, job *schema.Job) *schema.Error {
+func exceedsLargestWorker(values *clusterstate.Values, queue string, job *schema.Job) *schema.Error {
 	if values.Text("queue", queue, "pool") != "" {
 		return nil
 	}
@@ -175,88 +175,88 @@
 	return nil
 }
 
-func (t *Table) send(now eventloop.Micros, queue string, list []*submission, out eventloop.Effects) {
-	to := t.leader(now, queue)
+func (g *Gateway) sendSubmissions(now eventloop.Micros, queue string, submissions []*submission, effects eventloop.Effects) {
+	to := g.target(now, queue)
 	m := &schema.SubmitRequest{Queue: queue}
-	for _, each := range list {
-		each.sent, each.to = now, to
-		s := t.byId[queue+"/"+each.enqueue.Session.Client]
-		e := each.enqueue
+	for _, pending := range submissions {
+		pending.sentAt, pending.sentTo = now, to
+		s := g.sessionsByID[queue+"/"+pending.enqueue.Session.Client]
+		enqueue := pending.enqueue
 		m.Enqueues = append(m.Enqueues, &schema.Enqueue{
-			Session: e.Session, Number: e.Number, Name: e.Name, Digest: e.Digest, Job: e.Job, LowestUnconfirmed: s.lowest(),
+			Session: enqueue.Session, Number: enqueue.Number, Name: enqueue.Name, Digest: enqueue.Digest, Job: enqueue.Job, LowestUnconfirmed: s.lowestUnconfirmed(),
 		})
 	}
 	if to != "" {
-		out.Send(to, m)
+		effects.Send(to, m)
 	}
 }
 
-func (t *Table) applied(now eventloop.Micros, from string, m *schema.SubmitResponse, out eventloop.Effects) {
+func (g *Gateway) handleApplied(now eventloop.Micros, from string, m *schema.SubmitResponse, effects eventloop.Effects) {
 	if len(m.Results) == 0 && from != "" && m.Leader != from {
-		t.denied[queueStore{m.Queue, from}] = now
+		g.leadershipDeniedAt[queueNode{m.Queue, from}] = now
 	}
-	if len(m.Results) > 0 || t.mayLead(now, m.Leader) {
-		t.lead(m.Queue, m.Leader)
+	if len(m.Results) > 0 || g.isPlausibleLeader(now, m.Leader) {
+		g.setLeader(m.Queue, m.Leader)
 	} else if len(m.Results) == 0 {
 		// It leads no more and knows nobody: ask around.
-		t.unlead(now, m.Queue)
+		g.clearLeader(now, m.Queue)
 	}
-	var again []*submission
+	var resend []*submission
 	for _, outcome := range m.Results {
-		again = append(again, t.confirmed(now, m.Queue, outcome, out)...)
+		resend = append(resend, g.handleOutcome(now, m.Queue, outcome, effects)...)
 	}
-	if len(m.Results) == 0 && t.leaders[m.Queue] != "" {
+	if len(m.Results) == 0 && g.leaders[m.Queue] != "" {
 		// Two that each name the other, as happens while a leader is being
 		// elected, must not have everything thrown to and fro between them.
-		if now-t.redirected[m.Queue] > redirectSpan {
-			t.redirected[m.Queue] = now
-			again = t.elsewhere(m.Queue)
+		if now-g.redirectedAt[m.Queue] > minRedirectInterval {
+			g.redirectedAt[m.Queue] = now
+			resend = g.misrouted(m.Queue)
 		} else {
-			t.owed[m.Queue] = true
+			g.redirectDue[m.Queue] = true
 		}
 	}
-	if len(again) > 0 {
-		t.send(now, m.Queue, again, out)
+	if len(resend) > 0 {
+		g.sendSubmissions(now, m.Queue, resend, effects)
 	}
 }
 
-// confirmed settles one submission, and returns those below it that must have
+// handleOutcome settles one submission, and returns those below it that must have
 // been lost on the way.
-func (t *Table) confirmed(now eventloop.Micros, queue string, outcome *schema.SubmitResult, out eventloop.Effects) []*submission {
+func (g *Gateway) handleOutcome(now eventloop.Micros, queue string, outcome *schema.SubmitResult, effects eventloop.Effects) []*submission {
 	// Starts and numbers are alike on many fronts: the id is what tells whose a
 	// submission is.
-	if outcome.Session == nil || outcome.Session.Gateway != t.id || outcome.Session.Incarnation != t.boot {
+	if outcome.Session == nil || outcome.Session.Gateway != g.id || outcome.Session.Incarnation != g.incarnation {
 		return nil
 	}
-	s := t.byId[queue+"/"+outcome.Session.Client]
+	s := g.sessionsByID[queue+"/"+outcome.Session.Client]
 	if s == nil {
 		return nil
 	}
-	at := sort.Search(len(s.waiting), func(k int) bool { return s.waiting[k].enqueue.Number >= outcome.Number })
-	if at == len(s.waiting) || s.waiting[at].enqueue.Number != outcome.Number {
+	index := sort.Search(len(s.unconfirmed), func(k int) bool { return s.unconfirmed[k].enqueue.Number >= outcome.Number })
+	if index == len(s.unconfirmed) || s.unconfirmed[index].enqueue.Number != outcome.Number {
 		return nil
 	}
-	each := s.waiting[at]
-	lost := append([]*submission(nil), s.waiting[:at]...)
-	s.waiting = append(s.waiting[:at:at], s.waiting[at+1:]...)
-	t.pending--
-	t.queueHas[queue]--
-	t.pace("").done++
-	t.pace(queue).done++
-	if each.request != 0 {
-		delete(t.asked, each.request)
-		out.Respond(each.request, answerOf(outcome))
+	confirmed := s.unconfirmed[index]
+	lost := append([]*submission(nil), s.unconfirmed[:index]...)
+	s.unconfirmed = append(s.unconfirmed[:index:index], s.unconfirmed[index+1:]...)
+	g.unconfirmedCount--
+	g.unconfirmedByQueue[queue]--
+	g.throughputOf("").done++
+	g.throughputOf(queue).done++
+	if confirmed.requestID != 0 {
+		delete(g.submissionsByRequest, confirmed.requestID)
+		effects.Respond(confirmed.requestID, outcomeResponse(outcome))
 	}
 	if outcome.Code == 410 {
 		// This front had been given up as dead. Its numbers mean nothing any
 		// more; what isn't confirmed is unknown, and callers resend.
-		t.restart(now, out)
+		g.restartSessions(now, effects)
 		return nil
 	}
 	return lost
 }
 
-func answerOf(outcome *schema.SubmitResult) Answer {
+func outcomeResponse(outcome *schema.SubmitResult) Response {
 	var body []byte
 	switch {
 	case outcome.Error != nil:
@@ -264,75 +264,75 @@
 	case outcome.View != nil:
 		body, _ = json.Marshal(outcome.View)
 	default:
-		return unknown()
+		return outcomeUnknown()
 	}
-	return Answer{Code: outcome.Code, Body: body}
+	return Response{Code: outcome.Code, Body: body}
 }
 
-func unknown() Answer {
-	return Answer{Code: 504, Body: Fault("unknown", "whether this took effect is not known: send it again under the same name", ""), Retry: 1}
+func outcomeUnknown() Response {
+	return Response{Code: 504, Body: FaultBody("unknown", "whether this took effect is not known: send it again under the same name", ""), RetryAfter: 1}
 }
 
-// unconfirmed lists a queue's submissions that are to be sent again, as many as
+// selectUnconfirmed lists a queue's submissions that are to be sent again, as many as
 // one pass may send.
-func (t *Table) unconfirmed(queue string, isWanted func(*submission) bool) []*submission {
-	var keys []string
-	for key, s := range t.sessions {
-		if key.queue == queue && len(s.waiting) > 0 {
-			keys = append(keys, key.client)
+func (g *Gateway) selectUnconfirmed(queue string, isWanted func(*submission) bool) []*submission {
+	var clients []string
+	for key, s := range g.sessions {
+		if key.queue == queue && len(s.unconfirmed) > 0 {
+			clients = append(clients, key.client)
 		}
 	}
-	sort.Strings(keys)
-	var list []*submission
-	for _, client := range keys {
-		for _, each := range t.sessions[queueClient{queue, client}].waiting {
-			if len(list) < maxResend && isWanted(each) {
-				list = append(list, each)
+	sort.Strings(clients)
+	var selected []*submission
+	for _, client := range clients {
+		for _, pending := range g.sessions[queueClient{queue, client}].unconfirmed {
+			if len(selected) < maxResendBatch && isWanted(pending) {
+				selected = append(selected, pending)
 			}
 		}
 	}
-	return list
+	return selected
 }
 
-// restart gives up every session: whatever they hold is unknown.
-func (t *Table) restart(now eventloop.Micros, out eventloop.Effects) {
+// restartSessions gives up every session: whatever they hold is unknown.
+func (g *Gateway) restartSessions(now eventloop.Micros, effects eventloop.Effects) {
 	queues := map[string]bool{}
-	for _, s := range t.sessions {
+	for _, s := range g.sessions {
 		queues[s.queue] = true
-		for _, each := range s.waiting {
-			if each.request != 0 {
-				out.Respond(each.request, unknown())
+		for _, pending := range s.unconfirmed {
+			if pending.requestID != 0 {
+				effects.Respond(pending.requestID, outcomeUnknown())
 			}
 		}
 	}
-	for _, queue := range sorted(queues) {
-		out.Send(t.leader(now, queue), &schema.EndSessionsRequest{Queue: queue, Gateways: []*schema.ExpiredGateway{{Gateway: t.id, Incarnation: t.boot}}})
+	for _, queue := range sortedKeys(queues) {
+		effects.Send(g.target(now, queue), &schema.EndSessionsRequest{Queue: queue, Gateways: []*schema.ExpiredGateway{{Gateway: g.id, Incarnation: g.incarnation}}})
 	}
-	t.sessions, t.byId, t.pending = map[queueClient]*session{}, map[string]*session{}, 0
-	t.queueHas, t.asked = map[string]int{}, map[uint64]*submission{}
-	t.boot += 1 << 32
+	g.sessions, g.sessionsByID, g.unconfirmedCount = map[queueClient]*session{}, map[string]*session{}, 0
+	g.unconfirmedByQueue, g.submissionsByRequest = map[string]int{}, map[uint64]*submission{}
+	g.incarnation += 1 << 32
 }
 
-// endQuiet ends sessions of clients that rest, by our own word, so that the
+// endIdleSessions ends sessions of clients that rest, by our own word, so that the
 // queue doesn't hold them for ever.
-func (t *Table) endQuiet(now eventloop.Micros, out eventloop.Effects) {
-	for key, s := range t.sessions {
-		if len(s.waiting) == 0 && now-s.used > quietSpan {
-			delete(t.sessions, key)
-			delete(t.byId, s.queue+"/"+s.id.Client)
-			t.quitting[key.queue] = append(t.quitting[key.queue], s.id)
+func (g *Gateway) endIdleSessions(now eventloop.Micros, effects eventloop.Effects) {
+	for key, s := range g.sessions {
+		if len(s.unconfirmed) == 0 && now-s.lastUsed > sessionIdleTimeout {
+			delete(g.sessions, key)
+			delete(g.sessionsByID, s.queue+"/"+s.id.Client)
+			g.endedSessions[key.queue] = append(g.endedSessions[key.queue], s.id)
 		}
 	}
 	queues := map[string]bool{}
-	for queue, list := range t.quitting {
-		if len(list) >= quietedMost || now%(10*eventloop.Second) < Pace {
+	for queue, sessions := range g.endedSessions {
+		if len(sessions) >= maxEndedSessions || now%(10*eventloop.Second) < TickInterval {
 			queues[queue] = true
 		}
 	}
-	for _, queue := range sorted(queues) {
-		list := t.quitting[queue]
-		delete(t.quitting, queue)
-		sort.Slice(list, func(a, b int) bool { return list[a].Client < list[b].Client })
-		out.Send(t.leader(now, queue), &schema.EndSessionsRequest{Queue: queue, Sessions: list})
+	for _, queue := range sortedKeys(queues) {
+		sessions := g.endedSessions[queue]
+		delete(g.endedSessions, queue)
+		sort.Slice(sessions, func(a, b int) bool { return sessions[a].Client < sessions[b].Client })
+		effects.Send(g.target(now, queue), &schema.EndSessionsRequest{Queue: queue, Sessions: sessions})
 	}
 }
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -87,22 +87,22 @@
 		if ctx.GetStatusCode() == http.StatusMethodNotAllowed {
 			code = "no_such_method"
 		}
-		write(ctx, gateway.Answer{Code: int32(ctx.GetStatusCode()), Body: gateway.Fault(code, http.StatusText(ctx.GetStatusCode()), "")})
+		write(ctx, gateway.Response{Code: int32(ctx.GetStatusCode()), Body: gateway.FaultBody(code, http.StatusText(ctx.GetStatusCode()), "")})
 	})
-	app.Get("/livez", func(ctx iris.Context) { write(ctx, gateway.Answer{Code: 200, Body: []byte(`{"alive":true}`)}) })
+	app.Get("/livez", func(ctx iris.Context) { write(ctx, gateway.Response{Code: 200, Body: []byte(`{"alive":true}`)}) })
 	app.Get("/v1/counts", func(ctx iris.Context) { writeValue(ctx, s.real.Counts()) })
 	if s.real.Member.Role == schema.Role_ROLE_CONTROLLER {
-		app.Get("/readyz", func(ctx iris.Context) { write(ctx, gateway.Answer{Code: 200, Body: []byte(`{"ready":true}`)}) })
+		app.Get("/readyz", func(ctx iris.Context) { write(ctx, gateway.Response{Code: 200, Body: []byte(`{"ready":true}`)}) })
 		app.Get("/v1/belief", func(ctx iris.Context) {
 			s.belief(ctx, "controller", func(id uint64, _ eventloop.Micros) any { return controller.StateViewRequest{Request: id} })
 		})
 		return
 	}
 	app.Get("/readyz", func(ctx iris.Context) {
-		s.run(ctx, eventloop.Second, func(id uint64, _ eventloop.Micros) any { return gateway.Ready{Request: id} })
+		s.run(ctx, eventloop.Second, func(id uint64, _ eventloop.Micros) any { return gateway.CheckReadiness{RequestID: id} })
 	})
 	app.Get("/v1/fronts", func(ctx iris.Context) {
-		s.run(ctx, eventloop.Second, func(id uint64, _ eventloop.Micros) any { return gateway.Fronts{Request: id} })
+		s.run(ctx, eventloop.Second, func(id uint64, _ eventloop.Micros) any { return gateway.ListGateways{RequestID: id} })
 	})
 	app.Get("/v1/belief", func(ctx iris.Context) {
 		s.belief(ctx, "replica", func(id uint64, _ eventloop.Micros) any { return replica.GetStateView{Request: id} })
@@ -114,17 +114,21 @@
 	app.Get("/v1/queues/{queue}/jobs/{name}", func(ctx iris.Context) { s.ofJob(ctx, "status") })
 	app.Post("/v1/queues/{queue}/jobs/{name}/cancel", func(ctx iris.Context) { s.ofJob(ctx, "cancel") })
 	app.Get("/v1/queues/{queue}/jobs", s.list)
-	app.Get("/v1/plan", func(ctx iris.Context) { s.ask(ctx, planSpan, gateway.Ask{Kind: "plan", Group: clusterstate.Group}) })
-	app.Get("/v1/plan/history", func(ctx iris.Context) { s.ask(ctx, planSpan, gateway.Ask{Kind: "history", Group: clusterstate.Group}) })
+	app.Get("/v1/plan", func(ctx iris.Context) {
+		s.ask(ctx, planSpan, gateway.LeaderRequest{Kind: "plan", Group: clusterstate.Group})
+	})
+	app.Get("/v1/plan/history", func(ctx iris.Context) {
+		s.ask(ctx, planSpan, gateway.LeaderRequest{Kind: "history", Group: clusterstate.Group})
+	})
 	app.Put("/v1/plan", s.putPlan)
 	app.Post("/v1/workers/{worker}/announce", s.announce)
 }
 
-func write(ctx iris.Context, answer gateway.Answer) {
+func write(ctx iris.Context, answer gateway.Response) {
 	header := ctx.ResponseWriter().Header()
 	header.Set("Content-Type", "application/json")
-	if answer.Retry > 0 {
-		header.Set("Retry-After", strconv.Itoa(answer.Retry))
+	if answer.RetryAfter > 0 {
+		header.Set("Retry-After", strconv.Itoa(answer.RetryAfter))
 	}
 	ctx.StatusCode(int(answer.Code))
 	ctx.Write(append(answer.Body, '\n'))
@@ -134,36 +138,36 @@
 func writeValue(ctx iris.Context, value any) {
 	data, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
-		write(ctx, gateway.Answer{Code: 500, Body: gateway.Fault("internal", err.Error(), "")})
+		write(ctx, gateway.Response{Code: 500, Body: gateway.FaultBody("internal", err.Error(), "")})
 		return
 	}
-	write(ctx, gateway.Answer{Code: 200, Body: data})
+	write(ctx, gateway.Response{Code: 200, Body: data})
 }
 
 func fault(ctx iris.Context, code int32, name, message, field string) {
-	write(ctx, gateway.Answer{Code: code, Body: gateway.Fault(name, message, field)})
+	write(ctx, gateway.Response{Code: code, Body: gateway.FaultBody(name, message, field)})
 }
 
 func (s *Server) run(ctx iris.Context, span eventloop.Micros, mail func(id uint64, deadline eventloop.Micros) any) {
-	answer, isAnswered := s.real.Run(ctx.Request().Context(), "gateway", span, mail).(gateway.Answer)
+	answer, isAnswered := s.real.Run(ctx.Request().Context(), "gateway", span, mail).(gateway.Response)
 	if !isAnswered {
-		answer = gateway.Answer{Code: 504, Retry: 1, Body: gateway.Fault("unknown", "no answer in time: whether this took effect is not known; send it again", "")}
+		answer = gateway.Response{Code: 504, RetryAfter: 1, Body: gateway.FaultBody("unknown", "no answer in time: whether this took effect is not known; send it again", "")}
 	}
 	write(ctx, answer)
 }
 
 func (s *Server) belief(ctx iris.Context, table string, mail func(id uint64, deadline eventloop.Micros) any) {
 	belief := s.real.Run(ctx.Request().Context(), table, readSpan, mail)
-	if _, isTurnedAway := belief.(gateway.Answer); belief == nil || isTurnedAway {
+	if _, isTurnedAway := belief.(gateway.Response); belief == nil || isTurnedAway {
 		fault(ctx, 404, "nothing_here", "this process holds no replicas", "")
 		return
 	}
 	writeValue(ctx, belief)
 }
 
-func (s *Server) ask(ctx iris.Context, span eventloop.Micros, ask gateway.Ask) {
+func (s *Server) ask(ctx iris.Context, span eventloop.Micros, ask gateway.LeaderRequest) {
 	s.run(ctx, span, func(id uint64, deadline eventloop.Micros) any {
-		ask.Request, ask.Deadline = id, deadline
+		ask.RequestID, ask.Deadline = id, deadline
 		return ask
 	})
 }
@@ -223,7 +227,7 @@
 		}
 		return strings.ReplaceAll(host, ":", "."), true
 	}
-	if !gateway.GoodName(name) {
+	if !gateway.IsValidName(name) {
 		fault(ctx, 400, "bad_client", "letters, digits, '.', '_', ':' and '-', at most 128", "Sparnotch-Client")
 		return "", false
 	}
@@ -232,7 +236,7 @@
 
 func (s *Server) handIn(ctx iris.Context) {
 	queue, name := ctx.Params().Get("queue"), ctx.Params().Get("name")
-	if !gateway.GoodName(name) {
+	if !gateway.IsValidName(name) {
 		fault(ctx, 422, "bad_name", "letters, digits, '.', '_', ':' and '-', at most 128", "name")
 		return
 	}
@@ -248,18 +252,18 @@
 	if !decode(ctx, data, job) {
 		return
 	}
-	if bad := gateway.Check(job); bad != nil {
+	if bad := gateway.ValidateJob(job); bad != nil {
 		text, _ := json.Marshal(bad)
-		write(ctx, gateway.Answer{Code: 422, Body: text})
+		write(ctx, gateway.Response{Code: 422, Body: text})
 		return
 	}
 	s.run(ctx, handInSpan, func(id uint64, deadline eventloop.Micros) any {
-		return gateway.HandIn{Request: id, Queue: queue, Client: who, Name: name, Digest: gateway.Digest(job), Job: job, Deadline: deadline}
+		return gateway.SubmitJob{RequestID: id, Queue: queue, Client: who, Name: name, Digest: gateway.Digest(job), Job: job, Deadline: deadline}
 	})
 }
 
 func (s *Server) ofJob(ctx iris.Context, kind string) {
-	s.ask(ctx, readSpan, gateway.Ask{Kind: kind, Group: ctx.Params().Get("queue"), Name: ctx.Params().Get("name")})
+	s.ask(ctx, readSpan, gateway.LeaderRequest{Kind: kind, Group: ctx.Params().Get("queue"), Name: ctx.Params().Get("name")})
 }
 
 func (s *Server) list(ctx iris.Context) {
@@ -272,7 +276,7 @@
 		}
 		most = number
 	}
-	s.ask(ctx, readSpan, gateway.Ask{Kind: "list", Group: ctx.Params().Get("queue"), After: ctx.URLParam("after"), Most: uint32(most)})
+	s.ask(ctx, readSpan, gateway.LeaderRequest{Kind: "list", Group: ctx.Params().Get("queue"), After: ctx.URLParam("after"), Limit: uint32(most)})
 }
 
 var unknownField = regexp.MustCompile(`unknown field "([^"]*)"`)
@@ -294,10 +298,10 @@
 	}
 	if bad := clusterstate.ValidateRows(sheet.Rows); bad != nil {
 		text, _ := json.Marshal(bad)
-		write(ctx, gateway.Answer{Code: 422, Body: text})
+		write(ctx, gateway.Response{Code: 422, Body: text})
 		return
 	}
-	s.ask(ctx, planSpan, gateway.Ask{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(
+	s.ask(ctx, planSpan, gateway.LeaderRequest{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(
 		&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})})
 }
 
@@ -328,7 +332,7 @@
 		fault(ctx, 422, "bad_name", "lower-case letters, digits, '.', '_' and '-', at most 63", "rack")
 	default:
 		s.run(ctx, pollSpan, func(id uint64, deadline eventloop.Micros) any {
-			return gateway.PollIn{Request: id, Worker: worker, Announce: announce, Deadline: deadline}
+			return gateway.ForwardAnnouncement{RequestID: id, Worker: worker, Announce: announce, Deadline: deadline}
 		})
 	}
 }
--- a/internal/mutation/disk_mutants.go
+++ b/internal/mutation/disk_mutants.go
@@ -31,7 +31,7 @@
 	{Guard: "a disk that refuses doesn't end a start", Test: "internal/process TestStartWithoutAStore", Edits: []Edit{{"internal/process",
 		"			if storage.IsDirRejected(result.err) {\n", "			if result.err != nil {\n"}}},
 	{Guard: "while most disks refuse hand-ins are turned away", Rule: 0, Scenario: "most disks are full", Seed: 1, Edits: []Edit{{"internal/gateway",
-		"	if !t.canCommit(now, m.Queue) {\n", "	if false {\n"}}},
+		"	if !g.canCommit(now, m.Queue) {\n", "	if false {\n"}}},
 	{Guard: "somebody else's folder is left alone", Test: "internal/storage TestRejectedDirs", Edits: []Edit{{"internal/storage",
 		"	if err := checkOwned(path); err != nil {\n", "	if err := checkOwned(path); false {\n"}}},
 	{Guard: "a command that can't be read isn't proposed", Test: "internal/replica TestUnreadableCommand", Edits: []Edit{{"internal/replica",
--- a/internal/process/lives_test.go
+++ b/internal/process/lives_test.go
@@ -26,7 +26,7 @@
 	go func() {
 		answer <- real.Run(ctx, "gateway", 30*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
 			numbers <- request
-			return gateway.Ask{Request: request, Kind: "plan", Group: clusterstate.Group, Deadline: deadline}
+			return gateway.LeaderRequest{RequestID: request, Kind: "plan", Group: clusterstate.Group, Deadline: deadline}
 		})
 	}()
 	return pending{<-numbers, answer}
@@ -66,7 +66,7 @@
 				reply(open.number, "for the present one")
 				select {
 				case answer = <-open.answer:
-					So(string(answer.(gateway.Answer).Body), ShouldEqual, "for the present one")
+					So(string(answer.(gateway.Response).Body), ShouldEqual, "for the present one")
 				default:
 					runtime.Gosched()
 				}
--- a/internal/process/numbers_test.go
+++ b/internal/process/numbers_test.go
@@ -25,7 +25,7 @@
 			var given uint64
 			real.Run(ctx, "gateway", eventloop.Second, func(id uint64, _ eventloop.Micros) any {
 				given = id
-				return gateway.Forget{Request: id}
+				return gateway.ForgetRequest{RequestID: id}
 			})
 			return given
 		}
--- a/internal/process/papers.go
+++ b/internal/process/papers.go
@@ -63,7 +63,7 @@
 	member := p.Member
 	berths := []Berth{
 		{"membership", membership.New(proto.Clone(member).(*schema.Member), p.terms(false), account, p.Book, readers, p.rng(1)), membership.TickInterval},
-		{"gateway", gateway.New(member.Id, member.Incarnation, p.Store != nil, p.rng(2)).Bind(p.Bounds), gateway.Pace},
+		{"gateway", gateway.New(member.Id, member.Incarnation, p.Store != nil, p.rng(2)).WithBounds(p.Bounds), gateway.TickInterval},
 	}
 	if p.Store != nil {
 		berths = append(berths,
--- a/internal/process/real.go
+++ b/internal/process/real.go
@@ -276,7 +276,7 @@
 		r.mu.Unlock()
 	}()
 	if !r.process.Post(table, eventloop.Message{Body: build(id, r.Clock.Now()+span)}) {
-		return gateway.Answer{Code: 429, Body: gateway.Fault("front_full", "this front has too much in hand", ""), Retry: 1}
+		return gateway.Response{Code: 429, Body: gateway.FaultBody("front_full", "this front has too much in hand", ""), RetryAfter: 1}
 	}
 	timer := time.NewTimer(span.Duration())
 	defer timer.Stop()
@@ -286,7 +286,7 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	r.process.Post(table, eventloop.Message{Body: gateway.Forget{Request: id}})
+	r.process.Post(table, eventloop.Message{Body: gateway.ForgetRequest{RequestID: id}})
 	return nil
 }
 
@@ -308,7 +308,7 @@
 
 // Warn tells every table that this process is to leave.
 func (r *Real) Warn() {
-	r.process.Post("gateway", eventloop.Message{Body: gateway.Warned{}})
+	r.process.Post("gateway", eventloop.Message{Body: gateway.StartDraining{}})
 	r.process.Post("membership", eventloop.Message{Body: membership.Draining{}})
 	r.process.Post("replica", eventloop.Message{Body: replica.Drain{}})
 }
--- a/internal/sim/called.go
+++ b/internal/sim/called.go
@@ -436,12 +436,12 @@
 		Kind: checker.PlanPut, Who: who, Front: front.Name, Sent: sent, Built: sheet.BaseVersion, Rows: sheet.Rows, Document: string(sheet.Document),
 	}
 	w.Ask(front, 4*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
-		return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
+		return gateway.LeaderRequest{RequestID: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
 			&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 	}, func(answer any) {
-		reply, _ := answer.(gateway.Answer)
+		reply, _ := answer.(gateway.Response)
 		if reply.Code == 200 && w.isAnswerLost() {
-			reply, told.State = gateway.Answer{}, checker.AnswerLost
+			reply, told.State = gateway.Response{}, checker.AnswerLost
 		}
 		told.Code = reply.Code
 		if reply.Code == 200 || told.State == checker.AnswerLost {
--- a/internal/sim/changes_test.go
+++ b/internal/sim/changes_test.go
@@ -91,10 +91,10 @@
 func (o *operator) send(sheet *schema.ConfigurationUpdate, back func()) {
 	front := o.pickFront(o.anyCell())
 	o.Ask(front, 4*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
-		return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
+		return gateway.LeaderRequest{RequestID: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
 			&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 	}, func(answer any) {
-		reply, _ := answer.(gateway.Answer)
+		reply, _ := answer.(gateway.Response)
 		switch {
 		case reply.Code == 200:
 			back()
--- a/internal/sim/cut_test.go
+++ b/internal/sim/cut_test.go
@@ -78,19 +78,19 @@
 
 func cutQueue(edition uint64) string { return fmt.Sprint("queue", edition) }
 
-func (r *cutRun) call(h *Host, ask gateway.Ask, back func(sent eventloop.Micros, reply gateway.Answer)) {
+func (r *cutRun) call(h *Host, ask gateway.LeaderRequest, back func(sent eventloop.Micros, reply gateway.Response)) {
 	sent := r.Now
 	r.Ask(h, callSpan, func(request uint64, deadline eventloop.Micros) any {
-		ask.Request, ask.Deadline = request, deadline
+		ask.RequestID, ask.Deadline = request, deadline
 		return ask
 	}, func(answer any) {
-		reply, _ := answer.(gateway.Answer)
+		reply, _ := answer.(gateway.Response)
 		back(sent, reply)
 	})
 }
 
-func put(sheet *schema.ConfigurationUpdate) gateway.Ask {
-	return gateway.Ask{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(
+func put(sheet *schema.ConfigurationUpdate) gateway.LeaderRequest {
+	return gateway.LeaderRequest{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(
 		&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 }
 
@@ -103,7 +103,7 @@
 	if at == nil || !at.IsUp {
 		at = r.Hosts[4]
 	}
-	r.call(at, put(cutSheet(edition, edition-1)), func(sent eventloop.Micros, reply gateway.Answer) {
+	r.call(at, put(cutSheet(edition, edition-1)), func(sent eventloop.Micros, reply gateway.Response) {
 		switch {
 		case reply.Code == 200:
 			r.acked = append(r.acked, acked{edition, r.Now})
@@ -133,7 +133,7 @@
 	return edition
 }
 
-func (r *cutRun) fail(h *Host, what string, sent eventloop.Micros, reply gateway.Answer, why string) {
+func (r *cutRun) fail(h *Host, what string, sent eventloop.Micros, reply gateway.Response, why string) {
 	r.wrong = append(r.wrong, fmt.Sprintf("%s at %s, sent at %d, answered at %d (dark from %d, mended %d): %d %s: %s",
 		what, h.Name, sent, r.Now, r.dark, r.mended, reply.Code, reply.Body, why))
 }
@@ -146,7 +146,7 @@
 // judge holds what any call must keep to: nothing that rests on state is said by a
 // machine that can't have heard of a majority since the call was sent, and what can't
 // be known is said at once, with when to come back.
-func (r *cutRun) judge(h *Host, what string, sent eventloop.Micros, reply gateway.Answer) {
+func (r *cutRun) judge(h *Host, what string, sent eventloop.Micros, reply gateway.Response) {
 	if r.codes[what] == nil {
 		r.codes[what] = map[int32]int{}
 	}
@@ -160,7 +160,7 @@
 	switch {
 	case reply.Code == 0 && !isDown:
 		r.fail(h, what, sent, reply, "no answer")
-	case reply.Code != 0 && isUnclear && reply.Retry == 0:
+	case reply.Code != 0 && isUnclear && reply.RetryAfter == 0:
 		r.fail(h, what, sent, reply, "no word of when to come back")
 	case r.isDark(sent) && !isUnclear:
 		r.fail(h, what, sent, reply, "nobody can have confirmed that")
@@ -174,7 +174,7 @@
 }
 
 // current is the edition that a refusal names.
-func current(reply gateway.Answer) uint64 {
+func current(reply gateway.Response) uint64 {
 	fault := &schema.Error{}
 	_ = json.Unmarshal(reply.Body, fault)
 	return fault.Current
@@ -183,15 +183,15 @@
 // probe tries every call at a front.
 func (r *cutRun) probe(h *Host) {
 	newest := r.newest(r.Now)
-	one := func(what string, ask gateway.Ask, check func(reply gateway.Answer) string) {
-		r.call(h, ask, func(sent eventloop.Micros, reply gateway.Answer) {
+	one := func(what string, ask gateway.LeaderRequest, check func(reply gateway.Response) string) {
+		r.call(h, ask, func(sent eventloop.Micros, reply gateway.Response) {
 			r.judge(h, what, sent, reply)
 			if why := check(reply); why != "" {
 				r.fail(h, what, sent, reply, why)
 			}
 		})
 	}
-	one("read", gateway.Ask{Kind: "plan", Group: clusterstate.Group}, func(reply gateway.Answer) string {
+	one("read", gateway.LeaderRequest{Kind: "plan", Group: clusterstate.Group}, func(reply gateway.Response) string {
 		plan := &schema.Configuration{}
 		if reply.Code == 200 && (protojson.Unmarshal(reply.Body, plan) != nil || plan.Version < newest) {
 			return fmt.Sprintf("edition %d was acknowledged before", newest)
@@ -199,8 +199,8 @@
 		return ""
 	})
 	// Orders that are to be refused, and are so only by who knows the newest plan.
-	refused := func(codes ...int32) func(reply gateway.Answer) string {
-		return func(reply gateway.Answer) string {
+	refused := func(codes ...int32) func(reply gateway.Response) string {
+		return func(reply gateway.Response) string {
 			isClear := reply.Code > 0 && reply.Code < 500 && reply.Code != 429
 			if isClear && (!slices.Contains(codes, reply.Code) || current(reply) < newest) {
 				return fmt.Sprintf("edition %d was acknowledged before", newest)
@@ -212,46 +212,46 @@
 	low.Document = []byte("another first edition")
 	one("low number", put(low), refused(412, 422))
 	one("old base", put(cutSheet(1<<40, 0)), refused(412))
-	one("taken before", put(cutSheet(newest, newest-1)), func(reply gateway.Answer) string {
+	one("taken before", put(cutSheet(newest, newest-1)), func(reply gateway.Response) string {
 		if reply.Code != 200 && reply.Code > 0 && reply.Code < 500 && reply.Code != 429 {
 			return "it was taken"
 		}
 		return ""
 	})
-	not := func(code int32, why string) func(reply gateway.Answer) string {
-		return func(reply gateway.Answer) string {
+	not := func(code int32, why string) func(reply gateway.Response) string {
+		return func(reply gateway.Response) string {
 			if reply.Code == code {
 				return why
 			}
 			return ""
 		}
 	}
-	one("new route", gateway.Ask{Kind: "counts", Group: cutQueue(newest)}, func(reply gateway.Answer) string {
+	one("new route", gateway.LeaderRequest{Kind: "counts", Group: cutQueue(newest)}, func(reply gateway.Response) string {
 		// One that was dropped while it was asked for may be called unknown.
 		if reply.Code == 404 && r.newest(r.Now) == newest && !r.isPutting(newest+1) {
 			return "the queue is there"
 		}
 		return ""
 	})
-	one("no such route", gateway.Ask{Kind: "counts", Group: "none"}, not(200, "there is none"))
-	one("job", gateway.Ask{Kind: "status", Group: "quick", Name: "known"}, not(404, "the job is there"))
-	one("no such job", gateway.Ask{Kind: "status", Group: "quick", Name: "none"}, not(200, "there is none"))
-	one("cancel", gateway.Ask{Kind: "cancel", Group: "quick", Name: "none"}, not(200, "there is none"))
+	one("no such route", gateway.LeaderRequest{Kind: "counts", Group: "none"}, not(200, "there is none"))
+	one("job", gateway.LeaderRequest{Kind: "status", Group: "quick", Name: "known"}, not(404, "the job is there"))
+	one("no such job", gateway.LeaderRequest{Kind: "status", Group: "quick", Name: "none"}, not(200, "there is none"))
+	one("cancel", gateway.LeaderRequest{Kind: "cancel", Group: "quick", Name: "none"}, not(200, "there is none"))
 	r.probeHandIns(h, newest)
 	r.announces++
 	announce := &schema.WorkerHeartbeat{Incarnation: 1, Seq: r.announces, CoresMilli: 1, MemoryMb: 1}
 	sent := r.Now
 	r.Ask(h, announceSpan, func(request uint64, deadline eventloop.Micros) any {
-		return gateway.PollIn{Request: request, Worker: "w-" + h.Name, Announce: announce, Deadline: deadline}
+		return gateway.ForwardAnnouncement{RequestID: request, Worker: "w-" + h.Name, Announce: announce, Deadline: deadline}
 	}, func(answer any) {
-		reply, _ := answer.(gateway.Answer)
+		reply, _ := answer.(gateway.Response)
 		// A ward speaks under its lease, and a worker waits no longer than this.
 		if reply.Code != 0 && sent > r.dark+inForceSpan {
 			r.judge(h, "announce", sent, reply)
 		}
 	})
-	r.Ask(h, callSpan, func(request uint64, _ eventloop.Micros) any { return gateway.Ready{Request: request} }, func(answer any) {
-		if reply, _ := answer.(gateway.Answer); reply.Code == 200 && h == r.host {
+	r.Ask(h, callSpan, func(request uint64, _ eventloop.Micros) any { return gateway.CheckReadiness{RequestID: request} }, func(answer any) {
+		if reply, _ := answer.(gateway.Response); reply.Code == 200 && h == r.host {
 			if r.dark > 0 && r.mended == 0 && r.Now > r.dark+inForceSpan {
 				r.fail(h, "readiness", r.Now, reply, "it is cut off")
 			}
@@ -271,28 +271,28 @@
 func (r *cutRun) sinceAck() eventloop.Micros { return r.Now - r.acked[len(r.acked)-1].at }
 
 func (r *cutRun) probeHandIns(h *Host, newest uint64) {
-	one := func(what, queue, name, text string, check func(reply gateway.Answer) string) {
+	one := func(what, queue, name, text string, check func(reply gateway.Response) string) {
 		job := &schema.Job{Text: text, Steps: []*schema.Step{{Name: "s", Tasks: 1, CoresMilli: 1}}}
 		sent := r.Now
 		r.Ask(h, callSpan, func(request uint64, deadline eventloop.Micros) any {
-			return gateway.HandIn{Request: request, Queue: queue, Client: "c", Name: name, Digest: gateway.Digest(job), Job: job, Deadline: deadline}
+			return gateway.SubmitJob{RequestID: request, Queue: queue, Client: "c", Name: name, Digest: gateway.Digest(job), Job: job, Deadline: deadline}
 		}, func(answer any) {
-			reply, _ := answer.(gateway.Answer)
+			reply, _ := answer.(gateway.Response)
 			r.judge(h, what, sent, reply)
 			if why := check(reply); why != "" {
 				r.fail(h, what, sent, reply, why)
 			}
 		})
 	}
-	fine := func(gateway.Answer) string { return "" }
+	fine := func(gateway.Response) string { return "" }
 	one("hand-in", "quick", fmt.Sprint("j", r.Now), "a job", fine)
-	one("known job", "quick", "known", "the known job", func(reply gateway.Answer) string {
+	one("known job", "quick", "known", "the known job", func(reply gateway.Response) string {
 		if reply.Code == 409 || reply.Code == 404 {
 			return "it was taken"
 		}
 		return ""
 	})
-	one("other content", "quick", "known", "other content", func(reply gateway.Answer) string {
+	one("other content", "quick", "known", "other content", func(reply gateway.Response) string {
 		if reply.Code == 200 || reply.Code == 201 {
 			return "the name is taken"
 		}
@@ -308,7 +308,7 @@
 		}
 	}
 	sent := r.Now
-	one("dropped route", cutQueue(newest-1), fmt.Sprint("j", r.Now), "a job", func(reply gateway.Answer) string {
+	one("dropped route", cutQueue(newest-1), fmt.Sprint("j", r.Now), "a job", func(reply gateway.Response) string {
 		if (reply.Code == 200 || reply.Code == 201) && sent > droppedAt+inForceSpan {
 			return "the queue was dropped"
 		}
@@ -443,9 +443,9 @@
 	var handIn func()
 	handIn = func() {
 		r.Ask(r.other, callSpan, func(request uint64, deadline eventloop.Micros) any {
-			return gateway.HandIn{Request: request, Queue: "quick", Client: "c", Name: "known", Digest: gateway.Digest(known), Job: known, Deadline: deadline}
+			return gateway.SubmitJob{RequestID: request, Queue: "quick", Client: "c", Name: "known", Digest: gateway.Digest(known), Job: known, Deadline: deadline}
 		}, func(answer any) {
-			if reply, _ := answer.(gateway.Answer); reply.Code == 200 || reply.Code == 201 {
+			if reply, _ := answer.(gateway.Response); reply.Code == 200 || reply.Code == 201 {
 				until := r.Now + cutSpan + 6*eventloop.Second
 				r.probing(until)
 				return
--- a/internal/sim/lanes_test.go
+++ b/internal/sim/lanes_test.go
@@ -46,9 +46,9 @@
 			var try func()
 			try = func() {
 				f.Ask(front, 8*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
-					return gateway.Ask{Request: request, Kind: "list", Group: queue, Most: 1, Deadline: deadline}
+					return gateway.LeaderRequest{RequestID: request, Kind: "list", Group: queue, Limit: 1, Deadline: deadline}
 				}, func(answer any) {
-					if reply, _ := answer.(gateway.Answer); reply.Code != 200 {
+					if reply, _ := answer.(gateway.Response); reply.Code != 200 {
 						f.After(10*eventloop.Millisecond, try)
 						return
 					}
--- a/internal/sim/operators_test.go
+++ b/internal/sim/operators_test.go
@@ -103,15 +103,15 @@
 }
 
 // call asks a node and may lose its answer.
-func (o *operators) call(front *Host, span eventloop.Micros, ask gateway.Ask, back func(reply gateway.Answer)) {
+func (o *operators) call(front *Host, span eventloop.Micros, ask gateway.LeaderRequest, back func(reply gateway.Response)) {
 	isLost := o.rng.Float64() < o.lost
 	o.Ask(front, span, func(request uint64, deadline eventloop.Micros) any {
-		ask.Request, ask.Deadline = request, deadline
+		ask.RequestID, ask.Deadline = request, deadline
 		return ask
 	}, func(answer any) {
-		reply, _ := answer.(gateway.Answer)
+		reply, _ := answer.(gateway.Response)
 		if isLost {
-			reply = gateway.Answer{}
+			reply = gateway.Response{}
 		}
 		back(reply)
 	})
@@ -120,7 +120,7 @@
 // read looks at the configuration and goes on with it when it has it.
 func (o *operators) read(operator int, back func(plan *schema.Configuration)) {
 	sent, wanted := o.Now, o.confirmed
-	o.call(o.front(), eventloop.Second, gateway.Ask{Kind: "plan", Group: clusterstate.Group}, func(reply gateway.Answer) {
+	o.call(o.front(), eventloop.Second, gateway.LeaderRequest{Kind: "plan", Group: clusterstate.Group}, func(reply gateway.Response) {
 		plan := &schema.Configuration{}
 		if reply.Code != 200 || protojson.Unmarshal(reply.Body, plan) != nil {
 			if reply.Code >= 400 && reply.Code < 500 {
@@ -206,7 +206,7 @@
 
 func (o *operators) tryAt(front *Host, span eventloop.Micros, each *operatorOrder, done func()) {
 	body := replica.EncodeClusterStateCommand(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: each.sheet}}})
-	o.call(front, span, gateway.Ask{Kind: "clusterstate", Group: clusterstate.Group, Body: body}, func(reply gateway.Answer) {
+	o.call(front, span, gateway.LeaderRequest{Kind: "clusterstate", Group: clusterstate.Group, Body: body}, func(reply gateway.Response) {
 		switch {
 		case reply.Code == 0 || reply.Code >= 500:
 		case reply.Code != 200 && reply.Code != 412:
--- a/internal/sim/outage.go
+++ b/internal/sim/outage.go
@@ -135,11 +135,11 @@
 	kind, name, front := Kind{Queue: "quick", Attempts: 4, Job: job}, fmt.Sprintf("probe-%d", p.number), p.front()
 	f.known[name] = handed{kind.Queue, kind.Job}
 	f.Ask(front, handInProbeSpan, func(request uint64, deadline eventloop.Micros) any {
-		return gateway.HandIn{
-			Request: request, Queue: kind.Queue, Client: "probe-" + front.Name, Name: name, Digest: gateway.Digest(job), Job: job, Deadline: deadline,
+		return gateway.SubmitJob{
+			RequestID: request, Queue: kind.Queue, Client: "probe-" + front.Name, Name: name, Digest: gateway.Digest(job), Job: job, Deadline: deadline,
 		}
 	}, func(answer any) {
-		if reply, _ := answer.(gateway.Answer); reply.Code == 200 || reply.Code == 201 {
+		if reply, _ := answer.(gateway.Response); reply.Code == 200 || reply.Code == 201 {
 			p.served = append(p.served, f.Now)
 		}
 	})
@@ -169,10 +169,10 @@
 			return
 		}
 		f.Ask(p.front(), replaceProbeSpan, func(request uint64, deadline eventloop.Micros) any {
-			return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
+			return gateway.LeaderRequest{RequestID: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
 				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 		}, func(answer any) {
-			if reply, _ := answer.(gateway.Answer); reply.Code == 200 && !isTaken {
+			if reply, _ := answer.(gateway.Response); reply.Code == 200 && !isTaken {
 				isTaken = true
 				p.served = append(p.served, f.Now)
 				f.After(replaceProbeEvery, func() { p.replace(rows, base+1, until) })
--- a/internal/sim/people.go
+++ b/internal/sim/people.go
@@ -136,7 +136,7 @@
 			return
 		}
 		k.open--
-		reply, isReply := answer.(gateway.Answer)
+		reply, isReply := answer.(gateway.Response)
 		orders := &schema.WorkerOrders{}
 		if k.frozen || !isReply || reply.Code != 200 || json.Unmarshal(reply.Body, orders) != nil {
 			k.hand.Unanswered(w.Now)
@@ -152,7 +152,7 @@
 		return
 	}
 	w.Ask(k.front, 1200*eventloop.Millisecond, func(request uint64, deadline eventloop.Micros) any {
-		return gateway.PollIn{Request: request, Worker: k.name, Announce: a, Deadline: deadline}
+		return gateway.ForwardAnnouncement{RequestID: request, Worker: k.name, Announce: a, Deadline: deadline}
 	}, func(answer any) {
 		if k.isCut {
 			answer = nil
@@ -166,8 +166,8 @@
 // watch asks every front each second whether it is ready, as the users'
 // platform does, and passes clients accordingly.
 func (w *World) watch(h *Host) {
-	w.Ask(h, eventloop.Second, func(request uint64, _ eventloop.Micros) any { return gateway.Ready{Request: request} }, func(answer any) {
-		reply, _ := answer.(gateway.Answer)
+	w.Ask(h, eventloop.Second, func(request uint64, _ eventloop.Micros) any { return gateway.CheckReadiness{RequestID: request} }, func(answer any) {
+		reply, _ := answer.(gateway.Response)
 		h.isReady = reply.Code == 200
 	})
 	w.After(eventloop.Second, func() { w.watch(h) })
@@ -267,14 +267,14 @@
 		front = w.pickFront("")
 	}
 	w.Ask(front, 3*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
-		return gateway.HandIn{
-			Request: request, Queue: kind.Queue, Client: "c-" + front.Name, Name: name, Digest: gateway.Digest(kind.Job), Job: kind.Job, Deadline: deadline,
+		return gateway.SubmitJob{
+			RequestID: request, Queue: kind.Queue, Client: "c-" + front.Name, Name: name, Digest: gateway.Digest(kind.Job), Job: kind.Job, Deadline: deadline,
 		}
 	}, func(answer any) {
-		reply, _ := answer.(gateway.Answer)
+		reply, _ := answer.(gateway.Response)
 		isLost := (reply.Code == 200 || reply.Code == 201) && w.isAnswerLost()
 		if isLost {
-			reply = gateway.Answer{}
+			reply = gateway.Response{}
 		}
 		e := checker.Event{Kind: checker.HandInReply, Who: "caller", Queue: kind.Queue, Name: name, Code: reply.Code, Front: front.Name, Sent: sent}
 		view := &schema.JobView{}
@@ -297,7 +297,7 @@
 			if reply.Code != 0 {
 				front = nil
 			}
-			w.After(max(300*eventloop.Millisecond, eventloop.Micros(reply.Retry)*eventloop.Second), func() { w.handIn(kind, name, cell, front) })
+			w.After(max(300*eventloop.Millisecond, eventloop.Micros(reply.RetryAfter)*eventloop.Second), func() { w.handIn(kind, name, cell, front) })
 		}
 	})
 }
@@ -306,9 +306,9 @@
 func (w *World) ask(kind Kind, what, name string, back func(code int32, view *schema.JobView)) {
 	front, sent := w.pickFront(w.anyCell()), w.Now
 	w.Ask(front, 3*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
-		return gateway.Ask{Request: request, Kind: what, Group: kind.Queue, Name: name, Deadline: deadline}
+		return gateway.LeaderRequest{RequestID: request, Kind: what, Group: kind.Queue, Name: name, Deadline: deadline}
 	}, func(answer any) {
-		reply, _ := answer.(gateway.Answer)
+		reply, _ := answer.(gateway.Response)
 		view := &schema.JobView{}
 		if reply.Code == 200 && json.Unmarshal(reply.Body, view) != nil {
 			reply.Code = 0
@@ -358,9 +358,9 @@
 	w.After(every, func() { w.Lists(queue, every, until) })
 	front, sent := w.pickFront(w.anyCell()), w.Now
 	w.Ask(front, 3*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
-		return gateway.Ask{Request: request, Kind: "list", Group: queue, Most: 200, Deadline: deadline}
+		return gateway.LeaderRequest{RequestID: request, Kind: "list", Group: queue, Limit: 200, Deadline: deadline}
 	}, func(answer any) {
-		reply, _ := answer.(gateway.Answer)
+		reply, _ := answer.(gateway.Response)
 		list := &schema.JobList{}
 		if reply.Code != 200 || json.Unmarshal(reply.Body, list) != nil {
 			return
@@ -395,10 +395,10 @@
 		w.Tell(checker.Event{Kind: checker.PlanSent, Who: who, Rows: rows})
 		told := checker.Event{Kind: checker.PlanPut, Who: who, Front: front.Name, Sent: sent, Built: generation, Rows: rows}
 		w.Ask(front, 8*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
-			return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
+			return gateway.LeaderRequest{RequestID: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
 				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 		}, func(answer any) {
-			reply, _ := answer.(gateway.Answer)
+			reply, _ := answer.(gateway.Response)
 			told.Code = reply.Code
 			if reply.Code == 200 {
 				told.Generation = generation + 1
@@ -416,9 +416,9 @@
 func (w *World) readPlan(front *Host, back func(plan *schema.Configuration)) {
 	sent := w.Now
 	w.Ask(front, 3*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
-		return gateway.Ask{Request: request, Kind: "plan", Group: clusterstate.Group, Deadline: deadline}
+		return gateway.LeaderRequest{RequestID: request, Kind: "plan", Group: clusterstate.Group, Deadline: deadline}
 	}, func(answer any) {
-		reply, _ := answer.(gateway.Answer)
+		reply, _ := answer.(gateway.Response)
 		plan := &schema.Configuration{}
 		if reply.Code == 200 && protojson.Unmarshal(reply.Body, plan) != nil {
 			reply.Code = 0
--- a/internal/sim/sweep.go
+++ b/internal/sim/sweep.go
@@ -280,10 +280,10 @@
 	sheet := &schema.ConfigurationUpdate{BaseRevision: &generation, Rows: r.planRows(change)}
 	sent := r.Now
 	r.Ask(r.anyFront(), 3*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
-		return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
+		return gateway.LeaderRequest{RequestID: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
 			&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 	}, func(answer any) {
-		reply, _ := answer.(gateway.Answer)
+		reply, _ := answer.(gateway.Response)
 		if reply.Code != 200 && reply.Code != 412 {
 			r.After(200*eventloop.Millisecond, func() { r.plan(change) })
 			return
@@ -318,9 +318,9 @@
 	}}
 	front := r.anyFront()
 	r.Ask(front, 3*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
-		return gateway.HandIn{Request: request, Queue: queue, Client: "c-" + front.Name, Name: name, Digest: gateway.Digest(job), Job: job, Deadline: deadline}
+		return gateway.SubmitJob{RequestID: request, Queue: queue, Client: "c-" + front.Name, Name: name, Digest: gateway.Digest(job), Job: job, Deadline: deadline}
 	}, func(answer any) {
-		if reply, _ := answer.(gateway.Answer); reply.Code != 200 && reply.Code != 201 {
+		if reply, _ := answer.(gateway.Response); reply.Code != 200 && reply.Code != 201 {
 			r.After(200*eventloop.Millisecond, func() { r.handInHollow(queue, name) })
 		}
 	})
--- a/internal/sim/troubles.go
+++ b/internal/sim/troubles.go
@@ -294,10 +294,10 @@
 func (f *Fleet) sendInvalid(sheet *schema.ConfigurationUpdate) {
 	front := f.pickFront(f.anyCell())
 	f.Ask(front, 2*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
-		return gateway.Ask{Request: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
+		return gateway.LeaderRequest{RequestID: request, Kind: "clusterstate", Group: clusterstate.Group, Deadline: deadline, Body: replica.EncodeClusterStateCommand(
 			&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: sheet}}})}
 	}, func(answer any) {
-		if reply, _ := answer.(gateway.Answer); reply.Code > 0 && reply.Code < 300 {
+		if reply, _ := answer.(gateway.Response); reply.Code > 0 && reply.Code < 300 {
 			f.Tell(checker.Event{Kind: checker.PlanPut, Who: "invalid", Front: front.Name, Code: reply.Code, Generation: sheet.Version, State: checker.Invalid})
 		}
 	})
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -350,7 +350,7 @@
 	for _, each := range []struct {
 		table string
 		body  any
-	}{{"gateway", gateway.Warned{}}, {"membership", membership.Draining{}}, {"replica", replica.Drain{}}} {
+	}{{"gateway", gateway.StartDraining{}}, {"membership", membership.Draining{}}, {"replica", replica.Drain{}}} {
 		if h.tables[each.table] != nil {
 			h.step(each.table, eventloop.Message{Body: each.body})
 		}
@@ -643,7 +643,7 @@
 		w.After(span, func() {
 			if !isDone && h.run == run && h.waiting[id] != nil {
 				delete(h.waiting, id)
-				h.mail("gateway", eventloop.Message{Body: gateway.Forget{Request: id}})
+				h.mail("gateway", eventloop.Message{Body: gateway.ForgetRequest{RequestID: id}})
 			}
 		})
 	})
