--- a/cmd/sparnotch-bench/hollow_part.go
+++ b/cmd/sparnotch-bench/hollow_part.go
@@ -81,7 +81,7 @@
 	taken   atomic.Uint64
 	refused atomic.Uint64
 	reals   []*process.Real
-	nets    []*transport.Net
+	nets    []*transport.Transport
 	lost    []*eventloop.Process
 }
 
@@ -270,7 +270,7 @@
 // hollowNet carries what leaves a hollow running's tables.
 type hollowNet struct {
 	id      string
-	net     *transport.Net
+	net     *transport.Transport
 	book    *membership.AddressBook
 	running *eventloop.Process
 }
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -68,7 +68,7 @@
 		IdleTimeout: 90 * time.Second, MaxHeaderBytes: 16 << 10, ErrorLog: stdlog.New(io.Discard, "", 0),
 	}
 	go func() {
-		if err := s.http.Serve(transport.Patient(context.Background(), listener)); err != nil && !errors.Is(err, http.ErrServerClosed) {
+		if err := s.http.Serve(transport.RetryingListener(context.Background(), listener)); err != nil && !errors.Is(err, http.ErrServerClosed) {
 			real.Failed <- err
 		}
 	}()
--- a/internal/process/real.go
+++ b/internal/process/real.go
@@ -40,7 +40,7 @@
 
 	log     *zap.Logger
 	process *eventloop.Process
-	net     *transport.Net
+	net     *transport.Transport
 	book    *membership.AddressBook
 	opened  *Opened
 	store   *storage.Store
@@ -138,7 +138,7 @@
 	}
 	r.net = net
 	if options.TestCuts != "" {
-		net.IsCut = r.cuts()
+		net.IsPartitioned = r.cuts()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
--- a/internal/sim/transport_test.go
+++ b/internal/sim/transport_test.go
@@ -64,7 +64,7 @@
 // --- the real one ---
 
 type realTransport struct {
-	ends  [2]*transport.Net
+	ends  [2]*transport.Transport
 	boxes [2]chan eventloop.Message
 	isCut atomic.Bool
 }
@@ -75,7 +75,7 @@
 		r.boxes[k] = make(chan eventloop.Message, 256)
 		n, err := transport.Listen(transport.Identity{ID: []string{"end0", "end1"}[k]}, "127.0.0.1:0", func(from string, body any) { r.boxes[k] <- eventloop.Message{From: from, Body: body} })
 		So(err, ShouldBeNil)
-		n.IsCut = func(string) bool { return r.isCut.Load() }
+		n.IsPartitioned = func(string) bool { return r.isCut.Load() }
 		r.ends[k] = n
 	}
 	return r
--- a/internal/transport/patient_test.go
+++ b/internal/transport/listener_test.go
@@ -10,13 +10,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// failing is a listener whose first calls fail.
-type failing struct {
+// failingListener is a listener whose first calls fail.
+type failingListener struct {
 	net.Listener
 	left int
 }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	if f.left > 0 {
 		f.left--
 		return nil, &net.OpError{Op: "accept", Err: syscall.ENOBUFS}
@@ -24,11 +24,11 @@
 	return f.Listener.Accept()
 }
 
-func TestPatient(t *testing.T) {
+func TestRetryingListener(t *testing.T) {
 	Convey("A listener that fails now and then goes on, and ends when it is closed", t, func() {
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
-		listener := Patient(context.Background(), &failing{inner, 2})
+		listener := RetryingListener(context.Background(), &failingListener{inner, 2})
 		client, err := net.Dial("tcp", inner.Addr().String())
 		So(err, ShouldBeNil)
 		Reset(func() { client.Close() })
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -19,7 +19,7 @@
 	body any
 }
 
-func open(id string) (*Net, chan arrival) {
+func listen(id string) (*Transport, chan arrival) {
 	arrivals := make(chan arrival, 4096)
 	n, err := Listen(Identity{ID: id}, "127.0.0.1:0", func(from string, body any) { arrivals <- arrival{from, body} })
 	So(err, ShouldBeNil)
@@ -35,10 +35,10 @@
 	}
 }
 
-func TestWires(t *testing.T) {
+func TestConnections(t *testing.T) {
 	Convey("Messages of every shape arrive whole and in order", t, func() {
-		a, _ := open("a")
-		b, atB := open("b")
+		a, _ := listen("a")
+		b, atB := listen("b")
 		Reset(func() { a.Close(); b.Close() })
 		a.Send(b.Address(), &schema.AppendRequest{Group: "g", Term: 7, Entries: []*schema.Entry{{Index: 1, Data: []byte("x"), MemberSet: &schema.MemberSet{Voters: []string{"a"}}}}})
 		a.Send(b.Address(), &schema.ClusterStateResponse{State: &schema.ClusterState{Configuration: &schema.Configuration{Revision: 3, Rows: []*schema.ConfigurationRow{{Kind: "queue"}}}}, Leaders: map[string]string{"l": "a"}})
@@ -72,8 +72,8 @@
 		})
 	})
 	Convey("Garbage closes its wire and harms nothing", t, func() {
-		a, _ := open("a")
-		b, atB := open("b")
+		a, _ := listen("a")
+		b, atB := listen("b")
 		Reset(func() { a.Close(); b.Close() })
 		for _, garbage := range []string{"GET / HTTP/1.1\r\n\r\n", preamble + strings.Repeat("\xff garbage", 100), preamble + "\x03\x04\x00\x01\x02\x03\x04\x00\x01\x02", "sparnotch/9\n"} {
 			conn, err := net.Dial("tcp", b.Address())
@@ -92,12 +92,12 @@
 		So(b.Counts().Garbage, ShouldBeGreaterThan, 0)
 	})
 	Convey("A cut wire carries nothing", t, func() {
-		a, _ := open("a")
-		b, atB := open("b")
+		a, _ := listen("a")
+		b, atB := listen("b")
 		Reset(func() { a.Close(); b.Close() })
 		var isCut atomic.Bool
 		isCut.Store(true)
-		a.IsCut = func(string) bool { return isCut.Load() }
+		a.IsPartitioned = func(string) bool { return isCut.Load() }
 		a.Send(b.Address(), &schema.TimeoutNow{Group: "cut"})
 		for a.Counts().Lost == 0 {
 			runtime.Gosched()
@@ -108,31 +108,31 @@
 	})
 }
 
-func TestHangingPeers(t *testing.T) {
+func TestUnresponsivePeers(t *testing.T) {
 	Convey("A peer that doesn't read holds nobody up", t, func() {
-		a, _ := open("a")
-		b, atB := open("b")
-		deaf, err := net.Listen("tcp", "127.0.0.1:0")
+		a, _ := listen("a")
+		b, atB := listen("b")
+		unread, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
-		Reset(func() { deaf.Close(); a.Close(); b.Close() })
+		Reset(func() { unread.Close(); a.Close(); b.Close() })
 		large := &schema.AppendRequest{Entries: []*schema.Entry{{Data: make([]byte, 1<<20)}}}
-		for range 2 * ringSize {
-			a.Send(deaf.Addr().String(), large)
+		for range 2 * queueLength {
+			a.Send(unread.Addr().String(), large)
 		}
 		So(a.Counts().Lost, ShouldBeGreaterThan, 0)
 		a.Send(b.Address(), &schema.TimeoutNow{Group: "g"})
 		So(next(atB).from, ShouldEqual, "a")
 	})
 	Convey("What waits goes out in one write, and what waited too long not at all", t, func() {
-		a, _ := open("a")
-		b, atB := open("b")
+		a, _ := listen("a")
+		b, atB := listen("b")
 		start := time.Now()
 		var later atomic.Int64
 		a.now = func() time.Time { return start.Add(time.Duration(later.Load())) }
 		entered, release := make(chan bool), make(chan bool)
 		var isHeld atomic.Bool
 		isHeld.Store(true)
-		a.IsCut = func(string) bool {
+		a.IsPartitioned = func(string) bool {
 			if isHeld.CompareAndSwap(true, false) {
 				entered <- true
 				<-release
@@ -145,7 +145,7 @@
 		for range 5 {
 			a.Send(b.Address(), &schema.TimeoutNow{Group: "stale"})
 		}
-		later.Store(int64(staleSpan + time.Millisecond))
+		later.Store(int64(maxQueueTime + time.Millisecond))
 		for range 50 {
 			a.Send(b.Address(), &schema.TimeoutNow{Group: "fresh"})
 		}
@@ -164,7 +164,7 @@
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		Reset(func() { listener.Close() })
-		conn, err := (&net.Dialer{Control: tune}).Dial("tcp", listener.Addr().String())
+		conn, err := (&net.Dialer{Control: setUserTimeout}).Dial("tcp", listener.Addr().String())
 		So(err, ShouldBeNil)
 		defer conn.Close()
 		raw, err := conn.(*net.TCPConn).SyscallConn()
@@ -178,25 +178,25 @@
 	})
 }
 
-func TestPeersThatStartAnew(t *testing.T) {
+func TestPeerRestart(t *testing.T) {
 	Convey("A connection that its peer has closed is let go before the next message is written into it", t, func() {
-		a, _ := open("a")
-		out := &outgoing{}
-		Reset(func() { out.close(); a.Close() })
+		a, _ := listen("a")
+		connection := &outboundConn{}
+		Reset(func() { connection.close(); a.Close() })
 		peer, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		Reset(func() { peer.Close() })
-		So(a.write(out, peer.Addr().String(), Envelope{Body: &schema.Gossip{}}), ShouldBeNil)
+		So(a.write(connection, peer.Addr().String(), Envelope{Body: &schema.Gossip{}}), ShouldBeNil)
 		conn, err := peer.Accept()
 		So(err, ShouldBeNil)
-		out.letGo()
-		So(out.conn, ShouldNotBeNil)
+		connection.closeIfPeerClosed()
+		So(connection.conn, ShouldNotBeNil)
 		So(conn.Close(), ShouldBeNil)
-		for end := time.Now().Add(30 * time.Second); !out.isOver.Load() && time.Now().Before(end); {
+		for end := time.Now().Add(30 * time.Second); !connection.peerClosed.Load() && time.Now().Before(end); {
 			runtime.Gosched()
 		}
-		out.letGo()
-		So(out.conn, ShouldBeNil)
-		So(a.write(out, peer.Addr().String(), Envelope{Body: &schema.Gossip{}}), ShouldBeNil)
+		connection.closeIfPeerClosed()
+		So(connection.conn, ShouldBeNil)
+		So(a.write(connection, peer.Addr().String(), Envelope{Body: &schema.Gossip{}}), ShouldBeNil)
 	})
 }
