--- a/cmd/sparnotch-bench/hollow_part.go
+++ b/cmd/sparnotch-bench/hollow_part.go
@@ -142,7 +142,7 @@
 			r.LostMails += lost
 		}
 		if real.Member.HasStorage {
-			r.Belief, _ = real.Run(ctx, "replica", eventloop.Second, func(id uint64, _ eventloop.Micros) any { return replica.GetStateView{Request: id} }).(*replica.NodeStateView)
+			r.Belief, _ = real.Call(ctx, "replica", eventloop.Second, func(id uint64, _ eventloop.Micros) any { return replica.GetStateView{Request: id} }).(*replica.NodeStateView)
 		}
 	}
 	for _, net := range p.nets {
--- a/cmd/sparnotch-platform/main.go
+++ b/cmd/sparnotch-platform/main.go
@@ -39,16 +39,16 @@
 
 func (c *command) Usage() string {
 	return fmt.Sprintf("sparnotch-platform %s\n  %s, by the settings file that %s names.\n  Exit codes: 0 left when warned, 1 failed, 2 bad settings (the setting is named).\n",
-		c.name, c.synopsis, platform.Variable)
+		c.name, c.synopsis, platform.SettingsVariable)
 }
 
 func (c *command) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	settings, err := platform.Load()
 	if err == nil && set.NArg() > 0 {
-		err = platform.Bad.New("%s: sparnotch-platform %s takes no arguments", set.Arg(0), c.name)
+		err = platform.Invalid.New("%s: sparnotch-platform %s takes no arguments", set.Arg(0), c.name)
 	}
 	if err == nil && c.role != schema.Role_ROLE_NONE && c.role != settings.Role {
-		err = platform.Bad.New("serves: doesn't fit sparnotch-platform %s", c.name)
+		err = platform.Invalid.New("serves: doesn't fit sparnotch-platform %s", c.name)
 	}
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "sparnotch-platform: %v\n", err)
@@ -62,12 +62,12 @@
 	signal.Ignore(syscall.SIGHUP)
 	// Above the limit the process is killed, so the collector works harder
 	// before: a fifth is left for what the runtime doesn't count.
-	if settings.MemoryMb > 0 {
-		debug.SetMemoryLimit(settings.MemoryMb * 1_000_000 / 5 * 4)
+	if settings.MemoryMB > 0 {
+		debug.SetMemoryLimit(settings.MemoryMB * 1_000_000 / 5 * 4)
 	}
 	var hands []agent.Caller
 	if c.role == schema.Role_ROLE_CONTROLLER {
-		hands = append(hands, platform.NewCaller(settings.App))
+		hands = append(hands, platform.NewWorkerClient(settings.WorkerAddress))
 	}
 	return daemon.Serve("sparnotch-platform", settings.Options, c.role, platform.Open(settings), hands...)
 }
--- a/internal/codesize/codesize_test.go
+++ b/internal/codesize/codesize_test.go
@@ -44,7 +44,7 @@
 	"internal/sim/called.go":                       588,
 	"internal/sim/scenarios.go":                    706,
 	"internal/sim/world.go":                        731,
-	"platform/settings.go ReadSettings":            67,
+	"platform/settings.go ParseSettings":           67,
 }
 
 // TestSizes: no file of ours that isn't a test or generated is over 500 lines, and no
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -27,7 +27,7 @@
 			core, logs := observer.New(zap.InfoLevel)
 			spills := 0
 			spill := func() error { spills++; return errors.New("full") }
-			So(isWarning(each.signal, zap.New(core), spill), ShouldEqual, each.isWarning)
+			So(isShutdownSignal(each.signal, zap.New(core), spill), ShouldEqual, each.isWarning)
 			So(spills, ShouldEqual, each.spills)
 			So(logs.Len(), ShouldEqual, each.logged)
 		}
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/serve_test.go
@@ -17,7 +17,7 @@
 	"sparnotch/internal/storage"
 )
 
-func names(folder string) []string {
+func fileNames(folder string) []string {
 	entries, err := os.ReadDir(folder)
 	So(err, ShouldBeNil)
 	var list []string
@@ -27,14 +27,14 @@
 	return list
 }
 
-func TestWhatEndsAStart(t *testing.T) {
+func TestStartFailures(t *testing.T) {
 	never := func(*process.Real, *zap.Logger) (Server, error) { panic("it has started") }
-	told := filepath.Join(t.TempDir(), "log")
+	logFile := filepath.Join(t.TempDir(), "log")
 	options := func(data string) *schema.Settings {
-		return &schema.Settings{Cell: "c", Inner: "127.0.0.1:0", Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}, Trace: told}
+		return &schema.Settings{Cell: "c", Inner: "127.0.0.1:0", Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}, Trace: logFile}
 	}
 	log := func() string {
-		text, err := os.ReadFile(told)
+		text, err := os.ReadFile(logFile)
 		So(err, ShouldBeNil)
 		return string(text)
 	}
@@ -42,7 +42,7 @@
 		data := t.TempDir()
 		So(os.WriteFile(filepath.Join(data, "family.jpg"), []byte("x"), 0o600), ShouldBeNil)
 		So(Serve("x", options(data), schema.Role_ROLE_SERVER, never), ShouldEqual, ExitOptions)
-		So(names(data), ShouldResemble, []string{"family.jpg"})
+		So(fileNames(data), ShouldResemble, []string{"family.jpg"})
 		So(log(), ShouldContainSubstring, "family.jpg")
 	})
 	Convey("A data folder that is no folder: code 2, named, as it was", t, func() {
@@ -78,30 +78,30 @@
 	})
 }
 
-// calls is a server that notes what it is asked to do.
-type calls struct{ shutdowns chan bool }
+// recordingServer is a server that notes what it is asked to do.
+type recordingServer struct{ shutdowns chan bool }
 
-func (c calls) Warn() {}
+func (c recordingServer) StartDraining() {}
 
-func (c calls) Shutdown(context.Context) error {
+func (c recordingServer) Shutdown(context.Context) error {
 	c.shutdowns <- true
 	return nil
 }
 
-func TestStartingAnewWithTheStore(t *testing.T) {
+func TestRestartWithReopenedStore(t *testing.T) {
 	Convey("A process whose disk refuses at its start serves, and starts anew with its store, without ending", t, func() {
 		data := t.TempDir()
 		obstacle := filepath.Join(data, "slot-0")
 		So(os.Mkdir(obstacle, 0o700), ShouldBeNil)
 		log, ring := logring.New("")
-		loaded := &schema.Settings{Cell: "c", Inner: "127.0.0.1:0", Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}, WarnUs: 2_000_000}
+		options := &schema.Settings{Cell: "c", Inner: "127.0.0.1:0", Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}, WarnUs: 2_000_000}
 		shutdowns, started, ended := make(chan bool, 4), make(chan bool, 4), make(chan error, 1)
-		open := func(real *process.Real, _ *zap.Logger) (Server, error) {
-			started <- real.Member.HasStorage
-			return calls{shutdowns}, nil
+		newServer := func(node *process.Real, _ *zap.Logger) (Server, error) {
+			started <- node.Member.HasStorage
+			return recordingServer{shutdowns}, nil
 		}
 		signals := make(chan os.Signal, 1)
-		go func() { ended <- serve(loaded, schema.Role_ROLE_SERVER, signals, log, ring, open, nil) }()
+		go func() { ended <- serve(options, schema.Role_ROLE_SERVER, signals, log, ring, newServer, nil) }()
 		So(<-started, ShouldBeFalse)
 		So(os.Remove(obstacle), ShouldBeNil)
 		So(<-shutdowns, ShouldBeTrue)
--- a/internal/httpapi/connections_test.go
+++ b/internal/httpapi/connections_test.go
@@ -23,17 +23,17 @@
 	return listener.Addr().String()
 }
 
-func TestConnectionsStayInStep(t *testing.T) {
+func TestPipelinedRequests(t *testing.T) {
 	Convey("Given a process that nobody has told of a table yet", t, func() {
 		options := &schema.Settings{Cell: "c", Inner: freeAddress(), Outer: freeAddress(), Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
-		real, err := process.Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
+		node, err := process.Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 		So(err, ShouldBeNil)
-		server, err := Serve(real, zap.NewNop())
+		server, err := Serve(node, zap.NewNop())
 		So(err, ShouldBeNil)
 		client, err := net.Dial("tcp", options.Outer)
 		So(err, ShouldBeNil)
 		reader := bufio.NewReader(client)
-		Reset(func() { client.Close(); server.http.Close(); real.Stop() })
+		Reset(func() { client.Close(); server.httpServer.Close(); node.Stop() })
 		send := func(text string) {
 			_, err := io.WriteString(client, text)
 			So(err, ShouldBeNil)
@@ -81,7 +81,7 @@
 			}
 		})
 		Convey("a body that is too large ends its connection", func() {
-			go io.WriteString(client, put("/v1/queues/l/jobs/j", strings.Repeat(" ", 2*jobBytes)+strings.Repeat(counts, 100))+alive)
+			go io.WriteString(client, put("/v1/queues/l/jobs/j", strings.Repeat(" ", 2*maxJobBytes)+strings.Repeat(counts, 100))+alive)
 			code, body := answer()
 			So(code, ShouldBeIn, 413, 0)
 			So(body, ShouldNotContainSubstring, "lost_mails")
--- a/internal/mutation/calls_mutants.go
+++ b/internal/mutation/calls_mutants.go
@@ -14,8 +14,8 @@
 		{Guard: "half an answer is none", Test: "internal/httpcall TestOneRequestOneArrival", Edits: []Edit{
 			{"internal/httpcall", "io.LimitReader(response.Body, mostBytes+1))\n		if err != nil {", "io.LimitReader(response.Body, mostBytes+1))\n		if false {"}}},
 		{Guard: "a call names the life that is meant", Test: "platform TestCalls", Edits: []Edit{{"platform", `": {call.Worker}}`, `": nil}`}}},
-		{Guard: "what isn't a worker's answer counts as none", Test: "platform TestWorkersThatStartAnew", Edits: []Edit{{"platform",
-			"if !isRead || body.ClockMs == nil {", "if !isRead {"}}},
+		{Guard: "what isn't a worker's answer counts as none", Test: "platform TestRestartedWorkers", Edits: []Edit{{"platform",
+			"if !parsed || body.ClockMS == nil {", "if !parsed {"}}},
 		{Guard: "an answer to a call is taken once", Test: "internal/agent TestAnswersToCallsThatAreOver", Edits: []Edit{{"internal/agent",
 			"	p := l.calls[m.Number]\n	delete(l.calls, m.Number)\n", "	p := l.calls[m.Number]\n"}}},
 		{Guard: "an announce's answer is known by its number", Test: "internal/agent TestAnswersToAnnouncesThatAreOver", Edits: []Edit{{"internal/agent",
--- a/internal/mutation/replace_mutants.go
+++ b/internal/mutation/replace_mutants.go
@@ -29,9 +29,9 @@
 		"	if g.role != leader || g.commit < g.noOpIndex {\n		return NotLeader.New", "	if g.role != leader {\n		return NotLeader.New"}}},
 	{Guard: "no two lives share a request's number", Rule: 11, Test: "internal/process TestRequestNumbersOfLives", Edits: []Edit{{"internal/process",
 		"	r.next.Store(r.Member.Incarnation << bootShift)\n", ""}}},
-	{Guard: "a full front refuses no order", Test: "platform TestOperator", Edits: []Edit{{"platform",
+	{Guard: "a full front refuses no order", Test: "platform TestOperatorCalls", Edits: []Edit{{"platform",
 		"	if answer.Code == 429 {", "	if false {"}}},
-	{Guard: "a body that was cut refuses no order", Test: "platform TestOperator", Edits: []Edit{{"platform",
+	{Guard: "a body that was cut refuses no order", Test: "platform TestOperatorCalls", Edits: []Edit{{"platform",
 		"	case errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &broken):", "	case errors.As(err, &broken) && false:"}}},
 }
 
--- a/internal/process/caller_test.go
+++ b/internal/process/caller_test.go
@@ -56,12 +56,12 @@
 		options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
 		without, err := Start(options, schema.Role_ROLE_CONTROLLER, zap.NewNop())
 		So(err, ShouldBeNil)
-		So(without.Beat(agent.Beat{Worker: "w", Number: 1}), ShouldBeFalse)
+		So(without.ReportHeartbeat(agent.Beat{Worker: "w", Number: 1}), ShouldBeFalse)
 		without.Stop()
 		with, err := Start(options, schema.Role_ROLE_CONTROLLER, zap.NewNop(), gate{})
 		So(err, ShouldBeNil)
-		So(with.Beat(agent.Beat{Worker: "w", Number: 1}), ShouldBeTrue)
-		So(with.Depart(agent.Departed{Worker: "w"}), ShouldBeTrue)
+		So(with.ReportHeartbeat(agent.Beat{Worker: "w", Number: 1}), ShouldBeTrue)
+		So(with.ReportDeparture(agent.Departed{Worker: "w"}), ShouldBeTrue)
 		with.Stop()
 	})
 	Convey("Answers of schedulers go to the agent of a side process, and to the gateway of a front", t, func() {
--- a/internal/process/lives_test.go
+++ b/internal/process/lives_test.go
@@ -24,7 +24,7 @@
 func ask(ctx context.Context, real *Real) pending {
 	numbers, answer := make(chan uint64, 1), make(chan any, 1)
 	go func() {
-		answer <- real.Run(ctx, "gateway", 30*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
+		answer <- real.Call(ctx, "gateway", 30*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
 			numbers <- request
 			return gateway.LeaderRequest{RequestID: request, Kind: "plan", Group: clusterstate.Group, Deadline: deadline}
 		})
--- a/internal/process/numbers_test.go
+++ b/internal/process/numbers_test.go
@@ -23,7 +23,7 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
 			var given uint64
-			real.Run(ctx, "gateway", eventloop.Second, func(id uint64, _ eventloop.Micros) any {
+			real.Call(ctx, "gateway", eventloop.Second, func(id uint64, _ eventloop.Micros) any {
 				given = id
 				return gateway.ForgetRequest{RequestID: id}
 			})
--- a/internal/process/real.go
+++ b/internal/process/real.go
@@ -225,14 +225,14 @@
 	r.process.Post(Table(r.Member.Role, body), eventloop.Message{From: from, Body: body})
 }
 
-// Beat takes a worker's word of itself; false when it couldn't be taken.
-func (r *Real) Beat(beat agent.Beat) bool {
+// ReportHeartbeat takes a worker's word of itself; false when it couldn't be taken.
+func (r *Real) ReportHeartbeat(beat agent.Beat) bool {
 	return r.process.Post("agent", eventloop.Message{Body: beat})
 }
 
-// Depart takes a worker's word that it has ended; false when it couldn't be
+// ReportDeparture takes a worker's word that it has ended; false when it couldn't be
 // taken.
-func (r *Real) Depart(departed agent.Departed) bool {
+func (r *Real) ReportDeparture(departed agent.Departed) bool {
 	return r.process.Post("agent", eventloop.Message{Body: departed})
 }
 
@@ -262,9 +262,9 @@
 	}
 }
 
-// Run gives a request to a table and waits for its answer; nil when the span
+// Call gives a request to a table and waits for its answer; nil when the span
 // is over.
-func (r *Real) Run(ctx context.Context, table string, span eventloop.Micros, build func(request uint64, deadline eventloop.Micros) any) any {
+func (r *Real) Call(ctx context.Context, table string, span eventloop.Micros, build func(request uint64, deadline eventloop.Micros) any) any {
 	id := r.next.Add(1)
 	waiter := make(chan any, 1)
 	r.mu.Lock()
@@ -318,7 +318,7 @@
 	if r.store == nil {
 		return false
 	}
-	belief, _ := r.Run(ctx, "replica", eventloop.Second, func(request uint64, _ eventloop.Micros) any { return replica.GetStateView{Request: request} }).(*replica.NodeStateView)
+	belief, _ := r.Call(ctx, "replica", eventloop.Second, func(request uint64, _ eventloop.Micros) any { return replica.GetStateView{Request: request} }).(*replica.NodeStateView)
 	return belief != nil && belief.HasHandoverPending
 }
 
