--- a/internal/httpcall/client.go
+++ b/internal/httpcall/client.go
@@ -31,18 +31,18 @@
 	// it came: it may have been carried out, or may be later.
 	Unanswered = Errors.NewType("unanswered")
 
-	tooLong   = Errors.NewType("too_long")
-	badHeader = Errors.NewType("bad_header")
+	responseTooLong = Errors.NewType("too_long")
+	badHeader       = Errors.NewType("bad_header")
 )
 
 // Limits are the bounds of a client.
 type Limits struct {
-	Connections int           // to one address at once
-	Idle        int           // of them kept open while nothing is asked
-	IdleTime    time.Duration // and how long each
-	DialTime    time.Duration // for a connection to come about
-	AnswerBytes int64         // the longest body of an answer
-	KeepAlive   net.KeepAliveConfig
+	MaxConnections   int           // to one address at once
+	MaxIdle          int           // of them kept open while nothing is asked
+	IdleTimeout      time.Duration // and how long each
+	DialTimeout      time.Duration // for a connection to come about
+	MaxResponseBytes int64         // the longest body of an answer
+	KeepAlive        net.KeepAliveConfig
 }
 
 // Request is one call. A client sends it once.
@@ -54,8 +54,8 @@
 	Body    []byte
 }
 
-// Answer is a whole answer: its body was read to the end.
-type Answer struct {
+// Response is a whole answer: its body was read to the end.
+type Response struct {
 	Code int
 	Body []byte
 }
@@ -76,33 +76,33 @@
 
 // Do sends a request and reads its answer, or returns NotSent or Unanswered. The
 // context bounds all of it, also the wait for a connection.
-func (c *Client) Do(ctx context.Context, request Request) (Answer, error) {
+func (c *Client) Do(ctx context.Context, request Request) (Response, error) {
 	message, parsed, err := encode(request)
 	if err != nil {
-		return Answer{}, NotSent.Wrap(err, "request")
+		return Response{}, NotSent.Wrap(err, "request")
 	}
 	p := c.peer(request.Address)
 	select {
 	case p.slots <- struct{}{}:
 	case <-ctx.Done():
-		return Answer{}, NotSent.Wrap(ctx.Err(), "waiting for a connection")
+		return Response{}, NotSent.Wrap(ctx.Err(), "waiting for a connection")
 	}
 	defer func() { <-p.slots }()
 	for {
 		conn, err := c.connection(ctx, p)
 		if err != nil {
-			return Answer{}, NotSent.Wrap(err, "dialling")
+			return Response{}, NotSent.Wrap(err, "dialling")
 		}
-		answer, err := conn.exchange(ctx, message, parsed, c.limits.AnswerBytes)
+		response, err := conn.exchange(ctx, message, parsed, c.limits.MaxResponseBytes)
 		if err == nil {
-			c.keep(p, conn)
-			return answer, nil
+			c.release(p, conn)
+			return response, nil
 		}
 		conn.Close()
 		// An idle connection may have been closed by its peer since it was last
 		// looked at. Each one is used up, so this ends with a fresh one.
-		if !errorx.IsOfType(err, NotSent) || conn.answers == 0 || ctx.Err() != nil {
-			return Answer{}, err
+		if !errorx.IsOfType(err, NotSent) || conn.responses == 0 || ctx.Err() != nil {
+			return Response{}, err
 		}
 	}
 }
--- a/internal/httpcall/client_test.go
+++ b/internal/httpcall/client_test.go
@@ -17,14 +17,14 @@
 	"sparnotch/internal/standin"
 )
 
-// mostPatience ends a test that would wait for ever; nothing else waits for it.
-const mostPatience = 20 * time.Second
+// testTimeout ends a test that would wait for ever; nothing else waits for it.
+const testTimeout = 20 * time.Second
 
-var testLimits = Limits{Connections: 4, Idle: 4, IdleTime: time.Hour, DialTime: 30 * time.Second, AnswerBytes: 1 << 10}
+var testLimits = Limits{MaxConnections: 4, MaxIdle: 4, IdleTimeout: time.Hour, DialTimeout: 30 * time.Second, MaxResponseBytes: 1 << 10}
 
-// behave has the stand-in do one thing after another, and answer in order once
+// scripted has the stand-in do one thing after another, and answer in order once
 // there is nothing more.
-func behave(behaviours ...standin.Behaviour) func(int) standin.Behaviour {
+func scripted(behaviours ...standin.Behaviour) func(int) standin.Behaviour {
 	return func(number int) standin.Behaviour {
 		if number > len(behaviours) {
 			return standin.Answer
@@ -46,8 +46,8 @@
 	return Request{Address: server.Address(), Method: http.MethodPost, Path: "/order", Body: []byte(text)}
 }
 
-// times counts how often a body has arrived, whole or in part.
-func times(server *standin.Server, text string) int {
+// arrivalCount counts how often a body has arrived, whole or in part.
+func arrivalCount(server *standin.Server, text string) int {
 	count := 0
 	for _, arrival := range server.Arrivals() {
 		if strings.HasPrefix(text, string(arrival.Body)) && len(arrival.Body) > 0 {
@@ -57,17 +57,17 @@
 	return count
 }
 
-// mustAnswer sends what is answered in order, and sees that the answer is its own.
-func mustAnswer(client *Client, server *standin.Server, text string) {
-	ctx, isOver := context.WithTimeout(context.Background(), mostPatience)
-	defer isOver()
-	answer, err := client.Do(ctx, post(server, text))
+// mustRespond sends what is answered in order, and sees that the answer is its own.
+func mustRespond(client *Client, server *standin.Server, text string) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	defer cancel()
+	response, err := client.Do(ctx, post(server, text))
 	So(err, ShouldBeNil)
-	So(answer, ShouldResemble, Answer{Code: http.StatusOK, Body: []byte(text)})
-	So(times(server, text), ShouldEqual, 1)
+	So(response, ShouldResemble, Response{Code: http.StatusOK, Body: []byte(text)})
+	So(arrivalCount(server, text), ShouldEqual, 1)
 }
 
-func TestOneRequestOneArrival(t *testing.T) {
+func TestRequestIsSentOnce(t *testing.T) {
 	for _, each := range []struct {
 		name      string
 		behaviour standin.Behaviour
@@ -83,15 +83,15 @@
 					if isReused {
 						before = append(before, standin.Answer)
 					}
-					server := serve(behave(append(before, each.behaviour)...))
+					server := serve(scripted(append(before, each.behaviour)...))
 					client := New(testLimits)
 					Reset(func() { client.Close(); server.Close() })
 					if isReused {
-						mustAnswer(client, server, "request before")
+						mustRespond(client, server, "request before")
 					}
 					_, err := client.Do(context.Background(), post(server, "request that fails"))
 					So(errorx.IsOfType(err, Unanswered), ShouldBeTrue)
-					mustAnswer(client, server, "request after")
+					mustRespond(client, server, "request after")
 					So(len(server.Arrivals()), ShouldEqual, len(before)+2)
 					So(server.Connections(), ShouldEqual, 2)
 				})
@@ -100,13 +100,13 @@
 	}
 }
 
-func TestSilenceAndLateAnswers(t *testing.T) {
+func TestAbandonedRequests(t *testing.T) {
 	Convey("A request that is given up is not sent again, and its late answer goes to nobody", t, func() {
-		server := serve(behave(standin.Answer, standin.AnswerWhenTold))
+		server := serve(scripted(standin.Answer, standin.AnswerWhenTold))
 		client := New(testLimits)
 		Reset(func() { client.Close(); server.Close() })
-		mustAnswer(client, server, "before")
-		ctx, giveUp := context.WithCancel(context.Background())
+		mustRespond(client, server, "before")
+		ctx, cancel := context.WithCancel(context.Background())
 		failed := make(chan error)
 		go func() {
 			_, err := client.Do(ctx, post(server, "given up"))
@@ -114,29 +114,29 @@
 		}()
 		So((<-server.Arrived).Number, ShouldEqual, 1)
 		So((<-server.Arrived).Number, ShouldEqual, 2)
-		giveUp()
+		cancel()
 		So(errorx.IsOfType(<-failed, Unanswered), ShouldBeTrue)
-		mustAnswer(client, server, "while the answer is still to come")
+		mustRespond(client, server, "while the answer is still to come")
 		server.Release()
-		mustAnswer(client, server, "after")
-		So(times(server, "given up"), ShouldEqual, 1)
+		mustRespond(client, server, "after")
+		So(arrivalCount(server, "given up"), ShouldEqual, 1)
 		So(server.Connections(), ShouldEqual, 2)
 	})
 	Convey("What is given up before anything was written was not sent", t, func() {
-		server := serve(behave())
-		client := New(Limits{Connections: 1, Idle: 1, IdleTime: time.Hour, AnswerBytes: 10})
+		server := serve(scripted())
+		client := New(Limits{MaxConnections: 1, MaxIdle: 1, IdleTimeout: time.Hour, MaxResponseBytes: 10})
 		Reset(func() { client.Close(); server.Close() })
-		ctx, giveUp := context.WithCancel(context.Background())
-		giveUp()
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
 		_, err := client.Do(ctx, post(server, "never"))
 		So(errorx.IsOfType(err, NotSent), ShouldBeTrue)
-		mustAnswer(client, server, "before")
+		mustRespond(client, server, "before")
 		_, err = client.Do(ctx, post(server, "never"))
 		So(errorx.IsOfType(err, NotSent), ShouldBeTrue)
-		So(times(server, "never"), ShouldEqual, 0)
+		So(arrivalCount(server, "never"), ShouldEqual, 0)
 	})
 	Convey("So was what nobody listens for", t, func() {
-		server := serve(behave())
+		server := serve(scripted())
 		request := post(server, "to nobody")
 		server.Close()
 		_, err := New(testLimits).Do(context.Background(), request)
@@ -144,7 +144,7 @@
 	})
 }
 
-func TestConnectionsThatCarryMoreThanTheAnswer(t *testing.T) {
+func TestUnreusableConnections(t *testing.T) {
 	for _, each := range []struct {
 		name      string
 		behaviour standin.Behaviour
@@ -154,26 +154,26 @@
 	} {
 		t.Run(each.name, func(t *testing.T) {
 			Convey("The answer counts, and the connection isn't used again", t, func() {
-				server := serve(behave(each.behaviour, each.behaviour))
+				server := serve(scripted(each.behaviour, each.behaviour))
 				client := New(testLimits)
 				Reset(func() { client.Close(); server.Close() })
-				mustAnswer(client, server, "first")
-				mustAnswer(client, server, "second")
-				mustAnswer(client, server, "third")
+				mustRespond(client, server, "first")
+				mustRespond(client, server, "second")
+				mustRespond(client, server, "third")
 				So(server.Connections(), ShouldEqual, 3)
 			})
 		})
 	}
 	Convey("Informational answers come before the one that counts", t, func() {
-		server := serve(behave(standin.AnswerAfterNotices))
+		server := serve(scripted(standin.AnswerAfterNotices))
 		client := New(testLimits)
 		Reset(func() { client.Close(); server.Close() })
-		mustAnswer(client, server, "first")
-		mustAnswer(client, server, "second")
+		mustRespond(client, server, "first")
+		mustRespond(client, server, "second")
 		So(server.Connections(), ShouldEqual, 1)
 	})
 	Convey("An answer that is longer than any should be counts as none", t, func() {
-		server, err := standin.Serve("127.0.0.1:0", behave(), func(arrival standin.Arrival) (int, string) {
+		server, err := standin.Serve("127.0.0.1:0", scripted(), func(arrival standin.Arrival) (int, string) {
 			return http.StatusOK, strings.Repeat("x", len(arrival.Body)*300)
 		})
 		So(err, ShouldBeNil)
@@ -181,19 +181,19 @@
 		Reset(func() { client.Close(); server.Close() })
 		_, err = client.Do(context.Background(), post(server, "far too long"))
 		So(errorx.IsOfType(err, Unanswered), ShouldBeTrue)
-		answer, err := client.Do(context.Background(), post(server, "x"))
+		response, err := client.Do(context.Background(), post(server, "x"))
 		So(err, ShouldBeNil)
-		So(answer.Body, ShouldHaveLength, 300)
+		So(response.Body, ShouldHaveLength, 300)
 		So(server.Connections(), ShouldEqual, 2)
 	})
 }
 
-func TestStraysOnIdleConnections(t *testing.T) {
+func TestUnsolicitedBytesOnIdleConnections(t *testing.T) {
 	Convey("Bytes that come on an idle connection are no answer to what is asked next", t, func() {
 		strays := make(chan net.Conn, 1)
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
-		server := serve(behave())
+		server := serve(scripted())
 		client := New(testLimits)
 		Reset(func() { client.Close(); listener.Close(); server.Close() })
 		go func() {
@@ -206,57 +206,57 @@
 		stray, err := net.Dial("tcp", listener.Addr().String())
 		So(err, ShouldBeNil)
 		idle := newConnection(stray)
-		idle.isWhole, idle.usedAt = true, client.now()
-		So(idle.isQuiet(), ShouldBeTrue)
-		client.keep(p, idle)
+		idle.isReusable, idle.lastUsed = true, client.now()
+		So(idle.isClean(), ShouldBeTrue)
+		client.release(p, idle)
 		peer := <-strays
 		defer peer.Close()
 		_, err = peer.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"))
 		So(err, ShouldBeNil)
-		for idle.isQuiet() {
+		for idle.isClean() {
 			runtime.Gosched()
 		}
-		mustAnswer(client, server, "right")
+		mustRespond(client, server, "right")
 	})
 }
 
-func TestPeersThatStartAnew(t *testing.T) {
+func TestPeerRestart(t *testing.T) {
 	Convey("A request to a peer that has started anew on its address goes there once, on a fresh connection", t, func() {
-		server := serve(behave())
+		server := serve(scripted())
 		client := New(testLimits)
-		mustAnswer(client, server, "to the first life")
+		mustRespond(client, server, "to the first life")
 		idle := client.peer(server.Address()).idle[0]
 		server.Close()
-		again, err := standin.Serve(server.Address(), behave(), echo)
+		again, err := standin.Serve(server.Address(), scripted(), echo)
 		So(err, ShouldBeNil)
 		Reset(func() { client.Close(); again.Close() })
-		for idle.isQuiet() {
+		for idle.isClean() {
 			runtime.Gosched()
 		}
-		mustAnswer(client, again, "to the second life")
+		mustRespond(client, again, "to the second life")
 		So(len(again.Arrivals()), ShouldEqual, 1)
 	})
 	Convey("So does one whose connection the peer has closed, or left unused for too long", t, func() {
-		server := serve(behave(standin.AnswerThenClose))
+		server := serve(scripted(standin.AnswerThenClose))
 		client := New(testLimits)
 		now := time.Now()
 		client.now = func() time.Time { return now }
 		Reset(func() { client.Close(); server.Close() })
-		mustAnswer(client, server, "first")
+		mustRespond(client, server, "first")
 		idle := client.peer(server.Address()).idle[0]
-		for idle.isQuiet() {
+		for idle.isClean() {
 			runtime.Gosched()
 		}
-		mustAnswer(client, server, "second")
-		now = now.Add(testLimits.IdleTime + 1)
-		mustAnswer(client, server, "third")
+		mustRespond(client, server, "second")
+		now = now.Add(testLimits.IdleTimeout + 1)
+		mustRespond(client, server, "third")
 		So(server.Connections(), ShouldEqual, 3)
-		mustAnswer(client, server, "fourth")
+		mustRespond(client, server, "fourth")
 		So(server.Connections(), ShouldEqual, 3)
 	})
 }
 
-func TestManyAtOnce(t *testing.T) {
+func TestConcurrentRequests(t *testing.T) {
 	Convey("Each of many requests at once gets its own answer, over as many connections as there may be", t, func() {
 		server := serve(func(number int) standin.Behaviour {
 			return []standin.Behaviour{standin.Answer, standin.AnswerTwice, standin.ResetAfterBody, standin.HalfAnswer}[number%4]
@@ -271,22 +271,22 @@
 			go func() {
 				defer all.Done()
 				text := fmt.Sprintf("request %d.", k)
-				answer, err := client.Do(context.Background(), post(server, text))
-				if err == nil && string(answer.Body) != text {
-					wrong[k] = string(answer.Body)
+				response, err := client.Do(context.Background(), post(server, text))
+				if err == nil && string(response.Body) != text {
+					wrong[k] = string(response.Body)
 				}
 			}()
 		}
 		all.Wait()
 		So(strings.Join(wrong, ""), ShouldEqual, "")
 		So(len(server.Arrivals()), ShouldEqual, many)
-		So(len(client.peer(server.Address()).idle), ShouldBeLessThanOrEqualTo, testLimits.Idle)
+		So(len(client.peer(server.Address()).idle), ShouldBeLessThanOrEqualTo, testLimits.MaxIdle)
 	})
 }
 
-func TestWhatCannotBeSent(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	Convey("A request that can't be written as it is meant isn't sent", t, func() {
-		server := serve(behave())
+		server := serve(scripted())
 		client := New(testLimits)
 		Reset(func() { client.Close(); server.Close() })
 		for _, spoil := range []func(*Request){
--- a/internal/httpcall/pool.go
+++ b/internal/httpcall/peer.go
@@ -17,7 +17,7 @@
 	defer c.mu.Unlock()
 	p := c.peers[address]
 	if p == nil {
-		p = &peer{address: address, slots: make(chan struct{}, c.limits.Connections)}
+		p = &peer{address: address, slots: make(chan struct{}, c.limits.MaxConnections)}
 		c.peers[address] = p
 	}
 	return p
@@ -31,12 +31,12 @@
 		if conn == nil {
 			break
 		}
-		if c.now().Sub(conn.usedAt) <= c.limits.IdleTime && conn.isQuiet() {
+		if c.now().Sub(conn.lastUsed) <= c.limits.IdleTimeout && conn.isClean() {
 			return conn, nil
 		}
 		conn.Close()
 	}
-	dialer := net.Dialer{Timeout: c.limits.DialTime, KeepAliveConfig: c.limits.KeepAlive}
+	dialer := net.Dialer{Timeout: c.limits.DialTimeout, KeepAliveConfig: c.limits.KeepAlive}
 	dialed, err := dialer.DialContext(ctx, "tcp", p.address)
 	if err != nil {
 		return nil, err
@@ -56,16 +56,16 @@
 	return conn
 }
 
-// keep puts a connection back, unless it can't be used again or enough are idle.
-func (c *Client) keep(p *peer, conn *connection) {
-	conn.usedAt = c.now()
-	if !conn.isWhole {
+// release puts a connection back, unless it can't be used again or enough are idle.
+func (c *Client) release(p *peer, conn *connection) {
+	conn.lastUsed = c.now()
+	if !conn.isReusable {
 		conn.Close()
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(p.idle) >= c.limits.Idle {
+	if len(p.idle) >= c.limits.MaxIdle {
 		conn.Close()
 		return
 	}
--- a/internal/mutation/calls_mutants.go
+++ b/internal/mutation/calls_mutants.go
@@ -4,15 +4,15 @@
 // docs/control/calls.md.
 func init() {
 	Mutants = append(Mutants, []*Mutant{
-		{Guard: "a call that was written isn't written again", Test: "internal/httpcall TestOneRequestOneArrival", Edits: []Edit{{"internal/httpcall",
-			"if !errorx.IsOfType(err, NotSent) || conn.answers == 0 || ctx.Err() != nil {", "if conn.answers == 0 || ctx.Err() != nil {"}}},
-		{Guard: "a connection on which more came than its answer isn't used again", Test: "internal/httpcall TestConnectionsThatCarryMoreThanTheAnswer", Edits: []Edit{
+		{Guard: "a call that was written isn't written again", Test: "internal/httpcall TestRequestIsSentOnce", Edits: []Edit{{"internal/httpcall",
+			"if !errorx.IsOfType(err, NotSent) || conn.responses == 0 || ctx.Err() != nil {", "if conn.responses == 0 || ctx.Err() != nil {"}}},
+		{Guard: "a connection on which more came than its answer isn't used again", Test: "internal/httpcall TestUnreusableConnections", Edits: []Edit{
 			{"internal/httpcall", "isReleased && !isLast && c.reader.Buffered() == 0 &&", "isReleased && !isLast &&"},
-			{"internal/httpcall", "if !c.isWhole || c.reader.Buffered() > 0 {", "if !c.isWhole {"}}},
-		{Guard: "an idle connection is looked at before it is used", Test: "internal/httpcall TestStraysOnIdleConnections", Edits: []Edit{
-			{"internal/httpcall", "c.now().Sub(conn.usedAt) <= c.limits.IdleTime && conn.isQuiet()", "c.now().Sub(conn.usedAt) <= c.limits.IdleTime"}}},
-		{Guard: "half an answer is none", Test: "internal/httpcall TestOneRequestOneArrival", Edits: []Edit{
-			{"internal/httpcall", "io.LimitReader(response.Body, mostBytes+1))\n		if err != nil {", "io.LimitReader(response.Body, mostBytes+1))\n		if false {"}}},
+			{"internal/httpcall", "if !c.isReusable || c.reader.Buffered() > 0 {", "if !c.isReusable {"}}},
+		{Guard: "an idle connection is looked at before it is used", Test: "internal/httpcall TestUnsolicitedBytesOnIdleConnections", Edits: []Edit{
+			{"internal/httpcall", "c.now().Sub(conn.lastUsed) <= c.limits.IdleTimeout && conn.isClean()", "c.now().Sub(conn.lastUsed) <= c.limits.IdleTimeout"}}},
+		{Guard: "half an answer is none", Test: "internal/httpcall TestRequestIsSentOnce", Edits: []Edit{
+			{"internal/httpcall", "io.LimitReader(response.Body, maxBytes+1))\n		if err != nil {", "io.LimitReader(response.Body, maxBytes+1))\n		if false {"}}},
 		{Guard: "a call names the life that is meant", Test: "platform TestCalls", Edits: []Edit{{"platform", `": {call.Worker}}`, `": nil}`}}},
 		{Guard: "what isn't a worker's answer counts as none", Test: "platform TestRestartedWorkers", Edits: []Edit{{"platform",
 			"if !parsed || body.ClockMS == nil {", "if !parsed {"}}},
