--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,150 +20,150 @@
 var (
 	// Errors is the namespace of what this package refuses.
 	Errors = errorx.NewNamespace("config")
-	// Bad means a setting that can't be; the error names it.
-	Bad = Errors.NewType("bad")
+	// Invalid means a setting that can't be; the error names it.
+	Invalid = Errors.NewType("bad")
 )
 
 // Flags are the settings as flags.
 type Flags struct {
-	file  string
-	seeds string
-	loss  uint
-	given schema.Settings
+	file   string
+	seeds  string
+	losses uint
+	values schema.Settings
 }
 
 // Register adds the settings to a flag set.
 func (f *Flags) Register(set *flag.FlagSet, hasData bool) {
 	set.StringVar(&f.file, "options", "", "JSON file with the settings; a flag wins over it")
-	set.StringVar(&f.given.Cell, "cell", "", "cell (zone) this machine stands in")
-	set.StringVar(&f.given.Inner, "inner", "", "IP:port for the system's own processes")
-	set.StringVar(&f.given.Outer, "outer", "", "IP:port for HTTP")
+	set.StringVar(&f.values.Cell, "cell", "", "cell (zone) this machine stands in")
+	set.StringVar(&f.values.Inner, "inner", "", "IP:port for the system's own processes")
+	set.StringVar(&f.values.Outer, "outer", "", "IP:port for HTTP")
 	set.StringVar(&f.seeds, "seeds", "", "one to three inner addresses, joined by commas; our own may be among them")
-	set.StringVar(&f.given.Trace, "trace", "", "file the log is written to when something goes wrong (default: standard error)")
-	set.Int64Var(&f.given.WarnUs, "warn_us", 0, "longest time to leave after a warning, in microseconds (default 10000000)")
-	set.StringVar(&f.given.TestCuts, "test_cuts", "", "for tests: file of inner addresses that nothing is sent to")
+	set.StringVar(&f.values.Trace, "trace", "", "file the log is written to when something goes wrong (default: standard error)")
+	set.Int64Var(&f.values.WarnUs, "warn_us", 0, "longest time to leave after a warning, in microseconds (default 10000000)")
+	set.StringVar(&f.values.TestCuts, "test_cuts", "", "for tests: file of inner addresses that nothing is sent to")
 	if hasData {
-		set.StringVar(&f.given.Data, "data", "", "data folder; without one nothing durable is held here")
-		set.BoolVar(&f.given.First, "first", false, "the whole system starts for the first time: this store may help found it")
-		set.UintVar(&f.loss, "losses", 0, "stores that may be lost at once (default one)")
-		set.Int64Var(&f.given.TestSyncUs, "test_sync_us", 0, "for tests: a sync takes at least this long")
+		set.StringVar(&f.values.Data, "data", "", "data folder; without one nothing durable is held here")
+		set.BoolVar(&f.values.First, "first", false, "the whole system starts for the first time: this store may help found it")
+		set.UintVar(&f.losses, "losses", 0, "stores that may be lost at once (default one)")
+		set.Int64Var(&f.values.TestSyncUs, "test_sync_us", 0, "for tests: a sync takes at least this long")
 	}
 }
 
 // Load reads the file, lays the flags over it, and checks the whole.
 func (f *Flags) Load(set *flag.FlagSet) (*schema.Settings, error) {
 	if set.NArg() > 0 {
-		return nil, Bad.New("%s: is no flag", set.Arg(0))
+		return nil, Invalid.New("%s: is no flag", set.Arg(0))
 	}
-	loaded := &schema.Settings{}
+	options := &schema.Settings{}
 	if f.file != "" {
 		data, err := os.ReadFile(f.file)
 		if err != nil {
-			return nil, Bad.Wrap(err, "options")
+			return nil, Invalid.Wrap(err, "options")
 		}
 		// protojson names the key it doesn't know.
-		if err := protojson.Unmarshal(data, loaded); err != nil {
-			return nil, Bad.New("options file %s: %s", f.file, strings.ReplaceAll(err.Error(), "\u00a0", " "))
+		if err := protojson.Unmarshal(data, options); err != nil {
+			return nil, Invalid.New("options file %s: %s", f.file, strings.ReplaceAll(err.Error(), "\u00a0", " "))
 		}
 	}
-	set.Visit(func(each *flag.Flag) {
-		switch each.Name {
+	set.Visit(func(set *flag.Flag) {
+		switch set.Name {
 		case "cell":
-			loaded.Cell = f.given.Cell
+			options.Cell = f.values.Cell
 		case "inner":
-			loaded.Inner = f.given.Inner
+			options.Inner = f.values.Inner
 		case "outer":
-			loaded.Outer = f.given.Outer
+			options.Outer = f.values.Outer
 		case "seeds":
-			loaded.Seeds = strings.Split(f.seeds, ",")
+			options.Seeds = strings.Split(f.seeds, ",")
 		case "trace":
-			loaded.Trace = f.given.Trace
+			options.Trace = f.values.Trace
 		case "warn_us":
-			loaded.WarnUs = f.given.WarnUs
+			options.WarnUs = f.values.WarnUs
 		case "data":
-			loaded.Data = f.given.Data
+			options.Data = f.values.Data
 		case "first":
-			loaded.First = f.given.First
+			options.First = f.values.First
 		case "losses":
-			loaded.Losses = uint32(min(f.loss, math.MaxUint32))
+			options.Losses = uint32(min(f.losses, math.MaxUint32))
 		case "test_sync_us":
-			loaded.TestSyncUs = f.given.TestSyncUs
+			options.TestSyncUs = f.values.TestSyncUs
 		case "test_cuts":
-			loaded.TestCuts = f.given.TestCuts
+			options.TestCuts = f.values.TestCuts
 		}
 	})
-	if loaded.WarnUs == 0 {
-		loaded.WarnUs = 10_000_000
+	if options.WarnUs == 0 {
+		options.WarnUs = 10_000_000
 	}
-	return loaded, Check(loaded)
+	return options, Validate(options)
 }
 
-var cellForm = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
+var cellPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 // maxLosses: a group of nineteen stores withstands nine; more only cost.
 const maxLosses = 9
 
-// Check names the first setting that can't be taken.
-func Check(o *schema.Settings) error {
-	if !cellForm.MatchString(o.Cell) {
-		return Bad.New("cell: %q is no name of a cell", o.Cell)
-	}
-	for _, each := range []struct{ field, value string }{{"inner", o.Inner}, {"outer", o.Outer}} {
-		if why := badAddress(each.value); why != "" {
-			return Bad.New("%s: %s", each.field, why)
+// Validate names the first setting that can't be taken.
+func Validate(options *schema.Settings) error {
+	if !cellPattern.MatchString(options.Cell) {
+		return Invalid.New("cell: %q is no name of a cell", options.Cell)
+	}
+	for _, each := range []struct{ field, value string }{{"inner", options.Inner}, {"outer", options.Outer}} {
+		if why := addressProblem(each.value); why != "" {
+			return Invalid.New("%s: %s", each.field, why)
 		}
 	}
-	if o.Inner == o.Outer {
-		return Bad.New("outer: is the same as inner (%s)", o.Inner)
+	if options.Inner == options.Outer {
+		return Invalid.New("outer: is the same as inner (%s)", options.Inner)
 	}
-	if len(o.Seeds) < 1 || len(o.Seeds) > 3 {
-		return Bad.New("seeds: one to three addresses are needed, %d are given", len(o.Seeds))
+	if len(options.Seeds) < 1 || len(options.Seeds) > 3 {
+		return Invalid.New("seeds: one to three addresses are needed, %d are given", len(options.Seeds))
 	}
 	seen := map[string]bool{}
-	for k, seed := range o.Seeds {
-		if why := badAddress(seed); why != "" {
-			return Bad.New("seeds[%d]: %s", k, why)
+	for k, seed := range options.Seeds {
+		if why := addressProblem(seed); why != "" {
+			return Invalid.New("seeds[%d]: %s", k, why)
 		}
 		if seen[seed] {
-			return Bad.New("seeds[%d]: %s stands twice", k, seed)
+			return Invalid.New("seeds[%d]: %s stands twice", k, seed)
 		}
 		seen[seed] = true
 	}
-	if o.WarnUs < 100_000 || o.WarnUs > 600_000_000 {
-		return Bad.New("warn_us: must lie between 100000 and 600000000")
+	if options.WarnUs < 100_000 || options.WarnUs > 600_000_000 {
+		return Invalid.New("warn_us: must lie between 100000 and 600000000")
 	}
-	if o.TestSyncUs < 0 || o.TestSyncUs > 60_000_000 {
-		return Bad.New("test_sync_us: must lie between 0 and 60000000")
+	if options.TestSyncUs < 0 || options.TestSyncUs > 60_000_000 {
+		return Invalid.New("test_sync_us: must lie between 0 and 60000000")
 	}
-	if o.DiskBytes < 0 {
-		return Bad.New("disk_bytes: %d is negative", o.DiskBytes)
+	if options.DiskBytes < 0 {
+		return Invalid.New("disk_bytes: %d is negative", options.DiskBytes)
 	}
-	if o.Losses > maxLosses {
-		return Bad.New("losses: must be at most %d", maxLosses)
+	if options.Losses > maxLosses {
+		return Invalid.New("losses: must be at most %d", maxLosses)
 	}
-	if o.ZoneLosses > maxLosses {
-		return Bad.New("zone_losses: must be at most %d", maxLosses)
+	if options.ZoneLosses > maxLosses {
+		return Invalid.New("zone_losses: must be at most %d", maxLosses)
 	}
-	if o.RegionLosses > maxLosses {
-		return Bad.New("region_losses: must be at most %d", maxLosses)
+	if options.RegionLosses > maxLosses {
+		return Invalid.New("region_losses: must be at most %d", maxLosses)
 	}
-	return checkBounds(o.Bounds)
+	return validateBounds(options.Bounds)
 }
 
-// checkBounds names the first bound that is negative.
-func checkBounds(bounds *schema.Bounds) error {
+// validateBounds names the first bound that is negative.
+func validateBounds(bounds *schema.Bounds) error {
 	reflected := bounds.ProtoReflect()
 	fields := reflected.Descriptor().Fields()
 	for k := range fields.Len() {
 		field := fields.Get(k)
 		if value := reflected.Get(field).Int(); value < 0 {
-			return Bad.New("bounds.%s: %d is negative", field.Name(), value)
+			return Invalid.New("bounds.%s: %d is negative", field.Name(), value)
 		}
 	}
 	return nil
 }
 
-func badAddress(address string) string {
+func addressProblem(address string) string {
 	if address == "" {
 		return "is missing"
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -39,7 +39,7 @@
 	Convey("What can't be taken is named", t, func() {
 		base, err := load(good...)
 		So(err, ShouldBeNil)
-		for _, each := range []struct {
+		for _, test := range []struct {
 			change func(o *schema.Settings)
 			named  string // empty: can be taken
 		}{
@@ -58,14 +58,14 @@
 			{func(o *schema.Settings) { o.Bounds = &schema.Bounds{DrainUs: -1} }, "bounds.drain_us"},
 		} {
 			o := proto.Clone(base).(*schema.Settings)
-			each.change(o)
-			err := Check(o)
-			if each.named == "" {
+			test.change(o)
+			err := Validate(o)
+			if test.named == "" {
 				So(err, ShouldBeNil)
 				continue
 			}
 			So(err, ShouldNotBeNil)
-			So(err.Error(), ShouldContainSubstring, each.named)
+			So(err.Error(), ShouldContainSubstring, test.named)
 		}
 	})
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -89,7 +89,7 @@
 func (r *daemonCommand) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	options, err := r.flags.Load(set)
 	if err == nil && r.Role == schema.Role_ROLE_CONTROLLER && options.Data != "" {
-		err = config.Bad.New("data: a %s holds nothing durable", r.Command.Name)
+		err = config.Invalid.New("data: a %s holds nothing durable", r.Command.Name)
 	}
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", r.program, err)
@@ -132,7 +132,7 @@
 	if err := serve(options, role, signals, log, ring, newServer, callers); err != nil {
 		log.Error("failed", zap.Error(err))
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
-		if storage.IsDirRejected(err) || errorx.IsOfType(err, config.Bad) {
+		if storage.IsDirRejected(err) || errorx.IsOfType(err, config.Invalid) {
 			return ExitOptions
 		}
 		return ExitFailed
@@ -161,7 +161,7 @@
 	server, err := newServer(node, log)
 	if err != nil {
 		node.Stop()
-		return nil, config.Bad.Wrap(err, "outer")
+		return nil, config.Invalid.Wrap(err, "outer")
 	}
 	for {
 		select {
--- a/internal/process/real.go
+++ b/internal/process/real.go
@@ -134,7 +134,7 @@
 	net, err := transport.Listen(transport.Identity{ID: r.Member.Id, Boot: r.Member.Incarnation}, options.Inner, r.deliver)
 	if err != nil {
 		r.opened.Close()
-		return nil, config.Bad.Wrap(err, "inner")
+		return nil, config.Invalid.Wrap(err, "inner")
 	}
 	r.net = net
 	if options.TestCuts != "" {
