--- a/internal/httpcall/client_test.go
+++ b/internal/httpcall/client_test.go
@@ -27,7 +27,7 @@
 func scripted(behaviours ...standin.Behaviour) func(int) standin.Behaviour {
 	return func(number int) standin.Behaviour {
 		if number > len(behaviours) {
-			return standin.Answer
+			return standin.Respond
 		}
 		return behaviours[number-1]
 	}
@@ -73,15 +73,15 @@
 		behaviour standin.Behaviour
 	}{
 		{"reset before the body is read", standin.ResetBeforeBody}, {"reset in the body", standin.ResetInBody},
-		{"reset after the body", standin.ResetAfterBody}, {"reset in the answer", standin.ResetInAnswer},
-		{"half an answer's body", standin.HalfAnswer}, {"half an answer's head", standin.HalfHead},
+		{"reset after the body", standin.ResetAfterBody}, {"reset in the answer", standin.ResetInResponse},
+		{"half an answer's body", standin.CloseInBody}, {"half an answer's head", standin.CloseInHeader},
 	} {
 		for _, isReused := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, on a used connection: %v", each.name, isReused), func(t *testing.T) {
 				Convey("The request arrives once, has no answer, and the next has its own on another connection", t, func() {
 					var before []standin.Behaviour
 					if isReused {
-						before = append(before, standin.Answer)
+						before = append(before, standin.Respond)
 					}
 					server := serve(scripted(append(before, each.behaviour)...))
 					client := New(testLimits)
@@ -102,7 +102,7 @@
 
 func TestAbandonedRequests(t *testing.T) {
 	Convey("A request that is given up is not sent again, and its late answer goes to nobody", t, func() {
-		server := serve(scripted(standin.Answer, standin.AnswerWhenTold))
+		server := serve(scripted(standin.Respond, standin.RespondOnRelease))
 		client := New(testLimits)
 		Reset(func() { client.Close(); server.Close() })
 		mustRespond(client, server, "before")
@@ -149,8 +149,8 @@
 		name      string
 		behaviour standin.Behaviour
 	}{
-		{"two answers", standin.AnswerTwice}, {"more bytes than it said", standin.AnswerLonger},
-		{"the last by its own word", standin.AnswerAndClose}, {"no length", standin.AnswerUnframed},
+		{"two answers", standin.RespondTwice}, {"more bytes than it said", standin.RespondWithExtraBytes},
+		{"the last by its own word", standin.RespondAndClose}, {"no length", standin.RespondUnframed},
 	} {
 		t.Run(each.name, func(t *testing.T) {
 			Convey("The answer counts, and the connection isn't used again", t, func() {
@@ -165,7 +165,7 @@
 		})
 	}
 	Convey("Informational answers come before the one that counts", t, func() {
-		server := serve(scripted(standin.AnswerAfterNotices))
+		server := serve(scripted(standin.RespondAfterInformational))
 		client := New(testLimits)
 		Reset(func() { client.Close(); server.Close() })
 		mustRespond(client, server, "first")
@@ -237,7 +237,7 @@
 		So(len(again.Arrivals()), ShouldEqual, 1)
 	})
 	Convey("So does one whose connection the peer has closed, or left unused for too long", t, func() {
-		server := serve(scripted(standin.AnswerThenClose))
+		server := serve(scripted(standin.RespondThenClose))
 		client := New(testLimits)
 		now := time.Now()
 		client.now = func() time.Time { return now }
@@ -259,7 +259,7 @@
 func TestConcurrentRequests(t *testing.T) {
 	Convey("Each of many requests at once gets its own answer, over as many connections as there may be", t, func() {
 		server := serve(func(number int) standin.Behaviour {
-			return []standin.Behaviour{standin.Answer, standin.AnswerTwice, standin.ResetAfterBody, standin.HalfAnswer}[number%4]
+			return []standin.Behaviour{standin.Respond, standin.RespondTwice, standin.ResetAfterBody, standin.CloseInBody}[number%4]
 		})
 		client := New(testLimits)
 		Reset(func() { client.Close(); server.Close() })
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -16,36 +16,36 @@
 type Behaviour int
 
 const (
-	// Answer sends one whole answer.
-	Answer Behaviour = iota
-	// AnswerAndClose sends one that says it is the connection's last.
-	AnswerAndClose
-	// AnswerThenClose closes the connection after one that doesn't say so.
-	AnswerThenClose
-	// AnswerUnframed sends one whose end is the connection's end.
-	AnswerUnframed
-	// AnswerTwice sends a second one in the same segment.
-	AnswerTwice
-	// AnswerLonger sends more bytes than the answer's length says.
-	AnswerLonger
-	// AnswerAfterNotices sends informational answers first.
-	AnswerAfterNotices
-	// AnswerWhenTold waits for Release.
-	AnswerWhenTold
-	// Silence reads the request and sends nothing.
-	Silence
+	// Respond sends one whole answer.
+	Respond Behaviour = iota
+	// RespondAndClose sends one that says it is the connection's last.
+	RespondAndClose
+	// RespondThenClose closes the connection after one that doesn't say so.
+	RespondThenClose
+	// RespondUnframed sends one whose end is the connection's end.
+	RespondUnframed
+	// RespondTwice sends a second one in the same segment.
+	RespondTwice
+	// RespondWithExtraBytes sends more bytes than the answer's length says.
+	RespondWithExtraBytes
+	// RespondAfterInformational sends informational answers first.
+	RespondAfterInformational
+	// RespondOnRelease waits for Release.
+	RespondOnRelease
+	// NeverRespond reads the request and sends nothing.
+	NeverRespond
 	// ResetBeforeBody resets the connection when the head has been read.
 	ResetBeforeBody
 	// ResetInBody does so when half of the body has been read.
 	ResetInBody
 	// ResetAfterBody does so when all of it has been read.
 	ResetAfterBody
-	// ResetInAnswer does so after half of the answer's body.
-	ResetInAnswer
-	// HalfAnswer closes the connection in order after half of the answer's body.
-	HalfAnswer
-	// HalfHead closes it in order in the middle of the answer's head.
-	HalfHead
+	// ResetInResponse does so after half of the answer's body.
+	ResetInResponse
+	// CloseInBody closes the connection in order after half of the answer's body.
+	CloseInBody
+	// CloseInHeader closes it in order in the middle of the answer's head.
+	CloseInHeader
 )
 
 // Arrival is a request as it came.
@@ -65,12 +65,12 @@
 	// what it was told to.
 	Done chan int
 
-	listener net.Listener
-	script   func(number int) Behaviour
-	answer   func(Arrival) (code int, body string)
-	release  chan struct{}
-	stop     chan struct{}
-	running  sync.WaitGroup
+	listener   net.Listener
+	script     func(number int) Behaviour
+	respond    func(Arrival) (code int, body string)
+	release    chan struct{}
+	stopped    chan struct{}
+	goroutines sync.WaitGroup
 
 	mu          sync.Mutex
 	arrivals    []Arrival
@@ -78,21 +78,21 @@
 	open        map[net.Conn]bool
 }
 
-// queued is how many requests a test may leave unseen.
-const queued = 1024
+// eventBuffer is how many requests a test may leave unseen.
+const eventBuffer = 1024
 
 // Serve listens on an address. The script says what becomes of each request by
 // its number, and answer what is answered.
-func Serve(address string, script func(number int) Behaviour, answer func(Arrival) (code int, body string)) (*Server, error) {
+func Serve(address string, script func(number int) Behaviour, respond func(Arrival) (code int, body string)) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{
-		Arrived: make(chan Arrival, queued), Done: make(chan int, queued), listener: listener, script: script, answer: answer,
-		release: make(chan struct{}, queued), stop: make(chan struct{}), open: map[net.Conn]bool{},
+		Arrived: make(chan Arrival, eventBuffer), Done: make(chan int, eventBuffer), listener: listener, script: script, respond: respond,
+		release: make(chan struct{}, eventBuffer), stopped: make(chan struct{}), open: map[net.Conn]bool{},
 	}
-	s.running.Add(1)
+	s.goroutines.Add(1)
 	go s.accept()
 	return s, nil
 }
@@ -119,18 +119,18 @@
 
 // Close ends it as the death of its process would.
 func (s *Server) Close() {
-	close(s.stop)
+	close(s.stopped)
 	s.listener.Close()
 	s.mu.Lock()
 	for conn := range s.open {
 		conn.Close()
 	}
 	s.mu.Unlock()
-	s.running.Wait()
+	s.goroutines.Wait()
 }
 
 func (s *Server) accept() {
-	defer s.running.Done()
+	defer s.goroutines.Done()
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
@@ -141,9 +141,9 @@
 		number := s.connections
 		s.open[conn] = true
 		s.mu.Unlock()
-		s.running.Add(1)
+		s.goroutines.Add(1)
 		go func() {
-			defer s.running.Done()
+			defer s.goroutines.Done()
 			s.serve(conn, number)
 			conn.Close()
 			s.mu.Lock()
@@ -160,12 +160,12 @@
 		if err != nil {
 			return
 		}
-		arrival := s.note(Arrival{Connection: connection, Path: request.URL.Path, Header: request.Header})
+		arrival := s.recordHeader(Arrival{Connection: connection, Path: request.URL.Path, Header: request.Header})
 		behaviour := s.script(arrival.Number)
 		arrival.Body = readBody(request, behaviour)
-		s.noteBody(arrival)
+		s.recordBody(arrival)
 		s.Arrived <- arrival
-		isOpen := s.behave(conn, behaviour, arrival)
+		isOpen := s.perform(conn, behaviour, arrival)
 		if !isOpen {
 			conn.Close()
 		}
@@ -176,7 +176,7 @@
 	}
 }
 
-func (s *Server) note(arrival Arrival) Arrival {
+func (s *Server) recordHeader(arrival Arrival) Arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	arrival.Number = len(s.arrivals) + 1
@@ -184,7 +184,7 @@
 	return arrival
 }
 
-func (s *Server) noteBody(arrival Arrival) {
+func (s *Server) recordBody(arrival Arrival) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.arrivals[arrival.Number-1] = arrival
@@ -202,44 +202,44 @@
 	return body
 }
 
-// behave does what it was told to, and tells whether the connection stays open.
-func (s *Server) behave(conn net.Conn, behaviour Behaviour, arrival Arrival) bool {
-	code, body := s.answer(arrival)
+// perform does what it was told to, and tells whether the connection stays open.
+func (s *Server) perform(conn net.Conn, behaviour Behaviour, arrival Arrival) bool {
+	code, body := s.respond(arrival)
 	framed := func(header string) string {
 		return fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s\r\n%s", code, http.StatusText(code), len(body), header, body)
 	}
-	whole := framed("")
-	half := whole[:len(whole)-len(body)+len(body)/2]
+	response := framed("")
+	truncated := response[:len(response)-len(body)+len(body)/2]
 	switch behaviour {
-	case Answer:
-		return send(conn, whole)
-	case AnswerAndClose:
+	case Respond:
+		return send(conn, response)
+	case RespondAndClose:
 		send(conn, framed("Connection: close\r\n"))
-	case AnswerThenClose:
-		send(conn, whole)
-	case AnswerUnframed:
+	case RespondThenClose:
+		send(conn, response)
+	case RespondUnframed:
 		send(conn, fmt.Sprintf("HTTP/1.1 %d %s\r\n\r\n%s", code, http.StatusText(code), body))
-	case AnswerTwice:
-		return send(conn, whole+whole)
-	case AnswerLonger:
-		return send(conn, whole+" and more")
-	case AnswerAfterNotices:
-		return send(conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"+whole)
-	case AnswerWhenTold:
+	case RespondTwice:
+		return send(conn, response+response)
+	case RespondWithExtraBytes:
+		return send(conn, response+" and more")
+	case RespondAfterInformational:
+		return send(conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"+response)
+	case RespondOnRelease:
 		select {
 		case <-s.release:
-			return send(conn, whole)
-		case <-s.stop:
+			return send(conn, response)
+		case <-s.stopped:
 		}
-	case Silence:
-		<-s.stop
-	case ResetInAnswer:
-		send(conn, half)
+	case NeverRespond:
+		<-s.stopped
+	case ResetInResponse:
+		send(conn, truncated)
 		reset(conn)
-	case HalfAnswer:
-		send(conn, half)
-	case HalfHead:
-		send(conn, whole[:12])
+	case CloseInBody:
+		send(conn, truncated)
+	case CloseInHeader:
+		send(conn, response[:12])
 	case ResetBeforeBody, ResetInBody, ResetAfterBody:
 		reset(conn)
 	}
