--- a/cmd/sparnotch-platform/main.go
+++ b/cmd/sparnotch-platform/main.go
@@ -65,7 +65,7 @@
 	if settings.MemoryMB > 0 {
 		debug.SetMemoryLimit(settings.MemoryMB * 1_000_000 / 5 * 4)
 	}
-	var hands []agent.Caller
+	var hands []agent.WorkerClient
 	if c.role == schema.Role_ROLE_CONTROLLER {
 		hands = append(hands, platform.NewWorkerClient(settings.WorkerAddress))
 	}
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -8,436 +8,436 @@
 	"sparnotch/internal/schema"
 )
 
-func (t *Table) issue(now eventloop.Micros, l *life, call Call, out eventloop.Effects) uint64 {
-	t.number++
-	call.Number, call.Worker, call.Address, call.Fence = t.number, l.worker, l.beat.Address, l.fence
-	p := &pending{act: call.Act, key: runKey{call.Task, call.Attempt}, sent: now, fence: l.fence, wait: call.Wait}
-	if call.Until > 0 {
-		p.held = t.couldHold(now, l)
-		l.heldOut = max(l.heldOut, l.clockAt+(call.Until-l.clock)*50/49+holdSlack)
+func (a *Agent) sendCall(now eventloop.Micros, w *workerState, call Call, effects eventloop.Effects) uint64 {
+	a.callSequence++
+	call.Number, call.Worker, call.Address, call.FencingToken = a.callSequence, w.id, w.heartbeat.Address, w.fencingToken
+	p := &pendingCall{action: call.Action, key: attemptKey{call.Task, call.Attempt}, sentAt: now, fencingToken: w.fencingToken, wait: call.Wait}
+	if call.HoldUntil > 0 {
+		p.holdUntil = a.maxHoldDeadline(now, w)
+		w.maxHoldUntil = max(w.maxHoldUntil, w.clockSampledAt+(call.HoldUntil-w.sampledClock)*50/49+holdMargin)
 	}
 	// An order or its answer that is lost costs as long as it is waited for, and
 	// a second one does no harm.
-	call.Patience = min(patientBase+patientFold*l.slowest, patientMost)
-	l.calls[call.Number] = p
-	out.Notify("caller", call)
+	call.ReplyTimeout = min(minReplyTimeout+replyTimeoutFactor*w.slowestReply, maxReplyTimeout)
+	w.pendingCalls[call.Number] = p
+	effects.Notify("caller", call)
 	return call.Number
 }
 
-// expire takes calls as silent whose replies never came.
-func (t *Table) expire(now eventloop.Micros) {
-	if t.life == nil {
+// expireCalls takes calls as silent whose replies never came.
+func (a *Agent) expireCalls(now eventloop.Micros) {
+	if a.worker == nil {
 		return
 	}
 	var lost []uint64
-	for number, p := range t.life.calls {
-		if now-p.sent > p.wait+callSpan {
+	for number, p := range a.worker.pendingCalls {
+		if now-p.sentAt > p.wait+callTimeout {
 			lost = append(lost, number)
 		}
 	}
 	slices.Sort(lost)
 	for _, number := range lost {
-		t.replied(now, Reply{Number: number, Verdict: Silent})
+		a.handleReply(now, Reply{Number: number, Outcome: TimedOut})
 	}
 }
 
-func (t *Table) replied(now eventloop.Micros, m Reply) {
-	l := t.life
-	if l == nil || l.isOver || l.calls[m.Number] == nil {
+func (a *Agent) handleReply(now eventloop.Micros, m Reply) {
+	w := a.worker
+	if w == nil || w.isReplaced || w.pendingCalls[m.Number] == nil {
 		return
 	}
-	p := l.calls[m.Number]
-	delete(l.calls, m.Number)
-	t.number++
-	if m.Verdict == OtherLife {
-		t.lifeOver(l)
+	p := w.pendingCalls[m.Number]
+	delete(w.pendingCalls, m.Number)
+	a.callSequence++
+	if m.Outcome == IncarnationMismatch {
+		a.markReplaced(w)
 		return
 	}
-	t.sample(now, l, m.Clock)
+	a.sampleClock(now, w, m.Clock)
 	switch {
-	case m.Verdict == Silent:
-		l.lostAt = now
+	case m.Outcome == TimedOut:
+		w.lastCallLostAt = now
 	case p.wait == 0:
-		l.slowest = max(now-p.sent, l.slowest*15/16)
+		w.slowestReply = max(now-p.sentAt, w.slowestReply*15/16)
 	}
-	l.hasAnswered = l.hasAnswered || m.Verdict == Answered || m.Verdict == TurnedAway
-	if m.Verdict == Answered {
-		l.held = max(l.held, p.held)
+	w.hasReplied = w.hasReplied || m.Outcome == Succeeded || m.Outcome == Rejected
+	if m.Outcome == Succeeded {
+		w.confirmedHoldUntil = max(w.confirmedHoldUntil, p.holdUntil)
 	}
-	if m.Verdict == TurnedAway && m.Reason == Fenced && p.fence == l.fence {
-		l.fencedTo = now + listSpan
+	if m.Outcome == Rejected && m.Reason == StaleToken && p.fencingToken == w.fencingToken {
+		w.fencedUntil = now + fencedDelay
 	}
-	if p.act == Look {
-		t.looked(now, l, m, p)
+	if p.action == Inspect {
+		a.handleInspection(now, w, m, p)
 		return
 	}
-	r := l.runs[p.key]
-	if r == nil || r.call != m.Number {
+	r := w.runs[p.key]
+	if r == nil || r.openCall != m.Number {
 		return
 	}
-	r.call, r.touched = 0, t.number
-	if p.act == Start {
-		t.started(now, l, r, m)
+	r.openCall, r.lastCall = 0, a.callSequence
+	if p.action == Start {
+		a.handleStartReply(now, w, r, m)
 	} else {
-		t.stopped(now, l, r, m)
+		a.handleStopReply(now, w, r, m)
 	}
 }
 
-// carryOut issues the starts and stops that are due.
-func (t *Table) carryOut(now eventloop.Micros, l *life, out eventloop.Effects) {
-	if now < l.fencedTo || l.fence == 0 {
+// sendDueOrders issues the starts and stops that are due.
+func (a *Agent) sendDueOrders(now eventloop.Micros, w *workerState, effects eventloop.Effects) {
+	if now < w.fencedUntil || w.fencingToken == 0 {
 		return
 	}
-	for _, key := range sortedKeys(l.runs) {
-		r := l.runs[key]
-		if r.call != 0 || now < r.retryAt {
+	for _, key := range sortedKeys(w.runs) {
+		r := w.runs[key]
+		if r.openCall != 0 || now < r.retryAt {
 			continue
 		}
-		switch r.standing {
+		switch r.state {
 		case starting:
-			t.start(now, l, r, out)
+			a.sendStart(now, w, r, effects)
 		case stopping:
-			r.call = t.issue(now, l, Call{Act: Stop, Task: key.task, Attempt: key.attempt}, out)
-			r.touched = r.call
+			r.openCall = a.sendCall(now, w, Call{Action: Stop, Task: key.task, Attempt: key.attempt}, effects)
+			r.lastCall = r.openCall
 		}
 	}
 }
 
-func (t *Table) start(now eventloop.Micros, l *life, r *run, out eventloop.Effects) {
+func (a *Agent) sendStart(now eventloop.Micros, w *workerState, r *run, effects eventloop.Effects) {
 	// What an older ward ordered is for the survey to decide.
-	if l.surveyed != l.fence || r.fence != 0 && r.fence != l.fence {
+	if w.inspectedToken != w.fencingToken || r.fencingToken != 0 && r.fencingToken != w.fencingToken {
 		return
 	}
 	// Of a worker that seems deaf nothing can be said to be held.
-	if l.mutes > 0 {
+	if w.missedInspections > 0 {
 		return
 	}
-	isTried := r.tries > 0 && now-r.first >= startSpan
-	if isTried || l.isLeaving || now+lateSpan >= l.lease || l.clockAt == 0 {
-		t.giveUp(now, l, r)
-		if r.standing == stopping {
-			r.call = t.issue(now, l, Call{Act: Stop, Task: r.key.task, Attempt: r.key.attempt}, out)
-			r.touched = r.call
+	timedOut := r.callAttempts > 0 && now-r.firstCallAt >= startTimeout
+	if timedOut || w.isDraining || now+minLeaseForStart >= w.leaseExpiresAt || w.clockSampledAt == 0 {
+		a.abandonAttempt(now, w, r)
+		if r.state == stopping {
+			r.openCall = a.sendCall(now, w, Call{Action: Stop, Task: r.key.task, Attempt: r.key.attempt}, effects)
+			r.lastCall = r.openCall
 		}
 		return
 	}
-	if r.tries == 0 {
-		r.first = now
+	if r.callAttempts == 0 {
+		r.firstCallAt = now
 	}
-	r.tries++
-	r.fence = l.fence
-	r.call = t.issue(now, l, Call{
-		Act: Start, Task: r.key.task, Attempt: r.key.attempt, Text: r.text, Saved: r.saved, Until: t.until(now, l),
-	}, out)
-	r.touched = r.call
+	r.callAttempts++
+	r.fencingToken = w.fencingToken
+	r.openCall = a.sendCall(now, w, Call{
+		Action: Start, Task: r.key.task, Attempt: r.key.attempt, Text: r.text, Checkpoint: r.checkpoint, HoldUntil: a.holdDeadline(now, w),
+	}, effects)
+	r.lastCall = r.openCall
 }
 
-func (t *Table) started(now eventloop.Micros, l *life, r *run, m Reply) {
-	if r.standing != starting {
+func (a *Agent) handleStartReply(now eventloop.Micros, w *workerState, r *run, m Reply) {
+	if r.state != starting {
 		return
 	}
-	switch m.Verdict {
-	case Answered:
-		r.standing, r.isSeen = running, true
-	case Silent:
+	switch m.Outcome {
+	case Succeeded:
+		r.state, r.isConfirmed = running, true
+	case TimedOut:
 		// Lost on its way, most likely: the worker takes a second one as the same.
-		r.isUnsure = true
-		if r.retryAt = now; r.tries > 1 {
-			r.retryAt += 2 * againSpan
+		r.mayStillStart = true
+		if r.retryAt = now; r.callAttempts > 1 {
+			r.retryAt += 2 * startRetryDelay
 		}
 	case Busy:
 		// Spread, so that all that was turned away together doesn't come back so.
-		r.retryAt = now + againSpan + eventloop.Micros(m.Number*7919%50)*eventloop.Millisecond
-	case TurnedAway:
+		r.retryAt = now + startRetryDelay + eventloop.Micros(m.Number*7919%50)*eventloop.Millisecond
+	case Rejected:
 		switch m.Reason {
-		case Fenced:
+		case StaleToken:
 			// A newer ward exists: it is for that one to say.
-			delete(l.runs, r.key)
-			l.isDirty = true
-		case Past:
-			t.decide(l, r)
+			delete(w.runs, r.key)
+			w.hasChanges = true
+		case AttemptOver:
+			a.markUnresolved(w, r)
 		default:
-			t.giveUp(now, l, r)
+			a.abandonAttempt(now, w, r)
 		}
 	}
 }
 
-// giveUp ends an attempt that isn't to begin here. Where a start may yet be
+// abandonAttempt ends an attempt that isn't to begin here. Where a start may yet be
 // carried out, the worker must first be told that it is not to.
-func (t *Table) giveUp(now eventloop.Micros, l *life, r *run) {
-	if r.isUnsure || now-t.born < youngSpan {
-		r.standing, r.tries, r.retryAt = stopping, 0, now
+func (a *Agent) abandonAttempt(now eventloop.Micros, w *workerState, r *run) {
+	if r.mayStillStart || now-a.startedAt < predecessorCallPeriod {
+		r.state, r.callAttempts, r.retryAt = stopping, 0, now
 		return
 	}
-	t.neverRan(l, r)
+	a.markStopped(w, r)
 }
 
-// decide leaves it to a look, sent from now on, whether the run is there, has
+// markUnresolved leaves it to a look, sent from now on, whether the run is there, has
 // ended, or never was.
-func (t *Table) decide(l *life, r *run) {
-	r.standing = deciding
-	if !r.isSeen {
-		l.isAsked = true
+func (a *Agent) markUnresolved(w *workerState, r *run) {
+	r.state = unresolved
+	if !r.isConfirmed {
+		w.needsInspection = true
 	}
 }
 
-func (t *Table) stopped(now eventloop.Micros, l *life, r *run, m Reply) {
-	if r.standing != stopping {
+func (a *Agent) handleStopReply(now eventloop.Micros, w *workerState, r *run, m Reply) {
+	if r.state != stopping {
 		return
 	}
-	r.tries++
-	rest := min(retrySpan<<min(r.tries-1, 4), restMost)
+	r.callAttempts++
+	backoff := min(minBackoff<<min(r.callAttempts-1, 4), maxBackoff)
 	switch {
-	case m.Verdict == Answered, m.Verdict == TurnedAway && m.Reason == Past:
+	case m.Outcome == Succeeded, m.Outcome == Rejected && m.Reason == AttemptOver:
 		// The end, and with it the room, comes when the worker lists it.
-		r.isStopped, r.stoppedAt, r.tries = true, now, 0
-		t.decide(l, r)
-	case m.Verdict == Busy:
-		r.retryAt = now + againSpan + eventloop.Micros(m.Number*7919%50)*eventloop.Millisecond
+		r.isStopped, r.stoppedAt, r.callAttempts = true, now, 0
+		a.markUnresolved(w, r)
+	case m.Outcome == Busy:
+		r.retryAt = now + startRetryDelay + eventloop.Micros(m.Number*7919%50)*eventloop.Millisecond
 	default:
-		r.retryAt = now + rest
+		r.retryAt = now + backoff
 	}
 }
 
-// lookOut keeps one long look open, by which ends come at once and what runs
+// inspectWorker keeps one long look open, by which ends come at once and what runs
 // is held; and sends a short one where something waits for the worker's word.
-func (t *Table) lookOut(now eventloop.Micros, l *life, out eventloop.Effects) {
-	if now < l.fencedTo || l.fence == 0 {
+func (a *Agent) inspectWorker(now eventloop.Micros, w *workerState, effects eventloop.Effects) {
+	if now < w.fencedUntil || w.fencingToken == 0 {
 		return
 	}
-	isUnsurveyed := l.surveyed != l.fence
-	isOpen := l.glance != 0 && (!isUnsurveyed || l.calls[l.glance].fence == l.fence)
-	span := t.holdSpan(l)
+	uninspected := w.inspectedToken != w.fencingToken
+	open := w.shortInspection != 0 && (!uninspected || w.pendingCalls[w.shortInspection].fencingToken == w.fencingToken)
+	duration := a.holdDuration(w)
 	// The long look that is open may have been sent with a lease about to end.
-	least := span / 5
-	if open := l.calls[l.look]; open != nil && open.wait > lookSpan {
+	minRemaining := duration / 5
+	if pending := w.pendingCalls[w.longInspection]; pending != nil && pending.wait > inspectWait {
 		// And it may have been sent to wait long, when nothing ran there yet.
-		least = 2 * span / 3
+		minRemaining = 2 * duration / 3
 	}
-	isShort := l.held-now < least && t.couldHold(now, l) > l.held+span/8 && l.hasBegun()
-	if (isUnsurveyed || l.isAsked || isShort || l.mutes > 0) && !isOpen && now >= l.glanceAt {
-		l.isAsked = false
-		l.glance = t.issue(now, l, Call{Act: Look, Until: t.until(now, l), Noted: l.notedTo}, out)
+	expiring := w.confirmedHoldUntil-now < minRemaining && a.maxHoldDeadline(now, w) > w.confirmedHoldUntil+duration/8 && w.hasStartedRuns()
+	if (uninspected || w.needsInspection || expiring || w.missedInspections > 0) && !open && now >= w.nextShortInspection {
+		w.needsInspection = false
+		w.shortInspection = a.sendCall(now, w, Call{Action: Inspect, HoldUntil: a.holdDeadline(now, w), AcknowledgedThrough: w.acknowledgedThrough}, effects)
 	}
 	// Of one that seems deaf a short look must be answered first: the next renews
 	// what it holds.
-	if isUnsurveyed || l.look != 0 || now < l.lookAt || l.mutes > 0 {
+	if uninspected || w.longInspection != 0 || now < w.nextLongInspection || w.missedInspections > 0 {
 		return
 	}
 	// Renewed long before the hold's end, with time for a second try.
-	wait := min(lookSpan, span/3)
-	if l.lostAt > 0 && now-l.lostAt < warySpan {
-		wait = min(wait, waryLook)
+	wait := min(inspectWait, duration/3)
+	if w.lastCallLostAt > 0 && now-w.lastCallLostAt < callLossPeriod {
+		wait = min(wait, lossyInspectWait)
 	}
-	if len(l.runs) == 0 {
-		wait = min(quietSpan, l.span/2)
+	if len(w.runs) == 0 {
+		wait = min(idleInspectWait, w.leaseDuration/2)
 	}
-	wait = max(wait-wait%eventloop.Millisecond, retrySpan)
-	l.look = t.issue(now, l, Call{Act: Look, Until: t.until(now, l), Noted: l.notedTo, Wait: wait}, out)
+	wait = max(wait-wait%eventloop.Millisecond, minBackoff)
+	w.longInspection = a.sendCall(now, w, Call{Action: Inspect, HoldUntil: a.holdDeadline(now, w), AcknowledgedThrough: w.acknowledgedThrough, Wait: wait}, effects)
 }
 
-// hasBegun tells whether anything may run there that no start of ours, still
+// hasStartedRuns tells whether anything may run there that no start of ours, still
 // open, is about to hold.
-func (l *life) hasBegun() bool {
-	for _, r := range l.runs {
-		if r.standing != starting {
+func (w *workerState) hasStartedRuns() bool {
+	for _, r := range w.runs {
+		if r.state != starting {
 			return true
 		}
 	}
 	return false
 }
 
-// holdSpan is how long the worker holds its work when told now.
-func (t *Table) holdSpan(l *life) eventloop.Micros {
-	span := min(l.span, holdShort)
-	if most := eventloop.Micros(t.bounds.HoldMostUs); most > 0 {
-		return min(span, most)
+// holdDuration is how long the worker holds its work when told now.
+func (a *Agent) holdDuration(w *workerState) eventloop.Micros {
+	duration := min(w.leaseDuration, maxHoldDuration)
+	if limit := eventloop.Micros(a.bounds.HoldMostUs); limit > 0 {
+		return min(duration, limit)
 	}
-	return span
+	return duration
 }
 
-// couldHold is until when it would hold it.
-func (t *Table) couldHold(now eventloop.Micros, l *life) eventloop.Micros {
-	return min(l.lease, now+t.holdSpan(l))
+// maxHoldDeadline is until when it would hold it.
+func (a *Agent) maxHoldDeadline(now eventloop.Micros, w *workerState) eventloop.Micros {
+	return min(w.leaseExpiresAt, now+a.holdDuration(w))
 }
 
-func (t *Table) looked(now eventloop.Micros, l *life, m Reply, p *pending) {
-	isLong := m.Number == l.look
-	if isLong {
-		l.look = 0
+func (a *Agent) handleInspection(now eventloop.Micros, w *workerState, m Reply, p *pendingCall) {
+	long := m.Number == w.longInspection
+	if long {
+		w.longInspection = 0
 	}
-	if m.Number == l.glance {
-		l.glance = 0
+	if m.Number == w.shortInspection {
+		w.shortInspection = 0
 	}
 	// One sent before a pause of ours says nothing of the worker.
-	if m.Number > l.after {
-		l.mutes++
+	if m.Number > w.inspectAfterCall {
+		w.missedInspections++
 	}
-	if m.Verdict == Silent && l.mutes <= 1 {
+	if m.Outcome == TimedOut && w.missedInspections <= 1 {
 		// One may have been lost on its way: a second is sent at once.
-		l.lookAt, l.glanceAt, l.isAsked = now, now, true
+		w.nextLongInspection, w.nextShortInspection, w.needsInspection = now, now, true
 		return
 	}
-	if m.Verdict != Answered {
-		l.rest = min(max(l.rest, retrySpan), restMost)
-		l.lookAt, l.glanceAt = now+l.rest, now+l.rest
-		l.rest = min(2*l.rest, restMost)
+	if m.Outcome != Succeeded {
+		w.backoff = min(max(w.backoff, minBackoff), maxBackoff)
+		w.nextLongInspection, w.nextShortInspection = now+w.backoff, now+w.backoff
+		w.backoff = min(2*w.backoff, maxBackoff)
 		// Whoever doesn't answer isn't spoken for: what it holds isn't renewed
 		// either, so the scheduler may give it to others when the lease is over.
-		t.resurvey(l)
+		a.requireInspection(w)
 		return
 	}
-	l.mutes = 0
-	isNews := false
+	w.missedInspections = 0
+	changed := false
 	for _, e := range m.Ended {
-		isNews = t.listed(l, e) || isNews
+		changed = a.recordEnd(w, e) || changed
 	}
-	if m.Number > l.newest {
-		l.newest = m.Number
-		t.takeList(now, l, m, p)
+	if m.Number > w.newestInspection {
+		w.newestInspection = m.Number
+		a.reconcileRuns(now, w, m, p)
 	}
-	if p.fence == l.fence && l.surveyed != l.fence && m.Number > l.after {
-		l.surveyed, l.isDirty, l.isLapsed = l.fence, true, false
+	if p.fencingToken == w.fencingToken && w.inspectedToken != w.fencingToken && m.Number > w.inspectAfterCall {
+		w.inspectedToken, w.hasChanges, w.isHoldExpired = w.fencingToken, true, false
 	}
-	if isNews {
-		l.rest = retrySpan
+	if changed {
+		w.backoff = minBackoff
 	}
-	if !isLong {
+	if !long {
 		return
 	}
 	switch {
-	case l.hasUnnoted():
+	case w.hasUnacknowledgedEnds():
 		// It would list the same again at once: the scheduler's word is awaited,
 		// and for a while only.
-		l.lookAt = now + l.rest
-		l.rest = min(2*l.rest, restMost)
-	case !isNews && now-p.sent < p.wait/2:
-		l.lookAt = now + l.rest
+		w.nextLongInspection = now + w.backoff
+		w.backoff = min(2*w.backoff, maxBackoff)
+	case !changed && now-p.sentAt < p.wait/2:
+		w.nextLongInspection = now + w.backoff
 	default:
-		l.lookAt, l.rest = now, retrySpan
+		w.nextLongInspection, w.backoff = now, minBackoff
 	}
 }
 
-func (l *life) hasUnnoted() bool {
-	for _, e := range l.listed {
-		if !e.isNoted {
+func (w *workerState) hasUnacknowledgedEnds() bool {
+	for _, e := range w.listedEnds {
+		if !e.isAcknowledged {
 			return true
 		}
 	}
 	return false
 }
 
-// listed takes in an end that the worker lists, and tells whether it is new.
+// listedEnds takes in an end that the worker lists, and tells whether it is new.
 // Whenever the look was sent, an end is an end.
-func (t *Table) listed(l *life, m Ending) bool {
-	if m.Number <= l.notedTo || l.listed[m.Number] != nil {
+func (a *Agent) recordEnd(w *workerState, m EndedTask) bool {
+	if m.Number <= w.acknowledgedThrough || w.listedEnds[m.Number] != nil {
 		return false
 	}
-	key := runKey{m.Task, m.Attempt}
-	e := &end{number: m.Number, note: l.note(key, m.How, m.Saved)}
-	l.listed[m.Number] = e
-	l.highest = max(l.highest, m.Number)
-	if former := l.ended[key]; former != nil && former.number != 0 {
-		e.isNoted = true
-		l.advance()
+	key := attemptKey{m.Task, m.Attempt}
+	e := &endedAttempt{number: m.Number, status: w.taskStatus(key, m.State, m.Checkpoint)}
+	w.listedEnds[m.Number] = e
+	w.highestEnd = max(w.highestEnd, m.Number)
+	if former := w.unacknowledged[key]; former != nil && former.number != 0 {
+		e.isAcknowledged = true
+		w.advanceAcknowledged()
 		return true
 	}
-	l.ended[key] = e
-	delete(l.runs, key)
-	l.isDirty = true
+	w.unacknowledged[key] = e
+	delete(w.runs, key)
+	w.hasChanges = true
 	return true
 }
 
-func (l *life) note(key runKey, state, saved string) *schema.TaskStatus {
-	note := &schema.TaskStatus{
-		Name: key.task.Job, Round: key.task.Round, StepInRound: key.task.Part, Task: key.task.Task, Attempt: key.attempt,
+func (w *workerState) taskStatus(key attemptKey, state, saved string) *schema.TaskStatus {
+	status := &schema.TaskStatus{
+		Name: key.task.Job, Round: key.task.Round, StepInRound: key.task.StepInRound, Task: key.task.Task, Attempt: key.attempt,
 		State: state, Checkpoint: saved,
 	}
-	if r := l.runs[key]; r != nil {
-		note.CoresMilli, note.MemoryMb, note.Percent = r.cores, r.memory, r.percent
+	if r := w.runs[key]; r != nil {
+		status.CoresMilli, status.MemoryMb, status.Percent = r.cores, r.memory, r.percent
 	}
-	return note
+	return status
 }
 
-// neverRan reports an attempt that runs here no more though the worker lists no
+// markStopped reports an attempt that runs here no more though the worker lists no
 // end of it.
-func (t *Table) neverRan(l *life, r *run) { t.ranOut(l, r, "stopped") }
+func (a *Agent) markStopped(w *workerState, r *run) { a.markEnded(w, r, "stopped") }
 
-func (t *Table) ranOut(l *life, r *run, how string) {
-	l.ended[r.key] = &end{note: l.note(r.key, how, r.saved)}
-	delete(l.runs, r.key)
-	l.isDirty = true
-	if len(l.spent) >= spentMost {
-		maps.DeleteFunc(l.spent, func(_ runKey, at eventloop.Micros) bool { return t.last-at > spentSpan })
-	}
-	l.spent[r.key] = t.last
+func (a *Agent) markEnded(w *workerState, r *run, state string) {
+	w.unacknowledged[r.key] = &endedAttempt{status: w.taskStatus(r.key, state, r.checkpoint)}
+	delete(w.runs, r.key)
+	w.hasChanges = true
+	if len(w.abandoned) >= maxAbandoned {
+		maps.DeleteFunc(w.abandoned, func(_ attemptKey, at eventloop.Micros) bool { return a.lastStepAt-at > abandonedRetention })
+	}
+	w.abandoned[r.key] = a.lastStepAt
 }
 
-// takeList compares the worker's list of what runs with ours. A look says
+// reconcileRuns compares the worker's list of what runs with ours. A look says
 // nothing about what was ordered, or answered, after it was sent.
-func (t *Table) takeList(now eventloop.Micros, l *life, m Reply, p *pending) {
-	isListed := map[runKey]bool{}
-	for _, each := range m.Running {
-		key := runKey{each.Task, each.Attempt}
-		isListed[key] = true
-		r := l.runs[key]
-		switch e := l.ended[key]; {
+func (a *Agent) reconcileRuns(now eventloop.Micros, w *workerState, m Reply, p *pendingCall) {
+	listed := map[attemptKey]bool{}
+	for _, task := range m.Running {
+		key := attemptKey{task.Task, task.Attempt}
+		listed[key] = true
+		r := w.runs[key]
+		switch e := w.unacknowledged[key]; {
 		case e != nil && e.number != 0:
 			continue
 		case e != nil:
 			// We gave it up, and it runs: that must not be.
-			delete(l.ended, key)
-			r = &run{key: key, standing: stopping, began: now}
-			l.runs[key] = r
+			delete(w.unacknowledged, key)
+			r = &run{key: key, state: stopping, startedAt: now}
+			w.runs[key] = r
 		case r == nil:
-			r = &run{key: key, standing: running, began: now}
-			l.runs[key], l.isDirty = r, true
+			r = &run{key: key, state: running, startedAt: now}
+			w.runs[key], w.hasChanges = r, true
 		}
-		r.saved, r.percent, r.isCounted, r.isSeen = each.Saved, each.Percent, true, true
+		r.checkpoint, r.percent, r.usesCapacity, r.isConfirmed = task.Checkpoint, task.Percent, true, true
 		switch {
-		case r.standing == starting:
-			r.standing, r.call = running, 0
-		case r.standing == deciding && !r.isStopped:
-			r.standing = running
-		case r.standing == deciding && now-r.stoppedAt > t.stopMost()+eventloop.Second:
-			r.standing, r.retryAt = stopping, now
+		case r.state == starting:
+			r.state, r.openCall = running, 0
+		case r.state == unresolved && !r.isStopped:
+			r.state = running
+		case r.state == unresolved && now-r.stoppedAt > a.maxStopDuration()+eventloop.Second:
+			r.state, r.retryAt = stopping, now
 		}
 	}
-	isWhole := len(m.Ended) < listMost
-	for _, key := range sortedKeys(l.runs) {
-		r := l.runs[key]
+	complete := len(m.Ended) < maxEndsPerReply
+	for _, key := range sortedKeys(w.runs) {
+		r := w.runs[key]
 		switch {
-		case isListed[key]:
-		case r.standing == starting && r.fence != 0 && r.fence < p.fence:
+		case listed[key]:
+		case r.state == starting && r.fencingToken != 0 && r.fencingToken < p.fencingToken:
 			// Whatever of it is still on its way will be turned away, and the
 			// new ward orders what it wants.
-			delete(l.runs, key)
-			l.isDirty = true
-		case r.touched >= m.Number || !isWhole:
-		case r.standing == running, r.standing == deciding:
-			t.neverRan(l, r)
+			delete(w.runs, key)
+			w.hasChanges = true
+		case r.lastCall >= m.Number || !complete:
+		case r.state == running, r.state == unresolved:
+			a.markStopped(w, r)
 		}
 	}
 }
 
-func (t *Table) stopMost() eventloop.Micros {
-	if t.bounds.StopUs > 0 {
-		return eventloop.Micros(t.bounds.StopUs)
+func (a *Agent) maxStopDuration() eventloop.Micros {
+	if a.bounds.StopUs > 0 {
+		return eventloop.Micros(a.bounds.StopUs)
 	}
-	return stopUsual
+	return defaultStopTimeout
 }
 
-// advance reckons up to where all ends are noted.
-func (l *life) advance() {
-	l.notedTo = max(l.notedTo, l.highest)
-	for number, e := range l.listed {
-		if !e.isNoted {
-			l.notedTo = min(l.notedTo, number-1)
+// advanceAcknowledged reckons up to where all ends are noted.
+func (w *workerState) advanceAcknowledged() {
+	w.acknowledgedThrough = max(w.acknowledgedThrough, w.highestEnd)
+	for number, e := range w.listedEnds {
+		if !e.isAcknowledged {
+			w.acknowledgedThrough = min(w.acknowledgedThrough, number-1)
 		}
 	}
-	for number := range l.listed {
-		if number <= l.notedTo {
-			delete(l.listed, number)
+	for number := range w.listedEnds {
+		if number <= w.acknowledgedThrough {
+			delete(w.listedEnds, number)
 		}
 	}
 }
--- a/internal/agent/late_test.go
+++ b/internal/agent/stale_reply_test.go
@@ -13,67 +13,67 @@
 	"sparnotch/internal/schema"
 )
 
-func TestAnswersToCallsThatAreOver(t *testing.T) {
+func TestStaleCallReplies(t *testing.T) {
 	Convey("Given calls that were answered long ago", t, func() {
-		b, w := usual(fakeworker.Setup{}, nil)
-		w.starts = []*schema.TaskOrder{order("start", "j", 0, 1, "run_us=60000000")}
+		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		b.run(3 * eventloop.Second)
 		var over []agent.Call
 		for k, call := range b.calls {
-			if b.now-b.callAt[k] > 2*eventloop.Second {
+			if b.now-b.callTimes[k] > 2*eventloop.Second {
 				over = append(over, call)
 			}
 		}
 		So(over, ShouldNotBeEmpty)
 		again := func(change func(reply *agent.Reply)) {
 			for _, call := range over {
-				reply := agent.Reply{Number: call.Number, Verdict: agent.Answered, Clock: eventloop.Second}
+				reply := agent.Reply{Number: call.Number, Outcome: agent.Succeeded, Clock: eventloop.Second}
 				change(&reply)
-				b.mail("", reply)
+				b.deliver("", reply)
 			}
 			b.run(eventloop.Second)
 		}
 		Convey("a second answer says nothing of what runs now", func() {
 			again(func(*agent.Reply) {})
 			So(w.ends, ShouldBeEmpty)
-			So(w.last().Running, ShouldHaveLength, 1)
+			So(w.lastHeartbeat().Running, ShouldHaveLength, 1)
 		})
 		Convey("nor that the worker is gone", func() {
-			again(func(reply *agent.Reply) { reply.Verdict = agent.OtherLife })
-			announces := len(w.announces)
+			again(func(reply *agent.Reply) { reply.Outcome = agent.IncarnationMismatch })
+			announces := len(w.heartbeats)
 			b.run(2 * eventloop.Second)
-			So(len(w.announces), ShouldBeGreaterThan, announces)
-			So(w.last().Running, ShouldHaveLength, 1)
+			So(len(w.heartbeats), ShouldBeGreaterThan, announces)
+			So(w.lastHeartbeat().Running, ShouldHaveLength, 1)
 		})
 		Convey("nor what another life runs", func() {
 			b.worker.Live(b.now, "w2")
-			b.beatAt, w.starts = 0, nil
-			b.move("p1", 6, "w2")
-			w.generation = 6
+			b.nextHeartbeat, w.starts = 0, nil
+			b.moveLease("p1", 6, "w2")
+			w.fencingToken = 6
 			b.run(2 * eventloop.Second)
-			So(w.last().FencingToken, ShouldEqual, 6)
+			So(w.lastHeartbeat().FencingToken, ShouldEqual, 6)
 			again(func(reply *agent.Reply) {
-				reply.Running = []agent.Running{{Task: agent.TaskName{Job: "j"}, Attempt: 1}}
-				reply.Ended = []agent.Ending{{Number: 1, Task: agent.TaskName{Job: "k"}, Attempt: 1, How: "done"}}
+				reply.Running = []agent.RunningTask{{Task: agent.TaskName{Job: "j"}, Attempt: 1}}
+				reply.Ended = []agent.EndedTask{{Number: 1, Task: agent.TaskName{Job: "k"}, Attempt: 1, State: "done"}}
 			})
-			So(w.last().Running, ShouldBeEmpty)
+			So(w.lastHeartbeat().Running, ShouldBeEmpty)
 			So(w.ends, ShouldNotContain, "k.0.0.0/1 done")
 		})
 	})
 }
 
-func TestAnswersToAnnouncesThatAreOver(t *testing.T) {
+func TestStalePollResponses(t *testing.T) {
 	Convey("Given an announce that is open", t, func() {
-		b, w := usual(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
 		b.run(2 * eventloop.Second)
-		b.ward("p2", 5, "another")
-		w.isSilent = true
+		b.addScheduler("p2", 5, "another")
+		w.isUnresponsive = true
 		b.run(2 * eventloop.Second)
-		numbers := slices.Sorted(maps.Keys(b.sent))
+		numbers := slices.Sorted(maps.Keys(b.pollTimes))
 		open := numbers[len(numbers)-1]
 		answer := func(from string, number uint64, task uint32) {
-			b.mail(from, &schema.WorkerPollResponse{Id: number, Code: 200, Scheduler: from, Orders: &schema.WorkerOrders{
-				FencingToken: 5, LeaseUs: int64(4 * eventloop.Second), Scheduler: from, Orders: []*schema.TaskOrder{order("start", "j", task, 1, "run_us=60000000")},
+			b.deliver(from, &schema.WorkerPollResponse{Id: number, Code: 200, Scheduler: from, Orders: &schema.WorkerOrders{
+				FencingToken: 5, LeaseUs: int64(4 * eventloop.Second), Scheduler: from, Orders: []*schema.TaskOrder{newOrder("start", "j", task, 1, "run_us=60000000")},
 			}})
 			b.run(30 * eventloop.Millisecond)
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -116,7 +116,7 @@
 
 // Serve runs a process until it fails or has left after a warning; name stands
 // before what goes to standard error. The hands carry calls of a worker.
-func Serve(name string, options *schema.Settings, role schema.Role, newServer ServerFactory, callers ...agent.Caller) subcommands.ExitStatus {
+func Serve(name string, options *schema.Settings, role schema.Role, newServer ServerFactory, callers ...agent.WorkerClient) subcommands.ExitStatus {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	// Whoever reads our output may go away before we do.
@@ -140,7 +140,7 @@
 	return subcommands.ExitSuccess
 }
 
-func serve(options *schema.Settings, role schema.Role, signals chan os.Signal, log *zap.Logger, ring *logring.Ring, newServer ServerFactory, callers []agent.Caller) error {
+func serve(options *schema.Settings, role schema.Role, signals chan os.Signal, log *zap.Logger, ring *logring.Ring, newServer ServerFactory, callers []agent.WorkerClient) error {
 	var opened *process.Opened
 	for {
 		next, err := serveOnce(opened, options, role, signals, log, ring, newServer, callers)
@@ -153,7 +153,7 @@
 
 // serveOnce serves until the process is to end, or to start anew with a store
 // that it couldn't open before.
-func serveOnce(opened *process.Opened, options *schema.Settings, role schema.Role, signals chan os.Signal, log *zap.Logger, ring *logring.Ring, newServer ServerFactory, callers []agent.Caller) (*process.Opened, error) {
+func serveOnce(opened *process.Opened, options *schema.Settings, role schema.Role, signals chan os.Signal, log *zap.Logger, ring *logring.Ring, newServer ServerFactory, callers []agent.WorkerClient) (*process.Opened, error) {
 	node, err := process.StartWith(opened, options, role, log, callers...)
 	if err != nil {
 		return nil, err
--- a/internal/fakeworker/called.go
+++ b/internal/fakeworker/called.go
@@ -65,7 +65,7 @@
 	Stops    func(task agent.TaskName, attempt uint32) eventloop.Micros   // how long a stop takes; nil: a quarter of the bound
 	Tell     func(now eventloop.Micros, kind string, run Run, how string) // begin, end
 	Begun    func(now eventloop.Micros, call agent.Call, isLate bool)     // a start was carried out, perhaps long after the call
-	Noted    func(now eventloop.Micros, ending agent.Ending)              // an end needn't be listed any more
+	Noted    func(now eventloop.Micros, ending agent.EndedTask)           // an end needn't be listed any more
 }
 
 // Run names one start of a task.
@@ -76,7 +76,7 @@
 
 func compareRuns(a, b Run) int {
 	return cmp.Or(
-		cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Round, b.Task.Round), cmp.Compare(a.Task.Part, b.Task.Part),
+		cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Round, b.Task.Round), cmp.Compare(a.Task.StepInRound, b.Task.StepInRound),
 		cmp.Compare(a.Task.Task, b.Task.Task), cmp.Compare(a.Attempt, b.Attempt),
 	)
 }
@@ -142,7 +142,7 @@
 	runs    map[Run]*called
 	past    map[agent.TaskName]uint32 // highest attempt seen to end or stopped
 	newest  map[agent.TaskName]uint32 // highest started
-	ended   []agent.Ending
+	ended   []agent.EndedTask
 	number  uint64
 	beats   uint64
 	leaveAt eventloop.Micros // it ends then
@@ -187,7 +187,7 @@
 	w.runs, w.isDead = nil, true
 	w.later = slices.DeleteFunc(w.later, func(each belated) bool { return !each.isSilent })
 	for _, each := range w.looks {
-		each.reply(agent.Reply{Number: each.call.Number, Verdict: agent.Silent})
+		each.reply(agent.Reply{Number: each.call.Number, Outcome: agent.TimedOut})
 	}
 	w.looks = nil
 }
@@ -222,15 +222,15 @@
 func (w *Called) HeldTo() eventloop.Micros { return w.until }
 
 // Beat is its word of itself.
-func (w *Called) Beat(now eventloop.Micros) agent.Beat {
+func (w *Called) Beat(now eventloop.Micros) agent.Heartbeat {
 	w.beats++
 	s := w.setup
-	beat := agent.Beat{
+	beat := agent.Heartbeat{
 		Worker: w.worker, Pool: s.Pool, Cell: s.Cell, Rack: s.Rack, Labels: s.Labels, Cores: s.Cores, Memory: s.Memory,
-		Accelerators: s.Accelerators, Cold: max(0, s.Cold-(now-w.born)), Clock: w.Clock(now), Number: w.beats, Address: s.Address,
+		Accelerators: s.Accelerators, WarmUpRemaining: max(0, s.Cold-(now-w.born)), Clock: w.Clock(now), Number: w.beats, Address: s.Address,
 	}
 	if w.leaveAt > 0 {
-		beat.IsLeaving, beat.Departure = true, max(0, w.leaveAt-now)
+		beat.IsDraining, beat.DrainRemaining = true, max(0, w.leaveAt-now)
 	}
 	return beat
 }
@@ -244,14 +244,14 @@
 	}
 	silent := func(span eventloop.Micros) {
 		w.later = append(w.later, belated{now + span, func(eventloop.Micros) {
-			reply(agent.Reply{Number: call.Number, Verdict: agent.Silent})
+			reply(agent.Reply{Number: call.Number, Outcome: agent.TimedOut})
 		}, true})
 	}
 	switch {
 	case w.isDead, fault == Lost:
 		silent(patience + call.Wait)
 	case fault == Refused:
-		reply(agent.Reply{Number: call.Number, Verdict: agent.Busy})
+		reply(agent.Reply{Number: call.Number, Outcome: agent.Busy})
 	case fault == Unheard:
 		w.apply(now, call, func(agent.Reply) {})
 		silent(patience + call.Wait)
@@ -272,31 +272,31 @@
 }
 
 func (w *Called) apply(now eventloop.Micros, call agent.Call, reply func(agent.Reply)) {
-	answer := agent.Reply{Number: call.Number, Verdict: agent.Answered, Clock: w.Clock(now)}
-	away := func(reason agent.Reason) {
-		answer.Verdict, answer.Reason = agent.TurnedAway, reason
+	answer := agent.Reply{Number: call.Number, Outcome: agent.Succeeded, Clock: w.Clock(now)}
+	away := func(reason agent.RejectionReason) {
+		answer.Outcome, answer.Reason = agent.Rejected, reason
 		reply(answer)
 	}
 	if call.Worker != w.worker {
-		reply(agent.Reply{Number: call.Number, Verdict: agent.OtherLife})
+		reply(agent.Reply{Number: call.Number, Outcome: agent.IncarnationMismatch})
 		return
 	}
-	if call.Fence < w.fence {
-		away(agent.Fenced)
+	if call.FencingToken < w.fence {
+		away(agent.StaleToken)
 		return
 	}
-	w.fence = call.Fence
-	if call.Until > 0 {
+	w.fence = call.FencingToken
+	if call.HoldUntil > 0 {
 		most := eventloop.Micros(w.setup.Bounds.HoldMostUs)
-		until := call.Until
+		until := call.HoldUntil
 		if most > 0 {
 			until = min(until, w.Clock(now)+most)
 		}
 		w.until = max(w.until, until)
 	}
-	switch call.Act {
+	switch call.Action {
 	case agent.Start:
-		if why := w.begin(now, call); why != agent.NoReason {
+		if why := w.begin(now, call); why != agent.NotRejected {
 			away(why)
 			return
 		}
@@ -304,8 +304,8 @@
 	case agent.Stop:
 		w.stop(now, Run{call.Task, call.Attempt})
 		reply(answer)
-	case agent.Look:
-		for len(w.ended) > 0 && w.ended[0].Number <= call.Noted {
+	case agent.Inspect:
+		for len(w.ended) > 0 && w.ended[0].Number <= call.AcknowledgedThrough {
 			if w.setup.Noted != nil {
 				w.setup.Noted(now, w.ended[0])
 			}
@@ -320,10 +320,10 @@
 }
 
 func (w *Called) list(now eventloop.Micros, call agent.Call, reply func(agent.Reply)) {
-	answer := agent.Reply{Number: call.Number, Verdict: agent.Answered, Clock: w.Clock(now)}
+	answer := agent.Reply{Number: call.Number, Outcome: agent.Succeeded, Clock: w.Clock(now)}
 	for _, key := range w.keys() {
 		r := w.runs[key]
-		each := agent.Running{Task: key.Task, Attempt: key.Attempt, Saved: w.saved(now, r, false)}
+		each := agent.RunningTask{Task: key.Task, Attempt: key.Attempt, Checkpoint: w.saved(now, r, false)}
 		if r.need.Work > 0 {
 			each.Percent = int64(100 * w.done(now, r) / r.need.Work)
 		}
@@ -333,28 +333,28 @@
 	reply(answer)
 }
 
-func (w *Called) begin(now eventloop.Micros, call agent.Call) agent.Reason {
+func (w *Called) begin(now eventloop.Micros, call agent.Call) agent.RejectionReason {
 	key := Run{call.Task, call.Attempt}
 	if call.Attempt == 0 || call.Task.Job == "" {
-		return agent.Bad
+		return agent.Malformed
 	}
 	if w.runs[key] != nil {
-		return agent.NoReason
+		return agent.NotRejected
 	}
 	if past, isPast := w.past[call.Task]; isPast && call.Attempt <= past || call.Attempt <= w.newest[call.Task] {
-		return agent.Past
+		return agent.AttemptOver
 	}
-	if w.Clock(now) >= w.until || call.Until > 0 && w.Clock(now) >= call.Until {
-		return agent.Late
+	if w.Clock(now) >= w.until || call.HoldUntil > 0 && w.Clock(now) >= call.HoldUntil {
+		return agent.DeadlinePassed
 	}
 	need := w.setup.Read(call.Task, call.Text)
 	if w.setup.IsGuarding && !w.hasRoom(need) {
-		return agent.NoRoom
+		return agent.NoCapacity
 	}
 	w.newest[call.Task] = call.Attempt
 	r := &called{run: key, need: need, arrived: now, factor: w.factor(now, need)}
 	if need.IsSaving {
-		fmt.Sscanf(call.Saved, "work=%d", &r.before)
+		fmt.Sscanf(call.Checkpoint, "work=%d", &r.before)
 	}
 	r.isBad = w.setup.Fails != nil && w.setup.Fails(call.Task, call.Attempt)
 	w.runs[key] = r
@@ -364,10 +364,10 @@
 	}
 	if need.Members > 1 {
 		w.gather(now, r)
-		return agent.NoReason
+		return agent.NotRejected
 	}
 	w.work(now, r)
-	return agent.NoReason
+	return agent.NotRejected
 }
 
 func (w *Called) factor(now eventloop.Micros, need Need) float64 {
@@ -412,7 +412,7 @@
 
 // gather joins a run to its group, which begins when its last member is there.
 func (w *Called) gather(now eventloop.Micros, r *called) {
-	key := gangKey{r.run.Task.Job, r.run.Task.Round, r.run.Task.Part, r.run.Attempt}
+	key := gangKey{r.run.Task.Job, r.run.Task.Round, r.run.Task.StepInRound, r.run.Attempt}
 	g := w.gangs.all[key]
 	if g == nil {
 		g = &gang{members: map[uint32]*called{}, racks: map[string]bool{}}
@@ -485,7 +485,7 @@
 		return ""
 	}
 	of := r.run.Task
-	return fmt.Sprintf("work=%d of=%s.%d.%d.%d", done, of.Job, of.Round, of.Part, of.Task)
+	return fmt.Sprintf("work=%d of=%s.%d.%d.%d", done, of.Job, of.Round, of.StepInRound, of.Task)
 }
 
 func (w *Called) end(now eventloop.Micros, r *called, how string) {
@@ -499,7 +499,7 @@
 	}
 	w.past[r.run.Task] = max(w.past[r.run.Task], r.run.Attempt)
 	w.number++
-	w.ended = append(w.ended, agent.Ending{Number: w.number, Task: r.run.Task, Attempt: r.run.Attempt, How: how, Saved: saved})
+	w.ended = append(w.ended, agent.EndedTask{Number: w.number, Task: r.run.Task, Attempt: r.run.Attempt, State: how, Checkpoint: saved})
 	w.tell(now, "end", r.run, how)
 }
 
--- a/internal/fakeworker/called_test.go
+++ b/internal/fakeworker/called_test.go
@@ -44,15 +44,15 @@
 }
 
 func startOf(task, attempt uint32, until eventloop.Micros, text string) agent.Call {
-	return agent.Call{Act: agent.Start, Task: agent.TaskName{Job: "j", Task: task}, Attempt: attempt, Text: text, Until: until, Fence: 3}
+	return agent.Call{Action: agent.Start, Task: agent.TaskName{Job: "j", Task: task}, Attempt: attempt, Text: text, HoldUntil: until, FencingToken: 3}
 }
 
 func stopOf(task, attempt uint32) agent.Call {
-	return agent.Call{Act: agent.Stop, Task: agent.TaskName{Job: "j", Task: task}, Attempt: attempt, Fence: 3}
+	return agent.Call{Action: agent.Stop, Task: agent.TaskName{Job: "j", Task: task}, Attempt: attempt, FencingToken: 3}
 }
 
 func look(noted uint64, wait eventloop.Micros) agent.Call {
-	return agent.Call{Act: agent.Look, Fence: 3, Noted: noted, Wait: wait}
+	return agent.Call{Action: agent.Inspect, FencingToken: 3, AcknowledgedThrough: noted, Wait: wait}
 }
 
 func TestWhatACalledWorkerTurnsAway(t *testing.T) {
@@ -61,30 +61,30 @@
 	Convey("Lower fences, what is past, what is late, what has no room, what is meant for another life", t, func() {
 		p := newPair("w", Setup{IsGuarding: true}, nil)
 		until := p.Clock(now) + 4*eventloop.Second
-		So(p.ask(now, startOf(0, 2, until, long+" cores=600")).Verdict, ShouldEqual, agent.Answered)
-		So(p.ask(now, startOf(0, 2, until, long)).Verdict, ShouldEqual, agent.Answered)
+		So(p.ask(now, startOf(0, 2, until, long+" cores=600")).Outcome, ShouldEqual, agent.Succeeded)
+		So(p.ask(now, startOf(0, 2, until, long)).Outcome, ShouldEqual, agent.Succeeded)
 		So(p.Running(), ShouldEqual, 1)
-		So(p.ask(now, startOf(0, 1, until, long)).Reason, ShouldEqual, agent.Past)
-		So(p.ask(now, startOf(1, 1, until, long+" cores=600")).Reason, ShouldEqual, agent.NoRoom)
-		So(p.ask(now, startOf(1, 1, until, long+" cores=400")).Verdict, ShouldEqual, agent.Answered)
-		So(p.ask(now, startOf(2, 0, until, long)).Reason, ShouldEqual, agent.Bad)
+		So(p.ask(now, startOf(0, 1, until, long)).Reason, ShouldEqual, agent.AttemptOver)
+		So(p.ask(now, startOf(1, 1, until, long+" cores=600")).Reason, ShouldEqual, agent.NoCapacity)
+		So(p.ask(now, startOf(1, 1, until, long+" cores=400")).Outcome, ShouldEqual, agent.Succeeded)
+		So(p.ask(now, startOf(2, 0, until, long)).Reason, ShouldEqual, agent.Malformed)
 		old := startOf(2, 1, until, long)
-		old.Fence = 2
-		So(p.ask(now, old).Reason, ShouldEqual, agent.Fenced)
+		old.FencingToken = 2
+		So(p.ask(now, old).Reason, ShouldEqual, agent.StaleToken)
 		other := startOf(2, 1, until, long)
 		other.Worker = "v"
-		So(p.ask(now, other).Verdict, ShouldEqual, agent.OtherLife)
+		So(p.ask(now, other).Outcome, ShouldEqual, agent.IncarnationMismatch)
 		late := newPair("w", Setup{}, nil)
-		So(late.ask(now, startOf(0, 1, late.Clock(now), long)).Reason, ShouldEqual, agent.Late)
+		So(late.ask(now, startOf(0, 1, late.Clock(now), long)).Reason, ShouldEqual, agent.DeadlinePassed)
 	})
 	Convey("A run that was stopped or ended there never begins again", t, func() {
 		p := newPair("w", Setup{}, nil)
 		until := p.Clock(now) + 4*eventloop.Second
-		So(p.ask(now, stopOf(0, 2)).Verdict, ShouldEqual, agent.Answered)
-		So(p.ask(now, startOf(0, 2, until, long)).Reason, ShouldEqual, agent.Past)
-		So(p.ask(now, startOf(0, 3, until, "run_us=1000")).Verdict, ShouldEqual, agent.Answered)
+		So(p.ask(now, stopOf(0, 2)).Outcome, ShouldEqual, agent.Succeeded)
+		So(p.ask(now, startOf(0, 2, until, long)).Reason, ShouldEqual, agent.AttemptOver)
+		So(p.ask(now, startOf(0, 3, until, "run_us=1000")).Outcome, ShouldEqual, agent.Succeeded)
 		p.Step(now + 1000)
-		So(p.ask(now+1000, startOf(0, 3, until, long)).Reason, ShouldEqual, agent.Past)
+		So(p.ask(now+1000, startOf(0, 3, until, long)).Reason, ShouldEqual, agent.AttemptOver)
 	})
 	Convey("A start that is turned away for want of room still lengthens the hold; one of a lower fence doesn't", t, func() {
 		p := newPair("w", Setup{IsGuarding: true}, nil)
@@ -94,7 +94,7 @@
 		p.ask(now, startOf(1, 1, clock+2*eventloop.Second, "cores=5000"))
 		So(p.HeldTo(), ShouldEqual, clock+2*eventloop.Second)
 		old := startOf(1, 1, clock+3*eventloop.Second, "")
-		old.Fence = 1
+		old.FencingToken = 1
 		p.ask(now, old)
 		So(p.HeldTo(), ShouldEqual, clock+2*eventloop.Second)
 		p.ask(now, startOf(0, 1, clock+eventloop.Second, long))
@@ -115,12 +115,12 @@
 		p.Step(now + 199*eventloop.Millisecond)
 		So(p.replies, ShouldNotContainKey, first)
 		p.Step(now + 200*eventloop.Millisecond)
-		So(p.replies[first].Ended, ShouldResemble, []agent.Ending{{Number: 1, Task: agent.TaskName{Job: "j", Task: 1}, Attempt: 1, How: "failed"}})
+		So(p.replies[first].Ended, ShouldResemble, []agent.EndedTask{{Number: 1, Task: agent.TaskName{Job: "j", Task: 1}, Attempt: 1, State: "failed"}})
 		p.Step(now + 300*eventloop.Millisecond)
 		So(p.ask(now+300*eventloop.Millisecond, look(0, 0)).Ended, ShouldHaveLength, 2)
 		left := p.ask(now+300*eventloop.Millisecond, look(1, 0)).Ended
 		So(left, ShouldHaveLength, 1)
-		So([]any{left[0].Number, left[0].How}, ShouldResemble, []any{uint64(2), "done"})
+		So([]any{left[0].Number, left[0].State}, ShouldResemble, []any{uint64(2), "done"})
 		second := p.do(now+eventloop.Second, look(2, eventloop.Second))
 		p.Step(now + 2*eventloop.Second)
 		So(p.replies[second].Ended, ShouldBeEmpty)
@@ -141,22 +141,22 @@
 		p.Step(now + 999*eventloop.Millisecond)
 		So(p.Running(), ShouldEqual, 1)
 		p.Step(now + 1001*eventloop.Millisecond)
-		So(p.ask(now+1001*eventloop.Millisecond, look(0, 0)).Ended[0].How, ShouldEqual, "lapsed")
+		So(p.ask(now+1001*eventloop.Millisecond, look(0, 0)).Ended[0].State, ShouldEqual, "lapsed")
 	})
 	Convey("A stop takes its time and keeps all progress; the next start goes on from there, at the price of a restore", t, func() {
 		p := newPair("w", Setup{}, nil)
 		p.ask(now, startOf(0, 1, p.Clock(now)+5*eventloop.Second, "run_us=3000000 saves=1"))
 		at := now + 1500*eventloop.Millisecond
-		So(p.ask(at, look(0, 0)).Running[0].Saved, ShouldEqual, "work=1000000 of=j.0.0.0")
+		So(p.ask(at, look(0, 0)).Running[0].Checkpoint, ShouldEqual, "work=1000000 of=j.0.0.0")
 		p.ask(at, stopOf(0, 1))
 		p.Step(at + 99*eventloop.Millisecond)
 		So(p.Running(), ShouldEqual, 1)
 		at += 100 * eventloop.Millisecond
 		p.Step(at)
 		ended := p.ask(at, look(0, 0)).Ended
-		So([]any{ended[0].How, ended[0].Saved}, ShouldResemble, []any{"stopped", "work=1600000 of=j.0.0.0"})
+		So([]any{ended[0].State, ended[0].Checkpoint}, ShouldResemble, []any{"stopped", "work=1600000 of=j.0.0.0"})
 		next := startOf(0, 2, p.Clock(at)+5*eventloop.Second, "run_us=3000000 saves=1")
-		next.Saved = ended[0].Saved
+		next.Checkpoint = ended[0].Checkpoint
 		p.ask(at, next)
 		p.Step(at + 1499*eventloop.Millisecond)
 		So(p.Running(), ShouldEqual, 1)
@@ -178,7 +178,7 @@
 		for _, p := range list {
 			p.Step(at)
 			for _, e := range p.ask(at, look(0, 0)).Ended {
-				all = append(all, e.How)
+				all = append(all, e.State)
 			}
 		}
 		return all
@@ -226,7 +226,7 @@
 		fault := NoFault
 		p := newPair("w", Setup{Fault: func(eventloop.Micros, agent.Call) Fault { return fault }}, nil)
 		fault = Refused
-		So(p.ask(now, startOf(0, 1, 9*eventloop.Second, "run_us=60000000")).Verdict, ShouldEqual, agent.Busy)
+		So(p.ask(now, startOf(0, 1, 9*eventloop.Second, "run_us=60000000")).Outcome, ShouldEqual, agent.Busy)
 		numbers := map[Fault]uint64{}
 		for _, fault = range []Fault{Lost, Unheard, Belated} {
 			numbers[fault] = p.do(now, startOf(uint32(fault), 1, 9*eventloop.Second, "run_us=60000000"))
@@ -235,7 +235,7 @@
 		So(p.replies, ShouldHaveLength, 1)
 		p.Step(now + patience)
 		for _, number := range numbers {
-			So(p.replies[number].Verdict, ShouldEqual, agent.Silent)
+			So(p.replies[number].Outcome, ShouldEqual, agent.TimedOut)
 		}
 		So(p.Runs(Run{agent.TaskName{Job: "j", Task: uint32(Unheard)}, 1}), ShouldBeTrue)
 		So(p.Running(), ShouldEqual, 1)
--- a/internal/mutation/cut_mutants.go
+++ b/internal/mutation/cut_mutants.go
@@ -41,7 +41,7 @@
 			"response.Code == 503 || response.Code == 504 {", "response.Code == 503 {"}}},
 		{Guard: "a worker that hears nothing counts as silent", Rule: 1, Test: "internal/scheduler TestUnansweredWorkerIsUnresponsive", Edits: []Edit{{"internal/scheduler",
 			"	if announce.Unanswered && w.hasAnnounced", "	if false && w.hasAnnounced"}}},
-		{Guard: "an agent says when it hears nothing", Rule: 1, Test: "internal/agent TestAnAgentThatHearsNothing", Edits: []Edit{{"internal/agent",
-			"a.Unanswered = now-l.unansweredSince > deafSpan", "a.Unanswered = false"}}},
+		{Guard: "an agent says when it hears nothing", Rule: 1, Test: "internal/agent TestUnansweredPolls", Edits: []Edit{{"internal/agent",
+			"heartbeat.Unanswered = now-w.unansweredSince > unansweredTimeout", "heartbeat.Unanswered = false"}}},
 	}...)
 }
--- a/internal/process/caller.go
+++ b/internal/process/caller.go
@@ -12,12 +12,12 @@
 
 // callerTable puts each call to a goroutine, for calls may block.
 type callerTable struct {
-	hand         agent.Caller
+	hand         agent.WorkerClient
 	reply        func(agent.Reply)
 	calls, looks chan struct{}
 }
 
-func newCallerTable(hand agent.Caller, reply func(agent.Reply)) *callerTable {
+func newCallerTable(hand agent.WorkerClient, reply func(agent.Reply)) *callerTable {
 	return &callerTable{hand: hand, reply: reply, calls: make(chan struct{}, mostCalls), looks: make(chan struct{}, mostLooks)}
 }
 
@@ -27,14 +27,14 @@
 		return
 	}
 	room := c.calls
-	if call.Act == agent.Look {
+	if call.Action == agent.Inspect {
 		room = c.looks
 	}
 	select {
 	case room <- struct{}{}:
 	default:
 		// Nothing was done, and it may be tried again.
-		go c.reply(agent.Reply{Number: call.Number, Verdict: agent.Busy})
+		go c.reply(agent.Reply{Number: call.Number, Outcome: agent.Busy})
 		return
 	}
 	go func() {
--- a/internal/process/caller_test.go
+++ b/internal/process/caller_test.go
@@ -16,7 +16,7 @@
 func (g gate) Call(call agent.Call) agent.Reply {
 	g.entered <- call
 	<-g.open
-	return agent.Reply{Verdict: agent.Answered}
+	return agent.Reply{Outcome: agent.Succeeded}
 }
 
 func TestCaller(t *testing.T) {
@@ -25,16 +25,16 @@
 		replies := make(chan agent.Reply, 2*mostCalls)
 		table := newCallerTable(g, func(reply agent.Reply) { replies <- reply })
 		number := uint64(0)
-		call := func(act agent.Act) {
+		call := func(act agent.Action) {
 			number++
-			table.Step(0, eventloop.Message{Body: agent.Call{Number: number, Act: act}}, nil)
+			table.Step(0, eventloop.Message{Body: agent.Call{Number: number, Action: act}}, nil)
 		}
 		for k := 0; k < mostLooks; k++ {
-			call(agent.Look)
+			call(agent.Inspect)
 			<-g.entered
 		}
-		call(agent.Look)
-		So(<-replies, ShouldResemble, agent.Reply{Number: number, Verdict: agent.Busy})
+		call(agent.Inspect)
+		So(<-replies, ShouldResemble, agent.Reply{Number: number, Outcome: agent.Busy})
 		call(agent.Start)
 		So((<-g.entered).Number, ShouldEqual, number)
 		for k := 1; k < mostCalls; k++ {
@@ -42,12 +42,12 @@
 			<-g.entered
 		}
 		call(agent.Start)
-		So((<-replies).Verdict, ShouldEqual, agent.Busy)
+		So((<-replies).Outcome, ShouldEqual, agent.Busy)
 		close(g.open)
 		seen := map[uint64]bool{}
 		for k := 0; k < mostCalls+mostLooks; k++ {
 			reply := <-replies
-			So(reply.Verdict, ShouldEqual, agent.Answered)
+			So(reply.Outcome, ShouldEqual, agent.Succeeded)
 			seen[reply.Number] = true
 		}
 		So(seen, ShouldHaveLength, mostCalls+mostLooks)
@@ -56,11 +56,11 @@
 		options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
 		without, err := Start(options, schema.Role_ROLE_CONTROLLER, zap.NewNop())
 		So(err, ShouldBeNil)
-		So(without.ReportHeartbeat(agent.Beat{Worker: "w", Number: 1}), ShouldBeFalse)
+		So(without.ReportHeartbeat(agent.Heartbeat{Worker: "w", Number: 1}), ShouldBeFalse)
 		without.Stop()
 		with, err := Start(options, schema.Role_ROLE_CONTROLLER, zap.NewNop(), gate{})
 		So(err, ShouldBeNil)
-		So(with.ReportHeartbeat(agent.Beat{Worker: "w", Number: 1}), ShouldBeTrue)
+		So(with.ReportHeartbeat(agent.Heartbeat{Worker: "w", Number: 1}), ShouldBeTrue)
 		So(with.ReportDeparture(agent.Departed{Worker: "w"}), ShouldBeTrue)
 		with.Stop()
 	})
--- a/internal/process/papers.go
+++ b/internal/process/papers.go
@@ -80,7 +80,7 @@
 	var berths []Berth
 	if p.Calls {
 		readers = []string{"agent"}
-		berths = []Berth{{"agent", agent.New(p.Bounds, uint64(p.Wall())), agent.Pace}}
+		berths = []Berth{{"agent", agent.New(p.Bounds, uint64(p.Wall())), agent.TickInterval}}
 	}
 	return append([]Berth{
 		{"membership", membership.New(proto.Clone(p.Member).(*schema.Member), p.terms(true), nil, p.Book, []string{"controller"}, p.rng(1)), membership.TickInterval},
--- a/internal/process/real.go
+++ b/internal/process/real.go
@@ -77,12 +77,12 @@
 
 // Start brings a process up. A side process that is given a hand calls the
 // worker on its machine with it.
-func Start(options *schema.Settings, role schema.Role, log *zap.Logger, hands ...agent.Caller) (*Real, error) {
+func Start(options *schema.Settings, role schema.Role, log *zap.Logger, hands ...agent.WorkerClient) (*Real, error) {
 	return StartWith(nil, options, role, log, hands...)
 }
 
 // StartWith is Start with a store that has been opened already, if one has.
-func StartWith(opened *Opened, options *schema.Settings, role schema.Role, log *zap.Logger, hands ...agent.Caller) (*Real, error) {
+func StartWith(opened *Opened, options *schema.Settings, role schema.Role, log *zap.Logger, hands ...agent.WorkerClient) (*Real, error) {
 	r := &Real{
 		Options: options, Clock: eventloop.RealClock(), Failed: make(chan error, 4), Reopened: make(chan *Opened), log: log, book: &membership.AddressBook{},
 		waiting: map[uint64]chan any{}, writes: eventloop.NewQueue[replica.Batch](4),
@@ -226,7 +226,7 @@
 }
 
 // ReportHeartbeat takes a worker's word of itself; false when it couldn't be taken.
-func (r *Real) ReportHeartbeat(beat agent.Beat) bool {
+func (r *Real) ReportHeartbeat(beat agent.Heartbeat) bool {
 	return r.process.Post("agent", eventloop.Message{Body: beat})
 }
 
--- a/internal/sim/called.go
+++ b/internal/sim/called.go
@@ -251,11 +251,11 @@
 	}
 	w.After(way(), func() {
 		if k.hand == nil {
-			w.After(400*eventloop.Millisecond, func() { back(agent.Reply{Number: call.Number, Verdict: agent.Silent}) })
+			w.After(400*eventloop.Millisecond, func() { back(agent.Reply{Number: call.Number, Outcome: agent.TimedOut}) })
 			return
 		}
 		k.hand.Take(w.Now, call, func(reply agent.Reply) {
-			if reply.Verdict == agent.Answered {
+			if reply.Outcome == agent.Succeeded {
 				k.heard(reply)
 			}
 			back(reply)
@@ -280,10 +280,10 @@
 		}
 	}
 	for _, each := range reply.Running {
-		show(each.Task, each.Attempt, each.Saved)
+		show(each.Task, each.Attempt, each.Checkpoint)
 	}
 	for _, each := range reply.Ended {
-		show(each.Task, each.Attempt, each.Saved)
+		show(each.Task, each.Attempt, each.Checkpoint)
 	}
 }
 
@@ -291,10 +291,10 @@
 
 func (k *CalledWorker) spec(task agent.TaskName) (handed, *schema.Step) {
 	of, isKnown := k.world.known[task.Job]
-	if !isKnown || int(task.Part) >= len(of.job.Steps) {
+	if !isKnown || int(task.StepInRound) >= len(of.job.Steps) {
 		return of, nil
 	}
-	return of, of.job.Steps[task.Part]
+	return of, of.job.Steps[task.StepInRound]
 }
 
 func (k *CalledWorker) read(task agent.TaskName, text string) fakeworker.Need {
@@ -371,7 +371,7 @@
 func (k *CalledWorker) event(kind string, run fakeworker.Run) checker.Event {
 	of, step := k.spec(run.Task)
 	e := checker.Event{
-		Kind: kind, Who: k.Name(), Queue: of.queue, Name: run.Task.Job, Step: run.Task.Part, Task: run.Task.Task, Attempt: run.Attempt, IsCalled: true,
+		Kind: kind, Who: k.Name(), Queue: of.queue, Name: run.Task.Job, Step: run.Task.StepInRound, Task: run.Task.Task, Attempt: run.Attempt, IsCalled: true,
 	}
 	if step != nil {
 		e.Step += run.Task.Round * uint32(len(of.job.Steps))
@@ -382,7 +382,7 @@
 
 func (k *CalledWorker) begun(now eventloop.Micros, call agent.Call, isLate bool) {
 	e := k.event(checker.Begin, fakeworker.Run{Task: call.Task, Attempt: call.Attempt})
-	e.At, e.Text, e.Saved, e.IsLate = now, call.Text, call.Saved, isLate
+	e.At, e.Text, e.Saved, e.IsLate = now, call.Text, call.Checkpoint, isLate
 	k.world.Tell(e)
 }
 
@@ -396,7 +396,7 @@
 	k.world.Tell(e)
 }
 
-func (k *CalledWorker) noted(now eventloop.Micros, ending agent.Ending) {
+func (k *CalledWorker) noted(now eventloop.Micros, ending agent.EndedTask) {
 	run := fakeworker.Run{Task: ending.Task, Attempt: ending.Attempt}
 	e := k.event(checker.Noted, run)
 	e.At = now
