--- a/cmd/sparnotch-bench/alone.go
+++ b/cmd/sparnotch-bench/alone.go
@@ -63,7 +63,7 @@
 	// The incarnation only has to grow from start to start.
 	incarnation := uint64(time.Now().UnixMicro())
 	w := fakeworker.New(h.now(), c.name, c.rack, c.cores, c.memory, incarnation, rand.New(rand.NewPCG(incarnation, 1)), h.add)
-	w.Habits = fakeworker.Habits{FailShare: c.fail, Slowness: c.slow}
+	w.Behaviour = fakeworker.Behaviour{FailureRate: c.fail, Slowdown: c.slow}
 	runner := &workerRunner{platform: newPlatform(gates), history: h, worker: w}
 	go runner.platform.learn(ctx)
 	signals := make(chan os.Signal, 2)
@@ -71,7 +71,7 @@
 	go func() {
 		<-signals
 		runner.mu.Lock()
-		w.Leave(h.now())
+		w.Drain(h.now())
 		runner.mu.Unlock()
 		go func() {
 			<-signals
@@ -80,7 +80,7 @@
 		eventloop.NewQueue[int](1).Consume(ctx, 100*eventloop.Millisecond, nil, func() {
 			runner.mu.Lock()
 			defer runner.mu.Unlock()
-			if w.Idle() {
+			if w.IsIdle() {
 				cancel()
 			}
 		})
--- a/cmd/sparnotch-bench/fleet.go
+++ b/cmd/sparnotch-bench/fleet.go
@@ -173,7 +173,7 @@
 	return isClean
 }
 
-func (f *fleet) startWorker(ctx context.Context, k int, habits fakeworker.Habits) {
+func (f *fleet) startWorker(ctx context.Context, k int, habits fakeworker.Behaviour) {
 	name := fmt.Sprintf("w%02d", k)
 	ctx, cancel := context.WithCancel(ctx)
 	f.mu.Lock()
@@ -182,7 +182,7 @@
 	incarnation := uint64(f.next)
 	w := fakeworker.New(f.history.now(), name, fmt.Sprintf("r%d", k/3+1), f.profile.Cores, f.profile.Memory, incarnation,
 		rand.New(rand.NewPCG(uint64(k), incarnation)), f.history.add)
-	w.Habits = habits
+	w.Behaviour = habits
 	runner := &workerRunner{platform: f.platform, history: f.history, cell: fmt.Sprintf("c%d", k%3+1), worker: w}
 	f.workers[name] = runner
 	f.mu.Unlock()
@@ -317,12 +317,12 @@
 		f.note("worker w00 crashes, and comes back")
 		f.cancels["w00"]()
 		rest(ctx, span)
-		f.startWorker(ctx, 0, fakeworker.Habits{})
+		f.startWorker(ctx, 0, fakeworker.Behaviour{})
 	case "leave":
 		f.note("worker w01 leaves")
 		w := f.workers["w01"]
 		w.mu.Lock()
-		w.worker.Leave(f.history.now())
+		w.worker.Drain(f.history.now())
 		w.mu.Unlock()
 	case "rush":
 		f.note("a rush: twenty times the load for " + span.String())
@@ -528,7 +528,7 @@
 	go f.platform.watch(whole)
 	working, stopWorkers := context.WithCancel(whole)
 	for k := 0; k < f.profile.Workers; k++ {
-		f.startWorker(working, k, fakeworker.Habits{})
+		f.startWorker(working, k, fakeworker.Behaviour{})
 	}
 	rest(whole, 2*time.Second)
 	if c.weak {
--- a/cmd/sparnotch-bench/outside.go
+++ b/cmd/sparnotch-bench/outside.go
@@ -188,16 +188,16 @@
 		w.mu.Lock()
 		now := w.history.now()
 		w.worker.Tick(now)
-		isDue := w.worker.Due(now)
+		isDue := w.worker.IsHeartbeatDue(now)
 		var announce *schema.WorkerHeartbeat
 		if isDue {
 			select {
 			case open <- struct{}{}:
-				announce = w.worker.Announce(now)
+				announce = w.worker.NewHeartbeat(now)
 			default:
 			}
 		}
-		next, address := w.worker.Next(), front
+		next, address := w.worker.NextEventAt(), front
 		w.mu.Unlock()
 		if announce != nil {
 			go func(address string) {
@@ -237,7 +237,7 @@
 	if isOff {
 		rest(ctx, 1200*time.Millisecond)
 		w.mu.Lock()
-		w.worker.Unanswered(w.history.now())
+		w.worker.HandleUnanswered(w.history.now())
 		w.mu.Unlock()
 		return false
 	}
@@ -250,10 +250,10 @@
 	}
 	orders := &schema.WorkerOrders{}
 	if w.isOff || err != nil || code != 200 || json.Unmarshal(data, orders) != nil {
-		w.worker.Unanswered(now)
+		w.worker.HandleUnanswered(now)
 		return false
 	}
-	w.worker.Take(now, sent, a.Seq, orders)
+	w.worker.HandleOrders(now, sent, a.Seq, orders)
 	return true
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -66,7 +66,7 @@
 	events              []func()
 	eventTimes          []eventloop.Micros
 	agent               *agent.Agent
-	worker              *fakeworker.Called
+	worker              *fakeworker.CalledWorker
 	schedulers          map[string]*fakeScheduler
 	calls               []agent.Call
 	callTimes           []eventloop.Micros
@@ -85,7 +85,7 @@
 	pollTimes           map[uint64]eventloop.Micros // announces
 }
 
-func newHarness(setup fakeworker.Setup, bounds *schema.Bounds) *harness {
+func newHarness(setup fakeworker.Config, bounds *schema.Bounds) *harness {
 	b := &harness{
 		now: 20 * eventloop.Second, agent: agent.New(bounds, 1000), schedulers: map[string]*fakeScheduler{}, startCounts: map[string]int{}, startTimes: map[string]eventloop.Micros{},
 		clusterState: &schema.ClusterState{Version: 1}, pollTimes: map[uint64]eventloop.Micros{},
@@ -94,7 +94,7 @@
 	if setup.Cores == 0 {
 		setup.Cores, setup.Memory = 1000, 1000
 	}
-	setup.Tell = func(now eventloop.Micros, kind string, run fakeworker.Run, how string) {
+	setup.OnEvent = func(now eventloop.Micros, kind string, run fakeworker.RunID, how string) {
 		if kind == "begin" {
 			key := attemptName(run.Task.Job, run.Task.Round, run.Task.StepInRound, run.Task.Task, run.Attempt)
 			b.startCounts[key]++
@@ -104,12 +104,12 @@
 			}
 		}
 	}
-	b.worker = fakeworker.NewCalled(b.now, "w1", setup, nil)
+	b.worker = fakeworker.NewCalledWorker(b.now, "w1", setup, nil)
 	return b
 }
 
 // newDefaultHarness is a bench with one ward that the cluster state knows.
-func newDefaultHarness(setup fakeworker.Setup, bounds *schema.Bounds) (*harness, *fakeScheduler) {
+func newDefaultHarness(setup fakeworker.Config, bounds *schema.Bounds) (*harness, *fakeScheduler) {
 	b := newHarness(setup, bounds)
 	w := b.addScheduler("p1", 5, "w1")
 	return b, w
@@ -167,7 +167,7 @@
 		h.worker.Step(h.now)
 		if h.now >= h.nextHeartbeat && !h.withholdsHeartbeats && !h.worker.IsDead() {
 			h.nextHeartbeat = h.now + 500*eventloop.Millisecond
-			beat := h.worker.Beat(h.now)
+			beat := h.worker.Heartbeat(h.now)
 			h.after(messageDelay, func() { h.deliver("", beat) })
 		}
 		for _, id := range slices.Sorted(maps.Keys(h.schedulers)) {
@@ -196,7 +196,7 @@
 	h.calls, h.callTimes = append(h.calls, call), append(h.callTimes, h.now)
 	h.log = append(h.log, fmt.Sprintf("call %d fence %d", call.Action, call.FencingToken))
 	h.after(h.delayOf(call), func() {
-		h.worker.Take(h.now, call, func(reply agent.Reply) { h.after(h.delayOf(reply), func() { h.deliver("", reply) }) })
+		h.worker.HandleCall(h.now, call, func(reply agent.Reply) { h.after(h.delayOf(reply), func() { h.deliver("", reply) }) })
 	})
 }
 
@@ -316,7 +316,7 @@
 
 func TestTaskLifecycle(t *testing.T) {
 	Convey("A worker is met, looked at under its ward's fence, announced, and given work whose end is noted", t, func() {
-		b := newHarness(fakeworker.Setup{Pool: "pool", Rack: "r1", Labels: []string{"a"}}, nil)
+		b := newHarness(fakeworker.Config{Pool: "pool", Rack: "r1", Labels: []string{"a"}}, nil)
 		b.publishClusterState()
 		b.run(1200 * eventloop.Millisecond)
 		So(b.registrations, ShouldBeBetweenOrEqual, 2, 3)
@@ -329,7 +329,7 @@
 		a := w.heartbeats[0]
 		So(a.TasksByName && a.GangBarrier, ShouldBeTrue)
 		So([]any{a.Pool, a.Rack, a.Labels[0], a.CoresMilli, a.Incarnation, a.FencingToken}, ShouldResemble, []any{"pool", "r1", "a", int64(1000), uint64(1), uint64(5)})
-		So(b.worker.Running(), ShouldEqual, 1)
+		So(b.worker.RunningCount(), ShouldEqual, 1)
 		So(statusName(w.lastHeartbeat().Running[0]), ShouldEqual, "j.2.1.0/1")
 		start := b.calls[slices.IndexFunc(b.calls, func(c agent.Call) bool { return c.Action == agent.Start })]
 		So(start.FencingToken, ShouldEqual, 5)
@@ -338,12 +338,12 @@
 		So(w.ends, ShouldResemble, []string{"j.2.1.0/1 done"})
 		b.run(200 * eventloop.Millisecond)
 		So(w.lastHeartbeat().Ended, ShouldBeEmpty)
-		So(b.worker.Unnoted(), ShouldEqual, 0)
+		So(b.worker.UnacknowledgedCount(), ShouldEqual, 0)
 		So(b.count(agent.Start), ShouldEqual, 1)
 		So(b.count(agent.Stop), ShouldEqual, 0)
 	})
 	Convey("An end is announced within a few messages of when it happened", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=700000")}
 		b.run(300 * eventloop.Millisecond)
 		b.run(b.startTimes["j.0.0.0/1"] + 700*eventloop.Millisecond + 8*messageDelay - b.now)
@@ -354,47 +354,47 @@
 func TestHoldDuration(t *testing.T) {
 	for _, drift := range []float64{1, 0.98} {
 		Convey(fmt.Sprintf("The hold ends with the lease, whatever the worker's clock shows, drift %v", drift), t, func() {
-			b, w := newDefaultHarness(fakeworker.Setup{Drift: drift}, nil)
+			b, w := newDefaultHarness(fakeworker.Config{ClockDrift: drift}, nil)
 			w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 			b.run(5 * eventloop.Second)
-			So(b.worker.Running(), ShouldEqual, 1)
+			So(b.worker.RunningCount(), ShouldEqual, 1)
 			for k := 0; k < 1000; k++ {
 				b.run(7 * eventloop.Millisecond)
 				// A clock that runs slow ends the hold later by that much of a lease.
-				left := eventloop.Micros(float64(b.worker.HeldTo()-b.worker.Clock(b.now)) / drift)
+				left := eventloop.Micros(float64(b.worker.HoldUntil()-b.worker.Clock(b.now)) / drift)
 				So(b.now+left, ShouldBeLessThanOrEqualTo, w.leaseEndsAt+eventloop.Micros(float64(w.lease)*(1/drift-1))+2)
 				So(left, ShouldBeGreaterThan, w.lease/3)
 			}
 			w.isUnresponsive = true
 			b.run(w.lease + w.lease/40)
-			So(b.worker.Running(), ShouldEqual, 0)
+			So(b.worker.RunningCount(), ShouldEqual, 0)
 		})
 	}
 	Convey("Without an answered announce nothing is renewed: the worker ends everything, and that is told later", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		b.run(2 * eventloop.Second)
 		w.isUnresponsive, w.starts = true, nil
 		silentAt := b.now
 		b.run(w.lease)
-		So(b.worker.Running(), ShouldEqual, 0)
+		So(b.worker.RunningCount(), ShouldEqual, 0)
 		So(b.now, ShouldBeLessThanOrEqualTo, silentAt+w.lease)
 		w.isUnresponsive = false
 		b.run(eventloop.Second)
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 lapsed"})
-		So(b.worker.Unnoted(), ShouldEqual, 0)
+		So(b.worker.UnacknowledgedCount(), ShouldEqual, 0)
 	})
 	Convey("A hold that the worker cuts short is renewed in time", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, &schema.Bounds{HoldMostUs: int64(1500 * eventloop.Millisecond)})
+		b, w := newDefaultHarness(fakeworker.Config{}, &schema.Bounds{HoldMostUs: int64(1500 * eventloop.Millisecond)})
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		b.run(10 * eventloop.Second)
-		So(b.worker.Running(), ShouldEqual, 1)
+		So(b.worker.RunningCount(), ShouldEqual, 1)
 	})
 }
 
 func TestInspectionRate(t *testing.T) {
 	Convey("One long look at a time", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		b.run(eventloop.Second)
 		before := b.count(agent.Inspect)
 		b.run(10 * eventloop.Second)
@@ -406,18 +406,18 @@
 		So(b.count(agent.Inspect)-before, ShouldBeBetweenOrEqual, 9, 11)
 	})
 	Convey("Work that begins on a worker that had none asks for no look of its own", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		b.run(20 * eventloop.Second)
 		before := b.count(agent.Inspect)
 		for k := uint32(0); k < 10; k++ {
 			w.starts = append(w.starts, newOrder("start", "j", k, 1, "run_us=60000000"))
 			b.run(20 * eventloop.Millisecond)
 		}
-		So(b.worker.Running(), ShouldEqual, 10)
+		So(b.worker.RunningCount(), ShouldEqual, 10)
 		So(b.count(agent.Inspect)-before, ShouldBeLessThanOrEqualTo, 1)
 	})
 	Convey("While an end waits to be noted, the worker isn't asked again and again", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		w.acknowledgeAfter = -1
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=100000"), newOrder("start", "j", 1, 1, "run_us=60000000")}
 		b.run(eventloop.Second)
@@ -425,19 +425,19 @@
 		b.run(10 * eventloop.Second)
 		So(b.count(agent.Inspect)-before, ShouldBeLessThanOrEqualTo, 26)
 		So(len(w.heartbeats)-announces, ShouldBeLessThanOrEqualTo, 26)
-		So(b.worker.Running(), ShouldEqual, 1)
+		So(b.worker.RunningCount(), ShouldEqual, 1)
 		w.acknowledgeAfter = 0
 		b.run(eventloop.Second)
-		So(b.worker.Unnoted(), ShouldEqual, 0)
+		So(b.worker.UnacknowledgedCount(), ShouldEqual, 0)
 	})
 	Convey("Many ends come in pages, and all are noted", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{Cores: 1 << 40}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{Cores: 1 << 40}, nil)
 		for k := uint32(0); k < 1200; k++ {
 			w.starts = append(w.starts, newOrder("start", "j", k, 1, "run_us=50000"))
 		}
 		b.run(3 * eventloop.Second)
 		So(w.ends, ShouldHaveLength, 1200)
-		So(b.worker.Unnoted(), ShouldEqual, 0)
+		So(b.worker.UnacknowledgedCount(), ShouldEqual, 0)
 		So(b.count(agent.Start), ShouldEqual, 1200)
 		So(b.count(agent.Stop), ShouldEqual, 0)
 		for _, end := range w.ends {
@@ -448,7 +448,7 @@
 
 func TestLostAnswers(t *testing.T) {
 	Convey("When answers of the scheduler are lost, every run begins once and every end is noted", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		number := 0
 		w.losesReply = func() bool { number++; return number%3 != 0 }
 		for k := uint32(0); k < 6; k++ {
@@ -456,7 +456,7 @@
 		}
 		b.run(10 * eventloop.Second)
 		So(w.ends, ShouldHaveLength, 6)
-		So(b.worker.Unnoted(), ShouldEqual, 0)
+		So(b.worker.UnacknowledgedCount(), ShouldEqual, 0)
 		So(w.lastHeartbeat().Ended, ShouldBeEmpty)
 		So(b.count(agent.Start), ShouldEqual, 6)
 		for seq, a := range w.heartbeats[1:] {
@@ -464,7 +464,7 @@
 		}
 	})
 	Convey("An announce without an answer is sent anew within 0.7 s", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		b.run(eventloop.Second)
 		w.losesReply = func() bool { return true }
 		before := len(w.heartbeats)
@@ -475,15 +475,15 @@
 		number := 0
 		lossy := func(_ eventloop.Micros, call agent.Call) fakeworker.Fault {
 			number++
-			return []fakeworker.Fault{fakeworker.Unheard, fakeworker.NoFault, fakeworker.Lost, fakeworker.NoFault, fakeworker.Refused, fakeworker.NoFault}[number%6]
+			return []fakeworker.Fault{fakeworker.FaultReplyLost, fakeworker.NoFault, fakeworker.FaultRequestLost, fakeworker.NoFault, fakeworker.FaultBusy, fakeworker.NoFault}[number%6]
 		}
-		b, w := newDefaultHarness(fakeworker.Setup{Fault: lossy}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{Fault: lossy}, nil)
 		for k := uint32(0); k < 6; k++ {
 			w.starts = append(w.starts, newOrder("start", "j", k, 1, "run_us=200000"))
 		}
 		b.run(12 * eventloop.Second)
 		So(w.ends, ShouldHaveLength, 6)
-		So(b.worker.Unnoted(), ShouldEqual, 0)
+		So(b.worker.UnacknowledgedCount(), ShouldEqual, 0)
 		for _, count := range b.startCounts {
 			So(count, ShouldEqual, 1)
 		}
@@ -495,16 +495,16 @@
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 	}
 	Convey("A start that was done though nothing came back is found done", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{Fault: faultSequence(agent.Start, fakeworker.Unheard)}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{Fault: faultSequence(agent.Start, fakeworker.FaultReplyLost)}, nil)
 		long(w)
 		b.run(3 * eventloop.Second)
 		So(b.startCounts["j.0.0.0/1"], ShouldEqual, 1)
-		So(b.worker.Running(), ShouldEqual, 1)
+		So(b.worker.RunningCount(), ShouldEqual, 1)
 		So(w.ends, ShouldBeEmpty)
 		So(b.count(agent.Stop), ShouldEqual, 0)
 	})
 	Convey("A start that stays silent is stopped and told, and carried out later it does nothing", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{Fault: faultOn(agent.Start, fakeworker.Belated), Belated: 3 * eventloop.Second}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{Fault: faultOn(agent.Start, fakeworker.FaultDelayed), FaultDelay: 3 * eventloop.Second}, nil)
 		long(w)
 		b.run(2 * eventloop.Second)
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 stopped"})
@@ -514,9 +514,9 @@
 		So(w.lastHeartbeat().Running, ShouldBeEmpty)
 	})
 	Convey("A silent start that was carried out before the stop ends there, and only then is told", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{
-			Fault: faultOn(agent.Start, fakeworker.Unheard),
-			Stops: func(agent.TaskName, uint32) eventloop.Micros { return 700 * eventloop.Millisecond },
+		b, w := newDefaultHarness(fakeworker.Config{
+			Fault:        faultOn(agent.Start, fakeworker.FaultReplyLost),
+			StopDuration: func(agent.TaskName, uint32) eventloop.Micros { return 700 * eventloop.Millisecond },
 		}, &schema.Bounds{StopUs: int64(eventloop.Second)})
 		long(w)
 		b.run(1300 * eventloop.Millisecond)
@@ -526,17 +526,17 @@
 		b.run(eventloop.Second)
 		So(b.startCounts["j.0.0.0/1"], ShouldEqual, 1)
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 stopped"})
-		So(b.worker.Running(), ShouldEqual, 0)
+		So(b.worker.RunningCount(), ShouldEqual, 0)
 	})
 	Convey("What finds no room is told as stopped", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{IsGuarding: true}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{EnforcesCapacity: true}, nil)
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "cores=1001")}
 		b.run(eventloop.Second)
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 stopped"})
 		So(b.startCounts, ShouldBeEmpty)
 	})
 	Convey("What finds no room after a silent try is stopped first", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{IsGuarding: true, Fault: faultSequence(agent.Start, fakeworker.Belated)}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{EnforcesCapacity: true, Fault: faultSequence(agent.Start, fakeworker.FaultDelayed)}, nil)
 		b.run(12 * eventloop.Second)
 		So(b.count(agent.Stop), ShouldEqual, 0)
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "cores=1001")}
@@ -545,12 +545,12 @@
 		So(b.count(agent.Stop), ShouldEqual, 1)
 	})
 	Convey("A worker that is busy is tried again, and given up after 0.9 s", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{Fault: faultSequence(agent.Start, fakeworker.Refused, fakeworker.Refused, fakeworker.Refused)}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{Fault: faultSequence(agent.Start, fakeworker.FaultBusy, fakeworker.FaultBusy, fakeworker.FaultBusy)}, nil)
 		long(w)
 		b.run(eventloop.Second)
-		So(b.worker.Running(), ShouldEqual, 1)
+		So(b.worker.RunningCount(), ShouldEqual, 1)
 		So(b.count(agent.Start), ShouldEqual, 4)
-		b, w = newDefaultHarness(fakeworker.Setup{Fault: faultOn(agent.Start, fakeworker.Refused)}, nil)
+		b, w = newDefaultHarness(fakeworker.Config{Fault: faultOn(agent.Start, fakeworker.FaultBusy)}, nil)
 		b.run(12 * eventloop.Second)
 		long(w)
 		b.run(1200 * eventloop.Millisecond)
@@ -560,9 +560,9 @@
 	})
 	Convey("What was given up is never tried again, whoever orders it", t, func() {
 		isBusy := true
-		b, w := newDefaultHarness(fakeworker.Setup{Fault: func(_ eventloop.Micros, call agent.Call) fakeworker.Fault {
+		b, w := newDefaultHarness(fakeworker.Config{Fault: func(_ eventloop.Micros, call agent.Call) fakeworker.Fault {
 			if call.Action == agent.Start && isBusy {
-				return fakeworker.Refused
+				return fakeworker.FaultBusy
 			}
 			return fakeworker.NoFault
 		}}, nil)
@@ -580,9 +580,9 @@
 		So(b.startCounts["j.0.0.0/2"], ShouldEqual, 1)
 	})
 	Convey("Past a start: whether it ended is the next look's to say", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		b.run(100 * eventloop.Millisecond)
-		b.worker.Take(b.now, agent.Call{Action: agent.Stop, Worker: "w1", Task: agent.TaskName{Job: "j"}, Attempt: 1, FencingToken: 5}, func(agent.Reply) {})
+		b.worker.HandleCall(b.now, agent.Call{Action: agent.Stop, Worker: "w1", Task: agent.TaskName{Job: "j"}, Attempt: 1, FencingToken: 5}, func(agent.Reply) {})
 		long(w)
 		b.run(eventloop.Second)
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 stopped"})
@@ -593,7 +593,7 @@
 func TestStops(t *testing.T) {
 	bounds := &schema.Bounds{StopUs: int64(2 * eventloop.Second), SaveUs: int64(eventloop.Second)}
 	Convey("A stopped run is told when the worker lists its end, with what was saved", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{Stops: func(agent.TaskName, uint32) eventloop.Micros { return 600 * eventloop.Millisecond }}, bounds)
+		b, w := newDefaultHarness(fakeworker.Config{StopDuration: func(agent.TaskName, uint32) eventloop.Micros { return 600 * eventloop.Millisecond }}, bounds)
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000 saves=1")}
 		b.run(2500 * eventloop.Millisecond)
 		So(w.lastHeartbeat().Running[0].Checkpoint, ShouldStartWith, "work=")
@@ -605,7 +605,7 @@
 		So(b.count(agent.Stop), ShouldEqual, 1)
 	})
 	Convey("A stop that isn't heard is sent until it is", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{Fault: faultSequence(agent.Stop, fakeworker.Lost, fakeworker.Refused, fakeworker.Lost)}, bounds)
+		b, w := newDefaultHarness(fakeworker.Config{Fault: faultSequence(agent.Stop, fakeworker.FaultRequestLost, fakeworker.FaultBusy, fakeworker.FaultRequestLost)}, bounds)
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		b.run(eventloop.Second)
 		w.starts, w.stops = nil, []*schema.TaskOrder{newOrder("stop", "j", 0, 1, "")}
@@ -614,7 +614,7 @@
 		So(b.count(agent.Stop), ShouldEqual, 4)
 	})
 	Convey("A stop of what was never there is told as stopped, and nothing of it can begin any more", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, bounds)
+		b, w := newDefaultHarness(fakeworker.Config{}, bounds)
 		b.run(eventloop.Second)
 		w.stops = []*schema.TaskOrder{newOrder("stop", "j", 0, 1, "")}
 		b.run(100 * eventloop.Millisecond)
@@ -625,12 +625,12 @@
 
 func TestLeaseChange(t *testing.T) {
 	Convey("The new ward hears an inventory that was taken under its fence, and work goes on", t, func() {
-		b, first := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, first := newDefaultHarness(fakeworker.Config{}, nil)
 		first.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		b.run(2 * eventloop.Second)
 		second := b.addScheduler("p2", 9, "w1")
 		b.run(100 * eventloop.Millisecond)
-		So(b.worker.Fence(), ShouldEqual, 9)
+		So(b.worker.FencingToken(), ShouldEqual, 9)
 		So(b.logIndex("call 3 fence 9"), ShouldBeBetween, -1, b.logIndex("announce p2 ward 9"))
 		So(second.heartbeats[0].Running, ShouldHaveLength, 1)
 		// The former ward's word counts for nothing any more.
@@ -641,10 +641,10 @@
 		}
 		b.run(2 * eventloop.Second)
 		So(b.startCounts, ShouldHaveLength, 1)
-		So(b.worker.Running(), ShouldEqual, 1)
+		So(b.worker.RunningCount(), ShouldEqual, 1)
 	})
 	Convey("An old ward's start that is still on its way does nothing, and the new ward's order begins it once", t, func() {
-		b, first := newDefaultHarness(fakeworker.Setup{Fault: faultSequence(agent.Start, fakeworker.Belated), Belated: 700 * eventloop.Millisecond}, nil)
+		b, first := newDefaultHarness(fakeworker.Config{Fault: faultSequence(agent.Start, fakeworker.FaultDelayed), FaultDelay: 700 * eventloop.Millisecond}, nil)
 		first.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		b.run(100 * eventloop.Millisecond)
 		So(b.count(agent.Start), ShouldEqual, 1)
@@ -661,20 +661,20 @@
 		So(second.ends, ShouldBeEmpty)
 	})
 	Convey("An answer of a ward that the cluster state's copy doesn't know yet has the worker looked at first", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		b.run(eventloop.Second)
 		w.fencingToken = 7
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		b.run(eventloop.Second)
 		So(b.logIndex("call 3 fence 7"), ShouldBeBetween, -1, b.logIndex("call 1 fence 7"))
 		So(b.logIndex("call 1 fence 5"), ShouldEqual, -1)
-		So(b.worker.Running(), ShouldEqual, 1)
+		So(b.worker.RunningCount(), ShouldEqual, 1)
 	})
 }
 
 func TestInspectionsOutOfOrder(t *testing.T) {
 	Convey("A look's answer that was sent before a start was answered doesn't undo the start", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		b.run(eventloop.Second)
 		// The look that is open now comes back late: what it lists was so before.
 		look := b.calls[len(b.calls)-1]
@@ -692,7 +692,7 @@
 		So(w.lastHeartbeat().Running, ShouldHaveLength, 1)
 	})
 	Convey("An older look that comes after a newer one doesn't bring back what has ended", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=1400000")}
 		b.run(200 * eventloop.Millisecond)
 		// The first look that lists the run is held up until its end is noted.
@@ -718,7 +718,7 @@
 		So(w.ends, ShouldHaveLength, 3)
 	})
 	Convey("After a pause, a list from before it doesn't count as the look that is due", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		b.run(2 * eventloop.Second)
 		b.isFrozen = true
@@ -733,7 +733,7 @@
 
 func TestAgentRestart(t *testing.T) {
 	Convey("An agent that has forgotten all learns it from the worker", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		w.acknowledgeAfter = -1
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000"), newOrder("start", "j", 1, 1, "run_us=100000")}
 		b.run(eventloop.Second)
@@ -747,20 +747,20 @@
 		So(w.rejected, ShouldEqual, 0)
 		w.acknowledgeAfter = 0
 		b.run(eventloop.Second)
-		So(b.worker.Unnoted(), ShouldEqual, 0)
+		So(b.worker.UnacknowledgedCount(), ShouldEqual, 0)
 		So(b.startCounts, ShouldHaveLength, 2)
-		So(b.worker.Running(), ShouldEqual, 1)
+		So(b.worker.RunningCount(), ShouldEqual, 1)
 	})
 }
 
 func TestWorkerRestart(t *testing.T) {
 	Convey("A new life tells of the one that is over, until a scheduler has answered that", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		b.run(2 * eventloop.Second)
-		late := b.worker.Beat(b.now)
+		late := b.worker.Heartbeat(b.now)
 		late.Number += 100
-		b.worker.Live(b.now, "w2")
+		b.worker.Restart(b.now, "w2")
 		b.withholdsHeartbeats = true
 		sent := len(w.heartbeats)
 		b.run(2 * eventloop.Second)
@@ -791,9 +791,9 @@
 	})
 	Convey("A worker that doesn't answer isn't spoken for, and is again when it does", t, func() {
 		isDeaf := false
-		b, w := newDefaultHarness(fakeworker.Setup{Fault: func(eventloop.Micros, agent.Call) fakeworker.Fault {
+		b, w := newDefaultHarness(fakeworker.Config{Fault: func(eventloop.Micros, agent.Call) fakeworker.Fault {
 			if isDeaf {
-				return fakeworker.Lost
+				return fakeworker.FaultRequestLost
 			}
 			return fakeworker.NoFault
 		}}, nil)
@@ -806,7 +806,7 @@
 			b.run(eventloop.Millisecond)
 		}
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 lapsed"})
-		So(b.worker.Running(), ShouldEqual, 0)
+		So(b.worker.RunningCount(), ShouldEqual, 0)
 		So(w.lastHeartbeat().CoresMilli+w.lastHeartbeat().MemoryMb, ShouldEqual, 0)
 		b.run(200 * eventloop.Millisecond)
 		announces, looks := len(w.heartbeats), b.count(agent.Inspect)
@@ -819,9 +819,9 @@
 	})
 	Convey("A worker that didn't answer for a while is renewed in time when it does again", t, func() {
 		isDeaf := false
-		b, w := newDefaultHarness(fakeworker.Setup{Fault: func(eventloop.Micros, agent.Call) fakeworker.Fault {
+		b, w := newDefaultHarness(fakeworker.Config{Fault: func(eventloop.Micros, agent.Call) fakeworker.Fault {
 			if isDeaf {
-				return fakeworker.Lost
+				return fakeworker.FaultRequestLost
 			}
 			return fakeworker.NoFault
 		}}, nil)
@@ -833,14 +833,14 @@
 			b.run(1700 * eventloop.Millisecond)
 		}
 		So(w.ends, ShouldBeEmpty)
-		So(b.worker.Running(), ShouldEqual, 1)
+		So(b.worker.RunningCount(), ShouldEqual, 1)
 	})
 	Convey("A late word of a life that its successor's beat alone told of changes nothing", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		b.run(2 * eventloop.Second)
-		late := b.worker.Beat(b.now)
+		late := b.worker.Heartbeat(b.now)
 		late.Number += 100
-		b.worker.Live(b.now, "w2")
+		b.worker.Restart(b.now, "w2")
 		b.nextHeartbeat, w.fencingToken = 0, 6
 		b.moveLease("p1", 6, "w2")
 		b.run(eventloop.Second)
@@ -856,7 +856,7 @@
 		}
 	})
 	Convey("A late word of the dead doesn't push the living aside for good, nor has it told as dead", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		b.run(2 * eventloop.Second)
 		for _, address := range []string{"side:1", "nowhere"} {
@@ -866,11 +866,11 @@
 			So(w.lastHeartbeat().Running, ShouldHaveLength, 1)
 			So(b.calls[len(b.calls)-1].Worker, ShouldEqual, "w1")
 		}
-		So(b.worker.Running(), ShouldEqual, 1)
+		So(b.worker.RunningCount(), ShouldEqual, 1)
 	})
 	Convey("Beats out of order are dropped", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{Cold: 10 * eventloop.Second}, nil)
-		old := b.worker.Beat(b.now)
+		b, w := newDefaultHarness(fakeworker.Config{WarmUp: 10 * eventloop.Second}, nil)
+		old := b.worker.Heartbeat(b.now)
 		old.Cores = 7
 		b.run(2 * eventloop.Second)
 		b.deliver("", old)
@@ -882,11 +882,11 @@
 
 func TestDraining(t *testing.T) {
 	Convey("A worker that leaves is told of at once and given nothing more; its runs go on until it departs", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		b.run(2 * eventloop.Second)
-		b.worker.Leave(b.now, 5*eventloop.Second)
-		beat := b.worker.Beat(b.now)
+		b.worker.Drain(b.now, 5*eventloop.Second)
+		beat := b.worker.Heartbeat(b.now)
 		b.deliver("", beat)
 		b.run(4 * messageDelay)
 		So(w.lastHeartbeat().Draining, ShouldBeTrue)
@@ -895,7 +895,7 @@
 		b.run(2 * eventloop.Second)
 		So(b.count(agent.Start), ShouldEqual, 1)
 		So(w.ends, ShouldResemble, []string{"j.0.0.1/1 stopped"})
-		So(b.worker.Running(), ShouldEqual, 1)
+		So(b.worker.RunningCount(), ShouldEqual, 1)
 		// The last announce may be as old as its answer may be held back.
 		So(w.lastHeartbeat().DepartsInUs, ShouldBeBetween, int64(3*eventloop.Second), int64(3450*eventloop.Millisecond))
 		w.starts = nil
@@ -912,22 +912,22 @@
 
 func TestPausedAgent(t *testing.T) {
 	Convey("After a pause that its lease outlasts, the hold is renewed before it ends", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=600000000")}
 		b.run(eventloop.Second)
 		for k := eventloop.Micros(0); k < 20; k++ {
 			b.run(3*eventloop.Second + k*70*eventloop.Millisecond)
 			b.isFrozen = true
 			// As late as there is time for a look, an announce and a look.
-			left := b.worker.HeldTo() - b.worker.Clock(b.now)
+			left := b.worker.HoldUntil() - b.worker.Clock(b.now)
 			b.run(left - 10*messageDelay - agent.TickInterval)
 			b.isFrozen = false
 		}
 		So(w.ends, ShouldBeEmpty)
-		So(b.worker.Running(), ShouldEqual, 1)
+		So(b.worker.RunningCount(), ShouldEqual, 1)
 	})
 	Convey("After a pause the worker is looked at before anything is announced or begun", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000"), newOrder("start", "j", 1, 1, "run_us=3000000")}
 		b.run(2 * eventloop.Second)
 		b.isFrozen = true
@@ -939,7 +939,7 @@
 		So(b.log[sent], ShouldEqual, "call 3 fence 5")
 		sort.Strings(w.ends)
 		So(w.ends, ShouldResemble, []string{"j.0.0.0/1 lapsed", "j.0.0.1/1 done"})
-		So(b.worker.Running(), ShouldEqual, 1)
+		So(b.worker.RunningCount(), ShouldEqual, 1)
 		So(b.startCounts["j.0.0.2/1"], ShouldEqual, 1)
 	})
 }
--- a/internal/agent/chaos_test.go
+++ b/internal/agent/chaos_test.go
@@ -17,8 +17,8 @@
 func runWithAllFaults(seed uint64) (breaches []string, ends int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	faultsOver := false
-	setup := fakeworker.Setup{
-		IsGuarding: seed%2 == 0, Drift: 0.98 + 0.02*rng.Float64(),
+	setup := fakeworker.Config{
+		EnforcesCapacity: seed%2 == 0, ClockDrift: 0.98 + 0.02*rng.Float64(),
 		Fault: func(eventloop.Micros, agent.Call) fakeworker.Fault {
 			if faultsOver || rng.IntN(4) > 0 {
 				return fakeworker.NoFault
@@ -26,7 +26,7 @@
 			return fakeworker.Fault(1 + rng.IntN(4))
 		},
 		Fails: func(agent.TaskName, uint32) bool { return rng.IntN(10) == 0 },
-		Stops: func(agent.TaskName, uint32) eventloop.Micros {
+		StopDuration: func(agent.TaskName, uint32) eventloop.Micros {
 			return eventloop.Micros(rng.Int64N(int64(800 * eventloop.Millisecond)))
 		},
 	}
@@ -73,7 +73,7 @@
 			case 2:
 				fencingToken++
 				worker = fmt.Sprintf("w%d", fencingToken)
-				b.worker.Live(b.now, worker)
+				b.worker.Restart(b.now, worker)
 				w.starts, w.stops, w.fencingToken = nil, nil, fencingToken
 				b.moveLease(w.id, fencingToken, worker)
 			case 3:
@@ -110,7 +110,7 @@
 				addBreach("%s told twice", key)
 			}
 			ended[key] = true
-			if b.worker.Runs(fakeworker.Run{Task: agent.TaskName{Job: "j", Task: task}, Attempt: attempt}) {
+			if b.worker.IsRunning(fakeworker.RunID{Task: agent.TaskName{Job: "j", Task: task}, Attempt: attempt}) {
 				addBreach("%s runs at %d though it was told as ended", key, k)
 			}
 			ends++
@@ -133,8 +133,8 @@
 			addBreach("%s began %d times", key, count)
 		}
 	}
-	if b.worker.Unnoted() > 0 || b.worker.Running() > 0 || len(w.starts) > 0 {
-		addBreach("left over: %d ends, %d runs, %d orders", b.worker.Unnoted(), b.worker.Running(), len(w.starts))
+	if b.worker.UnacknowledgedCount() > 0 || b.worker.RunningCount() > 0 || len(w.starts) > 0 {
+		addBreach("left over: %d ends, %d runs, %d orders", b.worker.UnacknowledgedCount(), b.worker.RunningCount(), len(w.starts))
 	}
 	return breaches, ends
 }
--- a/internal/agent/stale_reply_test.go
+++ b/internal/agent/stale_reply_test.go
@@ -15,7 +15,7 @@
 
 func TestStaleCallReplies(t *testing.T) {
 	Convey("Given calls that were answered long ago", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		w.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		b.run(3 * eventloop.Second)
 		var over []agent.Call
@@ -46,7 +46,7 @@
 			So(w.lastHeartbeat().Running, ShouldHaveLength, 1)
 		})
 		Convey("nor what another life runs", func() {
-			b.worker.Live(b.now, "w2")
+			b.worker.Restart(b.now, "w2")
 			b.nextHeartbeat, w.starts = 0, nil
 			b.moveLease("p1", 6, "w2")
 			w.fencingToken = 6
@@ -64,7 +64,7 @@
 
 func TestStalePollResponses(t *testing.T) {
 	Convey("Given an announce that is open", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		b.run(2 * eventloop.Second)
 		b.addScheduler("p2", 5, "another")
 		w.isUnresponsive = true
--- a/internal/agent/unanswered_test.go
+++ b/internal/agent/unanswered_test.go
@@ -11,7 +11,7 @@
 
 func TestUnansweredPolls(t *testing.T) {
 	Convey("An agent says when its announces aren't answered, and no more once one was", t, func() {
-		b, w := newDefaultHarness(fakeworker.Setup{}, nil)
+		b, w := newDefaultHarness(fakeworker.Config{}, nil)
 		b.run(2 * eventloop.Second)
 		for _, a := range w.heartbeats {
 			So(a.Unanswered, ShouldBeFalse)
--- a/internal/fakeworker/fakeworker.go
+++ b/internal/fakeworker/fakeworker.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	announceSpan = 500 * eventloop.Millisecond
-	hurrySpan    = 20 * eventloop.Millisecond // between two announces at least
-	doneKept     = 120 * eventloop.Second
+	heartbeatInterval    = 500 * eventloop.Millisecond
+	minHeartbeatInterval = 20 * eventloop.Millisecond // between two announces at least
+	endedRetention       = 120 * eventloop.Second
 )
 
-type key struct {
+type runKey struct {
 	queue      string
 	job        uint64
 	step, task uint32
@@ -28,95 +28,95 @@
 }
 
 type run struct {
-	key           key
+	key           runKey
 	name          string
 	cores, memory int64
-	isHeld        bool
-	began         eventloop.Micros
-	until         eventloop.Micros
+	isReserved    bool
+	startedAt     eventloop.Micros
+	endsAt        eventloop.Micros
 	outcome       string
-	isStill       bool
+	isStalled     bool
 }
 
-type past struct {
-	at      eventloop.Micros
+type endedRun struct {
+	endedAt eventloop.Micros
 	outcome string
 }
 
-// Habits are how a worker may misbehave.
-type Habits struct {
-	FailShare float64 // of its tasks that it fails
-	Slowness  float64 // factor on run times; 0 is 1
-	StillRate float64 // share of tasks that stand still
+// Behaviour are how a worker may misbehave.
+type Behaviour struct {
+	FailureRate float64 // of its tasks that it fails
+	Slowdown    float64 // factor on run times; 0 is 1
+	StallRate   float64 // share of tasks that stand still
 }
 
-// Worker is one stand-in.
+// ID is one stand-in.
 type Worker struct {
-	Name        string
-	Incarnation uint64
-	Habits      Habits
-	rack        string
-	cores       int64
-	memory      int64
-	rng         *rand.Rand
-	tell        func(checker.Event)
-	seq         uint64
-	taken       uint64 // seq of the newest answer taken
-	ward        uint64
-	lease       eventloop.Micros
-	isLeaving   bool
-	runs        map[key]*run
-	ended       map[key]*schema.TaskStatus // not noted yet
-	carried     map[key]uint64             // failures not known to be reported, and the first announce with them
-	over        map[key]past               // attempts that must not start again
-	lastSent    eventloop.Micros
-	isHurried   bool
-	toldHeard   eventloop.Micros
+	Name               string
+	Incarnation        uint64
+	Behaviour          Behaviour
+	rack               string
+	cores              int64
+	memory             int64
+	rng                *rand.Rand
+	emit               func(checker.Event)
+	heartbeatSequence  uint64
+	lastReplySequence  uint64 // seq of the newest answer taken
+	fencingToken       uint64
+	leaseExpiresAt     eventloop.Micros
+	isDraining         bool
+	runs               map[runKey]*run
+	unacknowledged     map[runKey]*schema.TaskStatus // not noted yet
+	unreportedFailures map[runKey]uint64             // failures not known to be reported, and the first announce with them
+	endedRuns          map[runKey]endedRun           // attempts that must not start again
+	lastHeartbeatAt    eventloop.Micros
+	heartbeatSoon      bool
+	lastContactEvent   eventloop.Micros
 }
 
 // New makes a worker and tells that it is up.
 func New(now eventloop.Micros, name, rack string, cores, memory int64, incarnation uint64, rng *rand.Rand, tell func(checker.Event)) *Worker {
 	w := &Worker{
-		Name: name, Incarnation: incarnation, rack: rack, cores: cores, memory: memory, rng: rng, tell: tell,
-		runs: map[key]*run{}, ended: map[key]*schema.TaskStatus{}, over: map[key]past{}, carried: map[key]uint64{}, isHurried: true, lastSent: -announceSpan,
+		Name: name, Incarnation: incarnation, rack: rack, cores: cores, memory: memory, rng: rng, emit: tell,
+		runs: map[runKey]*run{}, unacknowledged: map[runKey]*schema.TaskStatus{}, endedRuns: map[runKey]endedRun{}, unreportedFailures: map[runKey]uint64{}, heartbeatSoon: true, lastHeartbeatAt: -heartbeatInterval,
 	}
 	tell(checker.Event{At: now, Kind: checker.Up, Who: name, Cores: cores, Memory: memory, Rack: rack, Incarnation: incarnation})
 	return w
 }
 
-// Leave makes the worker say that it leaves.
-func (w *Worker) Leave(now eventloop.Micros) {
-	if !w.isLeaving {
-		w.isLeaving, w.isHurried = true, true
-		w.tell(checker.Event{At: now, Kind: checker.Leave, Who: w.Name})
+// Drain makes the worker say that it leaves.
+func (w *Worker) Drain(now eventloop.Micros) {
+	if !w.isDraining {
+		w.isDraining, w.heartbeatSoon = true, true
+		w.emit(checker.Event{At: now, Kind: checker.Leave, Who: w.Name})
 	}
 }
 
-// Idle tells whether nothing runs and nothing is left to report.
-func (w *Worker) Idle() bool { return len(w.runs)+len(w.ended) == 0 }
+// IsIdle tells whether nothing runs and nothing is left to report.
+func (w *Worker) IsIdle() bool { return len(w.runs)+len(w.unacknowledged) == 0 }
 
 // Crash tells that all that ran has ended with the worker.
 func (w *Worker) Crash(now eventloop.Micros) {
-	w.tell(checker.Event{At: now, Kind: checker.Gone, Who: w.Name, Incarnation: w.Incarnation})
+	w.emit(checker.Event{At: now, Kind: checker.Gone, Who: w.Name, Incarnation: w.Incarnation})
 }
 
-func (w *Worker) event(now eventloop.Micros, kind string, r *run, state string) {
-	w.tell(checker.Event{
+func (w *Worker) emitRunEvent(now eventloop.Micros, kind string, r *run, state string) {
+	w.emit(checker.Event{
 		At: now, Kind: kind, Who: w.Name, Queue: r.key.queue, Name: r.name, Job: r.key.job, Step: r.key.step, Task: r.key.task,
 		Attempt: r.key.attempt, State: state, Cores: r.cores, Memory: r.memory, Incarnation: w.Incarnation,
 	})
 }
 
-func (w *Worker) sorted() []*run {
+func (w *Worker) sortedRuns() []*run {
 	list := make([]*run, 0, len(w.runs))
 	for _, r := range w.runs {
 		list = append(list, r)
 	}
-	sort.Slice(list, func(a, b int) bool { return less(list[a].key, list[b].key) })
+	sort.Slice(list, func(a, b int) bool { return lessKey(list[a].key, list[b].key) })
 	return list
 }
 
-func less(a, b key) bool {
+func lessKey(a, b runKey) bool {
 	if a.queue != b.queue {
 		return a.queue < b.queue
 	}
@@ -134,152 +134,152 @@
 
 // Tick ends what has run its time, and everything when the lease is over.
 func (w *Worker) Tick(now eventloop.Micros) {
-	isOver := now >= w.lease
-	for _, r := range w.sorted() {
+	isOver := now >= w.leaseExpiresAt
+	for _, r := range w.sortedRuns() {
 		switch {
-		case isOver && !r.isHeld:
+		case isOver && !r.isReserved:
 			// Nobody answers: others may be given this work soon. What is only
 			// held doesn't run, and whoever wards us next may still start it.
-			w.end(now, r, "stopped")
-		case !r.isHeld && !r.isStill && now >= r.until:
-			w.end(now, r, r.outcome)
+			w.endRun(now, r, "stopped")
+		case !r.isReserved && !r.isStalled && now >= r.endsAt:
+			w.endRun(now, r, r.outcome)
 		}
 	}
-	for k, p := range w.over {
-		if now-p.at > doneKept && w.ended[k] == nil {
-			delete(w.over, k)
+	for k, p := range w.endedRuns {
+		if now-p.endedAt > endedRetention && w.unacknowledged[k] == nil {
+			delete(w.endedRuns, k)
 		}
 	}
 }
 
-// Next is when something is due: an announce, an end, the lease's.
-func (w *Worker) Next() eventloop.Micros {
-	next := w.due()
+// NextEventAt is when something is due: an announce, an end, the lease's.
+func (w *Worker) NextEventAt() eventloop.Micros {
+	next := w.nextHeartbeatAt()
 	for _, r := range w.runs {
-		if !r.isHeld && !r.isStill && r.until < next {
-			next = r.until
+		if !r.isReserved && !r.isStalled && r.endsAt < next {
+			next = r.endsAt
 		}
 	}
 	return next
 }
 
-func (w *Worker) due() eventloop.Micros {
-	if w.isHurried {
-		return w.lastSent + hurrySpan
+func (w *Worker) nextHeartbeatAt() eventloop.Micros {
+	if w.heartbeatSoon {
+		return w.lastHeartbeatAt + minHeartbeatInterval
 	}
-	return w.lastSent + announceSpan
+	return w.lastHeartbeatAt + heartbeatInterval
 }
 
-// Due tells whether an announce is due.
-func (w *Worker) Due(now eventloop.Micros) bool { return now >= w.due() }
+// IsHeartbeatDue tells whether an announce is due.
+func (w *Worker) IsHeartbeatDue(now eventloop.Micros) bool { return now >= w.nextHeartbeatAt() }
 
-func (w *Worker) end(now eventloop.Micros, r *run, outcome string) {
+func (w *Worker) endRun(now eventloop.Micros, r *run, outcome string) {
 	delete(w.runs, r.key)
-	if !r.isHeld {
-		w.event(now, checker.End, r, outcome)
+	if !r.isReserved {
+		w.emitRunEvent(now, checker.End, r, outcome)
 	} else {
-		w.event(now, checker.LetGo, r, outcome)
+		w.emitRunEvent(now, checker.LetGo, r, outcome)
 	}
-	w.over[r.key] = past{now, outcome}
+	w.endedRuns[r.key] = endedRun{now, outcome}
 	if outcome == "failed" {
-		w.carried[r.key] = 0
+		w.unreportedFailures[r.key] = 0
 	}
-	w.report(r.key, outcome)
+	w.reportEnd(r.key, outcome)
 }
 
-func (w *Worker) report(k key, outcome string) {
-	w.ended[k] = &schema.TaskStatus{Queue: k.queue, Job: k.job, Step: k.step, Task: k.task, Attempt: k.attempt, State: outcome}
-	w.isHurried = true
+func (w *Worker) reportEnd(k runKey, outcome string) {
+	w.unacknowledged[k] = &schema.TaskStatus{Queue: k.queue, Job: k.job, Step: k.step, Task: k.task, Attempt: k.attempt, State: outcome}
+	w.heartbeatSoon = true
 }
 
-// Announce says what the worker has and does.
-func (w *Worker) Announce(now eventloop.Micros) *schema.WorkerHeartbeat {
-	w.seq++
-	w.lastSent, w.isHurried = now, false
-	a := &schema.WorkerHeartbeat{
-		Incarnation: w.Incarnation, Seq: w.seq, CoresMilli: w.cores, MemoryMb: w.memory, Rack: w.rack, Draining: w.isLeaving,
-		FencingToken: w.ward, MaxWaitUs: int64(400 * eventloop.Millisecond),
-	}
-	for _, r := range w.sorted() {
+// NewHeartbeat says what the worker has and does.
+func (w *Worker) NewHeartbeat(now eventloop.Micros) *schema.WorkerHeartbeat {
+	w.heartbeatSequence++
+	w.lastHeartbeatAt, w.heartbeatSoon = now, false
+	heartbeat := &schema.WorkerHeartbeat{
+		Incarnation: w.Incarnation, Seq: w.heartbeatSequence, CoresMilli: w.cores, MemoryMb: w.memory, Rack: w.rack, Draining: w.isDraining,
+		FencingToken: w.fencingToken, MaxWaitUs: int64(400 * eventloop.Millisecond),
+	}
+	for _, r := range w.sortedRuns() {
 		note := &schema.TaskStatus{
 			Queue: r.key.queue, Job: r.key.job, Step: r.key.step, Task: r.key.task, Attempt: r.key.attempt,
-			State: "running", RunUs: int64(now - r.began), CoresMilli: r.cores, MemoryMb: r.memory,
+			State: "running", RunUs: int64(now - r.startedAt), CoresMilli: r.cores, MemoryMb: r.memory,
 		}
-		if r.isHeld {
+		if r.isReserved {
 			note.State, note.RunUs = "held", 0
 		}
-		if r.isStill {
+		if r.isStalled {
 			note.IdleUs = note.RunUs
 		}
-		a.Running = append(a.Running, note)
+		heartbeat.Running = append(heartbeat.Running, note)
 	}
-	for _, k := range sortedKeys(w.ended) {
-		a.Ended = append(a.Ended, w.ended[k])
-		if seq, isCarried := w.carried[k]; isCarried && seq == 0 {
-			w.carried[k] = w.seq
+	for _, k := range sortedKeys(w.unacknowledged) {
+		heartbeat.Ended = append(heartbeat.Ended, w.unacknowledged[k])
+		if seq, unreported := w.unreportedFailures[k]; unreported && seq == 0 {
+			w.unreportedFailures[k] = w.heartbeatSequence
 		}
 	}
-	return a
+	return heartbeat
 }
 
-func sortedKeys[V any](set map[key]V) []key {
-	keys := make([]key, 0, len(set))
+func sortedKeys[V any](set map[runKey]V) []runKey {
+	keys := make([]runKey, 0, len(set))
 	for k := range set {
 		keys = append(keys, k)
 	}
-	sort.Slice(keys, func(a, b int) bool { return less(keys[a], keys[b]) })
+	sort.Slice(keys, func(a, b int) bool { return lessKey(keys[a], keys[b]) })
 	return keys
 }
 
-// Unanswered says that an announce came to nothing; the next may go at once
+// HandleUnanswered says that an announce came to nothing; the next may go at once
 // to another front.
-func (w *Worker) Unanswered(now eventloop.Micros) {
-	if w.lastSent+100*eventloop.Millisecond < now {
-		w.isHurried = true
+func (w *Worker) HandleUnanswered(now eventloop.Micros) {
+	if w.lastHeartbeatAt+100*eventloop.Millisecond < now {
+		w.heartbeatSoon = true
 	} else {
-		w.lastSent = now - announceSpan + 100*eventloop.Millisecond
+		w.lastHeartbeatAt = now - heartbeatInterval + 100*eventloop.Millisecond
 	}
 }
 
-// Take carries out the answer to the announce numbered seq, sent at `sent`.
-func (w *Worker) Take(now, sent eventloop.Micros, seq uint64, orders *schema.WorkerOrders) {
+// HandleCall carries out the answer to the announce numbered seq, sent at `sent`.
+func (w *Worker) HandleOrders(now, sent eventloop.Micros, seq uint64, orders *schema.WorkerOrders) {
 	// An older answer than one taken may tell to start what is long over; an
 	// older ward has been succeeded.
-	if seq <= w.taken || orders.FencingToken < w.ward {
+	if seq <= w.lastReplySequence || orders.FencingToken < w.fencingToken {
 		return
 	}
-	w.taken, w.ward = seq, orders.FencingToken
-	if w.toldHeard == 0 || now >= w.toldHeard+eventloop.Second {
-		w.toldHeard = now
-		w.tell(checker.Event{At: now, Kind: checker.Heard, Who: w.Name, Incarnation: w.Incarnation})
+	w.lastReplySequence, w.fencingToken = seq, orders.FencingToken
+	if w.lastContactEvent == 0 || now >= w.lastContactEvent+eventloop.Second {
+		w.lastContactEvent = now
+		w.emit(checker.Event{At: now, Kind: checker.Heard, Who: w.Name, Incarnation: w.Incarnation})
 	}
-	w.lease = max(w.lease, sent+eventloop.Micros(orders.LeaseUs))
-	for _, k := range sortedKeys(w.carried) {
-		if first := w.carried[k]; first > 0 && first <= seq {
-			delete(w.carried, k)
-			w.event(now, checker.Reported, &run{key: k}, "failed")
+	w.leaseExpiresAt = max(w.leaseExpiresAt, sent+eventloop.Micros(orders.LeaseUs))
+	for _, k := range sortedKeys(w.unreportedFailures) {
+		if first := w.unreportedFailures[k]; first > 0 && first <= seq {
+			delete(w.unreportedFailures, k)
+			w.emitRunEvent(now, checker.Reported, &run{key: k}, "failed")
 		}
 	}
 	for _, note := range orders.Acknowledged {
-		delete(w.ended, key{note.Queue, note.Job, note.Step, note.Task, note.Attempt})
+		delete(w.unacknowledged, runKey{note.Queue, note.Job, note.Step, note.Task, note.Attempt})
 	}
 	for _, order := range orders.Orders {
-		w.obey(now, order)
+		w.applyOrder(now, order)
 	}
 	if len(orders.Orders) > 0 || len(orders.Acknowledged) > 0 {
-		w.isHurried = true
+		w.heartbeatSoon = true
 	}
 }
 
-func (w *Worker) obey(now eventloop.Micros, order *schema.TaskOrder) {
-	k := key{order.Queue, order.Job, order.Step, order.Task, order.Attempt}
+func (w *Worker) applyOrder(now eventloop.Micros, order *schema.TaskOrder) {
+	k := runKey{order.Queue, order.Job, order.Step, order.Task, order.Attempt}
 	r := w.runs[k]
 	fresh := &run{key: k, name: order.Name, cores: order.CoresMilli, memory: order.MemoryMb}
-	w.event(now, checker.Order, fresh, order.Action)
-	if p, isOver := w.over[k]; isOver {
+	w.emitRunEvent(now, checker.Order, fresh, order.Action)
+	if p, over := w.endedRuns[k]; over {
 		// Whoever still wants it hasn't heard how it ended.
-		w.event(now, checker.LetGo, fresh, p.outcome)
-		w.report(k, p.outcome)
+		w.emitRunEvent(now, checker.LetGo, fresh, p.outcome)
+		w.reportEnd(k, p.outcome)
 		return
 	}
 	switch order.Action {
@@ -287,38 +287,38 @@
 		if r == nil {
 			// Never begun here; saying so lets it be given to another, and it
 			// can't begin here any more.
-			fresh.isHeld = true
+			fresh.isReserved = true
 			r = fresh
 		}
-		w.end(now, r, "stopped")
+		w.endRun(now, r, "stopped")
 		return
 	case "hold":
-		if r == nil && w.fits(fresh) {
-			fresh.isHeld = true
+		if r == nil && w.hasCapacity(fresh) {
+			fresh.isReserved = true
 			w.runs[k] = fresh
 		} else if r == nil {
-			fresh.isHeld = true
-			w.end(now, fresh, "stopped")
+			fresh.isReserved = true
+			w.endRun(now, fresh, "stopped")
 		}
 		return
 	}
-	if r != nil && !r.isHeld {
+	if r != nil && !r.isReserved {
 		return
 	}
 	if r == nil {
-		if w.isLeaving || now >= w.lease || w.isElsewhere(k) || !w.fits(fresh) {
-			fresh.isHeld = true
-			w.end(now, fresh, "stopped")
+		if w.isDraining || now >= w.leaseExpiresAt || w.hasOtherAttempt(k) || !w.hasCapacity(fresh) {
+			fresh.isReserved = true
+			w.endRun(now, fresh, "stopped")
 			return
 		}
 		r = fresh
 		w.runs[k] = r
 	}
-	w.begin(now, r, order.Text)
+	w.startRun(now, r, order.Text)
 }
 
-// isElsewhere tells whether another attempt of the same task is here.
-func (w *Worker) isElsewhere(k key) bool {
+// hasOtherAttempt tells whether another attempt of the same task is here.
+func (w *Worker) hasOtherAttempt(k runKey) bool {
 	for other := range w.runs {
 		if other.queue == k.queue && other.job == k.job && other.step == k.step && other.task == k.task {
 			return true
@@ -327,7 +327,7 @@
 	return false
 }
 
-func (w *Worker) fits(fresh *run) bool {
+func (w *Worker) hasCapacity(fresh *run) bool {
 	cores, memory := w.cores-fresh.cores, w.memory-fresh.memory
 	for _, r := range w.runs {
 		cores -= r.cores
@@ -336,30 +336,30 @@
 	return cores >= 0 && memory >= 0
 }
 
-// begin runs a task: the stand-ins' texts say how long ("run_us=30000") and
+// startRun runs a task: the stand-ins' texts say how long ("run_us=30000") and
 // how often it fails ("fail=0.1").
-func (w *Worker) begin(now eventloop.Micros, r *run, text string) {
-	r.isHeld, r.began, r.outcome = false, now, "done"
-	span := eventloop.Micros(number(text, "run_us", 20_000))
-	if w.Habits.Slowness > 0 {
-		span = eventloop.Micros(float64(span) * w.Habits.Slowness)
-	}
-	r.until = now + span
-	share := max(w.Habits.FailShare, number(text, "fail", 0))
+func (w *Worker) startRun(now eventloop.Micros, r *run, text string) {
+	r.isReserved, r.startedAt, r.outcome = false, now, "done"
+	duration := eventloop.Micros(textParameter(text, "run_us", 20_000))
+	if w.Behaviour.Slowdown > 0 {
+		duration = eventloop.Micros(float64(duration) * w.Behaviour.Slowdown)
+	}
+	r.endsAt = now + duration
+	share := max(w.Behaviour.FailureRate, textParameter(text, "fail", 0))
 	if share > 0 && w.rng.Float64() < share {
 		r.outcome = "failed"
 	}
-	r.isStill = w.Habits.StillRate > 0 && w.rng.Float64() < w.Habits.StillRate
-	w.event(now, checker.Begin, r, "")
+	r.isStalled = w.Behaviour.StallRate > 0 && w.rng.Float64() < w.Behaviour.StallRate
+	w.emitRunEvent(now, checker.Begin, r, "")
 }
 
-func number(text, name string, usual float64) float64 {
-	for _, word := range strings.Fields(text) {
-		if value, isIt := strings.CutPrefix(word, name+"="); isIt {
+func textParameter(text, parameter string, fallback float64) float64 {
+	for _, field := range strings.Fields(text) {
+		if value, found := strings.CutPrefix(field, parameter+"="); found {
 			if parsed, err := strconv.ParseFloat(value, 64); err == nil {
 				return parsed
 			}
 		}
 	}
-	return usual
+	return fallback
 }
--- a/internal/fakeworker/fakeworker_test.go
+++ b/internal/fakeworker/fakeworker_test.go
@@ -11,7 +11,7 @@
 	"sparnotch/internal/schema"
 )
 
-func TestWhomAWorkerHeeds(t *testing.T) {
+func TestWorkerFencing(t *testing.T) {
 	start := func(task uint32) []*schema.TaskOrder {
 		return []*schema.TaskOrder{{Action: "start", Queue: "l", Job: 1, Task: task, Attempt: 1, CoresMilli: 10, Text: "run_us=60000000"}}
 	}
@@ -23,34 +23,34 @@
 	lease := int64(4 * eventloop.Second)
 	Convey("A worker turns away an older ward, and an answer older than one it has taken", t, func() {
 		w, seen := newWorker()
-		first, second, third := w.Announce(eventloop.Second).Seq, w.Announce(eventloop.Second).Seq, w.Announce(eventloop.Second).Seq
-		w.Take(eventloop.Second, eventloop.Second, second, &schema.WorkerOrders{FencingToken: 5, LeaseUs: lease})
-		w.Take(eventloop.Second, eventloop.Second, third, &schema.WorkerOrders{FencingToken: 4, LeaseUs: lease, Orders: start(0)})
-		w.Take(eventloop.Second, eventloop.Second, first, &schema.WorkerOrders{FencingToken: 5, LeaseUs: lease, Orders: start(0)})
+		first, second, third := w.NewHeartbeat(eventloop.Second).Seq, w.NewHeartbeat(eventloop.Second).Seq, w.NewHeartbeat(eventloop.Second).Seq
+		w.HandleOrders(eventloop.Second, eventloop.Second, second, &schema.WorkerOrders{FencingToken: 5, LeaseUs: lease})
+		w.HandleOrders(eventloop.Second, eventloop.Second, third, &schema.WorkerOrders{FencingToken: 4, LeaseUs: lease, Orders: start(0)})
+		w.HandleOrders(eventloop.Second, eventloop.Second, first, &schema.WorkerOrders{FencingToken: 5, LeaseUs: lease, Orders: start(0)})
 		So(seen[checker.Begin], ShouldEqual, 0)
-		w.Take(eventloop.Second, eventloop.Second, third, &schema.WorkerOrders{FencingToken: 5, LeaseUs: lease, Orders: start(0)})
+		w.HandleOrders(eventloop.Second, eventloop.Second, third, &schema.WorkerOrders{FencingToken: 5, LeaseUs: lease, Orders: start(0)})
 		So(seen[checker.Begin], ShouldEqual, 1)
 	})
 	Convey("It stops what runs when its lease ends, counted from when it asked, and keeps what it holds", t, func() {
 		w, seen := newWorker()
-		seq := w.Announce(eventloop.Second).Seq
+		seq := w.NewHeartbeat(eventloop.Second).Seq
 		hold := &schema.TaskOrder{Action: "hold", Queue: "l", Job: 2, Attempt: 1, CoresMilli: 10}
-		w.Take(2*eventloop.Second, eventloop.Second, seq, &schema.WorkerOrders{FencingToken: 1, LeaseUs: lease, Orders: append(start(0), hold)})
+		w.HandleOrders(2*eventloop.Second, eventloop.Second, seq, &schema.WorkerOrders{FencingToken: 1, LeaseUs: lease, Orders: append(start(0), hold)})
 		w.Tick(5*eventloop.Second - 1)
 		So(seen[checker.End+"stopped"], ShouldEqual, 0)
 		w.Tick(5 * eventloop.Second)
 		So(seen[checker.End+"stopped"], ShouldEqual, 1)
-		So(w.Announce(6*eventloop.Second).Running, ShouldHaveLength, 1)
+		So(w.NewHeartbeat(6*eventloop.Second).Running, ShouldHaveLength, 1)
 	})
 	Convey("It takes no more than its room, nor the same attempt twice", t, func() {
 		w, seen := newWorker()
 		big := start(0)
 		big[0].CoresMilli = 900
-		w.Take(eventloop.Second, eventloop.Second, w.Announce(eventloop.Second).Seq, &schema.WorkerOrders{FencingToken: 1, LeaseUs: lease, Orders: big})
+		w.HandleOrders(eventloop.Second, eventloop.Second, w.NewHeartbeat(eventloop.Second).Seq, &schema.WorkerOrders{FencingToken: 1, LeaseUs: lease, Orders: big})
 		more := start(1)
 		more[0].CoresMilli = 200
-		w.Take(eventloop.Second, eventloop.Second, w.Announce(eventloop.Second).Seq, &schema.WorkerOrders{FencingToken: 1, LeaseUs: lease, Orders: append(more, big...)})
+		w.HandleOrders(eventloop.Second, eventloop.Second, w.NewHeartbeat(eventloop.Second).Seq, &schema.WorkerOrders{FencingToken: 1, LeaseUs: lease, Orders: append(more, big...)})
 		So(seen[checker.Begin], ShouldEqual, 1)
-		So(w.Announce(eventloop.Second).Ended[0].State, ShouldEqual, "stopped")
+		So(w.NewHeartbeat(eventloop.Second).Ended[0].State, ShouldEqual, "stopped")
 	})
 }
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -79,7 +79,7 @@
 		for id, poll := range h.open {
 			if now-poll.sent > pollSpan {
 				delete(h.open, id)
-				h.worker.Unanswered(now)
+				h.worker.HandleUnanswered(now)
 			}
 		}
 	case *schema.ClusterStateResponse:
@@ -90,9 +90,9 @@
 		switch {
 		case !isOpen:
 		case body.Orders == nil:
-			h.worker.Unanswered(now)
+			h.worker.HandleUnanswered(now)
 		default:
-			h.worker.Take(now, poll.sent, poll.seq, body.Orders)
+			h.worker.HandleOrders(now, poll.sent, poll.seq, body.Orders)
 		}
 	}
 	h.announce(now, out)
@@ -111,7 +111,7 @@
 }
 
 func (h *Hand) announce(now eventloop.Micros, out eventloop.Effects) {
-	if !h.worker.Due(now) || len(h.open) >= openMost || h.state == nil {
+	if !h.worker.IsHeartbeatDue(now) || len(h.open) >= openMost || h.state == nil {
 		return
 	}
 	ward := clusterstate.FindWorkerLease(h.state, h.worker.Name)
@@ -123,7 +123,7 @@
 		}
 		return
 	}
-	a := h.worker.Announce(now)
+	a := h.worker.NewHeartbeat(now)
 	h.next++
 	h.open[h.next] = openPoll{a.Seq, now}
 	out.Send(ward.Scheduler, &schema.WorkerPollRequest{Id: h.next, Worker: h.worker.Name, Heartbeat: a})
--- a/internal/sim/called.go
+++ b/internal/sim/called.go
@@ -34,11 +34,11 @@
 	accelerators int64
 	pool         string
 	labels       []string
-	habits       fakeworker.Habits
+	habits       fakeworker.Behaviour
 	Refusing     float64 // share of calls that it answers as busy
 	Silence      float64 // share that it leaves unanswered: not done, done, or done late
 	rng          *rand.Rand
-	hand         *fakeworker.Called
+	hand         *fakeworker.CalledWorker
 	lives        int
 	isUp         bool
 	isLeaving    bool
@@ -50,8 +50,8 @@
 	ailedAt      eventloop.Micros
 	lapsedAt     eventloop.Micros // its hold was last seen ended
 	cold         eventloop.Micros // until then it is slow
-	endedAt      map[fakeworker.Run]eventloop.Micros
-	kept         map[fakeworker.Run]string
+	endedAt      map[fakeworker.RunID]eventloop.Micros
+	kept         map[fakeworker.RunID]string
 }
 
 // AddCalled adds a worker to a side machine; it comes up with Start.
@@ -72,7 +72,7 @@
 func (k *CalledWorker) Place() string { return k.place }
 
 // Habits are those of the machine.
-func (k *CalledWorker) Habits() *fakeworker.Habits { return &k.habits }
+func (k *CalledWorker) Habits() *fakeworker.Behaviour { return &k.habits }
 
 // Room is what its next life has.
 func (k *CalledWorker) Room(cores, memory int64) { k.cores, k.mem = cores, memory }
@@ -100,14 +100,14 @@
 	k.lives++
 	k.isUp, k.isLeaving, k.isLeaveHeard = true, false, false
 	k.beatAt, k.heardAt, k.lapsedAt = w.Now, 0, w.Now
-	k.endedAt, k.kept = map[fakeworker.Run]eventloop.Micros{}, map[fakeworker.Run]string{}
+	k.endedAt, k.kept = map[fakeworker.RunID]eventloop.Micros{}, map[fakeworker.RunID]string{}
 	span := 2 * eventloop.Second
 	k.cold = w.Now + span
 	drift := 0.98 + 0.02*k.rng.Float64()
-	k.hand = fakeworker.NewCalled(w.Now, k.Name(), fakeworker.Setup{
+	k.hand = fakeworker.NewCalledWorker(w.Now, k.Name(), fakeworker.Config{
 		Pool: k.pool, Cell: k.cell, Rack: k.rack, Address: k.place, Labels: k.labels, Cores: k.cores, Memory: k.mem,
-		Accelerators: k.accelerators, Bounds: w.bounds, Drift: drift, Cold: span, IsGuarding: w.isGuarded(k.pool),
-		Read: k.read, Fails: k.fails, Slowness: k.slowness, Fault: k.fault, Stops: k.stops, Tell: k.tell, Begun: k.begun, Noted: k.noted,
+		Accelerators: k.accelerators, Bounds: w.bounds, ClockDrift: drift, WarmUp: span, EnforcesCapacity: w.isGuarded(k.pool),
+		ParseTask: k.read, Fails: k.fails, Slowdown: k.slowness, Fault: k.fault, StopDuration: k.stops, OnEvent: k.tell, OnStart: k.begun, OnAcknowledged: k.noted,
 	}, w.gangs)
 	w.Tell(checker.Event{
 		Kind: checker.Up, Who: k.Name(), Cores: k.cores, Memory: k.mem, Accelerators: k.accelerators, Rack: k.rack, Pool: k.pool,
@@ -140,7 +140,7 @@
 func (k *CalledWorker) leave(span eventloop.Micros, isOrderly bool) {
 	if k.isUp && !k.isLeaving {
 		k.isLeaving, k.isOrderly, k.beatAt = true, isOrderly, k.world.Now
-		k.hand.Leave(k.world.Now, span)
+		k.hand.Drain(k.world.Now, span)
 	}
 }
 
@@ -176,10 +176,10 @@
 	if !k.isUp {
 		return
 	}
-	if (k.habits != fakeworker.Habits{} || k.Refusing > 0 || k.Silence > 0) && w.Now >= k.ailedAt+eventloop.Second {
+	if (k.habits != fakeworker.Behaviour{} || k.Refusing > 0 || k.Silence > 0) && w.Now >= k.ailedAt+eventloop.Second {
 		k.ail()
 	}
-	if k.hand.Clock(w.Now) >= k.hand.HeldTo() {
+	if k.hand.Clock(w.Now) >= k.hand.HoldUntil() {
 		k.lapsedAt = w.Now
 	}
 	k.hand.Step(w.Now)
@@ -212,16 +212,16 @@
 		// Nobody acknowledges it; a frozen process finds it when it wakes.
 		k.beatAt = w.Now + 500*eventloop.Millisecond
 		if h.frozen && h.IsUp {
-			beat := k.hand.Beat(w.Now)
+			beat := k.hand.Heartbeat(w.Now)
 			h.do(h.run, func() { h.mail("agent", eventloop.Message{Body: beat}) })
 		}
 		return
 	}
-	h.mail("agent", eventloop.Message{Body: k.hand.Beat(w.Now)})
+	h.mail("agent", eventloop.Message{Body: k.hand.Heartbeat(w.Now)})
 	if k.isLeaving && !k.isLeaveHeard {
 		k.isLeaveHeard = true
 		if k.isOrderly {
-			k.hand.Leave(w.Now, eventloop.Micros(w.bounds.DrainUs)+500*eventloop.Millisecond)
+			k.hand.Drain(w.Now, eventloop.Micros(w.bounds.DrainUs)+500*eventloop.Millisecond)
 		}
 		w.Tell(checker.Event{Kind: checker.Leave, Who: k.Name()})
 	}
@@ -254,7 +254,7 @@
 			w.After(400*eventloop.Millisecond, func() { back(agent.Reply{Number: call.Number, Outcome: agent.TimedOut}) })
 			return
 		}
-		k.hand.Take(w.Now, call, func(reply agent.Reply) {
+		k.hand.HandleCall(w.Now, call, func(reply agent.Reply) {
 			if reply.Outcome == agent.Succeeded {
 				k.heard(reply)
 			}
@@ -271,7 +271,7 @@
 		w.Tell(checker.Event{Kind: checker.Heard, Who: k.Name()})
 	}
 	show := func(task agent.TaskName, attempt uint32, saved string) {
-		run := fakeworker.Run{Task: task, Attempt: attempt}
+		run := fakeworker.RunID{Task: task, Attempt: attempt}
 		if saved != "" && k.kept[run] != saved {
 			k.kept[run] = saved
 			e := k.event(checker.Kept, run)
@@ -297,17 +297,17 @@
 	return of, of.job.Steps[task.StepInRound]
 }
 
-func (k *CalledWorker) read(task agent.TaskName, text string) fakeworker.Need {
+func (k *CalledWorker) read(task agent.TaskName, text string) fakeworker.Requirements {
 	_, step := k.spec(task)
 	if step == nil {
-		return fakeworker.Need{}
+		return fakeworker.Requirements{}
 	}
-	need := fakeworker.Need{
-		Cores: step.CoresMilli, Memory: step.MemoryMb, Accelerators: step.Accelerators, Rack: step.DataRack, IsOneRack: step.OneRack,
-		IsSaving: step.Checkpoints, Work: eventloop.Micros(step.EstimatedRunUs),
+	need := fakeworker.Requirements{
+		Cores: step.CoresMilli, Memory: step.MemoryMb, Accelerators: step.Accelerators, Rack: step.DataRack, NeedsOneRack: step.OneRack,
+		HasCheckpoints: step.Checkpoints, Work: eventloop.Micros(step.EstimatedRunUs),
 	}
 	if step.Gang {
-		need.Members = int(step.Tasks)
+		need.GangSize = int(step.Tasks)
 	}
 	if need.Work == 0 {
 		need.Work = eventloop.Micros(word(text, "run_us", 20_000))
@@ -333,7 +333,7 @@
 
 func (k *CalledWorker) fails(task agent.TaskName, _ uint32) bool {
 	of, _ := k.spec(task)
-	share := k.habits.FailShare
+	share := k.habits.FailureRate
 	if of.job != nil {
 		share = max(share, word(of.job.Text, "fail", 0))
 	}
@@ -341,11 +341,11 @@
 }
 
 func (k *CalledWorker) slowness(now eventloop.Micros) float64 {
-	factor := max(1, k.habits.Slowness)
+	factor := max(1, k.habits.Slowdown)
 	if now < k.cold {
 		factor *= 2
 	}
-	if k.habits.StillRate > 0 && k.rng.Float64() < k.habits.StillRate {
+	if k.habits.StallRate > 0 && k.rng.Float64() < k.habits.StallRate {
 		factor *= stillness
 	}
 	return factor
@@ -354,9 +354,9 @@
 func (k *CalledWorker) fault(eventloop.Micros, agent.Call) fakeworker.Fault {
 	switch {
 	case k.Refusing > 0 && k.rng.Float64() < k.Refusing:
-		return fakeworker.Refused
+		return fakeworker.FaultBusy
 	case k.Silence > 0 && k.rng.Float64() < k.Silence:
-		return []fakeworker.Fault{fakeworker.Lost, fakeworker.Unheard, fakeworker.Belated}[k.rng.IntN(3)]
+		return []fakeworker.Fault{fakeworker.FaultRequestLost, fakeworker.FaultReplyLost, fakeworker.FaultDelayed}[k.rng.IntN(3)]
 	}
 	return fakeworker.NoFault
 }
@@ -368,7 +368,7 @@
 // --- what is told of its runs ---
 
 // event names a run as callers know it.
-func (k *CalledWorker) event(kind string, run fakeworker.Run) checker.Event {
+func (k *CalledWorker) event(kind string, run fakeworker.RunID) checker.Event {
 	of, step := k.spec(run.Task)
 	e := checker.Event{
 		Kind: kind, Who: k.Name(), Queue: of.queue, Name: run.Task.Job, Step: run.Task.StepInRound, Task: run.Task.Task, Attempt: run.Attempt, IsCalled: true,
@@ -381,12 +381,12 @@
 }
 
 func (k *CalledWorker) begun(now eventloop.Micros, call agent.Call, isLate bool) {
-	e := k.event(checker.Begin, fakeworker.Run{Task: call.Task, Attempt: call.Attempt})
+	e := k.event(checker.Begin, fakeworker.RunID{Task: call.Task, Attempt: call.Attempt})
 	e.At, e.Text, e.Saved, e.IsLate = now, call.Text, call.Checkpoint, isLate
 	k.world.Tell(e)
 }
 
-func (k *CalledWorker) tell(now eventloop.Micros, kind string, run fakeworker.Run, how string) {
+func (k *CalledWorker) tell(now eventloop.Micros, kind string, run fakeworker.RunID, how string) {
 	if kind != "end" {
 		return
 	}
@@ -397,7 +397,7 @@
 }
 
 func (k *CalledWorker) noted(now eventloop.Micros, ending agent.EndedTask) {
-	run := fakeworker.Run{Task: ending.Task, Attempt: ending.Attempt}
+	run := fakeworker.RunID{Task: ending.Task, Attempt: ending.Attempt}
 	e := k.event(checker.Noted, run)
 	e.At = now
 	if ended, isThere := k.endedAt[run]; !isThere || k.lapsedAt >= ended {
--- a/internal/sim/people.go
+++ b/internal/sim/people.go
@@ -45,7 +45,7 @@
 	Leave()
 	Cut(isCut bool)
 	Freeze(span eventloop.Micros)
-	Habits() *fakeworker.Habits
+	Habits() *fakeworker.Behaviour
 	Room(cores, memory int64) // that its next life has
 }
 
@@ -56,7 +56,7 @@
 func (k *Worker) Place() string { return k.name }
 
 // Habits are those of this life.
-func (k *Worker) Habits() *fakeworker.Habits { return &k.hand.Habits }
+func (k *Worker) Habits() *fakeworker.Behaviour { return &k.hand.Behaviour }
 
 // Room is what its next life has.
 func (k *Worker) Room(cores, memory int64) { k.cores, k.mem = cores, memory }
@@ -86,7 +86,7 @@
 }
 
 // Leave makes it say that it leaves.
-func (k *Worker) Leave() { k.hand.Leave(k.world.Now) }
+func (k *Worker) Leave() { k.hand.Drain(k.world.Now) }
 
 // Truncate cuts it off from every front, or mends that.
 func (k *Worker) Cut(isCut bool) {
@@ -119,7 +119,7 @@
 	}
 	if !k.frozen {
 		k.hand.Tick(w.Now)
-		if k.hand.Due(w.Now) && k.open < 2 {
+		if k.hand.IsHeartbeatDue(w.Now) && k.open < 2 {
 			k.announce(run)
 		}
 	}
@@ -128,7 +128,7 @@
 
 func (k *Worker) announce(run int) {
 	w := k.world
-	a := k.hand.Announce(w.Now)
+	a := k.hand.NewHeartbeat(w.Now)
 	sent := w.Now
 	k.open++
 	back := func(answer any) {
@@ -139,13 +139,13 @@
 		reply, isReply := answer.(gateway.Response)
 		orders := &schema.WorkerOrders{}
 		if k.frozen || !isReply || reply.Code != 200 || json.Unmarshal(reply.Body, orders) != nil {
-			k.hand.Unanswered(w.Now)
+			k.hand.HandleUnanswered(w.Now)
 			if !k.isStuck {
 				k.front = w.pickFront(k.cell)
 			}
 			return
 		}
-		k.hand.Take(w.Now, sent, a.Seq, orders)
+		k.hand.HandleOrders(w.Now, sent, a.Seq, orders)
 	}
 	if k.isCut {
 		w.After(1200*eventloop.Millisecond, func() { back(nil) })
--- a/internal/sim/scenarios.go
+++ b/internal/sim/scenarios.go
@@ -284,9 +284,9 @@
 	}},
 	{Name: "workers fail, slow down, stand still", Net: CalmNet, Sync: 500, Span: 30 * eventloop.Second, Plan: func(f *Fleet) {
 		f.At(f.Began, func() {
-			f.Workers[0].Habits().FailShare = 0.6
-			f.Workers[1].Habits().Slowness = 5
-			f.Workers[2].Habits().StillRate = 0.1
+			f.Workers[0].Habits().FailureRate = 0.6
+			f.Workers[1].Habits().Slowdown = 5
+			f.Workers[2].Habits().StallRate = 0.1
 		})
 	}},
 	{Name: "worker cut off while its leader dies", Net: CalmNet, Sync: 500, Span: 30 * eventloop.Second, Plan: func(f *Fleet) {
@@ -571,11 +571,11 @@
 		f.At(f.Began+4*eventloop.Second, func() { w(1).Crash(); f.After(9*eventloop.Second, w(1).Start) })
 		f.At(f.Began+6*eventloop.Second, func() { w(2).leave(700*eventloop.Millisecond, false); f.After(4*eventloop.Second, w(2).Start) })
 		f.At(f.Began+12*eventloop.Second, func() { w(3).Leave(); f.After(8*eventloop.Second, w(3).Start) })
-		f.At(f.Began+15*eventloop.Second, func() { w(0).ail(); w(0).habits.FailShare = 0.5; w(2).ail(); w(2).habits.StillRate = 0.2 })
-		f.At(f.Began+22*eventloop.Second, func() { w(1).Sick(0.5, 0); w(3).ail(); w(3).habits.Slowness = 6 })
+		f.At(f.Began+15*eventloop.Second, func() { w(0).ail(); w(0).habits.FailureRate = 0.5; w(2).ail(); w(2).habits.StallRate = 0.2 })
+		f.At(f.Began+22*eventloop.Second, func() { w(1).Sick(0.5, 0); w(3).ail(); w(3).habits.Slowdown = 6 })
 		f.At(f.Began+30*eventloop.Second, func() {
 			for k := range f.Workers {
-				w(k).habits = fakeworker.Habits{}
+				w(k).habits = fakeworker.Behaviour{}
 				w(k).Sick(0, 0)
 			}
 		})
--- a/internal/sim/schedule.go
+++ b/internal/sim/schedule.go
@@ -142,8 +142,8 @@
 		if called, isCalled := w.(*CalledWorker); isCalled {
 			called.ail()
 		}
-		w.Habits().FailShare = 0.6
-		f.After(span, func() { w.Habits().FailShare = 0 })
+		w.Habits().FailureRate = 0.6
+		f.After(span, func() { w.Habits().FailureRate = 0 })
 	}},
 	"late": {"called", false, func(f *Fleet, n string, span eventloop.Micros) {
 		w := f.worker(n).(*CalledWorker)
@@ -158,14 +158,14 @@
 	"still": {"called", false, func(f *Fleet, n string, span eventloop.Micros) {
 		w := f.worker(n).(*CalledWorker)
 		w.ail()
-		w.habits.StillRate = 0.3
-		f.After(span, func() { w.habits.StillRate = 0 })
+		w.habits.StallRate = 0.3
+		f.After(span, func() { w.habits.StallRate = 0 })
 	}},
 	"creep": {"called", false, func(f *Fleet, n string, span eventloop.Micros) {
 		w := f.worker(n).(*CalledWorker)
 		w.ail()
-		w.habits.Slowness = 6
-		f.After(span, func() { w.habits.Slowness = 0 })
+		w.habits.Slowdown = 6
+		f.After(span, func() { w.habits.Slowdown = 0 })
 	}},
 	"hurry": {"called", false, func(f *Fleet, n string, span eventloop.Micros) {
 		w := f.worker(n).(*CalledWorker)
