--- a/cmd/sparnotch-bench/hollow_part.go
+++ b/cmd/sparnotch-bench/hollow_part.go
@@ -80,7 +80,7 @@
 	running atomic.Int64
 	taken   atomic.Uint64
 	refused atomic.Uint64
-	reals   []*process.Real
+	reals   []*process.Node
 	nets    []*transport.Transport
 	lost    []*eventloop.Process
 }
@@ -136,9 +136,9 @@
 	}
 	for _, real := range p.reals {
 		counts := real.Counts()
-		add(counts.Wire)
+		add(counts.Transport)
 		r.StorageBytes, r.Syncs = r.StorageBytes+counts.Storage.Bytes, r.Syncs+counts.Storage.Syncs
-		for _, lost := range counts.Lost {
+		for _, lost := range counts.LostMessages {
 			r.LostMails += lost
 		}
 		if real.Member.HasStorage {
@@ -304,17 +304,17 @@
 		InternalAddress: p.setup.address(host, 7400), HttpAddress: p.setup.address(host, 8400),
 	}
 	book := &membership.AddressBook{}
-	papers := &process.Papers{Member: member, Seeds: p.setup.seeds(), Book: book, Wall: clock.Wall, Seed: seed, Now: clock.Now()}
+	papers := &process.Config{Member: member, Seeds: p.setup.seeds(), AddressBook: book, WallClock: clock.Wall, RandomSeed: seed, Now: clock.Now()}
 	running := eventloop.NewProcess(clock)
 	out := &hollowNet{id: member.Id, book: book, running: running}
 	running.Outbound = out
-	for _, berth := range process.ControllerTables(papers) {
+	for _, berth := range process.ControllerComponents(papers) {
 		// Beyond the controllers wanted, a side is only its agent and the book.
 		if berth.Name == "controller" && p.setup.Controllers > 0 && k >= p.setup.Controllers {
 			running.Add(berth.Name, &hollow.Onlooker{}, hollow.OnlookerPace)
 			continue
 		}
-		running.Add(berth.Name, berth.Table, berth.Pace)
+		running.Add(berth.Name, berth.Component, berth.TickInterval)
 	}
 	name := fmt.Sprintf("w%04d", k)
 	watch := hollow.Watch{
--- a/cmd/sparnotch-bench/report.go
+++ b/cmd/sparnotch-bench/report.go
@@ -111,7 +111,7 @@
 		c := counts[name]
 		if total > 0 {
 			fmt.Printf("%s since its start: %.0f bytes and %.2f syncs an accepted job, %d slots, %d wire messages sent, %d lost\n",
-				name, float64(c.Storage.Bytes)/float64(total), float64(c.Storage.Syncs)/float64(total), c.Storage.Slots, c.Wire.Sent, c.Wire.Lost)
+				name, float64(c.Storage.Bytes)/float64(total), float64(c.Storage.Syncs)/float64(total), c.Storage.Slots, c.Transport.Sent, c.Transport.Lost)
 		}
 	}
 	reportUsage(spent, before, after)
--- a/internal/codesize/codesize_test.go
+++ b/internal/codesize/codesize_test.go
@@ -36,7 +36,7 @@
 	"internal/fakeworker/called.go":                614,
 	"internal/gateway/submissions.go handleSubmit": 71,
 	"internal/gateway/validate.go ValidateJob":     77,
-	"internal/process/real.go StartWith":           79,
+	"internal/process/node.go StartWithStore":      79,
 	"internal/raft/clone.go Fingerprint":           66,
 	"internal/scheduler/pass.go scheduleQueue":     88,
 	"internal/scheduler/pass.go":                   603,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -99,7 +99,7 @@
 		fmt.Println("settings are good")
 		return subcommands.ExitSuccess
 	}
-	return Serve(r.program, options, r.Role, func(node *process.Real, log *zap.Logger) (Server, error) { return httpapi.Serve(node, log) })
+	return Serve(r.program, options, r.Role, func(node *process.Node, log *zap.Logger) (Server, error) { return httpapi.Serve(node, log) })
 }
 
 // Server takes calls from outside on behalf of a process.
@@ -112,7 +112,7 @@
 }
 
 // ServerFactory makes the server of a process that has started.
-type ServerFactory func(real *process.Real, log *zap.Logger) (Server, error)
+type ServerFactory func(real *process.Node, log *zap.Logger) (Server, error)
 
 // Serve runs a process until it fails or has left after a warning; name stands
 // before what goes to standard error. The hands carry calls of a worker.
@@ -141,7 +141,7 @@
 }
 
 func serve(options *schema.Settings, role schema.Role, signals chan os.Signal, log *zap.Logger, ring *logring.Ring, newServer ServerFactory, callers []agent.WorkerClient) error {
-	var opened *process.Opened
+	var opened *process.OpenedStore
 	for {
 		next, err := serveOnce(opened, options, role, signals, log, ring, newServer, callers)
 		if next == nil {
@@ -153,8 +153,8 @@
 
 // serveOnce serves until the process is to end, or to start anew with a store
 // that it couldn't open before.
-func serveOnce(opened *process.Opened, options *schema.Settings, role schema.Role, signals chan os.Signal, log *zap.Logger, ring *logring.Ring, newServer ServerFactory, callers []agent.WorkerClient) (*process.Opened, error) {
-	node, err := process.StartWith(opened, options, role, log, callers...)
+func serveOnce(opened *process.OpenedStore, options *schema.Settings, role schema.Role, signals chan os.Signal, log *zap.Logger, ring *logring.Ring, newServer ServerFactory, callers []agent.WorkerClient) (*process.OpenedStore, error) {
+	node, err := process.StartWithStore(opened, options, role, log, callers...)
 	if err != nil {
 		return nil, err
 	}
@@ -204,7 +204,7 @@
 
 // shutDown: not ready at once, leaders passed on, open requests finished, and out
 // within the limit. A second signal ends it at once.
-func shutDown(node *process.Real, server Server, options *schema.Settings, signals chan os.Signal, log *zap.Logger, ring *logring.Ring) error {
+func shutDown(node *process.Node, server Server, options *schema.Settings, signals chan os.Signal, log *zap.Logger, ring *logring.Ring) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(options.WarnUs)*time.Microsecond)
 	defer cancel()
 	go func() {
@@ -219,11 +219,11 @@
 			}
 		}
 	}()
-	node.Warn()
+	node.StartDraining()
 	server.StartDraining()
 	ticker := time.NewTicker(50 * time.Millisecond)
 	defer ticker.Stop()
-	for node.IsNeeded(ctx) && ctx.Err() == nil {
+	for node.MustStay(ctx) && ctx.Err() == nil {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestStartFailures(t *testing.T) {
-	never := func(*process.Real, *zap.Logger) (Server, error) { panic("it has started") }
+	never := func(*process.Node, *zap.Logger) (Server, error) { panic("it has started") }
 	logFile := filepath.Join(t.TempDir(), "log")
 	options := func(data string) *schema.Settings {
 		return &schema.Settings{Cell: "c", Inner: "127.0.0.1:0", Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}, Trace: logFile}
@@ -96,7 +96,7 @@
 		log, ring := logring.New("")
 		options := &schema.Settings{Cell: "c", Inner: "127.0.0.1:0", Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}, WarnUs: 2_000_000}
 		shutdowns, started, ended := make(chan bool, 4), make(chan bool, 4), make(chan error, 1)
-		newServer := func(node *process.Real, _ *zap.Logger) (Server, error) {
+		newServer := func(node *process.Node, _ *zap.Logger) (Server, error) {
 			started <- node.Member.HasStorage
 			return recordingServer{shutdowns}, nil
 		}
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -137,7 +137,7 @@
 	case *schema.ClusterStateResponse:
 		return []string{Name, "controller"}
 	}
-	return []string{process.Table(schema.Role_ROLE_CONTROLLER, body)}
+	return []string{process.ComponentFor(schema.Role_ROLE_CONTROLLER, body)}
 }
 
 // Onlooker stands where the controller's table would on a side that is none: it
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -45,12 +45,12 @@
 
 // Server serves one process's HTTP.
 type Server struct {
-	node       *process.Real
+	node       *process.Node
 	httpServer *http.Server
 }
 
 // Serve starts listening.
-func Serve(node *process.Real, log *zap.Logger) (*Server, error) {
+func Serve(node *process.Node, log *zap.Logger) (*Server, error) {
 	s := &Server{node: node}
 	app := iris.New()
 	app.Logger().SetLevel("disable")
--- a/internal/process/caller.go
+++ b/internal/process/caller.go
@@ -6,40 +6,40 @@
 )
 
 const (
-	mostCalls = 64 // starts and stops at once
-	mostLooks = 4  // looks wait at the worker, so they have room of their own
+	maxConcurrentCalls = 64 // starts and stops at once
+	maxConcurrentLooks = 4  // looks wait at the worker, so they have room of their own
 )
 
-// callerTable puts each call to a goroutine, for calls may block.
-type callerTable struct {
-	hand         agent.WorkerClient
-	reply        func(agent.Reply)
-	calls, looks chan struct{}
+// workerCaller puts each call to a goroutine, for calls may block.
+type workerCaller struct {
+	caller               agent.WorkerClient
+	reply                func(agent.Reply)
+	callSlots, lookSlots chan struct{}
 }
 
-func newCallerTable(hand agent.WorkerClient, reply func(agent.Reply)) *callerTable {
-	return &callerTable{hand: hand, reply: reply, calls: make(chan struct{}, mostCalls), looks: make(chan struct{}, mostLooks)}
+func newWorkerCaller(caller agent.WorkerClient, reply func(agent.Reply)) *workerCaller {
+	return &workerCaller{caller: caller, reply: reply, callSlots: make(chan struct{}, maxConcurrentCalls), lookSlots: make(chan struct{}, maxConcurrentLooks)}
 }
 
-func (c *callerTable) Step(now eventloop.Micros, mail eventloop.Message, out eventloop.Effects) {
-	call, isCall := mail.Body.(agent.Call)
+func (c *workerCaller) Step(now eventloop.Micros, message eventloop.Message, effects eventloop.Effects) {
+	call, isCall := message.Body.(agent.Call)
 	if !isCall {
 		return
 	}
-	room := c.calls
+	slots := c.callSlots
 	if call.Action == agent.Inspect {
-		room = c.looks
+		slots = c.lookSlots
 	}
 	select {
-	case room <- struct{}{}:
+	case slots <- struct{}{}:
 	default:
 		// Nothing was done, and it may be tried again.
 		go c.reply(agent.Reply{Number: call.Number, Outcome: agent.Busy})
 		return
 	}
 	go func() {
-		defer func() { <-room }()
-		reply := c.hand.Call(call)
+		defer func() { <-slots }()
+		reply := c.caller.Call(call)
 		reply.Number = call.Number
 		c.reply(reply)
 	}()
--- a/internal/process/caller_test.go
+++ b/internal/process/caller_test.go
@@ -11,9 +11,9 @@
 	"sparnotch/internal/schema"
 )
 
-type gate struct{ open, entered chan agent.Call }
+type blockingCaller struct{ open, entered chan agent.Call }
 
-func (g gate) Call(call agent.Call) agent.Reply {
+func (g blockingCaller) Call(call agent.Call) agent.Reply {
 	g.entered <- call
 	<-g.open
 	return agent.Reply{Outcome: agent.Succeeded}
@@ -21,15 +21,15 @@
 
 func TestCaller(t *testing.T) {
 	Convey("Looks that wait take no room from starts, and what finds no room is told as busy", t, func() {
-		g := gate{make(chan agent.Call), make(chan agent.Call, mostCalls+mostLooks)}
-		replies := make(chan agent.Reply, 2*mostCalls)
-		table := newCallerTable(g, func(reply agent.Reply) { replies <- reply })
+		g := blockingCaller{make(chan agent.Call), make(chan agent.Call, maxConcurrentCalls+maxConcurrentLooks)}
+		replies := make(chan agent.Reply, 2*maxConcurrentCalls)
+		table := newWorkerCaller(g, func(reply agent.Reply) { replies <- reply })
 		number := uint64(0)
 		call := func(act agent.Action) {
 			number++
 			table.Step(0, eventloop.Message{Body: agent.Call{Number: number, Action: act}}, nil)
 		}
-		for k := 0; k < mostLooks; k++ {
+		for k := 0; k < maxConcurrentLooks; k++ {
 			call(agent.Inspect)
 			<-g.entered
 		}
@@ -37,7 +37,7 @@
 		So(<-replies, ShouldResemble, agent.Reply{Number: number, Outcome: agent.Busy})
 		call(agent.Start)
 		So((<-g.entered).Number, ShouldEqual, number)
-		for k := 1; k < mostCalls; k++ {
+		for k := 1; k < maxConcurrentCalls; k++ {
 			call(agent.Stop)
 			<-g.entered
 		}
@@ -45,12 +45,12 @@
 		So((<-replies).Outcome, ShouldEqual, agent.Busy)
 		close(g.open)
 		seen := map[uint64]bool{}
-		for k := 0; k < mostCalls+mostLooks; k++ {
+		for k := 0; k < maxConcurrentCalls+maxConcurrentLooks; k++ {
 			reply := <-replies
 			So(reply.Outcome, ShouldEqual, agent.Succeeded)
 			seen[reply.Number] = true
 		}
-		So(seen, ShouldHaveLength, mostCalls+mostLooks)
+		So(seen, ShouldHaveLength, maxConcurrentCalls+maxConcurrentLooks)
 	})
 	Convey("A side process has an agent only where there is somebody to call with", t, func() {
 		options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
@@ -58,14 +58,14 @@
 		So(err, ShouldBeNil)
 		So(without.ReportHeartbeat(agent.Heartbeat{Worker: "w", Number: 1}), ShouldBeFalse)
 		without.Stop()
-		with, err := Start(options, schema.Role_ROLE_CONTROLLER, zap.NewNop(), gate{})
+		with, err := Start(options, schema.Role_ROLE_CONTROLLER, zap.NewNop(), blockingCaller{})
 		So(err, ShouldBeNil)
 		So(with.ReportHeartbeat(agent.Heartbeat{Worker: "w", Number: 1}), ShouldBeTrue)
 		So(with.ReportDeparture(agent.Departed{Worker: "w"}), ShouldBeTrue)
 		with.Stop()
 	})
 	Convey("Answers of schedulers go to the agent of a side process, and to the gateway of a front", t, func() {
-		So(Table(schema.Role_ROLE_CONTROLLER, &schema.WorkerPollResponse{}), ShouldEqual, "agent")
-		So(Table(schema.Role_ROLE_SERVER, &schema.WorkerPollResponse{}), ShouldEqual, "gateway")
+		So(ComponentFor(schema.Role_ROLE_CONTROLLER, &schema.WorkerPollResponse{}), ShouldEqual, "agent")
+		So(ComponentFor(schema.Role_ROLE_SERVER, &schema.WorkerPollResponse{}), ShouldEqual, "gateway")
 	})
 }
--- a/internal/process/identity_test.go
+++ b/internal/process/identity_test.go
@@ -11,15 +11,15 @@
 	"sparnotch/internal/schema"
 )
 
-func TestAWipedDiskIsAnotherMember(t *testing.T) {
+func TestWipedDiskGetsNewIdentity(t *testing.T) {
 	Convey("A store keeps its identity with its disk, and never without", t, func() {
 		folder, inner := t.TempDir(), freePort(t)
 		identity := func() string {
 			options := &schema.Settings{Cell: "c", Inner: inner, Outer: "127.0.0.1:1", Data: folder, Seeds: []string{"127.0.0.1:1"}}
-			real, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
+			node, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 			So(err, ShouldBeNil)
-			defer real.Stop()
-			return real.Member.Id
+			defer node.Stop()
+			return node.Member.Id
 		}
 		first := identity()
 		So(identity(), ShouldEqual, first)
--- a/internal/process/lives_test.go
+++ b/internal/process/late_replies_test.go
@@ -15,37 +15,37 @@
 	"sparnotch/internal/transport"
 )
 
-// pending is an request that a process waits for the answer of.
-type pending struct {
-	number uint64
-	answer chan any
+// pendingCall is an request that a process waits for the answer of.
+type pendingCall struct {
+	requestID uint64
+	answer    chan any
 }
 
-func ask(ctx context.Context, real *Real) pending {
+func requestPlan(ctx context.Context, node *Node) pendingCall {
 	numbers, answer := make(chan uint64, 1), make(chan any, 1)
 	go func() {
-		answer <- real.Call(ctx, "gateway", 30*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
+		answer <- node.Call(ctx, "gateway", 30*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
 			numbers <- request
 			return gateway.LeaderRequest{RequestID: request, Kind: "plan", Group: clusterstate.Group, Deadline: deadline}
 		})
 	}()
-	return pending{<-numbers, answer}
+	return pendingCall{<-numbers, answer}
 }
 
-func TestNumbersAcrossLives(t *testing.T) {
+func TestRepliesToFormerIncarnation(t *testing.T) {
 	Convey("An answer to an request of a former life answers none of the present one", t, func() {
 		data := t.TempDir()
-		begin := func() *Real {
+		startNode := func() *Node {
 			options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
-			real, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
+			node, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 			So(err, ShouldBeNil)
-			return real
+			return node
 		}
-		former := begin()
+		former := startNode()
 		ctx, giveUp := context.WithCancel(context.Background())
-		id, lost := former.Member.Id, ask(ctx, former)
+		id, abandoned := former.Member.Id, requestPlan(ctx, former)
 		former.Stop()
-		present := begin()
+		present := startNode()
 		other, err := transport.Listen(transport.Identity{ID: "other"}, "127.0.0.1:0", func(string, any) {})
 		So(err, ShouldBeNil)
 		Reset(func() { giveUp(); other.Close(); present.Stop() })
@@ -56,14 +56,14 @@
 		// The late ones come first each time. The request may not be in hand yet, so
 		// all are told until it is answered; a second answer is one to the request
 		// before, for one to this could be the first that finds it in hand.
-		last := lost.number
+		last := abandoned.requestID
 		for range 3 {
-			open := ask(ctx, present)
-			So(open.number, ShouldBeGreaterThan, last)
+			open := requestPlan(ctx, present)
+			So(open.requestID, ShouldBeGreaterThan, last)
 			for answer := any(nil); answer == nil; {
-				reply(lost.number, "for the former life")
+				reply(abandoned.requestID, "for the former life")
 				reply(last, "a second answer")
-				reply(open.number, "for the present one")
+				reply(open.requestID, "for the present one")
 				select {
 				case answer = <-open.answer:
 					So(string(answer.(gateway.Response).Body), ShouldEqual, "for the present one")
@@ -71,7 +71,7 @@
 					runtime.Gosched()
 				}
 			}
-			last = open.number
+			last = open.requestID
 		}
 	})
 }
--- a/internal/process/real_test.go
+++ b/internal/process/node_test.go
@@ -21,7 +21,7 @@
 	return listener.Addr().String()
 }
 
-func TestStartingUnderFire(t *testing.T) {
+func TestStartUnderTraffic(t *testing.T) {
 	Convey("A process that starts while others already send to it takes what comes, and stops cleanly", t, func() {
 		inner := freePort(t)
 		other, err := transport.Listen(transport.Identity{ID: "other"}, "127.0.0.1:0", func(string, any) {})
@@ -41,13 +41,13 @@
 		}()
 		for k := 0; k < 15; k++ {
 			options := &schema.Settings{Cell: "c", Inner: inner, Outer: "127.0.0.1:1", Data: t.TempDir(), Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
-			real, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
+			node, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 			So(err, ShouldBeNil)
-			for real.Counts().Wire.Received < 50 {
+			for node.Counts().Transport.Received < 50 {
 				runtime.Gosched()
 			}
-			So(real.Counts().Wire.Garbage, ShouldEqual, 0)
-			real.Stop()
+			So(node.Counts().Transport.Garbage, ShouldEqual, 0)
+			node.Stop()
 		}
 		close(stop)
 		<-stopped
--- a/internal/process/numbers_test.go
+++ b/internal/process/request_ids_test.go
@@ -12,18 +12,18 @@
 	"sparnotch/internal/schema"
 )
 
-func TestRequestNumbersOfLives(t *testing.T) {
+func TestRequestIDsAcrossIncarnations(t *testing.T) {
 	Convey("A life of a process uses none of the request numbers of an earlier one, whose answers may still come", t, func() {
 		data, inner := t.TempDir(), freePort(t)
 		number := func() uint64 {
 			options := &schema.Settings{Cell: "c", Inner: inner, Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
-			real, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
+			node, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 			So(err, ShouldBeNil)
-			defer real.Stop()
+			defer node.Stop()
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
 			var given uint64
-			real.Call(ctx, "gateway", eventloop.Second, func(id uint64, _ eventloop.Micros) any {
+			node.Call(ctx, "gateway", eventloop.Second, func(id uint64, _ eventloop.Micros) any {
 				given = id
 				return gateway.ForgetRequest{RequestID: id}
 			})
--- a/internal/process/store.go
+++ b/internal/process/store.go
@@ -18,16 +18,16 @@
 // store is back long before its groups have done without it, long enough that a
 // disk in trouble isn't kept busy.
 const (
-	againLeast = 50 * time.Millisecond
-	againMost  = 400 * time.Millisecond
+	minWriteRetryDelay = 50 * time.Millisecond
+	maxWriteRetryDelay = 400 * time.Millisecond
 )
 
-// openSpan is how long a start waits for a disk that doesn't answer. Until then
+// openTimeout is how long a start waits for a disk that doesn't answer. Until then
 // waiting costs less than starting twice.
-const openSpan = 5 * time.Second
+const openTimeout = 5 * time.Second
 
-// Opened is a data folder whose store has taken this start's number.
-type Opened struct {
+// OpenedStore is a data folder whose store has taken this start's number.
+type OpenedStore struct {
 	folder *storage.Dir
 	store  *storage.Store
 	self   *schema.StoreIdentity
@@ -35,12 +35,12 @@
 
 // openStore opens the data folder. A damaged store never comes back under its
 // old id: it is put aside, the process says so, and goes on as a new member.
-func openStore(path string, log *zap.Logger) (*Opened, error) {
+func openStore(path string, log *zap.Logger) (*OpenedStore, error) {
 	folder, err := storage.OpenDir(path)
 	if err != nil {
 		return nil, err
 	}
-	opened, err := openFolder(folder, log)
+	opened, err := openStoreIn(folder, log)
 	if err != nil {
 		folder.Close()
 		return nil, err
@@ -48,11 +48,11 @@
 	return opened, nil
 }
 
-func openFolder(folder *storage.Dir, log *zap.Logger) (*Opened, error) {
+func openStoreIn(folder *storage.Dir, log *zap.Logger) (*OpenedStore, error) {
 	store, err := storage.Open(folder)
 	if storage.IsCorrupted(err) {
 		log.Error("the store is damaged; it is put aside and this machine comes back as a new member", zap.Error(err))
-		if err := folder.Quarantine("damaged-" + newId()); err != nil {
+		if err := folder.Quarantine("damaged-" + newID()); err != nil {
 			return nil, err
 		}
 		store, err = storage.Open(folder)
@@ -62,100 +62,100 @@
 	}
 	self := proto.Clone(store.State().Identity).(*schema.StoreIdentity)
 	if self.Id == "" {
-		self.Id = newId()
+		self.Id = newID()
 	}
 	self.Starts++
 	// Nothing is told under a number of starts that could be given out again.
 	if err := store.Commit([]*schema.StoreChange{{Identity: self}}); err != nil {
 		return nil, err
 	}
-	return &Opened{folder: folder, store: store, self: self}, nil
+	return &OpenedStore{folder: folder, store: store, self: self}, nil
 }
 
 // Close lets the folder go.
-func (o *Opened) Close() {
+func (o *OpenedStore) Close() {
 	if o != nil {
 		o.folder.Close()
 	}
 }
 
-// opening is an attempt to open a store that is under way; a disk that doesn't
+// openAttempt is an attempt to open a store that is under way; a disk that doesn't
 // answer may keep it so for long.
-type opening chan openingResult
+type openAttempt chan openResult
 
-type openingResult struct {
-	opened *Opened
+type openResult struct {
+	opened *OpenedStore
 	err    error
 }
 
-func startOpening(path string, log *zap.Logger) opening {
-	attempt := make(opening, 1)
+func startOpenAttempt(path string, log *zap.Logger) openAttempt {
+	attempt := make(openAttempt, 1)
 	go func() {
 		opened, err := openStore(path, log)
-		attempt <- openingResult{opened, err}
+		attempt <- openResult{opened, err}
 	}()
 	return attempt
 }
 
-// takeStore makes this process the one of the store, opened here or before. A
+// attachStore makes this process the one of the store, opened here or before. A
 // disk that refuses or doesn't answer is no reason to end or to wait: the process
 // starts as a front without a store, and Reopened tells when there is one.
-func (r *Real) takeStore(opened *Opened, patience time.Duration) error {
+func (n *Node) attachStore(opened *OpenedStore, timeout time.Duration) error {
 	if opened == nil {
-		attempt := startOpening(r.Options.Data, r.log)
+		attempt := startOpenAttempt(n.Options.Data, n.log)
 		select {
 		case result := <-attempt:
 			if storage.IsDirRejected(result.err) {
 				return result.err
 			}
 			if result.err != nil {
-				r.log.Error("the store can't be opened; this process starts as a front without one", zap.Error(result.err))
-				r.awaited = startOpening(r.Options.Data, r.log)
+				n.log.Error("the store can't be opened; this process starts as a front without one", zap.Error(result.err))
+				n.pendingOpen = startOpenAttempt(n.Options.Data, n.log)
 				return nil
 			}
 			opened = result.opened
-		case <-time.After(patience):
-			r.log.Error("the disk doesn't answer; this process starts as a front without a store")
-			r.awaited = attempt
+		case <-time.After(timeout):
+			n.log.Error("the disk doesn't answer; this process starts as a front without a store")
+			n.pendingOpen = attempt
 			return nil
 		}
 	}
-	r.opened, r.store = opened, opened.store
-	r.Member.Id, r.Member.Incarnation, r.Member.HasStorage = opened.self.Id, opened.self.Starts, true
+	n.openedStore, n.store = opened, opened.store
+	n.Member.Id, n.Member.Incarnation, n.Member.HasStorage = opened.self.Id, opened.self.Starts, true
 	return nil
 }
 
-// awaitStore tries to open the data folder until it can be written to.
-func (r *Real) awaitStore(ctx context.Context) {
-	attempt := r.awaited
-	for pause := againLeast; ; pause = min(2*pause, againMost) {
+// retryOpen tries to open the data folder until it can be written to.
+func (n *Node) retryOpen(ctx context.Context) {
+	attempt := n.pendingOpen
+	for delay := minWriteRetryDelay; ; delay = min(2*delay, maxWriteRetryDelay) {
 		select {
 		case result := <-attempt:
 			if result.err == nil {
-				r.handOver(ctx, result.opened)
+				n.publishStore(ctx, result.opened)
 				return
 			}
 		case <-ctx.Done():
 			return
 		}
-		if !sleep(ctx, pause) {
+		if !sleep(ctx, delay) {
 			return
 		}
-		attempt = startOpening(r.Options.Data, r.log)
+		attempt = startOpenAttempt(n.Options.Data, n.log)
 	}
 }
 
-// handOver gives an opened store to whoever starts the process anew with it.
-func (r *Real) handOver(ctx context.Context, opened *Opened) {
+// publishStore gives an opened store to whoever starts the process anew with it.
+func (n *Node) publishStore(ctx context.Context, opened *OpenedStore) {
 	select {
-	case r.Reopened <- opened:
+	case n.Reopened <- opened:
 	case <-ctx.Done():
 		opened.Close()
 	}
 }
 
-func sleep(ctx context.Context, span time.Duration) bool {
-	timer := time.NewTimer(span)
+func sleep(ctx context.Context, delay time.Duration) bool {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -167,64 +167,64 @@
 
 // commit writes a batch, again and again until it lasts: the replicas' table has
 // gone on from it in memory, and tells nothing that rests on it before.
-func (r *Real) commit(ctx context.Context, batch replica.Batch) {
-	began := r.Clock.Now()
-	r.syncing.Store(int64(began))
-	err := r.store.Commit(batch.Changes)
+func (n *Node) commit(ctx context.Context, batch replica.Batch) {
+	startedAt := n.Clock.Now()
+	n.syncStartedAt.Store(int64(startedAt))
+	err := n.store.Commit(batch.Changes)
 	if err != nil {
-		r.refuse(batch, err)
-		for pause := againLeast; err != nil; pause = min(2*pause, againMost) {
-			if !sleep(ctx, pause) {
+		n.reportRefusedWrite(batch, err)
+		for delay := minWriteRetryDelay; err != nil; delay = min(2*delay, maxWriteRetryDelay) {
+			if !sleep(ctx, delay) {
 				return
 			}
-			err = r.store.Commit(batch.Changes)
+			err = n.store.Commit(batch.Changes)
 		}
-		r.isRefused.Store(false)
-		r.log.Warn("the store takes writes again", zap.Duration("after", (r.Clock.Now()-began).Duration()))
-		r.tellLatency()
+		n.storeRefuses.Store(false)
+		n.log.Warn("the store takes writes again", zap.Duration("after", (n.Clock.Now()-startedAt).Duration()))
+		n.reportLatency()
 	}
-	if least := time.Duration(r.Options.TestSyncUs) * time.Microsecond; least > 0 {
-		if spent := (r.Clock.Now() - began).Duration(); spent < least {
-			<-time.After(least - spent)
+	if minDuration := time.Duration(n.Options.TestSyncUs) * time.Microsecond; minDuration > 0 {
+		if elapsed := (n.Clock.Now() - startedAt).Duration(); elapsed < minDuration {
+			<-time.After(minDuration - elapsed)
 		}
 	}
-	r.syncing.Store(0)
-	if took := int64(r.Clock.Now() - began); took > r.worst.Load() {
-		r.worst.Store(took)
+	n.syncStartedAt.Store(0)
+	if duration := int64(n.Clock.Now() - startedAt); duration > n.worstSync.Load() {
+		n.worstSync.Store(duration)
 	}
-	counts := r.store.Stats()
-	r.stats.Store(&counts)
-	r.process.PostWait("replica", eventloop.Message{Body: replica.Written{Number: batch.Number}})
+	counts := n.store.Stats()
+	n.storageCounts.Store(&counts)
+	n.components.PostWait("replica", eventloop.Message{Body: replica.Written{Number: batch.Number}})
 }
 
-// refuse tells the replicas and the book that the store takes no writes.
-func (r *Real) refuse(batch replica.Batch, err error) {
-	r.log.Error("the store takes no writes: what is led here goes to others, and nothing is confirmed or voted for", zap.Error(err))
-	r.isRefused.Store(true)
-	r.process.PostWait("replica", eventloop.Message{Body: replica.WriteFailed{Number: batch.Number, Reason: err.Error()}})
-	r.tellLatency()
+// reportRefusedWrite tells the replicas and the book that the store takes no writes.
+func (n *Node) reportRefusedWrite(batch replica.Batch, err error) {
+	n.log.Error("the store takes no writes: what is led here goes to others, and nothing is confirmed or voted for", zap.Error(err))
+	n.storeRefuses.Store(true)
+	n.components.PostWait("replica", eventloop.Message{Body: replica.WriteFailed{Number: batch.Number, Reason: err.Error()}})
+	n.reportLatency()
 }
 
-// HangSpan is how long a sync may be out until the disk counts as one that
+// DiskHangTimeout is how long a sync may be out until the disk counts as one that
 // refuses: far longer than any disk in order takes, and well after a leader has
 // handed over because of it.
-const HangSpan = 2 * eventloop.Second
+const DiskHangTimeout = 2 * eventloop.Second
 
-// isHanging tells whether the disk hasn't answered for long.
-func (r *Real) isHanging() bool {
-	began := r.syncing.Load()
-	return began > 0 && r.Clock.Now()-eventloop.Micros(began) > HangSpan
+// isDiskHung tells whether the disk hasn't answered for long.
+func (n *Node) isDiskHung() bool {
+	startedAt := n.syncStartedAt.Load()
+	return startedAt > 0 && n.Clock.Now()-eventloop.Micros(startedAt) > DiskHangTimeout
 }
 
-// tellLatency tells the book of this process's worst recent delay.
-func (r *Real) tellLatency() {
-	worst := max(r.process.TickLatency(), eventloop.Micros(r.worst.Load()))
+// reportLatency tells the book of this process's worst recent delay.
+func (n *Node) reportLatency() {
+	worst := max(n.components.TickLatency(), eventloop.Micros(n.worstSync.Load()))
 	// A sync that hasn't come back yet counts as long as it lasts.
-	if began := r.syncing.Load(); began > 0 {
-		worst = max(worst, r.Clock.Now()-eventloop.Micros(began))
+	if startedAt := n.syncStartedAt.Load(); startedAt > 0 {
+		worst = max(worst, n.Clock.Now()-eventloop.Micros(startedAt))
 	}
-	if r.isRefused.Load() || r.isHanging() {
+	if n.storeRefuses.Load() || n.isDiskHung() {
 		worst = membership.WritesRefusedLatency
 	}
-	r.process.Post("membership", eventloop.Message{Body: membership.LatencyReport{Max: worst}})
+	n.components.Post("membership", eventloop.Message{Body: membership.LatencyReport{Max: worst}})
 }
--- a/internal/process/store_test.go
+++ b/internal/process/store_test.go
@@ -19,44 +19,46 @@
 	"sparnotch/internal/storage"
 )
 
-// brokenDisk is a folder whose writes fail while it is told so.
-type brokenDisk struct {
+// failingDisk is a folder whose writes fail while it is told so.
+type failingDisk struct {
 	*storage.Dir
-	broken chan bool // holds something while writes fail
+	failing chan bool // holds something while writes fail
 }
 
-var errBroken = errors.New("no room")
+var errDiskFull = errors.New("no room")
 
-func (d *brokenDisk) Write(name string, offset int64, data []byte) error {
-	if len(d.broken) > 0 {
-		return errBroken
+func (d *failingDisk) Write(name string, offset int64, data []byte) error {
+	if len(d.failing) > 0 {
+		return errDiskFull
 	}
 	return d.Dir.Write(name, offset, data)
 }
 
-// ear is a table that passes on what it is told.
-type ear chan any
+// recorder is a table that passes on what it is told.
+type recorder chan any
 
-func (e ear) Step(_ eventloop.Micros, mail eventloop.Message, _ eventloop.Effects) { e <- mail.Body }
+func (e recorder) Step(_ eventloop.Micros, mail eventloop.Message, _ eventloop.Effects) {
+	e <- mail.Body
+}
 
-func TestCommitGoesOn(t *testing.T) {
+func TestCommitRetries(t *testing.T) {
 	Convey("A store that refuses is told of at once, and its batch once it lasts", t, func() {
 		folder, err := storage.OpenDir(t.TempDir())
 		So(err, ShouldBeNil)
 		Reset(folder.Close)
-		disk := &brokenDisk{folder, make(chan bool, 1)}
+		disk := &failingDisk{folder, make(chan bool, 1)}
 		store, err := storage.Open(disk)
 		So(err, ShouldBeNil)
-		r := &Real{Options: &schema.Settings{}, Clock: eventloop.RealClock(), log: zap.NewNop(), store: store, Failed: make(chan error, 1)}
-		r.process = eventloop.NewProcess(r.Clock)
-		replicas, book := make(ear, 8), make(ear, 8)
-		r.process.Add("replica", replicas, 0)
-		r.process.Add("membership", book, 0)
+		r := &Node{Options: &schema.Settings{}, Clock: eventloop.RealClock(), log: zap.NewNop(), store: store, Failed: make(chan error, 1)}
+		r.components = eventloop.NewProcess(r.Clock)
+		replicas, book := make(recorder, 8), make(recorder, 8)
+		r.components.Add("replica", replicas, 0)
+		r.components.Add("membership", book, 0)
 		ctx, cancel := context.WithCancel(context.Background())
 		Reset(cancel)
-		r.process.Run(ctx)
+		r.components.Run(ctx)
 
-		disk.broken <- true
+		disk.failing <- true
 		done := make(chan bool)
 		go func() {
 			r.commit(ctx, replica.Batch{Number: 7, Changes: []*schema.StoreChange{{Identity: &schema.StoreIdentity{Id: "x"}}}})
@@ -67,7 +69,7 @@
 		So(refused.Number, ShouldEqual, 7)
 		So(refused.Reason, ShouldContainSubstring, "no room")
 		So((<-book).(membership.LatencyReport).Max, ShouldEqual, membership.WritesRefusedLatency)
-		<-disk.broken
+		<-disk.failing
 		<-done
 		So((<-replicas).(replica.Written).Number, ShouldEqual, 7)
 		So((<-book).(membership.LatencyReport).Max, ShouldBeLessThan, membership.WritesRefusedLatency)
@@ -76,7 +78,7 @@
 	})
 }
 
-func TestStartWithoutAStore(t *testing.T) {
+func TestStartWithoutStore(t *testing.T) {
 	Convey("A process whose disk refuses at its start is a front, and gets its store when there is one", t, func() {
 		data := t.TempDir()
 		// What can't be read as a file stands for a disk that fails.
@@ -89,7 +91,7 @@
 		So(os.Remove(obstacle), ShouldBeNil)
 		opened := <-first.Reopened
 		first.Stop()
-		second, err := StartWith(opened, options, schema.Role_ROLE_SERVER, zap.NewNop())
+		second, err := StartWithStore(opened, options, schema.Role_ROLE_SERVER, zap.NewNop())
 		So(err, ShouldBeNil)
 		So(second.Member.HasStorage, ShouldBeTrue)
 		So(second.Member.Incarnation, ShouldEqual, 1)
@@ -107,18 +109,18 @@
 		pipe := filepath.Join(data, "slot-0")
 		So(syscall.Mkfifo(pipe, 0o600), ShouldBeNil)
 		options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}}
-		first := &Real{Options: options, Member: &schema.Member{}, log: zap.NewNop(), Reopened: make(chan *Opened)}
-		So(first.takeStore(nil, time.Millisecond), ShouldBeNil)
+		first := &Node{Options: options, Member: &schema.Member{}, log: zap.NewNop(), Reopened: make(chan *OpenedStore)}
+		So(first.attachStore(nil, time.Millisecond), ShouldBeNil)
 		So(first.Member.HasStorage, ShouldBeFalse)
 		ctx, cancel := context.WithCancel(context.Background())
 		Reset(cancel)
-		go first.awaitStore(ctx)
+		go first.retryOpen(ctx)
 		writer, err := os.OpenFile(pipe, os.O_WRONLY, 0)
 		So(err, ShouldBeNil)
 		So(os.Remove(pipe), ShouldBeNil)
 		So(writer.Close(), ShouldBeNil)
 		opened := <-first.Reopened
-		second, err := StartWith(opened, options, schema.Role_ROLE_SERVER, zap.NewNop())
+		second, err := StartWithStore(opened, options, schema.Role_ROLE_SERVER, zap.NewNop())
 		So(err, ShouldBeNil)
 		So(second.Member.HasStorage, ShouldBeTrue)
 		second.Stop()
--- a/internal/sim/disk_scenarios.go
+++ b/internal/sim/disk_scenarios.go
@@ -163,7 +163,7 @@
 		})
 	}, After: turnedAway},
 	{Name: "most disks hang", Net: CalmNet, Sync: 500, Span: 25 * eventloop.Second, Plan: func(f *Fleet) {
-		f.At(f.Began+4*eventloop.Second, func() { mostHang(f, process.HangSpan+fullSpan) })
+		f.At(f.Began+4*eventloop.Second, func() { mostHang(f, process.DiskHangTimeout+fullSpan) })
 	}, After: turnedAway},
 	{Name: "every disk is full at once, rough net", Net: RoughNet, Sync: 5 * eventloop.Millisecond, Span: 30 * eventloop.Second, Plan: func(f *Fleet) {
 		f.At(f.Began+4*eventloop.Second, func() {
@@ -194,7 +194,7 @@
 		h.Stall = f.Now + span
 	}
 	// They are known to once they have for so long.
-	f.refusals = append(f.refusals, f.Now+process.HangSpan)
+	f.refusals = append(f.refusals, f.Now+process.DiskHangTimeout)
 }
 
 // turnedAway: while nothing can be confirmed, who hands in is told so at once,
--- a/internal/sim/members_test.go
+++ b/internal/sim/members_test.go
@@ -73,13 +73,13 @@
 
 // told gives a machine the settings of its deployment.
 func (c *core) told(h *Host, isFirst bool) {
-	h.Also = func(papers *process.Papers, _ []process.Berth) []process.Berth {
-		papers.First, papers.Losses = isFirst && h.run == 1, uint32(c.losses)
-		papers.Zones, papers.Regions, papers.RegionOf = uint32(c.tolerance.Zones), uint32(c.tolerance.Regions), c.tolerance.RegionByZone
+	h.Also = func(papers *process.Config, _ []process.ComponentSlot) []process.ComponentSlot {
+		papers.Bootstrap, papers.MachineFailures = isFirst && h.run == 1, uint32(c.losses)
+		papers.ZoneFailures, papers.RegionFailures, papers.RegionByZone = uint32(c.tolerance.Zones), uint32(c.tolerance.Regions), c.tolerance.RegionByZone
 		if h.Role == schema.Role_ROLE_CONTROLLER {
-			return process.ControllerTables(papers)
+			return process.ControllerComponents(papers)
 		}
-		return process.ServerTables(papers)
+		return process.ServerComponents(papers)
 	}
 }
 
--- a/internal/sim/sweep.go
+++ b/internal/sim/sweep.go
@@ -164,7 +164,7 @@
 		rack := k / s.PerRack
 		h := r.AddHost(fmt.Sprintf("side%d", k), r.cell(rack), schema.Role_ROLE_CONTROLLER, false)
 		h.Routes = hollow.Routes
-		h.Also = func(papers *process.Papers, berths []process.Berth) []process.Berth {
+		h.Also = func(papers *process.Config, berths []process.ComponentSlot) []process.ComponentSlot {
 			return r.side(h, k, rack, papers, berths)
 		}
 	}
@@ -174,10 +174,10 @@
 	}
 }
 
-func (r *hollowRun) side(h *Host, k, rack int, papers *process.Papers, berths []process.Berth) []process.Berth {
+func (r *hollowRun) side(h *Host, k, rack int, papers *process.Config, berths []process.ComponentSlot) []process.ComponentSlot {
 	for at := range berths {
 		if berths[at].Name == "controller" && r.setup.Controllers > 0 && k >= r.setup.Controllers {
-			berths[at] = process.Berth{Name: "controller", Table: &hollow.Onlooker{}, Pace: hollow.OnlookerPace}
+			berths[at] = process.ComponentSlot{Name: "controller", Component: &hollow.Onlooker{}, TickInterval: hollow.OnlookerPace}
 		}
 	}
 	watch := hollow.Watch{
@@ -188,8 +188,8 @@
 		},
 	}
 	hand := hollow.New(papers.Now, fmt.Sprintf("w%04d", k), fmt.Sprintf("r%d", rack), hollow.Room{Cores: 64_000, Memory: 128_000},
-		uint64(r.Now), rand.New(rand.NewPCG(papers.Seed, 9)), watch)
-	return append(berths, process.Berth{Name: hollow.Name, Table: hand, Pace: hollow.Pace})
+		uint64(r.Now), rand.New(rand.NewPCG(papers.RandomSeed, 9)), watch)
+	return append(berths, process.ComponentSlot{Name: hollow.Name, Component: hand, TickInterval: hollow.Pace})
 }
 
 func (r *hollowRun) tap(from, to *Host, body any) {
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -141,8 +141,8 @@
 	worst     eventloop.Micros // recent worst sync, decayed
 	writing   replica.Batch
 	Member    *schema.Member
-	Also      func(papers *process.Papers, berths []process.Berth) []process.Berth // changes what its process is made of
-	Routes    func(body any) []string                                              // and where its messages go
+	Also      func(papers *process.Config, berths []process.ComponentSlot) []process.ComponentSlot // changes what its process is made of
+	Routes    func(body any) []string                                                              // and where its messages go
 
 	resetUntil eventloop.Micros // half of what it sends or gets until then is lost
 }
@@ -255,20 +255,20 @@
 	if seeds == nil {
 		seeds = w.seeds
 	}
-	papers := &process.Papers{Member: h.Member, Seeds: seeds, Book: h.book, Seed: w.Rng.Uint64(), Now: h.now()}
-	papers.Bounds, papers.Calls = w.bounds, h.Role == schema.Role_ROLE_CONTROLLER && w.called[h.place()] != nil
-	papers.Wall = func() int64 { return wallZero + int64(w.Now) + h.WallOff }
+	papers := &process.Config{Member: h.Member, Seeds: seeds, AddressBook: h.book, RandomSeed: w.Rng.Uint64(), Now: h.now()}
+	papers.Bounds, papers.CallsWorker = w.bounds, h.Role == schema.Role_ROLE_CONTROLLER && w.called[h.place()] != nil
+	papers.WallClock = func() int64 { return wallZero + int64(w.Now) + h.WallOff }
 	if h.Disk != nil {
 		if h.openStore() {
-			papers.Store = h.store.State()
+			papers.Storage = h.store.State()
 		} else {
 			h.awaitStore(h.run)
 		}
 	}
 	h.Id = h.Member.Id
-	berths := process.ControllerTables(papers)
+	berths := process.ControllerComponents(papers)
 	if h.Role == schema.Role_ROLE_SERVER {
-		berths = process.ServerTables(papers)
+		berths = process.ServerComponents(papers)
 	}
 	if h.Also != nil {
 		berths = h.Also(papers, berths)
@@ -277,8 +277,8 @@
 	h.worst = 0
 	h.noteLatency(h.run)
 	for _, berth := range berths {
-		h.tables[berth.Name] = berth.Table
-		h.pace(berth.Name, berth.Pace, eventloop.Micros(w.Rng.Int64N(int64(berth.Pace))))
+		h.tables[berth.Name] = berth.Component
+		h.pace(berth.Name, berth.TickInterval, eventloop.Micros(w.Rng.Int64N(int64(berth.TickInterval))))
 	}
 	w.reckon()
 	if h.Role == schema.Role_ROLE_SERVER && !h.isWatched {
@@ -295,7 +295,7 @@
 	}
 	worst := h.worst
 	switch {
-	case h.isRefused || h.isWrite && h.world.Now-h.began > process.HangSpan:
+	case h.isRefused || h.isWrite && h.world.Now-h.began > process.DiskHangTimeout:
 		worst = membership.WritesRefusedLatency
 	case h.isWrite:
 		worst = max(worst, h.world.Now-h.began)
@@ -478,7 +478,7 @@
 func (o *outlet) Send(to string, body any) {
 	h := o.host
 	if to == h.Id {
-		h.mail(process.Table(h.Role, body), eventloop.Message{From: to, Body: body})
+		h.mail(process.ComponentFor(h.Role, body), eventloop.Message{From: to, Body: body})
 		return
 	}
 	h.world.carry(h, to, h.book.Address(to), body)
@@ -585,7 +585,7 @@
 	if h.Routes != nil {
 		return h.Routes(body)
 	}
-	return []string{process.Table(h.Role, body)}
+	return []string{process.ComponentFor(h.Role, body)}
 }
 
 // Truncate cuts or mends the way from one host to another.
