--- a/cmd/sparnotch-bench/hollow_part.go
+++ b/cmd/sparnotch-bench/hollow_part.go
@@ -281,7 +281,7 @@
 func (n *hollowNet) Respond(request uint64, body any) {}
 
 func (n *hollowNet) deliver(from string, body any) {
-	for _, table := range hollow.Routes(body) {
+	for _, table := range hollow.ComponentsFor(body) {
 		n.running.Post(table, eventloop.Message{From: from, Body: body})
 	}
 }
@@ -311,26 +311,26 @@
 	for _, berth := range process.ControllerComponents(papers) {
 		// Beyond the controllers wanted, a side is only its agent and the book.
 		if berth.Name == "controller" && p.setup.Controllers > 0 && k >= p.setup.Controllers {
-			running.Add(berth.Name, &hollow.Onlooker{}, hollow.OnlookerPace)
+			running.Add(berth.Name, &hollow.StatePoller{}, hollow.StatePollInterval)
 			continue
 		}
 		running.Add(berth.Name, berth.Component, berth.TickInterval)
 	}
 	name := fmt.Sprintf("w%04d", k)
-	watch := hollow.Watch{
-		Began: func(_ eventloop.Micros, job string, _, _ uint32) {
+	watch := hollow.Hooks{
+		OnStart: func(_ eventloop.Micros, job string, _, _ uint32) {
 			p.running.Add(1)
 			p.sawBegin(job)
 		},
-		Ended: func() {
+		OnEnd: func() {
 			p.running.Add(-1)
 			p.ended.Add(1)
 		},
-		Plan: func(_ eventloop.Micros, generation uint64) { p.sawPlan(generation) },
+		OnConfig: func(_ eventloop.Micros, generation uint64) { p.sawPlan(generation) },
 	}
 	rack := fmt.Sprintf("r%d", k/p.setup.PerRack)
-	room := hollow.Room{Cores: 64_000, Memory: 128_000}
-	running.Add(hollow.Name, hollow.New(clock.Now(), name, rack, room, uint64(time.Now().UnixMicro()), rand.New(rand.NewPCG(seed, 2)), watch), hollow.Pace)
+	room := hollow.Resources{Cores: 64_000, Memory: 128_000}
+	running.Add(hollow.AgentName, hollow.New(clock.Now(), name, rack, room, uint64(time.Now().UnixMicro()), rand.New(rand.NewPCG(seed, 2)), watch), hollow.AgentTickInterval)
 	net, err := transport.Listen(transport.Identity{ID: member.Id, Boot: member.Incarnation}, member.InternalAddress, out.deliver)
 	if err != nil {
 		return err
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -21,166 +21,166 @@
 
 // Hand is the name of the agent's stead among a process's tables, and its tick.
 const (
-	Name = "hand"
-	Pace = 50 * eventloop.Millisecond
+	AgentName         = "hand"
+	AgentTickInterval = 50 * eventloop.Millisecond
 )
 
 const (
-	pollSpan = 1200 * eventloop.Millisecond
-	openMost = 2
+	pollTimeout  = 1200 * eventloop.Millisecond
+	maxOpenPolls = 2
 )
 
-// Watch is told what the worker does; any of it may be nil.
-type Watch struct {
-	Began func(now eventloop.Micros, job string, step, task uint32)
-	Ended func()
-	Plan  func(now eventloop.Micros, generation uint64) // a newer plan has come to this process
+// Hooks is told what the worker does; any of it may be nil.
+type Hooks struct {
+	OnStart  func(now eventloop.Micros, job string, step, task uint32)
+	OnEnd    func()
+	OnConfig func(now eventloop.Micros, generation uint64) // a newer plan has come to this process
 }
 
-// Hand announces to the ward's scheduler and takes the answers.
-type Hand struct {
-	watch  Watch
-	worker *fakeworker.Worker
-	state  *schema.ClusterState
-	leader string
-	next   uint64
-	open   map[uint64]openPoll
-	metAt  eventloop.Micros
+// Agent announces to the ward's scheduler and takes the answers.
+type Agent struct {
+	hooks        Hooks
+	worker       *fakeworker.Worker
+	state        *schema.ClusterState
+	leader       string
+	lastPoll     uint64
+	openPolls    map[uint64]openPoll
+	registeredAt eventloop.Micros
 }
 
 type openPoll struct {
-	seq  uint64
-	sent eventloop.Micros
+	sequence uint64
+	sentAt   eventloop.Micros
 }
 
-// Room is what a worker has: thousandths of a core, and MB.
-type Room struct{ Cores, Memory int64 }
+// Resources is what a worker has: thousandths of a core, and MB.
+type Resources struct{ Cores, Memory int64 }
 
 // New makes a side's table with a worker of this name. The incarnation grows
 // with each start of it.
-func New(now eventloop.Micros, name, rack string, room Room, incarnation uint64, rng *rand.Rand, watch Watch) *Hand {
-	h := &Hand{watch: watch, open: map[uint64]openPoll{}}
-	h.worker = fakeworker.New(now, name, rack, room.Cores, room.Memory, incarnation, rng, func(e checker.Event) {
+func New(now eventloop.Micros, name, rack string, capacity Resources, incarnation uint64, rng *rand.Rand, hooks Hooks) *Agent {
+	h := &Agent{hooks: hooks, openPolls: map[uint64]openPoll{}}
+	h.worker = fakeworker.New(now, name, rack, capacity.Cores, capacity.Memory, incarnation, rng, func(e checker.Event) {
 		switch {
-		case e.Kind == checker.Begin && watch.Began != nil:
-			watch.Began(e.At, e.Name, e.Step, e.Task)
-		case e.Kind == checker.End && watch.Ended != nil:
-			watch.Ended()
+		case e.Kind == checker.Begin && hooks.OnStart != nil:
+			hooks.OnStart(e.At, e.Name, e.Step, e.Task)
+		case e.Kind == checker.End && hooks.OnEnd != nil:
+			hooks.OnEnd()
 		}
 	})
 	return h
 }
 
 // Step implements eventloop.Table.
-func (h *Hand) Step(now eventloop.Micros, mail eventloop.Message, out eventloop.Effects) {
-	switch body := mail.Body.(type) {
+func (a *Agent) Step(now eventloop.Micros, message eventloop.Message, effects eventloop.Effects) {
+	switch body := message.Body.(type) {
 	case eventloop.Tick:
-		h.worker.Tick(now)
-		for id, poll := range h.open {
-			if now-poll.sent > pollSpan {
-				delete(h.open, id)
-				h.worker.HandleUnanswered(now)
+		a.worker.Tick(now)
+		for id, poll := range a.openPolls {
+			if now-poll.sentAt > pollTimeout {
+				delete(a.openPolls, id)
+				a.worker.HandleUnanswered(now)
 			}
 		}
 	case *schema.ClusterStateResponse:
-		h.hear(now, body)
+		a.handleClusterState(now, body)
 	case *schema.WorkerPollResponse:
-		poll, isOpen := h.open[body.Id]
-		delete(h.open, body.Id)
+		poll, open := a.openPolls[body.Id]
+		delete(a.openPolls, body.Id)
 		switch {
-		case !isOpen:
+		case !open:
 		case body.Orders == nil:
-			h.worker.HandleUnanswered(now)
+			a.worker.HandleUnanswered(now)
 		default:
-			h.worker.HandleOrders(now, poll.sent, poll.seq, body.Orders)
+			a.worker.HandleOrders(now, poll.sentAt, poll.sequence, body.Orders)
 		}
 	}
-	h.announce(now, out)
+	a.sendPoll(now, effects)
 }
 
-func (h *Hand) hear(now eventloop.Micros, m *schema.ClusterStateResponse) {
-	if m.State != nil && m.State.Version > h.state.GetVersion() {
-		if h.watch.Plan != nil && h.state.GetConfiguration().GetRevision() < m.State.Configuration.GetRevision() {
-			h.watch.Plan(now, m.State.Configuration.Revision)
+func (a *Agent) handleClusterState(now eventloop.Micros, m *schema.ClusterStateResponse) {
+	if m.State != nil && m.State.Version > a.state.GetVersion() {
+		if a.hooks.OnConfig != nil && a.state.GetConfiguration().GetRevision() < m.State.Configuration.GetRevision() {
+			a.hooks.OnConfig(now, m.State.Configuration.Revision)
 		}
-		h.state = m.State
+		a.state = m.State
 	}
 	if leader := m.Leaders[clusterstate.Group]; leader != "" {
-		h.leader = leader
+		a.leader = leader
 	}
 }
 
-func (h *Hand) announce(now eventloop.Micros, out eventloop.Effects) {
-	if !h.worker.IsHeartbeatDue(now) || len(h.open) >= openMost || h.state == nil {
+func (a *Agent) sendPoll(now eventloop.Micros, effects eventloop.Effects) {
+	if !a.worker.IsHeartbeatDue(now) || len(a.openPolls) >= maxOpenPolls || a.state == nil {
 		return
 	}
-	ward := clusterstate.FindWorkerLease(h.state, h.worker.Name)
-	if ward == nil || ward.Scheduler == "" {
-		if now-h.metAt > eventloop.Second && h.leader != "" {
-			h.metAt = now
-			out.Send(h.leader, &schema.Request{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(
-				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_RegisterWorker{RegisterWorker: &schema.RegisterWorker{Worker: h.worker.Name}}})})
+	lease := clusterstate.FindWorkerLease(a.state, a.worker.Name)
+	if lease == nil || lease.Scheduler == "" {
+		if now-a.registeredAt > eventloop.Second && a.leader != "" {
+			a.registeredAt = now
+			effects.Send(a.leader, &schema.Request{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(
+				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_RegisterWorker{RegisterWorker: &schema.RegisterWorker{Worker: a.worker.Name}}})})
 		}
 		return
 	}
-	a := h.worker.NewHeartbeat(now)
-	h.next++
-	h.open[h.next] = openPoll{a.Seq, now}
-	out.Send(ward.Scheduler, &schema.WorkerPollRequest{Id: h.next, Worker: h.worker.Name, Heartbeat: a})
+	heartbeat := a.worker.NewHeartbeat(now)
+	a.lastPoll++
+	a.openPolls[a.lastPoll] = openPoll{heartbeat.Seq, now}
+	effects.Send(lease.Scheduler, &schema.WorkerPollRequest{Id: a.lastPoll, Worker: a.worker.Name, Heartbeat: heartbeat})
 }
 
-// Routes names the tables of a side that a message is for.
-func Routes(body any) []string {
+// ComponentsFor names the tables of a side that a message is for.
+func ComponentsFor(body any) []string {
 	switch body.(type) {
 	case *schema.WorkerPollResponse:
-		return []string{Name}
+		return []string{AgentName}
 	case *schema.ClusterStateResponse:
-		return []string{Name, "controller"}
+		return []string{AgentName, "controller"}
 	}
 	return []string{process.ComponentFor(schema.Role_ROLE_CONTROLLER, body)}
 }
 
-// Onlooker stands where the controller's table would on a side that is none: it
+// StatePoller stands where the controller's table would on a side that is none: it
 // asks one store for the cluster state, and does nothing with it.
-type Onlooker struct {
-	roll    *membership.View
-	version uint64
-	store   string
+type StatePoller struct {
+	members     *membership.View
+	version     uint64
+	storageNode string
 }
 
-// OnlookerPace is how often it asks.
-const OnlookerPace = 250 * eventloop.Millisecond
+// StatePollInterval is how often it asks.
+const StatePollInterval = 250 * eventloop.Millisecond
 
-const deadSpan = 1500 * eventloop.Millisecond
+const livenessTimeout = 1500 * eventloop.Millisecond
 
 // Step implements eventloop.Table.
-func (o *Onlooker) Step(now eventloop.Micros, mail eventloop.Message, out eventloop.Effects) {
-	switch body := mail.Body.(type) {
+func (p *StatePoller) Step(now eventloop.Micros, message eventloop.Message, effects eventloop.Effects) {
+	switch body := message.Body.(type) {
 	case *membership.View:
-		o.roll = body
+		p.members = body
 	case *schema.ClusterStateResponse:
 		if body.State != nil {
-			o.version = max(o.version, body.State.Version)
+			p.version = max(p.version, body.State.Version)
 		}
 	case eventloop.Tick:
-		if o.roll == nil {
+		if p.members == nil {
 			return
 		}
-		if o.store == "" || !o.roll.IsAlive(o.store, now, deadSpan) {
-			o.store = o.pick(now)
+		if p.storageNode == "" || !p.members.IsAlive(p.storageNode, now, livenessTimeout) {
+			p.storageNode = p.pickStorageNode(now)
 		}
-		if o.store != "" {
-			out.Send(o.store, &schema.ClusterStateRequest{Version: o.version})
+		if p.storageNode != "" {
+			effects.Send(p.storageNode, &schema.ClusterStateRequest{Version: p.version})
 		}
 	}
 }
 
-// pick takes one of the live stores by its own id, so that sides spread over
+// pickStorageNode takes one of the live stores by its own id, so that sides spread over
 // them.
-func (o *Onlooker) pick(now eventloop.Micros) string {
+func (p *StatePoller) pickStorageNode(now eventloop.Micros) string {
 	var stores []string
-	for id, known := range o.roll.Members {
-		if known.Member.HasStorage && o.roll.IsAlive(id, now, deadSpan) {
+	for id, known := range p.members.Members {
+		if known.Member.HasStorage && p.members.IsAlive(id, now, livenessTimeout) {
 			stores = append(stores, id)
 		}
 	}
@@ -189,6 +189,6 @@
 	}
 	slices.Sort(stores)
 	hash := fnv.New32a()
-	hash.Write([]byte(o.roll.Self.Id))
+	hash.Write([]byte(p.members.Self.Id))
 	return stores[int(hash.Sum32()%uint32(len(stores)))]
 }
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -12,33 +12,33 @@
 	"sparnotch/internal/schema"
 )
 
-type sent struct {
+type sentMessage struct {
 	to   string
 	body any
 }
 
-// outlet keeps what a step sends.
-type outlet struct{ list []sent }
+// recordedEffects keeps what a step sends.
+type recordedEffects struct{ sent []sentMessage }
 
-func (o *outlet) Send(to string, body any)         { o.list = append(o.list, sent{to, body}) }
-func (o *outlet) Dial(address string, body any)    {}
-func (o *outlet) Notify(table string, body any)    {}
-func (o *outlet) Respond(request uint64, body any) {}
+func (o *recordedEffects) Send(to string, body any)         { o.sent = append(o.sent, sentMessage{to, body}) }
+func (o *recordedEffects) Dial(address string, body any)    {}
+func (o *recordedEffects) Notify(table string, body any)    {}
+func (o *recordedEffects) Respond(request uint64, body any) {}
 
-func TestHand(t *testing.T) {
+func TestAgent(t *testing.T) {
 	Convey("A hollow side makes its worker known, announces to its ward, and runs what it is told", t, func() {
-		var begun []string
-		ended, plans := 0, []uint64{}
+		var started []string
+		ended, revisions := 0, []uint64{}
 		now := 2 * eventloop.Second
-		h := New(now, "w1", "r1", Room{4000, 4000}, 1, rand.New(rand.NewPCG(1, 1)), Watch{
-			Began: func(_ eventloop.Micros, job string, _, _ uint32) { begun = append(begun, job) },
-			Ended: func() { ended++ },
-			Plan:  func(_ eventloop.Micros, generation uint64) { plans = append(plans, generation) },
+		h := New(now, "w1", "r1", Resources{4000, 4000}, 1, rand.New(rand.NewPCG(1, 1)), Hooks{
+			OnStart:  func(_ eventloop.Micros, job string, _, _ uint32) { started = append(started, job) },
+			OnEnd:    func() { ended++ },
+			OnConfig: func(_ eventloop.Micros, generation uint64) { revisions = append(revisions, generation) },
 		})
-		step := func(from string, body any) []sent {
-			out := &outlet{}
-			h.Step(now, eventloop.Message{From: from, Body: body}, out)
-			return out.list
+		step := func(from string, body any) []sentMessage {
+			effects := &recordedEffects{}
+			h.Step(now, eventloop.Message{From: from, Body: body}, effects)
+			return effects.sent
 		}
 		So(step("", eventloop.Tick{}), ShouldBeEmpty)
 		state := &schema.ClusterState{Version: 3, Configuration: &schema.Configuration{Revision: 2}}
@@ -46,38 +46,38 @@
 		So(list, ShouldHaveLength, 1)
 		So(list[0].to, ShouldEqual, "s2")
 		So(list[0].body.(*schema.Request).Kind, ShouldEqual, "clusterstate")
-		So(plans, ShouldResemble, []uint64{2})
+		So(revisions, ShouldResemble, []uint64{2})
 
-		warded := &schema.ClusterState{Version: 4, Configuration: state.Configuration, WorkerLeases: []*schema.WorkerLease{{Worker: "w1", Scheduler: "s3", FencingToken: 7}}}
-		list = step("s1", &schema.ClusterStateResponse{State: warded})
+		leased := &schema.ClusterState{Version: 4, Configuration: state.Configuration, WorkerLeases: []*schema.WorkerLease{{Worker: "w1", Scheduler: "s3", FencingToken: 7}}}
+		list = step("s1", &schema.ClusterStateResponse{State: leased})
 		So(list, ShouldHaveLength, 1)
 		So(list[0].to, ShouldEqual, "s3")
 		poll := list[0].body.(*schema.WorkerPollRequest)
 		So(poll.Worker, ShouldEqual, "w1")
-		So(plans, ShouldHaveLength, 1)
+		So(revisions, ShouldHaveLength, 1)
 
 		order := &schema.TaskOrder{Action: "start", Queue: "l", Name: "job-1", Job: 1, Attempt: 1, Text: "run_us=10000", CoresMilli: 10, MemoryMb: 1}
 		step("s3", &schema.WorkerPollResponse{Id: poll.Id, Orders: &schema.WorkerOrders{FencingToken: 7, LeaseUs: 4_000_000, Orders: []*schema.TaskOrder{order}}})
-		So(begun, ShouldResemble, []string{"job-1"})
+		So(started, ShouldResemble, []string{"job-1"})
 		now += 50 * eventloop.Millisecond
 		step("", eventloop.Tick{})
 		So(ended, ShouldEqual, 1)
 	})
 }
 
-func TestOnlooker(t *testing.T) {
+func TestStatePoller(t *testing.T) {
 	Convey("Sides that are no controllers spread over the stores", t, func() {
 		asked := map[string]int{}
 		for k := range 30 {
-			roll := &membership.View{Self: &schema.Member{Id: fmt.Sprintf("p%03d", k)}, Members: map[string]membership.MemberStatus{}}
+			members := &membership.View{Self: &schema.Member{Id: fmt.Sprintf("p%03d", k)}, Members: map[string]membership.MemberStatus{}}
 			for _, id := range []string{"a", "b", "c"} {
-				roll.Members[id] = membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true}, LastHeard: eventloop.Second}
+				members.Members[id] = membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true}, LastHeard: eventloop.Second}
 			}
-			o, out := &Onlooker{}, &outlet{}
-			o.Step(eventloop.Second, eventloop.Message{Body: roll}, out)
-			o.Step(eventloop.Second, eventloop.Message{Body: eventloop.Tick{}}, out)
-			So(out.list, ShouldHaveLength, 1)
-			asked[out.list[0].to]++
+			o, effects := &StatePoller{}, &recordedEffects{}
+			o.Step(eventloop.Second, eventloop.Message{Body: members}, effects)
+			o.Step(eventloop.Second, eventloop.Message{Body: eventloop.Tick{}}, effects)
+			So(effects.sent, ShouldHaveLength, 1)
+			asked[effects.sent[0].to]++
 		}
 		So(asked, ShouldHaveLength, 3)
 	})
--- a/internal/sim/sweep.go
+++ b/internal/sim/sweep.go
@@ -163,7 +163,7 @@
 	for k := 0; k < s.Workers; k++ {
 		rack := k / s.PerRack
 		h := r.AddHost(fmt.Sprintf("side%d", k), r.cell(rack), schema.Role_ROLE_CONTROLLER, false)
-		h.Routes = hollow.Routes
+		h.Routes = hollow.ComponentsFor
 		h.Also = func(papers *process.Config, berths []process.ComponentSlot) []process.ComponentSlot {
 			return r.side(h, k, rack, papers, berths)
 		}
@@ -177,19 +177,19 @@
 func (r *hollowRun) side(h *Host, k, rack int, papers *process.Config, berths []process.ComponentSlot) []process.ComponentSlot {
 	for at := range berths {
 		if berths[at].Name == "controller" && r.setup.Controllers > 0 && k >= r.setup.Controllers {
-			berths[at] = process.ComponentSlot{Name: "controller", Component: &hollow.Onlooker{}, TickInterval: hollow.OnlookerPace}
+			berths[at] = process.ComponentSlot{Name: "controller", Component: &hollow.StatePoller{}, TickInterval: hollow.StatePollInterval}
 		}
 	}
-	watch := hollow.Watch{
-		Began: func(_ eventloop.Micros, job string, step, task uint32) { r.began(h, job, task) },
-		Plan: func(_ eventloop.Micros, generation uint64) {
+	watch := hollow.Hooks{
+		OnStart: func(_ eventloop.Micros, job string, step, task uint32) { r.began(h, job, task) },
+		OnConfig: func(_ eventloop.Micros, generation uint64) {
 			r.seen[generation]++
 			r.seenAt[generation] = r.Now
 		},
 	}
-	hand := hollow.New(papers.Now, fmt.Sprintf("w%04d", k), fmt.Sprintf("r%d", rack), hollow.Room{Cores: 64_000, Memory: 128_000},
+	hand := hollow.New(papers.Now, fmt.Sprintf("w%04d", k), fmt.Sprintf("r%d", rack), hollow.Resources{Cores: 64_000, Memory: 128_000},
 		uint64(r.Now), rand.New(rand.NewPCG(papers.RandomSeed, 9)), watch)
-	return append(berths, process.ComponentSlot{Name: hollow.Name, Component: hand, TickInterval: hollow.Pace})
+	return append(berths, process.ComponentSlot{Name: hollow.AgentName, Component: hand, TickInterval: hollow.AgentTickInterval})
 }
 
 func (r *hollowRun) tap(from, to *Host, body any) {
