--- a/cmd/sparnotch-bench/alone.go
+++ b/cmd/sparnotch-bench/alone.go
@@ -122,13 +122,13 @@
 	defer stop()
 	drained, stopAll := context.WithTimeout(ctx, c.span+30*time.Second)
 	defer stopAll()
-	for k, each := range p.Kinds {
-		each.Every /= c.rate
+	for k, each := range p.JobTypes {
+		each.MeanInterval /= c.rate
 		go people.load(loading, drained, each, rand.New(rand.NewPCG(uint64(k), 1)))
 	}
 	<-loading.Done()
 	people.open.Wait()
-	for _, k := range p.Kinds {
+	for _, k := range p.JobTypes {
 		s := people.stats[k.Name]
 		fmt.Printf("%-12s sent %d, accepted %d, ended %d, confirm ms 50/99 %.1f/%.1f\n", k.Name, s.sent, s.accepted, s.ended, quantile(s.confirm, .5), quantile(s.confirm, .99))
 	}
--- a/cmd/sparnotch-bench/fleet.go
+++ b/cmd/sparnotch-bench/fleet.go
@@ -103,8 +103,8 @@
 	workers  map[string]*workerRunner
 	running  sync.WaitGroup
 	people   *callers
-	drained  context.Context    // ends when callers give up
-	extra    []deployments.Kind // what faults made callers hand in besides
+	drained  context.Context       // ends when callers give up
+	extra    []deployments.JobType // what faults made callers hand in besides
 	next     int
 	splits   int // so far; each strikes the next cell
 	mu       sync.Mutex
@@ -135,7 +135,7 @@
 		f.fronts = append(f.fronts, p)
 		gates = append(gates, &gate{address: p.outer, cell: p.cell})
 	}
-	for k := 1; k <= f.profile.Sides; k++ {
+	for k := 1; k <= f.profile.Agents; k++ {
 		f.sides = append(f.sides, f.make(fmt.Sprintf("controller%d", k), "controller", 20+k, fmt.Sprintf("c%d", (k-1)%3+1), false))
 	}
 	f.platform = newPlatform(gates)
@@ -145,7 +145,7 @@
 		}
 	}
 	go f.platform.watch(ctx)
-	if err := putPlan(ctx, f.platform, f.history, "operator", f.profile.Rows()); err != nil {
+	if err := putPlan(ctx, f.platform, f.history, "operator", f.profile.ConfigRows()); err != nil {
 		return err
 	}
 	for _, p := range f.fronts {
@@ -290,7 +290,7 @@
 			racing.Add(1)
 			go func() {
 				defer racing.Done()
-				rows := append(f.profile.Rows(), &schema.ConfigurationRow{Kind: "fleet", Key: "cache_every", Value: strconv.Itoa(32 + 16*k)})
+				rows := append(f.profile.ConfigRows(), &schema.ConfigurationRow{Kind: "fleet", Key: "cache_every", Value: strconv.Itoa(32 + 16*k)})
 				// The loser reads the winner's table and puts its own on that.
 				if err := putPlan(ctx, f.platform, f.history, who, rows); err != nil && ctx.Err() == nil {
 					fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
@@ -326,11 +326,11 @@
 		w.mu.Unlock()
 	case "rush":
 		f.note("a rush: twenty times the load for " + span.String())
-		f.crowd(ctx, span, "rush", func(k *deployments.Kind) { k.Every /= 20 })
+		f.crowd(ctx, span, "rush", func(k *deployments.JobType) { k.MeanInterval /= 20 })
 	case "flood":
 		f.note("a flood of jobs that can never run, for " + span.String())
-		f.crowd(ctx, span, "flood", func(k *deployments.Kind) {
-			k.Every = 0.02
+		f.crowd(ctx, span, "flood", func(k *deployments.JobType) {
+			k.MeanInterval = 0.02
 			k.Steps = []*schema.Step{{Name: "huge", Tasks: 1, CoresMilli: f.profile.Cores + 1, MemoryMb: 1}}
 		})
 	case "all":
@@ -348,11 +348,11 @@
 }
 
 // crowd has more callers come for a span, with kinds changed as told.
-func (f *fleet) crowd(ctx context.Context, span time.Duration, name string, change func(*deployments.Kind)) {
+func (f *fleet) crowd(ctx context.Context, span time.Duration, name string, change func(*deployments.JobType)) {
 	loading, stop := context.WithTimeout(ctx, span)
 	defer stop()
 	var sending sync.WaitGroup
-	for n, k := range f.profile.Kinds {
+	for n, k := range f.profile.JobTypes {
 		k.Name = name + "-" + k.Name
 		change(&k)
 		f.extra = append(f.extra, k)
@@ -547,8 +547,8 @@
 	people := newCallers(f.platform, f.history, fmt.Sprintf("s%d", c.seed))
 	f.people, f.drained = people, drained
 	var sending sync.WaitGroup
-	for k, each := range f.profile.Kinds {
-		each.Every /= c.rate
+	for k, each := range f.profile.JobTypes {
+		each.MeanInterval /= c.rate
 		sending.Add(1)
 		go func() {
 			defer sending.Done()
@@ -586,7 +586,7 @@
 // whether it has work or not: harder than a quota, which lets idle time be.
 func (f *fleet) throttle(ctx context.Context, p *proc) {
 	const round = 60 * time.Millisecond
-	runs := time.Duration(f.profile.Weak * float64(round))
+	runs := time.Duration(f.profile.GatewayCores * float64(round))
 	for ctx.Err() == nil {
 		p.signal(syscall.SIGSTOP)
 		rest(ctx, round-runs)
--- a/cmd/sparnotch-bench/hollow.go
+++ b/cmd/sparnotch-bench/hollow.go
@@ -577,10 +577,10 @@
 }
 
 // readingsOf turns a run's outcomes into readings.
-func readingsOf(size string, value float64, repeat int, list []outcome) []capacity.Reading {
-	var readings []capacity.Reading
+func readingsOf(size string, value float64, repeat int, list []outcome) []capacity.Measurement {
+	var readings []capacity.Measurement
 	for _, each := range list {
-		readings = append(readings, capacity.Reading{Size: size, Value: value, Repeat: repeat, Role: each.role, What: each.what, Amount: each.amount})
+		readings = append(readings, capacity.Measurement{Dimension: size, Level: value, Repeat: repeat, Role: each.role, Metric: each.what, Amount: each.amount})
 	}
 	return readings
 }
--- a/cmd/sparnotch-bench/outside.go
+++ b/cmd/sparnotch-bench/outside.go
@@ -281,14 +281,14 @@
 }
 
 // load hands in one kind of job at its rate until the context ends.
-func (c *callers) load(ctx, whole context.Context, k deployments.Kind, rng *rand.Rand) {
+func (c *callers) load(ctx, whole context.Context, k deployments.JobType, rng *rand.Rand) {
 	c.mu.Lock()
 	c.stats[k.Name] = &kindStats{codes: map[int32]int{}}
 	c.mu.Unlock()
 	cells := []string{"c1", "c2", "c3"}
 	for number := 0; ctx.Err() == nil; number++ {
 		// Arrivals are independent of each other, as people are.
-		rest(ctx, time.Duration(rng.ExpFloat64()*k.Every*float64(time.Second)))
+		rest(ctx, time.Duration(rng.ExpFloat64()*k.MeanInterval*float64(time.Second)))
 		if ctx.Err() != nil {
 			return
 		}
@@ -304,7 +304,7 @@
 
 // job is one caller with one job: it resends after any silence, and asks how
 // the job is doing until it has ended, and once more after that.
-func (c *callers) job(ctx context.Context, k deployments.Kind, name, cell, who string) {
+func (c *callers) job(ctx context.Context, k deployments.JobType, name, cell, who string) {
 	spec := &schema.Job{Text: k.Text, Steps: k.Steps}
 	body, err := json.Marshal(spec)
 	if err != nil {
@@ -373,7 +373,7 @@
 	}
 }
 
-func (c *callers) ask(ctx context.Context, k deployments.Kind, name, cell, who, path string) string {
+func (c *callers) ask(ctx context.Context, k deployments.JobType, name, cell, who, path string) string {
 	address, sent := c.platform.pick(cell), c.history.now()
 	code, data, err := c.platform.call(ctx, 3*time.Second, "GET", address, path, nil, who)
 	if ctx.Err() != nil {
@@ -387,7 +387,7 @@
 	return view.State
 }
 
-func (c *callers) count(k deployments.Kind, change func(*kindStats)) {
+func (c *callers) count(k deployments.JobType, change func(*kindStats)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(c.stats[k.Name])
--- a/cmd/sparnotch-bench/report.go
+++ b/cmd/sparnotch-bench/report.go
@@ -89,7 +89,7 @@
 	fmt.Printf("%-12s %6s %8s %6s   %-26s %-26s %s\n", "kind", "sent", "accepted", "ended", "confirm ms 50/95/99", "first task ms 50/95/99", "last task's end ms 50/95/99")
 	total := 0
 	isWhole := true
-	for _, k := range append(append([]deployments.Kind(nil), f.profile.Kinds...), f.extra...) {
+	for _, k := range append(append([]deployments.JobType(nil), f.profile.JobTypes...), f.extra...) {
 		s := people.stats[k.Name]
 		total += s.accepted
 		isWhole = isWhole && s.sent == s.accepted+s.turnedAway && s.accepted == s.ended
@@ -184,7 +184,7 @@
 		if fault.Kind != checker.Fault || !strings.HasPrefix(fault.State, "a rush") && !strings.HasPrefix(fault.State, "a flood") {
 			continue
 		}
-		for _, k := range f.profile.Kinds {
+		for _, k := range f.profile.JobTypes {
 			before, during := confirmations(events, k, 0, fault.At), confirmations(events, k, fault.At, fault.At+5*eventloop.Second)
 			if quiet := quantile(before, .95); quiet > 0 && len(during) > 0 {
 				fmt.Printf("%s while there was %s: %d hand-ins, confirm 95th %.2f times that of the %d before\n", k.Name, fault.State, len(during), quantile(during, .95)/quiet, len(before))
@@ -193,7 +193,7 @@
 	}
 }
 
-func confirmations(events []checker.Event, k deployments.Kind, from, until eventloop.Micros) []eventloop.Micros {
+func confirmations(events []checker.Event, k deployments.JobType, from, until eventloop.Micros) []eventloop.Micros {
 	sent := map[string]eventloop.Micros{}
 	var list []eventloop.Micros
 	for _, e := range events {
--- a/cmd/sparnotch-bench/slope.go
+++ b/cmd/sparnotch-bench/slope.go
@@ -133,9 +133,9 @@
 		return 2
 	}
 	path := filepath.Join(c.out, c.size+".csv")
-	var readings []capacity.Reading
+	var readings []capacity.Measurement
 	if file, err := os.Open(path); err == nil {
-		readings, err = capacity.Read(file)
+		readings, err = capacity.ReadCSV(file)
 		file.Close()
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "sparnotch-bench: out:", path, err)
@@ -181,8 +181,8 @@
 			}
 		}
 	}
-	for _, fit := range capacity.Fits(readings) {
-		fmt.Printf("%-7s %-14s %s\n", fit.Role, fit.What, fit.String())
+	for _, fit := range capacity.FitAll(readings) {
+		fmt.Printf("%-7s %-14s %s\n", fit.Role, fit.Metric, fit.String())
 	}
 	if err := capacity.Plot(filepath.Join(c.out, c.size+".png"), c.size, readings, c.drawn()); err != nil {
 		fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
@@ -241,12 +241,12 @@
 	return []string{"cpu_milli", "rss_mb", "sent_s", "bytes_out_s"}
 }
 
-func writeReadings(path string, readings []capacity.Reading) error {
+func writeReadings(path string, readings []capacity.Measurement) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	if err := capacity.Write(file, readings); err != nil {
+	if err := capacity.WriteCSV(file, readings); err != nil {
 		file.Close()
 		return err
 	}
@@ -273,14 +273,14 @@
 	set.StringVar(&c.simulated, "simulated", "", "files of sparnotch-bench slope -virtual, joined by commas")
 }
 
-func readAll(files string) ([]capacity.Reading, error) {
-	var all []capacity.Reading
+func readAll(files string) ([]capacity.Measurement, error) {
+	var all []capacity.Measurement
 	for _, path := range strings.Split(files, ",") {
 		file, err := os.Open(path)
 		if err != nil {
 			return nil, err
 		}
-		list, err := capacity.Read(file)
+		list, err := capacity.ReadCSV(file)
 		file.Close()
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
@@ -301,12 +301,12 @@
 		fmt.Fprintln(os.Stderr, "sparnotch-bench: simulated:", err)
 		return 2
 	}
-	cost, err := capacity.CostOf(real, simulated)
+	cost, err := capacity.EstimateCost(real, simulated)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
 		return 2
 	}
 	fmt.Printf("microseconds: %.0f a second, %.1f a message, %.4f a byte, %.0f a sync; ±%.0f a second, %d readings\n",
-		cost.Ground, cost.Message, cost.Byte, cost.Sync, cost.Error, cost.Points)
+		cost.Baseline, cost.Message, cost.Byte, cost.Sync, cost.StandardError, cost.Samples)
 	return 0
 }
--- a/cmd/sparnotch-bench/whole_test.go
+++ b/cmd/sparnotch-bench/whole_test.go
@@ -116,8 +116,8 @@
 	bin := build(t)
 	Convey("Bad input is answered with its code and field", t, func() {
 		c := &fleetCommand{bin: bin, folder: t.TempDir(), net: freeNet(t)}
-		p := *deployments.Deployments[0]
-		p.Sides = 1
+		p := *deployments.All[0]
+		p.Agents = 1
 		f := c.fleet(&p)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 		defer cancel()
--- a/cmd/sparnotchctl/size.go
+++ b/cmd/sparnotchctl/size.go
@@ -13,7 +13,7 @@
 
 // sizeCommand says what machines a deployment needs.
 type sizeCommand struct {
-	wanted capacity.Wanted
+	wanted capacity.Demand
 	slopes string
 }
 
@@ -31,10 +31,10 @@
 func (c *sizeCommand) SetFlags(set *flag.FlagSet) {
 	set.IntVar(&c.wanted.Workers, "workers", 0, "machines that run tasks")
 	set.IntVar(&c.wanted.Queues, "queues", 0, "queues")
-	set.Float64Var(&c.wanted.Starts, "starts", 0, "task starts a second at the peak")
-	set.Float64Var(&c.wanted.Share, "share", 1, "cores of a machine with a store or a front")
-	set.Float64Var(&c.wanted.Memory, "memory_mb", 256, "its memory")
-	set.Float64Var(&c.wanted.Busy, "busy", 0.5, "how much of a machine is planned with; the rest is for peaks and losses")
+	set.Float64Var(&c.wanted.StartsPerSecond, "starts", 0, "task starts a second at the peak")
+	set.Float64Var(&c.wanted.Cores, "share", 1, "cores of a machine with a store or a front")
+	set.Float64Var(&c.wanted.MemoryMB, "memory_mb", 256, "its memory")
+	set.Float64Var(&c.wanted.Utilization, "busy", 0.5, "how much of a machine is planned with; the rest is for peaks and losses")
 	set.StringVar(&c.slopes, "slopes", "", "CSV file of sparnotch-bench slope (default: the product's own)")
 }
 
@@ -48,30 +48,30 @@
 		complain("slopes: %v", err)
 		return exitUsage
 	}
-	needs, err := capacity.Size(readings, c.wanted)
+	needs, err := capacity.EstimateNodes(readings, c.wanted)
 	if err != nil {
 		complain("%v", err)
 		return exitUsage
 	}
 	fmt.Printf("%-6s %8s %10s %9s %9s %6s  %s\n", "ROLE", "MACHINES", "CORE_MILLI", "MEMORY_MB", "KB_S", "REACH", "OVER")
 	for _, n := range needs {
-		over := n.Over
+		over := n.Bottleneck
 		if over == "" {
 			over = "-"
 		}
-		fmt.Printf("%-6s %8d %10.0f %9.0f %9.1f %6.1f  %s\n", n.Role, n.Machines, n.Cpu, n.Memory, n.Bytes/1000, n.Reach, over)
+		fmt.Printf("%-6s %8d %10.0f %9.0f %9.1f %6.1f  %s\n", n.Role, n.Machines, n.CPUMilli, n.MemoryMB, n.BytesPerSecond/1000, n.Extrapolation, over)
 	}
 	return subcommands.ExitSuccess
 }
 
-func (c *sizeCommand) read() ([]capacity.Reading, error) {
+func (c *sizeCommand) read() ([]capacity.Measurement, error) {
 	if c.slopes == "" {
-		return capacity.Slopes()
+		return capacity.DefaultMeasurements()
 	}
 	file, err := os.Open(c.slopes)
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	return capacity.Read(file)
+	return capacity.ReadCSV(file)
 }
--- a/internal/capacity/plot.go
+++ b/internal/capacity/plot.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	tileWide = 4.2 * vg.Inch
-	tileHigh = 3 * vg.Inch
-	columns  = 2
+	tileWidth  = 4.2 * vg.Inch
+	tileHeight = 3 * vg.Inch
+	columns    = 2
 )
 
 // Plot draws one size: a tile for each quantity, in it a curve for each role
 // through its readings, as a PNG file.
-func Plot(path, size string, readings []Reading, quantities []string) error {
+func Plot(path, size string, readings []Measurement, quantities []string) error {
 	fault := Errors.NewType("plot")
 	rows := (len(quantities) + columns - 1) / columns
 	tiles := make([][]*plot.Plot, rows)
 	for k, what := range quantities {
-		tile, err := tileOf(size, what, readings)
+		tile, err := newTile(size, what, readings)
 		if err != nil {
 			return fault.Wrap(err, "%s over %s", what, size)
 		}
@@ -36,7 +36,7 @@
 			tiles[k] = append(tiles[k], nil)
 		}
 	}
-	canvas := vgimg.New(columns*tileWide, vg.Length(rows)*tileHigh)
+	canvas := vgimg.New(columns*tileWidth, vg.Length(rows)*tileHeight)
 	drawn := draw.New(canvas)
 	places := plot.Align(tiles, draw.Tiles{Rows: rows, Cols: columns, PadX: vg.Millimeter, PadY: vg.Millimeter}, drawn)
 	for r := range tiles {
@@ -57,13 +57,13 @@
 	return nil
 }
 
-func tileOf(size, what string, readings []Reading) (*plot.Plot, error) {
+func newTile(size, what string, readings []Measurement) (*plot.Plot, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = size, what
 	p.Legend.Top, p.Legend.Left = true, true
 	k := 0
-	for _, s := range Sort(readings) {
-		if s.Size != size || s.What != what {
+	for _, s := range GroupSeries(readings) {
+		if s.Dimension != size || s.Metric != what {
 			continue
 		}
 		points := make(plotter.XYs, len(s.X))
@@ -76,9 +76,9 @@
 			return nil, err
 		}
 		scatter.Color, scatter.Shape = plotutil.Color(k), plotutil.Shape(k)
-		fit := FitOf(s)
+		fit := FitSeries(s)
 		curve := plotter.NewFunction(fit.At)
-		curve.Color, curve.XMin, curve.XMax = plotutil.Color(k), fit.Least, fit.Most
+		curve.Color, curve.XMin, curve.XMax = plotutil.Color(k), fit.MinX, fit.MaxX
 		p.Add(scatter, curve)
 		p.Legend.Add(s.Role, scatter)
 		k++
--- a/internal/sim/called.go
+++ b/internal/sim/called.go
@@ -541,7 +541,7 @@
 func WholeCalled(d *deployments.Deployment) Size {
 	size := Whole(d)
 	size.Name, size.Kinds, size.Bounds = d.Name+"-called", nil, d.Bounds
-	for _, k := range d.Called {
+	for _, k := range d.CalledJobTypes {
 		steps := make([]*schema.Step, len(k.Steps))
 		for n, step := range k.Steps {
 			steps[n] = proto.Clone(step).(*schema.Step)
@@ -549,7 +549,7 @@
 			steps[n].Checkpoints = step.EstimatedRunUs > int64(3*eventloop.Second)
 		}
 		size.Kinds = append(size.Kinds, Kind{
-			Name: k.Name, Queue: k.Queue, Every: eventloop.Micros(k.Every * float64(eventloop.Second)), Attempts: d.Attempts, Job: &schema.Job{Text: k.Text, Steps: steps},
+			Name: k.Name, Queue: k.Queue, Every: eventloop.Micros(k.MeanInterval * float64(eventloop.Second)), Attempts: d.MaxAttempts, Job: &schema.Job{Text: k.Text, Steps: steps},
 		})
 	}
 	for _, k := range CalledKinds() {
@@ -557,9 +557,9 @@
 		size.Kinds = append(size.Kinds, k)
 	}
 	size.Rows = func(urgency int) []*schema.ConfigurationRow {
-		rows := append(d.Rows(), CalledRows(urgency)...)
-		for _, k := range d.Kinds {
-			rows = append(rows, &schema.ConfigurationRow{Kind: "queue", Name: k.Queue, Key: "attempts", Value: fmt.Sprint(d.Attempts)})
+		rows := append(d.ConfigRows(), CalledRows(urgency)...)
+		for _, k := range d.JobTypes {
+			rows = append(rows, &schema.ConfigurationRow{Kind: "queue", Name: k.Queue, Key: "attempts", Value: fmt.Sprint(d.MaxAttempts)})
 		}
 		return rows
 	}
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -92,30 +92,30 @@
 // touch the other rules come more seldom.
 func Whole(d *deployments.Deployment) Size {
 	size := Size{
-		Name: d.Name, Fronts: d.Fronts, Sides: d.Sides, Workers: d.Workers, PerRack: 3, Cores: d.Cores, Memory: d.Memory,
-		Sync: eventloop.Micros(d.SyncUs), Weak: d.Weak, Side: d.Side,
+		Name: d.Name, Fronts: d.Gateways, Sides: d.Agents, Workers: d.Workers, PerRack: 3, Cores: d.Cores, Memory: d.Memory,
+		Sync: eventloop.Micros(d.SyncUs), Weak: d.GatewayCores, Side: d.AgentCores,
 	}
-	for _, k := range d.Kinds {
+	for _, k := range d.JobTypes {
 		size.Kinds = append(size.Kinds, Kind{
-			Name: k.Name, Queue: k.Queue, Every: eventloop.Micros(k.Every * float64(eventloop.Second)), Job: &schema.Job{Text: k.Text, Steps: k.Steps},
+			Name: k.Name, Queue: k.Queue, Every: eventloop.Micros(k.MeanInterval * float64(eventloop.Second)), Job: &schema.Job{Text: k.Text, Steps: k.Steps},
 		})
 	}
 	for _, k := range Kinds() {
 		k.Every *= 4
 		size.Kinds = append(size.Kinds, k)
 	}
-	size.Rows = func(urgency int) []*schema.ConfigurationRow { return append(d.Rows(), Rows(urgency)...) }
+	size.Rows = func(urgency int) []*schema.ConfigurationRow { return append(d.ConfigRows(), Rows(urgency)...) }
 	return size
 }
 
 // Sizes are what can be run.
 func Sizes() []Size {
 	sizes := []Size{Small}
-	for _, d := range deployments.Deployments {
+	for _, d := range deployments.All {
 		sizes = append(sizes, Whole(d))
 	}
 	sizes = append(sizes, SmallCalled)
-	for _, d := range deployments.Deployments {
+	for _, d := range deployments.All {
 		sizes = append(sizes, WholeCalled(d))
 	}
 	return sizes
