--- a/cmd/sparnotch-platform/main.go
+++ b/cmd/sparnotch-platform/main.go
@@ -65,9 +65,9 @@
 	if settings.MemoryMB > 0 {
 		debug.SetMemoryLimit(settings.MemoryMB * 1_000_000 / 5 * 4)
 	}
-	var hands []agent.WorkerClient
+	var workerClients []agent.WorkerClient
 	if c.role == schema.Role_ROLE_CONTROLLER {
-		hands = append(hands, platform.NewWorkerClient(settings.WorkerAddress))
+		workerClients = append(workerClients, platform.NewWorkerClient(settings.WorkerAddress))
 	}
-	return daemon.Serve("sparnotch-platform", settings.Options, c.role, platform.Open(settings), hands...)
+	return daemon.Serve("sparnotch-platform", settings.Options, c.role, platform.Open(settings), workerClients...)
 }
--- /dev/null
+++ b/cmd/sparnotchctl/capacity_test.go
@@ -0,0 +1,30 @@
+package main
+
+import (
+	"context"
+	"flag"
+	"testing"
+
+	"github.com/google/subcommands"
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+func runCapacity(args ...string) subcommands.ExitStatus {
+	c := &capacityCommand{}
+	set := flag.NewFlagSet("size", flag.ContinueOnError)
+	c.SetFlags(set)
+	if err := set.Parse(args); err != nil {
+		return exitUsage
+	}
+	return c.Execute(context.Background(), set)
+}
+
+func TestCapacityCommand(t *testing.T) {
+	Convey("sparnotchctl size works a deployment out, and turns bad fields away with 2", t, func() {
+		So(runCapacity("-workers", "48", "-queues", "4", "-starts", "20"), ShouldEqual, subcommands.ExitSuccess)
+		So(runCapacity("-queues", "4", "-starts", "20"), ShouldEqual, exitUsage)
+		So(runCapacity("-workers", "48", "-queues", "4", "-starts", "-1"), ShouldEqual, exitUsage)
+		So(runCapacity("-workers", "48", "-queues", "4", "-slopes", "none.csv"), ShouldEqual, exitUsage)
+		So(runCapacity("-workers", "48", "-queues", "4", "more"), ShouldEqual, exitUsage)
+	})
+}
--- /dev/null
+++ b/cmd/sparnotchctl/client.go
@@ -0,0 +1,112 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"strings"
+	"time"
+
+	"github.com/google/subcommands"
+
+	"sparnotch/internal/schema"
+)
+
+// Exit codes.
+const (
+	exitFailed   = subcommands.ExitFailure // 1: no answer, or an unexpected one
+	exitUsage    = subcommands.ExitStatus(2)
+	exitRejected = subcommands.ExitStatus(3)
+	exitDiffers  = subcommands.ExitStatus(4)
+)
+
+const exitHelp = "  Exit codes: 0 done, 1 no answer, 2 bad flags, 3 turned away, 4 differs.\n"
+
+// nodeClient is the flag that all commands share.
+type nodeClient struct {
+	addresses string
+	timeout   time.Duration
+}
+
+func (n *nodeClient) register(set *flag.FlagSet) {
+	set.StringVar(&n.addresses, "nodes", os.Getenv("SPARNOTCH_NODES"), "outer addresses (IP:port), joined by commas; the first that answers is used (default: $SPARNOTCH_NODES)")
+	set.DurationVar(&n.timeout, "span", 15*time.Second, "how long to try")
+}
+
+func printError(format string, args ...any) {
+	fmt.Fprintf(os.Stderr, "sparnotchctl: "+format+"\n", args...)
+}
+
+// sendOnce makes one call to one node.
+func sendOnce(timeout time.Duration, method, address, path string, body []byte) (int, []byte, error) {
+	request, err := http.NewRequest(method, "http://"+address+path, bytes.NewReader(body))
+	if err != nil {
+		return 0, nil, err
+	}
+	request.Header.Set("Sparnotch-Client", "sparnotchctl")
+	client := &http.Client{Timeout: timeout}
+	response, err := client.Do(request)
+	if err != nil {
+		return 0, nil, err
+	}
+	defer response.Body.Close()
+	data, err := io.ReadAll(io.LimitReader(response.Body, 64<<20))
+	return response.StatusCode, data, err
+}
+
+// call tries the nodes in turn until one gives a final answer. Whatever sparnotchctl
+// sends may be sent again: hand-ins, cancels and tables are known by name or
+// generation.
+func (n *nodeClient) call(method, path string, body []byte) ([]byte, subcommands.ExitStatus) {
+	var addresses []string
+	for _, address := range strings.Split(n.addresses, ",") {
+		if address != "" {
+			addresses = append(addresses, address)
+		}
+	}
+	if len(addresses) == 0 {
+		printError("nodes: at least one address is needed (-nodes or $SPARNOTCH_NODES)")
+		return nil, exitUsage
+	}
+	lastError := "nobody answered"
+	for deadline, attempt := time.Now().Add(n.timeout), 0; time.Now().Before(deadline); attempt++ {
+		address := addresses[attempt%len(addresses)]
+		code, data, err := sendOnce(min(n.timeout, 6*time.Second), method, address, path, body)
+		switch {
+		case err != nil:
+			lastError = err.Error()
+		case code < 300:
+			return data, subcommands.ExitSuccess
+		case code >= 500 || code == http.StatusTooManyRequests:
+			lastError = fmt.Sprintf("%s answers %d: %s", address, code, strings.TrimSpace(string(data)))
+		default:
+			printRejection(code, data)
+			return data, exitRejected
+		}
+		if attempt%len(addresses) == len(addresses)-1 {
+			time.Sleep(200 * time.Millisecond)
+		}
+	}
+	printError("%s", lastError)
+	return nil, exitFailed
+}
+
+func printRejection(code int, data []byte) {
+	fault := &schema.Error{}
+	if json.Unmarshal(data, fault) != nil || fault.Code == "" {
+		printError("turned away (%d): %s", code, strings.TrimSpace(string(data)))
+		return
+	}
+	text := fmt.Sprintf("turned away (%d, %s): %s", code, fault.Code, fault.Message)
+	if fault.Field != "" {
+		text += " [" + fault.Field + "]"
+	}
+	if code == http.StatusPreconditionFailed {
+		text += fmt.Sprintf(" (yours was built on generation %d, the current one is %d)", fault.Given, fault.Current)
+	}
+	printError("%s", text)
+}
--- a/cmd/sparnotchctl/folder_test.go
+++ b/cmd/sparnotchctl/datadir_test.go
@@ -18,8 +18,8 @@
 	"sparnotch/internal/storage"
 )
 
-// run calls a command and gives what it prints.
-func run(command subcommands.Command, args ...string) (subcommands.ExitStatus, string) {
+// runCommand calls a command and gives what it prints.
+func runCommand(command subcommands.Command, args ...string) (subcommands.ExitStatus, string) {
 	set := flag.NewFlagSet(command.Name(), flag.ContinueOnError)
 	command.SetFlags(set)
 	So(set.Parse(args), ShouldBeNil)
@@ -35,28 +35,28 @@
 	return code, string(text)
 }
 
-// fill writes a store with one queue, in which one task fails and is run again.
-func fill(path string, change func([]*schema.Entry) []*schema.Entry) (*storage.Dir, *queue.Machine) {
+// writeTestStorage writes a store with one queue, in which one task fails and is run again.
+func writeTestStorage(path string, change func([]*schema.Entry) []*schema.Entry) (*storage.Dir, *queue.Machine) {
 	key := &schema.TaskKey{Job: 1}
-	pick := &schema.QueueCommand{Body: &schema.QueueCommand_Checkout{Checkout: &schema.Checkout{Placements: []*schema.Placement{{Key: key, Worker: "w1", Incarnation: 1}}}}}
+	checkout := &schema.QueueCommand{Body: &schema.QueueCommand_Checkout{Checkout: &schema.Checkout{Placements: []*schema.Placement{{Key: key, Worker: "w1", Incarnation: 1}}}}}
 	commands := []*schema.QueueCommand{
 		{Body: &schema.QueueCommand_Enqueue{Enqueue: &schema.Enqueue{
 			Session: &schema.Session{Gateway: "f", Incarnation: 1, Client: "c"}, Number: 1, LowestUnconfirmed: 1, Name: "first", Digest: []byte("d"),
 			Job: &schema.Job{Text: "x", Steps: []*schema.Step{{Name: "s", Tasks: 1, CoresMilli: 1, AllowedFailures: 1}}},
 		}}},
-		pick,
+		checkout,
 		{Body: &schema.QueueCommand_Return{Return: &schema.Return{Key: key, Attempt: 1, Cause: schema.ReturnCause_RETURN_CAUSE_FAILED}}},
-		pick,
+		checkout,
 		{Body: &schema.QueueCommand_Settle{Settle: &schema.Settle{Key: key, Attempt: 2}}},
 	}
 	machine := queue.New("quotes")
-	records := []*schema.Entry{{Index: 1, Term: 1, Kind: schema.EntryKind_ENTRY_NO_OP}}
+	entries := []*schema.Entry{{Index: 1, Term: 1, Kind: schema.EntryKind_ENTRY_NO_OP}}
 	for k, command := range commands {
 		data, err := proto.Marshal(command)
 		So(err, ShouldBeNil)
-		record := &schema.Entry{Index: uint64(k + 2), Term: 1, TimeUs: int64(k+1) * 1000, Data: data}
-		records = append(records, record)
-		_, err = machine.Apply(record.Index, record.TimeUs, record.Data)
+		entry := &schema.Entry{Index: uint64(k + 2), Term: 1, TimeUs: int64(k+1) * 1000, Data: data}
+		entries = append(entries, entry)
+		_, err = machine.Apply(entry.Index, entry.TimeUs, entry.Data)
 		So(err, ShouldBeNil)
 	}
 	folder, err := storage.OpenDir(path)
@@ -65,14 +65,14 @@
 	So(err, ShouldBeNil)
 	So(store.Commit([]*schema.StoreChange{
 		{Identity: &schema.StoreIdentity{Id: "a", Starts: 1, Joined: true}},
-		{Group: "quotes#2", HardState: &schema.HardState{Term: 1}, Entries: change(records)},
+		{Group: "quotes#2", HardState: &schema.HardState{Term: 1}, Entries: change(entries)},
 	}), ShouldBeNil)
 	// Another, so that damage of the first can't be taken for a torn end.
 	So(store.Commit([]*schema.StoreChange{{Identity: &schema.StoreIdentity{Id: "a", Starts: 2, Joined: true}}}), ShouldBeNil)
 	return folder, machine
 }
 
-func content(path string) map[string]string {
+func readFiles(path string) map[string]string {
 	files := map[string]string{}
 	names, err := os.ReadDir(path)
 	So(err, ShouldBeNil)
@@ -84,39 +84,39 @@
 	return files
 }
 
-func TestFolders(t *testing.T) {
+func TestDataDirs(t *testing.T) {
 	whole := func(records []*schema.Entry) []*schema.Entry { return records }
 	Convey("A whole folder is told as such and replayed to the state it stands for, and not written to", t, func() {
 		path := t.TempDir()
-		folder, machine := fill(path, whole)
-		code, text := run(&folderCheck{}, path)
+		folder, machine := writeTestStorage(path, whole)
+		code, text := runCommand(&verifyCommand{}, path)
 		So(code, ShouldEqual, 2)
 		So(text, ShouldContainSubstring, "in use")
 		folder.Close()
-		before := content(path)
-		code, text = run(&folderCheck{}, path)
+		before := readFiles(path)
+		code, text = runCommand(&verifyCommand{}, path)
 		So(text, ShouldContainSubstring, "quotes#2: term 1, checkpoint at 0, 6 records")
 		So(code, ShouldEqual, 0)
-		code, text = run(&replayCommand{}, "-queue", "quotes", path)
+		code, text = runCommand(&replayCommand{}, "-queue", "quotes", path)
 		So(code, ShouldEqual, 0)
 		So(text, ShouldContainSubstring, "Return failed")
 		So(text, ShouldContainSubstring, "first s/0 is out on w1, attempt 2")
 		So(text, ShouldContainSubstring, "digest "+replica.Digest(machine.Snapshot(true)))
-		code, text = run(&replayCommand{}, "-queue", "quotes", "-to", "3", path)
+		code, text = runCommand(&replayCommand{}, "-queue", "quotes", "-to", "3", path)
 		So(code, ShouldEqual, 0)
 		So(text, ShouldContainSubstring, "at 3: 1 live and 0 kept")
-		code, text = run(&replayCommand{}, "-queue", "quotes", "-job", "nobody", path)
+		code, text = runCommand(&replayCommand{}, "-queue", "quotes", "-job", "nobody", path)
 		So(code, ShouldEqual, 0)
 		So(text, ShouldNotContainSubstring, "first")
-		So(content(path), ShouldResemble, before)
+		So(readFiles(path), ShouldResemble, before)
 		Convey("and what can't be is told with its field", func() {
-			code, text = run(&replayCommand{}, "-queue", "nope", path)
+			code, text = runCommand(&replayCommand{}, "-queue", "nope", path)
 			So(code, ShouldEqual, 2)
 			So(text, ShouldContainSubstring, `queue: "nope" is none of quotes`)
-			code, text = run(&replayCommand{}, "-queue", "quotes", "-to", "99", path)
+			code, text = runCommand(&replayCommand{}, "-queue", "quotes", "-to", "99", path)
 			So(code, ShouldEqual, 2)
 			So(text, ShouldContainSubstring, "to:")
-			code, _ = run(&folderCheck{})
+			code, _ = runCommand(&verifyCommand{})
 			So(code, ShouldEqual, 2)
 		})
 		Convey("and damage is told with file and offset", func() {
@@ -125,10 +125,10 @@
 			So(err, ShouldBeNil)
 			data[20] ^= 1
 			So(os.WriteFile(log, data, 0o600), ShouldBeNil)
-			code, text = run(&folderCheck{}, path)
+			code, text = runCommand(&verifyCommand{}, path)
 			So(code, ShouldEqual, 2)
 			So(text, ShouldContainSubstring, "log-0 at offset 0")
-			So(content(path)["log-0"], ShouldEqual, string(data))
+			So(readFiles(path)["log-0"], ShouldEqual, string(data))
 		})
 	})
 	Convey("Records that don't fit together are found", t, func() {
@@ -138,18 +138,18 @@
 			"knows of 1":     func(list []*schema.Entry) []*schema.Entry { list[5].Term = 9; return list },
 		} {
 			path := t.TempDir()
-			folder, _ := fill(path, change)
+			folder, _ := writeTestStorage(path, change)
 			folder.Close()
-			code, text := run(&folderCheck{}, path)
+			code, text := runCommand(&verifyCommand{}, path)
 			So(code, ShouldEqual, 1)
 			So(text, ShouldContainSubstring, what)
 		}
 	})
 	Convey("A folder that is none of ours is told so, and left alone", t, func() {
 		path := t.TempDir()
-		code, text := run(&folderCheck{}, path)
+		code, text := runCommand(&verifyCommand{}, path)
 		So(code, ShouldEqual, 2)
 		So(text, ShouldContainSubstring, "no data folder")
-		So(content(path), ShouldBeEmpty)
+		So(readFiles(path), ShouldBeEmpty)
 	})
 }
--- a/cmd/sparnotchctl/main.go
+++ b/cmd/sparnotchctl/main.go
@@ -12,19 +12,19 @@
 func main() {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(subcommands.FlagsCommand(), "")
-	for _, each := range []subcommands.Command{&planGet{}, &planCheck{}, &planPut{}, &planDiff{}, &planHistory{}, &planForm{}} {
+	for _, each := range []subcommands.Command{&configGetCommand{}, &configCheckCommand{}, &configApplyCommand{}, &configDiffCommand{}, &configHistoryCommand{}, &configKeysCommand{}} {
 		subcommands.Register(each, "the plan")
 	}
-	for _, each := range []subcommands.Command{&jobHandIn{}, &jobCall{what: "job"}, &jobCall{what: "cancel"}, &jobList{}} {
+	for _, each := range []subcommands.Command{&submitCommand{}, &jobCommand{verb: "job"}, &jobCommand{verb: "cancel"}, &listJobsCommand{}} {
 		subcommands.Register(each, "jobs")
 	}
-	for _, each := range []subcommands.Command{&show{what: "belief"}, &show{what: "placements"}, &show{what: "counts"}, &show{what: "ready"}, &compare{}} {
+	for _, each := range []subcommands.Command{&showCommand{endpoint: "belief"}, &showCommand{endpoint: "placements"}, &showCommand{endpoint: "counts"}, &showCommand{endpoint: "ready"}, &compareCommand{}} {
 		subcommands.Register(each, "nodes")
 	}
-	for _, each := range []subcommands.Command{&folderCheck{}, &replayCommand{}} {
+	for _, each := range []subcommands.Command{&verifyCommand{}, &replayCommand{}} {
 		subcommands.Register(each, "a stopped process's data folder")
 	}
-	subcommands.Register(&sizeCommand{}, "sizes")
+	subcommands.Register(&capacityCommand{}, "sizes")
 	flag.Parse()
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
