--- a/cmd/sparnotch-bench/fleet.go
+++ b/cmd/sparnotch-bench/fleet.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// end signals the process, waits for it, and gives its exit code.
-func (p *proc) end(signal syscall.Signal) int {
+// terminate signals the process, waits for it, and gives its exit code.
+func (p *proc) terminate(signal syscall.Signal) int {
 	if p.exited == nil {
 		return 0
 	}
@@ -89,30 +89,30 @@
 	return state.ExitCode()
 }
 
-// fleet is a whole deployment on one machine, over loopback addresses.
+// newFleet is a whole deployment on one machine, over loopback addresses.
 type fleet struct {
-	profile  *deployments.Deployment
-	folder   string
-	bin      string
-	net      string // first three numbers of its addresses
-	fronts   []*proc
-	sides    []*proc
-	platform *platform
-	history  *history
-	cancels  map[string]context.CancelFunc
-	workers  map[string]*workerRunner
-	running  sync.WaitGroup
-	people   *callers
-	drained  context.Context       // ends when callers give up
-	extra    []deployments.JobType // what faults made callers hand in besides
-	next     int
-	splits   int // so far; each strikes the next cell
-	mu       sync.Mutex
+	deployment      *deployments.Deployment
+	folder          string
+	bin             string
+	network         string // first three numbers of its addresses
+	gateways        []*proc
+	agents          []*proc
+	balancer        *loadBalancer
+	history         *history
+	cancels         map[string]context.CancelFunc
+	workers         map[string]*workerRunner
+	running         sync.WaitGroup
+	clients         *clients
+	clientContext   context.Context       // ends when callers give up
+	extra           []deployments.JobType // what faults made callers hand in besides
+	lastIncarnation int
+	partitions      int // so far; each strikes the next cell
+	mu              sync.Mutex
 }
 
-func (f *fleet) address(host, port int) string { return fmt.Sprintf("%s.%d:%d", f.net, host, port) }
+func (f *fleet) address(host, port int) string { return fmt.Sprintf("%s.%d:%d", f.network, host, port) }
 
-func (f *fleet) make(name, daemon string, host int, cell string, data bool) *proc {
+func (f *fleet) newDaemon(name, daemon string, host int, cell string, data bool) *proc {
 	p := &proc{
 		name: name, program: filepath.Join(f.bin, "sparnotch"), inner: f.address(host, 7400), outer: f.address(host, 8400), cell: cell,
 	}
@@ -123,49 +123,49 @@
 	}
 	if data {
 		p.data = filepath.Join(f.folder, name+".data")
-		p.args = append(p.args, "-data", p.data, "-test_sync_us", strconv.FormatInt(f.profile.SyncUs, 10))
+		p.args = append(p.args, "-data", p.data, "-test_sync_us", strconv.FormatInt(f.deployment.SyncUs, 10))
 	}
 	return p
 }
 
-func (f *fleet) up(ctx context.Context) error {
-	var gates []*gate
+func (f *fleet) start(ctx context.Context) error {
+	var gates []*endpoint
 	for k := 1; k <= 7; k++ {
-		p := f.make(fmt.Sprintf("server%d", k), "server", k, fmt.Sprintf("c%d", (k-1)%3+1), k <= 3)
-		f.fronts = append(f.fronts, p)
-		gates = append(gates, &gate{address: p.outer, cell: p.cell})
+		p := f.newDaemon(fmt.Sprintf("server%d", k), "server", k, fmt.Sprintf("c%d", (k-1)%3+1), k <= 3)
+		f.gateways = append(f.gateways, p)
+		gates = append(gates, &endpoint{address: p.outer, cell: p.cell})
 	}
-	for k := 1; k <= f.profile.Agents; k++ {
-		f.sides = append(f.sides, f.make(fmt.Sprintf("controller%d", k), "controller", 20+k, fmt.Sprintf("c%d", (k-1)%3+1), false))
+	for k := 1; k <= f.deployment.Agents; k++ {
+		f.agents = append(f.agents, f.newDaemon(fmt.Sprintf("controller%d", k), "controller", 20+k, fmt.Sprintf("c%d", (k-1)%3+1), false))
 	}
-	f.platform = newPlatform(gates)
+	f.balancer = newLoadBalancer(gates)
 	for _, p := range f.procs() {
 		if err := p.start(f.folder); err != nil {
 			return err
 		}
 	}
-	go f.platform.watch(ctx)
-	if err := putPlan(ctx, f.platform, f.history, "operator", f.profile.ConfigRows()); err != nil {
+	go f.balancer.probe(ctx)
+	if err := applyConfig(ctx, f.balancer, f.history, "operator", f.deployment.ConfigRows()); err != nil {
 		return err
 	}
-	for _, p := range f.fronts {
-		f.turn(p, true)
+	for _, p := range f.gateways {
+		f.setAvailable(p, true)
 	}
 	return nil
 }
 
 // procs lists every daemon of the fleet.
-func (f *fleet) procs() []*proc { return append(append([]*proc(nil), f.fronts...), f.sides...) }
+func (f *fleet) procs() []*proc { return append(append([]*proc(nil), f.gateways...), f.agents...) }
 
-// down warns every process, and tells whether all left as they should.
-func (f *fleet) down() bool {
+// stop warns every process, and tells whether all left as they should.
+func (f *fleet) stop() bool {
 	isClean := true
 	for _, p := range slices.Backward(f.procs()) {
 		p.signal(syscall.SIGCONT)
 		p.signal(syscall.SIGTERM)
 	}
 	for _, p := range slices.Backward(f.procs()) {
-		if code := p.end(syscall.SIGTERM); code != 0 {
+		if code := p.terminate(syscall.SIGTERM); code != 0 {
 			fmt.Printf("%s left with code %d\n", p.name, code)
 			isClean = false
 		}
@@ -178,12 +178,12 @@
 	ctx, cancel := context.WithCancel(ctx)
 	f.mu.Lock()
 	f.cancels[name] = cancel
-	f.next++
-	incarnation := uint64(f.next)
-	w := fakeworker.New(f.history.now(), name, fmt.Sprintf("r%d", k/3+1), f.profile.Cores, f.profile.Memory, incarnation,
+	f.lastIncarnation++
+	incarnation := uint64(f.lastIncarnation)
+	w := fakeworker.New(f.history.now(), name, fmt.Sprintf("r%d", k/3+1), f.deployment.Cores, f.deployment.Memory, incarnation,
 		rand.New(rand.NewPCG(uint64(k), incarnation)), f.history.add)
 	w.Behaviour = habits
-	runner := &workerRunner{platform: f.platform, history: f.history, cell: fmt.Sprintf("c%d", k%3+1), worker: w}
+	runner := &workerRunner{balancer: f.balancer, history: f.history, cell: fmt.Sprintf("c%d", k%3+1), worker: w}
 	f.workers[name] = runner
 	f.mu.Unlock()
 	f.running.Add(1)
@@ -195,11 +195,11 @@
 
 // leader asks the fronts who leads the first queue.
 func (f *fleet) leader(ctx context.Context) *proc {
-	for _, p := range f.fronts {
+	for _, p := range f.gateways {
 		if p.data == "" {
 			continue
 		}
-		_, data, err := f.platform.call(ctx, time.Second, "GET", p.outer, "/v1/belief", nil, "")
+		_, data, err := f.balancer.call(ctx, time.Second, "GET", p.outer, "/v1/belief", nil, "")
 		if err != nil {
 			continue
 		}
@@ -216,18 +216,18 @@
 	return nil
 }
 
-func (f *fleet) note(what string) {
+func (f *fleet) recordFault(what string) {
 	fmt.Printf("%8.1fs  %s\n", float64(f.history.now())/1e6, what)
 	f.history.add(checker.Event{Kind: checker.Fault, State: what})
 }
 
-// turn notes that a front can serve again, or can't.
-func (f *fleet) turn(p *proc, canServe bool) {
+// setAvailable notes that a front can serve again, or can't.
+func (f *fleet) setAvailable(p *proc, canServe bool) {
 	kind := checker.Away
 	if canServe {
 		kind = checker.Back
 	}
-	if slices.Contains(f.fronts, p) {
+	if slices.Contains(f.gateways, p) {
 		f.history.add(checker.Event{Kind: kind, Front: p.outer})
 	}
 }
@@ -243,141 +243,141 @@
 	case "kill", "freeze", "wipe", "cut", "mute", "deaf":
 		p := f.leader(ctx)
 		if p == nil {
-			f.note("no leader found for " + what)
+			f.recordFault("no leader found for " + what)
 			return
 		}
-		f.note(what + " " + p.name)
-		f.turn(p, false)
-		defer f.turn(p, true)
+		f.recordFault(what + " " + p.name)
+		f.setAvailable(p, false)
+		defer f.setAvailable(p, true)
 		switch name {
 		case "kill":
-			p.end(syscall.SIGKILL)
-			rest(ctx, span)
-			f.again(p)
+			p.terminate(syscall.SIGKILL)
+			sleep(ctx, span)
+			f.restart(p)
 		case "freeze":
 			p.signal(syscall.SIGSTOP)
-			rest(ctx, span)
+			sleep(ctx, span)
 			p.signal(syscall.SIGCONT)
 		case "wipe":
-			p.end(syscall.SIGKILL)
+			p.terminate(syscall.SIGKILL)
 			_ = os.RemoveAll(p.data)
-			rest(ctx, span)
-			f.again(p)
+			sleep(ctx, span)
+			f.restart(p)
 		case "cut", "mute", "deaf":
-			f.cutOff(func(from, to *proc) bool {
+			f.partition(func(from, to *proc) bool {
 				return from == p && name != "deaf" || to == p && name != "mute"
 			})
-			rest(ctx, span)
-			f.cutOff(nil)
+			sleep(ctx, span)
+			f.partition(nil)
 		}
 	case "split":
-		cell := []string{"c1", "c2", "c3"}[f.splits%3]
-		f.splits++
-		f.note("cell " + cell + " split off for " + span.String())
-		for _, p := range f.fronts {
+		cell := []string{"c1", "c2", "c3"}[f.partitions%3]
+		f.partitions++
+		f.recordFault("cell " + cell + " split off for " + span.String())
+		for _, p := range f.gateways {
 			if p.cell == cell {
-				f.turn(p, false)
-				defer f.turn(p, true)
+				f.setAvailable(p, false)
+				defer f.setAvailable(p, true)
 			}
 		}
-		f.cutOff(func(from, to *proc) bool { return (from.cell == cell) != (to.cell == cell) })
-		rest(ctx, span)
-		f.cutOff(nil)
+		f.partition(func(from, to *proc) bool { return (from.cell == cell) != (to.cell == cell) })
+		sleep(ctx, span)
+		f.partition(nil)
 	case "race":
-		f.note("two operators race")
+		f.recordFault("two operators race")
 		var racing sync.WaitGroup
 		for k, who := range []string{"one", "two"} {
 			racing.Add(1)
 			go func() {
 				defer racing.Done()
-				rows := append(f.profile.ConfigRows(), &schema.ConfigurationRow{Kind: "fleet", Key: "cache_every", Value: strconv.Itoa(32 + 16*k)})
+				rows := append(f.deployment.ConfigRows(), &schema.ConfigurationRow{Kind: "fleet", Key: "cache_every", Value: strconv.Itoa(32 + 16*k)})
 				// The loser reads the winner's table and puts its own on that.
-				if err := putPlan(ctx, f.platform, f.history, who, rows); err != nil && ctx.Err() == nil {
+				if err := applyConfig(ctx, f.balancer, f.history, who, rows); err != nil && ctx.Err() == nil {
 					fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
 				}
 			}()
 		}
 		racing.Wait()
 	case "offline":
-		f.note("worker w02 is cut off and runs on, for " + span.String())
+		f.recordFault("worker w02 is cut off and runs on, for " + span.String())
 		w := f.workers["w02"]
-		w.setOff(true)
+		w.setDisconnected(true)
 		f.history.add(checker.Event{Kind: checker.Cut, Who: "w02"})
-		rest(ctx, span)
-		w.setOff(false)
+		sleep(ctx, span)
+		w.setDisconnected(false)
 		f.history.add(checker.Event{Kind: checker.Cut, Who: "w02", State: checker.Mended})
 	case "sides":
-		f.note("all side machines swapped out, one after another")
-		for _, p := range f.sides {
-			p.end(syscall.SIGKILL)
-			f.again(p)
-			rest(ctx, 300*time.Millisecond)
+		f.recordFault("all side machines swapped out, one after another")
+		for _, p := range f.agents {
+			p.terminate(syscall.SIGKILL)
+			f.restart(p)
+			sleep(ctx, 300*time.Millisecond)
 		}
 	case "worker":
-		f.note("worker w00 crashes, and comes back")
+		f.recordFault("worker w00 crashes, and comes back")
 		f.cancels["w00"]()
-		rest(ctx, span)
+		sleep(ctx, span)
 		f.startWorker(ctx, 0, fakeworker.Behaviour{})
 	case "leave":
-		f.note("worker w01 leaves")
+		f.recordFault("worker w01 leaves")
 		w := f.workers["w01"]
 		w.mu.Lock()
 		w.worker.Drain(f.history.now())
 		w.mu.Unlock()
 	case "rush":
-		f.note("a rush: twenty times the load for " + span.String())
-		f.crowd(ctx, span, "rush", func(k *deployments.JobType) { k.MeanInterval /= 20 })
+		f.recordFault("a rush: twenty times the load for " + span.String())
+		f.addLoad(ctx, span, "rush", func(k *deployments.JobType) { k.MeanInterval /= 20 })
 	case "flood":
-		f.note("a flood of jobs that can never run, for " + span.String())
-		f.crowd(ctx, span, "flood", func(k *deployments.JobType) {
+		f.recordFault("a flood of jobs that can never run, for " + span.String())
+		f.addLoad(ctx, span, "flood", func(k *deployments.JobType) {
 			k.MeanInterval = 0.02
-			k.Steps = []*schema.Step{{Name: "huge", Tasks: 1, CoresMilli: f.profile.Cores + 1, MemoryMb: 1}}
+			k.Steps = []*schema.Step{{Name: "huge", Tasks: 1, CoresMilli: f.deployment.Cores + 1, MemoryMb: 1}}
 		})
 	case "all":
-		f.note("every process is killed and started again")
+		f.recordFault("every process is killed and started again")
 		// Side machines first, then the fronts.
 		for _, p := range slices.Backward(f.procs()) {
-			f.turn(p, false)
-			p.end(syscall.SIGKILL)
+			f.setAvailable(p, false)
+			p.terminate(syscall.SIGKILL)
 		}
 		for _, p := range f.procs() {
-			f.again(p)
-			f.turn(p, true)
+			f.restart(p)
+			f.setAvailable(p, true)
 		}
 	}
 }
 
-// crowd has more callers come for a span, with kinds changed as told.
-func (f *fleet) crowd(ctx context.Context, span time.Duration, name string, change func(*deployments.JobType)) {
+// addLoad has more callers come for a span, with kinds changed as told.
+func (f *fleet) addLoad(ctx context.Context, span time.Duration, name string, change func(*deployments.JobType)) {
 	loading, stop := context.WithTimeout(ctx, span)
 	defer stop()
 	var sending sync.WaitGroup
-	for n, k := range f.profile.JobTypes {
+	for n, k := range f.deployment.JobTypes {
 		k.Name = name + "-" + k.Name
 		change(&k)
 		f.extra = append(f.extra, k)
 		sending.Add(1)
 		go func() {
 			defer sending.Done()
-			f.people.load(loading, f.drained, k, rand.New(rand.NewPCG(99, uint64(n))))
+			f.clients.load(loading, f.clientContext, k, rand.New(rand.NewPCG(99, uint64(n))))
 		}()
 	}
 	sending.Wait()
 }
 
-func (f *fleet) again(p *proc) {
+func (f *fleet) restart(p *proc) {
 	if err := p.start(f.folder); err != nil {
 		fmt.Fprintln(os.Stderr, "sparnotch-bench: starting", p.name, err)
 	}
 }
 
-// cutOff cuts the wires from some processes to others, one way each; nil mends
+// partition cuts the wires from some processes to others, one way each; nil mends
 // them all.
-func (f *fleet) cutOff(isCut func(from, to *proc) bool) {
+func (f *fleet) partition(blocks func(from, to *proc) bool) {
 	for _, from := range f.procs() {
 		path, content := filepath.Join(f.folder, from.name+".cuts"), ""
 		for _, to := range f.procs() {
-			if isCut != nil && from != to && isCut(from, to) {
+			if blocks != nil && from != to && blocks(from, to) {
 				content += to.inner + "\n"
 			}
 		}
@@ -392,15 +392,15 @@
 // --- the command ---
 
 type fleetCommand struct {
-	profile string
-	span    time.Duration
-	faults  string
-	bin     string
-	folder  string
-	net     string
-	rate    float64
-	seed    uint64
-	weak    bool
+	profile  string
+	duration time.Duration
+	faults   string
+	bin      string
+	folder   string
+	net      string
+	rate     float64
+	seed     uint64
+	weak     bool
 }
 
 func (*fleetCommand) Name() string { return "fleet" }
@@ -423,7 +423,7 @@
 
 func (c *fleetCommand) SetFlags(set *flag.FlagSet) {
 	set.StringVar(&c.profile, "profile", "bank", "deployment: bank or skema")
-	set.DurationVar(&c.span, "span", 30*time.Second, "how long callers hand in jobs")
+	set.DurationVar(&c.duration, "span", 30*time.Second, "how long callers hand in jobs")
 	set.StringVar(&c.faults, "faults", "", "faults, each NAME[:SPAN]@TIME, joined by commas")
 	set.StringVar(&c.bin, "bin", "", "folder of the program sparnotch (default: sparnotch-bench's own)")
 	set.StringVar(&c.folder, "folder", "", "folder for data and logs (default: a new temporary one, removed when no rule is broken)")
@@ -434,8 +434,8 @@
 }
 
 type plannedFault struct {
-	at   time.Duration
-	what string
+	at    time.Duration
+	fault string
 }
 
 func parseFaults(text string) ([]plannedFault, error) {
@@ -475,7 +475,7 @@
 	if !strings.HasPrefix(c.net, "127.") || strings.Count(c.net, ".") != 2 {
 		return usage(fmt.Errorf("net: %q is not three numbers of a loopback address", c.net))
 	}
-	if c.rate <= 0 || c.rate > 1000 || c.span <= 0 {
+	if c.rate <= 0 || c.rate > 1000 || c.duration <= 0 {
 		return usage(fmt.Errorf("rate and span: must be above 0"))
 	}
 	if c.bin == "" {
@@ -494,7 +494,7 @@
 	if err := os.MkdirAll(c.folder, 0o700); err != nil {
 		return usage(err)
 	}
-	f := c.fleet(p)
+	f := c.newFleet(p)
 	isGood := c.run(ctx, f, faults, checker.Usual)
 	if isGood && isOwn {
 		_ = os.RemoveAll(c.folder)
@@ -507,9 +507,9 @@
 	return 0
 }
 
-func (c *fleetCommand) fleet(p *deployments.Deployment) *fleet {
+func (c *fleetCommand) newFleet(p *deployments.Deployment) *fleet {
 	return &fleet{
-		profile: p, folder: c.folder, bin: c.bin, net: c.net, history: &history{clock: eventloop.RealClock()},
+		deployment: p, folder: c.folder, bin: c.bin, network: c.net, history: &history{clock: eventloop.RealClock()},
 		cancels: map[string]context.CancelFunc{}, workers: map[string]*workerRunner{},
 	}
 }
@@ -517,86 +517,86 @@
 func (c *fleetCommand) run(ctx context.Context, f *fleet, faults []plannedFault, bounds checker.Bounds) (isGood bool) {
 	whole, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer func() { isGood = f.down() && isGood }()
+	defer func() { isGood = f.stop() && isGood }()
 	starting, stop := context.WithTimeout(whole, 30*time.Second)
-	err := f.up(starting)
+	err := f.start(starting)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "sparnotch-bench: the fleet did not come up:", err)
 		return false
 	}
-	go f.platform.watch(whole)
+	go f.balancer.probe(whole)
 	working, stopWorkers := context.WithCancel(whole)
-	for k := 0; k < f.profile.Workers; k++ {
+	for k := 0; k < f.deployment.Workers; k++ {
 		f.startWorker(working, k, fakeworker.Behaviour{})
 	}
-	rest(whole, 2*time.Second)
+	sleep(whole, 2*time.Second)
 	if c.weak {
-		for _, p := range f.fronts {
+		for _, p := range f.gateways {
 			if p.data == "" {
 				go f.throttle(whole, p)
 			}
 		}
 	}
-	usage := f.usage()
+	usage := f.cpuUsage()
 	began := f.history.now()
-	loading, stopLoad := context.WithTimeout(whole, c.span)
+	loading, stopLoad := context.WithTimeout(whole, c.duration)
 	defer stopLoad()
-	drained, stopCallers := context.WithTimeout(whole, c.span+60*time.Second)
+	drained, stopCallers := context.WithTimeout(whole, c.duration+60*time.Second)
 	defer stopCallers()
-	people := newCallers(f.platform, f.history, fmt.Sprintf("s%d", c.seed))
-	f.people, f.drained = people, drained
+	clients := newClients(f.balancer, f.history, fmt.Sprintf("s%d", c.seed))
+	f.clients, f.clientContext = clients, drained
 	var sending sync.WaitGroup
-	for k, each := range f.profile.JobTypes {
+	for k, each := range f.deployment.JobTypes {
 		each.MeanInterval /= c.rate
 		sending.Add(1)
 		go func() {
 			defer sending.Done()
-			people.load(loading, drained, each, rand.New(rand.NewPCG(c.seed, uint64(k))))
+			clients.load(loading, drained, each, rand.New(rand.NewPCG(c.seed, uint64(k))))
 		}()
 	}
 	go func() {
 		eventloop.NewQueue[int](1).Consume(loading, eventloop.Second, nil, func() {
-			readPlan(loading, f.platform, f.history, f.platform.pick("c2"))
+			readConfig(loading, f.balancer, f.history, f.balancer.pick("c2"))
 		})
 	}()
 	for _, fault := range faults {
-		rest(loading, fault.at-time.Duration(f.history.now()-began)*time.Microsecond)
+		sleep(loading, fault.at-time.Duration(f.history.now()-began)*time.Microsecond)
 		if loading.Err() == nil {
-			f.fault(loading, fault.what)
+			f.fault(loading, fault.fault)
 		}
 	}
 	<-loading.Done()
 	spent := f.history.now() - began
-	used := f.usage()
+	used := f.cpuUsage()
 	sending.Wait()
-	people.open.Wait()
-	for _, p := range f.fronts {
-		readPlan(whole, f.platform, f.history, p.outer)
+	clients.open.Wait()
+	for _, p := range f.gateways {
+		readConfig(whole, f.balancer, f.history, p.outer)
 	}
 	f.history.add(checker.Event{Kind: checker.Close})
 	counts := f.counts(whole)
-	reportPeaks(f.peak())
+	reportPeaks(f.peakMemory())
 	stopWorkers()
 	f.running.Wait()
-	return report(f, people, spent, usage, used, counts, c.folder, bounds)
+	return report(f, clients, spent, usage, used, counts, c.folder, bounds)
 }
 
 // throttle lets a process run for its share of every 60 ms and no longer,
 // whether it has work or not: harder than a quota, which lets idle time be.
 func (f *fleet) throttle(ctx context.Context, p *proc) {
 	const round = 60 * time.Millisecond
-	runs := time.Duration(f.profile.GatewayCores * float64(round))
+	runs := time.Duration(f.deployment.GatewayCores * float64(round))
 	for ctx.Err() == nil {
 		p.signal(syscall.SIGSTOP)
-		rest(ctx, round-runs)
+		sleep(ctx, round-runs)
 		p.signal(syscall.SIGCONT)
-		rest(ctx, runs)
+		sleep(ctx, runs)
 	}
 }
 
-// peak is the most memory each process has held, in kilobytes.
-func (f *fleet) peak() map[string]int {
+// peakMemory is the most memory each process has held, in kilobytes.
+func (f *fleet) peakMemory() map[string]int {
 	peaks := map[string]int{}
 	for _, p := range f.procs() {
 		data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.command.Process.Pid))
@@ -612,8 +612,8 @@
 	return peaks
 }
 
-// usage is the processor time each process has used so far.
-func (f *fleet) usage() map[string]time.Duration {
+// cpuUsage is the processor time each process has used so far.
+func (f *fleet) cpuUsage() map[string]time.Duration {
 	usage := map[string]time.Duration{}
 	for _, p := range f.procs() {
 		usage[p.name] = p.cpu
--- a/cmd/sparnotch-bench/whole_test.go
+++ b/cmd/sparnotch-bench/fleet_test.go
@@ -23,12 +23,12 @@
 
 // Wide are bounds for a machine that may be busy with anything: what happens
 // is judged, not how fast.
-var wide = checker.Bounds{
+var relaxedBounds = checker.Bounds{
 	Kept: 100 * eventloop.Second, Early: checker.Usual.Early, Leave: 120 * eventloop.Second, Cancel: 120 * eventloop.Second, Stop: 120 * eventloop.Second,
 	Plan: 120 * eventloop.Second, Away: 300 * eventloop.Second, Together: 120 * eventloop.Second, Struck: eventloop.Second, Settle: 300 * eventloop.Second,
 }
 
-func build(t *testing.T) string {
+func buildPrograms(t *testing.T) string {
 	bin := t.TempDir()
 	command := exec.Command("go", "build", "-o", bin, "sparnotch/cmd/sparnotch", "sparnotch/cmd/sparnotchctl")
 	if out, err := command.CombinedOutput(); err != nil {
@@ -37,8 +37,8 @@
 	return bin
 }
 
-// freeNet finds loopback addresses that nobody uses.
-func freeNet(t *testing.T) string {
+// freeNetwork finds loopback addresses that nobody uses.
+func freeNetwork(t *testing.T) string {
 	for k := 0; k < 200; k++ {
 		prefix := fmt.Sprintf("127.0.%d", 20+(os.Getpid()+k)%200)
 		listener, err := net.Listen("tcp", prefix+".1:7400")
@@ -52,20 +52,20 @@
 	return ""
 }
 
-func TestWholeFleetOfProcesses(t *testing.T) {
-	bin := build(t)
+func TestFleet(t *testing.T) {
+	bin := buildPrograms(t)
 	Convey("A whole fleet takes jobs, loses its leader to a kill -9, and loses nothing else", t, func() {
-		c := &fleetCommand{span: 8 * time.Second, bin: bin, folder: t.TempDir(), net: freeNet(t), rate: 1, seed: 1}
+		c := &fleetCommand{duration: 8 * time.Second, bin: bin, folder: t.TempDir(), net: freeNetwork(t), rate: 1, seed: 1}
 		p, err := deployments.Find("bank")
 		So(err, ShouldBeNil)
 		faults, err := parseFaults("race@1s,kill:1s@2s,leave@5s,mute:2s@6s")
 		So(err, ShouldBeNil)
-		So(c.run(context.Background(), c.fleet(p), faults, wide), ShouldBeTrue)
+		So(c.run(context.Background(), c.newFleet(p), faults, relaxedBounds), ShouldBeTrue)
 	})
 }
 
-func TestDaemonsSettings(t *testing.T) {
-	bin := build(t)
+func TestDaemonSettings(t *testing.T) {
+	bin := buildPrograms(t)
 	good := []string{"-cell", "c1", "-inner", "127.0.0.1:1", "-outer", "127.0.0.1:2", "-seeds", "127.0.0.1:3,127.0.0.1:4,127.0.0.1:5"}
 	without := func(name string, more ...string) []string {
 		var args []string
@@ -113,20 +113,20 @@
 
 // TestBadInput: what callers and operators get for what can't be.
 func TestBadInput(t *testing.T) {
-	bin := build(t)
+	bin := buildPrograms(t)
 	Convey("Bad input is answered with its code and field", t, func() {
-		c := &fleetCommand{bin: bin, folder: t.TempDir(), net: freeNet(t)}
+		c := &fleetCommand{bin: bin, folder: t.TempDir(), net: freeNetwork(t)}
 		p := *deployments.All[0]
 		p.Agents = 1
-		f := c.fleet(&p)
+		f := c.newFleet(&p)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 		defer cancel()
-		Reset(func() { So(f.down(), ShouldBeTrue) })
-		So(f.up(ctx), ShouldBeNil)
-		front := f.fronts[4].outer
+		Reset(func() { So(f.stop(), ShouldBeTrue) })
+		So(f.start(ctx), ShouldBeNil)
+		front := f.gateways[4].outer
 		call := func(method, path, body string) (int32, *schema.Error) {
 			for {
-				code, data, err := f.platform.call(ctx, 10*time.Second, method, front, path, []byte(body), "")
+				code, data, err := f.balancer.call(ctx, 10*time.Second, method, front, path, []byte(body), "")
 				if err == nil && code != http.StatusServiceUnavailable && code != http.StatusGatewayTimeout {
 					fault := &schema.Error{}
 					_ = json.Unmarshal(data, fault)
@@ -135,7 +135,7 @@
 				if ctx.Err() != nil {
 					return 0, &schema.Error{}
 				}
-				rest(ctx, 50*time.Millisecond)
+				sleep(ctx, 50*time.Millisecond)
 			}
 		}
 		// The table takes effect everywhere within moments, not at once.
@@ -143,7 +143,7 @@
 			if _, fault := call("GET", "/v1/queues/quotes/jobs/nobody", ""); fault.Code == "unknown_job" {
 				break
 			}
-			rest(ctx, 50*time.Millisecond)
+			sleep(ctx, 50*time.Millisecond)
 		}
 		job := func(step string) string { return `{"text":"x","steps":[` + step + `]}` }
 		ok := `{"name":"a","tasks":1,"cores_milli":10}`
@@ -188,7 +188,7 @@
 		code, _ = call("POST", "/v1/workers/w/announce", `{"seq":1}`)
 		So(code, ShouldEqual, 422)
 		Convey("and garbage on the inner port harms nothing", func() {
-			conn, err := net.Dial("tcp", f.fronts[4].inner)
+			conn, err := net.Dial("tcp", f.gateways[4].inner)
 			So(err, ShouldBeNil)
 			_, err = conn.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 			So(err, ShouldBeNil)
@@ -202,7 +202,7 @@
 	})
 }
 
-func TestHistoriesThatCantBeJudged(t *testing.T) {
+func TestInvalidHistories(t *testing.T) {
 	whole := "{\"at\":1,\"kind\":\"fault\"}\n{\"at\":2,\"kind\":\"close\"}\n"
 	path := filepath.Join(t.TempDir(), "history.jsonl")
 	Convey("A history that is cut off or foreign is told with its line, and never judged", t, func() {
--- a/cmd/sparnotch-bench/hollow_test.go
+++ b/cmd/sparnotch-bench/hollow_test.go
@@ -6,38 +6,38 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestHollowSetup(t *testing.T) {
+func TestHollowConfig(t *testing.T) {
 	Convey("A hollow deployment's setup names the field that can't be taken", t, func() {
-		good := usualHollow()
+		good := defaultHollowConfig()
 		So(good.check(), ShouldBeNil)
-		for field, spoil := range map[string]func(*hollowSetup){
-			"net":         func(s *hollowSetup) { s.Net = "10.0" },
-			"workers":     func(s *hollowSetup) { s.Workers = 0 },
-			"fronts":      func(s *hollowSetup) { s.Fronts = -1 },
-			"queues":      func(s *hollowSetup) { s.Queues = 0 },
-			"starts":      func(s *hollowSetup) { s.Starts = -1 },
-			"run_us":      func(s *hollowSetup) { s.RunUs = 0 },
-			"width":       func(s *hollowSetup) { s.Width = 0 },
-			"changes":     func(s *hollowSetup) { s.Changes = 1e6 },
-			"rows":        func(s *hollowSetup) { s.Rows = 10_000 },
-			"zones":       func(s *hollowSetup) { s.Zones = 0 },
-			"regions":     func(s *hollowSetup) { s.Regions = 9 },
-			"far_us":      func(s *hollowSetup) { s.FarUs = -1 },
-			"per_rack":    func(s *hollowSetup) { s.PerRack = 0 },
-			"controllers": func(s *hollowSetup) { s.Controllers = -1 },
-			"shares":      func(s *hollowSetup) { s.Shares = 0 },
-			"sync_us":     func(s *hollowSetup) { s.SyncUs = -1 },
+		for field, spoil := range map[string]func(*hollowConfig){
+			"net":         func(s *hollowConfig) { s.Net = "10.0" },
+			"workers":     func(s *hollowConfig) { s.Workers = 0 },
+			"fronts":      func(s *hollowConfig) { s.Gateways = -1 },
+			"queues":      func(s *hollowConfig) { s.Queues = 0 },
+			"starts":      func(s *hollowConfig) { s.StartsPerSecond = -1 },
+			"run_us":      func(s *hollowConfig) { s.RunUs = 0 },
+			"width":       func(s *hollowConfig) { s.Width = 0 },
+			"changes":     func(s *hollowConfig) { s.ChangesPerMinute = 1e6 },
+			"rows":        func(s *hollowConfig) { s.Rows = 10_000 },
+			"zones":       func(s *hollowConfig) { s.Zones = 0 },
+			"regions":     func(s *hollowConfig) { s.Regions = 9 },
+			"far_us":      func(s *hollowConfig) { s.RegionDelayUs = -1 },
+			"per_rack":    func(s *hollowConfig) { s.PerRack = 0 },
+			"controllers": func(s *hollowConfig) { s.Controllers = -1 },
+			"shares":      func(s *hollowConfig) { s.AgentProcesses = 0 },
+			"sync_us":     func(s *hollowConfig) { s.SyncUs = -1 },
 		} {
-			bad := usualHollow()
+			bad := defaultHollowConfig()
 			spoil(&bad)
 			So(bad.check(), ShouldNotBeNil)
 			So(bad.check().Error(), ShouldStartWith, field)
 		}
 	})
 	Convey("Stores, fronts and sides have addresses of their own", t, func() {
-		s := usualHollow()
+		s := defaultHollowConfig()
 		seen := map[string]bool{}
-		for host := range sidesFrom + 1200 {
+		for host := range firstAgentHost + 1200 {
 			address := s.address(host, 7400)
 			So(seen[address], ShouldBeFalse)
 			seen[address] = true
@@ -47,7 +47,7 @@
 
 func TestSweep(t *testing.T) {
 	Convey("A sweep is checked at each of its values before anything starts", t, func() {
-		c := &slopeCommand{setup: usualHollow(), size: "queues", over: "1,2,4000", repeats: 1, span: 1}
+		c := &sweepCommand{config: defaultHollowConfig(), size: "queues", over: "1,2,4000", repeats: 1, span: 1}
 		_, err := c.values()
 		So(err, ShouldNotBeNil)
 		So(err.Error(), ShouldStartWith, "over: at 4000: queues")
@@ -60,21 +60,21 @@
 		So(err.Error(), ShouldStartWith, "size")
 	})
 	Convey("Running tasks follow from how long each lasts", t, func() {
-		s := usualHollow()
+		s := defaultHollowConfig()
 		sweeps["running"](&s, 40)
 		So(s.RunUs, ShouldEqual, 2_000_000)
 	})
 }
 
-func TestInForce(t *testing.T) {
+func TestConfigLatency(t *testing.T) {
 	Convey("A plan is in force when the last side has seen it", t, func() {
-		run := &hollowRun{setup: &hollowSetup{Workers: 3}}
-		readings := []*partReading{
-			{Put: map[uint64]int64{1: 0, 2: 1000, 3: 5000}},
-			{Seen: map[uint64]int64{2: 2000, 3: 7000}, SeenBy: map[uint64]int{2: 2, 3: 2}},
-			{Seen: map[uint64]int64{2: 4000}, SeenBy: map[uint64]int{2: 1}},
+		run := &hollowDeployment{config: &hollowConfig{Workers: 3}}
+		readings := []*workerReport{
+			{ConfigApplied: map[uint64]int64{1: 0, 2: 1000, 3: 5000}},
+			{ConfigSeen: map[uint64]int64{2: 2000, 3: 7000}, ConfigSeenBy: map[uint64]int{2: 2, 3: 2}},
+			{ConfigSeen: map[uint64]int64{2: 4000}, ConfigSeenBy: map[uint64]int{2: 1}},
 		}
-		spread, isAll := run.inForce(readings)
+		spread, isAll := run.configLatency(readings)
 		So(spread.TotalCount(), ShouldEqual, 1)
 		So(spread.Max(), ShouldAlmostEqual, 3000, 3) // a spread holds three figures
 		So(isAll, ShouldBeFalse)
--- a/cmd/sparnotch-bench/outside.go
+++ b/cmd/sparnotch-bench/outside.go
@@ -21,69 +21,69 @@
 	"sparnotch/internal/schema"
 )
 
-// platform passes clients to fronts, as the users' platform does: by cell, and
+// loadBalancer passes clients to fronts, as the users' platform does: by cell, and
 // by each front's readiness, looked at every second.
-type platform struct {
-	client *http.Client
-	mu     sync.Mutex
-	fronts []*gate
-	rng    *rand.Rand
+type loadBalancer struct {
+	client    *http.Client
+	mu        sync.Mutex
+	endpoints []*endpoint
+	rng       *rand.Rand
 }
 
-type gate struct {
-	address string
-	cell    string
-	isReady bool
-	asked   int
-	ready   int
-	slow    int // readiness answers that took longer than a second
+type endpoint struct {
+	address      string
+	cell         string
+	isReady      bool
+	probes       int
+	readyProbes  int
+	failedProbes int // readiness answers that took longer than a second
 }
 
-func newPlatform(fronts []*gate) *platform {
+func newLoadBalancer(fronts []*endpoint) *loadBalancer {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}
-	return &platform{client: &http.Client{Transport: transport}, fronts: fronts, rng: rand.New(rand.NewPCG(7, 7))}
+	return &loadBalancer{client: &http.Client{Transport: transport}, endpoints: fronts, rng: rand.New(rand.NewPCG(7, 7))}
 }
 
-func (p *platform) watch(ctx context.Context) {
+func (b *loadBalancer) probe(ctx context.Context) {
 	eventloop.NewQueue[int](1).Consume(ctx, eventloop.Second, nil, func() {
-		p.mu.Lock()
-		fronts := append([]*gate(nil), p.fronts...)
-		p.mu.Unlock()
+		b.mu.Lock()
+		fronts := append([]*endpoint(nil), b.endpoints...)
+		b.mu.Unlock()
 		for _, g := range fronts {
 			go func() {
-				code, _, err := p.call(ctx, time.Second, "GET", g.address, "/readyz", nil, "")
-				p.mu.Lock()
-				g.asked++
+				code, _, err := b.call(ctx, time.Second, "GET", g.address, "/readyz", nil, "")
+				b.mu.Lock()
+				g.probes++
 				g.isReady = err == nil && code == 200
 				if g.isReady {
-					g.ready++
+					g.readyProbes++
 				} else if err != nil {
-					g.slow++
+					g.failedProbes++
 				}
-				p.mu.Unlock()
+				b.mu.Unlock()
 			}()
 		}
 	})
 }
 
-// learn asks the fronts for the others, so that a client needs to know only a
+// discover asks the fronts for the others, so that a client needs to know only a
 // few at its start.
-func (p *platform) learn(ctx context.Context) {
+func (b *loadBalancer) discover(ctx context.Context) {
 	eventloop.NewQueue[int](1).Consume(ctx, 3*eventloop.Second, nil, func() {
-		_, data, err := p.call(ctx, 2*time.Second, "GET", p.pick(""), "/v1/fronts", nil, "")
+		_, data, err := b.call(ctx, 2*time.Second, "GET", b.pick(""), "/v1/fronts", nil, "")
 		list := &schema.GatewayList{}
 		if err != nil || json.Unmarshal(data, list) != nil {
 			return
 		}
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		known := map[string]*gate{}
-		for _, g := range p.fronts {
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		known := map[string]*endpoint{}
+		for _, g := range b.endpoints {
 			known[g.address] = g
 		}
 		for _, note := range list.Gateways {
 			if known[note.Address] == nil {
-				p.fronts = append(p.fronts, &gate{address: note.Address, cell: note.Zone, isReady: !note.Draining})
+				b.endpoints = append(b.endpoints, &endpoint{address: note.Address, cell: note.Zone, isReady: !note.Draining})
 			} else {
 				known[note.Address].cell, known[note.Address].isReady = note.Zone, !note.Draining
 			}
@@ -92,11 +92,11 @@
 }
 
 // pick gives a ready front of the cell, else any ready one, else any.
-func (p *platform) pick(cell string) string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	var near, ready []*gate
-	for _, g := range p.fronts {
+func (b *loadBalancer) pick(cell string) string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	var near, ready []*endpoint
+	for _, g := range b.endpoints {
 		if g.isReady {
 			ready = append(ready, g)
 			if g.cell == cell {
@@ -104,51 +104,51 @@
 			}
 		}
 	}
-	for _, list := range [][]*gate{near, ready, p.fronts} {
+	for _, list := range [][]*endpoint{near, ready, b.endpoints} {
 		if len(list) > 0 {
-			return list[p.rng.IntN(len(list))].address
+			return list[b.rng.IntN(len(list))].address
 		}
 	}
 	return ""
 }
 
-// reply is an answer over HTTP.
-type reply struct {
-	code  int32
-	body  []byte
-	retry time.Duration // when to come back
+// httpReply is an answer over HTTP.
+type httpReply struct {
+	code       int32
+	body       []byte
+	retryAfter time.Duration // when to come back
 }
 
-func (p *platform) call(ctx context.Context, span time.Duration, method, address, path string, body []byte, who string) (int32, []byte, error) {
-	got, err := p.send(ctx, span, method, address, path, body, who)
+func (b *loadBalancer) call(ctx context.Context, span time.Duration, method, address, path string, body []byte, who string) (int32, []byte, error) {
+	got, err := b.send(ctx, span, method, address, path, body, who)
 	return got.code, got.body, err
 }
 
-func (p *platform) send(ctx context.Context, span time.Duration, method, address, path string, body []byte, who string) (reply, error) {
+func (b *loadBalancer) send(ctx context.Context, span time.Duration, method, address, path string, body []byte, who string) (httpReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, span)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return reply{}, err
+		return httpReply{}, err
 	}
 	if who != "" {
 		request.Header.Set("Sparnotch-Client", who)
 	}
-	response, err := p.client.Do(request)
+	response, err := b.client.Do(request)
 	if err != nil {
-		return reply{}, err
+		return httpReply{}, err
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(response.Body, 16<<20))
 	if err != nil {
-		return reply{}, err
+		return httpReply{}, err
 	}
 	seconds, _ := strconv.Atoi(response.Header.Get("Retry-After"))
-	return reply{int32(response.StatusCode), data, time.Duration(seconds) * time.Second}, nil
+	return httpReply{int32(response.StatusCode), data, time.Duration(seconds) * time.Second}, nil
 }
 
-func rest(ctx context.Context, span time.Duration) {
-	timer := time.NewTimer(span)
+func sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -159,17 +159,17 @@
 // --- workers ---
 
 type workerRunner struct {
-	platform *platform
-	history  *history
-	cell     string
-	mu       sync.Mutex
-	worker   *fakeworker.Worker
-	isOff    bool // reaches no front
+	balancer       *loadBalancer
+	history        *history
+	cell           string
+	mu             sync.Mutex
+	worker         *fakeworker.Worker
+	isDisconnected bool // reaches no front
 }
 
-func (w *workerRunner) setOff(isOff bool) {
+func (w *workerRunner) setDisconnected(disconnected bool) {
 	w.mu.Lock()
-	w.isOff = isOff
+	w.isDisconnected = disconnected
 	w.mu.Unlock()
 }
 
@@ -181,36 +181,36 @@
 		w.worker.Crash(w.history.now())
 		w.mu.Unlock()
 	}()
-	front := w.platform.pick(w.cell)
-	poke := make(chan struct{}, 1)
-	open := make(chan struct{}, 2)
+	front := w.balancer.pick(w.cell)
+	wake := make(chan struct{}, 1)
+	inFlight := make(chan struct{}, 2)
 	for ctx.Err() == nil {
 		w.mu.Lock()
 		now := w.history.now()
 		w.worker.Tick(now)
-		isDue := w.worker.IsHeartbeatDue(now)
-		var announce *schema.WorkerHeartbeat
-		if isDue {
+		due := w.worker.IsHeartbeatDue(now)
+		var heartbeat *schema.WorkerHeartbeat
+		if due {
 			select {
-			case open <- struct{}{}:
-				announce = w.worker.NewHeartbeat(now)
+			case inFlight <- struct{}{}:
+				heartbeat = w.worker.NewHeartbeat(now)
 			default:
 			}
 		}
 		next, address := w.worker.NextEventAt(), front
 		w.mu.Unlock()
-		if announce != nil {
+		if heartbeat != nil {
 			go func(address string) {
 				defer func() {
-					<-open
+					<-inFlight
 					select {
-					case poke <- struct{}{}:
+					case wake <- struct{}{}:
 					default:
 					}
 				}()
-				if !w.announce(ctx, address, announce, now) {
+				if !w.sendHeartbeat(ctx, address, heartbeat, now) {
 					w.mu.Lock()
-					front = w.platform.pick(w.cell)
+					front = w.balancer.pick(w.cell)
 					w.mu.Unlock()
 				}
 			}(address)
@@ -219,29 +219,29 @@
 		timer := time.NewTimer(max(next-now, 2*eventloop.Millisecond).Duration())
 		select {
 		case <-ctx.Done():
-		case <-poke:
+		case <-wake:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-func (w *workerRunner) announce(ctx context.Context, front string, a *schema.WorkerHeartbeat, sent eventloop.Micros) bool {
-	body, err := json.Marshal(a)
+func (w *workerRunner) sendHeartbeat(ctx context.Context, front string, heartbeat *schema.WorkerHeartbeat, sent eventloop.Micros) bool {
+	body, err := json.Marshal(heartbeat)
 	if err != nil {
 		return false
 	}
 	w.mu.Lock()
-	isOff := w.isOff
+	disconnected := w.isDisconnected
 	w.mu.Unlock()
-	if isOff {
-		rest(ctx, 1200*time.Millisecond)
+	if disconnected {
+		sleep(ctx, 1200*time.Millisecond)
 		w.mu.Lock()
 		w.worker.HandleUnanswered(w.history.now())
 		w.mu.Unlock()
 		return false
 	}
-	code, data, err := w.platform.call(ctx, 1200*time.Millisecond, "POST", front, "/v1/workers/"+w.worker.Name+"/announce", body, "")
+	code, data, err := w.balancer.call(ctx, 1200*time.Millisecond, "POST", front, "/v1/workers/"+w.worker.Name+"/announce", body, "")
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.history.now()
@@ -249,46 +249,46 @@
 		return false
 	}
 	orders := &schema.WorkerOrders{}
-	if w.isOff || err != nil || code != 200 || json.Unmarshal(data, orders) != nil {
+	if w.isDisconnected || err != nil || code != 200 || json.Unmarshal(data, orders) != nil {
 		w.worker.HandleUnanswered(now)
 		return false
 	}
-	w.worker.HandleOrders(now, sent, a.Seq, orders)
+	w.worker.HandleOrders(now, sent, heartbeat.Seq, orders)
 	return true
 }
 
 // --- callers ---
 
-type callers struct {
-	platform *platform
+type clients struct {
+	balancer *loadBalancer
 	history  *history
 	prefix   string
 	open     sync.WaitGroup
 	mu       sync.Mutex
-	stats    map[string]*kindStats
+	stats    map[string]*jobStats
 }
 
-type kindStats struct {
+type jobStats struct {
 	sent, accepted, ended int
-	turnedAway            int // for good
-	confirm               []eventloop.Micros
-	refused               []eventloop.Micros // how long until a hand-in was turned away
+	rejected              int // for good
+	confirmTimes          []eventloop.Micros
+	refusalTimes          []eventloop.Micros // how long until a hand-in was turned away
 	codes                 map[int32]int
 }
 
-func newCallers(p *platform, h *history, prefix string) *callers {
-	return &callers{platform: p, history: h, prefix: prefix, stats: map[string]*kindStats{}}
+func newClients(p *loadBalancer, h *history, prefix string) *clients {
+	return &clients{balancer: p, history: h, prefix: prefix, stats: map[string]*jobStats{}}
 }
 
 // load hands in one kind of job at its rate until the context ends.
-func (c *callers) load(ctx, whole context.Context, k deployments.JobType, rng *rand.Rand) {
+func (c *clients) load(ctx, whole context.Context, k deployments.JobType, rng *rand.Rand) {
 	c.mu.Lock()
-	c.stats[k.Name] = &kindStats{codes: map[int32]int{}}
+	c.stats[k.Name] = &jobStats{codes: map[int32]int{}}
 	c.mu.Unlock()
 	cells := []string{"c1", "c2", "c3"}
 	for number := 0; ctx.Err() == nil; number++ {
 		// Arrivals are independent of each other, as people are.
-		rest(ctx, time.Duration(rng.ExpFloat64()*k.MeanInterval*float64(time.Second)))
+		sleep(ctx, time.Duration(rng.ExpFloat64()*k.MeanInterval*float64(time.Second)))
 		if ctx.Err() != nil {
 			return
 		}
@@ -304,7 +304,7 @@
 
 // job is one caller with one job: it resends after any silence, and asks how
 // the job is doing until it has ended, and once more after that.
-func (c *callers) job(ctx context.Context, k deployments.JobType, name, cell, who string) {
+func (c *clients) job(ctx context.Context, k deployments.JobType, name, cell, who string) {
 	spec := &schema.Job{Text: k.Text, Steps: k.Steps}
 	body, err := json.Marshal(spec)
 	if err != nil {
@@ -312,11 +312,11 @@
 	}
 	path := "/v1/queues/" + k.Queue + "/jobs/" + name
 	began := c.history.now()
-	c.count(k, func(s *kindStats) { s.sent++ })
+	c.updateStats(k, func(s *jobStats) { s.sent++ })
 	for ctx.Err() == nil {
-		address, sent := c.platform.pick(cell), c.history.now()
+		address, sent := c.balancer.pick(cell), c.history.now()
 		c.history.add(checker.Event{At: sent, Kind: checker.HandIn, Who: who, Queue: k.Queue, Name: name, Spec: spec})
-		reply, err := c.platform.send(ctx, 3*time.Second, "PUT", address, path, body, who)
+		reply, err := c.balancer.send(ctx, 3*time.Second, "PUT", address, path, body, who)
 		if ctx.Err() != nil {
 			break
 		}
@@ -332,50 +332,50 @@
 			}
 		}
 		c.history.add(e)
-		c.count(k, func(s *kindStats) {
+		c.updateStats(k, func(s *jobStats) {
 			s.codes[code]++
 			if code >= 400 {
-				s.refused = append(s.refused, c.history.now()-sent)
+				s.refusalTimes = append(s.refusalTimes, c.history.now()-sent)
 			}
 		})
 		if code == 200 || code == 201 {
 			break
 		}
 		if code >= 400 && code < 500 && code != 429 {
-			c.count(k, func(s *kindStats) { s.turnedAway++ })
+			c.updateStats(k, func(s *jobStats) { s.rejected++ })
 			return
 		}
-		rest(ctx, max(300*time.Millisecond, reply.retry))
+		sleep(ctx, max(300*time.Millisecond, reply.retryAfter))
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	c.count(k, func(s *kindStats) {
+	c.updateStats(k, func(s *jobStats) {
 		s.accepted++
-		s.confirm = append(s.confirm, c.history.now()-began)
+		s.confirmTimes = append(s.confirmTimes, c.history.now()-began)
 	})
 	for span := 150 * time.Millisecond; ctx.Err() == nil; span = min(span*3/2, time.Second) {
-		rest(ctx, span)
-		if state := c.ask(ctx, k, name, cell, who, path); state == "complete" || state == "failed" || state == "cancelled" {
+		sleep(ctx, span)
+		if state := c.getStatus(ctx, k, name, cell, who, path); state == "complete" || state == "failed" || state == "cancelled" {
 			break
 		}
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	c.count(k, func(s *kindStats) { s.ended++ })
+	c.updateStats(k, func(s *jobStats) { s.ended++ })
 	// Just after the end, through any front, and again a little later.
 	for _, span := range []time.Duration{0, 20 * time.Millisecond, 500 * time.Millisecond} {
-		rest(ctx, span)
+		sleep(ctx, span)
 		if ctx.Err() == nil {
-			c.ask(ctx, k, name, "", who, path)
+			c.getStatus(ctx, k, name, "", who, path)
 		}
 	}
 }
 
-func (c *callers) ask(ctx context.Context, k deployments.JobType, name, cell, who, path string) string {
-	address, sent := c.platform.pick(cell), c.history.now()
-	code, data, err := c.platform.call(ctx, 3*time.Second, "GET", address, path, nil, who)
+func (c *clients) getStatus(ctx context.Context, k deployments.JobType, name, cell, who, path string) string {
+	address, sent := c.balancer.pick(cell), c.history.now()
+	code, data, err := c.balancer.call(ctx, 3*time.Second, "GET", address, path, nil, who)
 	if ctx.Err() != nil {
 		return ""
 	}
@@ -387,7 +387,7 @@
 	return view.State
 }
 
-func (c *callers) count(k deployments.JobType, change func(*kindStats)) {
+func (c *clients) updateStats(k deployments.JobType, change func(*jobStats)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(c.stats[k.Name])
@@ -395,8 +395,8 @@
 
 // --- operator ---
 
-// putPlan sends the table until it is taken, and notes it.
-func putPlan(ctx context.Context, p *platform, h *history, who string, rows []*schema.ConfigurationRow) error {
+// applyConfig sends the table until it is taken, and notes it.
+func applyConfig(ctx context.Context, p *loadBalancer, h *history, who string, rows []*schema.ConfigurationRow) error {
 	var last string
 	for ctx.Err() == nil {
 		address := p.pick("")
@@ -429,13 +429,13 @@
 			}
 		}
 		last = fmt.Sprint(code, " ", string(data), err)
-		rest(ctx, 200*time.Millisecond)
+		sleep(ctx, 200*time.Millisecond)
 	}
 	return fmt.Errorf("the plan was not taken: %s", last)
 }
 
-// readPlan notes which table a front shows.
-func readPlan(ctx context.Context, p *platform, h *history, address string) {
+// readConfig notes which table a front shows.
+func readConfig(ctx context.Context, p *loadBalancer, h *history, address string) {
 	sent := h.now()
 	code, data, err := p.call(ctx, 3*time.Second, "GET", address, "/v1/plan", nil, "")
 	if ctx.Err() != nil {
--- a/cmd/sparnotch-bench/report.go
+++ b/cmd/sparnotch-bench/report.go
@@ -23,8 +23,8 @@
 
 func (f *fleet) counts(ctx context.Context) map[string]process.Counts {
 	counts := map[string]process.Counts{}
-	for _, p := range f.fronts {
-		_, data, err := f.platform.call(ctx, 2*time.Second, "GET", p.outer, "/v1/counts", nil, "")
+	for _, p := range f.gateways {
+		_, data, err := f.balancer.call(ctx, 2*time.Second, "GET", p.outer, "/v1/counts", nil, "")
 		var each process.Counts
 		if err == nil && json.Unmarshal(data, &each) == nil {
 			counts[p.name] = each
@@ -42,9 +42,9 @@
 	return float64(sorted[int(q*float64(len(sorted)-1))]) / 1000
 }
 
-// wholeTimes are, by kind, the spans from the first hand-in to the last end of
+// completionTimes are, by kind, the spans from the first hand-in to the last end of
 // a task, as the workers saw it.
-func wholeTimes(f *fleet, events []checker.Event) (first, whole map[string][]eventloop.Micros) {
+func completionTimes(f *fleet, events []checker.Event) (first, whole map[string][]eventloop.Micros) {
 	// A job's name tells its kind: PREFIX-KIND-NUMBER.
 	kindOf := func(queue, name string) string {
 		_, rest, _ := strings.Cut(name, "-")
@@ -78,27 +78,27 @@
 	return first, whole
 }
 
-func report(f *fleet, people *callers, spent eventloop.Micros, before, after map[string]time.Duration, counts map[string]process.Counts, folder string, bounds checker.Bounds) bool {
+func report(f *fleet, clients *clients, spent eventloop.Micros, before, after map[string]time.Duration, counts map[string]process.Counts, folder string, bounds checker.Bounds) bool {
 	events := f.history.sorted()
 	path := filepath.Join(folder, "history.jsonl")
 	if err := f.history.write(path); err != nil {
 		fmt.Fprintln(os.Stderr, "sparnotch-bench: writing the history:", err)
 	}
-	first, whole := wholeTimes(f, events)
-	fmt.Printf("profile %s, %.1f s of load\n", f.profile.Name, float64(spent)/1e6)
+	first, whole := completionTimes(f, events)
+	fmt.Printf("profile %s, %.1f s of load\n", f.deployment.Name, float64(spent)/1e6)
 	fmt.Printf("%-12s %6s %8s %6s   %-26s %-26s %s\n", "kind", "sent", "accepted", "ended", "confirm ms 50/95/99", "first task ms 50/95/99", "last task's end ms 50/95/99")
 	total := 0
 	isWhole := true
-	for _, k := range append(append([]deployments.JobType(nil), f.profile.JobTypes...), f.extra...) {
-		s := people.stats[k.Name]
+	for _, k := range append(append([]deployments.JobType(nil), f.deployment.JobTypes...), f.extra...) {
+		s := clients.stats[k.Name]
 		total += s.accepted
-		isWhole = isWhole && s.sent == s.accepted+s.turnedAway && s.accepted == s.ended
+		isWhole = isWhole && s.sent == s.accepted+s.rejected && s.accepted == s.ended
 		three := func(list []eventloop.Micros) string {
 			return fmt.Sprintf("%.1f/%.1f/%.1f", quantile(list, .5), quantile(list, .95), quantile(list, .99))
 		}
-		fmt.Printf("%-12s %6d %8d %6d   %-26s %-26s %s\n", k.Name, s.sent, s.accepted, s.ended, three(s.confirm), three(first[k.Queue+k.Name]), three(whole[k.Queue+k.Name]))
-		if len(s.refused) > 0 {
-			fmt.Printf("    told no, or that it isn't known, after ms %s\n", three(s.refused))
+		fmt.Printf("%-12s %6d %8d %6d   %-26s %-26s %s\n", k.Name, s.sent, s.accepted, s.ended, three(s.confirmTimes), three(first[k.Queue+k.Name]), three(whole[k.Queue+k.Name]))
+		if len(s.refusalTimes) > 0 {
+			fmt.Printf("    told no, or that it isn't known, after ms %s\n", three(s.refusalTimes))
 		}
 		for code, count := range s.codes {
 			if code != 200 && code != 201 {
@@ -115,13 +115,13 @@
 		}
 	}
 	reportUsage(spent, before, after)
-	for _, g := range f.platform.fronts {
-		fmt.Printf("readiness %s: %d of %d, %d without an answer in a second\n", g.address, g.ready, g.asked, g.slow)
+	for _, g := range f.balancer.endpoints {
+		fmt.Printf("readiness %s: %d of %d, %d without an answer in a second\n", g.address, g.readyProbes, g.probes, g.failedProbes)
 	}
 	reportFaults(events)
-	reportCrowds(f, events)
+	reportOverloads(f, events)
 	breaches := checker.Judge(events, bounds)
-	printBreaches(breaches)
+	printViolations(breaches)
 	fmt.Printf("check: %d events, %d rules broken; every job accepted and ended: %v\n", len(events), len(breaches), isWhole)
 	return len(breaches) == 0 && isWhole
 }
@@ -177,14 +177,14 @@
 	}
 }
 
-// reportCrowds sets the ordinary callers' confirmations during a rush or flood
+// reportOverloads sets the ordinary callers' confirmations during a rush or flood
 // against those before it, in the same run.
-func reportCrowds(f *fleet, events []checker.Event) {
+func reportOverloads(f *fleet, events []checker.Event) {
 	for _, fault := range events {
 		if fault.Kind != checker.Fault || !strings.HasPrefix(fault.State, "a rush") && !strings.HasPrefix(fault.State, "a flood") {
 			continue
 		}
-		for _, k := range f.profile.JobTypes {
+		for _, k := range f.deployment.JobTypes {
 			before, during := confirmations(events, k, 0, fault.At), confirmations(events, k, fault.At, fault.At+5*eventloop.Second)
 			if quiet := quantile(before, .95); quiet > 0 && len(during) > 0 {
 				fmt.Printf("%s while there was %s: %d hand-ins, confirm 95th %.2f times that of the %d before\n", k.Name, fault.State, len(during), quantile(during, .95)/quiet, len(before))
@@ -215,7 +215,7 @@
 	return list
 }
 
-func printBreaches(breaches []checker.Breach) {
+func printViolations(breaches []checker.Breach) {
 	for _, b := range breaches {
 		fmt.Println("BROKEN", b)
 	}
@@ -223,16 +223,16 @@
 
 // --- judge ---
 
-type judgeCommand struct{}
+type checkCommand struct{}
 
-func (*judgeCommand) Name() string     { return "judge" }
-func (*judgeCommand) Synopsis() string { return "judge a history that a run has left" }
-func (*judgeCommand) Usage() string {
+func (*checkCommand) Name() string     { return "judge" }
+func (*checkCommand) Synopsis() string { return "judge a history that a run has left" }
+func (*checkCommand) Usage() string {
 	return "sparnotch-bench judge HISTORY.jsonl\n  Exit codes: 0 no rule broken, 1 a rule broken, 2 unreadable.\n"
 }
-func (*judgeCommand) SetFlags(*flag.FlagSet) {}
+func (*checkCommand) SetFlags(*flag.FlagSet) {}
 
-func (*judgeCommand) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (*checkCommand) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if set.NArg() != 1 {
 		fmt.Fprintln(os.Stderr, "sparnotch-bench: judge takes one history")
 		return 2
@@ -243,7 +243,7 @@
 		return 2
 	}
 	breaches := checker.Judge(events, checker.Usual)
-	printBreaches(breaches)
+	printViolations(breaches)
 	fmt.Printf("check: %d events, %d rules broken\n", len(events), len(breaches))
 	if len(breaches) > 0 {
 		return 1
--- a/cmd/sparnotch-bench/simulate.go
+++ b/cmd/sparnotch-bench/simulate.go
@@ -28,7 +28,7 @@
 	seed                   uint64
 	random, overlap, seeds int
 	day                    int
-	isWhole                bool
+	noShrink               bool
 	share                  float64
 }
 
@@ -66,7 +66,7 @@
 	set.IntVar(&c.overlap, "overlap", 0, "draw and play so many schedules of three faults at once")
 	set.IntVar(&c.seeds, "seeds", 1, "with -scenario: play it with so many seeds")
 	set.StringVar(&c.size, "size", "small", "of the fleet: small, bank or skema, or these with -called")
-	set.BoolVar(&c.isWhole, "noshrink", false, "with -random: print schedules as they were drawn")
+	set.BoolVar(&c.noShrink, "noshrink", false, "with -random: print schedules as they were drawn")
 	set.Uint64Var(&c.seed, "seed", 1, "the seed")
 }
 
@@ -85,13 +85,13 @@
 		return 2
 	}
 	if c.day > 0 {
-		return c.wholeDay(size)
+		return c.playDay(size)
 	}
 	if c.random > 0 {
-		return c.draw(size, c.random, sim.RandomSchedule)
+		return c.playRandom(size, c.random, sim.RandomSchedule)
 	}
 	if c.overlap > 0 {
-		return c.draw(size, c.overlap, sim.OverlappingSchedule)
+		return c.playRandom(size, c.overlap, sim.OverlappingSchedule)
 	}
 	if c.faults != "" {
 		schedule, err := sim.ReadSchedule(c.faults, size)
@@ -151,7 +151,7 @@
 }
 
 func (c *simulateCommand) verdict(f *sim.Fleet, breaches []checker.Breach, wrong []string) subcommands.ExitStatus {
-	printBreaches(breaches)
+	printViolations(breaches)
 	for _, each := range wrong {
 		fmt.Println("WRONG", each)
 	}
@@ -162,8 +162,8 @@
 	return 0
 }
 
-// draw plays random schedules, each on a processor of its own.
-func (c *simulateCommand) draw(size sim.Size, count int, pick func(seed uint64, size sim.Size) sim.Schedule) subcommands.ExitStatus {
+// playRandom plays random schedules, each on a processor of its own.
+func (c *simulateCommand) playRandom(size sim.Size, count int, pick func(seed uint64, size sim.Size) sim.Schedule) subcommands.ExitStatus {
 	type find struct {
 		seed     uint64
 		schedule sim.Schedule
@@ -173,11 +173,11 @@
 	var finds []find
 	var playing sync.WaitGroup
 	gate := make(chan bool, runtime.GOMAXPROCS(0))
-	strokes := 0
+	faultCount := 0
 	for k := 0; k < count; k++ {
 		seed := c.seed + uint64(k)
 		schedule := pick(seed, size)
-		strokes += len(schedule)
+		faultCount += len(schedule)
 		playing.Add(1)
 		gate <- true
 		go func() {
@@ -186,7 +186,7 @@
 			if len(breaches) == 0 {
 				return
 			}
-			if !c.isWhole {
+			if !c.noShrink {
 				schedule = schedule.Shrink(size, seed, breaches[0].Rule)
 			}
 			mu.Lock()
@@ -199,14 +199,14 @@
 	for _, each := range finds {
 		fmt.Printf("BROKEN %v\n  sparnotch-bench simulate -size %s -seed %d -faults %s\n", each.breach, size.Name, each.seed, each.schedule)
 	}
-	fmt.Printf("check: %d schedules with %d faults, %d of them break a rule\n", count, strokes, len(finds))
+	fmt.Printf("check: %d schedules with %d faults, %d of them break a rule\n", count, faultCount, len(finds))
 	if len(finds) > 0 {
 		return 1
 	}
 	return 0
 }
 
-func (c *simulateCommand) wholeDay(size sim.Size) subcommands.ExitStatus {
+func (c *simulateCommand) playDay(size sim.Size) subcommands.ExitStatus {
 	f, samples, breaches, wrong := sim.Day(size, c.seed, c.day, sim.Hour, c.share)
 	for k, s := range samples {
 		if k%4 == 0 || k == len(samples)-1 {
--- a/cmd/sparnotch-bench/slope.go
+++ b/cmd/sparnotch-bench/slope.go
@@ -21,20 +21,20 @@
 )
 
 // sweeps are the sizes that can be swept, each with how it is set.
-var sweeps = map[string]func(s *hollowSetup, value float64){
-	"workers": func(s *hollowSetup, value float64) { s.Workers = int(value) },
-	"queues":  func(s *hollowSetup, value float64) { s.Queues = int(value) },
-	"starts":  func(s *hollowSetup, value float64) { s.Starts = value },
+var sweeps = map[string]func(s *hollowConfig, value float64){
+	"workers": func(s *hollowConfig, value float64) { s.Workers = int(value) },
+	"queues":  func(s *hollowConfig, value float64) { s.Queues = int(value) },
+	"starts":  func(s *hollowConfig, value float64) { s.StartsPerSecond = value },
 	// Running tasks at one rate of starts: they only last longer.
-	"running":     func(s *hollowSetup, value float64) { s.RunUs = int64(value / s.Starts * 1e6) },
-	"width":       func(s *hollowSetup, value float64) { s.Width, s.Together = int(value), true },
-	"changes":     func(s *hollowSetup, value float64) { s.Changes = value },
-	"rows":        func(s *hollowSetup, value float64) { s.Rows = int(value) },
-	"zones":       func(s *hollowSetup, value float64) { s.Zones = int(value) },
-	"fronts":      func(s *hollowSetup, value float64) { s.Fronts = int(value) },
-	"controllers": func(s *hollowSetup, value float64) { s.Controllers = int(value) },
+	"running":     func(s *hollowConfig, value float64) { s.RunUs = int64(value / s.StartsPerSecond * 1e6) },
+	"width":       func(s *hollowConfig, value float64) { s.Width, s.Gang = int(value), true },
+	"changes":     func(s *hollowConfig, value float64) { s.ChangesPerMinute = value },
+	"rows":        func(s *hollowConfig, value float64) { s.Rows = int(value) },
+	"zones":       func(s *hollowConfig, value float64) { s.Zones = int(value) },
+	"fronts":      func(s *hollowConfig, value float64) { s.Gateways = int(value) },
+	"controllers": func(s *hollowConfig, value float64) { s.Controllers = int(value) },
 	// One way, in milliseconds; only the simulator's regions lie apart.
-	"far": func(s *hollowSetup, value float64) { s.FarUs = int64(value * 1000) },
+	"far": func(s *hollowConfig, value float64) { s.RegionDelayUs = int64(value * 1000) },
 }
 
 func sweepNames() []string {
@@ -46,22 +46,22 @@
 	return names
 }
 
-type slopeCommand struct {
-	setup      hollowSetup
+type sweepCommand struct {
+	config     hollowConfig
 	size, over string
 	out        string
 	repeats    int
 	warm, span time.Duration
-	isKilled   bool
-	isVirtual  bool
+	killLeader bool
+	simulated  bool
 	lose       string
 }
 
-func (*slopeCommand) Name() string { return "slope" }
-func (*slopeCommand) Synopsis() string {
+func (*sweepCommand) Name() string { return "slope" }
+func (*sweepCommand) Synopsis() string {
 	return "sweep one size of a hollow deployment, and fit what each role costs"
 }
-func (*slopeCommand) Usage() string {
+func (*sweepCommand) Usage() string {
 	return `sparnotch-bench slope -size workers -over 12,24,48,96 [-repeats 3] [-out FOLDER] [any of hollow's sizes]
   Runs a hollow deployment at each value, as often as repeats says, in turns (all
   values, then all again, so that a busy minute of the machine doesn't strike one
@@ -71,23 +71,23 @@
 `
 }
 
-func (c *slopeCommand) SetFlags(set *flag.FlagSet) {
-	c.setup.register(set)
+func (c *sweepCommand) SetFlags(set *flag.FlagSet) {
+	c.config.register(set)
 	set.StringVar(&c.size, "size", "", "what is swept")
 	set.StringVar(&c.over, "over", "", "its values, joined by commas")
 	set.StringVar(&c.out, "out", ".", "folder for the CSV and the plot")
 	set.IntVar(&c.repeats, "repeats", 3, "runs at each value; 0: only fit and draw what the file holds")
 	set.DurationVar(&c.warm, "warm", 5*time.Second, "let each run so long first")
 	set.DurationVar(&c.span, "span", 10*time.Second, "how long each is measured")
-	set.BoolVar(&c.isVirtual, "virtual", false, "in the simulator: messages, bytes and recovery in virtual time, past what a machine carries")
-	set.IntVar(&c.setup.Regions, "regions", 1, "with -virtual: regions, in which the zones stand in turn")
-	set.Int64Var(&c.setup.FarUs, "far_us", 6000, "with -virtual: one way between regions")
+	set.BoolVar(&c.simulated, "virtual", false, "in the simulator: messages, bytes and recovery in virtual time, past what a machine carries")
+	set.IntVar(&c.config.Regions, "regions", 1, "with -virtual: regions, in which the zones stand in turn")
+	set.Int64Var(&c.config.RegionDelayUs, "far_us", 6000, "with -virtual: one way between regions")
 	set.StringVar(&c.lose, "lose", "", "with -virtual: what is lost at the end: "+strings.Join(losses, ", "))
-	set.BoolVar(&c.isKilled, "kill", false, "kill the leader at the end of each, and measure the recovery")
+	set.BoolVar(&c.killLeader, "kill", false, "kill the leader at the end of each, and measure the recovery")
 }
 
 // values reads the swept values, and checks the setup at each.
-func (c *slopeCommand) values() ([]float64, error) {
+func (c *sweepCommand) values() ([]float64, error) {
 	set, isKnown := sweeps[c.size]
 	if !isKnown {
 		return nil, fmt.Errorf("size: %q is none of %s", c.size, strings.Join(sweepNames(), ", "))
@@ -98,10 +98,10 @@
 	if c.span <= 0 || c.warm < 0 {
 		return nil, fmt.Errorf("span and warm: must be above 0")
 	}
-	if !c.isVirtual && (c.lose != "" || c.setup.Regions != 1 || c.size == "far") {
+	if !c.simulated && (c.lose != "" || c.config.Regions != 1 || c.size == "far") {
 		return nil, fmt.Errorf("lose, regions and the size far: only with -virtual")
 	}
-	if c.isVirtual && c.isKilled {
+	if c.simulated && c.killLeader {
 		return nil, fmt.Errorf("kill: with -virtual it is called lose")
 	}
 	if c.lose != "" && !slices.Contains(losses, c.lose) {
@@ -113,7 +113,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("over: %q is no number", word)
 		}
-		setup := c.setup
+		setup := c.config
 		set(&setup, value)
 		if err := setup.check(); err != nil {
 			return nil, fmt.Errorf("over: at %s: %w", word, err)
@@ -123,7 +123,7 @@
 	return list, nil
 }
 
-func (c *slopeCommand) Execute(ctx context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (c *sweepCommand) Execute(ctx context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	values, err := c.values()
 	if err == nil && set.NArg() > 0 {
 		err = fmt.Errorf("%s: is no flag", set.Arg(0))
@@ -154,9 +154,9 @@
 	isWhole := true
 	for repeat := done + 1; repeat <= done+c.repeats; repeat++ {
 		for _, value := range values {
-			setup := c.setup
+			setup := c.config
 			sweeps[c.size](&setup, value)
-			list, err := c.play(ctx, setup, repeat)
+			list, err := c.run(ctx, setup, repeat)
 			if err != nil {
 				// A size that can't be carried is a finding too: the rest goes on.
 				fmt.Printf("%s %g, run %d: %v\n", c.size, value, repeat, err)
@@ -170,11 +170,11 @@
 				}
 			}
 			fmt.Printf("%s %g, run %d", c.size, value, repeat)
-			if !c.isVirtual {
+			if !c.simulated {
 				fmt.Printf(": %.0f thousandths of a core in all", cpu)
 			}
 			fmt.Println()
-			readings = append(readings, readingsOf(c.size, value, repeat, list)...)
+			readings = append(readings, toMeasurements(c.size, value, repeat, list)...)
 			if err := writeReadings(path, readings); err != nil {
 				fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
 				return 1
@@ -184,7 +184,7 @@
 	for _, fit := range capacity.FitAll(readings) {
 		fmt.Printf("%-7s %-14s %s\n", fit.Role, fit.Metric, fit.String())
 	}
-	if err := capacity.Plot(filepath.Join(c.out, c.size+".png"), c.size, readings, c.drawn()); err != nil {
+	if err := capacity.Plot(filepath.Join(c.out, c.size+".png"), c.size, readings, c.plottedMetrics()); err != nil {
 		fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
 		return 1
 	}
@@ -196,15 +196,15 @@
 
 var losses = []string{"node", "worker", "rack", "zone", "region", "link"}
 
-// play is one run at one value.
-func (c *slopeCommand) play(ctx context.Context, setup hollowSetup, repeat int) ([]outcome, error) {
-	if !c.isVirtual {
-		return playHollow(ctx, setup, hollowSpan{c.warm, c.span, c.isKilled})
+// run is one run at one value.
+func (c *sweepCommand) run(ctx context.Context, setup hollowConfig, repeat int) ([]measurement, error) {
+	if !c.simulated {
+		return runHollow(ctx, setup, measurePlan{c.warm, c.span, c.killLeader})
 	}
 	// The thread's own clock counts nothing that others do meanwhile.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	profile := &profiler{}
+	profile := &cpuProfiler{}
 	if setup.Profile != "" {
 		profile.path = filepath.Join(setup.Profile, fmt.Sprintf("%s%d.pprof", c.size, repeat))
 	}
@@ -212,20 +212,20 @@
 		return nil, err
 	}
 	defer profile.stop()
-	var list []outcome
+	var list []measurement
 	for _, each := range sim.PlayHollow(sim.Hollow{
-		Workers: setup.Workers, Fronts: setup.Fronts, Queues: setup.Queues, Starts: setup.Starts, RunUs: setup.RunUs, Width: setup.Width,
-		Together: setup.Together, Changes: setup.Changes, Rows: setup.Rows, Zones: setup.Zones, Regions: setup.Regions,
-		Far: eventloop.Micros(setup.FarUs), PerRack: setup.PerRack, Controllers: setup.Controllers, Seed: uint64(repeat),
-		Warm: eventloop.Micros(c.warm.Microseconds()), Span: eventloop.Micros(c.span.Microseconds()), Lose: c.lose, Cpu: threadCpu,
+		Workers: setup.Workers, Fronts: setup.Gateways, Queues: setup.Queues, Starts: setup.StartsPerSecond, RunUs: setup.RunUs, Width: setup.Width,
+		Together: setup.Gang, Changes: setup.ChangesPerMinute, Rows: setup.Rows, Zones: setup.Zones, Regions: setup.Regions,
+		Far: eventloop.Micros(setup.RegionDelayUs), PerRack: setup.PerRack, Controllers: setup.Controllers, Seed: uint64(repeat),
+		Warm: eventloop.Micros(c.warm.Microseconds()), Span: eventloop.Micros(c.span.Microseconds()), Lose: c.lose, Cpu: threadCPU,
 	}) {
-		list = append(list, outcome{each.Role, each.What, each.Amount})
+		list = append(list, measurement{each.Role, each.What, each.Amount})
 	}
 	return list, ctx.Err()
 }
 
-// threadCpu is the processor time of the calling thread, in nanoseconds.
-func threadCpu() int64 {
+// threadCPU is the processor time of the calling thread, in nanoseconds.
+func threadCPU() int64 {
 	var spent unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &spent) != nil {
 		return 0
@@ -233,9 +233,9 @@
 	return spent.Nano()
 }
 
-// drawn are the quantities of the plot.
-func (c *slopeCommand) drawn() []string {
-	if c.isVirtual {
+// plottedMetrics are the quantities of the plot.
+func (c *sweepCommand) plottedMetrics() []string {
+	if c.simulated {
 		return []string{"cpu_tables_milli", "sent_s", "bytes_out_s", "bytes_in_s"}
 	}
 	return []string{"cpu_milli", "rss_mb", "sent_s", "bytes_out_s"}
--- a/cmd/sparnotch-bench/alone.go
+++ b/cmd/sparnotch-bench/standalone.go
@@ -18,11 +18,11 @@
 	"sparnotch/internal/fakeworker"
 )
 
-func gatesOf(fronts, cell string) []*gate {
-	var gates []*gate
+func parseEndpoints(fronts, cell string) []*endpoint {
+	var gates []*endpoint
 	for _, address := range strings.Split(fronts, ",") {
 		if address != "" {
-			gates = append(gates, &gate{address: address, cell: cell, isReady: true})
+			gates = append(gates, &endpoint{address: address, cell: cell, isReady: true})
 		}
 	}
 	return gates
@@ -52,7 +52,7 @@
 }
 
 func (c *workerCommand) Execute(ctx context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	gates := gatesOf(c.fronts, "")
+	gates := parseEndpoints(c.fronts, "")
 	if len(gates) == 0 || c.name == "" {
 		fmt.Fprintln(os.Stderr, "sparnotch-bench: fronts and name are needed")
 		return 2
@@ -64,8 +64,8 @@
 	incarnation := uint64(time.Now().UnixMicro())
 	w := fakeworker.New(h.now(), c.name, c.rack, c.cores, c.memory, incarnation, rand.New(rand.NewPCG(incarnation, 1)), h.add)
 	w.Behaviour = fakeworker.Behaviour{FailureRate: c.fail, Slowdown: c.slow}
-	runner := &workerRunner{platform: newPlatform(gates), history: h, worker: w}
-	go runner.platform.learn(ctx)
+	runner := &workerRunner{balancer: newLoadBalancer(gates), history: h, worker: w}
+	go runner.balancer.discover(ctx)
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
@@ -89,48 +89,48 @@
 	return 0
 }
 
-// callersCommand hands in a profile's jobs to a running fleet.
-type callersCommand struct {
+// clientsCommand hands in a profile's jobs to a running fleet.
+type clientsCommand struct {
 	fronts, profile, prefix string
-	span                    time.Duration
+	duration                time.Duration
 	rate                    float64
 }
 
-func (*callersCommand) Name() string     { return "callers" }
-func (*callersCommand) Synopsis() string { return "hand in a profile's jobs to a running fleet" }
-func (*callersCommand) Usage() string {
+func (*clientsCommand) Name() string     { return "callers" }
+func (*clientsCommand) Synopsis() string { return "hand in a profile's jobs to a running fleet" }
+func (*clientsCommand) Usage() string {
 	return "sparnotch-bench callers -fronts IP:PORT,... -profile bank|skema [-span 30s] [-rate 1]\n"
 }
 
-func (c *callersCommand) SetFlags(set *flag.FlagSet) {
+func (c *clientsCommand) SetFlags(set *flag.FlagSet) {
 	set.StringVar(&c.fronts, "fronts", "", "outer addresses of fronts, joined by commas")
 	set.StringVar(&c.profile, "profile", "bank", "bank or skema")
 	set.StringVar(&c.prefix, "prefix", fmt.Sprintf("t%d", time.Now().Unix()), "start of the jobs' names")
-	set.DurationVar(&c.span, "span", 30*time.Second, "how long")
+	set.DurationVar(&c.duration, "span", 30*time.Second, "how long")
 	set.Float64Var(&c.rate, "rate", 1, "factor on the load")
 }
 
-func (c *callersCommand) Execute(ctx context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (c *clientsCommand) Execute(ctx context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	p, err := deployments.Find(c.profile)
-	gates := gatesOf(c.fronts, "")
+	gates := parseEndpoints(c.fronts, "")
 	if err != nil || len(gates) == 0 || c.rate <= 0 {
 		fmt.Fprintln(os.Stderr, "sparnotch-bench: fronts, profile and a rate above 0 are needed", err)
 		return 2
 	}
-	people := newCallers(newPlatform(gates), &history{clock: eventloop.RealClock()}, c.prefix)
-	loading, stop := context.WithTimeout(ctx, c.span)
+	clients := newClients(newLoadBalancer(gates), &history{clock: eventloop.RealClock()}, c.prefix)
+	loading, stop := context.WithTimeout(ctx, c.duration)
 	defer stop()
-	drained, stopAll := context.WithTimeout(ctx, c.span+30*time.Second)
+	drained, stopAll := context.WithTimeout(ctx, c.duration+30*time.Second)
 	defer stopAll()
 	for k, each := range p.JobTypes {
 		each.MeanInterval /= c.rate
-		go people.load(loading, drained, each, rand.New(rand.NewPCG(uint64(k), 1)))
+		go clients.load(loading, drained, each, rand.New(rand.NewPCG(uint64(k), 1)))
 	}
 	<-loading.Done()
-	people.open.Wait()
+	clients.open.Wait()
 	for _, k := range p.JobTypes {
-		s := people.stats[k.Name]
-		fmt.Printf("%-12s sent %d, accepted %d, ended %d, confirm ms 50/99 %.1f/%.1f\n", k.Name, s.sent, s.accepted, s.ended, quantile(s.confirm, .5), quantile(s.confirm, .99))
+		s := clients.stats[k.Name]
+		fmt.Printf("%-12s sent %d, accepted %d, ended %d, confirm ms 50/99 %.1f/%.1f\n", k.Name, s.sent, s.accepted, s.ended, quantile(s.confirmTimes, .5), quantile(s.confirmTimes, .99))
 	}
 	return 0
 }
