--- a/cmd/sparnotch-bench/outage.go
+++ b/cmd/sparnotch-bench/outage.go
@@ -70,7 +70,7 @@
 	return 0
 }
 
-func (c *outageCommand) measure(loss sim.ControlLoss, size sim.Size) {
+func (c *outageCommand) measure(loss sim.ControlLoss, size sim.FleetSpec) {
 	outages := make([]sim.Outage, c.seeds)
 	var playing sync.WaitGroup
 	gate := make(chan bool, runtime.GOMAXPROCS(0))
@@ -85,7 +85,7 @@
 	playing.Wait()
 	var replaces, handIns []eventloop.Micros
 	for _, each := range outages {
-		replaces, handIns = append(replaces, each.Replace), append(handIns, each.HandIn)
+		replaces, handIns = append(replaces, each.Replace), append(handIns, each.Submit)
 	}
 	fmt.Printf("%-28s %9.2f s %6.2f s %8.2f s %6.2f s\n", loss.Name,
 		seconds(sim.Quantile(replaces, 0.5)), seconds(sim.Quantile(replaces, 1)), seconds(sim.Quantile(handIns, 0.5)), seconds(sim.Quantile(handIns, 1)))
--- a/cmd/sparnotch-bench/simulate.go
+++ b/cmd/sparnotch-bench/simulate.go
@@ -59,7 +59,7 @@
 	set.StringVar(&c.scenario, "scenario", "", "which; empty: list them")
 	set.StringVar(&c.job, "job", "", "print what befell this job, and the faults")
 	set.StringVar(&c.history, "history", "", "write the whole history to this file")
-	set.StringVar(&c.faults, "faults", "", "schedule to play; faults are "+strings.Join(sim.DeedNames(), ", "))
+	set.StringVar(&c.faults, "faults", "", "schedule to play; faults are "+strings.Join(sim.FaultNames(), ", "))
 	set.IntVar(&c.day, "day", 0, "play a day of so many hours, 4 at least")
 	set.Float64Var(&c.share, "share", 0.25, "with -day: share of the load")
 	set.IntVar(&c.random, "random", 0, "draw and play so many schedules")
@@ -94,14 +94,14 @@
 		return c.playRandom(size, c.overlap, sim.OverlappingSchedule)
 	}
 	if c.faults != "" {
-		schedule, err := sim.ReadSchedule(c.faults, size)
+		schedule, err := sim.ParseSchedule(c.faults, size)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
 			return 2
 		}
 		return c.play(schedule.Scenario(), size)
 	}
-	for _, s := range append(sim.ScenariosOf(size), sim.LossScenarios...) {
+	for _, s := range append(sim.ScenariosFor(size), sim.LossScenarios...) {
 		if c.scenario == "" {
 			fmt.Println(s.Name)
 		} else if s.Name == c.scenario {
@@ -118,21 +118,21 @@
 	return 2
 }
 
-func findSize(name string) (sim.Size, error) {
+func findSize(name string) (sim.FleetSpec, error) {
 	var names []string
-	for _, size := range sim.Sizes() {
+	for _, size := range sim.FleetSpecs() {
 		if size.Name == name {
 			return size, nil
 		}
 		names = append(names, size.Name)
 	}
-	return sim.Size{}, fmt.Errorf("size: %q is none of %s", name, strings.Join(names, ", "))
+	return sim.FleetSpec{}, fmt.Errorf("size: %q is none of %s", name, strings.Join(names, ", "))
 }
 
-func (c *simulateCommand) play(s sim.Scenario, size sim.Size) subcommands.ExitStatus {
-	f, breaches, wrong := sim.Play(s, size, c.seed)
+func (c *simulateCommand) play(s sim.Scenario, size sim.FleetSpec) subcommands.ExitStatus {
+	f, breaches, wrong := sim.RunScenario(s, size, c.seed)
 	if c.history != "" {
-		if err := os.WriteFile(c.history, f.Bytes(), 0o600); err != nil {
+		if err := os.WriteFile(c.history, f.EncodeHistory(), 0o600); err != nil {
 			fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
 			return 2
 		}
@@ -163,7 +163,7 @@
 }
 
 // playRandom plays random schedules, each on a processor of its own.
-func (c *simulateCommand) playRandom(size sim.Size, count int, pick func(seed uint64, size sim.Size) sim.Schedule) subcommands.ExitStatus {
+func (c *simulateCommand) playRandom(size sim.FleetSpec, count int, pick func(seed uint64, size sim.FleetSpec) sim.Schedule) subcommands.ExitStatus {
 	type find struct {
 		seed     uint64
 		schedule sim.Schedule
@@ -182,7 +182,7 @@
 		gate <- true
 		go func() {
 			defer func() { <-gate; playing.Done() }()
-			_, breaches, _ := sim.Play(schedule.Scenario(), size, seed)
+			_, breaches, _ := sim.RunScenario(schedule.Scenario(), size, seed)
 			if len(breaches) == 0 {
 				return
 			}
@@ -206,12 +206,12 @@
 	return 0
 }
 
-func (c *simulateCommand) playDay(size sim.Size) subcommands.ExitStatus {
+func (c *simulateCommand) playDay(size sim.FleetSpec) subcommands.ExitStatus {
 	f, samples, breaches, wrong := sim.Day(size, c.seed, c.day, sim.Hour, c.share)
 	for k, s := range samples {
 		if k%4 == 0 || k == len(samples)-1 {
 			fmt.Printf("%5.2f h: %d records, %d live and %d kept jobs, %d sessions, %d bytes on a disk\n",
-				float64(s.At-f.Began)/3600e6, s.Records, s.Live, s.Kept, s.Sessions, s.Bytes)
+				float64(s.At-f.LoadStart)/3600e6, s.LogEntries, s.LiveJobs, s.RetainedJobs, s.Sessions, s.Bytes)
 		}
 	}
 	return c.verdict(f, breaches, wrong)
@@ -219,7 +219,7 @@
 
 // playSeeds plays a scenario with several seeds and tells which of them break
 // something.
-func (c *simulateCommand) playSeeds(s sim.Scenario, size sim.Size) subcommands.ExitStatus {
+func (c *simulateCommand) playSeeds(s sim.Scenario, size sim.FleetSpec) subcommands.ExitStatus {
 	found := make([][]string, c.seeds)
 	again := make([]eventloop.Micros, c.seeds)
 	var playing sync.WaitGroup
@@ -229,8 +229,8 @@
 		gate <- true
 		go func() {
 			defer func() { <-gate; playing.Done() }()
-			f, breaches, wrong := sim.Play(s, size, c.seed+uint64(k))
-			again[k] = f.Again
+			f, breaches, wrong := sim.RunScenario(s, size, c.seed+uint64(k))
+			again[k] = f.RestartDelay
 			for _, each := range breaches {
 				wrong = append(wrong, each.String())
 			}
--- a/cmd/sparnotch-bench/slope.go
+++ b/cmd/sparnotch-bench/slope.go
@@ -213,13 +213,13 @@
 	}
 	defer profile.stop()
 	var list []measurement
-	for _, each := range sim.PlayHollow(sim.Hollow{
-		Workers: setup.Workers, Fronts: setup.Gateways, Queues: setup.Queues, Starts: setup.StartsPerSecond, RunUs: setup.RunUs, Width: setup.Width,
-		Together: setup.Gang, Changes: setup.ChangesPerMinute, Rows: setup.Rows, Zones: setup.Zones, Regions: setup.Regions,
-		Far: eventloop.Micros(setup.RegionDelayUs), PerRack: setup.PerRack, Controllers: setup.Controllers, Seed: uint64(repeat),
-		Warm: eventloop.Micros(c.warm.Microseconds()), Span: eventloop.Micros(c.span.Microseconds()), Lose: c.lose, Cpu: threadCPU,
+	for _, each := range sim.RunHollow(sim.HollowSetup{
+		Workers: setup.Workers, Gateways: setup.Gateways, Queues: setup.Queues, StartsPerSecond: setup.StartsPerSecond, RunUs: setup.RunUs, TasksPerJob: setup.Width,
+		IsGang: setup.Gang, ChangesPerMinute: setup.ChangesPerMinute, ConfigurationRows: setup.Rows, Zones: setup.Zones, Regions: setup.Regions,
+		RegionDelay: eventloop.Micros(setup.RegionDelayUs), WorkersPerRack: setup.PerRack, Controllers: setup.Controllers, Seed: uint64(repeat),
+		WarmUp: eventloop.Micros(c.warm.Microseconds()), Duration: eventloop.Micros(c.span.Microseconds()), LossScope: c.lose, CPUClock: threadCPU,
 	}) {
-		list = append(list, measurement{each.Role, each.What, each.Amount})
+		list = append(list, measurement{each.Role, each.Metric, each.Value})
 	}
 	return list, ctx.Err()
 }
--- a/internal/mutation/cut_mutants.go
+++ b/internal/mutation/cut_mutants.go
@@ -10,10 +10,10 @@
 			{"internal/raft", "if !slices.Contains(old.Learners, id) || !g.IsCaughtUp(id) {", "if !slices.Contains(old.Learners, id) {"}}},
 		{Guard: "a controller is fenced by a fresh cluster state", Test: "internal/replica TestStaleClusterStateRejectsMemberChange", Edits: []Edit{{"internal/replica",
 			"!h.isClusterStateFresh(now) || !h.clusterState.HoldsControllerLease(m.FencingToken)", "!h.clusterState.HoldsControllerLease(m.FencingToken)"}}},
-		{Guard: "a majority is asked before a read", Rule: 11, Test: "internal/sim TestCutOffLeader", Edits: []Edit{{"internal/replica",
+		{Guard: "a majority is asked before a read", Rule: 11, Test: "internal/sim TestPartitionedLeader", Edits: []Edit{{"internal/replica",
 			"			return\n		}\n		r.pendingReads[h.lastReadID] = pending\n",
 			"		}\n		r.pendingReads[h.lastReadID] = pending\n		h.completeRead(now, r, h.lastReadID, effects)\n"}}},
-		{Guard: "a majority is asked before a refusal", Rule: 11, Test: "internal/sim TestCutOffLeader", Edits: []Edit{{"internal/replica",
+		{Guard: "a majority is asked before a refusal", Rule: 11, Test: "internal/sim TestPartitionedLeader", Edits: []Edit{{"internal/replica",
 			"		if index, _, err := r.group.Propose(now, m.Body); err == nil {\n",
 			"		preview, _ := clusterstate.Restore(h.clusterState.Snapshot())\n" +
 				"		if result, err := preview.Apply(0, m.Body); err == nil && result.Error != nil {\n" +
@@ -21,7 +21,7 @@
 				"			return\n" +
 				"		}\n" +
 				"		if index, _, err := r.group.Propose(now, m.Body); err == nil {\n"}}},
-		{Guard: "that a queue is unknown is confirmed for the very call", Rule: 11, Test: "internal/sim TestCutOffFront", Edits: []Edit{{"internal/gateway",
+		{Guard: "that a queue is unknown is confirmed for the very call", Rule: 11, Test: "internal/sim TestPartitionedGateway", Edits: []Edit{{"internal/gateway",
 			"	case !isConfirmed:\n", "	case false:\n"}}},
 		{Guard: "a call that came after a confirmation was asked for waits for the next", Rule: 11, Test: "internal/gateway TestUnknownQueueConfirmation", Edits: []Edit{{"internal/gateway",
 			"	c.queued = append(c.queued, call)\n	if c.requestID == 0 {\n", "	if c.requestID != 0 {\n		c.inFlight = append(c.inFlight, call)\n	} else {\n		c.queued = append(c.queued, call)\n"}}},
--- a/internal/mutation/ledger_test.go
+++ b/internal/mutation/ledger_test.go
@@ -42,7 +42,7 @@
 		case "mutant":
 			isThere = slices.Contains(guards, name)
 		case "fault":
-			isThere = slices.Contains(sim.DeedNames(), name)
+			isThere = slices.Contains(sim.FaultNames(), name)
 		case "fleet":
 			isThere = strings.Contains(string(fleet), `"`+name+`"`)
 		case "test":
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -29,9 +29,9 @@
 }
 
 func scenarios(name string) []sim.Scenario {
-	for _, size := range sim.Sizes() {
+	for _, size := range sim.FleetSpecs() {
 		if size.Name == name {
-			return sim.ScenariosOf(size)
+			return sim.ScenariosFor(size)
 		}
 	}
 	return nil
--- a/internal/sim/called_test.go
+++ b/internal/sim/called_test.go
@@ -12,14 +12,14 @@
 	"sparnotch/internal/eventloop"
 )
 
-// inCI are the scenarios that run with called workers each time; sparnotch-bench simulate
+// alwaysRunWithCalledWorkers are the scenarios that run with called workers each time; sparnotch-bench simulate
 // plays all of them, with any seed.
-var inCI = map[string]bool{
+var alwaysRunWithCalledWorkers = map[string]bool{
 	"calm": true, "rough net": true, "leader killed": true, "operators race": true, "clocks jump": true, "core split each way": true,
 }
 
-// seen counts what a run has shown of what the rules speak of.
-func seen(f *Fleet) map[string]int {
+// seenBy counts what a run has shown of what the rules speak of.
+func countEvents(f *Fleet) map[string]int {
 	count := map[string]int{}
 	for _, e := range f.History {
 		switch {
@@ -47,8 +47,8 @@
 	return count
 }
 
-// mostSeeds is how many seeds may be played for a scenario to show all it is there for.
-const mostSeeds = 4
+// maxSeeds is how many seeds may be played for a scenario to show all it is there for.
+const maxSeeds = 4
 
 func TestCalledScenarios(t *testing.T) {
 	shows := map[string][]string{
@@ -58,19 +58,19 @@
 		"side machines killed, frozen, cut":                              {"lapsed", "begun again"},
 		"urgent work while called workers are full":                      {"stopped", "from progress"},
 	}
-	for _, s := range ScenariosOf(SmallCalled) {
+	for _, s := range ScenariosFor(SmallCalledFleet) {
 		isNew := false
 		for _, each := range CalledScenarios {
 			isNew = isNew || each.Name == s.Name
 		}
-		if *only != "" && s.Name != *only || *only == "" && !isNew && !inCI[s.Name] {
+		if *onlyScenario != "" && s.Name != *onlyScenario || *onlyScenario == "" && !isNew && !alwaysRunWithCalledWorkers[s.Name] {
 			continue
 		}
 		for k := 0; k < *seeds; k++ {
 			seed := *firstSeed + uint64(k)
 			t.Run(fmt.Sprintf("%s/%d", s.Name, seed), func(t *testing.T) {
 				t.Parallel()
-				count := seen(playOn(t, s, SmallCalled, seed))
+				count := countEvents(runOn(t, s, SmallCalledFleet, seed))
 				// A run in which nothing happened proves nothing.
 				for _, what := range []string{"begun", "done", checker.EndAcknowledged, checker.ConfigurationReply} {
 					if count[what] == 0 {
@@ -82,10 +82,10 @@
 				// happens not to come up the next seeds are judged as well, until it does.
 				isMissing := func(what string) bool { return count[what] == 0 }
 				for next := seed + 1; seed == 1 && slices.ContainsFunc(shows[s.Name], isMissing); next++ {
-					if next > mostSeeds {
-						t.Fatalf("%v isn't all shown by %d seeds: %v", shows[s.Name], mostSeeds, count)
+					if next > maxSeeds {
+						t.Fatalf("%v isn't all shown by %d seeds: %v", shows[s.Name], maxSeeds, count)
 					}
-					for what, times := range seen(playOn(t, s, SmallCalled, next)) {
+					for what, times := range countEvents(runOn(t, s, SmallCalledFleet, next)) {
 						count[what] += times
 					}
 				}
@@ -96,25 +96,25 @@
 
 // TestCalledDeployments: the two as their users have them.
 func TestCalledDeployments(t *testing.T) {
-	for _, size := range Sizes() {
-		if size.Bounds == nil || size.Name == SmallCalled.Name {
+	for _, size := range FleetSpecs() {
+		if size.Bounds == nil || size.Name == SmallCalledFleet.Name {
 			continue
 		}
-		for _, s := range ScenariosOf(size) {
+		for _, s := range ScenariosFor(size) {
 			if s.Name != "leader killed" && s.Name != "called workers crash, vanish, leave at once, fail, stand still" {
 				continue
 			}
 			t.Run(size.Name+"/"+s.Name, func(t *testing.T) {
 				t.Parallel()
-				playOn(t, s, size, 1)
+				runOn(t, s, size, 1)
 			})
 		}
 	}
 	for seed := uint64(2); seed <= 3; seed++ {
-		schedule := RandomSchedule(seed, SmallCalled)
+		schedule := RandomSchedule(seed, SmallCalledFleet)
 		t.Run(fmt.Sprint("schedule ", seed), func(t *testing.T) {
 			t.Parallel()
-			playOn(t, schedule.Scenario(), SmallCalled, seed)
+			runOn(t, schedule.Scenario(), SmallCalledFleet, seed)
 		})
 	}
 }
@@ -122,20 +122,20 @@
 func TestCalledSameSeedSameHistory(t *testing.T) {
 	Convey("With called workers too, the same seed gives the same history", t, func() {
 		s := CalledScenarios[0]
-		one, _, _ := Play(s, SmallCalled, 7)
-		two, _, _ := Play(s, SmallCalled, 7)
+		one, _, _ := RunScenario(s, SmallCalledFleet, 7)
+		two, _, _ := RunScenario(s, SmallCalledFleet, 7)
 		So(len(one.History), ShouldBeGreaterThan, 500)
-		So(bytes.Equal(one.Bytes(), two.Bytes()), ShouldBeTrue)
+		So(bytes.Equal(one.EncodeHistory(), two.EncodeHistory()), ShouldBeTrue)
 	})
 }
 
 func TestAllowedByTheQueue(t *testing.T) {
 	Convey("What a queue's row allows stands where a step says nothing", t, func() {
-		kind := CalledKinds()[0]
-		So(kind.allowed().Steps[0].AllowedFailures, ShouldEqual, 3)
+		kind := CalledJobKinds()[0]
+		So(kind.withAllowedFailures().Steps[0].AllowedFailures, ShouldEqual, 3)
 		So(kind.Job.Steps[0].AllowedFailures, ShouldEqual, 0)
 		kind.Job.Steps[0].AllowedFailures = 1
-		So(kind.allowed().Steps[0].AllowedFailures, ShouldEqual, 1)
-		So(eventloop.Micros(SmallCalled.Bounds.HoldMostUs), ShouldEqual, 6*eventloop.Second)
+		So(kind.withAllowedFailures().Steps[0].AllowedFailures, ShouldEqual, 1)
+		So(eventloop.Micros(SmallCalledFleet.Bounds.HoldMostUs), ShouldEqual, 6*eventloop.Second)
 	})
 }
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -15,31 +15,31 @@
 	// OpsLeft, when not negative, counts down to a power cut.
 	OpsLeft int
 	Syncs   int
-	Fault   Fault
+	Fault   DiskFault
 }
 
 type file struct {
-	synced  []byte
-	current []byte
-	writes  []write // since the last sync
-	isKept  bool    // its name has been synced
+	synced       []byte
+	current      []byte
+	writes       []write // since the last sync
+	isNameSynced bool    // its name has been synced
 }
 
 type write struct {
-	offset int64
-	data   []byte
-	cut    int64 // a cut to this size instead, when data is nil
+	offset     int64
+	data       []byte
+	truncateTo int64 // a cut to this size instead, when data is nil
 }
 
-// ErrPower is what every operation gets once the power is gone.
-var ErrPower = errors.New("sim: the power is gone")
+// ErrPowerLost is what every operation gets once the power is gone.
+var ErrPowerLost = errors.New("sim: the power is gone")
 
 // NewDisk makes an empty disk.
 func NewDisk() *Disk { return &Disk{files: map[string]*file{}, OpsLeft: -1} }
 
-func (d *Disk) op() error {
+func (d *Disk) consumeOperation() error {
 	if d.OpsLeft == 0 {
-		return ErrPower
+		return ErrPowerLost
 	}
 	if d.OpsLeft > 0 {
 		d.OpsLeft--
@@ -66,10 +66,10 @@
 
 func (w write) apply(data []byte) []byte {
 	if w.data == nil {
-		for int64(len(data)) < w.cut {
+		for int64(len(data)) < w.truncateTo {
 			data = append(data, 0)
 		}
-		return data[:w.cut]
+		return data[:w.truncateTo]
 	}
 	for int64(len(data)) < w.offset+int64(len(w.data)) {
 		data = append(data, 0)
@@ -79,12 +79,12 @@
 }
 
 func (d *Disk) Write(name string, offset int64, data []byte) error {
-	if err := d.op(); err != nil {
+	if err := d.consumeOperation(); err != nil {
 		return err
 	}
 	f := d.open(name)
 	w := write{offset: offset, data: append([]byte{}, data...)}
-	if d.isRefused(name, f, w) {
+	if d.refusesWrite(name, f, w) {
 		return ErrFull
 	}
 	f.writes = append(f.writes, w)
@@ -94,12 +94,12 @@
 
 // Truncate sets a file to a length in bytes.
 func (d *Disk) Truncate(name string, size int64) error {
-	if err := d.op(); err != nil {
+	if err := d.consumeOperation(); err != nil {
 		return err
 	}
 	f := d.open(name)
-	w := write{cut: size}
-	if d.Fault.strikes(name, false) {
+	w := write{truncateTo: size}
+	if d.Fault.fails(name, false) {
 		return ErrFull
 	}
 	f.writes = append(f.writes, w)
@@ -107,19 +107,19 @@
 	return nil
 }
 
-// Sync makes what was written to a file outlive a loss of power.
+// SyncDelay makes what was written to a file outlive a loss of power.
 func (d *Disk) Sync(name string) error {
-	if err := d.op(); err != nil {
+	if err := d.consumeOperation(); err != nil {
 		return err
 	}
 	f := d.open(name)
-	if d.Fault.strikes(name, d.Fault.SyncFails) {
+	if d.Fault.fails(name, d.Fault.SyncFails) {
 		return d.failSync(f)
 	}
 	for _, w := range f.writes {
 		f.synced = w.apply(f.synced)
 	}
-	f.writes, f.isKept = nil, true
+	f.writes, f.isNameSynced = nil, true
 	d.Syncs++
 	return nil
 }
@@ -132,7 +132,7 @@
 	for _, name := range names {
 		f := d.files[name]
 		data := append([]byte(nil), f.synced...)
-		isKept := f.isKept
+		isKept := f.isNameSynced
 		for _, w := range f.writes {
 			switch rng.IntN(3) {
 			case 0:
@@ -148,12 +148,12 @@
 			delete(d.files, name)
 			continue
 		}
-		f.synced, f.current, f.writes, f.isKept = data, append([]byte(nil), data...), nil, true
+		f.synced, f.current, f.writes, f.isNameSynced = data, append([]byte(nil), data...), nil, true
 	}
 }
 
-// Rot turns bits of a file round, as a failing disk would.
-func (d *Disk) Rot(name string, offset int) bool {
+// CorruptByte turns bits of a file round, as a failing disk would.
+func (d *Disk) CorruptByte(name string, offset int) bool {
 	f := d.files[name]
 	if f == nil || offset < 0 || offset >= len(f.current) {
 		return false
@@ -165,7 +165,7 @@
 	return true
 }
 
-// Size is a file's size.
+// FleetSpec is a file's size.
 func (d *Disk) Size(name string) int {
 	if f := d.files[name]; f != nil {
 		return len(f.current)
--- a/internal/sim/disk_fault.go
+++ b/internal/sim/disk_fault.go
@@ -12,21 +12,21 @@
 	ErrSync = errors.New("sim: the sync failed")
 )
 
-// Fault is what a disk in trouble does.
-type Fault struct {
+// RecordFault is what a disk in trouble does.
+type DiskFault struct {
 	IsFull    bool   // writes are refused, when some of their bytes were taken
 	SyncFails bool   // syncs fail, and what they should have kept counts as kept
-	Only      string // the beginning of the names that this is about; empty: all
+	Prefix    string // the beginning of the names that this is about; empty: all
 	// FailAt, when positive, counts operations down to one that fails.
 	FailAt int
 	// Room, when positive, is how many bytes all files may hold together.
-	Room int
+	Capacity int
 }
 
-// strikes tells whether an operation on a file fails: this one, or all of its
+// fails tells whether an operation on a file fails: this one, or all of its
 // kind.
-func (f *Fault) strikes(name string, isAlways bool) bool {
-	if !strings.HasPrefix(name, f.Only) {
+func (f *DiskFault) fails(name string, isAlways bool) bool {
+	if !strings.HasPrefix(name, f.Prefix) {
 		return false
 	}
 	if f.FailAt > 0 {
@@ -36,16 +36,16 @@
 	return isAlways
 }
 
-// isRefused tells whether a write is, and leaves half of it behind.
-func (d *Disk) isRefused(name string, f *file, w write) bool {
+// isDiskRefusing tells whether a write is, and leaves half of it behind.
+func (d *Disk) refusesWrite(name string, f *file, w write) bool {
 	isFull := d.Fault.IsFull
-	if grown := int(w.offset) + len(w.data) - len(f.current); d.Fault.Room > 0 && grown > 0 {
-		isFull = isFull || d.Used()+grown > d.Fault.Room
+	if grown := int(w.offset) + len(w.data) - len(f.current); d.Fault.Capacity > 0 && grown > 0 {
+		isFull = isFull || d.Used()+grown > d.Fault.Capacity
 	}
-	if !d.Fault.strikes(name, isFull) {
+	if !d.Fault.fails(name, isFull) {
 		return false
 	}
-	if len(w.data) > 1 && d.Fault.Room == 0 {
+	if len(w.data) > 1 && d.Fault.Capacity == 0 {
 		half := write{offset: w.offset, data: w.data[:len(w.data)/2]}
 		f.writes = append(f.writes, half)
 		f.current = half.apply(f.current)
--- a/internal/sim/disk_scenarios.go
+++ b/internal/sim/disk_scenarios.go
@@ -11,54 +11,54 @@
 	"sparnotch/internal/replica"
 )
 
-// fullSpan is how long a disk takes nothing in these scenarios.
-const fullSpan = 6 * eventloop.Second
+// diskFullPeriod is how long a disk takes nothing in these scenarios.
+const diskFullPeriod = 6 * eventloop.Second
 
-// refused has a host's disk refuse for a span, and looks at the host meanwhile.
-func (f *Fleet) refused(h *Host, fault Fault, span eventloop.Micros) {
-	f.Fault("the disk of %s takes no more", h.Name)
+// refuseWritesAndVerify has a host's disk refuse for a span, and looks at the host meanwhile.
+func (f *Fleet) refuseWritesAndVerify(h *Host, fault DiskFault, duration eventloop.Micros) {
+	f.RecordFault("the disk of %s takes no more", h.Name)
 	f.refusals = append(f.refusals, f.Now)
-	h.Refuse(fault, span)
-	f.After(span/2, func() { f.lookAtRefused(h) })
+	h.RefuseWrites(fault, duration)
+	f.After(duration/2, func() { f.verifyRefusing(h) })
 }
 
-// lookAtRefused: a process whose disk refuses says so, and leads nothing that
+// verifyRefusing: a process whose disk refuses says so, and leads nothing that
 // another could lead.
-func (f *Fleet) lookAtRefused(h *Host) {
-	belief := h.Belief()
+func (f *Fleet) verifyRefusing(h *Host) {
+	view := h.StateView()
 	switch {
 	case !h.IsUp:
-		f.wrong = append(f.wrong, h.Name+" has ended")
+		f.problems = append(f.problems, h.Name+" has ended")
 		return
-	case belief == nil:
+	case view == nil:
 		// It has started without its store.
 		return
-	case belief.ReadOnlyReason == "":
-		f.wrong = append(f.wrong, h.Name+" doesn't say that its store takes no writes")
+	case view.ReadOnlyReason == "":
+		f.problems = append(f.problems, h.Name+" doesn't say that its store takes no writes")
 	}
-	for _, group := range belief.Groups {
+	for _, group := range view.Groups {
 		if group.Role == "leader" {
-			f.wrong = append(f.wrong, fmt.Sprintf("%s still leads %s", h.Name, group.Group))
+			f.problems = append(f.problems, fmt.Sprintf("%s still leads %s", h.Name, group.Group))
 		}
 	}
-	if count := f.wardsOf(h); count > 0 {
-		f.wrong = append(f.wrong, fmt.Sprintf("%s still holds the wards of %d workers", h.Name, count))
+	if count := f.workerLeasesOf(h); count > 0 {
+		f.problems = append(f.problems, fmt.Sprintf("%s still holds the wards of %d workers", h.Name, count))
 	}
 }
 
-// wardsOf counts the workers that are with a host, as the cluster state's leader
+// workerLeasesOf counts the workers that are with a host, as the cluster state's leader
 // has it.
-func (f *Fleet) wardsOf(h *Host) int {
+func (f *Fleet) workerLeasesOf(h *Host) int {
 	count := 0
-	for _, other := range f.Stores() {
-		belief := other.Belief()
-		if belief == nil || !slices.ContainsFunc(belief.Groups, func(g *replica.GroupStateView) bool {
+	for _, other := range f.StorageNodes() {
+		view := other.StateView()
+		if view == nil || !slices.ContainsFunc(view.Groups, func(g *replica.GroupStateView) bool {
 			return g.Group == clusterstate.Group && g.Role == "leader"
 		}) {
 			continue
 		}
-		for _, ward := range belief.WorkerLeases {
-			if ward.Scheduler == h.Id {
+		for _, lease := range view.WorkerLeases {
+			if lease.Scheduler == h.ID {
 				count++
 			}
 		}
@@ -66,37 +66,37 @@
 	return count
 }
 
-// caughtUp: every store votes in every group again and holds what the others do.
-func caughtUp(f *Fleet) []string {
-	wrong := append(repaired(f), f.wrong...)
+// verifyCaughtUp: every store votes in every group again and holds what the others do.
+func verifyCaughtUp(f *Fleet) []string {
+	problems := append(verifyRepaired(f), f.problems...)
 	last := map[string]uint64{}
-	for _, h := range f.Stores() {
-		belief := h.Belief()
-		if belief == nil {
-			wrong = append(wrong, h.Name+" has no store again")
+	for _, h := range f.StorageNodes() {
+		view := h.StateView()
+		if view == nil {
+			problems = append(problems, h.Name+" has no store again")
 			continue
 		}
-		if belief.ReadOnlyReason != "" {
-			wrong = append(wrong, h.Name+" still says that its store refuses: "+belief.ReadOnlyReason)
+		if view.ReadOnlyReason != "" {
+			problems = append(problems, h.Name+" still says that its store refuses: "+view.ReadOnlyReason)
 		}
-		for _, group := range belief.Groups {
+		for _, group := range view.Groups {
 			last[group.Group] = max(last[group.Group], group.Commit)
 		}
 	}
-	for _, h := range f.Stores() {
-		for _, group := range h.Belief().Groups {
+	for _, h := range f.StorageNodes() {
+		for _, group := range h.StateView().Groups {
 			if group.Stable+200 < last[group.Group] {
-				wrong = append(wrong, fmt.Sprintf("%s holds %s to %d of %d", h.Name, group.Group, group.Stable, last[group.Group]))
+				problems = append(problems, fmt.Sprintf("%s holds %s to %d of %d", h.Name, group.Group, group.Stable, last[group.Group]))
 			}
 		}
 	}
-	return wrong
+	return problems
 }
 
-// servedOn: whoever hands in around a refusal waits no longer than for a
+// verifyServedThroughout: whoever hands in around a refusal waits no longer than for a
 // redirect or a resend.
-func servedOn(f *Fleet) []string {
-	wrong := caughtUp(f)
+func verifyServedThroughout(f *Fleet) []string {
+	problems := verifyCaughtUp(f)
 	sent := map[string]eventloop.Micros{}
 	for _, e := range f.History {
 		if e.Kind == checker.Submit && sent[e.Name] == 0 {
@@ -106,102 +106,102 @@
 			continue
 		}
 		for _, at := range f.refusals {
-			if span := e.At - sent[e.Name]; sent[e.Name] >= at && sent[e.Name] < at+fullSpan && span > handoverMost {
-				wrong = append(wrong, fmt.Sprintf("%s waited %d us while a disk took nothing", e.Name, span))
+			if duration := e.At - sent[e.Name]; sent[e.Name] >= at && sent[e.Name] < at+diskFullPeriod && duration > maxHandoverDelay {
+				problems = append(problems, fmt.Sprintf("%s waited %d us while a disk took nothing", e.Name, duration))
 			}
 		}
 	}
-	return wrong
+	return problems
 }
 
-// handoverMost is a redirect or two, and a resend of what was lost with them.
-const handoverMost = 1200 * eventloop.Millisecond
+// maxHandoverDelay is a redirect or two, and a resend of what was lost with them.
+const maxHandoverDelay = 1200 * eventloop.Millisecond
 
 // DiskScenarios are disks that refuse; a stall is among the Scenarios.
 var DiskScenarios = []Scenario{
-	{Name: "leader's disk is full", Net: CalmNet, Sync: 500, Span: 25 * eventloop.Second, Plan: func(f *Fleet) {
-		during(f, 4*eventloop.Second, func(leader *Host) { f.refused(leader, Fault{IsFull: true}, fullSpan) })
-	}, After: servedOn},
-	{Name: "syncs of the leader's disk fail, then the power", Net: CalmNet, Sync: 500, Span: 25 * eventloop.Second, Plan: func(f *Fleet) {
-		during(f, 4*eventloop.Second, func(leader *Host) {
-			f.refused(leader, Fault{SyncFails: true}, 3*eventloop.Second)
-			f.After(4*eventloop.Second, func() { f.killed(leader, eventloop.Second) })
+	{Name: "leader's disk is full", Network: ReliableNetwork, SyncDelay: 500, Duration: 25 * eventloop.Second, Inject: func(f *Fleet) {
+		withLeaderAt(f, 4*eventloop.Second, func(leader *Host) { f.refuseWritesAndVerify(leader, DiskFault{IsFull: true}, diskFullPeriod) })
+	}, Verify: verifyServedThroughout},
+	{Name: "syncs of the leader's disk fail, then the power", Network: ReliableNetwork, SyncDelay: 500, Duration: 25 * eventloop.Second, Inject: func(f *Fleet) {
+		withLeaderAt(f, 4*eventloop.Second, func(leader *Host) {
+			f.refuseWritesAndVerify(leader, DiskFault{SyncFails: true}, 3*eventloop.Second)
+			f.After(4*eventloop.Second, func() { f.kill(leader, eventloop.Second) })
 		})
-	}, After: caughtUp},
-	{Name: "every disk is full, one after another", Net: CalmNet, Sync: 5 * eventloop.Millisecond, Span: 40 * eventloop.Second, Plan: func(f *Fleet) {
-		for k, h := range f.Stores() {
-			f.At(f.Began+eventloop.Micros(3+10*k)*eventloop.Second, func() { f.refused(h, Fault{IsFull: true}, fullSpan) })
+	}, Verify: verifyCaughtUp},
+	{Name: "every disk is full, one after another", Network: ReliableNetwork, SyncDelay: 5 * eventloop.Millisecond, Duration: 40 * eventloop.Second, Inject: func(f *Fleet) {
+		for k, h := range f.StorageNodes() {
+			f.At(f.LoadStart+eventloop.Micros(3+10*k)*eventloop.Second, func() { f.refuseWritesAndVerify(h, DiskFault{IsFull: true}, diskFullPeriod) })
 		}
-	}, After: servedOn},
-	{Name: "full when the process starts", Net: CalmNet, Sync: 500, Span: 30 * eventloop.Second, Plan: func(f *Fleet) {
-		during(f, 4*eventloop.Second, func(leader *Host) {
-			f.killed(leader, eventloop.Second)
-			f.refused(leader, Fault{IsFull: true}, fullSpan)
+	}, Verify: verifyServedThroughout},
+	{Name: "full when the process starts", Network: ReliableNetwork, SyncDelay: 500, Duration: 30 * eventloop.Second, Inject: func(f *Fleet) {
+		withLeaderAt(f, 4*eventloop.Second, func(leader *Host) {
+			f.kill(leader, eventloop.Second)
+			f.refuseWritesAndVerify(leader, DiskFault{IsFull: true}, diskFullPeriod)
 		})
-	}, After: caughtUp},
-	{Name: "most disks are full", Net: CalmNet, Sync: 500, Span: 25 * eventloop.Second, Plan: func(f *Fleet) {
-		f.At(f.Began+4*eventloop.Second, func() {
-			f.Fault("most disks take no more")
-			for _, h := range f.Stores()[1:] {
-				h.Refuse(Fault{IsFull: true}, fullSpan)
+	}, Verify: verifyCaughtUp},
+	{Name: "most disks are full", Network: ReliableNetwork, SyncDelay: 500, Duration: 25 * eventloop.Second, Inject: func(f *Fleet) {
+		f.At(f.LoadStart+4*eventloop.Second, func() {
+			f.RecordFault("most disks take no more")
+			for _, h := range f.StorageNodes()[1:] {
+				h.RefuseWrites(DiskFault{IsFull: true}, diskFullPeriod)
 			}
 			f.refusals = append(f.refusals, f.Now)
 		})
-	}, After: turnedAway},
-	{Name: "a full disk beside a machine that is away", Net: CalmNet, Sync: 500, Span: 25 * eventloop.Second, Plan: func(f *Fleet) {
-		during(f, 4*eventloop.Second, func(leader *Host) {
-			for _, h := range f.Stores() {
+	}, Verify: verifyRejectedAtOnce},
+	{Name: "a full disk beside a machine that is away", Network: ReliableNetwork, SyncDelay: 500, Duration: 25 * eventloop.Second, Inject: func(f *Fleet) {
+		withLeaderAt(f, 4*eventloop.Second, func(leader *Host) {
+			for _, h := range f.StorageNodes() {
 				if h != leader {
-					f.killed(h, fullSpan+2*eventloop.Second)
+					f.kill(h, diskFullPeriod+2*eventloop.Second)
 					break
 				}
 			}
-			f.Fault("the disk of %s takes no more", leader.Name)
-			leader.Refuse(Fault{IsFull: true}, fullSpan+2*eventloop.Second)
+			f.RecordFault("the disk of %s takes no more", leader.Name)
+			leader.RefuseWrites(DiskFault{IsFull: true}, diskFullPeriod+2*eventloop.Second)
 			// The other is known to be away once it has been unheard of for long.
 			f.refusals = append(f.refusals, f.Now+2*eventloop.Second)
 		})
-	}, After: turnedAway},
-	{Name: "most disks hang", Net: CalmNet, Sync: 500, Span: 25 * eventloop.Second, Plan: func(f *Fleet) {
-		f.At(f.Began+4*eventloop.Second, func() { mostHang(f, process.DiskHangTimeout+fullSpan) })
-	}, After: turnedAway},
-	{Name: "every disk is full at once, rough net", Net: RoughNet, Sync: 5 * eventloop.Millisecond, Span: 30 * eventloop.Second, Plan: func(f *Fleet) {
-		f.At(f.Began+4*eventloop.Second, func() {
-			f.Fault("every disk takes no more")
-			for _, h := range f.Stores() {
-				h.Refuse(Fault{IsFull: true}, fullSpan)
+	}, Verify: verifyRejectedAtOnce},
+	{Name: "most disks hang", Network: ReliableNetwork, SyncDelay: 500, Duration: 25 * eventloop.Second, Inject: func(f *Fleet) {
+		f.At(f.LoadStart+4*eventloop.Second, func() { hangMajority(f, process.DiskHangTimeout+diskFullPeriod) })
+	}, Verify: verifyRejectedAtOnce},
+	{Name: "every disk is full at once, rough net", Network: LossyNetwork, SyncDelay: 5 * eventloop.Millisecond, Duration: 30 * eventloop.Second, Inject: func(f *Fleet) {
+		f.At(f.LoadStart+4*eventloop.Second, func() {
+			f.RecordFault("every disk takes no more")
+			for _, h := range f.StorageNodes() {
+				h.RefuseWrites(DiskFault{IsFull: true}, diskFullPeriod)
 			}
 		})
-	}, After: caughtUp},
-	{Name: "the disk is full again and again while the leader is killed", Net: CalmNet, Sync: 500, Span: 45 * eventloop.Second, Plan: func(f *Fleet) {
+	}, Verify: verifyCaughtUp},
+	{Name: "the disk is full again and again while the leader is killed", Network: ReliableNetwork, SyncDelay: 500, Duration: 45 * eventloop.Second, Inject: func(f *Fleet) {
 		for k := range 5 {
-			during(f, eventloop.Micros(3+7*k)*eventloop.Second, func(leader *Host) {
-				leader.Refuse(Fault{IsFull: k%2 == 0, SyncFails: k%2 == 1}, 1500*eventloop.Millisecond)
+			withLeaderAt(f, eventloop.Micros(3+7*k)*eventloop.Second, func(leader *Host) {
+				leader.RefuseWrites(DiskFault{IsFull: k%2 == 0, SyncFails: k%2 == 1}, 1500*eventloop.Millisecond)
 				f.After(2200*eventloop.Millisecond, func() {
 					if other := f.Leader(); other != nil {
-						f.killed(other, eventloop.Second)
+						f.kill(other, eventloop.Second)
 					}
 				})
 			})
 		}
-	}, After: caughtUp},
+	}, Verify: verifyCaughtUp},
 }
 
-// mostHang has most disks answer nothing for a span.
-func mostHang(f *Fleet, span eventloop.Micros) {
-	f.Fault("most disks hang")
-	for _, h := range f.Stores()[1:] {
-		h.Stall = f.Now + span
+// hangMajority has most disks answer nothing for a span.
+func hangMajority(f *Fleet, duration eventloop.Micros) {
+	f.RecordFault("most disks hang")
+	for _, h := range f.StorageNodes()[1:] {
+		h.StallUntil = f.Now + duration
 	}
 	// They are known to once they have for so long.
 	f.refusals = append(f.refusals, f.Now+process.DiskHangTimeout)
 }
 
-// turnedAway: while nothing can be confirmed, who hands in is told so at once,
+// verifyRejectedAtOnce: while nothing can be confirmed, who hands in is told so at once,
 // and afterwards it goes on.
-func turnedAway(f *Fleet) []string {
-	wrong := caughtUp(f)
-	from, to := f.refusals[0]+eventloop.Second, f.refusals[0]+fullSpan
+func verifyRejectedAtOnce(f *Fleet) []string {
+	problems := verifyCaughtUp(f)
+	from, to := f.refusals[0]+eventloop.Second, f.refusals[0]+diskFullPeriod
 	waits := []eventloop.Micros{}
 	slow := 0
 	for _, e := range f.History {
@@ -210,14 +210,14 @@
 		}
 		waits = append(waits, e.At-e.SentAt)
 		if e.Code == 201 && e.At < to {
-			wrong = append(wrong, fmt.Sprintf("%s was confirmed by %s while most disks took nothing", e.Name, e.Gateway))
+			problems = append(problems, fmt.Sprintf("%s was confirmed by %s while most disks took nothing", e.Name, e.Gateway))
 		}
 		if e.At-e.SentAt > 500*eventloop.Millisecond {
 			slow++
 		}
 	}
 	if len(waits) < 10 || slow > len(waits)/10 {
-		wrong = append(wrong, fmt.Sprintf("of %d hand-ins while most disks took nothing %d waited", len(waits), slow))
+		problems = append(problems, fmt.Sprintf("of %d hand-ins while most disks took nothing %d waited", len(waits), slow))
 	}
-	return wrong
+	return problems
 }
--- a/internal/sim/disk_test.go
+++ b/internal/sim/disk_test.go
@@ -8,14 +8,14 @@
 // TestDisksThatRefuse: full disks, failing syncs, at any store and at a start.
 func TestDisksThatRefuse(t *testing.T) {
 	for _, s := range DiskScenarios {
-		if *only != "" && s.Name != *only {
+		if *onlyScenario != "" && s.Name != *onlyScenario {
 			continue
 		}
 		for k := 0; k < *seeds; k++ {
 			seed := *firstSeed + uint64(k)
 			t.Run(fmt.Sprintf("%s/%d", s.Name, seed), func(t *testing.T) {
 				t.Parallel()
-				play(t, s, seed)
+				runSmall(t, s, seed)
 			})
 		}
 	}
--- a/internal/sim/link.go
+++ b/internal/sim/link.go
@@ -10,42 +10,42 @@
 // order, at a speed. A message that has waited for too long is given up, as the
 // wires do.
 type Link struct {
-	Speed    int64            // bytes a second, each way; 0: no limit
-	up, down eventloop.Micros // when what is on its way will have passed
+	BytesPerSecond                  int64            // bytes a second, each way; 0: no limit
+	sendBusyUntil, receiveBusyUntil eventloop.Micros // when what is on its way will have passed
 }
 
 const (
-	linkStale   = 2 * eventloop.Second
-	linkHeaders = 60 // bytes of a message besides its body
+	maxLinkDelay         = 2 * eventloop.Second
+	messageOverheadBytes = 60 // bytes of a message besides its body
 )
 
-// pass gives when a message that starts now will have passed, false if it would
+// transmit gives when a message that starts now will have passed, false if it would
 // wait for too long before.
-func (l *Link) pass(now eventloop.Micros, free *eventloop.Micros, bytes int64) (eventloop.Micros, bool) {
-	if l.Speed == 0 {
+func (l *Link) transmit(now eventloop.Micros, free *eventloop.Micros, bytes int64) (eventloop.Micros, bool) {
+	if l.BytesPerSecond == 0 {
 		return now, true
 	}
 	start := max(now, *free)
-	if start-now > linkStale {
+	if start-now > maxLinkDelay {
 		return 0, false
 	}
-	*free = start + eventloop.Micros(bytes*int64(eventloop.Second)/l.Speed)
+	*free = start + eventloop.Micros(bytes*int64(eventloop.Second)/l.BytesPerSecond)
 	return *free, true
 }
 
-// transfer is how long a message is on the links of both hosts.
-func (w *World) transfer(from, to *Host, body any) (eventloop.Micros, bool) {
-	if from.Link.Speed == 0 && (to == nil || to.Link.Speed == 0) {
+// transferTime is how long a message is on the links of both hosts.
+func (s *Simulation) transferTime(from, to *Host, body any) (eventloop.Micros, bool) {
+	if from.Link.BytesPerSecond == 0 && (to == nil || to.Link.BytesPerSecond == 0) {
 		return 0, true
 	}
-	bytes := int64(linkHeaders)
-	if message, isMessage := body.(proto.Message); isMessage {
+	bytes := int64(messageOverheadBytes)
+	if message, ok := body.(proto.Message); ok {
 		bytes += int64(proto.Size(message))
 	}
-	sent, isSent := from.Link.pass(w.Now, &from.Link.up, bytes)
+	sent, isSent := from.Link.transmit(s.Now, &from.Link.sendBusyUntil, bytes)
 	if !isSent || to == nil {
 		return 0, isSent
 	}
-	come, isCome := to.Link.pass(sent, &to.Link.down, bytes)
-	return come - w.Now, isCome
+	come, isCome := to.Link.transmit(sent, &to.Link.receiveBusyUntil, bytes)
+	return come - s.Now, isCome
 }
--- a/internal/sim/lanes_test.go
+++ b/internal/sim/new_queues_test.go
@@ -12,16 +12,16 @@
 	"sparnotch/internal/schema"
 )
 
-// newQueues puts a table with eight queues more, and gives how long after the
+// newQueueDelays puts a table with eight queues more, and gives how long after the
 // answer each front could first list each of them.
-func newQueues(seed uint64) (spans []eventloop.Micros) {
-	f := NewFleet(seed, Small, CalmNet, 500, 3*eventloop.Second)
-	f.Run(f.Began + eventloop.Second)
-	rows := f.Rows(60)
+func newQueueDelays(seed uint64) (durations []eventloop.Micros) {
+	f := NewFleet(seed, SmallFleet, ReliableNetwork, 500, 3*eventloop.Second)
+	f.Run(f.LoadStart + eventloop.Second)
+	rows := f.ConfigurationRows(60)
 	for k := 0; k < 8; k++ {
 		rows = append(rows, &schema.ConfigurationRow{Kind: "queue", Name: fmt.Sprintf("new%d", k), Key: "urgency", Value: "20"})
 	}
-	f.Put("operator", rows)
+	f.PutConfiguration("operator", rows)
 	taken := func() bool {
 		last := len(f.History) - 1
 		for k := last; k >= 0 && k > last-200; k-- {
@@ -36,8 +36,8 @@
 	}
 	began := f.Now
 	open := 0
-	for _, front := range f.Hosts {
-		if front.Role != schema.Role_ROLE_SERVER {
+	for _, node := range f.Hosts {
+		if node.Role != schema.Role_ROLE_SERVER {
 			continue
 		}
 		for k := 0; k < 8; k++ {
@@ -45,7 +45,7 @@
 			queue := fmt.Sprintf("new%d", k)
 			var try func()
 			try = func() {
-				f.Ask(front, 8*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
+				f.Request(node, 8*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
 					return gateway.LeaderRequest{RequestID: request, Kind: "list", Group: queue, Limit: 1, Deadline: deadline}
 				}, func(answer any) {
 					if reply, _ := answer.(gateway.Response); reply.Code != 200 {
@@ -53,7 +53,7 @@
 						return
 					}
 					open--
-					spans = append(spans, f.Now-began)
+					durations = append(durations, f.Now-began)
 				})
 			}
 			try()
@@ -63,15 +63,15 @@
 		f.Run(f.Now + 10*eventloop.Millisecond)
 	}
 	So(open, ShouldEqual, 0)
-	return spans
+	return durations
 }
 
 func TestNewQueuesServeSoon(t *testing.T) {
 	Convey("Eight queues that a table adds serve at every front well before an election's time", t, func() {
 		worst, sum, count := eventloop.Micros(0), eventloop.Micros(0), 0
 		for seed := uint64(1); seed <= 8; seed++ {
-			for _, span := range newQueues(seed) {
-				worst, sum, count = max(worst, span), sum+span, count+1
+			for _, duration := range newQueueDelays(seed) {
+				worst, sum, count = max(worst, duration), sum+duration, count+1
 			}
 		}
 		t.Logf("%d queues at fronts: mean %d us, worst %d us", count, sum/eventloop.Micros(count), worst)
--- a/internal/sim/troubles_test.go
+++ b/internal/sim/overlapping_faults_test.go
@@ -15,15 +15,15 @@
 // closes the day right after an acknowledgement. With -seeds so many of them,
 // also on whole deployments; sparnotch-bench simulate -overlap plays any number.
 func TestOverlappingFaults(t *testing.T) {
-	for _, size := range Sizes() {
-		if size.Bounds == nil || size.Name != SmallCalled.Name && *seeds == 1 {
+	for _, size := range FleetSpecs() {
+		if size.Bounds == nil || size.Name != SmallCalledFleet.Name && *seeds == 1 {
 			continue
 		}
 		for seed := *firstSeed; seed <= *firstSeed+uint64(*seeds); seed++ {
 			schedule := OverlappingSchedule(seed, size)
 			t.Run(fmt.Sprint(size.Name, "/", seed), func(t *testing.T) {
 				t.Parallel()
-				playOn(t, schedule.Scenario(), size, seed)
+				runOn(t, schedule.Scenario(), size, seed)
 			})
 		}
 	}
@@ -33,16 +33,16 @@
 	Convey("Every kind is drawn, what is drawn can be survived, and the day ends right after an acknowledgement", t, func() {
 		drawn := map[string]bool{}
 		for seed := uint64(1); seed <= 300; seed++ {
-			schedule := OverlappingSchedule(seed, SmallCalled)
-			again, err := ReadSchedule(schedule.String(), SmallCalled)
+			schedule := OverlappingSchedule(seed, SmallCalledFleet)
+			retry, err := ParseSchedule(schedule.String(), SmallCalledFleet)
 			So(err, ShouldBeNil)
-			So(again, ShouldResemble, schedule)
-			So(schedule[len(schedule)-1].What, ShouldStartWith, "close")
+			So(retry, ShouldResemble, schedule)
+			So(schedule[len(schedule)-1].Kind, ShouldStartWith, "close")
 			for _, each := range schedule {
-				drawn[each.What] = true
+				drawn[each.Kind] = true
 			}
 		}
-		for _, name := range DeedNames() {
+		for _, name := range FaultNames() {
 			So(drawn[name], ShouldBeTrue)
 		}
 	})
@@ -66,10 +66,10 @@
 
 func TestRightAfterAnAcknowledgement(t *testing.T) {
 	Convey("A fault that waits for an acknowledgement strikes within 4 ms of it, and no rule breaks", t, func() {
-		schedule, err := ReadSchedule("ackwipe/all:1s@3s,closepower/all:700ms@20s", SmallCalled)
+		schedule, err := ParseSchedule("ackwipe/all:1s@3s,closepower/all:700ms@20s", SmallCalledFleet)
 		So(err, ShouldBeNil)
-		f, breaches, _ := Play(schedule.Scenario(), SmallCalled, 1)
-		So(breaches, ShouldBeEmpty)
+		f, violations, _ := RunScenario(schedule.Scenario(), SmallCalledFleet, 1)
+		So(violations, ShouldBeEmpty)
 		faults, waits := faultsAndAcknowledgements(f)
 		So(len(faults), ShouldEqual, 2)
 		So(strings.HasSuffix(faults[0], "loses its disk"), ShouldBeTrue)
@@ -81,10 +81,10 @@
 
 func TestLostAnswers(t *testing.T) {
 	Convey("Acknowledgements that are lost are sent for again and none is refused", t, func() {
-		schedule, err := ReadSchedule("ackloss/all:6s@3s,race/all:1s@3500ms,crowd/all:1s@5s", SmallCalled)
+		schedule, err := ParseSchedule("ackloss/all:6s@3s,race/all:1s@3500ms,crowd/all:1s@5s", SmallCalledFleet)
 		So(err, ShouldBeNil)
-		f, breaches, _ := Play(schedule.Scenario(), SmallCalled, 2)
-		So(breaches, ShouldBeEmpty)
+		f, violations, _ := RunScenario(schedule.Scenario(), SmallCalledFleet, 2)
+		So(violations, ShouldBeEmpty)
 		lost := map[string]int{}
 		for _, e := range f.History {
 			if e.State == checker.AcknowledgementLost {
@@ -100,7 +100,7 @@
 	for _, s := range LossScenarios {
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
-			play(t, s, 1)
+			runSmall(t, s, 1)
 		})
 	}
 }
--- a/internal/sim/again_test.go
+++ b/internal/sim/restart_delay_test.go
@@ -10,11 +10,11 @@
 	"sparnotch/internal/eventloop"
 )
 
-var spread = flag.Int("spread", 0, "measure with so many seeds how long a lost worker's tasks take to begin again when leader and controller go too")
+var restartDelayRuns = flag.Int("spread", 0, "measure with so many seeds how long a lost worker's tasks take to begin again when leader and controller go too")
 
-// TestSpread is a measurement; it is run by hand.
-func TestSpread(t *testing.T) {
-	if *spread == 0 {
+// TestRestartDelay is a measurement; it is run by hand.
+func TestRestartDelay(t *testing.T) {
+	if *restartDelayRuns == 0 {
 		t.Skip("only with -spread")
 	}
 	var list []eventloop.Micros
@@ -25,14 +25,14 @@
 		if s.Name != "leader, controller and worker lost at once" {
 			continue
 		}
-		for k := 0; k < *spread; k++ {
+		for k := 0; k < *restartDelayRuns; k++ {
 			playing.Add(1)
 			gate <- true
 			go func() {
 				defer func() { <-gate; playing.Done() }()
-				f, _, _ := Play(s, Small, *firstSeed+uint64(k))
+				f, _, _ := RunScenario(s, SmallFleet, *firstSeed+uint64(k))
 				mu.Lock()
-				list = append(list, f.Again)
+				list = append(list, f.RestartDelay)
 				mu.Unlock()
 			}()
 		}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -14,17 +14,17 @@
 
 var seeds = flag.Int("seeds", 1, "how many seeds to run each scenario with")
 var firstSeed = flag.Uint64("seed", 1, "the first seed")
-var only = flag.String("scenario", "", "run only this scenario")
+var onlyScenario = flag.String("scenario", "", "run only this scenario")
 
-// play runs a scenario and reports what it breaks.
-func play(t *testing.T, s Scenario, seed uint64) *Fleet { return playOn(t, s, Small, seed) }
+// runSmall runs a scenario and reports what it breaks.
+func runSmall(t *testing.T, s Scenario, seed uint64) *Fleet { return runOn(t, s, SmallFleet, seed) }
 
-func playOn(t *testing.T, s Scenario, size Size, seed uint64) *Fleet {
-	f, breaches, wrong := Play(s, size, seed)
-	for _, b := range breaches[:min(len(breaches), 12)] {
+func runOn(t *testing.T, s Scenario, size FleetSpec, seed uint64) *Fleet {
+	f, violations, problems := RunScenario(s, size, seed)
+	for _, b := range violations[:min(len(violations), 12)] {
 		t.Error(b)
 	}
-	for _, each := range wrong {
+	for _, each := range problems {
 		t.Error(each)
 	}
 	return f
@@ -32,14 +32,14 @@
 
 func TestScenarios(t *testing.T) {
 	for _, s := range Scenarios {
-		if *only != "" && s.Name != *only {
+		if *onlyScenario != "" && s.Name != *onlyScenario {
 			continue
 		}
 		for k := 0; k < *seeds; k++ {
 			seed := *firstSeed + uint64(k)
 			t.Run(fmt.Sprintf("%s/%d", s.Name, seed), func(t *testing.T) {
 				t.Parallel()
-				f := play(t, s, seed)
+				f := runSmall(t, s, seed)
 				accepted, begun := 0, 0
 				for _, e := range f.History {
 					if e.Kind == checker.SubmitReply && e.Code == 201 {
@@ -61,7 +61,7 @@
 // TestDeployments: the two as they stand, with faults one by one and schedules
 // of several; more of these are run by hand.
 func TestDeployments(t *testing.T) {
-	for _, size := range Sizes()[1:] {
+	for _, size := range FleetSpecs()[1:] {
 		if size.Bounds != nil {
 			continue
 		}
@@ -71,13 +71,13 @@
 			}
 			t.Run(size.Name+"/"+s.Name, func(t *testing.T) {
 				t.Parallel()
-				playOn(t, s, size, 1)
+				runOn(t, s, size, 1)
 			})
 		}
 		schedules := map[uint64]Schedule{1: RandomSchedule(1, size), 2: RandomSchedule(2, size)}
 		if size.Name == "skema" {
 			// Broke rule 5: a failure that was told late didn't count.
-			found, err := ReadSchedule("warn/server6:3s@2.5s,freeze/controller:3.5s@9.5s,flood/all:6s@12.5s,slow/server1:2.5s@13s,power/all:500ms@21s,rush/all:5s@27.5s,split/c1:5s@34s", size)
+			found, err := ParseSchedule("warn/server6:3s@2.5s,freeze/controller:3.5s@9.5s,flood/all:6s@12.5s,slow/server1:2.5s@13s,power/all:500ms@21s,rush/all:5s@27.5s,split/c1:5s@34s", size)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -86,7 +86,7 @@
 		for seed, schedule := range schedules {
 			t.Run(fmt.Sprint(size.Name, "/schedule ", seed), func(t *testing.T) {
 				t.Parallel()
-				playOn(t, schedule.Scenario(), size, seed)
+				runOn(t, schedule.Scenario(), size, seed)
 			})
 		}
 	}
@@ -95,11 +95,11 @@
 // TestDay is a day of short hours; sparnotch-bench simulate -day plays whole ones.
 func TestDay(t *testing.T) {
 	t.Parallel()
-	_, samples, breaches, wrong := Day(Small, 1, 4, 5*60*eventloop.Second, 0.3)
-	for _, b := range breaches[:min(len(breaches), 12)] {
+	_, samples, violations, problems := Day(SmallFleet, 1, 4, 5*60*eventloop.Second, 0.3)
+	for _, b := range violations[:min(len(violations), 12)] {
 		t.Error(b)
 	}
-	for _, each := range wrong {
+	for _, each := range problems {
 		t.Error(each)
 	}
 	if len(samples) < 12 {
@@ -110,10 +110,10 @@
 func TestSchedules(t *testing.T) {
 	Convey("A schedule is read as it is written; what can't be is told with its field", t, func() {
 		for seed := uint64(1); seed < 200; seed++ {
-			schedule := RandomSchedule(seed, Small)
-			again, err := ReadSchedule(schedule.String(), Small)
+			schedule := RandomSchedule(seed, SmallFleet)
+			retry, err := ParseSchedule(schedule.String(), SmallFleet)
 			So(err, ShouldBeNil)
-			So(again, ShouldResemble, schedule)
+			So(retry, ShouldResemble, schedule)
 		}
 		for text, what := range map[string]string{
 			"kill/leader:3s@5s,explode/server1:1s@9s": "faults[1]: there is no fault",
@@ -124,16 +124,16 @@
 			"kill/server4:90s@5s":                                "faults[0]",
 			"kill/server1:3s@5s,kill/server4:9s@5s,race/x:1s@1s": "faults[2]",
 		} {
-			_, err := ReadSchedule(text, Small)
+			_, err := ParseSchedule(text, SmallFleet)
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldContainSubstring, what)
 		}
 	})
 }
 
-// pinned are seeds that once broke a rule; what they found is told in the
+// pinnedSeeds are seeds that once broke a rule; what they found is told in the
 // commits that mended it.
-var pinned = map[string][]uint64{
+var pinnedSeeds = map[string][]uint64{
 	"all killed at once":                {105, 107, 116},
 	"side machines swapped out":         {1007},
 	"leader isolated":                   {3005},
@@ -146,10 +146,10 @@
 
 func TestPinnedSeeds(t *testing.T) {
 	for _, s := range Scenarios {
-		for _, seed := range pinned[s.Name] {
+		for _, seed := range pinnedSeeds[s.Name] {
 			t.Run(fmt.Sprintf("%s/%d", s.Name, seed), func(t *testing.T) {
 				t.Parallel()
-				play(t, s, seed)
+				runSmall(t, s, seed)
 			})
 		}
 	}
@@ -158,11 +158,11 @@
 func TestSameSeedSameHistory(t *testing.T) {
 	Convey("The same seed gives the same history, byte for byte, and another seed another one", t, func() {
 		s := Scenarios[4]
-		one, _, _ := Play(s, Small, 7)
-		two, _, _ := Play(s, Small, 7)
-		other, _, _ := Play(s, Small, 8)
+		one, _, _ := RunScenario(s, SmallFleet, 7)
+		two, _, _ := RunScenario(s, SmallFleet, 7)
+		other, _, _ := RunScenario(s, SmallFleet, 8)
 		So(len(one.History), ShouldBeGreaterThan, 500)
-		So(bytes.Equal(one.Bytes(), two.Bytes()), ShouldBeTrue)
-		So(bytes.Equal(one.Bytes(), other.Bytes()), ShouldBeFalse)
+		So(bytes.Equal(one.EncodeHistory(), two.EncodeHistory()), ShouldBeTrue)
+		So(bytes.Equal(one.EncodeHistory(), other.EncodeHistory()), ShouldBeFalse)
 	})
 }
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -23,354 +23,354 @@
 	"sparnotch/internal/storage"
 )
 
-type happening struct {
+type scheduledCall struct {
 	at   eventloop.Micros
 	seq  uint64
 	call func()
 }
 
-type agenda []happening
+type callQueue []scheduledCall
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a callQueue) Len() int { return len(a) }
+func (a callQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(happening)) }
-func (a *agenda) Pop() any {
+func (a callQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *callQueue) Push(x any)   { *a = append(*a, x.(scheduledCall)) }
+func (a *callQueue) Pop() any {
 	old := *a
 	last := old[len(old)-1]
-	old[len(old)-1] = happening{}
+	old[len(old)-1] = scheduledCall{}
 	*a = old[:len(old)-1]
 	return last
 }
 
-// Net is how the network treats messages.
-type Net struct {
-	Near, Far eventloop.Micros // within a cell, and across
-	Jitter    eventloop.Micros
-	Loss      float64
-	Twice     float64
+// NetworkProfile is how the network treats messages.
+type NetworkProfile struct {
+	IntraZoneDelay, InterZoneDelay eventloop.Micros // within a cell, and across
+	Jitter                         eventloop.Micros
+	LossRate                       float64
+	DuplicateRate                  float64
 }
 
-// stormLimit is how many happenings a virtual second may hold; a busy one of
+// maxCallsPerSecond is how many happenings a virtual second may hold; a busy one of
 // the scenarios holds a twentieth.
-const stormLimit = 400_000
-
-// CalmNet is the brief's network.
-var CalmNet = Net{Near: 200, Far: eventloop.Millisecond, Jitter: 300}
-
-// RoughNet loses, doubles and reorders.
-var RoughNet = Net{Near: 200, Far: eventloop.Millisecond, Jitter: 20 * eventloop.Millisecond, Loss: 0.03, Twice: 0.02}
-
-// World is one simulated run.
-type World struct {
-	Now      eventloop.Micros
-	Rng      *rand.Rand
-	Net      Net
-	SyncUs   eventloop.Micros
-	Hosts    []*Host
-	History  []checker.Event
-	agenda   agenda
-	seq      uint64
-	cuts     map[[2]string]bool // from address, to address
-	Holds    bool               // what is sent across a cut arrives when it is mended, as from a full buffer
-	held     map[[2]string][]func()
-	nextId   uint64
-	request  uint64
-	seeds    []string
-	Damaged  []string // what opening a damaged store said
-	second   eventloop.Micros
-	shown    uint64 // newest generation whose rows the history has
-	inSecond int
+const maxCallsPerSecond = 400_000
+
+// ReliableNetwork is the brief's network.
+var ReliableNetwork = NetworkProfile{IntraZoneDelay: 200, InterZoneDelay: eventloop.Millisecond, Jitter: 300}
+
+// LossyNetwork loses, doubles and reorders.
+var LossyNetwork = NetworkProfile{IntraZoneDelay: 200, InterZoneDelay: eventloop.Millisecond, Jitter: 20 * eventloop.Millisecond, LossRate: 0.03, DuplicateRate: 0.02}
+
+// Simulation is one simulated run.
+type Simulation struct {
+	Now                     eventloop.Micros
+	Rng                     *rand.Rand
+	Network                 NetworkProfile
+	SyncDelay               eventloop.Micros
+	Hosts                   []*Host
+	History                 []checker.Event
+	calls                   callQueue
+	seq                     uint64
+	blockedLinks            map[[2]string]bool // from address, to address
+	BuffersWhilePartitioned bool               // what is sent across a cut arrives when it is mended, as from a full buffer
+	bufferedMessages        map[[2]string][]func()
+	lastID                  uint64
+	lastRequest             uint64
+	seeds                   []string
+	DamageReports           []string // what opening a damaged store said
+	currentSecond           eventloop.Micros
+	shownVersion            uint64 // newest generation whose rows the history has
+	callsInSecond           int
 	// Of sweeps: how far two cells lie apart, where Net doesn't say; what each
 	// message is told to; and how many happenings a second may hold.
-	Way   func(from, to string) eventloop.Micros
-	Tap   func(from, to *Host, body any)
-	Storm int
+	ZoneDelay         func(from, to string) eventloop.Micros
+	OnSend            func(from, to *Host, body any)
+	MaxCallsPerSecond int
 	// Where steps are to be timed: a clock of the processor's time, and who is
 	// told of each step's.
-	Cpu   func() int64
-	Spent func(h *Host, table string, nanos int64)
+	CPUClock   func() int64
+	OnStepTime func(h *Host, table string, nanos int64)
 
-	known       map[string]handed        // jobs by name
-	called      map[string]*CalledWorker // by the name of the side machine they stand on
-	gangs       *fakeworker.Gangs
-	bounds      *schema.Bounds
-	isNumbering bool // operators number editions
+	submittedJobs map[string]submittedJob  // jobs by name
+	calledWorkers map[string]*CalledWorker // by the name of the side machine they stand on
+	gangs         *fakeworker.Gangs
+	bounds        *schema.Bounds
+	usesVersions  bool // operators number editions
 
-	answersLost float64                    // share of acknowledgements that get lost on their way to callers
-	triggers    []func(checker.Event) bool // each waits for one event and goes when it has come
+	acknowledgementLossRate float64                    // share of acknowledgements that get lost on their way to callers
+	observers               []func(checker.Event) bool // each waits for one event and goes when it has come
 }
 
 // Host is a machine with one process, or with none while it is down.
 type Host struct {
-	world     *World
-	Name      string
-	Address   string
-	Cell      string
-	Role      schema.Role
-	Disk      *Disk            // nil: keeps nothing
-	Stall     eventloop.Micros // syncs end no earlier
-	SyncUs    eventloop.Micros
-	Link      Link
-	Share     float64 // of a core; 0: its steps cost no time
-	busy      eventloop.Micros
-	Steps     int
-	WallOff   int64
-	Seeds     []string // nil: the first stores
-	IsUp      bool
-	Id        string
-	run       int              // counts starts, so that what was meant for an old one goes nowhere
-	zero      eventloop.Micros // when its monotonic clock began; each process has its own
-	frozen    bool
-	isReady   bool // by the platform's last look
-	isWatched bool
-	canServe  bool // as told in the history
-	isLeaving bool // takes no new requests
-	backlog   []func()
-	ticking   map[string]bool
-	tables    map[string]eventloop.Component
-	last      map[string]eventloop.Micros // latest delivery to each table: mailboxes keep order
-	store     *storage.Store
-	book      *membership.AddressBook
-	waiting   map[uint64]func(any)
-	isWrite   bool
-	isRefused bool             // the store takes no writes
-	began     eventloop.Micros // of the sync that is under way
-	worst     eventloop.Micros // recent worst sync, decayed
-	writing   replica.Batch
-	Member    *schema.Member
-	Also      func(papers *process.Config, berths []process.ComponentSlot) []process.ComponentSlot // changes what its process is made of
-	Routes    func(body any) []string                                                              // and where its messages go
+	sim             *Simulation
+	Name            string
+	Address         string
+	Zone            string
+	Role            schema.Role
+	Disk            *Disk            // nil: keeps nothing
+	StallUntil      eventloop.Micros // syncs end no earlier
+	SyncDelay       eventloop.Micros
+	Link            Link
+	CPUShare        float64 // of a core; 0: its steps cost no time
+	cpuBusyUntil    eventloop.Micros
+	Steps           int
+	WallClockOffset int64
+	Seeds           []string // nil: the first stores
+	IsUp            bool
+	ID              string
+	run             int              // counts starts, so that what was meant for an old one goes nowhere
+	startedAt       eventloop.Micros // when its monotonic clock began; each process has its own
+	frozen          bool
+	isReady         bool // by the platform's last look
+	isProbed        bool
+	canServe        bool // as told in the history
+	isDraining      bool // takes no new requests
+	backlog         []func()
+	tickPending     map[string]bool
+	components      map[string]eventloop.Component
+	lastDelivery    map[string]eventloop.Micros // latest delivery to each table: mailboxes keep order
+	store           *storage.Store
+	members         *membership.AddressBook
+	pendingRequests map[uint64]func(any)
+	isWriting       bool
+	isDiskRefusing  bool             // the store takes no writes
+	syncStartedAt   eventloop.Micros // of the sync that is under way
+	worstSync       eventloop.Micros // recent worst sync, decayed
+	batch           replica.Batch
+	Member          *schema.Member
+	Customize       func(papers *process.Config, berths []process.ComponentSlot) []process.ComponentSlot // changes what its process is made of
+	Route           func(body any) []string                                                              // and where its messages go
 
 	resetUntil eventloop.Micros // half of what it sends or gets until then is lost
 }
 
-// NewWorld makes an empty world.
-func NewWorld(seed uint64, net Net, sync eventloop.Micros) *World {
-	return &World{Now: eventloop.Second, Rng: rand.New(rand.NewPCG(seed, 0x5eed)), Net: net, SyncUs: sync, cuts: map[[2]string]bool{}, held: map[[2]string][]func(){}, known: map[string]handed{}, called: map[string]*CalledWorker{}, gangs: fakeworker.NewGangs()}
+// NewSimulation makes an empty world.
+func NewSimulation(seed uint64, net NetworkProfile, sync eventloop.Micros) *Simulation {
+	return &Simulation{Now: eventloop.Second, Rng: rand.New(rand.NewPCG(seed, 0x5eed)), Network: net, SyncDelay: sync, blockedLinks: map[[2]string]bool{}, bufferedMessages: map[[2]string][]func(){}, submittedJobs: map[string]submittedJob{}, calledWorkers: map[string]*CalledWorker{}, gangs: fakeworker.NewGangs()}
 }
 
 // At plans a call.
-func (w *World) At(at eventloop.Micros, call func()) {
-	w.seq++
-	heap.Push(&w.agenda, happening{max(at, w.Now), w.seq, call})
+func (s *Simulation) At(at eventloop.Micros, call func()) {
+	s.seq++
+	heap.Push(&s.calls, scheduledCall{max(at, s.Now), s.seq, call})
 }
 
-// After plans a call some time from now.
-func (w *World) After(span eventloop.Micros, call func()) { w.At(w.Now+span, call) }
+// Verify plans a call some time from now.
+func (s *Simulation) After(delay eventloop.Micros, call func()) { s.At(s.Now+delay, call) }
 
 // Run lets time pass until a moment.
-func (w *World) Run(until eventloop.Micros) {
-	for len(w.agenda) > 0 && w.agenda[0].at <= until {
-		next := heap.Pop(&w.agenda).(happening)
+func (s *Simulation) Run(until eventloop.Micros) {
+	for len(s.calls) > 0 && s.calls[0].at <= until {
+		next := heap.Pop(&s.calls).(scheduledCall)
 		// Messages that beget messages would only show as a run that never ends.
-		if second := next.at / eventloop.Second; second != w.second {
-			w.second, w.inSecond = second, 0
+		if second := next.at / eventloop.Second; second != s.currentSecond {
+			s.currentSecond, s.callsInSecond = second, 0
 		}
-		if w.inSecond++; w.inSecond > max(stormLimit, w.Storm) {
-			panic(fmt.Sprintf("sim: a storm of messages in second %d", w.second))
+		if s.callsInSecond++; s.callsInSecond > max(maxCallsPerSecond, s.MaxCallsPerSecond) {
+			panic(fmt.Sprintf("sim: a storm of messages in second %d", s.currentSecond))
 		}
-		w.Now = next.at
+		s.Now = next.at
 		next.call()
 	}
-	w.Now = until
+	s.Now = until
 }
 
 // Notify adds to the history.
-func (w *World) Tell(e checker.Event) {
+func (s *Simulation) Record(e checker.Event) {
 	if e.At == 0 {
-		e.At = w.Now
+		e.At = s.Now
 	}
-	w.History = append(w.History, e)
-	w.triggers = slices.DeleteFunc(w.triggers, func(isDone func(checker.Event) bool) bool { return isDone(e) })
+	s.History = append(s.History, e)
+	s.observers = slices.DeleteFunc(s.observers, func(done func(checker.Event) bool) bool { return done(e) })
 }
 
 // AddHost adds a machine; the first three that keep something are the seeds.
-func (w *World) AddHost(name, cell string, role schema.Role, stores bool) *Host {
+func (s *Simulation) AddHost(name, zone string, role schema.Role, hasDisk bool) *Host {
 	h := &Host{
-		world: w, Name: name, Address: fmt.Sprintf("10.0.0.%d:1", len(w.Hosts)+1), Cell: cell, Role: role, SyncUs: w.SyncUs,
+		sim: s, Name: name, Address: fmt.Sprintf("10.0.0.%d:1", len(s.Hosts)+1), Zone: zone, Role: role, SyncDelay: s.SyncDelay,
 	}
-	if stores {
+	if hasDisk {
 		h.Disk = NewDisk()
-		if len(w.seeds) < 3 {
-			w.seeds = append(w.seeds, h.Address)
+		if len(s.seeds) < 3 {
+			s.seeds = append(s.seeds, h.Address)
 		}
 	}
-	w.Hosts = append(w.Hosts, h)
+	s.Hosts = append(s.Hosts, h)
 	return h
 }
 
-// reckon tells of each front that has come to reach a quorum, or not to: it is
+// updateAvailability tells of each front that has come to reach a quorum, or not to: it is
 // up, and with two stores that reach each other it can speak both ways.
-func (w *World) reckon() {
-	var stores []*Host
-	for _, h := range w.Hosts {
-		if h.Disk != nil && h.isHere() && h.Disk.Fault == (Fault{}) {
-			stores = append(stores, h)
+func (s *Simulation) updateAvailability() {
+	var nodes []*Host
+	for _, h := range s.Hosts {
+		if h.Disk != nil && h.isServing() && h.Disk.Fault == (DiskFault{}) {
+			nodes = append(nodes, h)
 		}
 	}
 	isJoined := func(a, b *Host) bool {
-		return a == b || !w.cuts[[2]string{a.Address, b.Address}] && !w.cuts[[2]string{b.Address, a.Address}]
+		return a == b || !s.blockedLinks[[2]string{a.Address, b.Address}] && !s.blockedLinks[[2]string{b.Address, a.Address}]
 	}
-	for _, h := range w.Fronts() {
+	for _, h := range s.Gateways() {
 		canServe := false
-		for k, a := range stores {
-			for _, b := range stores[:k] {
+		for k, a := range nodes {
+			for _, b := range nodes[:k] {
 				canServe = canServe || isJoined(a, b) && isJoined(h, a) && isJoined(h, b)
 			}
 		}
-		canServe = canServe && h.isHere()
+		canServe = canServe && h.isServing()
 		if canServe != h.canServe {
 			h.canServe = canServe
 			kind := checker.GatewayUnavailable
 			if canServe {
 				kind = checker.GatewayAvailable
 			}
-			w.Tell(checker.Event{Kind: kind, Gateway: h.Name})
+			s.Record(checker.Event{Kind: kind, Gateway: h.Name})
 		}
 	}
 }
 
-// isHere tells whether the host's process is up, awake and not leaving.
-func (h *Host) isHere() bool { return h.IsUp && !h.frozen && !h.isLeaving }
+// isServing tells whether the host's process is up, awake and not leaving.
+func (h *Host) isServing() bool { return h.IsUp && !h.frozen && !h.isDraining }
 
-func (w *World) newId() string {
-	w.nextId++
-	return fmt.Sprintf("p%03d-%04x", w.nextId, w.Rng.IntN(1<<16))
+func (s *Simulation) newID() string {
+	s.lastID++
+	return fmt.Sprintf("p%03d-%04x", s.lastID, s.Rng.IntN(1<<16))
 }
 
 // Start starts the host's process.
 func (h *Host) Start() {
-	w := h.world
+	sim := h.sim
 	h.run++
-	h.zero = w.Now - eventloop.Second
-	h.IsUp, h.frozen, h.backlog, h.isLeaving = true, false, nil, false
-	h.ticking, h.last, h.waiting = map[string]bool{}, map[string]eventloop.Micros{}, map[uint64]func(any){}
-	h.book = &membership.AddressBook{}
-	h.store, h.isWrite, h.isRefused = nil, false, false
-	h.Member = &schema.Member{Id: w.newId(), Incarnation: 1, Role: h.Role, Zone: h.Cell, InternalAddress: h.Address, HttpAddress: h.Address}
+	h.startedAt = sim.Now - eventloop.Second
+	h.IsUp, h.frozen, h.backlog, h.isDraining = true, false, nil, false
+	h.tickPending, h.lastDelivery, h.pendingRequests = map[string]bool{}, map[string]eventloop.Micros{}, map[uint64]func(any){}
+	h.members = &membership.AddressBook{}
+	h.store, h.isWriting, h.isDiskRefusing = nil, false, false
+	h.Member = &schema.Member{Id: sim.newID(), Incarnation: 1, Role: h.Role, Zone: h.Zone, InternalAddress: h.Address, HttpAddress: h.Address}
 	seeds := h.Seeds
 	if seeds == nil {
-		seeds = w.seeds
+		seeds = sim.seeds
 	}
-	papers := &process.Config{Member: h.Member, Seeds: seeds, AddressBook: h.book, RandomSeed: w.Rng.Uint64(), Now: h.now()}
-	papers.Bounds, papers.CallsWorker = w.bounds, h.Role == schema.Role_ROLE_CONTROLLER && w.called[h.place()] != nil
-	papers.WallClock = func() int64 { return wallZero + int64(w.Now) + h.WallOff }
+	config := &process.Config{Member: h.Member, Seeds: seeds, AddressBook: h.members, RandomSeed: sim.Rng.Uint64(), Now: h.now()}
+	config.Bounds, config.CallsWorker = sim.bounds, h.Role == schema.Role_ROLE_CONTROLLER && sim.calledWorkers[h.machineName()] != nil
+	config.WallClock = func() int64 { return wallZero + int64(sim.Now) + h.WallClockOffset }
 	if h.Disk != nil {
-		if h.openStore() {
-			papers.Storage = h.store.State()
+		if h.openStorage() {
+			config.Storage = h.store.State()
 		} else {
-			h.awaitStore(h.run)
+			h.awaitStorage(h.run)
 		}
 	}
-	h.Id = h.Member.Id
-	berths := process.ControllerComponents(papers)
+	h.ID = h.Member.Id
+	slots := process.ControllerComponents(config)
 	if h.Role == schema.Role_ROLE_SERVER {
-		berths = process.ServerComponents(papers)
+		slots = process.ServerComponents(config)
 	}
-	if h.Also != nil {
-		berths = h.Also(papers, berths)
+	if h.Customize != nil {
+		slots = h.Customize(config, slots)
 	}
-	h.tables = map[string]eventloop.Component{}
-	h.worst = 0
-	h.noteLatency(h.run)
-	for _, berth := range berths {
-		h.tables[berth.Name] = berth.Component
-		h.pace(berth.Name, berth.TickInterval, eventloop.Micros(w.Rng.Int64N(int64(berth.TickInterval))))
+	h.components = map[string]eventloop.Component{}
+	h.worstSync = 0
+	h.reportDiskLatency(h.run)
+	for _, slot := range slots {
+		h.components[slot.Name] = slot.Component
+		h.scheduleTicks(slot.Name, slot.TickInterval, eventloop.Micros(sim.Rng.Int64N(int64(slot.TickInterval))))
 	}
-	w.reckon()
-	if h.Role == schema.Role_ROLE_SERVER && !h.isWatched {
-		h.isWatched = true
-		w.After(eventloop.Micros(w.Rng.Int64N(int64(eventloop.Second))), func() { w.watch(h) })
+	sim.updateAvailability()
+	if h.Role == schema.Role_ROLE_SERVER && !h.isProbed {
+		h.isProbed = true
+		sim.After(eventloop.Micros(sim.Rng.Int64N(int64(eventloop.Second))), func() { sim.probeReadiness(h) })
 	}
 }
 
-// noteLatency tells the book now and then how this process's disk does, as a
+// reportDiskLatency tells the book now and then how this process's disk does, as a
 // real process does.
-func (h *Host) noteLatency(run int) {
+func (h *Host) reportDiskLatency(run int) {
 	if h.run != run {
 		return
 	}
-	worst := h.worst
+	worst := h.worstSync
 	switch {
-	case h.isRefused || h.isWrite && h.world.Now-h.began > process.DiskHangTimeout:
+	case h.isDiskRefusing || h.isWriting && h.sim.Now-h.syncStartedAt > process.DiskHangTimeout:
 		worst = membership.WritesRefusedLatency
-	case h.isWrite:
-		worst = max(worst, h.world.Now-h.began)
+	case h.isWriting:
+		worst = max(worst, h.sim.Now-h.syncStartedAt)
 	}
-	h.worst = h.worst * 15 / 16
-	h.do(run, func() { h.step("membership", eventloop.Message{Body: membership.LatencyReport{Max: worst}}) })
-	h.world.After(250*eventloop.Millisecond, func() { h.noteLatency(run) })
+	h.worstSync = h.worstSync * 15 / 16
+	h.runAwake(run, func() { h.step("membership", eventloop.Message{Body: membership.LatencyReport{Max: worst}}) })
+	h.sim.After(250*eventloop.Millisecond, func() { h.reportDiskLatency(run) })
 }
 
 const wallZero = 1_800_000_000_000_000
 
 // Kill ends the process and cuts the power: what wasn't synced may be lost.
-func (h *Host) Kill() { h.end(func() { h.Disk.PowerCut(h.world.Rng) }) }
+func (h *Host) Kill() { h.stop(func() { h.Disk.PowerCut(h.sim.Rng) }) }
 
 // Abort ends the process alone: what it wrote stays, synced or not.
-func (h *Host) Abort() { h.end(func() { h.Disk.OpsLeft = -1 }) }
+func (h *Host) Abort() { h.stop(func() { h.Disk.OpsLeft = -1 }) }
 
-func (h *Host) end(left func()) {
+func (h *Host) stop(left func()) {
 	if !h.IsUp {
 		return
 	}
 	h.IsUp = false
 	h.run++
 	if h.Disk != nil {
-		if h.isWrite {
+		if h.isWriting {
 			// The batch in hand gets some way.
-			h.Disk.OpsLeft = h.world.Rng.IntN(4)
-			_ = h.store.Commit(h.writing.Changes)
+			h.Disk.OpsLeft = h.sim.Rng.IntN(4)
+			_ = h.store.Commit(h.batch.Changes)
 		}
 		left()
 	}
-	for _, answer := range h.takeWaiting() {
+	for _, answer := range h.takePendingRequests() {
 		answer(nil)
 	}
-	h.world.reckon()
+	h.sim.updateAvailability()
 }
 
-func (h *Host) takeWaiting() []func(any) {
-	ids := slices.Sorted(maps.Keys(h.waiting))
+func (h *Host) takePendingRequests() []func(any) {
+	ids := slices.Sorted(maps.Keys(h.pendingRequests))
 	var list []func(any)
 	for _, id := range ids {
-		list = append(list, h.waiting[id])
+		list = append(list, h.pendingRequests[id])
 	}
-	h.waiting = map[uint64]func(any){}
+	h.pendingRequests = map[uint64]func(any){}
 	return list
 }
 
-// Warn tells the process that it is to leave, as a signal does; it is killed
+// Drain tells the process that it is to leave, as a signal does; it is killed
 // when it has nothing to hand over any more, or when its time is over.
-func (h *Host) Warn(span eventloop.Micros) {
+func (h *Host) Drain(duration eventloop.Micros) {
 	run := h.run
 	for _, each := range []struct {
 		table string
 		body  any
 	}{{"gateway", gateway.StartDraining{}}, {"membership", membership.Draining{}}, {"replica", replica.Drain{}}} {
-		if h.tables[each.table] != nil {
+		if h.components[each.table] != nil {
 			h.step(each.table, eventloop.Message{Body: each.body})
 		}
 	}
 	// Open requests are finished, new ones not taken.
-	h.isLeaving = true
-	h.world.reckon()
-	until := h.world.Now + span
+	h.isDraining = true
+	h.sim.updateAvailability()
+	until := h.sim.Now + duration
 	var look func()
 	look = func() {
 		if h.run != run {
 			return
 		}
-		belief := h.Belief()
-		isNeeded := belief != nil && belief.HasHandoverPending
-		if !isNeeded && len(h.waiting) == 0 || h.world.Now >= until {
+		view := h.StateView()
+		isNeeded := view != nil && view.HasHandoverPending
+		if !isNeeded && len(h.pendingRequests) == 0 || h.sim.Now >= until {
 			h.Kill()
 			return
 		}
-		h.world.After(50*eventloop.Millisecond, look)
+		h.sim.After(50*eventloop.Millisecond, look)
 	}
 	look()
 }
@@ -384,14 +384,14 @@
 }
 
 // Freeze stops the process for a span; it wakes with everything in hand.
-func (h *Host) Freeze(span eventloop.Micros) {
+func (h *Host) Freeze(duration eventloop.Micros) {
 	if !h.IsUp || h.frozen {
 		return
 	}
 	h.frozen = true
-	h.world.reckon()
+	h.sim.updateAvailability()
 	run := h.run
-	h.world.After(span, func() {
+	h.sim.After(duration, func() {
 		if h.run != run {
 			return
 		}
@@ -399,15 +399,15 @@
 		backlog := h.backlog
 		h.backlog = nil
 		for k, call := range backlog {
-			h.world.After(eventloop.Micros(k), func() { h.do(run, call) })
+			h.sim.After(eventloop.Micros(k), func() { h.runAwake(run, call) })
 		}
-		h.world.reckon()
+		h.sim.updateAvailability()
 	})
 }
 
-// do calls something in the process, unless that has ended; a frozen one does
+// runAwake calls something in the process, unless that has ended; a frozen one does
 // it when it wakes.
-func (h *Host) do(run int, call func()) {
+func (h *Host) runAwake(run int, call func()) {
 	switch {
 	case h.run != run:
 	case h.frozen:
@@ -421,97 +421,97 @@
 // docs/measurements.md for how it was found.
 const stepCost = 110
 
-// work has the process do something when its processor gets to it.
-func (h *Host) work(run int, call func()) {
-	if h.Share == 0 {
-		h.do(run, call)
+// runOnCPU has the process do something when its processor gets to it.
+func (h *Host) runOnCPU(run int, call func()) {
+	if h.CPUShare == 0 {
+		h.runAwake(run, call)
 		return
 	}
-	h.busy = max(h.busy, h.world.Now) + eventloop.Micros(stepCost/h.Share)
-	h.world.At(h.busy, func() { h.do(run, call) })
+	h.cpuBusyUntil = max(h.cpuBusyUntil, h.sim.Now) + eventloop.Micros(stepCost/h.CPUShare)
+	h.sim.At(h.cpuBusyUntil, func() { h.runAwake(run, call) })
 }
 
-func (h *Host) pace(name string, pace, first eventloop.Micros) {
+func (h *Host) scheduleTicks(name string, pace, first eventloop.Micros) {
 	run := h.run
-	h.world.After(first, func() {
+	h.sim.After(first, func() {
 		if h.run != run {
 			return
 		}
-		if !h.ticking[name] {
+		if !h.tickPending[name] {
 			// A ticker drops what finds no taker.
-			h.ticking[name] = true
-			h.work(run, func() {
-				h.ticking[name] = false
+			h.tickPending[name] = true
+			h.runOnCPU(run, func() {
+				h.tickPending[name] = false
 				h.step(name, eventloop.Message{Body: eventloop.Tick{}})
 			})
 		}
-		h.pace(name, pace, pace)
+		h.scheduleTicks(name, pace, pace)
 	})
 }
 
 // now is the process's own monotonic clock: a young process has small times.
-func (h *Host) now() eventloop.Micros { return h.world.Now - h.zero }
+func (h *Host) now() eventloop.Micros { return h.sim.Now - h.startedAt }
 
-func (h *Host) step(name string, mail eventloop.Message) {
-	if table := h.tables[name]; table != nil {
+func (h *Host) step(name string, message eventloop.Message) {
+	if component := h.components[name]; component != nil {
 		h.Steps++
-		if h.world.Cpu == nil {
-			table.Step(h.now(), mail, &outlet{h})
+		if h.sim.CPUClock == nil {
+			component.Step(h.now(), message, &effects{h})
 			return
 		}
-		began := h.world.Cpu()
-		table.Step(h.now(), mail, &outlet{h})
-		h.world.Spent(h, name, h.world.Cpu()-began)
+		began := h.sim.CPUClock()
+		component.Step(h.now(), message, &effects{h})
+		h.sim.OnStepTime(h, name, h.sim.CPUClock()-began)
 	}
 }
 
-// mail puts a message into a table's mailbox: soon, and in order.
-func (h *Host) mail(name string, mail eventloop.Message) {
+// deliver puts a message into a table's mailbox: soon, and in order.
+func (h *Host) deliver(name string, message eventloop.Message) {
 	run := h.run
-	at := max(h.world.Now+eventloop.Micros(10+h.world.Rng.Int64N(60)), h.last[name])
-	h.last[name] = at
-	h.world.At(at, func() { h.work(run, func() { h.step(name, mail) }) })
+	at := max(h.sim.Now+eventloop.Micros(10+h.sim.Rng.Int64N(60)), h.lastDelivery[name])
+	h.lastDelivery[name] = at
+	h.sim.At(at, func() { h.runOnCPU(run, func() { h.step(name, message) }) })
 }
 
-type outlet struct{ host *Host }
+type effects struct{ host *Host }
 
-func (o *outlet) Send(to string, body any) {
-	h := o.host
-	if to == h.Id {
-		h.mail(process.ComponentFor(h.Role, body), eventloop.Message{From: to, Body: body})
+func (e *effects) Send(to string, body any) {
+	h := e.host
+	if to == h.ID {
+		h.deliver(process.ComponentFor(h.Role, body), eventloop.Message{From: to, Body: body})
 		return
 	}
-	h.world.carry(h, to, h.book.Address(to), body)
+	h.sim.send(h, to, h.members.Address(to), body)
 }
 
-func (o *outlet) Dial(address string, body any) { o.host.world.carry(o.host, "", address, body) }
+func (e *effects) Dial(address string, body any) { e.host.sim.send(e.host, "", address, body) }
 
-func (o *outlet) Notify(table string, body any) {
-	h := o.host
-	if call, isCall := body.(agent.Call); isCall {
-		h.call(call)
+func (e *effects) Notify(component string, body any) {
+	h := e.host
+	if call, ok := body.(agent.Call); ok {
+		h.callWorker(call)
 		return
 	}
-	if batch, isBatch := body.(replica.Batch); isBatch {
+	if batch, ok := body.(replica.Batch); ok {
 		h.write(batch)
 		return
 	}
-	if h.tables[table] != nil {
-		h.mail(table, eventloop.Message{Body: body})
+	if h.components[component] != nil {
+		h.deliver(component, eventloop.Message{Body: body})
 	}
 }
 
-func (o *outlet) Respond(request uint64, body any) {
-	if answer := o.host.waiting[request]; answer != nil {
-		delete(o.host.waiting, request)
+func (e *effects) Respond(request uint64, body any) {
+	if answer := e.host.pendingRequests[request]; answer != nil {
+		delete(e.host.pendingRequests, request)
 		answer(body)
 	}
 }
 
 // --- network ---
 
-func (w *World) hostAt(address string) *Host {
-	for _, h := range w.Hosts {
+func (s *Simulation) hostAt(address string) *Host {
+	for _, h := range s.Hosts {
 		if h.Address == address && h.IsUp {
 			return h
 		}
@@ -519,146 +519,146 @@
 	return nil
 }
 
-func (w *World) delay(from, to string) eventloop.Micros {
-	base := w.Net.Far
+func (s *Simulation) messageDelay(from, to string) eventloop.Micros {
+	base := s.Network.InterZoneDelay
 	if from == to {
-		base = w.Net.Near
+		base = s.Network.IntraZoneDelay
 	}
-	if w.Way != nil {
-		base = w.Way(from, to)
+	if s.ZoneDelay != nil {
+		base = s.ZoneDelay(from, to)
 	}
-	return base + eventloop.Micros(w.Rng.Int64N(int64(w.Net.Jitter)+1))
+	return base + eventloop.Micros(s.Rng.Int64N(int64(s.Network.Jitter)+1))
 }
 
-// carry takes a message to an address; where an id is given, to no other process
+// send takes a message to an address; where an id is given, to no other process
 // that may be there by then.
-func (w *World) carry(from *Host, id, address string, body any) {
-	way := [2]string{from.Address, address}
-	if w.cuts[way] && w.Holds {
-		w.held[way] = append(w.held[way], func() { w.carry(from, id, address, body) })
+func (s *Simulation) send(from *Host, id, address string, body any) {
+	link := [2]string{from.Address, address}
+	if s.blockedLinks[link] && s.BuffersWhilePartitioned {
+		s.bufferedMessages[link] = append(s.bufferedMessages[link], func() { s.send(from, id, address, body) })
 	}
-	if address == "" || w.cuts[way] || w.Rng.Float64() < w.Net.Loss {
+	if address == "" || s.blockedLinks[link] || s.Rng.Float64() < s.Network.LossRate {
 		return
 	}
-	if other := w.hostAt(address); w.isReset(from) || other != nil && w.isReset(other) {
+	if other := s.hostAt(address); s.drawReset(from) || other != nil && s.drawReset(other) {
 		return
 	}
 	times := 1
-	if w.Rng.Float64() < w.Net.Twice {
+	if s.Rng.Float64() < s.Network.DuplicateRate {
 		times = 2
 	}
-	sender := from.Id
+	sender := from.ID
 	for range times {
-		to := w.hostAt(address)
-		cell := ""
+		to := s.hostAt(address)
+		zone := ""
 		if to != nil {
-			cell = to.Cell
+			zone = to.Zone
 		}
-		if w.Tap != nil {
-			w.Tap(from, to, body)
+		if s.OnSend != nil {
+			s.OnSend(from, to, body)
 		}
-		span, isCarried := w.transfer(from, to, body)
+		duration, isCarried := s.transferTime(from, to, body)
 		if !isCarried {
 			continue
 		}
-		w.After(span+w.delay(from.Cell, cell), func() {
-			if to := w.hostAt(address); to != nil && (id == "" || id == to.Id) {
+		s.After(duration+s.messageDelay(from.Zone, zone), func() {
+			if to := s.hostAt(address); to != nil && (id == "" || id == to.ID) {
 				run := to.run
-				for _, table := range to.routes(body) {
-					to.work(run, func() { to.step(table, eventloop.Message{From: sender, Body: body}) })
+				for _, component := range to.routes(body) {
+					to.runOnCPU(run, func() { to.step(component, eventloop.Message{From: sender, Body: body}) })
 				}
 			}
 		})
 	}
 }
 
-// resetWindow is how long messages of a machine get lost whose connections are
+// resetDuration is how long messages of a machine get lost whose connections are
 // reset: what was on the wire, and what is sent until new ones are open.
-const resetWindow = 30 * eventloop.Millisecond
+const resetDuration = 30 * eventloop.Millisecond
 
-// isReset draws whether a message is lost to a reset of a host's connections.
-func (w *World) isReset(h *Host) bool {
-	return w.Now < h.resetUntil && w.Rng.IntN(2) == 0
+// drawReset draws whether a message is lost to a reset of a host's connections.
+func (s *Simulation) drawReset(h *Host) bool {
+	return s.Now < h.resetUntil && s.Rng.IntN(2) == 0
 }
 
 func (h *Host) routes(body any) []string {
-	if h.Routes != nil {
-		return h.Routes(body)
+	if h.Route != nil {
+		return h.Route(body)
 	}
 	return []string{process.ComponentFor(h.Role, body)}
 }
 
 // Truncate cuts or mends the way from one host to another.
-func (w *World) Cut(from, to *Host, isCut bool) {
-	way := [2]string{from.Address, to.Address}
-	w.cuts[way] = isCut
-	if !isCut {
-		held := w.held[way]
-		delete(w.held, way)
+func (s *Simulation) BlockLink(from, to *Host, blocked bool) {
+	link := [2]string{from.Address, to.Address}
+	s.blockedLinks[link] = blocked
+	if !blocked {
+		held := s.bufferedMessages[link]
+		delete(s.bufferedMessages, link)
 		for _, arrive := range held {
 			arrive()
 		}
 	}
-	w.reckon()
+	s.updateAvailability()
 }
 
-// Split cuts every way between the hosts of two sides, or mends them.
-func (w *World) Split(isCut bool, side func(*Host) bool) {
-	for _, a := range w.Hosts {
-		for _, b := range w.Hosts {
+// Partition cuts every way between the hosts of two sides, or mends them.
+func (s *Simulation) Partition(blocked bool, side func(*Host) bool) {
+	for _, a := range s.Hosts {
+		for _, b := range s.Hosts {
 			if side(a) != side(b) {
-				w.Cut(a, b, isCut)
+				s.BlockLink(a, b, blocked)
 			}
 		}
 	}
 }
 
 // Isolate cuts one host off from all others, or mends it.
-func (w *World) Isolate(h *Host, isCut bool) {
-	w.Split(isCut, func(other *Host) bool { return other == h })
+func (s *Simulation) Isolate(h *Host, blocked bool) {
+	s.Partition(blocked, func(other *Host) bool { return other == h })
 }
 
 // --- what stands outside: HTTP in virtual time ---
 
-// Ask gives a request to a front's gateway and calls back with the answer, nil
+// Request gives a request to a front's gateway and calls back with the answer, nil
 // for a connection that broke, or none in time.
-func (w *World) Ask(h *Host, span eventloop.Micros, mail func(request uint64, deadline eventloop.Micros) any, back func(any)) {
-	w.request++
-	id := w.request
-	isDone := false
+func (s *Simulation) Request(h *Host, timeout eventloop.Micros, newRequest func(request uint64, deadline eventloop.Micros) any, back func(any)) {
+	s.lastRequest++
+	id := s.lastRequest
+	done := false
 	finish := func(answer any) {
-		if !isDone {
-			isDone = true
+		if !done {
+			done = true
 			back(answer)
 		}
 	}
-	w.After(w.outside(), func() {
-		if !h.IsUp || h.isLeaving {
+	s.After(s.clientDelay(), func() {
+		if !h.IsUp || h.isDraining {
 			finish(nil)
 			return
 		}
 		run := h.run
-		h.waiting[id] = func(answer any) { w.After(w.outside(), func() { finish(answer) }) }
-		h.mail("gateway", eventloop.Message{Body: mail(id, h.now()+span)})
-		w.After(span, func() {
-			if !isDone && h.run == run && h.waiting[id] != nil {
-				delete(h.waiting, id)
-				h.mail("gateway", eventloop.Message{Body: gateway.ForgetRequest{RequestID: id}})
+		h.pendingRequests[id] = func(answer any) { s.After(s.clientDelay(), func() { finish(answer) }) }
+		h.deliver("gateway", eventloop.Message{Body: newRequest(id, h.now()+timeout)})
+		s.After(timeout, func() {
+			if !done && h.run == run && h.pendingRequests[id] != nil {
+				delete(h.pendingRequests, id)
+				h.deliver("gateway", eventloop.Message{Body: gateway.ForgetRequest{RequestID: id}})
 			}
 		})
 	})
-	w.After(span, func() { finish(nil) })
+	s.After(timeout, func() { finish(nil) })
 }
 
 // Clients are three milliseconds away.
-func (w *World) outside() eventloop.Micros {
-	return 3*eventloop.Millisecond + eventloop.Micros(w.Rng.Int64N(500))
+func (s *Simulation) clientDelay() eventloop.Micros {
+	return 3*eventloop.Millisecond + eventloop.Micros(s.Rng.Int64N(500))
 }
 
-// Fronts lists the hosts that serve HTTP to callers.
-func (w *World) Fronts() []*Host {
+// Gateways lists the hosts that serve HTTP to callers.
+func (s *Simulation) Gateways() []*Host {
 	var list []*Host
-	for _, h := range w.Hosts {
+	for _, h := range s.Hosts {
 		if h.Role == schema.Role_ROLE_SERVER {
 			list = append(list, h)
 		}
@@ -666,10 +666,10 @@
 	return list
 }
 
-// Stores lists the hosts that keep something.
-func (w *World) Stores() []*Host {
+// StorageNodes lists the hosts that keep something.
+func (s *Simulation) StorageNodes() []*Host {
 	var list []*Host
-	for _, h := range w.Hosts {
+	for _, h := range s.Hosts {
 		if h.Disk != nil {
 			list = append(list, h)
 		}
@@ -677,22 +677,22 @@
 	return list
 }
 
-// Belief asks a host's replicas what they believe, outside time.
-func (h *Host) Belief() *replica.NodeStateView {
-	table := h.tables["replica"]
-	if !h.IsUp || table == nil {
+// StateView asks a host's replicas what they believe, outside time.
+func (h *Host) StateView() *replica.NodeStateView {
+	component := h.components["replica"]
+	if !h.IsUp || component == nil {
 		return nil
 	}
-	var belief *replica.NodeStateView
-	table.Step(h.now(), eventloop.Message{Body: replica.GetStateView{Request: 1}}, &grab{outlet{h}, func(body any) { belief, _ = body.(*replica.NodeStateView) }})
-	return belief
+	var view *replica.NodeStateView
+	component.Step(h.now(), eventloop.Message{Body: replica.GetStateView{Request: 1}}, &responseRecorder{effects{h}, func(body any) { view, _ = body.(*replica.NodeStateView) }})
+	return view
 }
 
 // Groups lists the replicas a host holds whose group's name starts so.
 func (h *Host) Groups(prefix string) []string {
 	var list []string
-	if belief := h.Belief(); belief != nil {
-		for _, group := range belief.Groups {
+	if view := h.StateView(); view != nil {
+		for _, group := range view.Groups {
 			if strings.HasPrefix(group.Group, prefix) {
 				list = append(list, group.Group)
 			}
@@ -701,30 +701,30 @@
 	return list
 }
 
-type grab struct {
-	outlet
-	take func(any)
+type responseRecorder struct {
+	effects
+	onResponse func(any)
 }
 
-func (g *grab) Respond(_ uint64, body any) { g.take(body) }
+func (r *responseRecorder) Respond(_ uint64, body any) { r.onResponse(body) }
 
 // Leader is the store that leads most queues.
-func (w *World) Leader() *Host {
+func (s *Simulation) Leader() *Host {
 	var best *Host
-	most := 0
-	for _, h := range w.Stores() {
-		belief := h.Belief()
-		if belief == nil || h.frozen {
+	maxLeads := 0
+	for _, h := range s.StorageNodes() {
+		view := h.StateView()
+		if view == nil || h.frozen {
 			continue
 		}
 		leads := 0
-		for _, group := range belief.Groups {
+		for _, group := range view.Groups {
 			if group.Role == "leader" && !strings.HasPrefix(group.Group, "clusterstate") {
 				leads++
 			}
 		}
-		if leads > most {
-			best, most = h, leads
+		if leads > maxLeads {
+			best, maxLeads = h, leads
 		}
 	}
 	return best
--- a/internal/sim/zones_test.go
+++ b/internal/sim/zones_test.go
@@ -25,27 +25,27 @@
 			}
 			t.Run(fmt.Sprintf("%d zones in %d regions", zones, regions), func(t *testing.T) {
 				t.Parallel()
-				losePlaces(t, uint64(10*zones+regions), list, tolerance)
+				loseFailureDomains(t, uint64(10*zones+regions), list, tolerance)
 			})
 		}
 	}
 }
 
-func losePlaces(t *testing.T, seed uint64, zones []string, tolerance membership.FaultTolerance) {
-	c := newCore(seed, zones, tolerance.Machines, 500, false)
+func loseFailureDomains(t *testing.T, seed uint64, zones []string, tolerance membership.FaultTolerance) {
+	c := newStorageFleet(seed, zones, tolerance.Machines, 500, false)
 	c.tolerance = tolerance
-	c.Run(c.Began + 5*eventloop.Second)
-	bears := c.voters()[0].Belief().FaultTolerance
+	c.Run(c.LoadStart + 5*eventloop.Second)
+	bears := c.voters()[0].StateView().FaultTolerance
 	canBear := tolerance.Regions == 0 || len(zones) >= 3 && tolerance.TopologyShortfall() == ""
-	if isTold := bears.Shortfall == ""; isTold != canBear {
+	if recorded := bears.Shortfall == ""; recorded != canBear {
 		t.Fatalf("it says %q", bears.Shortfall)
 	}
 	// A machine is replaced in another zone first, so that the repair has to keep the spread.
 	c.voters()[1].Wipe()
 	c.addStore("late", zones[0], false).Start()
 	c.Run(c.Now + 12*eventloop.Second)
-	for _, h := range c.Stores() {
-		if !h.IsUp && h.Id != "" {
+	for _, h := range c.StorageNodes() {
+		if !h.IsUp && h.ID != "" {
 			h.Start()
 		}
 	}
@@ -65,12 +65,12 @@
 		done[place(zone)] = true
 		var lost []*Host
 		for _, h := range c.Hosts {
-			if place(h.Cell) == place(zone) && h.IsUp {
+			if place(h.Zone) == place(zone) && h.IsUp {
 				lost = append(lost, h)
 				h.Kill()
 			}
 		}
-		if took, isServed := c.serves(8 * eventloop.Second); !isServed {
+		if took, served := c.timeUntilServed(8 * eventloop.Second); !served {
 			t.Errorf("without %s nothing is served for %.1f s: %s", place(zone), float64(took)/1e6, c.why)
 		}
 		for _, h := range lost {
--- a/internal/storage/repair_test.go
+++ b/internal/storage/repair_test.go
@@ -50,7 +50,7 @@
 
 // reopen loses the power and looks at what is there.
 func (f *faultyRun) reopen(rng *rand.Rand, requested uint64) error {
-	f.disk.Fault = sim.Fault{}
+	f.disk.Fault = sim.DiskFault{}
 	f.disk.PowerCut(rng)
 	store, err := storage.OpenWithLogLimit(f.disk, 2000)
 	if err != nil {
@@ -207,7 +207,7 @@
 			t.Fatal(err)
 		}
 		run := &faultyRun{disk: disk, store: store}
-		disk.Fault = sim.Fault{SyncFails: seed%2 == 0, IsFull: seed%2 == 1, Only: "slot-"}
+		disk.Fault = sim.DiskFault{SyncFails: seed%2 == 0, IsFull: seed%2 == 1, Prefix: "slot-"}
 		requested := uint64(0)
 		for k := uint64(1); k <= 30+seed; k++ {
 			requested = k
@@ -219,7 +219,7 @@
 			t.Fatal("the log went on for ever")
 		}
 		if seed%4 > 1 {
-			disk.Fault = sim.Fault{}
+			disk.Fault = sim.DiskFault{}
 			if err := run.commit(requested); err != nil {
 				t.Fatal(err)
 			}
@@ -281,7 +281,7 @@
 		for ; k < 90+seed; k++ {
 			steady(k)
 		}
-		disk.Fault.Room = disk.Used()
+		disk.Fault.Capacity = disk.Used()
 		turned := store.Stats().Slots
 		for ; k < 400; k++ {
 			steady(k)
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -150,7 +150,7 @@
 	reported := 0
 	for offset := 0; offset < size; offset += 3 {
 		disk, _ := build()
-		disk.Rot("log-0", offset)
+		disk.CorruptByte("log-0", offset)
 		s, err := storage.Open(disk)
 		if storage.IsCorrupted(err) {
 			reported++
@@ -177,7 +177,7 @@
 			So(s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(k, 500_000)}}}), ShouldBeNil)
 		}
 		So(s.Commit([]*schema.StoreChange{{Group: "g", HardState: &schema.HardState{Term: 9}}}), ShouldBeNil)
-		So(disk.Rot("slot-1", 100), ShouldBeTrue)
+		So(disk.CorruptByte("slot-1", 100), ShouldBeTrue)
 		_, err = storage.Open(disk)
 		So(storage.IsCorrupted(err), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "slot-1 at offset")
