--- a/internal/modelcheck/describe_test.go
+++ b/internal/modelcheck/describe_test.go
@@ -12,7 +12,7 @@
 		return ""
 	}
 	key, _ := strconv.ParseUint(string(step[1:]), 16, 32)
-	for _, p := range w.parcels {
+	for _, p := range w.inFlight {
 		if p.key == uint32(key) {
 			return fmt.Sprintf("%s to %s: %T %v", p.from, p.to, p.body, p.body)
 		}
@@ -20,8 +20,8 @@
 	return ""
 }
 
-// stand tells how the machines stand.
-func (w *World) stand() string {
+// summary tells how the machines stand.
+func (w *World) summary() string {
 	var list []string
 	for _, m := range w.machines {
 		if m.group == nil {
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -9,98 +9,98 @@
 	"time"
 )
 
-// Plan is what to explore: from where, how far, and how much at most.
-type Plan struct {
-	Name   string
-	Limits Limits
-	Start  string // a schedule that leads to where it begins
-	Depth  int    // steps from there
-	States int    // at most
-	Kinds  string // letters of the steps that are taken; empty: all
+// Exploration is what to explore: from where, how far, and how much at most.
+type Exploration struct {
+	Name      string
+	Limits    Limits
+	Prefix    string // a schedule that leads to where it begins
+	Depth     int    // steps from there
+	MaxStates int    // at most
+	StepKinds string // letters of the steps that are taken; empty: all
 }
 
 // Result says what was explored.
 type Result struct {
 	States, Steps int
 	Depth         int // to which every schedule was followed
-	Spent         time.Duration
-	Finding       *Finding
+	Elapsed       time.Duration
+	Violation     *Violation
 }
 
 // String tells it in a line.
 func (r *Result) String() string {
-	return fmt.Sprintf("%d states, %d steps, whole to depth %d, %v", r.States, r.Steps, r.Depth, r.Spent.Round(time.Millisecond))
+	return fmt.Sprintf("%d states, %d steps, whole to depth %d, %v", r.States, r.Steps, r.Depth, r.Elapsed.Round(time.Millisecond))
 }
 
-// Finding is what doesn't hold, and the schedule that shows it.
-type Finding struct {
-	Broken   string
+// Violation is what doesn't hold, and the schedule that shows it.
+type Violation struct {
+	Reason   string
 	Limits   Limits
 	Seed     uint64
 	Schedule []Step
 }
 
-type trail struct {
-	step  Step
-	under *trail
+type path struct {
+	step   Step
+	parent *path
 }
 
-func (t *trail) steps(start []Step) []Step {
+func (t *path) schedule(start []Step) []Step {
 	var list []Step
-	for ; t != nil; t = t.under {
+	for ; t != nil; t = t.parent {
 		list = append(list, t.step)
 	}
 	slices.Reverse(list)
 	return append(slices.Clone(start), list...)
 }
 
-type branch struct {
+type searchNode struct {
 	world *World
-	trail *trail
+	path  *path
 }
 
 // Explore follows every schedule to a depth, breadth first, each world once.
-func Explore(plan Plan) *Result {
+func Explore(exploration Exploration) *Result {
 	began := time.Now()
 	result := &Result{}
-	start := ParseSchedule(plan.Start)
-	first := NewWorld(plan.Limits, 0)
+	start := ParseSchedule(exploration.Prefix)
+	first := NewWorld(exploration.Limits, 0)
 	for _, step := range start {
-		first.Take(step)
+		first.Execute(step)
 	}
-	if first.Broken() != "" {
-		result.Finding = &Finding{first.Broken(), plan.Limits, 0, start}
+	if first.Violation() != "" {
+		result.Violation = &Violation{first.Violation(), exploration.Limits, 0, start}
 		return result
 	}
 	seen := map[uint64]bool{first.Fingerprint(): true}
-	level := []branch{{first, nil}}
-	for depth := 1; depth <= plan.Depth && len(level) > 0; depth++ {
-		next, steps, found := advance(level, seen, depth < plan.Depth, &plan)
+	level := []searchNode{{first, nil}}
+	for depth := 1; depth <= exploration.Depth && len(level) > 0; depth++ {
+		next, steps, found := expandLevel(level, seen, depth < exploration.Depth, &exploration)
 		result.Steps += steps
 		result.States = len(seen)
 		if found != nil {
-			result.Finding = &Finding{found.world.Broken(), plan.Limits, 0, found.trail.steps(start)}
+			result.Violation = &Violation{found.world.Violation(), exploration.Limits, 0, found.path.schedule(start)}
 			break
 		}
-		if len(seen) >= plan.States {
+		if len(seen) >= exploration.MaxStates {
 			break
 		}
 		result.Depth = depth
 		level = next
 	}
-	result.Spent = time.Since(began)
+	result.Elapsed = time.Since(began)
 	return result
 }
 
-// advance makes every step from every world of a level.
-func advance(level []branch, seen map[uint64]bool, isKept bool, plan *Plan) (next []branch, steps int, found *branch) {
+// expandLevel makes every step from every world of a level.
+func expandLevel(level []searchNode, seen map[uint64]bool, keepNext bool, exploration *Exploration) (next []searchNode, steps int, found *searchNode) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	at := 0
-	grab := func(size int) []branch {
+	takeChunk := func(size int) []searchNode {
 		mu.Lock()
 		defer mu.Unlock()
-		if found != nil || len(seen) >= plan.States {
+		if found != nil || len(seen) >= exploration.MaxStates {
 			return nil
 		}
 		chunk := level[at:min(len(level), at+size)]
@@ -109,21 +109,21 @@
 	}
 	for range runtime.GOMAXPROCS(0) {
 		all.Go(func() {
-			for chunk := grab(16); len(chunk) > 0; chunk = grab(16) {
+			for chunk := takeChunk(16); len(chunk) > 0; chunk = takeChunk(16) {
 				for k := range chunk {
-					made, prints := children(chunk[k], plan.Kinds)
+					successorNodes, fingerprints := successors(chunk[k], exploration.StepKinds)
 					chunk[k].world = nil
 					mu.Lock()
-					steps += len(made)
-					for j, child := range made {
-						if child.world.Broken() != "" && found == nil {
-							found = &made[j]
+					steps += len(successorNodes)
+					for j, child := range successorNodes {
+						if child.world.Violation() != "" && found == nil {
+							found = &successorNodes[j]
 						}
-						if seen[prints[j]] {
+						if seen[fingerprints[j]] {
 							continue
 						}
-						seen[prints[j]] = true
-						if isKept {
+						seen[fingerprints[j]] = true
+						if keepNext {
 							next = append(next, child)
 						}
 					}
@@ -136,44 +136,44 @@
 	return next, steps, found
 }
 
-func children(from branch, kinds string) (made []branch, prints []uint64) {
-	for _, step := range from.world.Moves() {
+func successors(from searchNode, kinds string) (nodes []searchNode, fingerprints []uint64) {
+	for _, step := range from.world.EnabledSteps() {
 		if kinds != "" && !strings.ContainsRune(kinds, rune(step[0])) {
 			continue
 		}
 		world := from.world.Clone()
-		if !world.Take(step) {
+		if !world.Execute(step) {
 			continue
 		}
-		made = append(made, branch{world, &trail{step, from.trail}})
-		prints = append(prints, world.Fingerprint())
+		nodes = append(nodes, searchNode{world, &path{step, from.path}})
+		fingerprints = append(fingerprints, world.Fingerprint())
 	}
-	return made, prints
+	return nodes, fingerprints
 }
 
-// Moves are the steps that a scheduler may take, except to lose a message: one
+// EnabledSteps are the steps that a scheduler may take, except to lose a message: one
 // that never arrives has been lost.
-func (w *World) Moves() []Step {
-	var moves []Step
-	add := func(form string, args ...any) { moves = append(moves, Step(fmt.Sprintf(form, args...))) }
+func (w *World) EnabledSteps() []Step {
+	var steps []Step
+	add := func(form string, args ...any) { steps = append(steps, Step(fmt.Sprintf(form, args...))) }
 	isListed := map[uint32]bool{}
-	for _, p := range w.parcels {
+	for _, p := range w.inFlight {
 		if isListed[p.key] {
 			continue
 		}
 		isListed[p.key] = true
 		add("d%x", p.key)
-		if w.twice < w.limits.Twice {
+		if w.duplicates < w.limits.Duplicates {
 			add("u%x", p.key)
 		}
 	}
 	for k, m := range w.machines {
-		if m.writing != nil {
+		if m.currentWrite != nil {
 			add("s%d", k)
 		}
 		if w.crashes < w.limits.Crashes {
 			add("c%d", k)
-			if m.writing != nil {
+			if m.currentWrite != nil {
 				add("k%d", k)
 			}
 		}
@@ -184,30 +184,30 @@
 			continue
 		}
 		add("t%d", k)
-		if m.applied > m.memory.Snapshot.Index {
+		if m.applied > m.log.Snapshot.Index {
 			add("f%d", k)
 		}
 		if m.group.IsLeader() {
-			moves = append(moves, w.leaderMoves(k, m)...)
+			steps = append(steps, w.leaderSteps(k, m)...)
 		}
 	}
 	for k, each := range w.operators {
-		if each.current >= 0 {
+		if each.operation >= 0 {
 			add("g%d", k)
 		}
 	}
-	return moves
+	return steps
 }
 
-func (w *World) leaderMoves(k int, m *machine) []Step {
-	var moves []Step
-	add := func(form string, args ...any) { moves = append(moves, Step(fmt.Sprintf(form, args...))) }
+func (w *World) leaderSteps(k int, m *machine) []Step {
+	var steps []Step
+	add := func(form string, args ...any) { steps = append(steps, Step(fmt.Sprintf(form, args...))) }
 	add("b%d", k)
 	for j, each := range w.operators {
-		if w.puts < w.limits.Puts && (each.current < 0 || !w.operations[each.current].isRead) {
+		if w.proposals < w.limits.Proposals && (each.operation < 0 || !w.operations[each.operation].isRead) {
 			add("p%d%d", j, k)
 		}
-		if each.current < 0 {
+		if each.operation < 0 {
 			add("r%d%d", j, k)
 		}
 	}
@@ -217,8 +217,8 @@
 			add("h%d%s", k, other.id)
 		}
 	}
-	if !w.limits.IsChanging {
-		return moves
+	if !w.limits.MembershipChanges {
+		return steps
 	}
 	for _, id := range members.Learners {
 		add("v%d%s", k, id)
@@ -234,5 +234,5 @@
 			add("l%d%s", k, other.id)
 		}
 	}
-	return moves
+	return steps
 }
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -14,28 +14,28 @@
 // lead to one are followed once. Each machine's clock is left out, for only
 // what lies before and after it counts, and so is the time of records.
 func (w *World) Fingerprint() uint64 {
-	to := make([]byte, 0, 256)
+	buffer := make([]byte, 0, 256)
 	for _, m := range w.machines {
-		if m.print == 0 {
-			m.print = maphash.Bytes(seed, m.fingerprint(make([]byte, 0, 512)))
+		if m.cachedFingerprint == 0 {
+			m.cachedFingerprint = maphash.Bytes(hashSeed, m.fingerprint(make([]byte, 0, 512)))
 		}
-		to = binary.LittleEndian.AppendUint64(to, m.print)
+		buffer = binary.LittleEndian.AppendUint64(buffer, m.cachedFingerprint)
 	}
 	for _, each := range w.operators {
-		to = numbers(to, uint64(each.current+1), each.knows)
+		buffer = appendNumbers(buffer, uint64(each.operation+1), each.knownVersion)
 	}
 	for k := range w.operations {
 		o := &w.operations[k]
-		to = numbers(to, uint64(o.operator), o.base, o.edition, uint64(o.code), o.got, o.floor)
-		to = flags(to, o.isRead, o.isGivenUp, o.isTaken, o.answered > 0)
+		buffer = appendNumbers(buffer, uint64(o.operator), o.baseVersion, o.version, uint64(o.code), o.readVersion, o.minVersion)
+		buffer = appendFlags(buffer, o.isRead, o.isAbandoned, o.isApplied, o.returnedAt > 0)
 	}
-	to = numbers(to, uint64(w.crashes), uint64(w.wipes), uint64(w.twice), uint64(w.puts), w.told, uint64(len(w.committed)), w.sum)
-	var mail uint64
-	for _, p := range w.parcels {
-		mail += mix(p.key)
+	buffer = appendNumbers(buffer, uint64(w.crashes), uint64(w.wipes), uint64(w.duplicates), uint64(w.proposals), w.maxKnownVersion, uint64(len(w.committed)), w.checksum)
+	var inFlightSum uint64
+	for _, p := range w.inFlight {
+		inFlightSum += mix(p.key)
 	}
-	to = binary.LittleEndian.AppendUint64(to, mail)
-	return maphash.Bytes(seed, to)
+	buffer = binary.LittleEndian.AppendUint64(buffer, inFlightSum)
+	return maphash.Bytes(hashSeed, buffer)
 }
 
 // mix spreads a key, so that sums of keys tell sets of messages apart.
@@ -45,65 +45,65 @@
 	return x * 0xbf58476d1ce4e5b9
 }
 
-func numbers(to []byte, values ...uint64) []byte {
+func appendNumbers(buffer []byte, values ...uint64) []byte {
 	for _, v := range values {
-		to = binary.AppendUvarint(to, v)
+		buffer = binary.AppendUvarint(buffer, v)
 	}
-	return to
+	return buffer
 }
 
-func flags(to []byte, values ...bool) []byte {
+func appendFlags(buffer []byte, values ...bool) []byte {
 	for _, v := range values {
 		if v {
-			to = append(to, 1)
+			buffer = append(buffer, 1)
 		} else {
-			to = append(to, 0)
+			buffer = append(buffer, 0)
 		}
 	}
-	return to
+	return buffer
 }
 
-func (m *machine) fingerprint(to []byte) []byte {
-	to = append(append(to, '|'), m.id...)
-	if image := m.disk.content().Groups[group]; image != nil {
-		to = imprint(to, image)
+func (m *machine) fingerprint(buffer []byte) []byte {
+	buffer = append(append(buffer, '|'), m.id...)
+	if log := m.disk.content().Groups[groupName]; log != nil {
+		buffer = appendGroupState(buffer, log)
 	}
 	if m.group == nil {
-		return to
+		return buffer
 	}
-	to = m.group.Fingerprint(m.clock, append(to, '/'))
-	to = numbers(to, m.version, m.applied, maphash.Bytes(seed, m.state.Snapshot()))
-	to = m.next.fingerprint(append(to, 'n'))
-	if m.writing != nil {
-		to = m.writing.fingerprint(append(to, 'w'))
+	buffer = m.group.Fingerprint(m.clock, append(buffer, '/'))
+	buffer = appendNumbers(buffer, m.maxVersion, m.applied, maphash.Bytes(hashSeed, m.state.Snapshot()))
+	buffer = m.nextBatch.fingerprint(append(buffer, 'n'))
+	if m.currentWrite != nil {
+		buffer = m.currentWrite.fingerprint(append(buffer, 'w'))
 	}
-	for _, index := range slices.Sorted(maps.Keys(m.waiting)) {
-		to = numbers(to, index, m.waiting[index].term, uint64(m.waiting[index].operation))
+	for _, index := range slices.Sorted(maps.Keys(m.pendingProposals)) {
+		buffer = appendNumbers(buffer, index, m.pendingProposals[index].term, uint64(m.pendingProposals[index].operation))
 	}
-	for _, number := range slices.Sorted(maps.Keys(m.reading)) {
-		to = numbers(to, number, uint64(m.reading[number]))
+	for _, number := range slices.Sorted(maps.Keys(m.pendingReads)) {
+		buffer = appendNumbers(buffer, number, uint64(m.pendingReads[number]))
 	}
-	return to
+	return buffer
 }
 
-func (b *batch) fingerprint(to []byte) []byte {
+func (b *batch) fingerprint(buffer []byte) []byte {
 	for _, change := range b.changes {
-		to = imprint(append(to, 'c'), &storage.GroupState{HardState: change.HardState, Snapshot: change.Snapshot, Entries: change.Entries})
+		buffer = appendGroupState(append(buffer, 'c'), &storage.GroupState{HardState: change.HardState, Snapshot: change.Snapshot, Entries: change.Entries})
 	}
-	for _, post := range b.posts {
-		to = numbers(append(to, 'p'), uint64(keyOf("", post.To, post.Body)))
+	for _, post := range b.messages {
+		buffer = appendNumbers(append(buffer, 'p'), uint64(messageKey("", post.To, post.Body)))
 	}
-	return numbers(to, b.mark.Index, b.mark.Term)
+	return appendNumbers(buffer, b.mark.Index, b.mark.Term)
 }
 
-func imprint(to []byte, image *storage.GroupState) []byte {
-	to = numbers(to, image.HardState.GetTerm(), image.Snapshot.GetIndex(), image.Snapshot.GetTerm(), uint64(len(image.Entries)))
-	to = append(to, image.HardState.GetVote()...)
-	for _, record := range image.Entries {
-		to = numbers(to, record.Index, record.Term)
-		if record.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
-			to = append(to, 'r')
+func appendGroupState(buffer []byte, log *storage.GroupState) []byte {
+	buffer = appendNumbers(buffer, log.HardState.GetTerm(), log.Snapshot.GetIndex(), log.Snapshot.GetTerm(), uint64(len(log.Entries)))
+	buffer = append(buffer, log.HardState.GetVote()...)
+	for _, entry := range log.Entries {
+		buffer = appendNumbers(buffer, entry.Index, entry.Term)
+		if entry.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
+			buffer = append(buffer, 'r')
 		}
 	}
-	return to
+	return buffer
 }
--- a/internal/modelcheck/machine.go
+++ b/internal/modelcheck/machine.go
@@ -13,24 +13,24 @@
 	"sparnotch/internal/storage"
 )
 
-// times are the group's; timeouts come when the scheduler says, so only their
+// raftTimes are the group's; timeouts come when the scheduler says, so only their
 // order to each other matters.
-var times = raft.DefaultTimeouts
+var raftTimes = raft.DefaultTimeouts
 
-// least draws the shortest wait every time: the scheduler decides who is first.
-type least struct{}
+// minimalRandom draws the shortest wait every time: the scheduler decides who is first.
+type minimalRandom struct{}
 
-func (least) Int64N(int64) int64 { return 0 }
+func (minimalRandom) Int64N(int64) int64 { return 0 }
 
 // batch is what one sync makes durable, and the messages that wait for it.
 type batch struct {
-	changes []*schema.StoreChange
-	posts   []raft.Message
-	mark    raft.SyncPoint
+	changes  []*schema.StoreChange
+	messages []raft.Message
+	mark     raft.SyncPoint
 }
 
-// waiting is an operation whose record isn't committed yet.
-type waiting struct {
+// pendingProposal is an operation whose record isn't committed yet.
+type pendingProposal struct {
 	term      uint64
 	operation int
 }
@@ -38,136 +38,136 @@
 // machine is one process with a disk: the host of a replica, as the table of
 // replicas is, one group only.
 type machine struct {
-	world   *World // whose alone it is
-	print   uint64 // fingerprint; 0: to be made anew
-	index   int
-	life    int // disks it has had
-	id      string
-	clock   eventloop.Micros
-	disk    disk
-	group   *raft.Group
-	memory  *storage.GroupState // what the replica's changes come to, synced or not
-	state   *clusterstate.StateMachine
-	isOwn   bool // the state isn't shared with another branch
-	next    batch
-	writing *batch
-	waiting map[uint64]waiting
-	reading map[uint64]int
-	reads   uint64
-	version uint64 // highest of the state in this life
-	applied uint64
+	world             *World // whose alone it is
+	cachedFingerprint uint64 // fingerprint; 0: to be made anew
+	index             int
+	incarnation       int // disks it has had
+	id                string
+	clock             eventloop.Micros
+	disk              disk
+	group             *raft.Group
+	log               *storage.GroupState // what the replica's changes come to, synced or not
+	state             *clusterstate.StateMachine
+	ownsState         bool // the state isn't shared with another branch
+	nextBatch         batch
+	currentWrite      *batch
+	pendingProposals  map[uint64]pendingProposal
+	pendingReads      map[uint64]int
+	lastReadID        uint64
+	maxVersion        uint64 // highest of the state in this life
+	applied           uint64
 }
 
-// freshId names a disk that has never been used.
-func freshId(index, life int) string { return fmt.Sprintf("%c%d", 'a'+index, life) }
+// newStoreID names a disk that has never been used.
+func newStoreID(index, incarnation int) string { return fmt.Sprintf("%c%d", 'a'+index, incarnation) }
 
 func (m *machine) clone() *machine {
 	c := *m
 	c.disk = m.disk.clone()
 	if m.group != nil {
-		c.group = m.group.Clone(least{})
-		c.memory = copyImage(m.memory)
+		c.group = m.group.Clone(minimalRandom{})
+		c.log = cloneGroupState(m.log)
 	}
-	c.isOwn = false
-	c.waiting, c.reading = maps.Clone(m.waiting), maps.Clone(m.reading)
-	if m.writing != nil {
-		writing := *m.writing
-		c.writing = &writing
+	c.ownsState = false
+	c.pendingProposals, c.pendingReads = maps.Clone(m.pendingProposals), maps.Clone(m.pendingReads)
+	if m.currentWrite != nil {
+		writing := *m.currentWrite
+		c.currentWrite = &writing
 	}
-	c.next.changes = c.next.changes[:len(c.next.changes):len(c.next.changes)]
-	c.next.posts = c.next.posts[:len(c.next.posts):len(c.next.posts)]
+	c.nextBatch.changes = c.nextBatch.changes[:len(c.nextBatch.changes):len(c.nextBatch.changes)]
+	c.nextBatch.messages = c.nextBatch.messages[:len(c.nextBatch.messages):len(c.nextBatch.messages)]
 	return &c
 }
 
 // start begins a life of the process from what its disk holds.
 func (m *machine) start() {
-	m.group, m.memory, m.state = nil, nil, clusterstate.New()
-	m.isOwn = true
-	m.next, m.writing = batch{}, nil
-	m.waiting, m.reading = map[uint64]waiting{}, map[uint64]int{}
-	m.version, m.applied = 0, 0
-	if image := m.disk.content().Groups[group]; image != nil {
-		m.open(image)
+	m.group, m.log, m.state = nil, nil, clusterstate.New()
+	m.ownsState = true
+	m.nextBatch, m.currentWrite = batch{}, nil
+	m.pendingProposals, m.pendingReads = map[uint64]pendingProposal{}, map[uint64]int{}
+	m.maxVersion, m.applied = 0, 0
+	if log := m.disk.content().Groups[groupName]; log != nil {
+		m.openReplica(log)
 	}
 }
 
-func (m *machine) open(image *storage.GroupState) {
-	m.memory = copyImage(image)
-	m.group = raft.New(group, m.id, copyImage(image), times, least{}, m.clock)
-	m.restore(image.Snapshot)
+func (m *machine) openReplica(log *storage.GroupState) {
+	m.log = cloneGroupState(log)
+	m.group = raft.New(groupName, m.id, cloneGroupState(log), raftTimes, minimalRandom{}, m.clock)
+	m.restore(log.Snapshot)
 }
 
-func (m *machine) restore(point *schema.Snapshot) {
-	state, err := clusterstate.Restore(point.Data)
+func (m *machine) restore(snapshot *schema.Snapshot) {
+	state, err := clusterstate.Restore(snapshot.Data)
 	if err != nil {
 		panic("checkpoint can't be read: " + err.Error())
 	}
-	m.state, m.isOwn = state, true
-	m.applied = point.Index
+	m.state, m.ownsState = state, true
+	m.applied = snapshot.Index
 }
 
-// own makes the state one that may be changed.
-func (m *machine) own() {
-	if m.isOwn {
+// ensureOwnState makes the state one that may be changed.
+func (m *machine) ensureOwnState() {
+	if m.ownsState {
 		return
 	}
 	state, err := clusterstate.Restore(m.state.Snapshot())
 	if err != nil {
 		panic("state can't be copied: " + err.Error())
 	}
-	m.state, m.isOwn = state, true
+	m.state, m.ownsState = state, true
 }
 
-// take hands a message to the replica; one that is counted in by a leader it
+// receive hands a message to the replica; one that is counted in by a leader it
 // has never heard of starts empty.
-func (m *machine) take(from string, body proto.Message) {
+func (m *machine) receive(from string, body proto.Message) {
 	if m.group == nil {
 		switch body.(type) {
 		case *schema.AppendRequest, *schema.InstallSnapshot, *schema.TransferChunk:
 		default:
 			return
 		}
-		m.open(&storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}})
+		m.openReplica(&storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}})
 	}
 	m.group.Step(m.clock, from, body)
 }
 
 // termAt is the term of an image's record; 0 where it holds none.
-func termAt(image *storage.GroupState, index uint64) uint64 {
+func termAt(log *storage.GroupState, index uint64) uint64 {
 	switch {
-	case image == nil:
+	case log == nil:
 		return 0
-	case index == image.Snapshot.Index:
-		return image.Snapshot.Term
-	case index < image.Snapshot.Index || index > lastOf(image):
+	case index == log.Snapshot.Index:
+		return log.Snapshot.Term
+	case index < log.Snapshot.Index || index > lastIndex(log):
 		return 0
 	}
-	return image.Entries[index-image.Snapshot.Index-1].Term
+	return log.Entries[index-log.Snapshot.Index-1].Term
 }
 
-func lastOf(image *storage.GroupState) uint64 {
-	return image.Snapshot.Index + uint64(len(image.Entries))
+func lastIndex(log *storage.GroupState) uint64 {
+	return log.Snapshot.Index + uint64(len(log.Entries))
 }
 
-// holds tells whether an image has a record, or what stands for it.
-func holds(image *storage.GroupState, index, term uint64) bool {
-	return image != nil && (index < image.Snapshot.Index || termAt(image, index) == term)
+// containsEntry tells whether an image has a record, or what stands for it.
+func containsEntry(log *storage.GroupState, index, term uint64) bool {
+	return log != nil && (index < log.Snapshot.Index || termAt(log, index) == term)
 }
 
-// membersUnder is the membership in force below an index.
-func membersUnder(image *storage.GroupState, index uint64) *schema.MemberSet {
-	members := image.Snapshot.MemberSet
-	for _, record := range image.Entries {
-		if record.Index < index && record.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
-			members = record.MemberSet
+// membershipBefore is the membership in force below an index.
+func membershipBefore(log *storage.GroupState, index uint64) *schema.MemberSet {
+	members := log.Snapshot.MemberSet
+	for _, entry := range log.Entries {
+		if entry.Index < index && entry.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
+			members = entry.MemberSet
 		}
 	}
 	return members
 }
 
-// applyTo makes a change of an image in memory.
-func applyTo(image *storage.GroupState, change *schema.StoreChange) *storage.GroupState {
-	content := &storage.State{Groups: map[string]*storage.GroupState{group: image}}
+// applyChange makes a change of an image in memory.
+func applyChange(log *storage.GroupState, change *schema.StoreChange) *storage.GroupState {
+	content := &storage.State{Groups: map[string]*storage.GroupState{groupName: log}}
 	content.Apply(change)
-	return content.Groups[group]
+	return content.Groups[groupName]
 }
--- a/internal/modelcheck/presets.go
+++ b/internal/modelcheck/presets.go
@@ -5,10 +5,10 @@
 // presets are the worlds that schedules are played in, by name.
 var presets = map[string]Limits{
 	// Every schedule to a depth: three replicas and two operators.
-	"whole":   {Machines: 3, Voters: 3, Operators: 2, Operations: 6, Messages: 64, Crashes: 1, Twice: 1, Puts: 3},
-	"synced":  {Machines: 3, Voters: 3, Operators: 2, Operations: 6, Messages: 64, Crashes: 1, Twice: 0, Puts: 3, IsSynced: true},
-	"members": {Machines: 4, Voters: 3, Operators: 2, Operations: 4, Messages: 64, Crashes: 1, Wipes: 1, Puts: 3, IsSynced: true, IsChanging: true},
-	"drawn":   {Machines: 4, Voters: 3, Operators: 2, Operations: 12, Messages: 64, Crashes: 3, Wipes: 1, Twice: 6, Puts: 12, IsChanging: true},
+	"whole":   {Machines: 3, Voters: 3, Operators: 2, Operations: 6, Messages: 64, Crashes: 1, Duplicates: 1, Proposals: 3},
+	"synced":  {Machines: 3, Voters: 3, Operators: 2, Operations: 6, Messages: 64, Crashes: 1, Duplicates: 0, Proposals: 3, SyncAtOnce: true},
+	"members": {Machines: 4, Voters: 3, Operators: 2, Operations: 4, Messages: 64, Crashes: 1, Wipes: 1, Proposals: 3, SyncAtOnce: true, MembershipChanges: true},
+	"drawn":   {Machines: 4, Voters: 3, Operators: 2, Operations: 12, Messages: 64, Crashes: 3, Wipes: 1, Duplicates: 6, Proposals: 12, MembershipChanges: true},
 	// Random walks, with joins and leaves, on stores that crashes tear.
 	"walk3": walkLimits(3, 5),
 	"walk4": walkLimits(4, 6),
@@ -24,19 +24,19 @@
 func walkLimits(voters, machines int) Limits {
 	return Limits{
 		Machines: machines, Voters: voters, Operators: 3, Operations: 60, Messages: 400,
-		Crashes: 1 << 20, Wipes: 6, Twice: 1 << 20, Puts: 1 << 20, IsFiles: true, IsChanging: true,
+		Crashes: 1 << 20, Wipes: 6, Duplicates: 1 << 20, Proposals: 1 << 20, FileDisks: true, MembershipChanges: true,
 	}
 }
 
 func largeLimits() Limits {
 	limits := walkLimits(3, 4)
-	limits.Large, limits.Operations = 24<<10, 16
+	limits.LargeBytes, limits.Operations = 24<<10, 16
 	return limits
 }
 
 func timedLimits() Limits {
 	limits := walkLimits(3, 3)
-	limits.IsTimed, limits.IsChanging, limits.Wipes = true, false, 0
+	limits.SharedClock, limits.MembershipChanges, limits.Wipes = true, false, 0
 	return limits
 }
 
--- a/internal/modelcheck/rapid_test.go
+++ b/internal/modelcheck/rapid_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// rapidSteps is how long a drawn schedule is at most.
-const rapidSteps = 120
+// maxDrawnSteps is how long a drawn schedule is at most.
+const maxDrawnSteps = 120
 
 // TestDrawnSchedules lets rapid choose among all that may happen, as a state
 // machine whose state is the world; what it finds it shrinks by itself, and the
@@ -21,18 +21,18 @@
 		w := NewWorld(limits, 0)
 		taken := ParseSchedule(atRest)
 		for _, step := range taken {
-			w.Take(step)
+			w.Execute(step)
 		}
-		for _, choice := range rapid.SliceOfN(rapid.Uint16(), rapidSteps/4, rapidSteps).Draw(t, "choices") {
-			moves := w.Moves()
+		for _, choice := range rapid.SliceOfN(rapid.Uint16(), maxDrawnSteps/4, maxDrawnSteps).Draw(t, "choices") {
+			moves := w.EnabledSteps()
 			step := moves[int(choice)%len(moves)]
-			if w.Take(step); w.Broken() != "" {
+			if w.Execute(step); w.Violation() != "" {
 				break
 			}
 			taken = append(taken, step)
 		}
-		if broken := judge(w); broken != "" {
-			t.Fatalf("%s\n%s", broken, again(&Finding{broken, limits, 0, taken}))
+		if broken := checkHistory(w); broken != "" {
+			t.Fatalf("%s\n%s", broken, replayCommand(&Violation{broken, limits, 0, taken}))
 		}
 	})
 }
--- a/internal/modelcheck/schedule.go
+++ b/internal/modelcheck/schedule.go
@@ -45,8 +45,8 @@
 	return steps
 }
 
-// Line is a schedule's text.
-func Line(steps []Step) string {
+// FormatSchedule is a schedule's text.
+func FormatSchedule(steps []Step) string {
 	words := make([]string, len(steps))
 	for k, step := range steps {
 		words[k] = string(step)
@@ -54,7 +54,7 @@
 	return strings.Join(words, " ")
 }
 
-func keyOf(from, to string, body proto.Message) uint32 {
+func messageKey(from, to string, body proto.Message) uint32 {
 	hash := fnv.New32a()
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(body)
 	if err != nil {
@@ -65,8 +65,8 @@
 	return hash.Sum32()
 }
 
-// Take makes a step, and tells whether there was anything to do.
-func (w *World) Take(step Step) (isDone bool) {
+// Execute makes a step, and tells whether there was anything to do.
+func (w *World) Execute(step Step) (isDone bool) {
 	defer func() {
 		if reason := recover(); reason != nil {
 			w.fail("panic: %v", reason)
@@ -79,29 +79,29 @@
 	rest := string(step[1:])
 	switch step[0] {
 	case 'd', 'u', 'x':
-		return w.onParcel(step[0], rest)
+		return w.executeMessageStep(step[0], rest)
 	case 'q':
-		w.quiet(rest)
+		w.runUntilQuiet(rest)
 		return true
 	case 'z':
-		return w.pass(rest)
+		return w.advanceTime(rest)
 	case 'g':
 		k, isFound := digit(rest, 0, len(w.operators))
-		return isFound && w.giveUp(k)
+		return isFound && w.abandon(k)
 	case 'p', 'r':
 		operator, isOperator := digit(rest, 0, len(w.operators))
 		at, isMachine := digit(rest, 1, len(w.machines))
-		return isOperator && isMachine && w.ask(step[0], operator, at)
+		return isOperator && isMachine && w.executeOperatorStep(step[0], operator, at)
 	}
 	at, isMachine := digit(rest, 0, len(w.machines))
 	if !isMachine {
 		return false
 	}
-	m := w.own(at)
+	m := w.mutableMachine(at)
 	if len(rest) > 1 {
-		return w.onPair(step[0], m, rest[1:])
+		return w.executeMemberStep(step[0], m, rest[1:])
 	}
-	return w.onMachine(step[0], m)
+	return w.executeMachineStep(step[0], m)
 }
 
 func digit(text string, at, below int) (int, bool) {
@@ -112,41 +112,41 @@
 	return value, value >= 0 && value < below
 }
 
-// pass lets time pass by the clock that all share.
-func (w *World) pass(span string) bool {
+// advanceTime lets time pass by the clock that all share.
+func (w *World) advanceTime(span string) bool {
 	millis, err := strconv.Atoi(span)
 	if err != nil {
 		return false
 	}
 	for k := range w.machines {
-		m := w.own(k)
+		m := w.mutableMachine(k)
 		m.clock += eventloop.Micros(millis) * eventloop.Millisecond
 		if m.group != nil {
 			m.group.Tick(m.clock)
-			w.settle(m)
+			w.drainEffects(m)
 		}
 	}
-	w.checkActing()
+	w.checkLeaderLease()
 	return true
 }
 
-func (w *World) onParcel(kind byte, key string) bool {
+func (w *World) executeMessageStep(kind byte, key string) bool {
 	number, err := strconv.ParseUint(key, 16, 32)
 	if err != nil {
 		return false
 	}
-	at := slices.IndexFunc(w.parcels, func(p parcel) bool { return p.key == uint32(number) })
+	at := slices.IndexFunc(w.inFlight, func(p message) bool { return p.key == uint32(number) })
 	if at < 0 {
 		return false
 	}
-	p := w.parcels[at]
+	p := w.inFlight[at]
 	if kind == 'u' {
-		if w.twice >= w.limits.Twice {
+		if w.duplicates >= w.limits.Duplicates {
 			return false
 		}
-		w.twice++
+		w.duplicates++
 	} else {
-		w.parcels = slices.Delete(w.parcels, at, at+1)
+		w.inFlight = slices.Delete(w.inFlight, at, at+1)
 	}
 	if kind != 'x' {
 		w.deliver(p)
@@ -154,23 +154,23 @@
 	return true
 }
 
-func (w *World) ask(kind byte, operator, at int) bool {
+func (w *World) executeOperatorStep(kind byte, operator, at int) bool {
 	isDone := false
 	if kind == 'r' {
-		isDone = w.read(operator, at)
-	} else if w.puts < w.limits.Puts {
-		isDone = w.put(operator, at)
+		isDone = w.startRead(operator, at)
+	} else if w.proposals < w.limits.Proposals {
+		isDone = w.proposeReplace(operator, at)
 		if isDone {
-			w.puts++
+			w.proposals++
 		}
 	}
 	if isDone {
-		w.settle(w.machines[at])
+		w.drainEffects(w.machines[at])
 	}
 	return isDone
 }
 
-func (w *World) onMachine(kind byte, m *machine) bool {
+func (w *World) executeMachineStep(kind byte, m *machine) bool {
 	switch kind {
 	case 'c':
 		return w.crash(m, false)
@@ -184,41 +184,41 @@
 	}
 	switch kind {
 	case 't':
-		m.clock += times.ElectionMax + 1
+		m.clock += raftTimes.ElectionMax + 1
 		m.group.Tick(m.clock)
 	case 'b':
 		if !m.group.IsLeader() {
 			return false
 		}
-		m.clock += times.HeartbeatInterval
+		m.clock += raftTimes.HeartbeatInterval
 		m.group.Tick(m.clock)
 	case 's':
-		if m.writing == nil {
+		if m.currentWrite == nil {
 			return false
 		}
-		w.sync(m)
+		w.completeWrite(m)
 	case 'f':
-		if m.applied <= m.memory.Snapshot.Index {
+		if m.applied <= m.log.Snapshot.Index {
 			return false
 		}
 		m.group.Compact(m.applied, m.state.Snapshot())
 	case 'n':
-		if !m.group.IsLeader() || m.group.LastIndex()-m.group.AppliedIndex() > catchUpRecords {
+		if !m.group.IsLeader() || m.group.LastIndex()-m.group.AppliedIndex() > maxPromotionLag {
 			return false
 		}
-		for range catchUpRecords + 8 {
-			if _, _, err := m.group.Propose(m.clock, noise()); err != nil {
+		for range maxPromotionLag + 8 {
+			if _, _, err := m.group.Propose(m.clock, fillerCommand()); err != nil {
 				break
 			}
 		}
 	default:
 		return false
 	}
-	w.settle(m)
+	w.drainEffects(m)
 	return true
 }
 
-func (w *World) onPair(kind byte, m *machine, other string) bool {
+func (w *World) executeMemberStep(kind byte, m *machine, other string) bool {
 	if m.group == nil || !m.group.IsLeader() || len(other) < 2 {
 		return false
 	}
@@ -227,66 +227,66 @@
 			return false
 		}
 		m.group.TransferLeadership(m.clock, other)
-		w.settle(m)
+		w.drainEffects(m)
 		return true
 	}
-	next := afterStep(m.group.MemberSet(), kind, other)
+	next := nextMembership(m.group.MemberSet(), kind, other)
 	if next == nil || m.group.ProposeMemberSet(m.clock, next) != nil {
 		return false
 	}
-	w.settle(m)
+	w.drainEffects(m)
 	return true
 }
 
-// afterStep is a membership after one step, whether or not that is wise: the group
+// nextMembership is a membership after one step, whether or not that is wise: the group
 // itself must know what it can't bear. Nil where the step means nothing.
-func afterStep(old *schema.MemberSet, kind byte, id string) *schema.MemberSet {
+func nextMembership(old *schema.MemberSet, kind byte, id string) *schema.MemberSet {
 	isVoter, isLearner := slices.Contains(old.Voters, id), slices.Contains(old.Learners, id)
 	next := &schema.MemberSet{Voters: slices.Clone(old.Voters), Learners: slices.Clone(old.Learners)}
 	switch {
 	case kind == 'l' && !isVoter && !isLearner:
 		next.Learners = append(next.Learners, id)
 	case kind == 'v' && !isVoter:
-		next.Learners = without(next.Learners, id)
+		next.Learners = withoutID(next.Learners, id)
 		next.Voters = append(next.Voters, id)
 	case kind == 'o' && (isVoter || isLearner):
-		next.Voters, next.Learners = without(next.Voters, id), without(next.Learners, id)
+		next.Voters, next.Learners = withoutID(next.Voters, id), withoutID(next.Learners, id)
 	default:
 		return nil
 	}
 	return next
 }
 
-func without(list []string, id string) []string {
+func withoutID(list []string, id string) []string {
 	return slices.DeleteFunc(list, func(each string) bool { return each == id })
 }
 
-// quietMost bounds a quiet time: two leaders could beat each other for ever.
-const quietMost = 10_000
+// maxQuietRounds bounds a quiet time: two leaders could beat each other for ever.
+const maxQuietRounds = 10_000
 
-func (w *World) quiet(among string) {
+func (w *World) runUntilQuiet(among string) {
 	isIn := func(id string) bool {
-		m := w.machineOf(id)
+		m := w.machineByID(id)
 		return m != nil && (among == "" || strings.ContainsRune(among, rune('0'+m.index)))
 	}
-	for range quietMost {
-		isMoved := false
+	for range maxQuietRounds {
+		progressed := false
 		for k := range w.machines {
-			if m := w.own(k); isIn(m.id) && m.writing != nil {
-				w.sync(m)
-				w.settle(m)
-				isMoved = true
+			if m := w.mutableMachine(k); isIn(m.id) && m.currentWrite != nil {
+				w.completeWrite(m)
+				w.drainEffects(m)
+				progressed = true
 			}
 		}
-		if len(w.parcels) > 0 {
-			p := w.parcels[0]
-			w.parcels = slices.Delete(w.parcels, 0, 1)
+		if len(w.inFlight) > 0 {
+			p := w.inFlight[0]
+			w.inFlight = slices.Delete(w.inFlight, 0, 1)
 			if isIn(p.from) && isIn(p.to) {
 				w.deliver(p)
 			}
-			isMoved = true
+			progressed = true
 		}
-		if !isMoved || w.broken != "" {
+		if !progressed || w.violation != "" {
 			return
 		}
 	}
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -16,25 +16,25 @@
 
 // Limits bound a world.
 type Limits struct {
-	Name       string // of the preset
-	Machines   int    // that may ever be
-	Voters     int    // of the group when it is founded
-	Operators  int
-	Operations int
-	Messages   int // under way; the oldest is lost beyond that
-	Crashes    int // of each kind: restarts and wipes
-	Wipes      int
-	Twice      int  // messages delivered twice
-	Large      int  // bytes of every second configuration; 0: all are small
-	Puts       int  // proposals, resends among them
-	IsFiles    bool // disks are real stores on files, which crashes tear
-	IsSynced   bool // writes last at once, rather than when the scheduler says
-	IsChanging bool // the members change
-	IsTimed    bool // one clock for all; leaders that act are counted
+	Name              string // of the preset
+	Machines          int    // that may ever be
+	Voters            int    // of the group when it is founded
+	Operators         int
+	Operations        int
+	Messages          int // under way; the oldest is lost beyond that
+	Crashes           int // of each kind: restarts and wipes
+	Wipes             int
+	Duplicates        int  // messages delivered twice
+	LargeBytes        int  // bytes of every second configuration; 0: all are small
+	Proposals         int  // proposals, resends among them
+	FileDisks         bool // disks are real stores on files, which crashes tear
+	SyncAtOnce        bool // writes last at once, rather than when the scheduler says
+	MembershipChanges bool // the members change
+	SharedClock       bool // one clock for all; leaders that act are counted
 }
 
-// parcel is a message under way.
-type parcel struct {
+// message is a message under way.
+type message struct {
 	from, to string
 	body     proto.Message
 	key      uint32
@@ -44,34 +44,34 @@
 type World struct {
 	limits     Limits
 	machines   []*machine
-	parcels    []parcel
+	inFlight   []message
 	operators  []operator
 	operations []operation
 	ghost
-	isGhostOwn bool // this branch's alone
-	steps      int
+	ownsGhost  bool // this branch's alone
+	events     int
 	crashes    int
 	wipes      int
-	twice      int
-	puts       int
+	duplicates int
+	proposals  int
 	changes    int    // of the members, made by leaders
-	broken     string // what doesn't hold
+	violation  string // what doesn't hold
 	seed       uint64
 }
 
 // NewWorld founds a group. The seed decides how crashes tear files.
 func NewWorld(limits Limits, seed uint64) *World {
-	w := &World{limits: limits, ghost: newGhost(), isGhostOwn: true, seed: seed}
+	w := &World{limits: limits, ghost: newGhost(), ownsGhost: true, seed: seed}
 	var voters []string
 	for k := range limits.Voters {
-		voters = append(voters, freshId(k, 0))
+		voters = append(voters, newStoreID(k, 0))
 	}
 	for k := range limits.Machines {
-		m := &machine{world: w, index: k, id: freshId(k, 0), clock: eventloop.Second}
-		w.equip(m)
+		m := &machine{world: w, index: k, id: newStoreID(k, 0), clock: eventloop.Second}
+		w.attachEmptyDisk(m)
 		if k < limits.Voters {
-			point := &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: voters}}
-			if err := m.disk.commit([]*schema.StoreChange{{Group: group, Snapshot: point}}); err != nil {
+			snapshot := &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: voters}}
+			if err := m.disk.commit([]*schema.StoreChange{{Group: groupName, Snapshot: snapshot}}); err != nil {
 				panic("modelcheck: " + err.Error())
 			}
 		}
@@ -79,18 +79,18 @@
 		w.machines = append(w.machines, m)
 	}
 	for range limits.Operators {
-		w.operators = append(w.operators, operator{current: -1})
+		w.operators = append(w.operators, operator{operation: -1})
 	}
 	return w
 }
 
-// equip gives a machine an empty disk; a store on it draws an id of its own.
-func (w *World) equip(m *machine) {
-	m.disk = &pure{held: &storage.State{Identity: &schema.StoreIdentity{}, Groups: map[string]*storage.GroupState{}}}
-	if w.limits.IsFiles {
-		m.disk = newStored()
+// attachEmptyDisk gives a machine an empty disk; a store on it draws an id of its own.
+func (w *World) attachEmptyDisk(m *machine) {
+	m.disk = &memoryDisk{stored: &storage.State{Identity: &schema.StoreIdentity{}, Groups: map[string]*storage.GroupState{}}}
+	if w.limits.FileDisks {
+		m.disk = newFileDisk()
 	}
-	m.id = freshId(m.index, m.life)
+	m.id = newStoreID(m.index, m.incarnation)
 }
 
 // Clone is a branch of the world, which must not be stepped itself any more:
@@ -98,56 +98,56 @@
 func (w *World) Clone() *World {
 	c := *w
 	c.machines = slices.Clone(w.machines)
-	c.parcels = slices.Clone(w.parcels)
+	c.inFlight = slices.Clone(w.inFlight)
 	c.operators = slices.Clone(w.operators)
 	c.operations = slices.Clone(w.operations)
-	c.isGhostOwn = false
+	c.ownsGhost = false
 	return &c
 }
 
-// own gives a machine that may be changed.
-func (w *World) own(at int) *machine {
+// ensureOwnState gives a machine that may be changed.
+func (w *World) mutableMachine(at int) *machine {
 	if w.machines[at].world != w {
 		w.machines[at] = w.machines[at].clone()
 		w.machines[at].world = w
 	}
-	w.machines[at].print = 0
+	w.machines[at].cachedFingerprint = 0
 	return w.machines[at]
 }
 
-// ownGhost makes what the checker knows one that may be changed.
-func (w *World) ownGhost() *ghost {
-	if !w.isGhostOwn {
-		w.ghost, w.isGhostOwn = w.ghost.clone(), true
+// mutableGhost makes what the checker knows one that may be changed.
+func (w *World) mutableGhost() *ghost {
+	if !w.ownsGhost {
+		w.ghost, w.ownsGhost = w.ghost.clone(), true
 	}
 	return &w.ghost
 }
 
-// Broken is what doesn't hold; empty while all does.
-func (w *World) Broken() string { return w.broken }
+// Reason is what doesn't hold; empty while all does.
+func (w *World) Violation() string { return w.violation }
 
 func (w *World) fail(form string, args ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf(form, args...)
+	if w.violation == "" {
+		w.violation = fmt.Sprintf(form, args...)
 	}
 }
 
-// tick numbers the events that operators see.
-func (w *World) tick() int {
-	w.steps++
-	return w.steps
+// nextEvent numbers the events that operators see.
+func (w *World) nextEvent() int {
+	w.events++
+	return w.events
 }
 
 func (w *World) send(m *machine, post raft.Message) {
-	w.checkTold(m, post)
+	w.checkDurableBeforeSend(m, post)
 	body := post.Body
-	w.parcels = append(w.parcels, parcel{from: m.id, to: post.To, body: body, key: keyOf(m.id, post.To, body)})
-	if len(w.parcels) > w.limits.Messages {
-		w.parcels = slices.Delete(w.parcels, 0, 1)
+	w.inFlight = append(w.inFlight, message{from: m.id, to: post.To, body: body, key: messageKey(m.id, post.To, body)})
+	if len(w.inFlight) > w.limits.Messages {
+		w.inFlight = slices.Delete(w.inFlight, 0, 1)
 	}
 }
 
-func (w *World) machineOf(id string) *machine {
+func (w *World) machineByID(id string) *machine {
 	for _, m := range w.machines {
 		if m.id == id {
 			return m
@@ -156,96 +156,96 @@
 	return nil
 }
 
-func (w *World) deliver(p parcel) {
-	if m := w.machineOf(p.to); m != nil {
-		m = w.own(m.index)
-		m.take(p.from, p.body)
-		w.settle(m)
+func (w *World) deliver(p message) {
+	if m := w.machineByID(p.to); m != nil {
+		m = w.mutableMachine(m.index)
+		m.receive(p.from, p.body)
+		w.drainEffects(m)
 	}
 }
 
-// settle carries out what a step has left on a machine, as the replicas' table
+// drainEffects carries out what a step has left on a machine, as the replicas' table
 // does: messages that tell of something durable wait for the sync, records are
 // applied, and one batch is written at a time while the next gathers.
-func (w *World) settle(m *machine) {
+func (w *World) drainEffects(m *machine) {
 	for m.group != nil {
 		m.group.FlushReads(m.clock)
 		effects, mark := m.group.Ready()
 		isIdle := len(effects.Messages)+len(effects.Changes)+len(effects.CommittedEntries)+len(effects.ReadRequests) == 0 && effects.Snapshot == nil
 		if isIdle {
-			if !w.write(m) {
+			if !w.startWrite(m) {
 				break
 			}
 			continue
 		}
-		w.carryOut(m, effects, mark)
+		w.applyEffects(m, effects, mark)
 		w.checkLeader(m)
 	}
 	if m.group != nil && !m.group.IsLeader() {
-		clear(m.waiting)
-		clear(m.reading)
+		clear(m.pendingProposals)
+		clear(m.pendingReads)
 	}
 }
 
-func (w *World) carryOut(m *machine, effects raft.Ready, mark raft.SyncPoint) {
+func (w *World) applyEffects(m *machine, effects raft.Ready, mark raft.SyncPoint) {
 	for _, change := range effects.Changes {
 		w.checkChange(m, change)
-		m.memory = applyTo(m.memory, change)
+		m.log = applyChange(m.log, change)
 	}
-	w.checkMemory(m)
+	w.checkLog(m)
 	for _, post := range effects.Messages {
-		w.checkMatch(m, post)
+		w.checkMatchIsDurable(m, post)
 		if post.AfterSync {
-			m.next.posts = append(m.next.posts, post)
+			m.nextBatch.messages = append(m.nextBatch.messages, post)
 		} else {
 			w.send(m, post)
 		}
 	}
 	if len(effects.Changes) > 0 {
-		m.next.changes = append(m.next.changes, effects.Changes...)
-		m.next.mark = mark
+		m.nextBatch.changes = append(m.nextBatch.changes, effects.Changes...)
+		m.nextBatch.mark = mark
 	}
 	if effects.Snapshot != nil {
 		m.restore(effects.Snapshot)
 		w.checkState(m)
 	}
-	w.checkAdvance(m, effects.CommittedEntries)
-	for _, record := range effects.CommittedEntries {
-		w.apply(m, record)
+	w.checkCommitTerm(m, effects.CommittedEntries)
+	for _, entry := range effects.CommittedEntries {
+		w.applyEntry(m, entry)
 	}
 	for _, number := range effects.ReadRequests {
-		if operation, isKnown := m.reading[number]; isKnown {
-			delete(m.reading, number)
-			w.answerRead(operation, m.state.Configuration())
+		if operation, isKnown := m.pendingReads[number]; isKnown {
+			delete(m.pendingReads, number)
+			w.completeRead(operation, m.state.Configuration())
 		}
 	}
 }
 
-// write hands what has gathered to the disk, and tells whether that left
+// writeStep hands what has gathered to the disk, and tells whether that left
 // something to carry out.
-func (w *World) write(m *machine) bool {
-	if m.writing != nil || len(m.next.changes)+len(m.next.posts) == 0 {
+func (w *World) startWrite(m *machine) bool {
+	if m.currentWrite != nil || len(m.nextBatch.changes)+len(m.nextBatch.messages) == 0 {
 		return false
 	}
-	out := m.next
-	m.next, m.writing = batch{}, &out
-	if len(out.changes) == 0 || w.limits.IsSynced {
-		w.sync(m)
+	out := m.nextBatch
+	m.nextBatch, m.currentWrite = batch{}, &out
+	if len(out.changes) == 0 || w.limits.SyncAtOnce {
+		w.completeWrite(m)
 		return true
 	}
 	return false
 }
 
-// sync ends the write under way: it lasts.
-func (w *World) sync(m *machine) {
-	out := m.writing
-	m.writing = nil
+// completeWrite ends the write under way: it lasts.
+func (w *World) completeWrite(m *machine) {
+	out := m.currentWrite
+	m.currentWrite = nil
 	if len(out.changes) > 0 {
 		if err := m.disk.commit(out.changes); err != nil {
 			w.fail("a write failed on %s: %v", m.id, err)
 		}
 	}
-	for _, post := range out.posts {
+	for _, post := range out.messages {
 		w.send(m, post)
 	}
 	if len(out.changes) > 0 {
@@ -253,25 +253,25 @@
 	}
 }
 
-func (w *World) apply(m *machine, record *schema.Entry) {
-	w.checkCommit(m, record)
-	each, isWaited := m.waiting[record.Index]
-	delete(m.waiting, record.Index)
-	m.applied = record.Index
-	if record.Kind == schema.EntryKind_ENTRY_COMMAND {
-		m.own()
+func (w *World) applyEntry(m *machine, entry *schema.Entry) {
+	w.checkCommit(m, entry)
+	each, isWaited := m.pendingProposals[entry.Index]
+	delete(m.pendingProposals, entry.Index)
+	m.applied = entry.Index
+	if entry.Kind == schema.EntryKind_ENTRY_COMMAND {
+		m.ensureOwnState()
 		before := m.state.Configuration()
-		result, err := m.state.Apply(record.TimeUs, record.Data)
+		result, err := m.state.Apply(entry.TimeUs, entry.Data)
 		if err != nil {
-			w.fail("record %d can't be applied on %s: %v", record.Index, m.id, err)
+			w.fail("record %d can't be applied on %s: %v", entry.Index, m.id, err)
 			return
 		}
 		if after := m.state.Configuration(); after != before {
-			w.taken(before, after)
+			w.recordReplacement(before, after)
 		}
 		w.checkState(m)
-		if isWaited && each.term == record.Term {
-			w.answerPut(each.operation, result)
+		if isWaited && each.term == entry.Term {
+			w.completeReplace(each.operation, result)
 		}
 		return
 	}
@@ -280,21 +280,21 @@
 
 // crash starts a machine again from what lasts.
 func (w *World) crash(m *machine, isWritten bool) bool {
-	if w.crashes >= w.limits.Crashes || isWritten && m.writing == nil {
+	if w.crashes >= w.limits.Crashes || isWritten && m.currentWrite == nil {
 		return false
 	}
 	w.crashes++
 	var changes []*schema.StoreChange
-	if m.writing != nil {
-		changes = m.writing.changes
+	if m.currentWrite != nil {
+		changes = m.currentWrite.changes
 	}
-	before := copyOf(m.disk.content().Groups[group])
+	before := cloneGroupStateOrNil(m.disk.content().Groups[groupName])
 	if isWritten {
 		// The write lasts, but nobody was told.
 		if err := m.disk.commit(changes); err != nil {
 			w.fail("a write failed on %s: %v", m.id, err)
 		}
-		before = copyOf(m.disk.content().Groups[group])
+		before = cloneGroupStateOrNil(m.disk.content().Groups[groupName])
 		changes = nil
 	}
 	// Each crash has its own draws, whatever came before it.
@@ -303,9 +303,9 @@
 		w.fail("%s doesn't open after a crash: %v", m.id, err)
 		return true
 	}
-	w.checkOpened(m, before, changes)
+	w.checkRecovery(m, before, changes)
 	m.start()
-	w.settle(m)
+	w.drainEffects(m)
 	return true
 }
 
@@ -315,53 +315,53 @@
 		return false
 	}
 	w.wipes++
-	w.ownGhost().graves[m.id] = m.disk.content().Groups[group]
-	m.life++
-	w.equip(m)
+	w.mutableGhost().wipedLogs[m.id] = m.disk.content().Groups[groupName]
+	m.incarnation++
+	w.attachEmptyDisk(m)
 	m.start()
 	return true
 }
 
-func copyOf(image *storage.GroupState) *storage.GroupState {
-	if image == nil {
+func cloneGroupStateOrNil(log *storage.GroupState) *storage.GroupState {
+	if log == nil {
 		return nil
 	}
-	return copyImage(image)
+	return cloneGroupState(log)
 }
 
 // ghost is what the checker knows and no machine does.
 type ghost struct {
-	leaders     map[uint64]string              // by term
-	records     map[place]recorded             // every record there ever was
-	committedIn []uint64                       // the leader's term that committed it, by index - 1
-	committed   []recorded                     // by index - 1
-	states      map[uint64]uint64              // digest of the state by index
-	votes       map[ballot]string              // as told
-	graves      map[string]*storage.GroupState // what wiped disks held
-	told        uint64                         // highest edition anybody was told of
-	sum         uint64                         // of all of this, for fingerprints
+	leaders         map[uint64]string              // by term
+	entries         map[entryID]entryInfo          // every record there ever was
+	committedInTerm []uint64                       // the leader's term that committed it, by index - 1
+	committed       []entryInfo                    // by index - 1
+	states          map[uint64]uint64              // digest of the state by index
+	votes           map[voterTerm]string           // as told
+	wipedLogs       map[string]*storage.GroupState // what wiped disks held
+	maxKnownVersion uint64                         // highest edition anybody was told of
+	checksum        uint64                         // of all of this, for fingerprints
 }
 
-type place struct{ index, term uint64 }
+type entryID struct{ index, term uint64 }
 
-type recorded struct{ term, below, digest uint64 }
+type entryInfo struct{ term, previousTerm, digest uint64 }
 
-type ballot struct {
+type voterTerm struct {
 	id   string
 	term uint64
 }
 
 func newGhost() ghost {
 	return ghost{
-		leaders: map[uint64]string{}, records: map[place]recorded{}, states: map[uint64]uint64{},
-		votes: map[ballot]string{}, graves: map[string]*storage.GroupState{},
+		leaders: map[uint64]string{}, entries: map[entryID]entryInfo{}, states: map[uint64]uint64{},
+		votes: map[voterTerm]string{}, wipedLogs: map[string]*storage.GroupState{},
 	}
 }
 
 func (g *ghost) clone() ghost {
 	c := *g
-	c.leaders, c.records, c.states = maps.Clone(g.leaders), maps.Clone(g.records), maps.Clone(g.states)
-	c.votes, c.graves = maps.Clone(g.votes), maps.Clone(g.graves)
-	c.committed, c.committedIn = slices.Clip(g.committed), slices.Clip(g.committedIn)
+	c.leaders, c.entries, c.states = maps.Clone(g.leaders), maps.Clone(g.entries), maps.Clone(g.states)
+	c.votes, c.wipedLogs = maps.Clone(g.votes), maps.Clone(g.wipedLogs)
+	c.committed, c.committedInTerm = slices.Clip(g.committed), slices.Clip(g.committedInTerm)
 	return c
 }
--- a/internal/mutation/model_mutants.go
+++ b/internal/mutation/model_mutants.go
@@ -43,7 +43,7 @@
 	{Guard: "a snapshot replaces a log that differs", Rule: 1, Test: walks, Edits: []Edit{{"internal/raft",
 		"Snapshot: snapshot, ReplacesLog: !keepsTail}", "Snapshot: snapshot}"}}},
 	{Guard: "a new disk has a new identity", Rule: 1, Test: walks, Edits: []Edit{{"internal/modelcheck",
-		"return fmt.Sprintf(\"%c%d\", 'a'+index, life)", "return fmt.Sprintf(\"%c%d\", 'a'+index, 0*life)"}}},
+		"return fmt.Sprintf(\"%c%d\", 'a'+index, incarnation)", "return fmt.Sprintf(\"%c%d\", 'a'+index, 0*incarnation)"}}},
 	{Guard: "who starts again keeps to its answer", Rule: 2, Test: "internal/raft TestRestartedReplicaHonoursLeaderLease", Edits: []Edit{{"internal/raft",
 		"if (hasLeader || now < g.formerLeaseExpiry) && !m.LeaderTransfer {", "if hasLeader && !m.LeaderTransfer {"}}},
 	// Besides its test, a day shows it.
