--- a/internal/codesize/codesize_test.go
+++ b/internal/codesize/codesize_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	mostFileLines     = 500
-	mostFunctionLines = 60
+	maxFileLines     = 500
+	maxFunctionLines = 60
 )
 
 // over are the files and functions that are longer, with their lines: they may become
@@ -68,17 +68,17 @@
 		t.Fatal(err)
 	}
 	for name, lines := range found {
-		switch most, isListed := over[name]; {
-		case !isListed:
+		switch limit, listed := over[name]; {
+		case !listed:
 			t.Errorf("%s has %d lines: split it", name, lines)
-		case lines > most:
-			t.Errorf("%s has grown from %d to %d lines", name, most, lines)
-		case lines < most:
-			t.Errorf("%s has %d lines now, the list says %d: shorten the list as well", name, lines, most)
+		case lines > limit:
+			t.Errorf("%s has grown from %d to %d lines", name, limit, lines)
+		case lines < limit:
+			t.Errorf("%s has %d lines now, the list says %d: shorten the list as well", name, lines, limit)
 		}
 	}
 	for name := range over {
-		if _, isThere := found[name]; !isThere {
+		if _, found := found[name]; !found {
 			t.Errorf("%s isn't over the limit any more: take it from the list", name)
 		}
 	}
@@ -91,7 +91,7 @@
 		return err
 	}
 	name := strings.TrimPrefix(filepath.ToSlash(path), "../../")
-	if lines := bytes.Count(data, []byte("\n")); lines > mostFileLines {
+	if lines := bytes.Count(data, []byte("\n")); lines > maxFileLines {
 		found[name] = lines
 	}
 	files := token.NewFileSet()
@@ -105,7 +105,7 @@
 			continue
 		}
 		lines := files.Position(function.Body.Rbrace).Line - files.Position(function.Body.Lbrace).Line - 1
-		if lines > mostFunctionLines {
+		if lines > maxFunctionLines {
 			found[fmt.Sprintf("%s %s", name, function.Name.Name)] = lines
 		}
 	}
--- a/internal/mutation/mutation.go
+++ b/internal/mutation/mutation.go
@@ -105,14 +105,14 @@
 	return filepath.Join(folder, "sparnotch-bench"), nil
 }
 
-var broken = regexp.MustCompile(`(?m)^BROKEN rule (\d+)`)
+var violationPattern = regexp.MustCompile(`(?m)^BROKEN rule (\d+)`)
 
-// Rules plays what sparnotch-bench simulate is told to and counts the breaches by rule; a run that
+// CountViolations plays what sparnotch-bench simulate is told to and counts the breaches by rule; a run that
 // ends otherwise than judged is an error.
-func Rules(bench string, args ...string) (map[int]int, string, error) {
+func CountViolations(bench string, args ...string) (map[int]int, string, error) {
 	out, err := exec.Command(bench, append([]string{"simulate"}, args...)...).CombinedOutput()
 	counts := map[int]int{}
-	for _, found := range broken.FindAllStringSubmatch(string(out), -1) {
+	for _, found := range violationPattern.FindAllStringSubmatch(string(out), -1) {
 		rule, _ := strconv.Atoi(found[1])
 		counts[rule]++
 	}
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -15,12 +15,12 @@
 	"sparnotch/internal/sim"
 )
 
-var seek = flag.String("seek", "", "look for runs that show the mutants whose guard has this in its name")
-var seeds = flag.Int("seeds", 4, "with -seek: how many seeds of each scenario; 0: the tests of the packages it changes instead")
-var onSize = flag.String("size", "small", "with -seek: the fleet's size")
-var first = flag.Uint64("seed", 1, "with -seek: the first of them")
+var seekGuard = flag.String("seek", "", "look for runs that show the mutants whose guard has this in its name")
+var seedCount = flag.Int("seeds", 4, "with -seek: how many seeds of each scenario; 0: the tests of the packages it changes instead")
+var fleetSize = flag.String("size", "small", "with -seek: the fleet's size")
+var firstSeed = flag.Uint64("seed", 1, "with -seek: the first of them")
 
-func root(t *testing.T) string {
+func moduleRoot(t *testing.T) string {
 	path, err := filepath.Abs("../..")
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 	return path
 }
 
-func scenarios(name string) []sim.Scenario {
+func scenariosOfSize(name string) []sim.Scenario {
 	for _, size := range sim.FleetSpecs() {
 		if size.Name == name {
 			return sim.ScenariosFor(size)
@@ -39,20 +39,20 @@
 
 // TestSeek is how a run for a new mutant is found; it tells which break its rule.
 func TestSeek(t *testing.T) {
-	if *seek == "" {
+	if *seekGuard == "" {
 		t.Skip("only with -seek")
 	}
 	gate := make(chan bool, 6)
 	for _, m := range Mutants {
 		isShown := m.Scenario+m.Faults+m.Test != ""
-		if *seek == "all" && isShown || *seek != "all" && !strings.Contains(m.Guard, *seek) {
+		if *seekGuard == "all" && isShown || *seekGuard != "all" && !strings.Contains(m.Guard, *seekGuard) {
 			continue
 		}
-		if *seeds == 0 {
-			fmt.Printf("== %s (rule %d): tests %v\n", m.Guard, m.Rule, failing(t, m))
+		if *seedCount == 0 {
+			fmt.Printf("== %s (rule %d): tests %v\n", m.Guard, m.Rule, failingTests(t, m))
 			continue
 		}
-		bench, err := Build(m, root(t), t.TempDir())
+		bench, err := Build(m, moduleRoot(t), t.TempDir())
 		if err != nil {
 			t.Error(err)
 			continue
@@ -60,14 +60,14 @@
 		var mu sync.Mutex
 		var all sync.WaitGroup
 		var found []string
-		for _, s := range scenarios(*onSize) {
-			for k := 0; k < *seeds; k++ {
-				seed := *first + uint64(k)
+		for _, s := range scenariosOfSize(*fleetSize) {
+			for k := 0; k < *seedCount; k++ {
+				seed := *firstSeed + uint64(k)
 				all.Add(1)
 				gate <- true
 				go func() {
 					defer func() { <-gate; all.Done() }()
-					counts, _, err := Rules(bench, "-size", *onSize, "-scenario", s.Name, "-seed", fmt.Sprint(seed))
+					counts, _, err := CountViolations(bench, "-size", *fleetSize, "-scenario", s.Name, "-seed", fmt.Sprint(seed))
 					mu.Lock()
 					defer mu.Unlock()
 					if err != nil || len(counts) > 0 {
@@ -84,11 +84,11 @@
 	}
 }
 
-var hasFailed = regexp.MustCompile(`(?m)^--- FAIL: (\w+)`)
+var failedTestPattern = regexp.MustCompile(`(?m)^--- FAIL: (\w+)`)
 
-// failing lists the tests that fail with a mutant, of the packages it changes.
-func failing(t *testing.T, m *Mutant) []string {
-	list, err := m.Overlay(root(t), t.TempDir())
+// failingTests lists the tests that fail with a mutant, of the packages it changes.
+func failingTests(t *testing.T, m *Mutant) []string {
+	list, err := m.Overlay(moduleRoot(t), t.TempDir())
 	if err != nil {
 		return []string{err.Error()}
 	}
@@ -101,9 +101,9 @@
 		}
 		isDone[folder] = true
 		command := exec.Command("go", "test", "-overlay", list, "./"+folder)
-		command.Dir = root(t)
+		command.Dir = moduleRoot(t)
 		out, err := command.CombinedOutput()
-		for _, name := range hasFailed.FindAllStringSubmatch(string(out), -1) {
+		for _, name := range failedTestPattern.FindAllStringSubmatch(string(out), -1) {
 			found = append(found, folder+" "+name[1])
 		}
 		if err != nil && len(found) == 0 {
@@ -115,7 +115,7 @@
 
 // TestMutants: each run breaks its rule without the guard, and none with it.
 func TestMutants(t *testing.T) {
-	plain, err := Build(nil, root(t), t.TempDir())
+	plain, err := Build(nil, moduleRoot(t), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,14 +126,14 @@
 				testMutant(t, m)
 				return
 			}
-			if counts, out, err := Rules(plain, m.args()...); err != nil || len(counts) > 0 {
+			if counts, out, err := CountViolations(plain, m.args()...); err != nil || len(counts) > 0 {
 				t.Errorf("with the guard: %v %v\n%s", counts, err, out)
 			}
-			bench, err := Build(m, root(t), t.TempDir())
+			bench, err := Build(m, moduleRoot(t), t.TempDir())
 			if err != nil {
 				t.Fatal(err)
 			}
-			if counts, out, err := Rules(bench, m.args()...); err != nil || counts[m.Rule] == 0 {
+			if counts, out, err := CountViolations(bench, m.args()...); err != nil || counts[m.Rule] == 0 {
 				t.Errorf("without the guard rule %d holds: %v %v\n%s", m.Rule, counts, err, out)
 			}
 		})
@@ -144,12 +144,12 @@
 // among the tests of its package.
 func testMutant(t *testing.T, m *Mutant) {
 	folder, name, _ := strings.Cut(m.Test, " ")
-	list, err := m.Overlay(root(t), t.TempDir())
+	list, err := m.Overlay(moduleRoot(t), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	command := exec.Command("go", "test", "-overlay", list, "-run", "^"+name+"$", "./"+folder)
-	command.Dir = root(t)
+	command.Dir = moduleRoot(t)
 	out, err := command.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "--- FAIL: "+name) {
 		t.Errorf("without the guard %s doesn't fail: %v\n%s", m.Test, err, out)
--- a/internal/mutation/ledger_test.go
+++ b/internal/mutation/proof_page_test.go
@@ -11,11 +11,11 @@
 	"sparnotch/internal/sim"
 )
 
-var named = regexp.MustCompile("`(sim|test|mutant|fleet|fault):([^`]+)`")
+var referencePattern = regexp.MustCompile("`(sim|test|mutant|fleet|fault):([^`]+)`")
 
-// TestLedger: every scenario, test, mutant and fault that docs/proof.md names
+// TestProofPage: every scenario, test, mutant and fault that docs/proof.md names
 // exists, and every mutant and scenario is named there.
-func TestLedger(t *testing.T) {
+func TestProofPage(t *testing.T) {
 	data, err := os.ReadFile("../../docs/proof.md")
 	if err != nil {
 		t.Fatal(err)
@@ -31,34 +31,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := map[string]bool{}
-	for _, found := range named.FindAllStringSubmatch(string(data), -1) {
+	isNamed := map[string]bool{}
+	for _, found := range referencePattern.FindAllStringSubmatch(string(data), -1) {
 		kind, name := found[1], found[2]
-		told[kind+":"+name] = true
-		isThere := false
+		isNamed[kind+":"+name] = true
+		exists := false
 		switch kind {
 		case "sim":
-			isThere = slices.Contains(scenarios, name)
+			exists = slices.Contains(scenarios, name)
 		case "mutant":
-			isThere = slices.Contains(guards, name)
+			exists = slices.Contains(guards, name)
 		case "fault":
-			isThere = slices.Contains(sim.FaultNames(), name)
+			exists = slices.Contains(sim.FaultNames(), name)
 		case "fleet":
-			isThere = strings.Contains(string(fleet), `"`+name+`"`)
+			exists = strings.Contains(string(fleet), `"`+name+`"`)
 		case "test":
 			folder, test, _ := strings.Cut(name, " ")
 			files, _ := filepath.Glob(filepath.Join("../..", folder, "*_test.go"))
 			for _, file := range files {
 				text, _ := os.ReadFile(file)
-				isThere = isThere || strings.Contains(string(text), "func "+test+"(")
+				exists = exists || strings.Contains(string(text), "func "+test+"(")
 			}
 		}
-		if !isThere && !strings.Contains("NAME PACKAGE NAME GUARD FAULT", name) {
+		if !exists && !strings.Contains("NAME PACKAGE NAME GUARD FAULT", name) {
 			t.Errorf("docs/proof.md names %s:%s, which isn't there", kind, name)
 		}
 	}
 	for _, guard := range guards {
-		if !told["mutant:"+guard] {
+		if !isNamed["mutant:"+guard] {
 			t.Errorf("docs/proof.md doesn't name the mutant %q", guard)
 		}
 	}
