--- a/cmd/sparnotchctl/recorded_test.go
+++ b/cmd/sparnotchctl/recorded_test.go
@@ -23,10 +23,12 @@
 	recordedClusterStateDigest = "9079846476e2cda9"
 )
 
-// copyRecorded copies a recorded folder, as opening one takes a lock in it.
+// copyRecorded copies a recorded folder, as opening one takes a lock in it. The lock file is
+// empty and isn't recorded.
 func copyRecorded(t *testing.T, name string) string {
 	path := t.TempDir()
 	So(os.CopyFS(path, os.DirFS(filepath.Join("testdata", "recorded", name))), ShouldBeNil)
+	So(os.WriteFile(filepath.Join(path, "lock"), nil, 0o600), ShouldBeNil)
 	return path
 }
 
