--- a/internal/codesize/codesize_test.go
+++ b/internal/codesize/codesize_test.go
@@ -37,7 +37,6 @@
 	"internal/gateway/submissions.go handleSubmit":        71,
 	"internal/gateway/validate.go ValidateJob":            77,
 	"internal/process/node.go StartWithStore":             79,
-	"internal/raft/clone.go Fingerprint":                  66,
 	"internal/scheduler/pass.go scheduleQueue":            88,
 	"internal/scheduler/pass.go":                          603,
 	"internal/scheduler/workers.go handlePoll":            80,
--- a/internal/mutation/membership_mutants.go
+++ b/internal/mutation/membership_mutants.go
@@ -7,7 +7,7 @@
 		{"internal/replica", "		if !canPromote(now, r.group, m.Promote) {\n			return\n		}\n", ""},
 		{"internal/raft", "if !slices.Contains(old.Learners, id) || !g.IsCaughtUp(id) {", "if !slices.Contains(old.Learners, id) {"}}},
 	{Guard: "an empty learner isn't caught up in a young group", Test: "internal/raft TestLearnerCaughtUp", Edits: []Edit{{"internal/raft",
-		"p.match >= g.memberSetIndex && g.lastIndex()-p.match <= MaxLearnerLag", "g.lastIndex()-p.match <= MaxLearnerLag"}}},
+		"p.match >= g.memberSetIndex && g.LastIndex()-p.match <= MaxLearnerLag", "g.LastIndex()-p.match <= MaxLearnerLag"}}},
 	{Guard: "a learner isn't counted", Test: "internal/raft TestLearnersAreNotInQuorum", Edits: []Edit{{"internal/raft",
 		"	var values []uint64\n	for _, id := range g.memberSet.Voters {\n", "	var values []uint64\n	for _, id := range append(g.otherMembers(), g.self) {\n"}}},
 	{Guard: "members change after a commit of the own term", Test: "internal/raft TestMembershipChangeWaitsForCommitInTerm", Edits: []Edit{{"internal/raft",
--- a/internal/mutation/mutants.go
+++ b/internal/mutation/mutants.go
@@ -9,7 +9,7 @@
 	{Guard: "records are synced before they count", Rule: 1, Test: "internal/raft TestSyncBeforeAcknowledge", Edits: []Edit{
 		{"internal/raft", "&schema.AppendResponse{Group: g.name, Term: g.term, Match: min(g.matchIndex, g.stable)}", "&schema.AppendResponse{Group: g.name, Term: g.term, Match: g.matchIndex}"},
 		{"internal/raft", "Round: m.Round, Match: min(g.matchIndex, g.stable)}", "Round: m.Round, Match: g.matchIndex}"},
-		{"internal/raft", "			return g.stable\n", "			return g.lastIndex()\n"}}},
+		{"internal/raft", "			return g.stable\n", "			return g.LastIndex()\n"}}},
 	{Guard: "a vote is synced before it is told", Test: "internal/raft TestSyncBeforeAcknowledge", Edits: []Edit{{"internal/raft", "AfterSync: g.hasUnsyncedHardState()", "AfterSync: false"}}},
 	{Guard: "ended jobs are kept", Rule: 1, Scenario: "calm", Seed: 1, Edits: []Edit{{"internal/queue", "	m.endedByName[j.name] = ended\n", ""}}},
 	{Guard: "an ended job is kept for its time", Rule: 1, Scenario: "calm", Seed: 1, Edits: []Edit{{"internal/queue", "m.endedInOrder[0].EndedUs+m.settings.JobRetentionUs <= m.now", "m.endedInOrder[0].EndedUs+5_000_000 <= m.now"}}},
--- a/internal/mutation/replace_mutants.go
+++ b/internal/mutation/replace_mutants.go
@@ -26,7 +26,7 @@
 		"	if r == nil || !r.group.IsLeader() || r.group.Transferee() != \"\" {\n		effects.Send(from, &schema.Response{Id: m.Id, Group: m.Group, Leader: currentLeader(r)})",
 		"	if r != nil && m.Kind == \"plan\" {\n		h.reply(pendingReply{from: from, request: m}, 200, configurationJSON(h.clusterState.Configuration()), r.group, effects)\n		return\n	}\n	if r == nil || !r.group.IsLeader() || r.group.Transferee() != \"\" {\n		effects.Send(from, &schema.Response{Id: m.Id, Group: m.Group, Leader: currentLeader(r)})"}}},
 	{Guard: "a new leader reads when it has committed in its own term", Rule: 11, Test: "internal/sim TestReadsOfANewLeader", Edits: []Edit{{"internal/raft",
-		"	if g.role != leader || g.commit < g.noOpIndex {\n		return NotLeader.New", "	if g.role != leader {\n		return NotLeader.New"}}},
+		"	if g.role != leader || g.commit < g.noOpIndex {\n		return g.notLeader()", "	if g.role != leader {\n		return g.notLeader()"}}},
 	{Guard: "no two lives share a request's number", Rule: 11, Test: "internal/process TestRequestIDsAcrossIncarnations", Edits: []Edit{{"internal/process",
 		"	n.lastRequestID.Store(n.Member.Incarnation << incarnationShift)\n", ""}}},
 	{Guard: "a full front refuses no order", Test: "platform TestOperatorCalls", Edits: []Edit{{"platform",
--- a/internal/raft/chunks.go
+++ b/internal/raft/chunks.go
@@ -1,5 +1,8 @@
 package raft
 
+// Large messages. An Append or InstallSnapshot that exceeds the window of flow control
+// is sent in chunks, each when the one before it has been acknowledged.
+
 import (
 	"google.golang.org/protobuf/proto"
 
@@ -7,147 +10,37 @@
 	"sparnotch/internal/schema"
 )
 
-// Heartbeats share their link with the log. So that neither a large record nor a
-// checkpoint holds them up for longer than the group can bear, what one replica
-// has on its way to the others is bounded by what the slowest link carries in the
-// time that a heartbeat may be late: a larger Append or Install is sent in parts,
-// each when the one before it is answered.
-
-// maxHeartbeatDelay is how long a heartbeat may wait behind other messages: it and its
-// answer must be there before the leader stops acting, and the next comes only an
-// interval later. Half an interval is left for the ways and the steps.
-func (t Timeouts) maxHeartbeatDelay() eventloop.Micros {
-	return t.leaderLease() - t.HeartbeatInterval - t.HeartbeatInterval/2
-}
-
-// linkShare is how long what is on its way to one replica may be on the leader's link.
-func (g *Group) linkShare() eventloop.Micros {
-	return g.timeouts.maxHeartbeatDelay() / eventloop.Micros(max(2, len(g.peers)))
-}
-
-// windowBytes is how many bytes may be on their way to a replica: the size of a part,
-// and of the records sent beyond what is known matched. It is what the slowest link
-// carries in the replica's share, and more where the link has been seen to be faster.
-func (g *Group) inflightWindow(p *progress) int {
-	return max(p.windowBytes, int(eventloop.SlowestLink*g.linkShare()/eventloop.Second))
-}
-
-// maxWindowFactor is how many times the least window one may become. A link that turns
-// slow while so much is on its way may cost the leadership, once.
-const maxWindowFactor = 4
-
-// adaptWindow learns from how long some bytes took to be answered. What they took beyond
-// the way there and back they spent on the link (or at the disk): a window half as
-// large again must still fit into the share.
-func (g *Group) adaptWindow(p *progress, bytes int, took eventloop.Micros) {
-	window, linkTime := g.inflightWindow(p), took-p.minRoundTrip
-	switch {
-	case p.minRoundTrip == 0 || linkTime > g.linkShare():
-		p.windowBytes = 0
-	case linkTime <= g.linkShare()/2 && 2*bytes >= window:
-		p.windowBytes = min(window+window/2, maxWindowFactor*int(eventloop.SlowestLink*g.linkShare()/eventloop.Second))
-	}
-}
-
-// maxReassemblyBytes is the largest whole that a replica puts together.
+// maxReassemblyBytes is the largest message that a replica reassembles.
 const maxReassemblyBytes = 64 << 20
 
-// inflight is an Append that is on its way.
-type inflightAppend struct {
-	lastIndex uint64 // its last record
-	bytes     int
-	sentAt    eventloop.Micros // 0: not to be timed
-}
-
-// chunked is the leader's side of an Append or Install sent in parts.
+// chunkedSend is the leader's side of a message sent in chunks.
 type chunkedSend struct {
-	number        uint64
-	payload       []byte
+	number        uint64 // unique within the leader's term
+	payload       []byte // the encoded message
 	isSnapshot    bool
-	lastIndex     uint64 // matched when all of it lasts
-	ackedBytes    int    // bytes the replica is known to hold
-	sentAt        eventloop.Micros
-	retransmitted bool // the part that is on its way was sent before
+	lastIndex     uint64 // the peer's match once all of it is synced
+	ackedBytes    int
+	sentAt        eventloop.Micros // when the chunk in flight was sent
+	retransmitted bool             // that chunk was sent before
 }
 
-// reassembly is the replica's side.
+// reassembly is the follower's side.
 type reassembly struct {
 	from         string
 	term, number uint64
-	data         []byte
-	complete     bool
-}
-
-// nextBatch is the records from an index on that go into one Append, and their bytes.
-func (g *Group) nextBatch(next uint64, window int) ([]*schema.Entry, int) {
-	entries := g.entriesBetween(next-1, min(g.lastIndex(), next+maxEntriesPerAppend-1))
-	size := 0
-	for k, entry := range entries {
-		if size+len(entry.Data) > window && k > 0 {
-			return entries[:k], size
-		}
-		size += len(entry.Data)
-	}
-	return entries, size
+	data         []byte // received so far
+	complete     bool   // all was received and handled
 }
 
-// canSend tells whether more records may be sent beyond what is known matched.
-func (p *progress) canSend(bytes int) bool {
-	for _, sent := range p.inflight {
-		bytes -= sent.bytes
-	}
-	return p.next <= p.match+maxInflightEntries && bytes > 0
-}
-
-// ackInflight notes that the replica holds the log up to an index.
-func (g *Group) ackInflight(now eventloop.Micros, p *progress, match uint64) {
-	for len(p.inflight) > 0 && p.inflight[0].lastIndex <= match {
-		if first := p.inflight[0]; first.sentAt > 0 {
-			g.adaptWindow(p, first.bytes, now-first.sentAt)
-		}
-		p.inflight = p.inflight[1:]
-	}
-	if p.chunked != nil && p.chunked.lastIndex <= match {
-		p.chunked = nil
-	}
-}
-
-func (g *Group) sendAppend(now eventloop.Micros, id string, p *progress, entries []*schema.Entry, size int) {
-	body := &schema.AppendRequest{
-		Group: g.name, Term: g.term, PrevIndex: p.next - 1, PrevTerm: g.termAt(p.next - 1),
-		Commit: g.commit, Entries: append([]*schema.Entry(nil), entries...),
-	}
-	last := entries[len(entries)-1].Index
-	if size > g.inflightWindow(p) {
-		g.startChunkedSend(now, id, p, body, last)
-		return
-	}
-	sent := inflightAppend{last, size, now}
-	if p.probing {
-		sent.sentAt = 0
-	}
-	p.inflight = append(p.inflight, sent)
-	g.send(id, body)
-}
-
-func (g *Group) sendSnapshot(now eventloop.Micros, id string, p *progress) {
-	body := &schema.InstallSnapshot{Group: g.name, Term: g.term, Snapshot: g.snapshot}
-	if len(g.snapshot.Data) > g.inflightWindow(p) {
-		g.startChunkedSend(now, id, p, body, g.snapshot.Index)
-		return
-	}
-	g.send(id, body)
-}
-
-// startChunkedSend starts a transfer. What is sent stays as it is now, though the log goes on.
+// startChunkedSend encodes a message as it is now; the log goes on meanwhile.
 func (g *Group) startChunkedSend(now eventloop.Micros, id string, p *progress, body proto.Message, last uint64) {
 	payload, err := proto.Marshal(body)
 	if err != nil {
 		panic("raft: a message can't be encoded: " + err.Error())
 	}
 	g.chunkedSends++
-	_, isInstall := body.(*schema.InstallSnapshot)
-	p.chunked = &chunkedSend{number: g.chunkedSends, payload: payload, isSnapshot: isInstall, lastIndex: last}
+	_, isSnapshot := body.(*schema.InstallSnapshot)
+	p.chunked = &chunkedSend{number: g.chunkedSends, payload: payload, isSnapshot: isSnapshot, lastIndex: last}
 	g.sendChunk(now, id, p)
 }
 
@@ -161,8 +54,8 @@
 	})
 }
 
-// handleTransferChunkResponse sends the next part. Only progress does: a reply that came twice
-// must not have every later part sent twice.
+// handleTransferChunkResponse sends the next chunk, but only if the response advances
+// the transfer: a duplicate must not double all the chunks that follow.
 func (g *Group) handleTransferChunkResponse(now eventloop.Micros, from string, m *schema.TransferChunkResponse) {
 	p := g.acceptResponse(now, from, m.Term)
 	if p == nil || p.chunked == nil || p.chunked.number != m.Transfer {
@@ -184,10 +77,10 @@
 	}
 }
 
-// resumeChunkedSend goes on with a transfer in which nothing has moved for a while, and
-// tells whether there is one. A part may still be waiting at a slow link, so it
-// is sent again no sooner than that could be over; and a whole that has arrived
-// may take its time to be synced.
+// resumeChunkedSend goes on with a transfer in which nothing has advanced for a while,
+// and tells whether one is in progress. A chunk may still be queued at a slow link, so
+// it is retransmitted no sooner than that could have ended; after the last one the
+// peer gets time to sync the message.
 func (g *Group) resumeChunkedSend(now eventloop.Micros, id string, p *progress) bool {
 	t := p.chunked
 	switch {
@@ -204,19 +97,18 @@
 	}
 }
 
-// handleTransferChunk puts together what a leader sends in parts. Nothing of it counts before
-// the whole is there; what was held is lost with a restart, and then the leader
-// starts again from what is durable.
+// handleTransferChunk reassembles a message; it takes effect only when it is complete.
+// What was received is lost with a restart: the leader is asked to start again from
+// what is durable here.
 func (g *Group) handleTransferChunk(now eventloop.Micros, from string, m *schema.TransferChunk) {
 	if !g.acceptLeader(now, from, m.Term) {
-		g.send(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true})
 		return
 	}
 	a := &g.reassembly
 	isNewSend := a.from != from || a.term != m.Term || a.number < m.Transfer
 	switch {
 	case !isNewSend && a.number > m.Transfer || m.Size > maxReassemblyBytes:
-		return // late
+		return
 	case isNewSend && m.Offset > 0:
 		g.send(from, &schema.TransferChunkResponse{Group: g.name, Term: g.term, Transfer: m.Transfer, Restart: true})
 		return
@@ -226,12 +118,12 @@
 	if !a.complete && m.Offset == uint64(len(a.data)) {
 		a.data = append(a.data, m.Data...)
 	}
-	held := uint64(len(a.data))
+	received := uint64(len(a.data))
 	if a.complete {
-		held = m.Size
+		received = m.Size
 	}
-	g.send(from, &schema.TransferChunkResponse{Group: g.name, Term: g.term, Transfer: m.Transfer, Received: held})
-	if a.complete || held < m.Size {
+	g.send(from, &schema.TransferChunkResponse{Group: g.name, Term: g.term, Transfer: m.Transfer, Received: received})
+	if a.complete || received < m.Size {
 		return
 	}
 	data := a.data
@@ -239,6 +131,7 @@
 	g.deliverReassembled(now, from, m.IsSnapshot, data)
 }
 
+// deliverReassembled handles a complete message; one that can't be decoded is dropped.
 func (g *Group) deliverReassembled(now eventloop.Micros, from string, isSnapshot bool, data []byte) {
 	if isSnapshot {
 		message := &schema.InstallSnapshot{}
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -1,26 +1,52 @@
 package raft
 
-// Elections: deadlines, votes, and taking up the lead.
+// Leader election: timeouts, pre-vote and votes (sections 3.4, 4.2.3 and 9.6).
 
 import (
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/schema"
 )
 
+// Shorter election timeouts of a replica that has just restarted and knows no leader.
+const (
+	restartYieldDelay = 150 * eventloop.Millisecond // how much longer the others wait than the former leader
+	restartJitter     = 150 * eventloop.Millisecond // random part of the others' wait
+	restartRetryDelay = 100 * eventloop.Millisecond // least time between two pre-votes
+)
+
 func (g *Group) resetElectionDeadline(now eventloop.Micros) {
 	spread := int64(g.timeouts.ElectionMax - g.timeouts.ElectionMin)
 	g.electionDeadline = now + g.timeouts.ElectionMin + eventloop.Micros(g.rng.Int64N(spread+1))
 }
 
-func (g *Group) setHardState(term uint64, vote string) {
-	if term == g.term && vote == g.vote {
-		return
+// shortenElectionDeadline sets the first deadline after a restart. This replica has
+// acknowledged no leader since, so only a lease that it may have extended just
+// before the restart is waited for; a pre-vote harms no leader that is still there.
+// The one that led last, as its own vote tells, goes first: after a restart of all
+// the same node leads again what it led before.
+func (g *Group) shortenElectionDeadline(now eventloop.Micros) {
+	g.formerLeaseExpiry = now + g.timeouts.leaderLease()
+	g.electionDeadline = g.formerLeaseExpiry
+	if g.vote != g.self {
+		g.electionDeadline += restartYieldDelay + eventloop.Micros(g.rng.Int64N(int64(restartJitter)))
+	}
+}
+
+// electionTimeout gives the leader up and starts a pre-vote, if this replica may be
+// elected.
+func (g *Group) electionTimeout(now eventloop.Micros) {
+	g.lead = ""
+	g.resetElectionDeadline(now)
+	if g.justRestarted {
+		g.electionDeadline = now + restartRetryDelay + eventloop.Micros(g.rng.Int64N(int64(restartRetryDelay)))
+	}
+	if g.isVoter(g.self) && !g.readOnly {
+		g.startPreVote(now)
 	}
-	g.term, g.vote = term, vote
-	g.hardStateSeq++
-	g.ready.Changes = append(g.ready.Changes, &schema.StoreChange{Group: g.name, HardState: &schema.HardState{Term: term, Vote: vote}})
 }
 
+// becomeFollower follows a leader, or none if lead is empty, in a term that isn't
+// less than the current one.
 func (g *Group) becomeFollower(now eventloop.Micros, term uint64, lead string) {
 	if term > g.term {
 		g.setHardState(term, "")
@@ -31,7 +57,13 @@
 	}
 	g.role, g.lead = follower, lead
 	g.justRestarted = g.justRestarted && lead == ""
-	g.peers, g.votes, g.pendingReads, g.roundSentAt, g.transferee, g.heartbeatResponses, g.bootstrapRoundsLeft = nil, nil, nil, nil, "", nil, 0
+	g.votes = nil
+	g.bootstrapRoundsLeft = 0
+	g.heartbeatResponses = nil
+	g.peers = nil
+	g.roundSentAt = nil
+	g.pendingReads = nil
+	g.transferee = ""
 	g.resetElectionDeadline(now)
 }
 
@@ -43,6 +75,8 @@
 	g.countVotes(now)
 }
 
+// campaign starts an election in the next term. After a TimeoutNow the voters are
+// informed that the leader itself wants it, so that they don't protect its lease.
 func (g *Group) campaign(now eventloop.Micros, isTransfer bool) {
 	g.role = candidate
 	g.lead = ""
@@ -53,38 +87,20 @@
 	g.countVotes(now)
 }
 
-// BootstrapCampaign makes a voter campaign in a group that is just being founded, so that it
-// needn't wait for an election's time. Nobody can lead before the first term, so
-// no pre-vote is needed; whoever has lived through any term stays as it is.
-// Others may found the group a little later and drop the first calls, so they
-// are made again for a while.
-func (g *Group) BootstrapCampaign(now eventloop.Micros) {
-	if g.term > 0 || g.lastIndex() > 0 || g.role != follower || !g.isVoter(g.self) || g.readOnly {
-		return
-	}
-	g.bootstrapRoundsLeft, g.nextBootstrapRound = maxBootstrapVoteRounds, now+bootstrapVoteInterval
-	g.campaign(now, false)
-}
-
-// Bootstrap gives the first voters to a replica that was opened by a leader's word
-// before it heard that it is one of them itself.
-func (g *Group) Bootstrap(voters []string) {
-	if g.snapshot.Index > 0 || len(g.snapshot.MemberSet.GetVoters()) > 0 || len(voters) == 0 {
-		return
-	}
-	g.snapshot = &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: voters}}
-	g.refreshMemberSet()
-	g.ready.Changes = append(g.ready.Changes, &schema.StoreChange{Group: g.name, Snapshot: g.snapshot})
-}
-
 func (g *Group) requestVotes(term uint64, preVote, isTransfer bool) {
 	for _, id := range g.memberSet.Voters {
-		if id != g.self {
-			g.send(id, &schema.VoteRequest{Group: g.name, Term: term, LastIndex: g.lastIndex(), LastTerm: g.lastTerm(), PreVote: preVote, LeaderTransfer: isTransfer})
+		if id == g.self {
+			continue
 		}
+		g.send(id, &schema.VoteRequest{
+			Group: g.name, Term: term, LastIndex: g.LastIndex(), LastTerm: g.lastTerm(),
+			PreVote: preVote, LeaderTransfer: isTransfer,
+		})
 	}
 }
 
+// countVotes goes on with the election if a quorum has granted its votes. The
+// candidate's own vote counts only once it is synced, like every other.
 func (g *Group) countVotes(now eventloop.Micros) {
 	count := 0
 	for _, id := range g.memberSet.Voters {
@@ -110,59 +126,28 @@
 	g.pendingReads = nil
 	g.quorumAckedAt = now
 	g.groupTimeBase, g.groupTimeStart, g.clockJumpAt = g.lastEntryTime(), now, 0
-	g.updatePeers(now, g.lastIndex()+1)
-	g.noOpIndex = g.lastIndex() + 1
-	// A leader knows what is committed only through a record of its own term.
+	g.updatePeers(now, g.LastIndex()+1)
+	g.noOpIndex = g.LastIndex() + 1
+	// Entries of former terms commit only under an entry of this one (section 3.6.2).
 	g.appendEntry(now, &schema.Entry{Kind: schema.EntryKind_ENTRY_NO_OP})
 	g.broadcastHeartbeat(now)
 }
 
-// TransferLeadership hands the leadership to a voter that has the whole log.
-func (g *Group) TransferLeadership(now eventloop.Micros, to string) {
-	if g.role != leader || to == g.self || !g.isVoter(to) || g.transferee != "" {
-		return
-	}
-	g.transferee, g.transferDeadline = to, now+g.timeouts.ElectionMin
-	g.trySendTimeoutNow()
-}
-
-// Transferee is whom the leadership is being handed to, if it is.
-func (g *Group) Transferee() string { return g.transferee }
-
-func (g *Group) trySendTimeoutNow() {
-	if p := g.peers[g.transferee]; g.transferee != "" && p != nil && p.match == g.lastIndex() {
-		g.send(g.transferee, &schema.TimeoutNow{Group: g.name, Term: g.term})
-	}
-}
-
 func (g *Group) handleVoteRequest(now eventloop.Micros, from string, m *schema.VoteRequest) {
-	// Who hears a leader keeps it: a replica that was cut off and comes back
-	// disturbs nobody. A leader's own wish to pass goes through.
-	hasLeader := g.lead != "" && (g.role == leader || now-g.lastHeard < g.timeouts.ElectionMin)
-	// Who has just started may have answered a leader the moment before, and that one
-	// acts on the answer.
-	if (hasLeader || now < g.formerLeaseExpiry) && !m.LeaderTransfer {
+	if g.protectsLeader(now) && !m.LeaderTransfer {
 		if m.PreVote {
 			g.send(from, &schema.VoteResponse{Group: g.name, Term: g.term, PreVote: true})
 		}
 		return
 	}
-	upToDate := m.LastTerm > g.lastTerm() || m.LastTerm == g.lastTerm() && m.LastIndex >= g.lastIndex()
 	if m.PreVote {
-		// Of two that ask at once with equal logs one goes first, or the two of
-		// three that are left would split the vote.
-		campaignsFirst := g.role == preCandidate && g.self < from && m.LastTerm == g.lastTerm() && m.LastIndex == g.lastIndex()
-		if m.Term > g.term && upToDate && !campaignsFirst && !g.readOnly {
-			g.send(from, &schema.VoteResponse{Group: g.name, Term: m.Term, Granted: true, PreVote: true})
-		} else {
-			g.send(from, &schema.VoteResponse{Group: g.name, Term: g.term, PreVote: true})
-		}
+		g.handlePreVoteRequest(from, m)
 		return
 	}
 	if m.Term > g.term {
 		g.becomeFollower(now, m.Term, "")
 	}
-	granted := m.Term == g.term && upToDate && (g.vote == "" || g.vote == from)
+	granted := m.Term == g.term && g.isUpToDate(m) && (g.vote == "" || g.vote == from)
 	if granted {
 		g.setHardState(g.term, from)
 		g.resetElectionDeadline(now)
@@ -170,6 +155,31 @@
 	g.send(from, &schema.VoteResponse{Group: g.name, Term: g.term, Granted: granted})
 }
 
+// protectsLeader tells whether votes are refused because a leader may hold its
+// lease: one that this replica hears, so that a replica which comes back from a
+// partition disturbs nobody; or one that it acknowledged just before it restarted.
+func (g *Group) protectsLeader(now eventloop.Micros) bool {
+	hasLeader := g.lead != "" && (g.role == leader || now-g.lastHeard < g.timeouts.ElectionMin)
+	return hasLeader || now < g.formerLeaseExpiry
+}
+
+// isUpToDate tells whether a candidate's log is at least as up to date as this one
+// (section 3.6.1).
+func (g *Group) isUpToDate(m *schema.VoteRequest) bool {
+	return m.LastTerm > g.lastTerm() || m.LastTerm == g.lastTerm() && m.LastIndex >= g.LastIndex()
+}
+
+func (g *Group) handlePreVoteRequest(from string, m *schema.VoteRequest) {
+	// Of two pre-candidates with equal logs the one with the lesser id goes first: the
+	// two that are left of three would otherwise split the vote.
+	campaignsFirst := g.role == preCandidate && g.self < from && m.LastTerm == g.lastTerm() && m.LastIndex == g.LastIndex()
+	if m.Term > g.term && g.isUpToDate(m) && !campaignsFirst && !g.readOnly {
+		g.send(from, &schema.VoteResponse{Group: g.name, Term: m.Term, Granted: true, PreVote: true})
+	} else {
+		g.send(from, &schema.VoteResponse{Group: g.name, Term: g.term, PreVote: true})
+	}
+}
+
 func (g *Group) handleVoteResponse(now eventloop.Micros, from string, m *schema.VoteResponse) {
 	if !m.Granted {
 		if m.Term > g.term {
@@ -177,8 +187,9 @@
 		}
 		return
 	}
-	expected := m.PreVote && g.role == preCandidate && m.Term == g.term+1 || !m.PreVote && g.role == candidate && m.Term == g.term
-	if expected {
+	isPreVote := m.PreVote && g.role == preCandidate && m.Term == g.term+1
+	isVote := !m.PreVote && g.role == candidate && m.Term == g.term
+	if isPreVote || isVote {
 		g.votes[from] = true
 		g.countVotes(now)
 	}
--- /dev/null
+++ b/internal/raft/fingerprint.go
@@ -0,0 +1,105 @@
+package raft
+
+import (
+	"encoding/binary"
+	"maps"
+	"slices"
+
+	"sparnotch/internal/eventloop"
+)
+
+// Fingerprint appends what determines the replica's further behaviour: two replicas
+// with equal fingerprints behave alike. Times count from now, and are cut off at the
+// greatest election timeout, beyond which nothing tells them apart. Wall clocks are
+// left out, since no decision of the consensus depends on them.
+func (g *Group) Fingerprint(now eventloop.Micros, to []byte) []byte {
+	f := &fingerprint{data: to, now: now, maxOffset: g.timeouts.ElectionMax + 1}
+	f.numbers(g.chunkedSends, g.term, uint64(g.role), g.snapshot.Index, g.snapshot.Term, g.stable, g.commit, g.applied,
+		g.memberSetIndex, g.hardStateSeq-g.syncedHardStateSeq, g.matchIndex, g.round, g.noOpIndex, uint64(g.bootstrapRoundsLeft))
+	f.text(g.vote)
+	f.text(g.lead)
+	f.text(g.transferee)
+	f.flags(g.justRestarted, g.readOnly, g.reassembly.complete)
+	f.text(g.reassembly.from)
+	f.numbers(g.reassembly.term, g.reassembly.number, uint64(len(g.reassembly.data)))
+	for _, entry := range g.log {
+		f.numbers(entry.Term)
+	}
+	f.time(g.electionDeadline)
+	f.time(g.lastHeard)
+	f.time(g.formerLeaseExpiry)
+	for _, id := range slices.Sorted(maps.Keys(g.votes)) {
+		f.text(id)
+		f.flags(g.votes[id])
+	}
+	if g.role == leader {
+		f.leader(g)
+	}
+	return f.data
+}
+
+// fingerprint is the encoding of a fingerprint.
+type fingerprint struct {
+	data      []byte
+	now       eventloop.Micros
+	maxOffset eventloop.Micros
+}
+
+func (f *fingerprint) numbers(values ...uint64) {
+	for _, value := range values {
+		f.data = binary.AppendUvarint(f.data, value)
+	}
+}
+
+func (f *fingerprint) text(text string) {
+	f.numbers(uint64(len(text)))
+	f.data = append(f.data, text...)
+}
+
+func (f *fingerprint) flags(flags ...bool) {
+	for _, flag := range flags {
+		if flag {
+			f.data = append(f.data, 1)
+		} else {
+			f.data = append(f.data, 0)
+		}
+	}
+}
+
+func (f *fingerprint) time(at eventloop.Micros) {
+	f.numbers(uint64(max(-f.maxOffset, min(f.maxOffset, at-f.now)) + f.maxOffset))
+}
+
+// leader adds what only a leader's behaviour depends on.
+func (f *fingerprint) leader(g *Group) {
+	f.time(g.quorumAckedAt)
+	f.time(g.nextHeartbeat)
+	f.time(g.transferDeadline)
+	for _, id := range slices.Sorted(maps.Keys(g.peers)) {
+		f.text(id)
+		f.progress(g.peers[id])
+	}
+	for _, round := range slices.Sorted(maps.Keys(g.roundSentAt)) {
+		f.numbers(round)
+		f.time(g.roundSentAt[round])
+	}
+	for _, read := range g.pendingReads {
+		f.numbers(read.request, read.index, read.round)
+	}
+}
+
+func (f *fingerprint) progress(p *progress) {
+	f.numbers(p.next, p.match, p.round)
+	f.time(p.lastAdvance)
+	f.flags(p.snapshotPending, p.probing, p.probeSent, p.chunked != nil)
+	if t := p.chunked; t != nil {
+		f.numbers(t.number, t.lastIndex, uint64(t.ackedBytes))
+		f.flags(t.isSnapshot, t.retransmitted)
+		f.time(t.sentAt)
+	}
+	f.numbers(uint64(p.windowBytes), uint64(len(p.inflight)))
+	for _, sent := range p.inflight {
+		f.numbers(sent.lastIndex, uint64(sent.bytes))
+		f.time(sent.sentAt)
+	}
+}
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -1,19 +1,30 @@
 package raft
 
-// The log of a replica: what it holds, appends and releases.
+// The replicated log: the snapshot and the entries after it.
 
 import (
 	"sparnotch/internal/schema"
 )
 
-func (g *Group) lastIndex() uint64 { return g.snapshot.Index + uint64(len(g.log)) }
+// LastIndex is the index of the log's last entry, or of the snapshot if there is none
+// after it.
+func (g *Group) LastIndex() uint64 { return g.snapshot.Index + uint64(len(g.log)) }
 
-func (g *Group) lastTerm() uint64 { return g.termAt(g.lastIndex()) }
+func (g *Group) lastTerm() uint64 { return g.termAt(g.LastIndex()) }
 
-func (g *Group) lastEntryTime() int64 {
-	return g.entryTime(g.lastIndex())
+// termAt is the term of an entry, 0 if the log doesn't hold it.
+func (g *Group) termAt(index uint64) uint64 {
+	switch {
+	case index == g.snapshot.Index:
+		return g.snapshot.Term
+	case index < g.snapshot.Index || index > g.LastIndex():
+		return 0
+	}
+	return g.log[index-g.snapshot.Index-1].Term
 }
 
+// entryTime is the group time of an entry in µs; the log or the snapshot's end must
+// hold it.
 func (g *Group) entryTime(index uint64) int64 {
 	if index == g.snapshot.Index {
 		return g.snapshot.TimeUs
@@ -21,37 +32,30 @@
 	return g.log[index-g.snapshot.Index-1].TimeUs
 }
 
-func (g *Group) termAt(index uint64) uint64 {
-	switch {
-	case index == g.snapshot.Index:
-		return g.snapshot.Term
-	case index < g.snapshot.Index || index > g.lastIndex():
-		return 0
-	}
-	return g.log[index-g.snapshot.Index-1].Term
-}
+func (g *Group) lastEntryTime() int64 { return g.entryTime(g.LastIndex()) }
 
+// entriesBetween are the entries after index low up to and with index high.
 func (g *Group) entriesBetween(low, high uint64) []*schema.Entry {
 	return g.log[low-g.snapshot.Index : high-g.snapshot.Index]
 }
 
-// truncateAndAppend appends records, replacing whatever stood from the first one on.
+// truncateAndAppend appends entries, which replace all from the first one's index on.
+// It panics if a committed entry would be replaced.
 func (g *Group) truncateAndAppend(entries []*schema.Entry) {
 	first := entries[0].Index
 	if first <= g.commit {
-		panic("raft: a committed record would be replaced in " + g.name)
+		panic("raft: a committed entry would be replaced in " + g.name)
 	}
-	// The log is long and member sets are rare: it is looked through only when one
-	// may have come or gone.
+	// The log is long and member sets are rare: it is searched only when one may have
+	// come or gone.
 	memberSetChanged := first <= g.memberSetIndex
 	for _, entry := range entries {
 		memberSetChanged = memberSetChanged || entry.Kind == schema.EntryKind_ENTRY_MEMBER_SET
 	}
-	if first <= g.lastIndex() {
-		g.log = g.log[: first-g.snapshot.Index-1 : first-g.snapshot.Index-1]
-		if g.stable >= first {
-			g.stable = first - 1
-		}
+	if first <= g.LastIndex() {
+		kept := first - g.snapshot.Index - 1
+		g.log = g.log[:kept:kept]
+		g.stable = min(g.stable, first-1)
 	}
 	g.log = append(g.log, entries...)
 	g.ready.Changes = append(g.ready.Changes, &schema.StoreChange{Group: g.name, Entries: entries})
@@ -60,12 +64,17 @@
 	}
 }
 
-// Compact lets the log go up to a checkpoint of the machine.
+// Compact replaces the log up to an applied index by a snapshot of the state machine
+// at that index, whose data the group takes over. An index that isn't applied, or
+// that the present snapshot covers, has no effect.
 func (g *Group) Compact(index uint64, data []byte) {
 	if index <= g.snapshot.Index || index > g.applied {
 		return
 	}
-	snapshot := &schema.Snapshot{Index: index, Term: g.termAt(index), MemberSet: g.memberSetAsOf(index), Data: data, TimeUs: g.entryTime(index)}
+	snapshot := &schema.Snapshot{
+		Index: index, Term: g.termAt(index), MemberSet: g.memberSetAsOf(index),
+		Data: data, TimeUs: g.entryTime(index),
+	}
 	g.log = append([]*schema.Entry(nil), g.log[index-g.snapshot.Index:]...)
 	g.snapshot = snapshot
 	g.ready.Changes = append(g.ready.Changes, &schema.StoreChange{Group: g.name, Snapshot: snapshot})
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -1,6 +1,24 @@
-// Package raft is one group's agreement as a step function: it takes the time
-// and a message and leaves messages, disk changes and committed records. It
-// does no I/O, reads no clock, and draws only from the generator it is given.
+// Package raft implements the Raft consensus algorithm for one replica of one
+// group, as a deterministic state machine in the manner of etcd's raft: a caller
+// feeds it time (Tick), messages (Step), proposals and sync confirmations
+// (MarkSynced), and takes from Ready what is to be sent, written and applied. The
+// package does no I/O, reads no clock, starts no goroutines and draws random
+// numbers only from the Rand it is given. A Group isn't safe for concurrent use;
+// the component that hosts it owns it.
+//
+// Implemented are leader election with pre-vote, check quorum and a leader lease,
+// log replication, single-server membership changes with learners, snapshots,
+// leadership transfer (TimeoutNow) and linearizable reads (ReadIndex). Sections
+// named in comments are those of D. Ongaro's dissertation, "Consensus: Bridging
+// Theory and Practice" (2014).
+//
+// Files by concern: election.go (terms and votes), bootstrap.go (the first term),
+// leadership_transfer.go, replication.go (appends and commit), heartbeat.go
+// (rounds, quorum contact and freshness), readindex.go, progress.go (what the
+// leader knows of each peer), flowcontrol.go and chunks.go (bounds on what is in
+// flight, large messages), log.go and snapshot.go, membership.go, durability.go
+// (what waits for a sync), grouptime.go (the group's clock), clone.go and
+// fingerprint.go (for the model checker).
 package raft
 
 import (
@@ -13,152 +31,146 @@
 )
 
 var (
-	// Errors is the namespace of what this package refuses.
+	// Errors is the namespace of this package's errors.
 	Errors = errorx.NewNamespace("raft")
-	// NotLeader means that another replica leads, or none.
+	// NotLeader means that this replica isn't the leader, or not yet able to serve as
+	// one; the message names the leader where it is known.
 	NotLeader = Errors.NewType("not_leader")
-	// Busy means that the leader takes no more at present; it may later.
+	// Busy means that the leader can't accept the request now; a retry may succeed.
 	Busy = Errors.NewType("busy")
 )
 
-// Timeouts are a group's spans; see the sum in docs/design.md.
+// Timeouts are the timing parameters of a group; docs/design.md derives the defaults.
 type Timeouts struct {
-	ElectionMin       eventloop.Micros
-	ElectionMax       eventloop.Micros
+	ElectionMin       eventloop.Micros // least election timeout
+	ElectionMax       eventloop.Micros // greatest election timeout
 	HeartbeatInterval eventloop.Micros
 }
 
-// DefaultTimeouts are the defaults of the chosen design.
-var DefaultTimeouts = Timeouts{ElectionMin: 450 * eventloop.Millisecond, ElectionMax: 750 * eventloop.Millisecond, HeartbeatInterval: 100 * eventloop.Millisecond}
+// DefaultTimeouts are the values used in production.
+var DefaultTimeouts = Timeouts{
+	ElectionMin:       450 * eventloop.Millisecond,
+	ElectionMax:       750 * eventloop.Millisecond,
+	HeartbeatInterval: 100 * eventloop.Millisecond,
+}
 
-// leaderLease is how long after a round that a quorum answered a leader may act
-// outward: less than any of those waits before it votes for another.
+// leaderLease is how long a leader may act outside the group after it sent a round
+// of heartbeats that a quorum acknowledged (section 6.4.1). It is less than the
+// least time that a voter which acknowledged waits before it votes for another.
 func (t Timeouts) leaderLease() eventloop.Micros { return 3 * t.HeartbeatInterval }
 
-// Rand draws a number below n.
-type Rand interface{ Int64N(n int64) int64 }
-
-const (
-	maxEntriesPerAppend = 64   // records in one Append
-	maxInflightEntries  = 1024 // records sent beyond what is known matched
-
-	maxHeartbeatResponses = 16 // beats whose answering is remembered
-
-	bootstrapVoteInterval  = 50 * eventloop.Millisecond // between two calls of a founder that stands
-	maxBootstrapVoteRounds = 12
-
-	restartYieldDelay = 150 * eventloop.Millisecond // how much longer others wait after a start than whoever led last
-	restartJitter     = 150 * eventloop.Millisecond // spread of their waits
-	restartRetryDelay = 100 * eventloop.Millisecond // and between two pre-votes of one, until somebody leads
-)
+// Rand is the source of randomness for election timeouts.
+type Rand interface {
+	// Int64N returns a number in [0, n).
+	Int64N(n int64) int64
+}
 
 type role int
 
 const (
-	follower     role = iota
-	preCandidate      // pre-vote
+	follower role = iota
+	preCandidate
 	candidate
 	leader
 )
 
+// The text of preCandidate is part of the operators' state view, and stays.
 func (r role) String() string { return [...]string{"follower", "asking", "candidate", "leader"}[r] }
 
-// Message is a message for another replica. One that says a term, a vote or a
-// record is held must wait until that is synced.
+// Message is a message for another replica of the group.
 type Message struct {
-	To        string
-	Body      proto.Message
+	To   string
+	Body proto.Message
+	// AfterSync tells that the message reports a term or vote that isn't durable
+	// yet: it may leave only after the changes of its Ready have been synced.
 	AfterSync bool
 }
 
-// SyncPoint says what a batch of changes makes durable for a group.
-type SyncPoint struct {
-	Index, Term  uint64 // last record
-	HardStateSeq uint64 // how many hard states were written
-}
-
-// Ready are what a step leaves.
+// Ready is the outcome of the steps since the last call of Group.Ready. Order of
+// use: Changes are written, Messages without AfterSync may be sent at once, the
+// others after the sync; Snapshot is restored before CommittedEntries are applied.
 type Ready struct {
 	Messages         []Message
 	Changes          []*schema.StoreChange
-	Snapshot         *schema.Snapshot // replaces the machine before Commits
+	Snapshot         *schema.Snapshot // a leader's snapshot to restore; nil if none was installed
 	CommittedEntries []*schema.Entry
-	ReadRequests     []uint64 // requests that may now be read
+	ReadRequests     []uint64 // ids of ReadIndex requests that may now be served
 }
 
-// Group is one replica of one group.
+// Group is this process's replica of one Raft group.
 type Group struct {
 	name, self string
 	timeouts   Timeouts
 	rng        Rand
 
-	term uint64
-	vote string
-	role role
-	lead string
-
-	snapshot           *schema.Snapshot // what the log stands on; its data is the storage's
-	log                []*schema.Entry
-	stable             uint64
-	commit             uint64
-	applied            uint64
-	memberSet          *schema.MemberSet
-	memberSetIndex     uint64
+	// HardState and role.
+	term               uint64
+	vote               string
+	role               role
+	lead               string // leader of this term; empty if unknown
 	hardStateSeq       uint64 // hard states written
 	syncedHardStateSeq uint64 // hard states synced
-	matchIndex         uint64 // as follower: how far the log is the leader's
-	electionDeadline   eventloop.Micros
-	preVoteCount       int
-	justRestarted      bool             // no leader was heard since this start
-	formerLeaseExpiry  eventloop.Micros // a leader that was answered before this start may act until then
+	readOnly           bool   // the store takes no writes
+
+	// Log.
+	snapshot       *schema.Snapshot // what the log follows; immutable
+	log            []*schema.Entry  // entries after the snapshot
+	stable         uint64           // last index that is synced here
+	commit         uint64
+	applied        uint64
+	memberSet      *schema.MemberSet // newest in the log, committed or not
+	memberSetIndex uint64
+	ready          Ready
+
+	// Elections.
+	electionDeadline    eventloop.Micros
+	preVoteCount        int
+	votes               map[string]bool  // as candidate or pre-candidate
+	justRestarted       bool             // no leader was known since this start
+	formerLeaseExpiry   eventloop.Micros // a leader acknowledged before this start may hold its lease until then
+	bootstrapRoundsLeft int              // vote requests still to be repeated in the first term
+	nextBootstrapRound  eventloop.Micros
+
+	// Follower.
+	matchIndex         uint64 // how far the log is known to agree with the leader's
 	lastHeard          eventloop.Micros
 	freshAsOf          eventloop.Micros
-	votes              map[string]bool
-
-	peers               map[string]*progress
-	round               uint64
-	roundSentAt         map[uint64]eventloop.Micros
-	quorumAckedAt       eventloop.Micros
-	nextHeartbeat       eventloop.Micros
-	noOpIndex           uint64 // index of this leader's first record
-	pendingReads        []readRequest
-	transferee          string
-	transferDeadline    eventloop.Micros
-	bootstrapRoundsLeft int              // how often a founder that stands still calls for votes
-	nextBootstrapRound  eventloop.Micros // and when next
-	groupTimeBase       int64
-	groupTimeStart      eventloop.Micros
-	ready               Ready
-
-	chunkedSends       uint64              // how many this replica has begun
-	reassembly         reassembly          // what our leader sends us in parts
-	heartbeatResponses []heartbeatResponse // beats answered of this term, the latest last
-	wallOffset         int64               // wall less group time, when three clocks last agreed
-	wallOffsetTerm     uint64              // as whose leader we found that
-	clockJumpAt        eventloop.Micros    // the middle clock has jumped, and isn't believed yet
-
-	readOnly bool // the store takes no writes
+	reassembly         reassembly          // a large message being received in chunks
+	heartbeatResponses []heartbeatResponse // heartbeats acknowledged in this term, the latest last
+
+	// Leader.
+	peers            map[string]*progress
+	noOpIndex        uint64                      // the no-op entry that began this leader's term
+	round            uint64                      // last round of heartbeats sent
+	roundSentAt      map[uint64]eventloop.Micros // rounds that no quorum has acknowledged yet
+	quorumAckedAt    eventloop.Micros            // when the last round that a quorum acknowledged was sent
+	nextHeartbeat    eventloop.Micros
+	pendingReads     []readRequest
+	transferee       string // target of the leadership transfer in progress
+	transferDeadline eventloop.Micros
+	chunkedSends     uint64 // chunked sends begun so far
+
+	// Group time.
+	groupTimeBase  int64            // µs of group time at groupTimeStart
+	groupTimeStart eventloop.Micros // when this replica became leader
+	wallOffset     int64            // wall time less group time in µs; 0: never agreed on
+	wallOffsetTerm uint64           // term in which this replica, as leader, set wallOffset
+	clockJumpAt    eventloop.Micros // since when the median wall clock has been off; 0: it isn't
 }
 
-// New makes a replica from what its store holds.
-func New(name, self string, state *storage.GroupState, times Timeouts, rng Rand, now eventloop.Micros) *Group {
-	g := &Group{name: name, self: self, timeouts: times, rng: rng, snapshot: state.Snapshot}
+// New makes a replica from its durable state, which it shares and doesn't change.
+// The id `self` is this storage node's.
+func New(name, self string, state *storage.GroupState, timeouts Timeouts, rng Rand, now eventloop.Micros) *Group {
+	g := &Group{name: name, self: self, timeouts: timeouts, rng: rng, snapshot: state.Snapshot}
 	g.term, g.vote = state.HardState.Term, state.HardState.Vote
 	g.log = append(g.log, state.Entries...)
 	g.commit, g.applied = g.snapshot.Index, g.snapshot.Index
-	g.stable = g.lastIndex()
+	g.stable = g.LastIndex()
 	g.refreshMemberSet()
 	g.resetElectionDeadline(now)
-	// Whatever leader there was, this replica hasn't answered it since before its
-	// start, so it needn't wait as long as one that has. A pre-vote harms nobody,
-	// and who led last, as its own vote says, is let go first: so one machine
-	// takes up again all that it led.
-	if g.justRestarted = g.term > 0; g.justRestarted {
-		g.formerLeaseExpiry = now + times.leaderLease()
-		g.electionDeadline = g.formerLeaseExpiry
-		if g.vote != self {
-			g.electionDeadline += restartYieldDelay + eventloop.Micros(rng.Int64N(int64(restartJitter)))
-		}
+	g.justRestarted = g.term > 0
+	if g.justRestarted {
+		g.shortenElectionDeadline(now)
 	}
 	return g
 }
@@ -172,122 +184,75 @@
 // Leader is the id of the leader of this term; empty while none is known.
 func (g *Group) Leader() string { return g.lead }
 
-// IsLeader tells whether this replica leads; see Acting for whether it may act.
+// IsLeader tells whether this replica is the leader of its term; another may lead a
+// later one. See HoldsLeaderLease for whether it may act as the leader.
 func (g *Group) IsLeader() bool { return g.role == leader }
 
-// Role is the replica's role in words.
+// Role is the name of the replica's role, for operators.
 func (g *Group) Role() string { return g.role.String() }
 
-// CommitIndex is the index up to which records are known to be committed.
+// CommitIndex is the index up to which entries are known to be committed.
 func (g *Group) CommitIndex() uint64 { return g.commit }
 
-// AppliedIndex is the index up to which committed records were handed over.
+// AppliedIndex is the index up to which committed entries were handed out by Ready.
 func (g *Group) AppliedIndex() uint64 { return g.applied }
 
-// StableIndex is the index up to which the log is synced here.
+// StableIndex is the index up to which this replica's log is synced.
 func (g *Group) StableIndex() uint64 { return g.stable }
 
-// SnapshotIndex is the index of the snapshot that the log stands on.
+// SnapshotIndex is the index of the last entry that the snapshot covers.
 func (g *Group) SnapshotIndex() uint64 { return g.snapshot.Index }
 
-// LastIndex is the index of the log's last record.
-func (g *Group) LastIndex() uint64 { return g.lastIndex() }
-
-// SnapshotBytes is the size of the snapshot that the log stands on.
+// SnapshotBytes is the size of the snapshot's data in bytes.
 func (g *Group) SnapshotBytes() int { return len(g.snapshot.Data) }
 
-// MemberSet is the group's newest membership, committed or not; not to be changed.
-func (g *Group) MemberSet() *schema.MemberSet { return g.memberSet }
-
-// NoOpIndex is the index of the no-op with which this leader began its term.
+// NoOpIndex is the index of the no-op entry with which this leader began its term.
 func (g *Group) NoOpIndex() uint64 { return g.noOpIndex }
 
-// PreVoteCount is how often this replica has missed a leader and asked for votes.
+// PreVoteCount is how many pre-votes this replica has started since it was made,
+// each because an election timeout passed.
 func (g *Group) PreVoteCount() int { return g.preVoteCount }
 
-// HoldsLeaderLease tells whether this leader may act outward: it has applied its own
-// first record, and a quorum has answered it within three beats. One that was
-// frozen finds itself silent on waking, before it knows of its successor.
-func (g *Group) HoldsLeaderLease(now eventloop.Micros) bool {
-	return g.role == leader && g.applied >= g.noOpIndex && now-g.quorumAckedAt <= g.timeouts.leaderLease()
-}
-
-// FreshAsOf is when this replica last held all that its leader had committed, or
-// as leader last heard its quorum.
-func (g *Group) FreshAsOf() eventloop.Micros {
-	if g.role == leader {
-		// A new leader may hold committed records that it doesn't know to be.
-		if g.applied < g.noOpIndex {
-			return 0
-		}
-		return g.quorumAckedAt
-	}
-	return g.freshAsOf
-}
-
-// PeerProgress tells how far a peer is known to hold the log, and when it last answered.
-func (g *Group) PeerProgress(peer string) (uint64, eventloop.Micros) {
-	if p := g.peers[peer]; p != nil {
-		return p.match, p.lastHeard
-	}
-	return 0, 0
-}
-
-// Ready hands over what the steps since the last call have left.
+// Ready takes what the steps since the last call have left. Once its changes are
+// synced, the SyncPoint goes to MarkSynced.
 func (g *Group) Ready() (Ready, SyncPoint) {
 	ready := g.ready
 	g.ready = Ready{}
-	return ready, SyncPoint{Index: g.lastIndex(), Term: g.lastTerm(), HardStateSeq: g.hardStateSeq}
+	return ready, SyncPoint{Index: g.LastIndex(), Term: g.lastTerm(), HardStateSeq: g.hardStateSeq}
 }
 
-func (g *Group) hasUnsyncedHardState() bool { return g.syncedHardStateSeq < g.hardStateSeq }
-
-// send leaves a message; while a term or vote isn't synced nothing that tells
-// of it may go out.
+// send queues a message. While the current term or vote isn't synced, nothing that
+// reveals it may go out.
 func (g *Group) send(to string, body proto.Message) {
 	g.ready.Messages = append(g.ready.Messages, Message{To: to, Body: body, AfterSync: g.hasUnsyncedHardState()})
 }
 
-// Tick lets time pass.
+// Tick advances time. It is to be called several times in a heartbeat interval.
 func (g *Group) Tick(now eventloop.Micros) {
 	if g.role == leader {
 		g.tickLeader(now)
 		return
 	}
-	if g.role == candidate && g.bootstrapRoundsLeft > 0 && now >= g.nextBootstrapRound {
-		g.bootstrapRoundsLeft--
-		g.nextBootstrapRound = now + bootstrapVoteInterval
-		g.requestVotes(g.term, false, false)
-	}
-	if now < g.electionDeadline {
-		return
-	}
-	g.lead = ""
-	g.resetElectionDeadline(now)
-	if g.justRestarted {
-		g.electionDeadline = now + restartRetryDelay + eventloop.Micros(g.rng.Int64N(int64(restartRetryDelay)))
-	}
-	if g.isVoter(g.self) && !g.readOnly {
-		g.startPreVote(now)
+	g.repeatBootstrapVote(now)
+	if now >= g.electionDeadline {
+		g.electionTimeout(now)
 	}
 }
 
 func (g *Group) tickLeader(now eventloop.Micros) {
-	// A leader that no quorum answers can commit nothing; stepping down lets
-	// callers look for its successor.
+	// Check quorum: a leader without one can commit nothing, and callers that see it
+	// step down look for its successor.
 	if now-g.quorumAckedAt > g.timeouts.ElectionMin {
 		g.becomeFollower(now, g.term, "")
 		return
 	}
-	if g.transferee != "" && now > g.transferDeadline {
-		g.transferee = ""
-	}
+	g.expireTransfer(now)
 	if now >= g.nextHeartbeat {
 		g.broadcastHeartbeat(now)
 	}
 }
 
-// Step takes a message of another replica.
+// Step handles a message of another replica; bodies of other types are ignored.
 func (g *Group) Step(now eventloop.Micros, from string, body any) {
 	switch m := body.(type) {
 	case *schema.VoteRequest:
@@ -309,8 +274,6 @@
 	case *schema.HeartbeatResponse:
 		g.handleHeartbeatResponse(now, from, m)
 	case *schema.TimeoutNow:
-		if m.Term == g.term && g.role != leader && g.isVoter(g.self) && !g.readOnly {
-			g.campaign(now, true)
-		}
+		g.handleTimeoutNow(now, m)
 	}
 }
--- a/internal/raft/readindex.go
+++ b/internal/raft/readindex.go
@@ -1,34 +1,49 @@
 package raft
 
-// Reads that a quorum confirms (ReadIndex).
+// Linearizable reads by ReadIndex (section 6.4).
 
 import (
 	"sparnotch/internal/eventloop"
 )
 
+// readRequest is a read that waits for a quorum to confirm this leader.
 type readRequest struct {
-	request, index, round uint64
+	request uint64 // the caller's id
+	index   uint64 // commit index when it was asked
+	round   uint64 // round of heartbeats that confirms it
 }
 
-// ReadIndex asks that a request be answered from a state no older than now.
+// ReadIndex asks for a read of a state no older than now. Its id is in a Ready's
+// ReadRequests once a quorum has acknowledged a round sent after this call; if
+// leadership is lost before, it never is. It returns NotLeader for a replica that
+// doesn't lead or hasn't committed an entry of its term.
 func (g *Group) ReadIndex(now eventloop.Micros, request uint64) error {
 	if g.role != leader || g.commit < g.noOpIndex {
-		return NotLeader.New("%s is led by %q", g.name, g.lead)
+		return g.notLeader()
 	}
 	g.pendingReads = append(g.pendingReads, readRequest{request: request, index: g.commit, round: g.round + 1})
 	return nil
 }
 
-// FlushReads starts a round for the reads that wait for one: all those of a
-// pass share it.
+// FlushReads starts a round of heartbeats for the reads that wait for one. It is
+// called once after a batch of requests, so that all of them share the round.
 func (g *Group) FlushReads(now eventloop.Micros) {
 	if g.role != leader || len(g.pendingReads) == 0 || g.pendingReads[len(g.pendingReads)-1].round <= g.round {
 		return
 	}
-	// While a round is on its way the next waits for its answer, so that many
-	// reads cost one round; a lost answer holds it up until the next beat.
+	// While a round is in flight the next waits for its acknowledgement; if that is
+	// lost, for the next regular heartbeat.
 	if _, open := g.roundSentAt[g.round]; open && g.quorumAckedAt < g.roundSentAt[g.round] {
 		return
 	}
 	g.broadcastHeartbeat(now)
 }
+
+// serveReads releases the reads that a round confirms.
+func (g *Group) serveReads(round uint64) {
+	k := 0
+	for ; k < len(g.pendingReads) && g.pendingReads[k].round <= round; k++ {
+		g.ready.ReadRequests = append(g.ready.ReadRequests, g.pendingReads[k].request)
+	}
+	g.pendingReads = g.pendingReads[k:]
+}
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -1,78 +1,32 @@
 package raft
 
-// Replication: appends, heartbeats, and what of them is committed.
+// Log replication and commitment (sections 3.5 and 3.6).
 
 import (
-	"slices"
 	"sort"
 
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/schema"
 )
 
-type progress struct {
-	next, match     uint64
-	round           uint64
-	lastAdvance     eventloop.Micros // last time match or next went on
-	snapshotPending bool
-	probing         bool             // it turned records away: one Append at a time until it takes one
-	probeSent       bool             // and that one is on its way
-	wallOffset      int64            // the replica's wall clock, less our monotonic one
-	lastHeard       eventloop.Micros // last answer of any kind
-	chunked         *chunkedSend     // what is on its way in parts; nothing else is sent meanwhile
-	inflight        []inflightAppend // Appends sent beyond what is known matched
-	windowBytes     int              // bytes that may be on their way, where more than the least
-	minRoundTrip    eventloop.Micros // the shortest time in which a beat was answered; 0: none was
-}
-
-// heartbeatResponse is when a beat was answered.
-type heartbeatResponse struct {
-	round      uint64
-	receivedAt eventloop.Micros
-}
-
-func (g *Group) broadcastHeartbeat(now eventloop.Micros) {
-	g.nextHeartbeat = now + g.timeouts.HeartbeatInterval
-	g.round++
-	g.roundSentAt[g.round] = now
-	for _, id := range g.otherMembers() {
-		g.send(id, &schema.Heartbeat{
-			Group: g.name, Term: g.term, Commit: g.commit, CommitTerm: g.termAt(g.commit), Round: g.round, CommitConfirmed: g.commit >= g.noOpIndex, WallOffsetUs: g.wallOffset,
-			AckedRound: g.peers[id].round,
-		})
+// Propose appends a command and takes over its data. The index and term identify the
+// entry when it is applied: another entry may be committed at that index. It returns
+// NotLeader, or Busy during a leadership transfer.
+func (g *Group) Propose(now eventloop.Micros, data []byte) (index, term uint64, err error) {
+	if g.role != leader {
+		return 0, 0, g.notLeader()
 	}
-	g.confirmRounds(now)
-}
-
-func (g *Group) otherMembers() []string {
-	var list []string
-	for _, id := range append(append([]string(nil), g.memberSet.Voters...), g.memberSet.Learners...) {
-		if id != g.self {
-			list = append(list, id)
-		}
+	if g.transferee != "" {
+		return 0, 0, Busy.New("%s: leadership is being transferred to %s", g.name, g.transferee)
 	}
-	return list
+	return g.appendEntry(now, &schema.Entry{Kind: schema.EntryKind_ENTRY_COMMAND, Data: data}), g.term, nil
 }
 
-// updatePeers makes the peers those of the member set. The record at next is what a new
-// one is sent first: it must exist soon, or the peer would hear of its group with the
-// next record only, and a group at rest may never have one.
-func (g *Group) updatePeers(now eventloop.Micros, next uint64) {
-	for _, id := range g.otherMembers() {
-		if g.peers[id] == nil {
-			// Nothing is known of its log yet: one Append asks whether it is ours.
-			g.peers[id] = &progress{next: next, lastAdvance: now, probing: true}
-		}
-	}
-	for id := range g.peers {
-		if !g.isVoter(id) && !slices.Contains(g.memberSet.Learners, id) {
-			delete(g.peers, id)
-		}
-	}
-}
+func (g *Group) notLeader() error { return NotLeader.New("%s is led by %q", g.name, g.lead) }
 
+// appendEntry appends an entry of the leader's term and replicates it.
 func (g *Group) appendEntry(now eventloop.Micros, entry *schema.Entry) uint64 {
-	entry.Index, entry.Term, entry.TimeUs = g.lastIndex()+1, g.term, g.GroupTime(now)
+	entry.Index, entry.Term, entry.TimeUs = g.LastIndex()+1, g.term, g.GroupTime(now)
 	g.truncateAndAppend([]*schema.Entry{entry})
 	if entry.Kind == schema.EntryKind_ENTRY_MEMBER_SET {
 		g.notifyRemoved(now)
@@ -85,49 +39,66 @@
 	return entry.Index
 }
 
-// Propose appends a command; its index and term tell it apart when applied.
-func (g *Group) Propose(now eventloop.Micros, data []byte) (index, term uint64, err error) {
-	if g.role != leader {
-		return 0, 0, NotLeader.New("%s is led by %q", g.name, g.lead)
+// replicateTo sends a peer what it lacks, as far as flow control allows: a snapshot,
+// a probe, or Appends.
+func (g *Group) replicateTo(now eventloop.Micros, id string) {
+	p := g.peers[id]
+	if p == nil || p.snapshotPending || p.chunked != nil {
+		return
 	}
-	if g.transferee != "" {
-		return 0, 0, Busy.New("%s is being handed over", g.name)
+	if p.next <= g.snapshot.Index {
+		p.snapshotPending, p.lastAdvance = true, now
+		g.sendSnapshot(now, id, p)
+		return
 	}
-	return g.appendEntry(now, &schema.Entry{Kind: schema.EntryKind_ENTRY_COMMAND, Data: data}), g.term, nil
-}
-
-// BroadcastCommit tells at once what is committed, rather than with the next beat or record.
-func (g *Group) BroadcastCommit(now eventloop.Micros) {
-	if g.role == leader {
-		g.broadcastHeartbeat(now)
+	if p.probing && p.probeSent {
+		return
 	}
-}
-
-// MarkSynced says that a batch with this mark lasts.
-func (g *Group) MarkSynced(now eventloop.Micros, point SyncPoint) {
-	if point.HardStateSeq > g.syncedHardStateSeq {
-		g.syncedHardStateSeq = point.HardStateSeq
-		g.countVotes(now)
+	if p.next == 1 && p.match == 0 {
+		// The first member set is in no entry: without the empty snapshot a voter that
+		// is reached before its own Bootstrap would never learn the members.
+		g.send(id, &schema.InstallSnapshot{Group: g.name, Term: g.term, Snapshot: g.snapshot})
 	}
-	// The record may have been replaced since: the same index in another term
-	// isn't the record that was synced.
-	if point.Index > g.stable && point.Index >= g.snapshot.Index && g.termAt(point.Index) == point.Term {
-		g.stable = point.Index
-		if g.role == leader {
-			g.maybeCommit(now)
-		} else if g.lead != "" && g.matchIndex > 0 {
-			g.acknowledge(g.lead)
+	// A probe is a single Append, and isn't bounded by what is known to match: in a long
+	// log, of which nothing is known to match, the end is further away than the bound.
+	for p.next <= g.LastIndex() && (p.probing || p.canSend(g.inflightWindow(p))) {
+		entries, size := g.nextBatch(p.next, g.inflightWindow(p))
+		g.sendAppend(now, id, p, entries, size)
+		p.lastAdvance = now
+		if p.probing {
+			p.probeSent = true
+			return
+		}
+		p.next += uint64(len(entries))
+		if p.chunked != nil {
+			return
 		}
 	}
 }
 
-func (g *Group) acknowledge(to string) {
-	g.send(to, &schema.AppendResponse{Group: g.name, Term: g.term, Match: min(g.matchIndex, g.stable)})
+func (g *Group) sendAppend(now eventloop.Micros, id string, p *progress, entries []*schema.Entry, size int) {
+	body := &schema.AppendRequest{
+		Group: g.name, Term: g.term, PrevIndex: p.next - 1, PrevTerm: g.termAt(p.next - 1),
+		Commit: g.commit, Entries: append([]*schema.Entry(nil), entries...),
+	}
+	last := entries[len(entries)-1].Index
+	if size > g.inflightWindow(p) {
+		g.startChunkedSend(now, id, p, body, last)
+		return
+	}
+	sent := inflightAppend{lastIndex: last, bytes: size, sentAt: now}
+	if p.probing {
+		sent.sentAt = 0
+	}
+	p.inflight = append(p.inflight, sent)
+	g.send(id, body)
 }
 
-// acceptLeader notes word of a term's leader and tells whether it is to be heeded.
+// acceptLeader follows the sender as the leader of a term. It tells whether that term
+// is current; if it isn't, the sender is answered so that it steps down.
 func (g *Group) acceptLeader(now eventloop.Micros, from string, term uint64) bool {
 	if term < g.term {
+		g.send(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true})
 		return false
 	}
 	if term > g.term || g.role != follower || g.lead != from {
@@ -140,11 +111,10 @@
 
 func (g *Group) handleAppendRequest(now eventloop.Micros, from string, m *schema.AppendRequest) {
 	if !g.acceptLeader(now, from, m.Term) {
-		g.send(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true})
 		return
 	}
 	prev, prevTerm, entries := m.PrevIndex, m.PrevTerm, m.Entries
-	// What lies under our base is committed, so it is the leader's too.
+	// What the snapshot covers is committed, so the leader's log has the same.
 	for prev < g.snapshot.Index && len(entries) > 0 && entries[0].Index <= g.snapshot.Index {
 		prev, prevTerm, entries = entries[0].Index, entries[0].Term, entries[1:]
 	}
@@ -153,117 +123,38 @@
 		g.acknowledge(from)
 		return
 	}
-	if prev > g.lastIndex() || g.termAt(prev) != prevTerm {
-		g.send(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true, Hint: min(g.lastIndex(), prev-1), PrevIndex: m.PrevIndex})
+	if prev > g.LastIndex() || g.termAt(prev) != prevTerm {
+		g.send(from, &schema.AppendResponse{
+			Group: g.name, Term: g.term, Rejected: true,
+			Hint: min(g.LastIndex(), prev-1), PrevIndex: m.PrevIndex,
+		})
 		return
 	}
-	appended := false
-	for k, entry := range entries {
-		if entry.Index > g.lastIndex() || g.termAt(entry.Index) != entry.Term {
-			g.truncateAndAppend(entries[k:])
-			appended = true
-			break
-		}
-	}
+	appended := g.appendMissing(entries)
 	g.matchIndex = max(g.matchIndex, prev+uint64(len(entries)))
 	g.commitTo(min(m.Commit, g.matchIndex))
+	// What was appended is acknowledged when it is synced.
 	if !appended {
 		g.acknowledge(from)
 	}
 }
 
-func (g *Group) handleHeartbeat(now eventloop.Micros, from string, m *schema.Heartbeat) {
-	if !g.acceptLeader(now, from, m.Term) {
-		g.send(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true})
-		return
-	}
-	// After a restart nothing is known of how far our log is the leader's, and in a
-	// quiet group no Append comes to tell.
-	if m.CommitTerm > 0 && m.Commit <= g.lastIndex() && g.termAt(m.Commit) == m.CommitTerm {
-		g.matchIndex = max(g.matchIndex, m.Commit)
-	}
-	g.commitTo(min(m.Commit, g.matchIndex))
-	if m.WallOffsetUs != 0 {
-		g.wallOffset = m.WallOffsetUs
-	}
-	// A beat may have lain in a buffer for any time, ours while we were frozen, or
-	// the wire's. It is only surely younger than the reply of ours it has heard.
-	for _, reply := range g.heartbeatResponses {
-		if m.CommitConfirmed && g.applied >= m.Commit && reply.round == m.AckedRound {
-			g.freshAsOf = max(g.freshAsOf, reply.receivedAt)
-		}
-	}
-	g.heartbeatResponses = append(g.heartbeatResponses, heartbeatResponse{m.Round, now})
-	if len(g.heartbeatResponses) > maxHeartbeatResponses {
-		g.heartbeatResponses = g.heartbeatResponses[1:]
-	}
-	g.send(from, &schema.HeartbeatResponse{Group: g.name, Term: g.term, Round: m.Round, Match: min(g.matchIndex, g.stable)})
-}
-
-func (g *Group) commitTo(index uint64) {
-	if index <= g.commit {
-		return
-	}
-	g.commit = index
-	g.ready.CommittedEntries = append(g.ready.CommittedEntries, g.entriesBetween(g.applied, g.commit)...)
-	g.applied = g.commit
-}
-
-func (g *Group) replicateTo(now eventloop.Micros, id string) {
-	p := g.peers[id]
-	if p == nil || p.snapshotPending || p.chunked != nil {
-		return
-	}
-	if p.next <= g.snapshot.Index {
-		p.snapshotPending, p.lastAdvance = true, now
-		g.sendSnapshot(now, id, p)
-		return
-	}
-	if p.probing && p.probeSent {
-		return
-	}
-	if p.next == 1 && p.match == 0 {
-		// The first member set stands in no record: a founder that hears of its group
-		// before it has founded it itself would never know who votes.
-		g.send(id, &schema.InstallSnapshot{Group: g.name, Term: g.term, Snapshot: g.snapshot})
-	}
-	// Where nothing is known to match, the end of a long log lies further away
-	// than that, and a probe is a single Append anyway.
-	for p.next <= g.lastIndex() && (p.probing || p.canSend(g.inflightWindow(p))) {
-		entries, size := g.nextBatch(p.next, g.inflightWindow(p))
-		g.sendAppend(now, id, p, entries, size)
-		p.lastAdvance = now
-		if p.probing {
-			p.probeSent = true
-			return
-		}
-		p.next += uint64(len(entries))
-		if p.chunked != nil {
-			return
+// appendMissing appends the leader's entries from the first one that this log doesn't
+// hold, and tells whether there was one. Those that agree stay: a delayed Append must
+// not remove what a later one has brought.
+func (g *Group) appendMissing(entries []*schema.Entry) bool {
+	for k, entry := range entries {
+		if entry.Index > g.LastIndex() || g.termAt(entry.Index) != entry.Term {
+			g.truncateAndAppend(entries[k:])
+			return true
 		}
 	}
+	return false
 }
 
-// probe goes back to a place and sends from there one Append alone.
-func (g *Group) probe(now eventloop.Micros, id string, p *progress, next uint64) {
-	p.next, p.probing, p.probeSent = next, true, false
-	p.chunked, p.inflight = nil, nil
-	g.replicateTo(now, id)
-}
-
-func (g *Group) acceptResponse(now eventloop.Micros, from string, term uint64) *progress {
-	if term > g.term {
-		g.becomeFollower(now, term, "")
-		return nil
-	}
-	if g.role != leader || term < g.term {
-		return nil
-	}
-	p := g.peers[from]
-	if p != nil {
-		p.lastHeard = now
-	}
-	return p
+// acknowledge tells the leader how far this log agrees with its own and is synced.
+func (g *Group) acknowledge(to string) {
+	g.send(to, &schema.AppendResponse{Group: g.name, Term: g.term, Match: min(g.matchIndex, g.stable)})
 }
 
 func (g *Group) handleAppendResponse(now eventloop.Micros, from string, m *schema.AppendResponse) {
@@ -272,9 +163,8 @@
 		return
 	}
 	if m.Rejected {
-		// Of all that were on their way only the first refusal counts: were each
-		// answered with all that follows, every one would be refused anew, and
-		// the more so the more there are.
+		// Only the first rejection among the Appends in flight counts: if each were
+		// answered by all the entries that follow, all these would be rejected as well.
 		stale := m.PrevIndex <= p.match || p.probing && m.PrevIndex != p.next-1
 		if !stale {
 			p.snapshotPending = false
@@ -288,71 +178,25 @@
 	g.advanceMatch(now, from, p, m.Match)
 }
 
-func (g *Group) advanceMatch(now eventloop.Micros, from string, p *progress, match uint64) {
-	if match > p.match {
-		p.match, p.lastAdvance = match, now
-		p.next = max(p.next, match+1)
-		p.probing = false
-		if p.snapshotPending && match >= g.snapshot.Index {
-			p.snapshotPending = false
-		}
-		g.ackInflight(now, p, match)
-		g.maybeCommit(now)
-		g.trySendTimeoutNow()
-	}
-	if g.role == leader {
-		g.replicateTo(now, from)
-	}
-}
-
-func (g *Group) handleHeartbeatResponse(now eventloop.Micros, from string, m *schema.HeartbeatResponse) {
-	p := g.acceptResponse(now, from, m.Term)
-	if p == nil {
+// maybeCommit commits what a quorum of voters has synced.
+func (g *Group) maybeCommit(now eventloop.Micros) {
+	if g.role != leader {
 		return
 	}
-	p.round = max(p.round, m.Round)
-	if sent, open := g.roundSentAt[m.Round]; open && (p.minRoundTrip == 0 || now-sent < p.minRoundTrip) {
-		p.minRoundTrip = max(now-sent, 1)
-	}
-	p.wallOffset = m.WallUs - int64(now)
-	g.advanceMatch(now, from, p, m.Match)
-	// Nothing moved for two beats though something is outstanding: it was lost
-	// on the way, so go back to what is known.
-	if p.match < g.lastIndex() && now-p.lastAdvance > 2*g.timeouts.HeartbeatInterval && !g.resumeChunkedSend(now, from, p) {
-		if now-p.lastAdvance > g.timeouts.ElectionMin {
-			p.snapshotPending = false
-		}
-		// A probe that was lost is made again where it was: from what is known,
-		// which may be nothing, all of a long log would go out once more.
-		next := p.match + 1
-		if p.probing {
-			next = max(next, min(p.next, g.lastIndex()))
-		}
-		g.probe(now, from, p, next)
-	}
-	g.confirmRounds(now)
-}
-
-func (g *Group) confirmRounds(now eventloop.Micros) {
-	round := g.quorumValue(func(id string) uint64 {
+	index := g.quorumValue(func(id string) uint64 {
 		if id == g.self {
-			return g.round
+			return g.stable
 		}
-		return g.peers[id].round
+		return g.peers[id].match
 	})
-	if sent, known := g.roundSentAt[round]; known {
-		g.quorumAckedAt = max(g.quorumAckedAt, sent)
-		for old := range g.roundSentAt {
-			if old < round {
-				delete(g.roundSentAt, old)
-			}
+	// Only an entry of this term commits those before it (section 3.6.2).
+	if index > g.commit && g.termAt(index) == g.term {
+		g.commitTo(index)
+		// A removed leader leads until its removal is committed (section 4.2.2).
+		if g.memberSetIndex <= g.commit && !g.isVoter(g.self) {
+			g.becomeFollower(now, g.term, "")
 		}
 	}
-	k := 0
-	for ; k < len(g.pendingReads) && g.pendingReads[k].round <= round; k++ {
-		g.ready.ReadRequests = append(g.ready.ReadRequests, g.pendingReads[k].request)
-	}
-	g.pendingReads = g.pendingReads[k:]
 }
 
 // quorumValue is the greatest value that a quorum of voters has reached.
@@ -372,22 +216,11 @@
 	return values[g.quorum()-1]
 }
 
-func (g *Group) maybeCommit(now eventloop.Micros) {
-	if g.role != leader {
+func (g *Group) commitTo(index uint64) {
+	if index <= g.commit {
 		return
 	}
-	index := g.quorumValue(func(id string) uint64 {
-		if id == g.self {
-			return g.stable
-		}
-		return g.peers[id].match
-	})
-	// Only a record of this term proves the ones under it.
-	if index > g.commit && g.termAt(index) == g.term {
-		g.commitTo(index)
-		// A leader that has been voted out stays until that is committed.
-		if g.memberSetIndex <= g.commit && !g.isVoter(g.self) {
-			g.becomeFollower(now, g.term, "")
-		}
-	}
+	g.commit = index
+	g.ready.CommittedEntries = append(g.ready.CommittedEntries, g.entriesBetween(g.applied, g.commit)...)
+	g.applied = g.commit
 }
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -1,15 +1,23 @@
 package raft
 
-// Installing a leader's snapshot.
+// Installing a leader's snapshot (section 5.1).
 
 import (
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/schema"
 )
 
+func (g *Group) sendSnapshot(now eventloop.Micros, id string, p *progress) {
+	body := &schema.InstallSnapshot{Group: g.name, Term: g.term, Snapshot: g.snapshot}
+	if len(g.snapshot.Data) > g.inflightWindow(p) {
+		g.startChunkedSend(now, id, p, body, g.snapshot.Index)
+		return
+	}
+	g.send(id, body)
+}
+
 func (g *Group) handleInstallSnapshot(now eventloop.Micros, from string, m *schema.InstallSnapshot) {
 	if !g.acceptLeader(now, from, m.Term) {
-		g.send(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true})
 		return
 	}
 	snapshot := m.Snapshot
@@ -22,7 +30,13 @@
 		g.acknowledge(from)
 		return
 	}
-	keepsTail := g.termAt(snapshot.Index) == snapshot.Term && snapshot.Index <= g.lastIndex()
+	g.restore(snapshot)
+}
+
+// restore replaces the state machine by a snapshot. Entries after it stay if the log
+// agrees with it.
+func (g *Group) restore(snapshot *schema.Snapshot) {
+	keepsTail := g.termAt(snapshot.Index) == snapshot.Term && snapshot.Index <= g.LastIndex()
 	if keepsTail {
 		g.log = append([]*schema.Entry(nil), g.log[snapshot.Index-g.snapshot.Index:]...)
 	} else {
@@ -30,6 +44,7 @@
 	}
 	g.snapshot = snapshot
 	g.commit, g.applied = snapshot.Index, snapshot.Index
+	// The snapshot isn't synced yet, so it isn't acknowledged either.
 	g.stable = min(g.stable, snapshot.Index-1)
 	g.refreshMemberSet()
 	g.ready.Changes = append(g.ready.Changes, &schema.StoreChange{Group: g.name, Snapshot: snapshot, ReplacesLog: !keepsTail})
