--- a/internal/raft/clone_test.go
+++ b/internal/raft/clone_test.go
@@ -13,8 +13,9 @@
 
 var messageType = reflect.TypeFor[proto.Message]()
 
-// sharedMutable lists what two values hold in common and could write to: maps, lists and what
-// pointers lead to, messages apart, which nothing writes to once they are made.
+// sharedMutable lists the paths of what two values share and could write to: maps,
+// slices and targets of pointers. Protobuf messages are exempt: nothing writes to them
+// once they are made.
 func sharedMutable(path string, a, b reflect.Value) []string {
 	var found []string
 	switch a.Kind() {
@@ -56,7 +57,7 @@
 		r.run(eventloop.Second)
 		lead := r.leader()
 		r.messages = nil
-		_, _, err := lead.Propose(r.now, make([]byte, 1<<20)) // goes in parts
+		_, _, err := lead.Propose(r.now, make([]byte, 1<<20)) // sent in chunks
 		So(err, ShouldBeNil)
 		So(lead.ReadIndex(r.now, 7), ShouldBeNil)
 		for _, id := range membersExcept(lead.self) {
--- a/internal/raft/durability_test.go
+++ b/internal/raft/durability_test.go
@@ -11,54 +11,44 @@
 	"sparnotch/internal/storage"
 )
 
-func votersExcept(self string) []string {
-	var list []string
-	for _, id := range ids {
-		if id != self {
-			list = append(list, id)
-		}
-	}
-	return list
-}
-
 func TestReadOnlyReplica(t *testing.T) {
-	Convey("A replica whose store takes no writes follows, and neither stands nor votes", t, func() {
+	Convey("A replica whose store takes no writes follows, and neither campaigns nor votes", t, func() {
 		r := newCluster(3, ids...)
 		r.run(3 * eventloop.Second)
 		leader := r.leader()
-		refusing := r.groups[votersExcept(leader.self)[0]]
-		refusing.SetWritable(false)
-		r.stalledDisks[refusing.self] = true
+		readOnly := r.groups[membersExcept(leader.self)[0]]
+		readOnly.SetWritable(false)
+		r.stalledDisks[readOnly.self] = true
 		term := leader.Term()
-		Convey("when it misses its leader, it asks nobody for votes, and grants none", func() {
-			r.blocked = func(from, to string) bool { return from == leader.self || to == leader.self }
-			asked := refusing.PreVoteCount()
+		Convey("without a leader it starts no pre-vote, and grants none", func() {
+			r.isolate(leader.self)
+			preVotes := readOnly.PreVoteCount()
 			r.run(6 * eventloop.Second)
-			So(refusing.PreVoteCount(), ShouldEqual, asked)
-			So(refusing.IsLeader(), ShouldBeFalse)
-			// The third alone is no majority, and nobody has encouraged it to try.
-			third := r.groups[votersExcept(leader.self)[1]]
+			So(readOnly.PreVoteCount(), ShouldEqual, preVotes)
+			So(readOnly.IsLeader(), ShouldBeFalse)
+			// The third alone is no majority, and wasn't granted a pre-vote.
+			third := r.groups[membersExcept(leader.self)[1]]
 			So(third.IsLeader(), ShouldBeFalse)
 			So(third.Term(), ShouldEqual, term)
-			Convey("and once its store takes writes there is a leader again", func() {
-				refusing.SetWritable(true)
-				r.stalledDisks[refusing.self] = false
+			Convey("once its store takes writes again a leader is elected", func() {
+				readOnly.SetWritable(true)
+				r.stalledDisks[readOnly.self] = false
 				r.run(2 * eventloop.Second)
 				So(r.leader() != leader, ShouldBeTrue)
 				So(r.leader().Term(), ShouldBeGreaterThan, term)
 			})
 		})
-		Convey("it takes over from nobody", func() {
-			leader.TransferLeadership(r.now, refusing.self)
+		Convey("it accepts no leadership transfer", func() {
+			leader.TransferLeadership(r.now, readOnly.self)
 			r.processReady(leader.self)
 			r.run(3 * eventloop.Second)
 			So(r.leader(), ShouldEqual, leader)
 			So(leader.Term(), ShouldEqual, term)
-			// A term of its own would make it dumb now, and depose the leader later.
-			So(refusing.Term(), ShouldEqual, term)
+			// A term that it couldn't sync would silence it now, and depose the leader later.
+			So(readOnly.Term(), ShouldEqual, term)
 		})
 	})
-	Convey("A leader whose store takes no writes commits by the others, answers reads, and hands over", t, func() {
+	Convey("A leader whose store takes no writes commits by the others, serves reads, and transfers leadership", t, func() {
 		r := newCluster(4, ids...)
 		r.run(3 * eventloop.Second)
 		leader := r.leader()
@@ -69,17 +59,17 @@
 		r.run(300 * eventloop.Millisecond)
 		So(r.applied[leader.self], ShouldResemble, []string{"one"})
 		So(r.reads[leader.self], ShouldResemble, []uint64{7})
-		leader.TransferLeadership(r.now, votersExcept(leader.self)[0])
+		leader.TransferLeadership(r.now, membersExcept(leader.self)[0])
 		r.processReady(leader.self)
 		r.run(200 * eventloop.Millisecond)
-		So(r.leader().self, ShouldEqual, votersExcept(leader.self)[0])
-		// It went by the votes of those two alone.
+		So(r.leader().self, ShouldEqual, membersExcept(leader.self)[0])
+		// The votes of the other two were enough.
 		So(r.durable[leader.self].HardState.Term, ShouldBeLessThan, r.leader().Term())
 	})
 }
 
 func TestFullState(t *testing.T) {
-	Convey("The whole is what all changes come to", t, func() {
+	Convey("FullState gives a store of other content what all changes together give", t, func() {
 		r := newCluster(5, ids...)
 		r.run(2 * eventloop.Second)
 		for _, text := range []string{"one", "two", "three"} {
@@ -89,15 +79,70 @@
 		leader := r.leader()
 		leader.Compact(leader.AppliedIndex()-1, []byte("state"))
 		r.processReady(leader.self)
-		content := &storage.State{Groups: map[string]*storage.GroupState{}}
-		content.Apply(&schema.StoreChange{Group: "g", HardState: &schema.HardState{Term: 99}, Entries: []*schema.Entry{{Index: 1}, {Index: 2}}})
-		content.Apply(leader.FullState())
-		image, durable := content.Groups["g"], r.durable[leader.self]
-		So(proto.Equal(image.HardState, durable.HardState), ShouldBeTrue)
-		So(proto.Equal(image.Snapshot, durable.Snapshot), ShouldBeTrue)
-		So(len(image.Entries), ShouldEqual, len(durable.Entries))
-		for k := range image.Entries {
-			So(proto.Equal(image.Entries[k], durable.Entries[k]), ShouldBeTrue)
+		state := &storage.State{Groups: map[string]*storage.GroupState{}}
+		state.Apply(&schema.StoreChange{Group: "g", HardState: &schema.HardState{Term: 99}, Entries: []*schema.Entry{{Index: 1}, {Index: 2}}})
+		state.Apply(leader.FullState())
+		restored, durable := state.Groups["g"], r.durable[leader.self]
+		So(proto.Equal(restored.HardState, durable.HardState), ShouldBeTrue)
+		So(proto.Equal(restored.Snapshot, durable.Snapshot), ShouldBeTrue)
+		So(len(restored.Entries), ShouldEqual, len(durable.Entries))
+		for k := range restored.Entries {
+			So(proto.Equal(restored.Entries[k], durable.Entries[k]), ShouldBeTrue)
+		}
+	})
+}
+
+func TestSyncBeforeAcknowledge(t *testing.T) {
+	Convey("A follower whose disk stalls acknowledges nothing", t, func() {
+		r := newCluster(3, ids...)
+		r.run(4 * eventloop.Second)
+		lead := r.leader()
+		for _, id := range ids {
+			if id != lead.self {
+				r.stalledDisks[id] = true
+			}
+		}
+		r.propose("one")
+		r.run(3 * eventloop.Second)
+		So(len(r.applied[lead.self]), ShouldEqual, 0)
+		// Heartbeats need no sync, so the leader keeps its quorum.
+		So(lead.IsLeader(), ShouldBeTrue)
+		for _, id := range ids {
+			r.stalledDisks[id] = false
+		}
+		r.run(2 * eventloop.Second)
+		So(r.applied[lead.self], ShouldResemble, []string{"one"})
+	})
+	Convey("A vote is neither sent nor, by a candidate, counted before it is synced", t, func() {
+		r := newCluster(8, ids...)
+		for _, id := range ids[1:] {
+			r.stalledDisks[id] = true
+		}
+		r.run(6 * eventloop.Second)
+		So(r.leader(), ShouldBeNil)
+		// Votes that weren't synced are lost with the restart, and another may be granted
+		// in the same term.
+		for _, id := range ids[1:] {
+			r.stalledDisks[id] = false
+			r.start(id)
+		}
+		r.run(6 * eventloop.Second)
+		So(r.leader(), ShouldNotBeNil)
+	})
+	Convey("A sync of an entry that was replaced meanwhile makes nothing stable", t, func() {
+		r := newCluster(4, ids...)
+		g := r.groups["a"]
+		receive := func(term, prevIndex, prevTerm uint64, data string) {
+			g.Step(r.now, "b", &schema.AppendRequest{Group: "g", Term: term, PrevIndex: prevIndex, PrevTerm: prevTerm,
+				Entries: []*schema.Entry{{Index: prevIndex + 1, Term: term, Data: []byte(data)}}})
 		}
+		receive(1, 0, 0, "old")
+		_, oldPoint := g.Ready()
+		receive(2, 0, 0, "new")
+		_, newPoint := g.Ready()
+		g.MarkSynced(r.now, oldPoint)
+		So(g.StableIndex(), ShouldEqual, 0)
+		g.MarkSynced(r.now, newPoint)
+		So(g.StableIndex(), ShouldEqual, 1)
 	})
 }
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -7,35 +7,10 @@
 
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/schema"
-	"sparnotch/internal/storage"
 )
 
-// startEmpty gives the rig a replica with an empty disk.
-func (r *cluster) startEmpty(id string) {
-	r.durable[id] = &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}}
-	r.start(id)
-}
-
-// proposeMembers has a leader propose a member set.
-func (r *cluster) proposeMembers(lead *Group, voters []string, learners ...string) error {
-	err := lead.ProposeMemberSet(r.now, &schema.MemberSet{Voters: voters, Learners: learners})
-	r.processReady(lead.self)
-	return err
-}
-
-// others are the members but one.
-func membersExcept(id string) []string {
-	var list []string
-	for _, each := range ids {
-		if each != id {
-			list = append(list, each)
-		}
-	}
-	return list
-}
-
 func TestLearnerInIdleGroup(t *testing.T) {
-	Convey("A learner is sent an Append when it becomes one, though no record follows", t, func() {
+	Convey("A new learner is sent an Append though no further entry is proposed", t, func() {
 		r := newCluster(8, ids...)
 		r.run(4 * eventloop.Second)
 		lead := r.leader()
@@ -52,7 +27,7 @@
 }
 
 func TestLearnerCaughtUp(t *testing.T) {
-	Convey("Given a young group, whose whole log is shorter than what a learner may lack", t, func() {
+	Convey("Given a new group, whose whole log is shorter than the lag allowed to a learner", t, func() {
 		r := newCluster(9, ids...)
 		r.run(4 * eventloop.Second)
 		lead := r.leader()
@@ -62,11 +37,11 @@
 		r.down["d"] = true
 		So(r.proposeMembers(lead, ids, "d"), ShouldBeNil)
 		r.run(eventloop.Second)
-		Convey("A learner that holds nothing isn't caught up", func() {
+		Convey("A learner with an empty log hasn't caught up", func() {
 			So(lead.LastIndex(), ShouldBeLessThan, MaxLearnerLag)
 			So(lead.IsCaughtUp("d"), ShouldBeFalse)
 		})
-		Convey("One that holds the record that made it one is", func() {
+		Convey("One that holds the change that added it has", func() {
 			r.down["d"] = false
 			r.run(eventloop.Second)
 			So(lead.IsCaughtUp("d"), ShouldBeTrue)
@@ -76,7 +51,7 @@
 }
 
 func TestMembershipChangeWaitsForCommitInTerm(t *testing.T) {
-	Convey("A new leader changes no members before a record of its own term is committed", t, func() {
+	Convey("A new leader accepts no membership change before an entry of its term is committed", t, func() {
 		r := newCluster(10, ids...)
 		r.run(4 * eventloop.Second)
 		old := r.leader()
@@ -85,7 +60,6 @@
 		for lead == nil {
 			r.run(10 * eventloop.Millisecond)
 			for _, id := range membersExcept(old.self) {
-				// Its first record is on its way to the other, which then falls silent.
 				if r.groups[id].IsLeader() {
 					lead = r.groups[id]
 				}
@@ -102,7 +76,7 @@
 }
 
 func TestLearnersAreNotInQuorum(t *testing.T) {
-	Convey("Given a group of three with two learners that have all", t, func() {
+	Convey("Given a group of three with two learners that have caught up", t, func() {
 		r := newCluster(11, ids...)
 		r.run(4 * eventloop.Second)
 		lead := r.leader()
@@ -113,7 +87,7 @@
 		So(r.proposeMembers(lead, ids, "d", "e"), ShouldBeNil)
 		r.run(eventloop.Second)
 		others := membersExcept(lead.self)
-		Convey("Their copies commit nothing", func() {
+		Convey("Entries that only they have synced aren't committed", func() {
 			r.down[others[0]], r.down[others[1]] = true, true
 			commit := lead.CommitIndex()
 			_, _, err := lead.Propose(r.now, []byte("one"))
@@ -123,7 +97,7 @@
 			So(r.groups["d"].LastIndex(), ShouldEqual, lead.LastIndex())
 			So(lead.CommitIndex(), ShouldEqual, commit)
 		})
-		Convey("Their votes elect nobody, and they don't stand", func() {
+		Convey("They neither vote nor campaign", func() {
 			r.down[lead.self], r.down[others[0]] = true, true
 			r.run(5 * eventloop.Second)
 			for _, id := range []string{others[1], "d", "e"} {
@@ -134,27 +108,22 @@
 }
 
 func TestRemovedVoterIsNotified(t *testing.T) {
-	Convey("A voter that is dropped learns so, and never asks for votes again", t, func() {
+	Convey("A voter that is removed learns of it, and starts no more elections", t, func() {
 		r := newCluster(12, ids...)
 		r.run(4 * eventloop.Second)
 		lead := r.leader()
-		dropped := membersExcept(lead.self)[0]
-		var rest []string
-		for _, id := range ids {
-			if id != dropped {
-				rest = append(rest, id)
-			}
-		}
+		removed := membersExcept(lead.self)[0]
+		rest := membersExcept(removed)
 		So(r.proposeMembers(lead, rest), ShouldBeNil)
 		r.run(5 * eventloop.Second)
-		So(r.groups[dropped].MemberSet().Voters, ShouldResemble, rest)
-		So(r.groups[dropped].PreVoteCount(), ShouldEqual, 0)
+		So(r.groups[removed].MemberSet().Voters, ShouldResemble, rest)
+		So(r.groups[removed].PreVoteCount(), ShouldEqual, 0)
 		So(r.leader().self, ShouldEqual, lead.self)
 	})
 }
 
 func TestVoterReachedBeforeBootstrap(t *testing.T) {
-	Convey("A founder that hears of its group before it has founded it learns who votes", t, func() {
+	Convey("A voter that its leader reaches before its Bootstrap learns the members", t, func() {
 		r := newCluster(13, ids...)
 		r.startEmpty("c")
 		r.down["c"] = true
@@ -163,7 +132,7 @@
 		r.down["c"] = false
 		r.run(eventloop.Second)
 		So(r.groups["c"].MemberSet().Voters, ShouldResemble, ids)
-		Convey("and so it can lead with what it alone holds besides the one that is lost", func() {
+		Convey("and can be elected with entries that else only a failed replica holds", func() {
 			lead := r.leader()
 			other := "a"
 			if lead.self == "a" {
@@ -180,3 +149,66 @@
 		})
 	})
 }
+
+func TestMembershipChange(t *testing.T) {
+	Convey("A new replica is added as a learner and promoted, then a failed one is removed", t, func() {
+		r := newCluster(6, ids...)
+		r.run(4 * eventloop.Second)
+		r.propose("one")
+		r.run(eventloop.Second)
+		lead := r.leader()
+		others := membersExcept(lead.self)
+		failed, other := others[0], others[1]
+		r.down[failed] = true
+		r.startEmpty("d")
+		r.run(3 * eventloop.Second)
+		So(r.groups["d"].Term(), ShouldEqual, 0) // no member, so it doesn't campaign
+		So(lead.ProposeMemberSet(r.now, &schema.MemberSet{Voters: ids, Learners: []string{"d"}}), ShouldBeNil)
+		r.processReady(lead.self)
+		r.run(eventloop.Second)
+		So(r.applied["d"], ShouldResemble, []string{"one"})
+		So(lead.ProposeMemberSet(r.now, &schema.MemberSet{Voters: append(append([]string{}, ids...), "d")}), ShouldBeNil)
+		So(lead.ProposeMemberSet(r.now, &schema.MemberSet{Voters: ids}), ShouldNotBeNil)
+		r.processReady(lead.self)
+		r.run(eventloop.Second)
+		So(lead.ProposeMemberSet(r.now, &schema.MemberSet{Voters: []string{lead.self, other, "d"}}), ShouldBeNil)
+		r.processReady(lead.self)
+		r.run(eventloop.Second)
+		// A second failure is tolerated now.
+		r.down[other] = true
+		r.propose("two")
+		r.run(eventloop.Second)
+		So(r.applied["d"], ShouldResemble, []string{"one", "two"})
+	})
+}
+
+func TestSingleServerChange(t *testing.T) {
+	Convey("Given a group of three and an empty fourth replica", t, func() {
+		r := newCluster(5, ids...)
+		r.run(4 * eventloop.Second)
+		lead := r.leader()
+		r.propose("one")
+		r.startEmpty("d")
+		r.run(eventloop.Second)
+		Convey("A change after which two majorities could be disjoint is refused", func() {
+			So(r.proposeMembers(lead, []string{lead.self}), ShouldNotBeNil)
+			So(r.proposeMembers(lead, []string{}), ShouldNotBeNil)
+			So(r.proposeMembers(lead, []string{"a", "b", "d"}), ShouldNotBeNil)
+			So(r.proposeMembers(lead, append(append([]string{}, ids...), "d", "e")), ShouldNotBeNil)
+			So(lead.MemberSet().Voters, ShouldResemble, ids)
+		})
+		Convey("A replica becomes a voter only after it has caught up as a learner", func() {
+			four := append(append([]string{}, ids...), "d")
+			So(r.proposeMembers(lead, four), ShouldNotBeNil)
+			r.down["d"] = true
+			So(r.proposeMembers(lead, ids, "d"), ShouldBeNil)
+			r.run(eventloop.Second)
+			So(r.proposeMembers(lead, four), ShouldNotBeNil)
+			r.down["d"] = false
+			r.run(eventloop.Second)
+			r.propose("two")
+			r.run(eventloop.Second)
+			So(r.proposeMembers(lead, four), ShouldBeNil)
+		})
+	})
+}
--- /dev/null
+++ b/internal/raft/replication_test.go
@@ -0,0 +1,144 @@
+package raft
+
+import (
+	"fmt"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"sparnotch/internal/eventloop"
+)
+
+func TestSnapshotToLaggingFollower(t *testing.T) {
+	Convey("A replica that was down until the log it lacks was compacted gets the snapshot, then the entries after it", t, func() {
+		r := newCluster(5, ids...)
+		r.run(4 * eventloop.Second)
+		lead := r.leader()
+		lagging := membersExcept(lead.self)[1]
+		r.down[lagging] = true
+		for k := 0; k < 50; k++ {
+			r.propose(fmt.Sprint(k))
+		}
+		r.run(eventloop.Second)
+		lead.Compact(lead.AppliedIndex()-5, []byte("state"))
+		r.processReady(lead.self)
+		r.start(lagging)
+		r.run(3 * eventloop.Second)
+		So(r.applied[lagging], ShouldResemble, []string{"state", "45", "46", "47", "48", "49"})
+		So(r.groups[lagging].GroupTime(r.now), ShouldBeGreaterThan, 0)
+	})
+}
+
+func TestCatchUpSendsOnlyMissingEntries(t *testing.T) {
+	Convey("A replica that returns is sent what it lacks about once, however many Appends were in flight", t, func() {
+		for seed := uint64(1); seed < 20; seed++ {
+			r := newCluster(seed, ids...)
+			r.run(4 * eventloop.Second)
+			lead := r.leader()
+			lagging := membersExcept(lead.self)[1]
+			r.isolate(lagging)
+			for k := 0; k < 900; k++ {
+				r.propose(fmt.Sprint(k))
+			}
+			r.run(3 * eventloop.Second)
+			r.heal()
+			// Many proposals arrive just before it catches up.
+			r.appendCount, r.ordered = 0, true
+			for k := 0; k < 40; k++ {
+				r.propose(fmt.Sprint("n", k))
+			}
+			r.run(2 * eventloop.Second)
+			So(len(r.applied[lagging]), ShouldEqual, 940)
+			So(r.appendCount, ShouldBeLessThan, 120)
+		}
+	})
+}
+
+func TestNewLeaderWithLongLog(t *testing.T) {
+	Convey("A new leader of a log longer than the bound on entries in flight holds its lease at once, and sends no entry again", t, func() {
+		r := newCluster(9, ids...)
+		r.run(4 * eventloop.Second)
+		for k := 0; k < maxInflightEntries+500; k++ {
+			r.propose(fmt.Sprint(k))
+		}
+		r.run(2 * eventloop.Second)
+		old := r.leader()
+		to := membersExcept(old.self)[0]
+		r.appendCount = 0
+		Convey("after a leadership transfer", func() {
+			old.TransferLeadership(r.now, to)
+			r.processReady(old.self)
+			r.run(50 * eventloop.Millisecond)
+			So(r.groups[to].HoldsLeaderLease(r.now), ShouldBeTrue)
+			So(r.appendCount, ShouldBeLessThan, 10)
+		})
+		Convey("also if its first Append was lost", func() {
+			r.blocked = func(from, other string) bool { return len(r.applied[to]) > 0 && r.groups[to].IsLeader() }
+			old.TransferLeadership(r.now, to)
+			r.processReady(old.self)
+			r.run(50 * eventloop.Millisecond)
+			So(r.groups[to].IsLeader(), ShouldBeTrue)
+			r.heal()
+			r.run(500 * eventloop.Millisecond)
+			So(r.groups[to].HoldsLeaderLease(r.now), ShouldBeTrue)
+			So(r.appendCount, ShouldBeLessThan, 20)
+		})
+	})
+}
+
+// TestRandomHistories: under crashes, partitions and loss all replicas apply the same
+// sequence, and none loses what it applied.
+func TestRandomHistories(t *testing.T) {
+	for seed := uint64(1); seed <= 30; seed++ {
+		r := newCluster(seed, ids...)
+		r.lossRate = 0.1
+		longest := []string{}
+		for k := 0; k < 60; k++ {
+			r.propose(fmt.Sprint(k))
+			switch r.rng.IntN(6) {
+			case 0:
+				id := ids[r.rng.IntN(3)]
+				r.down[id] = true
+			case 1, 2:
+				for _, id := range ids {
+					if r.down[id] {
+						r.start(id)
+					}
+				}
+			case 3:
+				a, b := ids[r.rng.IntN(3)], ids[r.rng.IntN(3)]
+				r.blocked = func(from, to string) bool { return from == a && to == b }
+			case 4:
+				r.heal()
+			}
+			r.run(eventloop.Micros(r.rng.Int64N(int64(eventloop.Second))))
+			for _, id := range ids {
+				got := r.applied[id]
+				for i := 0; i < min(len(got), len(longest)); i++ {
+					if got[i] != longest[i] {
+						t.Fatalf("seed %d: %s applied %q at %d, where %q had been applied", seed, id, got[i], i, longest[i])
+					}
+				}
+				if len(got) > len(longest) {
+					longest = append([]string{}, got...)
+				}
+			}
+		}
+		r.heal()
+		r.lossRate = 0
+		for _, id := range ids {
+			if r.down[id] {
+				r.start(id)
+			}
+		}
+		r.run(8 * eventloop.Second)
+		if len(longest) == 0 {
+			t.Fatalf("seed %d: nothing was applied", seed)
+		}
+		for _, id := range ids {
+			if len(r.applied[id]) < len(longest) {
+				t.Fatalf("seed %d: %s applied %d of %d entries in the end", seed, id, len(r.applied[id]), len(longest))
+			}
+		}
+	}
+}
