--- /dev/null
+++ b/internal/storage/format.go
@@ -0,0 +1,130 @@
+package storage
+
+// The files. Epoch e has its snapshot in slot-(e mod 2), one block with a SnapshotSlot,
+// and its log in log-(e mod 2), a sequence of blocks with a LogFrame each. A block is a
+// header of three big-endian 32-bit words (magic number, length of the payload in bytes,
+// CRC-32C of the payload) and the payload, a protobuf message.
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"os"
+
+	"google.golang.org/protobuf/proto"
+
+	"sparnotch/internal/schema"
+)
+
+const (
+	frameMagic  = 0x5350464d // "SPFM"
+	slotMagic   = 0x5350534c // "SPSL"
+	headerBytes = 12
+
+	slotPrefix = "slot-"
+	logPrefix  = "log-"
+)
+
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
+
+func slotName(epoch uint64) string { return fmt.Sprint(slotPrefix, epoch%2) }
+func logName(epoch uint64) string  { return fmt.Sprint(logPrefix, epoch%2) }
+
+func encodeBlock(payload []byte, magic uint32) []byte {
+	data := make([]byte, headerBytes, headerBytes+len(payload))
+	binary.BigEndian.PutUint32(data[0:], magic)
+	binary.BigEndian.PutUint32(data[4:], uint32(len(payload)))
+	binary.BigEndian.PutUint32(data[8:], crc32.Checksum(payload, crcTable))
+	return append(data, payload...)
+}
+
+// decodeBlock reads the block at the start of data; used are its bytes with the header.
+func decodeBlock(data []byte, magic uint32) (payload []byte, used int, ok bool) {
+	if len(data) < headerBytes || binary.BigEndian.Uint32(data) != magic {
+		return nil, 0, false
+	}
+	length := int64(binary.BigEndian.Uint32(data[4:]))
+	if headerBytes+length > int64(len(data)) {
+		return nil, 0, false
+	}
+	payload = data[headerBytes : headerBytes+length]
+	if crc32.Checksum(payload, crcTable) != binary.BigEndian.Uint32(data[8:]) {
+		return nil, 0, false
+	}
+	return payload, headerBytes + int(length), true
+}
+
+func encodeFrame(frame *schema.LogFrame) ([]byte, error) {
+	payload, err := proto.Marshal(frame)
+	if err != nil {
+		return nil, err
+	}
+	return encodeBlock(payload, frameMagic), nil
+}
+
+// parseFrame reads the frame at the start of data; used are its bytes.
+func parseFrame(data []byte) (frame *schema.LogFrame, used int, ok bool) {
+	payload, used, ok := decodeBlock(data, frameMagic)
+	if !ok {
+		return nil, 0, false
+	}
+	frame = &schema.LogFrame{}
+	if proto.Unmarshal(payload, frame) != nil {
+		return nil, 0, false
+	}
+	return frame, used, true
+}
+
+func encodeSlot(slot *schema.SnapshotSlot) ([]byte, error) {
+	payload, err := proto.Marshal(slot)
+	if err != nil {
+		return nil, err
+	}
+	return encodeBlock(payload, slotMagic), nil
+}
+
+// readFile returns nil for a file that doesn't exist.
+func readFile(disk Disk, name string) ([]byte, error) {
+	data, err := disk.Read(name)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, IOFailed.Wrap(err, "reading %s", name)
+	}
+	return data, nil
+}
+
+// readSlot returns nil for a slot that is absent or was being written at a crash: then
+// the other one is in force.
+func readSlot(disk Disk, name string) (*schema.SnapshotSlot, error) {
+	data, err := readFile(disk, name)
+	if err != nil {
+		return nil, err
+	}
+	payload, _, ok := decodeBlock(data, slotMagic)
+	if !ok {
+		return nil, nil
+	}
+	slot := &schema.SnapshotSlot{}
+	if err := proto.Unmarshal(payload, slot); err != nil {
+		return nil, nil
+	}
+	return slot, nil
+}
+
+// newestSlot is the slot of the greatest epoch; nil if there is none.
+func newestSlot(disk Disk) (*schema.SnapshotSlot, error) {
+	var newest *schema.SnapshotSlot
+	for k := range uint64(2) {
+		slot, err := readSlot(disk, slotName(k))
+		if err != nil {
+			return nil, err
+		}
+		if slot != nil && (newest == nil || slot.Epoch > newest.Epoch) {
+			newest = slot
+		}
+	}
+	return newest, nil
+}
--- /dev/null
+++ b/internal/storage/state.go
@@ -0,0 +1,96 @@
+package storage
+
+import (
+	"maps"
+	"slices"
+	"sort"
+
+	"sparnotch/internal/schema"
+)
+
+// GroupState is the durable state of one replica of a Raft group.
+type GroupState struct {
+	HardState *schema.HardState
+	Snapshot  *schema.Snapshot
+	Entries   []*schema.Entry // after the snapshot, by index without gaps
+}
+
+// State is the durable state of a process. Its messages are shared with the changes
+// that brought them, and never written to.
+type State struct {
+	Identity *schema.StoreIdentity
+	Groups   map[string]*GroupState // by the group's name
+}
+
+func newState() *State {
+	return &State{Identity: &schema.StoreIdentity{}, Groups: map[string]*GroupState{}}
+}
+
+func (s *State) applyAll(changes []*schema.StoreChange) {
+	for _, change := range changes {
+		s.Apply(change)
+	}
+}
+
+// Apply makes one change.
+func (s *State) Apply(change *schema.StoreChange) {
+	if change.Identity != nil {
+		s.Identity = change.Identity
+	}
+	if change.Group == "" {
+		return
+	}
+	if change.Removed {
+		delete(s.Groups, change.Group)
+		return
+	}
+	group := s.Groups[change.Group]
+	if group == nil {
+		group = &GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}}
+		s.Groups[change.Group] = group
+	}
+	group.apply(change)
+}
+
+func (g *GroupState) apply(change *schema.StoreChange) {
+	if change.HardState != nil {
+		g.HardState = change.HardState
+	}
+	if snapshot := change.Snapshot; snapshot != nil {
+		g.Snapshot = snapshot
+		if change.ReplacesLog {
+			g.Entries = nil
+		}
+		g.Entries = entriesAfter(g.Entries, snapshot.Index)
+	}
+	if len(change.Entries) > 0 {
+		g.Entries = append(entriesBefore(g.Entries, change.Entries[0].Index), change.Entries...)
+	}
+}
+
+func entriesAfter(entries []*schema.Entry, index uint64) []*schema.Entry {
+	at := sort.Search(len(entries), func(k int) bool { return entries[k].Index > index })
+	return append([]*schema.Entry(nil), entries[at:]...)
+}
+
+func entriesBefore(entries []*schema.Entry, index uint64) []*schema.Entry {
+	at := sort.Search(len(entries), func(k int) bool { return entries[k].Index >= index })
+	if at == len(entries) {
+		// The common case, a plain append, goes in place rather than copying a long log
+		// for each batch. Nothing else appends to this slice.
+		return entries
+	}
+	return entries[:at:at]
+}
+
+// asChanges is the state as the fewest changes that make it.
+func (s *State) asChanges() []*schema.StoreChange {
+	changes := []*schema.StoreChange{{Identity: s.Identity}}
+	for _, name := range slices.Sorted(maps.Keys(s.Groups)) {
+		group := s.Groups[name]
+		changes = append(changes, &schema.StoreChange{
+			Group: name, HardState: group.HardState, Snapshot: group.Snapshot, Entries: group.Entries,
+		})
+	}
+	return changes
+}
