--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -6,7 +6,7 @@
 	"sparnotch/internal/schema"
 )
 
-// BenchmarkApply is one record that is added to a log of 2,000.
+// BenchmarkApply appends one entry to a log of 2,000.
 func BenchmarkApply(b *testing.B) {
 	content := newState()
 	index := uint64(0)
--- a/internal/storage/encoding_test.go
+++ b/internal/storage/encoding_test.go
@@ -10,8 +10,8 @@
 	"sparnotch/internal/schema"
 )
 
-// BenchmarkEncoding compares what a settle's record costs on disk in either
-// encoding, each record readable by itself.
+// BenchmarkEncoding compares the size of a settle's entry on disk in two encodings, each
+// entry readable by itself.
 func BenchmarkEncoding(b *testing.B) {
 	settle, err := proto.Marshal(&schema.QueueCommand{Body: &schema.QueueCommand_Settle{Settle: &schema.Settle{Key: &schema.TaskKey{Job: 1234, Step: 1, Task: 7}, Attempt: 1}}})
 	if err != nil {
@@ -27,7 +27,7 @@
 			}
 			size = len(data)
 		}
-		b.ReportMetric(float64(size), "bytes/record")
+		b.ReportMetric(float64(size), "bytes/entry")
 	})
 	b.Run("gob", func(b *testing.B) {
 		size := 0
@@ -38,6 +38,6 @@
 			}
 			size = out.Len()
 		}
-		b.ReportMetric(float64(size), "bytes/record")
+		b.ReportMetric(float64(size), "bytes/entry")
 	})
 }
--- a/internal/storage/repair_test.go
+++ b/internal/storage/repair_test.go
@@ -10,7 +10,7 @@
 	"sparnotch/internal/storage"
 )
 
-// testBatch is the k-th of a run: now and then a large one, so that slots are
+// testBatch is the k-th commit of a run; every seventh is large, so that slots are
 // written too.
 func testBatch(k uint64) []*schema.StoreChange {
 	size := 10
@@ -20,16 +20,17 @@
 	return []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(k, size)}, Snapshot: &schema.Snapshot{Index: max(k, 4) - 4}}}
 }
 
+// lastIndex is the index of the group's last entry, 0 if there is none.
 func lastIndex(s *storage.Store) uint64 {
-	image := s.State().Groups["g"]
-	if image == nil || len(image.Entries) == 0 {
+	group := s.State().Groups["g"]
+	if group == nil || len(group.Entries) == 0 {
 		return 0
 	}
-	return image.Entries[len(image.Entries)-1].Index
+	return group.Entries[len(group.Entries)-1].Index
 }
 
-// faultyRun is a run in which chosen operations fail, each commit is tried again
-// until it succeeds, and the power goes at the end.
+// faultyRun is a run in which chosen disk operations fail, each commit is retried until
+// it succeeds, and power is lost at the end.
 type faultyRun struct {
 	disk         *sim.Disk
 	store        *storage.Store
@@ -48,7 +49,7 @@
 	return fmt.Errorf("commit %d never succeeded", k)
 }
 
-// reopen loses the power and looks at what is there.
+// reopen cuts the power, opens the store and checks what it holds.
 func (f *faultyRun) reopen(rng *rand.Rand, requested uint64) error {
 	f.disk.Fault = sim.DiskFault{}
 	f.disk.PowerCut(rng)
@@ -58,14 +59,13 @@
 	}
 	f.store = store
 	if last := lastIndex(store); last < f.acknowledged || last > requested {
-		return fmt.Errorf("acknowledged to %d, asked for to %d, found to %d", f.acknowledged, requested, last)
+		return fmt.Errorf("acknowledged up to %d, committed up to %d, found up to %d", f.acknowledged, requested, last)
 	}
 	return nil
 }
 
-// TestEachDiskCallFails: whichever call to the file system fails, once or twice
-// within a commit, the store goes on, and what was acknowledged is there after a
-// loss of power.
+// TestEachDiskCallFails: whichever call of the Disk fails, once or twice within a
+// commit, the store recovers, and what was acknowledged survives a loss of power.
 func TestEachDiskCallFails(t *testing.T) {
 	failures := 0
 	for at := 1; at < 150; at++ {
@@ -87,15 +87,14 @@
 				if err := run.commit(k); err != nil {
 					t.Fatalf("call %d: %v", at, err)
 				}
-				// The power goes soon after the failure: what a later slot would
-				// have mended mustn't be needed.
+				// Power is lost soon after the failure, before a later slot would repair it.
 				if run.failures > 0 && disk.Fault.FailAt == 0 && k%3 == uint64(at%3) {
 					break
 				}
 			}
 			failures += run.failures
 			if err := run.reopen(rand.New(rand.NewPCG(uint64(at), uint64(gap))), requested); err != nil {
-				t.Fatalf("call %d failed, then the power went: %v", at, err)
+				t.Fatalf("call %d failed, then power was lost: %v", at, err)
 			}
 		}
 	}
@@ -104,8 +103,8 @@
 	}
 }
 
-// TestSyncAfterFailedSync: a sync that follows a failed one proves nothing of
-// what the failed one should have kept.
+// TestSyncAfterFailedSync: a successful sync doesn't make durable what a failed one
+// before it should have.
 func TestSyncAfterFailedSync(t *testing.T) {
 	for seed := uint64(0); seed < 40; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -128,8 +127,8 @@
 			}
 		}
 		disk.Fault.SyncFails = false
-		// In this life, or in the next one, which reads from memory what the disk
-		// doesn't hold.
+		// In this process, or in the next one, which reads from the page cache what the
+		// disk doesn't hold.
 		if seed%2 == 1 {
 			if run.store, err = storage.OpenWithLogLimit(disk, 2000); err != nil {
 				t.Fatal(err)
@@ -146,9 +145,8 @@
 	}
 }
 
-// TestFullDisk: a disk without room takes nothing and loses nothing; what is
-// durable can be read, and once there is room the same batch is taken, and not
-// twice.
+// TestFullDisk: on a full disk commits fail and nothing is lost; what is durable can be
+// read, and once there is space the same commit is made, and only once.
 func TestFullDisk(t *testing.T) {
 	for seed := uint64(0); seed < 40; seed++ {
 		disk := sim.NewDisk()
@@ -165,16 +163,16 @@
 		disk.Fault.IsFull = true
 		for range 5 {
 			if store.Commit(testBatch(seed+2)) == nil {
-				t.Fatal("a full disk took a batch")
+				t.Fatal("a commit succeeded on a full disk")
 			}
 			if lastIndex(store) != seed+1 {
-				t.Fatalf("what was durable reads as %d of %d", lastIndex(store), seed+1)
+				t.Fatalf("%d of %d durable entries can be read", lastIndex(store), seed+1)
 			}
 		}
 		if seed%3 == 0 {
-			// Killed meanwhile: a full disk is opened only once it takes writes.
+			// Restarted meanwhile: a store is opened only once its disk takes writes.
 			if _, err := storage.OpenWithLogLimit(disk, 2000); err == nil {
-				t.Fatal("a store was opened that takes no writes")
+				t.Fatal("a store was opened on a disk that takes no writes")
 			}
 			disk.Fault.IsFull = false
 			if run.store, err = storage.OpenWithLogLimit(disk, 2000); err != nil {
@@ -196,9 +194,9 @@
 	}
 }
 
-// TestFailedSlotSwitch: while the next slot can't be written, or can't be known to
-// last, the log it would replace takes nothing more: were that slot found after
-// a loss of power, all that followed in the old log would be gone.
+// TestFailedSlotSwitch: while the next slot can't be written, or isn't known to be
+// durable, nothing is appended to the log that it would replace: if that slot was found
+// after a loss of power, all that followed in the old log would be lost.
 func TestFailedSlotSwitch(t *testing.T) {
 	for seed := uint64(0); seed < 40; seed++ {
 		disk := sim.NewDisk()
@@ -216,7 +214,7 @@
 			}
 		}
 		if run.failures == 0 {
-			t.Fatal("the log went on for ever")
+			t.Fatal("commits went on in the old log")
 		}
 		if seed%4 > 1 {
 			disk.Fault = sim.DiskFault{}
@@ -230,8 +228,8 @@
 	}
 }
 
-// TestTornTail: what a failed write left behind is cut before anything follows,
-// so that nothing of it stands after a shorter frame.
+// TestTornTail: what a failed write left behind is truncated before anything follows,
+// so that none of it remains after a shorter frame.
 func TestTornTail(t *testing.T) {
 	long := []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(2, 900)}}}
 	short := []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(2, 1)}}}
@@ -248,7 +246,7 @@
 		if withFailure {
 			disk.Fault.IsFull = true
 			if store.Commit(long) == nil {
-				t.Fatal("a full disk took a batch")
+				t.Fatal("a commit succeeded on a full disk")
 			}
 			disk.Fault.IsFull = false
 		}
@@ -262,9 +260,9 @@
 	}
 }
 
-// TestSpaceReservedForNextSlot: on a disk that others have filled up, a store
-// whose content doesn't grow goes on for ever in the room that its own files
-// hold: the log before last is kept until the next slot needs its room.
+// TestSpaceReservedForNextSlot: on a disk that other programs have filled, a store whose
+// state doesn't grow goes on in the space of its own files: the log of the former epoch
+// is kept until the next slot needs its space.
 func TestSpaceReservedForNextSlot(t *testing.T) {
 	for seed := uint64(0); seed < 20; seed++ {
 		disk := sim.NewDisk()
@@ -282,12 +280,12 @@
 			steady(k)
 		}
 		disk.Fault.Capacity = disk.Used()
-		turned := store.Stats().Slots
+		slots := store.Stats().Slots
 		for ; k < 400; k++ {
 			steady(k)
 		}
-		if store.Stats().Slots < turned+3 {
-			t.Fatalf("%d slots were written on a full disk", store.Stats().Slots-turned)
+		if store.Stats().Slots < slots+3 {
+			t.Fatalf("%d slots were written on a full disk", store.Stats().Slots-slots)
 		}
 		if err := run.reopen(rand.New(rand.NewPCG(seed, 4)), k); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
@@ -295,7 +293,7 @@
 	}
 }
 
-// mustCommit commits until that succeeds.
+// mustCommit retries a commit until it succeeds.
 func (f *faultyRun) mustCommit(t *testing.T, changes []*schema.StoreChange) {
 	t.Helper()
 	for range 12 {
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -19,33 +19,34 @@
 	return &schema.Entry{Index: index, Term: 1, Data: make([]byte, size)}
 }
 
+// describe is the state of the group as text.
 func describe(s *storage.Store) string {
-	image := s.State().Groups["g"]
-	if image == nil {
+	group := s.State().Groups["g"]
+	if group == nil {
 		return "nothing"
 	}
-	text := fmt.Sprint("term ", image.HardState.GetTerm(), " base ", image.Snapshot.GetIndex(), " records")
-	for _, r := range image.Entries {
-		text += fmt.Sprint(" ", r.Index)
+	text := fmt.Sprint("term ", group.HardState.GetTerm(), " snapshot ", group.Snapshot.GetIndex(), " entries")
+	for _, entry := range group.Entries {
+		text += fmt.Sprint(" ", entry.Index)
 	}
 	return text
 }
 
-// checkDiskContract is what every disk must give the storage.
+// checkDiskContract checks what a store needs of every implementation of Disk.
 func checkDiskContract(open func() storage.Disk, reopen func(storage.Disk) storage.Disk) {
 	disk := open()
 	s, err := storage.Open(disk)
 	So(err, ShouldBeNil)
 	So(s.Commit([]*schema.StoreChange{{Group: "g", HardState: &schema.HardState{Term: 3, Vote: "x"}, Entries: []*schema.Entry{testEntry(1, 5), testEntry(2, 5), testEntry(3, 5)}}}), ShouldBeNil)
 	So(s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(2, 5)}}}), ShouldBeNil)
-	So(describe(s), ShouldEqual, "term 3 base 0 records 1 2")
+	So(describe(s), ShouldEqual, "term 3 snapshot 0 entries 1 2")
 	disk = reopen(disk)
 	s, err = storage.Open(disk)
 	So(err, ShouldBeNil)
-	So(describe(s), ShouldEqual, "term 3 base 0 records 1 2")
+	So(describe(s), ShouldEqual, "term 3 snapshot 0 entries 1 2")
 	So(s.Commit([]*schema.StoreChange{{Group: "g", Snapshot: &schema.Snapshot{Index: 1}}}), ShouldBeNil)
 	So(s.Commit([]*schema.StoreChange{{Group: "h", HardState: &schema.HardState{Term: 1}}, {Group: "h", Removed: true}}), ShouldBeNil)
-	// Enough to turn to the other slot, more than once.
+	// Enough to switch slots more than once.
 	for k := uint64(3); k < 40; k++ {
 		So(s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(k, 400_000)}, Snapshot: &schema.Snapshot{Index: k - 2}}}), ShouldBeNil)
 	}
@@ -53,29 +54,29 @@
 	disk = reopen(disk)
 	s, err = storage.Open(disk)
 	So(err, ShouldBeNil)
-	So(describe(s), ShouldEqual, "term 3 base 37 records 38 39")
+	So(describe(s), ShouldEqual, "term 3 snapshot 37 entries 38 39")
 	So(s.State().Groups["h"], ShouldBeNil)
 }
 
 func TestDiskContract(t *testing.T) {
-	Convey("The real disk keeps the contract", t, func() {
+	Convey("A data folder fulfils the contract of Disk", t, func() {
 		path := t.TempDir()
-		var held *storage.Dir
+		var opened *storage.Dir
 		open := func() storage.Disk {
-			folder, err := storage.OpenDir(path)
+			dir, err := storage.OpenDir(path)
 			So(err, ShouldBeNil)
-			held = folder
-			return folder
+			opened = dir
+			return dir
 		}
 		checkDiskContract(open, func(storage.Disk) storage.Disk {
 			_, err := storage.OpenDir(path)
 			So(err, ShouldNotBeNil) // one process at a time
-			held.Close()
+			opened.Close()
 			return open()
 		})
-		held.Close()
+		opened.Close()
 	})
-	Convey("The simulated disk keeps the contract, its power cut each time", t, func() {
+	Convey("The simulated disk fulfils it, with power lost at each reopening", t, func() {
 		rng := rand.New(rand.NewPCG(1, 1))
 		checkDiskContract(func() storage.Disk { return sim.NewDisk() }, func(d storage.Disk) storage.Disk {
 			d.(*sim.Disk).PowerCut(rng)
@@ -84,8 +85,8 @@
 	})
 }
 
-// TestPowerCutAtEveryWrite: whatever operation the power goes at, what was
-// acknowledged is there, and nothing but a prefix of what was asked for.
+// TestPowerCutAtEveryWrite: whichever operation power is lost at, the store holds a
+// prefix of the commits, and all that were acknowledged.
 func TestPowerCutAtEveryWrite(t *testing.T) {
 	for cut := 1; cut < 120; cut++ {
 		for seed := uint64(0); seed < 4; seed++ {
@@ -101,10 +102,10 @@
 				requested = k
 				size := 10
 				if k%7 == 0 {
-					size = 1_500 // so that slots are turned under the cuts as well
+					size = 1_500 // so that slots are switched as well
 				}
-				point := &schema.Snapshot{Index: max(k, 4) - 4}
-				if s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(k, size)}, Snapshot: point}}) != nil {
+				snapshot := &schema.Snapshot{Index: max(k, 4) - 4}
+				if s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(k, size)}, Snapshot: snapshot}}) != nil {
 					break
 				}
 				acknowledged = k
@@ -112,16 +113,13 @@
 			disk.PowerCut(rng)
 			s, err = storage.OpenWithLogLimit(disk, 2000)
 			if err != nil {
-				t.Fatalf("cut at %d, seed %d: %v", cut, seed, err)
-			}
-			last := uint64(0)
-			if image := s.State().Groups["g"]; image != nil {
-				last = image.Entries[len(image.Entries)-1].Index
+				t.Fatalf("power lost at operation %d, seed %d: %v", cut, seed, err)
 			}
+			last := lastIndex(s)
 			if last < acknowledged || last > requested {
-				t.Fatalf("cut at %d, seed %d: %d was acknowledged and %d asked for, %d is there", cut, seed, acknowledged, requested, last)
+				t.Fatalf("power lost at operation %d, seed %d: %d acknowledged, %d committed, %d found", cut, seed, acknowledged, requested, last)
 			}
-			// And it can be written to again.
+			// The store can be written to again.
 			if err := s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(last+1, 10)}}}); err != nil {
 				t.Fatal(err)
 			}
@@ -129,8 +127,8 @@
 	}
 }
 
-// TestCorruptionIsNotTakenForTornTail: a bit turned round anywhere before the
-// end of what was acknowledged is reported, with file and offset, or harmless.
+// TestCorruptionIsNotTakenForTornTail: a flipped bit anywhere in what was acknowledged
+// is either reported or harmless.
 func TestCorruptionIsNotTakenForTornTail(t *testing.T) {
 	build := func() (*sim.Disk, *storage.Store) {
 		disk := sim.NewDisk()
@@ -160,16 +158,16 @@
 			t.Fatal(err)
 		}
 		if describe(s) != describe(whole) {
-			t.Fatalf("rot at %d of %d went unnoticed: %s", offset, size, describe(s))
+			t.Fatalf("corruption at %d of %d wasn't detected: %s", offset, size, describe(s))
 		}
 	}
 	if reported < size/3*9/10 {
-		t.Fatalf("only %d of %d places were reported", reported, size/3)
+		t.Fatalf("only %d of %d corruptions were reported", reported, size/3)
 	}
 }
 
 func TestCorruptedSlot(t *testing.T) {
-	Convey("A slot that rots after its log has grown is reported", t, func() {
+	Convey("A slot that is corrupted after its log has begun is reported", t, func() {
 		disk := sim.NewDisk()
 		s, err := storage.Open(disk)
 		So(err, ShouldBeNil)
@@ -182,19 +180,19 @@
 		So(storage.IsCorrupted(err), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "slot-1 at offset")
 	})
-	Convey("A damaged folder is put aside and the evidence kept", t, func() {
+	Convey("Quarantine leaves an empty store, and keeps the damaged files", t, func() {
 		path := t.TempDir()
-		folder, err := storage.OpenDir(path)
+		dir, err := storage.OpenDir(path)
 		So(err, ShouldBeNil)
-		s, err := storage.Open(folder)
+		s, err := storage.Open(dir)
 		So(err, ShouldBeNil)
 		So(s.Commit([]*schema.StoreChange{{Identity: &schema.StoreIdentity{Id: "old"}}}), ShouldBeNil)
-		So(folder.Quarantine("damaged-1"), ShouldBeNil)
-		s, err = storage.Open(folder)
+		So(dir.Quarantine("damaged-1"), ShouldBeNil)
+		s, err = storage.Open(dir)
 		So(err, ShouldBeNil)
 		So(proto.Equal(s.State().Identity, &schema.StoreIdentity{}), ShouldBeTrue)
 		_, err = os.Stat(filepath.Join(path, "log-0.damaged-1"))
 		So(err, ShouldBeNil)
-		folder.Close()
+		dir.Close()
 	})
 }
