--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -7,15 +7,17 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// echo responds with each message, and panics on request.
 type echo struct{}
 
-func (echo) Step(_ Micros, mail Message, out Effects) {
-	if mail.Body == "break" {
-		panic("broken")
+func (echo) Step(_ Micros, message Message, effects Effects) {
+	if message.Body == "panic" {
+		panic("requested")
 	}
-	out.Respond(7, mail.Body)
+	effects.Respond(7, message.Body)
 }
 
+// recordedEffects keeps the responses and drops the rest.
 type recordedEffects struct{ responses chan any }
 
 func (recordedEffects) Send(string, any)             {}
@@ -24,32 +26,32 @@
 func (c recordedEffects) Respond(_ uint64, body any) { c.responses <- body }
 
 func TestProcess(t *testing.T) {
-	Convey("Mails reach their table in order, and a table that panics is told of", t, func() {
+	Convey("Messages reach their component in order, and a panic is reported", t, func() {
 		p := NewProcess(RealClock())
-		out := recordedEffects{make(chan any, 16)}
-		broken := make(chan string, 1)
-		p.Outbound, p.OnPanic = out, func(table string, cause any, stack []byte) { broken <- table }
+		effects := recordedEffects{make(chan any, 16)}
+		panicked := make(chan string, 1)
+		p.Outbound, p.OnPanic = effects, func(component string, cause any, stack []byte) { panicked <- component }
 		p.Add("echo", echo{}, 0)
 		ctx, cancel := context.WithCancel(context.Background())
 		So(p.Post("echo", Message{Body: 1}), ShouldBeTrue)
 		So(p.Post("nobody", Message{Body: 1}), ShouldBeFalse)
 		p.Run(ctx)
 		So(p.PostWait("echo", Message{Body: 2}), ShouldBeTrue)
-		So(<-out.responses, ShouldEqual, 1)
-		So(<-out.responses, ShouldEqual, 2)
-		p.Post("echo", Message{Body: "break"})
-		So(<-broken, ShouldEqual, "echo")
+		So(<-effects.responses, ShouldEqual, 1)
+		So(<-effects.responses, ShouldEqual, 2)
+		p.Post("echo", Message{Body: "panic"})
+		So(<-panicked, ShouldEqual, "echo")
 		cancel()
 		p.Wait()
 	})
-	Convey("A full ring loses what is offered, and counts it", t, func() {
-		r := NewQueue[int](2)
-		So(r.TryPut(1), ShouldBeTrue)
-		So(r.TryPut(2), ShouldBeTrue)
-		So(r.TryPut(3), ShouldBeFalse)
-		So(r.Dropped(), ShouldEqual, 1)
+	Convey("A full queue drops items and counts them", t, func() {
+		q := NewQueue[int](2)
+		So(q.TryPut(1), ShouldBeTrue)
+		So(q.TryPut(2), ShouldBeTrue)
+		So(q.TryPut(3), ShouldBeFalse)
+		So(q.Dropped(), ShouldEqual, 1)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		So(r.Put(ctx, 4), ShouldBeFalse)
+		So(q.Put(ctx, 4), ShouldBeFalse)
 	})
 }
