--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,6 +1,7 @@
-// Package timing derives the control side's spans from what a deployment promises and
-// asks. They are made here alone, so that the sums they enter hold for any bounds; see
-// docs/control/members.md.
+// Package timing derives the timeouts of the control side (replicas, controller,
+// scheduler) from the bounds that a deployment promises and asks for. They are derived
+// here alone, so that the inequalities between them hold for any bounds;
+// docs/control/members.md gives the reasons.
 package timing
 
 import (
@@ -8,30 +9,35 @@
 	"sparnotch/internal/schema"
 )
 
-// Timeouts are the time constants that depend on a deployment.
+// Timeouts are the time constants that depend on a deployment, in µs.
 type Timeouts struct {
-	// Suspect is how long a process may be unheard by anybody until it is taken to be
-	// silent: half of the time in which a machine that is cut off still counts as in touch.
+	// SuspectTimeout is how long nobody may hear from a process before it counts as
+	// unresponsive: half of the time in which a machine behind a partition still counts
+	// as in contact.
 	SuspectTimeout eventloop.Micros
-	// Replaced is how long a store is silent until its place goes to one that has come of
-	// late: what the catch-up leaves beside the steps of a repair.
+	// ReplaceByNewTimeout is how long a storage node must be unresponsive for its replicas
+	// to move to a newly joined one: what the catch-up bound leaves beside a repair.
 	ReplaceByNewTimeout eventloop.Micros
-	// Lost is how long a store is silent until its place goes to any spare: longer than a
-	// restart and its catch-up, so that a reboot doesn't cost a copy of everything.
+	// ReplaceTimeout is how long a storage node must be unresponsive for its replicas to
+	// move to any other: longer than a restart and its catch-up, so that a reboot doesn't
+	// cost a copy of everything.
 	ReplaceTimeout eventloop.Micros
-	// Fresh is how old the cluster state's word may be for a queue's leader to act.
+	// MaxStateAge is how old the cluster state may be for a queue's leader to act on it.
 	MaxStateAge eventloop.Micros
-	// Ward is how long a former ward may still have granted something: its leader's word
-	// may have been that old, and the scheduler's word of the leader besides.
+	// FormerLeaseTimeout is how long after a worker lease has moved its former holder may
+	// still have placed work: the cluster state that its leader acted on may have been
+	// MaxStateAge old, and its own status of that leader MaxLeaderStatusAge.
 	FormerLeaseTimeout eventloop.Micros
 }
 
 const (
-	// MaxLeaderStatusAge is how old a leader's word may be for an order of the scheduler to leave.
+	// MaxLeaderStatusAge is how old a scheduler's status of its queue's leader may be for
+	// an order to a worker to be sent.
 	MaxLeaderStatusAge = 250 * eventloop.Millisecond
-	// RepairDuration is what the steps of a repair take: the word of a loss or of a newcomer
-	// through the book (two hops of 250 ms), and three changes of members, each with its
-	// commits, the copy of what the newcomer lacks, and the word that it is done.
+	// RepairDuration is what the steps of a repair take: the report of a loss or of a new
+	// node through the membership (two hops of 250 ms), and three membership changes of
+	// the group, each with its commits, the copy of what the new replica lacks, and the
+	// report that it is done.
 	RepairDuration = 1500 * eventloop.Millisecond
 
 	defaultContact = 3 * eventloop.Second
@@ -43,15 +49,8 @@
 	maxStateAge            = eventloop.Second
 )
 
-func orDefault(us int64, fallback eventloop.Micros) eventloop.Micros {
-	if us <= 0 {
-		return fallback
-	}
-	return eventloop.Micros(us)
-}
-
-// FromBounds derives the spans; bounds that aren't told are the usual ones. Wider bounds change
-// nothing: being sooner than asked is no harm.
+// FromBounds derives the timeouts. Bounds that are nil or 0 have their defaults; bounds
+// wider than these change nothing, since being sooner than asked does no harm.
 func FromBounds(bounds *schema.Bounds) Timeouts {
 	contact := orDefault(bounds.GetContactUs(), defaultContact)
 	catchUp := orDefault(bounds.GetCatchUpUs(), defaultCatchUp)
@@ -65,7 +64,14 @@
 	return timeouts
 }
 
-// CanCatchUp tells whether a repair can be done within the catch-up of these bounds.
+// CanCatchUp tells whether a repair can be completed within the catch-up bound.
 func CanCatchUp(bounds *schema.Bounds) bool {
 	return FromBounds(bounds).ReplaceByNewTimeout+RepairDuration <= orDefault(bounds.GetCatchUpUs(), defaultCatchUp)
 }
+
+func orDefault(us int64, fallback eventloop.Micros) eventloop.Micros {
+	if us <= 0 {
+		return fallback
+	}
+	return eventloop.Micros(us)
+}
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -18,7 +18,7 @@
 	bounds := func(contact, catchUp, acknowledge eventloop.Micros) *schema.Bounds {
 		return &schema.Bounds{ContactUs: int64(contact), CatchUpUs: int64(catchUp), AcknowledgeUs: int64(acknowledge)}
 	}
-	Convey("Without bounds, and with those of the deployments that are known, the spans are the usual ones", t, func() {
+	Convey("Without bounds, and with those of the known deployments, the timeouts are the defaults", t, func() {
 		So(FromBounds(nil), ShouldResemble, defaults)
 		So(FromBounds(&schema.Bounds{}), ShouldResemble, defaults)
 		So(FromBounds(bounds(3*eventloop.Second, 4*eventloop.Second, 4*eventloop.Second)), ShouldResemble, defaults)
@@ -26,15 +26,15 @@
 	})
 	for contact := 500 * eventloop.Millisecond; contact <= 10*eventloop.Second; contact += 500 * eventloop.Millisecond {
 		for catchUp := eventloop.Second; catchUp <= 20*eventloop.Second; catchUp += 500 * eventloop.Millisecond {
-			Convey(fmt.Sprintf("The sums hold with a contact of %d ms and a catch-up of %d ms", contact/1000, catchUp/1000), t, func() {
+			Convey(fmt.Sprintf("The inequalities hold with a contact bound of %d ms and a catch-up bound of %d ms", contact/1000, catchUp/1000), t, func() {
 				b := bounds(contact, catchUp, contact+eventloop.Second)
 				s := FromBounds(b)
 				So(2*s.SuspectTimeout, ShouldBeLessThanOrEqualTo, contact)
 				So(s.SuspectTimeout, ShouldBeLessThanOrEqualTo, s.ReplaceByNewTimeout)
 				So(s.ReplaceByNewTimeout, ShouldBeLessThanOrEqualTo, s.ReplaceTimeout)
-				// What the former ward granted on the oldest word is waited for.
+				// What the former lease holder placed on the oldest status is waited for.
 				So(s.FormerLeaseTimeout, ShouldBeGreaterThanOrEqualTo, s.MaxStateAge+MaxLeaderStatusAge)
-				// A repair is done in time, or the deployment is told that it can't be.
+				// A repair is done in time, or CanCatchUp says that it can't be.
 				if catchUp >= s.SuspectTimeout+RepairDuration {
 					So(s.ReplaceByNewTimeout+RepairDuration, ShouldBeLessThanOrEqualTo, catchUp)
 					So(CanCatchUp(b), ShouldBeTrue)
