--- a/internal/logring/logring.go
+++ b/internal/logring/logring.go
@@ -1,5 +1,6 @@
-// Package logring keeps the log in memory, as a ring, and writes it out when
-// something goes wrong.
+// Package logring keeps the last lines of a process's log in memory, and writes them out
+// when an error is logged: what led to it is then on record, and a process without
+// errors writes nothing.
 package logring
 
 import (
@@ -13,15 +14,18 @@
 
 const maxLines = 2048
 
-// Ring is the log's memory.
+// Ring holds the last lines. It implements zapcore.WriteSyncer and is safe for
+// concurrent use.
 type Ring struct {
 	mu    sync.Mutex
 	lines [][]byte
-	next  int
+	next  int // the oldest line, once the ring is full
 	path  string
 }
 
-// New makes a log whose ring is written to path, or to standard error.
+// New makes a logger of all levels that writes JSON lines to a ring. Each entry of level
+// error or above flushes the ring to the end of the file at path, or to standard error
+// if path is empty or can't be opened.
 func New(path string) (*zap.Logger, *Ring) {
 	ring := &Ring{path: path}
 	config := zap.NewProductionEncoderConfig()
@@ -36,7 +40,7 @@
 	return logger, ring
 }
 
-// Write takes one line of the log.
+// Write adds one line, of which it keeps a copy.
 func (r *Ring) Write(line []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,10 +54,11 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer; what is in memory needs none.
+// Sync implements zapcore.WriteSyncer; a ring in memory needs none.
 func (r *Ring) Sync() error { return nil }
 
-// Flush writes the ring out, oldest line first, and empties it.
+// Flush writes the lines out, the oldest first, and empties the ring. After an error the
+// lines are kept.
 func (r *Ring) Flush() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
