--- a/internal/raft/chunks_test.go
+++ b/internal/raft/chunks_test.go
@@ -16,8 +16,8 @@
 		for seed := uint64(1); seed <= 5; seed++ {
 			s := newSlowCluster(seed, eventloop.SlowestLink)
 			lead := s.leader()
-			lagging := s.others()
-			s.down[lagging[1]] = true
+			others := s.others()
+			s.down[others[1]] = true
 			s.runSlow(eventloop.Second, nil)
 			term, began := lead.Term(), s.now
 			s.stepsWithoutLease, s.maxQuorumSilence = 0, 0
@@ -27,11 +27,11 @@
 			}
 			least := eventloop.LinkTime(count * size)
 			s.runSlow(least+least/4+eventloop.Second, func() {
-				if len(s.applied[lagging[0]]) < count {
+				if len(s.applied[others[0]]) < count {
 					least = s.now - began
 				}
 			})
-			So(s.applied[lagging[0]], ShouldHaveLength, count)
+			So(s.applied[others[0]], ShouldHaveLength, count)
 			So(lead.IsLeader(), ShouldBeTrue)
 			So(lead.Term(), ShouldEqual, term)
 			So(s.stepsWithoutLease, ShouldEqual, 0)
@@ -40,15 +40,15 @@
 	})
 	Convey("So do very many small ones", t, func() {
 		s := newSlowCluster(7, eventloop.SlowestLink)
-		lagging := s.others()
-		s.down[lagging[1]] = true
+		others := s.others()
+		s.down[others[1]] = true
 		s.runSlow(eventloop.Second, nil)
 		s.stepsWithoutLease = 0
 		for k := range 900 {
 			So(s.propose(randomText(1000+k)), ShouldBeTrue)
 		}
 		s.runSlow(10*eventloop.Second, nil)
-		So(s.applied[lagging[0]], ShouldHaveLength, 900)
+		So(s.applied[others[0]], ShouldHaveLength, 900)
 		So(s.stepsWithoutLease, ShouldEqual, 0)
 	})
 }
@@ -88,9 +88,9 @@
 	})
 	Convey("Over links three times slower still, or of high latency, chunks aren't retransmitted while they are queued", t, func() {
 		const size = 200 << 10
-		for _, way := range []eventloop.Micros{0, 140 * eventloop.Millisecond} {
+		for _, delay := range []eventloop.Micros{0, 140 * eventloop.Millisecond} {
 			s, lead, lagging, state := newLaggingFollower(1, size)
-			if s.linkDelay = way; way == 0 {
+			if s.linkDelay = delay; delay == 0 {
 				s.bytesPerSecond = eventloop.SlowestLink / 3
 			}
 			s.runSlow(5*eventloop.Second, nil)
--- a/internal/storage/snapshot_install_test.go
+++ b/internal/storage/snapshot_install_test.go
@@ -20,11 +20,11 @@
 		return &schema.Snapshot{Index: index, Term: 2, Data: fmt.Appendf(nil, "state %d %3000d", index, index)}
 	}
 	entries := func(first, last uint64) []*schema.Entry {
-		var entries []*schema.Entry
+		var list []*schema.Entry
 		for index := first; index <= last; index++ {
-			entries = append(entries, testEntry(index, 200))
+			list = append(list, testEntry(index, 200))
 		}
-		return entries
+		return list
 	}
 	return [][]*schema.StoreChange{
 		{{Group: "g", HardState: &schema.HardState{Term: 1, Vote: "a"}, Entries: entries(1, 8)}},
@@ -60,17 +60,17 @@
 func TestInterruptedSnapshotInstall(t *testing.T) {
 	steps := installSteps()
 	for _, limit := range []int64{100, 1500, 2500, 4000, 9000, 1 << 20} {
-		for cut := 1; cut < 60; cut++ {
+		for operation := 1; operation < 60; operation++ {
 			for seed := uint64(0); seed < 3; seed++ {
-				interruptInstall(t, steps, limit, cut, seed)
+				interruptInstall(t, steps, limit, operation, seed)
 			}
 		}
 	}
 }
 
-func interruptInstall(t *testing.T, steps [][]*schema.StoreChange, limit int64, cut int, seed uint64) {
+func interruptInstall(t *testing.T, steps [][]*schema.StoreChange, limit int64, operation int, seed uint64) {
 	fail := func(form string, args ...any) {
-		t.Fatalf("limit %d, power lost at operation %d, seed %d: %s", limit, cut, seed, fmt.Sprintf(form, args...))
+		t.Fatalf("limit %d, power lost at operation %d, seed %d: %s", limit, operation, seed, fmt.Sprintf(form, args...))
 	}
 	reference, err := storage.OpenWithLogLimit(sim.NewDisk(), limit)
 	if err != nil {
@@ -84,12 +84,12 @@
 		expected = append(expected, dumpState(reference))
 	}
 	disk := sim.NewDisk()
-	rng := rand.New(rand.NewPCG(seed, uint64(cut)))
+	rng := rand.New(rand.NewPCG(seed, uint64(operation)))
 	s, err := storage.OpenWithLogLimit(disk, limit)
 	if err != nil {
 		t.Fatal(err)
 	}
-	disk.OpsLeft = cut
+	disk.OpsLeft = operation
 	acknowledged := 0
 	for acknowledged < len(steps) && s.Commit(steps[acknowledged]) == nil {
 		acknowledged++
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -88,15 +88,15 @@
 // TestPowerCutAtEveryWrite: whichever operation power is lost at, the store holds a
 // prefix of the commits, and all that were acknowledged.
 func TestPowerCutAtEveryWrite(t *testing.T) {
-	for cut := 1; cut < 120; cut++ {
+	for operation := 1; operation < 120; operation++ {
 		for seed := uint64(0); seed < 4; seed++ {
 			disk := sim.NewDisk()
-			rng := rand.New(rand.NewPCG(seed, uint64(cut)))
+			rng := rand.New(rand.NewPCG(seed, uint64(operation)))
 			s, err := storage.OpenWithLogLimit(disk, 2000)
 			if err != nil {
 				t.Fatal(err)
 			}
-			disk.OpsLeft = cut
+			disk.OpsLeft = operation
 			acknowledged, requested := uint64(0), uint64(0)
 			for k := uint64(1); k <= 60; k++ {
 				requested = k
@@ -113,11 +113,11 @@
 			disk.PowerCut(rng)
 			s, err = storage.OpenWithLogLimit(disk, 2000)
 			if err != nil {
-				t.Fatalf("power lost at operation %d, seed %d: %v", cut, seed, err)
+				t.Fatalf("power lost at operation %d, seed %d: %v", operation, seed, err)
 			}
 			last := lastIndex(s)
 			if last < acknowledged || last > requested {
-				t.Fatalf("power lost at operation %d, seed %d: %d acknowledged, %d committed, %d found", cut, seed, acknowledged, requested, last)
+				t.Fatalf("power lost at operation %d, seed %d: %d acknowledged, %d committed, %d found", operation, seed, acknowledged, requested, last)
 			}
 			// The store can be written to again.
 			if err := s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(last+1, 10)}}}); err != nil {
