--- a/internal/clusterstate/clusterstate.go
+++ b/internal/clusterstate/clusterstate.go
@@ -1,60 +1,61 @@
-// Package clusterstate is the pure machine of the system's own group: the plan and
-// its generation, where queues stand, who wards which worker, and the controller's
-// lease. Every change is checked when it is applied, so that whoever acts on
-// an old view is fenced by the log itself.
+// Package clusterstate is the replicated state machine of the cluster's own Raft group.
+// It holds the operators' configuration with its history, the placement of the queues,
+// the worker leases (which scheduler alone may command a worker) and the controller
+// lease (which controller alone may act).
+//
+// A StateMachine applies the group's committed entries in log order and is deterministic:
+// its only clock is the time that the entries carry. Each replica of the group owns one;
+// internal/replica feeds it and persists its snapshots. Everybody else works on copies of
+// SharedState, which are sent by EncodeUpdate and read by DecodeUpdate. Each command is
+// validated when it is applied, against the fencing token of its lease or the version it is
+// based on, so that a sender with a stale view is rejected by the log itself.
 package clusterstate
 
 import (
-	"slices"
-	"sort"
-	"strconv"
+	"net/http"
 
 	"google.golang.org/protobuf/proto"
 
 	"sparnotch/internal/schema"
 )
 
-// Group is the name of the system's own group.
+// Group is the name of the cluster's own Raft group.
 const Group = "clusterstate"
 
-// ControllerLeaseUs is how long a controller's lease lasts in the group's time.
-const ControllerLeaseUs = 2_000_000
-
-// What the cluster state keeps of the past is bounded, for the whole of it is its
-// checkpoint: of old plans the rows, of editions only what tells them apart.
-const (
-	maxHistory           = 20
-	maxHistoryBytes      = 512 << 10 // of all old plans but the last
-	maxRememberedUpdates = 1024      // changes whose resend is known again
-	maxDocumentBytes     = 256 << 10
-	digestBytes          = 16
-)
-
-// Result is what a command came to, in HTTP's numbers.
+// Result is the outcome of a command, with HTTP's status codes.
 type Result struct {
 	Code          int32
-	Error         *schema.Error
-	FencingToken  uint64
-	Configuration *schema.Configuration
+	Error         *schema.Error         // why the command was rejected; nil if it was applied
+	FencingToken  uint64                // of the controller lease, after a granted claim
+	Configuration *schema.Configuration // the current one, after a configuration update; not to be changed
 }
 
-// StateMachine is the cluster state's state.
+func succeeded() *Result { return &Result{Code: http.StatusOK} }
+
+// StateMachine is one replica of the cluster state. It isn't safe for concurrent use.
 type StateMachine struct {
-	state           *schema.ClusterState
-	changed         bool // by the command in hand; renewals change nothing others need
+	state   *schema.ClusterState
+	changed bool // by the command being applied; lease renewals don't count
+
+	// Derived from the current configuration, and rebuilt when that is replaced.
+	parsedFrom      *schema.Configuration
 	values          *Values
-	parsedFrom      *schema.Configuration // of which the values and the bare plan were made
 	withoutDocument *schema.Configuration
-	compressedRows  []byte                // rows of a plan as they are told
-	compressedFrom  *schema.Configuration // and of which
+
+	// The compressed rows of the configuration that was encoded last.
+	compressedFrom *schema.Configuration
+	compressedRows []byte
 }
 
-// New makes an empty cluster state; Restore one from a checkpoint.
+// New returns an empty cluster state.
 func New() *StateMachine {
-	return &StateMachine{state: &schema.ClusterState{Configuration: &schema.Configuration{}, ControllerLease: &schema.ControllerLease{}, NextToken: 1}}
+	return &StateMachine{state: &schema.ClusterState{
+		Configuration: &schema.Configuration{}, ControllerLease: &schema.ControllerLease{}, NextToken: 1,
+	}}
 }
 
-// Restore makes the cluster state that a snapshot holds; none is an empty one.
+// Restore returns the cluster state of a snapshot, compressed or not; no data is an empty
+// state.
 func Restore(data []byte) (*StateMachine, error) {
 	m := New()
 	if len(data) == 0 {
@@ -67,231 +68,116 @@
 	return m, proto.Unmarshal(decompressed, m.state)
 }
 
-// Snapshot encodes the state.
+// Snapshot encodes the whole state. The bytes are deterministic: replicas that have applied
+// the same entries encode alike.
 func (m *StateMachine) Snapshot() []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m.state)
 	if err != nil {
-		panic("cluster state: state can't be encoded: " + err.Error())
+		panic("cluster state: the state can't be encoded: " + err.Error())
 	}
 	return data
 }
 
-// State is a copy that may be handed to others.
+// State returns a deep copy of the whole state, which the caller owns.
 func (m *StateMachine) State() *schema.ClusterState {
 	return proto.Clone(m.state).(*schema.ClusterState)
 }
 
-// Configuration is the plan with its document, not to be changed.
+// Configuration returns the current configuration with its document; not to be changed.
 func (m *StateMachine) Configuration() *schema.Configuration { return m.state.Configuration }
 
-// History is the old plans, the oldest first, not to be changed.
+// History returns the previous configurations that are kept, the oldest first, without
+// their documents; not to be changed.
 func (m *StateMachine) History() []*schema.Configuration { return m.state.PreviousConfigurations }
 
-// Values are the plan's weights and limits.
+// Values returns the parsed settings of the current configuration.
 func (m *StateMachine) Values() *Values {
-	m.refreshParsed()
+	m.refreshDerived()
 	return m.values
 }
 
-// SharedState is what every process carries. It goes out whole with each change, so
-// what only readers of the plan ask for isn't in it: document, history, and the
-// editions taken. The plan in it is the same as long as the plan is.
+// SharedState returns a copy of the part of the state that every process holds. It is sent
+// on each change, so it leaves out what is only served on request: the configuration's
+// document, the history and the accepted versions. Its Configuration is the same pointer
+// until the configuration is replaced; it is shared and not to be changed.
 func (m *StateMachine) SharedState() *schema.ClusterState {
-	m.refreshParsed()
-	state := m.state
-	shared := &schema.ClusterState{Version: state.Version, Configuration: m.withoutDocument, Voters: state.Voters, NowUs: state.NowUs, NextToken: state.NextToken}
-	shared.ControllerLease = proto.Clone(state.ControllerLease).(*schema.ControllerLease)
-	for _, placement := range state.Queues {
+	m.refreshDerived()
+	shared := withConfiguration(m.state, m.withoutDocument)
+	shared.ControllerLease = proto.Clone(m.state.ControllerLease).(*schema.ControllerLease)
+	shared.Queues, shared.WorkerLeases = nil, nil
+	for _, placement := range m.state.Queues {
 		shared.Queues = append(shared.Queues, proto.Clone(placement).(*schema.QueuePlacement))
 	}
-	for _, lease := range state.WorkerLeases {
+	for _, lease := range m.state.WorkerLeases {
 		shared.WorkerLeases = append(shared.WorkerLeases, proto.Clone(lease).(*schema.WorkerLease))
 	}
 	return shared
 }
 
-func (m *StateMachine) refreshParsed() {
-	if m.values == nil || m.parsedFrom != m.state.Configuration {
-		m.parsedFrom, m.values, m.withoutDocument = m.state.Configuration, ParseValues(m.state.Configuration), WithoutDocument(m.state.Configuration)
+// withConfiguration returns the shared part of a state with another configuration in it.
+// All the rest is shared with the given state.
+func withConfiguration(state *schema.ClusterState, configuration *schema.Configuration) *schema.ClusterState {
+	return &schema.ClusterState{
+		Version: state.Version, Configuration: configuration, Queues: state.Queues, WorkerLeases: state.WorkerLeases,
+		ControllerLease: state.ControllerLease, Voters: state.Voters, NowUs: state.NowUs, NextToken: state.NextToken,
 	}
 }
 
-// WithoutDocument is a plan without its document.
+func (m *StateMachine) refreshDerived() {
+	if m.values != nil && m.parsedFrom == m.state.Configuration {
+		return
+	}
+	m.parsedFrom = m.state.Configuration
+	m.values = ParseValues(m.parsedFrom)
+	m.withoutDocument = WithoutDocument(m.parsedFrom)
+}
+
+// WithoutDocument returns a configuration without its document; the rows are shared.
 func WithoutDocument(configuration *schema.Configuration) *schema.Configuration {
 	return &schema.Configuration{Revision: configuration.GetRevision(), Rows: configuration.GetRows(), Version: configuration.GetVersion()}
 }
 
-// ControllerLeaseExpiry is when the controller's lease ends, in the group's time.
-func (m *StateMachine) ControllerLeaseExpiry() int64 { return m.state.ControllerLease.GetExpiresUs() }
-
-// Version goes up by one with each change of the cluster state.
+// Version counts the applied changes; a renewal of the controller lease is none.
 func (m *StateMachine) Version() uint64 { return m.state.Version }
 
-// Apply takes one record's command.
-func (m *StateMachine) Apply(at int64, data []byte) (*Result, error) {
+// Apply applies the command of one committed entry, compressed or not, at the entry's time
+// in µs. A rejected command is a Result with an error code; an error means that the command
+// can't be decoded.
+func (m *StateMachine) Apply(timeUs int64, data []byte) (*Result, error) {
 	command, err := DecodeCommand(data)
 	if err != nil {
 		return nil, err
 	}
-	if at > m.state.NowUs {
-		m.state.NowUs = at
+	if timeUs > m.state.NowUs {
+		m.state.NowUs = timeUs
+	}
+	result := m.dispatch(command)
+	if m.changed {
+		m.state.Version++
+		m.changed = false
 	}
-	var result *Result
+	return result, nil
+}
+
+func (m *StateMachine) dispatch(command *schema.ClusterStateCommand) *Result {
 	switch body := command.Body.(type) {
 	case *schema.ClusterStateCommand_UpdateConfiguration:
-		result = m.replaceConfiguration(body.UpdateConfiguration.Update)
+		return m.replaceConfiguration(body.UpdateConfiguration.Update)
 	case *schema.ClusterStateCommand_ClaimControllerLease:
-		result = m.claimLease(body.ClaimControllerLease.Holder)
+		return m.claimControllerLease(body.ClaimControllerLease.Holder)
 	case *schema.ClusterStateCommand_PlaceQueues:
-		result = m.placeQueues(body.PlaceQueues)
+		return m.placeQueues(body.PlaceQueues)
 	case *schema.ClusterStateCommand_AssignWorkers:
-		result = m.assignWorkers(body.AssignWorkers)
+		return m.assignWorkers(body.AssignWorkers)
 	case *schema.ClusterStateCommand_RegisterWorker:
-		result = m.registerWorker(body.RegisterWorker.Worker)
-	default:
-		result = &Result{Code: 400}
-	}
-	if m.changed {
-		m.state.Version++
-		m.changed = false
+		return m.registerWorker(body.RegisterWorker.Worker)
 	}
-	return result, nil
+	return &Result{Code: http.StatusBadRequest}
 }
 
+// nextToken returns a number that was never used before: a fencing token or the generation
+// of a queue.
 func (m *StateMachine) nextToken() uint64 {
 	m.state.NextToken++
 	return m.state.NextToken - 1
 }
-
-func (m *StateMachine) claimLease(id string) *Result {
-	current := m.state.ControllerLease
-	expired := current.Holder == "" || current.ExpiresUs <= m.state.NowUs
-	if current.Holder != id && !expired {
-		return &Result{Code: 409, Error: &schema.Error{Code: "controller_taken", Message: "another controller holds the lease"}}
-	}
-	token := current.FencingToken
-	// Whoever let it lapse gets a new one: what it sent under the old one may
-	// still be on its way.
-	if current.Holder != id || expired {
-		token = m.nextToken()
-		m.changed = true
-	}
-	m.state.ControllerLease = &schema.ControllerLease{Holder: id, FencingToken: token, ExpiresUs: m.state.NowUs + ControllerLeaseUs}
-	return &Result{Code: 200, FencingToken: token}
-}
-
-// HoldsControllerLease tells whether a lease is the current one and hasn't run out.
-func (m *StateMachine) HoldsControllerLease(lease uint64) bool {
-	current := m.state.ControllerLease
-	return current.FencingToken == lease && lease != 0 && current.ExpiresUs > m.state.NowUs
-}
-
-func staleLease() *Result {
-	return &Result{Code: 403, Error: &schema.Error{Code: "lease_over", Message: "the controller lease is not the current one"}}
-}
-
-func (m *StateMachine) placeQueues(command *schema.PlaceQueues) *Result {
-	if !m.HoldsControllerLease(command.FencingToken) {
-		return staleLease()
-	}
-	values := m.Values()
-	for _, removed := range command.Removed {
-		for k, placement := range m.state.Queues {
-			// A queue that has rows again was wanted back meanwhile.
-			if matchesQueue(placement, removed) && !values.HasQueue(placement.Queue) {
-				m.state.Queues = append(m.state.Queues[:k:k], m.state.Queues[k+1:]...)
-				m.changed = true
-				break
-			}
-		}
-	}
-	for _, wanted := range command.Queues {
-		if placement := FindQueue(m.state, wanted.Queue); placement != nil {
-			m.changed = m.changed || placement.PreferredLeader != wanted.PreferredLeader
-			placement.PreferredLeader = wanted.PreferredLeader
-			continue
-		}
-		if values.HasQueue(wanted.Queue) && len(wanted.InitialVoters) > 0 {
-			m.changed = true
-			m.state.Queues = slices.Insert(m.state.Queues, searchQueue(m.state.Queues, wanted.Queue), &schema.QueuePlacement{
-				Queue: wanted.Queue, Generation: m.nextToken(), InitialVoters: wanted.InitialVoters, PreferredLeader: wanted.PreferredLeader,
-			})
-		}
-	}
-	return &Result{Code: 200}
-}
-
-// matchesQueue tells whether a queue that is to go is this one. The word of it may come
-// late, when a queue of that name has been made anew: that is another one. Logs of
-// older programs have the bare name.
-func matchesQueue(placement *schema.QueuePlacement, name string) bool {
-	return name == placement.Queue || name == placement.Queue+"#"+strconv.FormatUint(placement.Generation, 10)
-}
-
-func (m *StateMachine) assignWorkers(command *schema.AssignWorkers) *Result {
-	if !m.HoldsControllerLease(command.FencingToken) {
-		return staleLease()
-	}
-	for _, wanted := range command.WorkerLeases {
-		lease := FindWorkerLease(m.state, wanted.Worker)
-		switch {
-		case lease == nil:
-			m.changed = true
-			m.insertWorkerLease(wanted.Worker, wanted.Scheduler)
-		case lease.Scheduler != wanted.Scheduler:
-			m.changed = true
-			lease.Scheduler, lease.FencingToken = wanted.Scheduler, m.nextToken()
-		}
-	}
-	return &Result{Code: 200}
-}
-
-// Queues and wards are listed by name.
-func searchQueue(placements []*schema.QueuePlacement, queue string) int {
-	return sort.Search(len(placements), func(k int) bool { return placements[k].Queue >= queue })
-}
-
-func searchWorkerLease(leases []*schema.WorkerLease, worker string) int {
-	return sort.Search(len(leases), func(k int) bool { return leases[k].Worker >= worker })
-}
-
-func (m *StateMachine) insertWorkerLease(worker, scheduler string) {
-	m.state.WorkerLeases = slices.Insert(m.state.WorkerLeases, searchWorkerLease(m.state.WorkerLeases, worker), &schema.WorkerLease{Worker: worker, Scheduler: scheduler, FencingToken: m.nextToken()})
-}
-
-// registerWorker gives a new worker to the scheduler that wards most, so that it can work
-// before a controller looks.
-func (m *StateMachine) registerWorker(worker string) *Result {
-	if FindWorkerLease(m.state, worker) != nil {
-		return &Result{Code: 200}
-	}
-	counts := map[string]int{}
-	scheduler := ""
-	for _, lease := range m.state.WorkerLeases {
-		counts[lease.Scheduler]++
-		if lease.Scheduler != "" && (scheduler == "" || counts[lease.Scheduler] > counts[scheduler]) {
-			scheduler = lease.Scheduler
-		}
-	}
-	m.changed = true
-	m.insertWorkerLease(worker, scheduler)
-	return &Result{Code: 200}
-}
-
-// FindQueue finds a queue's place; the cluster state lists them by name.
-func FindQueue(state *schema.ClusterState, queue string) *schema.QueuePlacement {
-	placements := state.GetQueues()
-	if at := searchQueue(placements, queue); at < len(placements) && placements[at].Queue == queue {
-		return placements[at]
-	}
-	return nil
-}
-
-// FindWorkerLease finds a worker's ward; the cluster state lists them by name.
-func FindWorkerLease(state *schema.ClusterState, worker string) *schema.WorkerLease {
-	leases := state.GetWorkerLeases()
-	if at := searchWorkerLease(leases, worker); at < len(leases) && leases[at].Worker == worker {
-		return leases[at]
-	}
-	return nil
-}
--- a/internal/clusterstate/compression.go
+++ b/internal/clusterstate/compression.go
@@ -11,25 +11,26 @@
 	"sparnotch/internal/schema"
 )
 
-// A configuration says the same few words thousands of times. Large ones are
-// packed once, where they come in, and so lie in the log, in checkpoints, and on
-// every link.
+// The rows of a configuration repeat the same few strings thousands of times. Large
+// commands are compressed once, where they enter the system, and stay so in the log, in
+// snapshots and on every link.
 
 const (
-	compressionThreshold = 4 << 10  // less isn't worth it
-	maxDecompressedBytes = 64 << 20 // what packed bytes may become
-	compressedMarker     = 0x00     // no message of the schema and no JSON begins so
+	compressionThreshold = 4 << 10  // bytes; less isn't worth it
+	maxDecompressedBytes = 64 << 20 // bounds what a small input can expand to
+	compressedMarker     = 0x00     // no encoded message of the schema and no JSON begins with it
 )
 
 var (
-	// Errors are those of this package.
+	// Errors is the namespace of this package's errors.
 	Errors = errorx.NewNamespace("clusterstate")
-	// InvalidEncoding is what can't be unpacked, or is a copy without a plan that isn't held.
+	// InvalidEncoding is the type of errors for data that can't be decompressed or decoded,
+	// and for updates without a configuration that the receiver doesn't hold.
 	InvalidEncoding = Errors.NewType("bad_packed")
 )
 
-// Compress makes large bytes smaller; Unpack gives them back, and what isn't packed
-// as it is.
+// Compress compresses data unless it is small or doesn't shrink: then it is returned as it
+// is.
 func Compress(data []byte) []byte {
 	if len(data) < compressionThreshold {
 		return data
@@ -46,22 +47,23 @@
 	return compressed.Bytes()
 }
 
-// Decompress undoes Pack.
+// Decompress undoes Compress. Data without the marker is returned as it is. The error is
+// InvalidEncoding.
 func Decompress(data []byte) ([]byte, error) {
 	if len(data) == 0 || data[0] != compressedMarker {
 		return data, nil
 	}
 	decompressed, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data[1:])), maxDecompressedBytes+1))
 	if err != nil {
-		return nil, InvalidEncoding.Wrap(err, "unpacking")
+		return nil, InvalidEncoding.Wrap(err, "decompressing")
 	}
 	if len(decompressed) > maxDecompressedBytes {
-		return nil, InvalidEncoding.New("more than %d bytes", maxDecompressedBytes)
+		return nil, InvalidEncoding.New("more than %d bytes when decompressed", maxDecompressedBytes)
 	}
 	return decompressed, nil
 }
 
-// DecodeCommand decodes a command, packed or not.
+// DecodeCommand decodes a command, compressed or not.
 func DecodeCommand(data []byte) (*schema.ClusterStateCommand, error) {
 	decompressed, err := Decompress(data)
 	if err != nil {
@@ -70,70 +72,3 @@
 	command := &schema.ClusterStateCommand{}
 	return command, proto.Unmarshal(decompressed, command)
 }
-
-// EncodeUpdate is a copy of the cluster state as it is told to a process that holds a
-// generation of the plan: without the plan's rows if it is that one, else with
-// them packed where they are many.
-func (m *StateMachine) EncodeUpdate(shared *schema.ClusterState, heldRevision uint64) (update *schema.ClusterState, omitted bool) {
-	configuration := shared.Configuration
-	omitted = heldRevision > 0 && heldRevision == configuration.GetRevision()
-	update = &schema.ClusterState{
-		Version: shared.Version, Queues: shared.Queues, WorkerLeases: shared.WorkerLeases, ControllerLease: shared.ControllerLease,
-		Voters: shared.Voters, NowUs: shared.NowUs, NextToken: shared.NextToken,
-		Configuration: &schema.Configuration{Revision: configuration.GetRevision(), Version: configuration.GetVersion()},
-	}
-	if omitted {
-		return update, true
-	}
-	if m.compressedFrom != configuration {
-		m.compressedFrom, m.compressedRows = configuration, compressRows(configuration.GetRows())
-	}
-	if m.compressedRows == nil {
-		update.Configuration.Rows = configuration.GetRows()
-	}
-	update.Configuration.PackedRows = m.compressedRows
-	return update, false
-}
-
-// compressRows gives nil for rows that are few.
-func compressRows(rows []*schema.ConfigurationRow) []byte {
-	data, err := proto.Marshal(&schema.Configuration{Rows: rows})
-	if err != nil || len(data) < compressionThreshold {
-		return nil
-	}
-	return Compress(data)
-}
-
-// DecodeUpdate is the whole of a copy that was told to a process, given the plan that
-// it holds. It fails for a copy without rows of a plan that isn't held, as one
-// that was meant for an earlier life.
-func DecodeUpdate(message *schema.ClusterStateResponse, held *schema.Configuration) (*schema.ClusterState, error) {
-	state := message.State
-	if state == nil {
-		return nil, nil
-	}
-	configuration := state.Configuration
-	switch {
-	case configuration.GetRevision() > 0 && configuration.GetRevision() == held.GetRevision():
-		// The same plan as long as it has this generation.
-		configuration = held
-	case message.ConfigurationOmitted:
-		return nil, InvalidEncoding.New("a copy without generation %d of the plan, which isn't held", configuration.GetRevision())
-	case len(configuration.GetPackedRows()) > 0:
-		data, err := Decompress(configuration.PackedRows)
-		decoded := &schema.Configuration{}
-		if err == nil {
-			err = proto.Unmarshal(data, decoded)
-		}
-		if err != nil {
-			return nil, InvalidEncoding.Wrap(err, "rows of generation %d", configuration.Revision)
-		}
-		configuration = &schema.Configuration{Revision: configuration.Revision, Version: configuration.Version, Rows: decoded.Rows}
-	default:
-		return state, nil
-	}
-	return &schema.ClusterState{
-		Version: state.Version, Queues: state.Queues, WorkerLeases: state.WorkerLeases, ControllerLease: state.ControllerLease,
-		Voters: state.Voters, NowUs: state.NowUs, NextToken: state.NextToken, Configuration: configuration,
-	}, nil
-}
--- /dev/null
+++ b/internal/clusterstate/queues.go
@@ -0,0 +1,72 @@
+package clusterstate
+
+import (
+	"slices"
+	"sort"
+	"strconv"
+
+	"sparnotch/internal/schema"
+)
+
+// FindQueue returns a queue's placement, or nil. A state lists them sorted by queue.
+func FindQueue(state *schema.ClusterState, queue string) *schema.QueuePlacement {
+	placements := state.GetQueues()
+	if at := searchQueue(placements, queue); at < len(placements) && placements[at].Queue == queue {
+		return placements[at]
+	}
+	return nil
+}
+
+func searchQueue(placements []*schema.QueuePlacement, queue string) int {
+	return sort.Search(len(placements), func(k int) bool { return placements[k].Queue >= queue })
+}
+
+// placeQueues removes and places queues as the controller decided.
+func (m *StateMachine) placeQueues(command *schema.PlaceQueues) *Result {
+	if !m.HoldsControllerLease(command.FencingToken) {
+		return leaseExpired()
+	}
+	for _, name := range command.Removed {
+		m.removeQueue(name)
+	}
+	for _, wanted := range command.Queues {
+		m.placeQueue(wanted)
+	}
+	return succeeded()
+}
+
+// removeQueue removes the placement of a queue that isn't configured. One that has rows was
+// configured again after the controller decided.
+func (m *StateMachine) removeQueue(name string) {
+	for k, placement := range m.state.Queues {
+		if matchesQueue(placement, name) && !m.Values().HasQueue(placement.Queue) {
+			m.state.Queues = append(m.state.Queues[:k:k], m.state.Queues[k+1:]...)
+			m.changed = true
+			return
+		}
+	}
+}
+
+// matchesQueue reports whether a name is that of this very queue: "queue#generation". The
+// command may be delayed until a queue of the same name has been created anew, which must
+// stay. Logs written by older versions name the queue alone.
+func matchesQueue(placement *schema.QueuePlacement, name string) bool {
+	return name == placement.Queue || name == placement.Queue+"#"+strconv.FormatUint(placement.Generation, 10)
+}
+
+// placeQueue creates a configured queue with its first voters, or changes the preferred
+// leader of an existing one.
+func (m *StateMachine) placeQueue(wanted *schema.QueuePlacement) {
+	if placement := FindQueue(m.state, wanted.Queue); placement != nil {
+		m.changed = m.changed || placement.PreferredLeader != wanted.PreferredLeader
+		placement.PreferredLeader = wanted.PreferredLeader
+		return
+	}
+	if !m.Values().HasQueue(wanted.Queue) || len(wanted.InitialVoters) == 0 {
+		return
+	}
+	m.changed = true
+	m.state.Queues = slices.Insert(m.state.Queues, searchQueue(m.state.Queues, wanted.Queue), &schema.QueuePlacement{
+		Queue: wanted.Queue, Generation: m.nextToken(), InitialVoters: wanted.InitialVoters, PreferredLeader: wanted.PreferredLeader,
+	})
+}
--- a/internal/clusterstate/replace.go
+++ b/internal/clusterstate/replace.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"crypto/sha256"
 	"fmt"
+	"net/http"
 	"strconv"
 	"strings"
 
@@ -12,45 +13,62 @@
 	"sparnotch/internal/schema"
 )
 
-// Replacing the plan is a compare-and-set on its number, edition or generation,
-// which only rises. So each answer holds for good, whenever a copy of the order
-// is still applied:
+// Replacing the configuration is a compare-and-set on its number: the version that its
+// author gave it or, for edits without one, the revision. Both only rise, so a final answer
+// to an update holds whenever another copy of the update is applied:
 //
-//   - 200: this very order was taken, now or before;
-//   - 412: a number above its base is current and this order didn't bring it,
-//     so it never will;
+//   - 200: this very update was accepted, now or before;
+//   - 412: a number above its base is current and another update brought it, so this one
+//     can't be accepted any more;
 //   - 422: it is invalid by itself, whatever is current.
 //
-// What isn't certain for good is said to be unclear, and may be sent again:
+// Else the outcome is said to be open, and the update may be sent again:
 //
-//   - 503: its base has yet to be taken, as when orders follow each other
-//     without waiting; once that is done this one may be taken;
-//   - 504: its base is older than what is remembered, so it may have been taken.
+//   - 503: its base hasn't been accepted yet, as when updates are sent one after the other
+//     without waiting; once it has, this one may be;
+//   - 504: its base is older than what is remembered, so it may have been accepted.
+
+// The state has a bounded size, for each snapshot contains the whole of it: previous
+// configurations are kept without their documents, accepted updates as digests.
+const (
+	maxHistory           = 20        // previous configurations
+	maxHistoryBytes      = 512 << 10 // of previous configurations, without the last one
+	maxRememberedUpdates = 1024      // accepted updates that are recognized when they are sent again
+	maxDocumentBytes     = 256 << 10
+	digestBytes          = 16
+)
 
-// replaceConfiguration replaces the plan by a sheet if that is built on it.
+// replaceConfiguration replaces the configuration by an update that is based on it.
 func (m *StateMachine) replaceConfiguration(update *schema.ConfigurationUpdate) *Result {
-	current := m.state.Configuration
 	if update.Version > 0 {
 		return m.replaceByVersion(update)
 	}
+	return m.replaceByRevision(update)
+}
+
+// replaceByRevision takes an edit without a version of its author.
+func (m *StateMachine) replaceByRevision(update *schema.ConfigurationUpdate) *Result {
+	current := m.state.Configuration
 	if update.BaseRevision == nil {
-		return &Result{Code: 428, Error: &schema.Error{Code: "generation_missing", Message: "the sheet must say which generation it was built on", Field: "generation", Current: current.Revision}}
+		return &Result{Code: http.StatusPreconditionRequired, Error: &schema.Error{
+			Code: "generation_missing", Message: "the sheet must say which generation it was built on",
+			Field: "generation", Current: current.Revision,
+		}}
 	}
 	given, digest := update.GetBaseRevision(), revisionDigest(update)
 	if m.isApplied(0, digest) {
-		return &Result{Code: 200, Configuration: current}
+		return &Result{Code: http.StatusOK, Configuration: current}
 	}
 	if given < current.Revision {
-		isRemembered := given >= m.oldestRememberedRevision()
-		return conflict("generation", given, current.Revision, isRemembered)
+		return conflict("generation", given, current.Revision, given >= m.oldestRememberedRevision())
 	}
-	if fault := validateUpdate(update); fault != nil {
-		return &Result{Code: 422, Error: fault}
+	if invalid := validateUpdate(update); invalid != nil {
+		return &Result{Code: http.StatusUnprocessableEntity, Error: invalid}
 	}
 	if given > current.Revision {
 		return baseNotApplied("generation", given, current.Revision)
 	}
-	// The author's edition goes on: what is changed by hand is changed on top of it.
+	// The version and its document stay: the edit is made on top of them.
 	document := update.Document
 	if len(document) == 0 {
 		document = current.Document
@@ -58,26 +76,25 @@
 	return m.applyUpdate(update, current.Version, document, &schema.AcceptedVersion{Digest: digest})
 }
 
-// replaceByVersion takes a sheet of an author who numbers editions.
+// replaceByVersion takes an update whose author numbers the versions.
 func (m *StateMachine) replaceByVersion(update *schema.ConfigurationUpdate) *Result {
 	current := m.state.Configuration
 	digest := versionDigest(update)
 	if m.isApplied(update.Version, digest) {
-		// It took effect and is sent again after a silence, maybe when another
-		// has followed it.
-		return &Result{Code: 200, Configuration: current}
+		// A retry after a timeout; others may have been accepted since.
+		return &Result{Code: http.StatusOK, Configuration: current}
 	}
 	if update.BaseVersion < current.Version {
 		return conflict("base_edition", update.BaseVersion, current.Version, m.remembersVersionsFrom(update.BaseVersion))
 	}
 	if update.Version <= update.BaseVersion {
-		return &Result{Code: 422, Error: &schema.Error{
+		return &Result{Code: http.StatusUnprocessableEntity, Error: &schema.Error{
 			Code: "bad_edition", Message: "an edition's number must be higher than that of the one before",
 			Field: "edition", Given: update.Version, Current: current.Version,
 		}}
 	}
-	if fault := validateUpdate(update); fault != nil {
-		return &Result{Code: 422, Error: fault}
+	if invalid := validateUpdate(update); invalid != nil {
+		return &Result{Code: http.StatusUnprocessableEntity, Error: invalid}
 	}
 	if update.BaseVersion > current.Version {
 		return baseNotApplied("base_edition", update.BaseVersion, current.Version)
@@ -85,31 +102,66 @@
 	return m.applyUpdate(update, update.Version, update.Document, &schema.AcceptedVersion{Version: update.Version, Digest: digest})
 }
 
-// conflict answers an order whose base has been replaced by another order.
+// conflict answers an update whose base has been replaced by another update.
 func conflict(field string, given, current uint64, remembered bool) *Result {
 	if !remembered {
-		return &Result{Code: 504, Error: &schema.Error{
+		return &Result{Code: http.StatusGatewayTimeout, Error: &schema.Error{
 			Code: "unknown", Message: "so much has followed that whether this took effect is not known any more: get the plan and see",
 			Field: field, Given: given, Current: current,
 		}}
 	}
-	return &Result{Code: 412, Error: &schema.Error{
+	return &Result{Code: http.StatusPreconditionFailed, Error: &schema.Error{
 		Code: "outdated", Message: "the plan has changed since this sheet was made: get it anew and repeat the edit",
 		Field: field, Given: given, Current: current,
 	}}
 }
 
-// baseNotApplied answers an order whose base isn't there yet. It isn't refused: a copy
-// of it that is still on its way may be applied after its base.
+// baseNotApplied answers an update whose base hasn't been accepted yet. That is no final
+// rejection: a copy of it that is still in flight may be applied after its base.
 func baseNotApplied(field string, given, current uint64) *Result {
-	return &Result{Code: 503, Error: &schema.Error{
+	return &Result{Code: http.StatusServiceUnavailable, Error: &schema.Error{
 		Code: "base_ahead", Message: "what this sheet was built on has not been taken yet: send it again as it is",
 		Field: field, Given: given, Current: current,
 	}}
 }
 
-// --- what has been taken ---
+// validateUpdate returns why an update is invalid by itself, whatever is current; nil if it
+// is valid.
+func validateUpdate(update *schema.ConfigurationUpdate) *schema.Error {
+	if len(update.Document) > maxDocumentBytes {
+		return &schema.Error{Code: "bad_document", Message: fmt.Sprintf("at most %d bytes", maxDocumentBytes), Field: "document"}
+	}
+	return ValidateRows(update.Rows)
+}
+
+// applyUpdate makes an update the current configuration, and remembers that it was accepted.
+func (m *StateMachine) applyUpdate(update *schema.ConfigurationUpdate, version uint64, document []byte, accepted *schema.AcceptedVersion) *Result {
+	previous := m.state.Configuration
+	m.state.PreviousConfigurations = trimHistory(append(m.state.PreviousConfigurations, WithoutDocument(previous)))
+	m.state.Configuration = &schema.Configuration{Revision: previous.Revision + 1, Rows: update.Rows, Version: version, Document: document}
+	m.state.AcceptedVersions = append(m.state.AcceptedVersions, accepted)
+	if len(m.state.AcceptedVersions) > maxRememberedUpdates {
+		m.state.AcceptedVersions = m.state.AcceptedVersions[1:]
+	}
+	m.changed = true
+	return &Result{Code: http.StatusOK, Configuration: m.state.Configuration}
+}
+
+// trimHistory returns the previous configurations to keep: the last one however large it is,
+// so that a change can be undone, and older ones within the bounds.
+func trimHistory(history []*schema.Configuration) []*schema.Configuration {
+	size := 0
+	for k := len(history) - 2; k >= 0; k-- {
+		size += proto.Size(history[k])
+		if len(history)-k > maxHistory || size > maxHistoryBytes {
+			return history[k+1:]
+		}
+	}
+	return history
+}
 
+// isApplied reports whether an update is among the remembered ones; edits without a version
+// have version 0.
 func (m *StateMachine) isApplied(version uint64, digest []byte) bool {
 	for _, applied := range m.state.AcceptedVersions {
 		if applied.Version == version && bytes.Equal(applied.Digest, digest) {
@@ -119,13 +171,13 @@
 	return false
 }
 
-// oldestRememberedRevision is the lowest generation of which it is remembered what was
-// taken on top of it: each order taken makes one generation and one entry.
+// oldestRememberedRevision returns the lowest revision of which it is remembered which update
+// replaced it: each accepted update makes one revision and one entry.
 func (m *StateMachine) oldestRememberedRevision() uint64 {
 	return m.state.Configuration.Revision - min(uint64(len(m.state.AcceptedVersions)), m.state.Configuration.Revision)
 }
 
-// remembersVersionsFrom tells whether every edition above a base is remembered.
+// remembersVersionsFrom reports whether every accepted version above a base is remembered.
 func (m *StateMachine) remembersVersionsFrom(base uint64) bool {
 	if m.oldestRememberedRevision() == 0 {
 		return true
@@ -138,8 +190,8 @@
 	return false
 }
 
-// versionDigest tells editions of one number apart: by the document, for it is
-// what the author gave, or by the rows where there is none.
+// versionDigest distinguishes updates of the same version by their document, for that is what
+// the author gave, or by their rows if they have none.
 func versionDigest(update *schema.ConfigurationUpdate) []byte {
 	hash := sha256.New()
 	hash.Write(update.Document)
@@ -149,45 +201,10 @@
 	return hash.Sum(nil)[:digestBytes]
 }
 
-// revisionDigest tells sheets apart that have no edition, by all they say.
+// revisionDigest distinguishes edits without a version by their base and all their content.
 func revisionDigest(update *schema.ConfigurationUpdate) []byte {
 	hash := sha256.New()
 	hash.Write([]byte(strconv.FormatUint(update.GetBaseRevision(), 10) + "\n" + strings.Join(canonicalRows(update.Rows), "\n") + "\n"))
 	hash.Write(update.Document)
 	return hash.Sum(nil)[:digestBytes]
 }
-
-// --- the change itself ---
-
-// validateUpdate finds what makes a sheet invalid, whatever is current.
-func validateUpdate(update *schema.ConfigurationUpdate) *schema.Error {
-	if len(update.Document) > maxDocumentBytes {
-		return &schema.Error{Code: "bad_document", Message: fmt.Sprintf("at most %d bytes", maxDocumentBytes), Field: "document"}
-	}
-	return ValidateRows(update.Rows)
-}
-
-// applyUpdate makes a sheet the plan, and remembers that it was taken.
-func (m *StateMachine) applyUpdate(update *schema.ConfigurationUpdate, version uint64, document []byte, applied *schema.AcceptedVersion) *Result {
-	m.state.PreviousConfigurations = trimHistory(append(m.state.PreviousConfigurations, WithoutDocument(m.state.Configuration)))
-	m.changed = true
-	m.state.Configuration = &schema.Configuration{Revision: m.state.Configuration.Revision + 1, Rows: update.Rows, Version: version, Document: document}
-	m.state.AcceptedVersions = append(m.state.AcceptedVersions, applied)
-	if len(m.state.AcceptedVersions) > maxRememberedUpdates {
-		m.state.AcceptedVersions = m.state.AcceptedVersions[1:]
-	}
-	return &Result{Code: 200, Configuration: m.state.Configuration}
-}
-
-// trimHistory is what is kept of old plans: the last one however large, so that what a
-// change has undone can be looked up, and others while they are few and small.
-func trimHistory(history []*schema.Configuration) []*schema.Configuration {
-	size := 0
-	for k := len(history) - 2; k >= 0; k-- {
-		size += proto.Size(history[k])
-		if len(history)-k > maxHistory || size > maxHistoryBytes {
-			return history[k+1:]
-		}
-	}
-	return history
-}
--- /dev/null
+++ b/internal/clusterstate/values.go
@@ -0,0 +1,109 @@
+package clusterstate
+
+import (
+	"slices"
+	"sort"
+	"strconv"
+
+	"sparnotch/internal/schema"
+)
+
+// A rowID names a row of a configuration; no two rows of a valid one have the same.
+type rowID struct{ kind, name, key string }
+
+// Values are the parsed rows of a configuration. They are immutable and may be shared.
+type Values struct {
+	numbers      map[rowID]int64
+	texts        map[rowID]string
+	queueSet     map[string]bool
+	queueNames   []string           // sorted
+	routesByHost map[string][]route // the longest prefix first
+	revision     uint64             // of the configuration; 0: unknown
+}
+
+// ParseValues parses a configuration; nil gives the defaults. Number keys whose value isn't a
+// whole number keep their default.
+func ParseValues(configuration *schema.Configuration) *Values {
+	v := &Values{numbers: map[rowID]int64{}, texts: map[rowID]string{}, queueSet: map[string]bool{}, revision: configuration.GetRevision()}
+	for _, row := range configuration.GetRows() {
+		if row.Kind == "queue" && !v.queueSet[row.Name] {
+			v.queueSet[row.Name] = true
+			v.queueNames = append(v.queueNames, row.Name)
+		}
+		id := rowID{row.Kind, row.Name, row.Key}
+		if findTextKey(row.Kind, row.Key) != nil {
+			v.texts[id] = row.Value
+		} else if value, err := strconv.ParseInt(row.Value, 10, 64); err == nil {
+			v.numbers[id] = value
+		}
+	}
+	sort.Strings(v.queueNames)
+	v.routesByHost = newRouteSet(configuration.GetRows()).byHost()
+	return v
+}
+
+// Refresh returns the values of a configuration: these ones if they are of the same
+// revision, for the cluster state changes more often than the configuration in it.
+func (v *Values) Refresh(configuration *schema.Configuration) *Values {
+	if v.revision > 0 && v.revision == configuration.GetRevision() {
+		return v
+	}
+	return ParseValues(configuration)
+}
+
+// Number returns the value of a number key: its default where no row sets it. It panics if
+// there is no such key.
+func (v *Values) Number(kind, name, key string) int64 {
+	if value, found := v.numbers[rowID{kind, name, key}]; found {
+		return value
+	}
+	definition := findNumberKey(kind, key)
+	if definition == nil {
+		panic("cluster state: no such number key: " + kind + "/" + key)
+	}
+	return definition.defaultValue
+}
+
+// Fleet returns the value of a number key of the fleet.
+func (v *Values) Fleet(key string) int64 { return v.Number("fleet", "", key) }
+
+// Text returns the value of a text key, empty where no row sets it. It panics if there is no
+// such key.
+func (v *Values) Text(kind, name, key string) string {
+	if findTextKey(kind, key) == nil {
+		panic("cluster state: no such text key: " + kind + "/" + key)
+	}
+	return v.texts[rowID{kind, name, key}]
+}
+
+// IsSet reports whether a row sets a number key.
+func (v *Values) IsSet(kind, name, key string) bool {
+	_, found := v.numbers[rowID{kind, name, key}]
+	return found
+}
+
+// Queues returns the names of the configured queues, sorted; not to be changed.
+func (v *Values) Queues() []string { return v.queueNames }
+
+// HasQueue reports whether a queue is configured: it has at least one row.
+func (v *Values) HasQueue(name string) bool { return v.queueSet[name] }
+
+// QueueNames returns the names of a configuration's queues, sorted.
+func QueueNames(configuration *schema.Configuration) []string {
+	return ParseValues(configuration).Queues()
+}
+
+// EqualRows reports whether two configurations have the same rows, in whatever order.
+func EqualRows(a, b []*schema.ConfigurationRow) bool {
+	return len(a) == len(b) && slices.Equal(canonicalRows(a), canonicalRows(b))
+}
+
+// canonicalRows encodes rows as sorted strings.
+func canonicalRows(rows []*schema.ConfigurationRow) []string {
+	var encoded []string
+	for _, row := range rows {
+		encoded = append(encoded, row.Kind+"\x00"+row.Name+"\x00"+row.Key+"\x00"+row.Value)
+	}
+	sort.Strings(encoded)
+	return encoded
+}
--- /dev/null
+++ b/internal/clusterstate/workers.go
@@ -0,0 +1,64 @@
+package clusterstate
+
+import (
+	"slices"
+	"sort"
+
+	"sparnotch/internal/schema"
+)
+
+// FindWorkerLease returns a worker's lease, or nil. A state lists them sorted by worker.
+func FindWorkerLease(state *schema.ClusterState, worker string) *schema.WorkerLease {
+	leases := state.GetWorkerLeases()
+	if at := searchWorkerLease(leases, worker); at < len(leases) && leases[at].Worker == worker {
+		return leases[at]
+	}
+	return nil
+}
+
+func searchWorkerLease(leases []*schema.WorkerLease, worker string) int {
+	return sort.Search(len(leases), func(k int) bool { return leases[k].Worker >= worker })
+}
+
+// assignWorkers gives worker leases to schedulers as the controller decided. Each move gets
+// a new fencing token.
+func (m *StateMachine) assignWorkers(command *schema.AssignWorkers) *Result {
+	if !m.HoldsControllerLease(command.FencingToken) {
+		return leaseExpired()
+	}
+	for _, wanted := range command.WorkerLeases {
+		lease := FindWorkerLease(m.state, wanted.Worker)
+		switch {
+		case lease == nil:
+			m.insertWorkerLease(wanted.Worker, wanted.Scheduler)
+		case lease.Scheduler != wanted.Scheduler:
+			m.changed = true
+			lease.Scheduler, lease.FencingToken = wanted.Scheduler, m.nextToken()
+		}
+	}
+	return succeeded()
+}
+
+// registerWorker gives the lease of a new worker to the scheduler that holds the most, so
+// that the worker can be used before a controller assigns it.
+func (m *StateMachine) registerWorker(worker string) *Result {
+	if FindWorkerLease(m.state, worker) != nil {
+		return succeeded()
+	}
+	counts := map[string]int{}
+	scheduler := ""
+	for _, lease := range m.state.WorkerLeases {
+		counts[lease.Scheduler]++
+		if lease.Scheduler != "" && (scheduler == "" || counts[lease.Scheduler] > counts[scheduler]) {
+			scheduler = lease.Scheduler
+		}
+	}
+	m.insertWorkerLease(worker, scheduler)
+	return succeeded()
+}
+
+func (m *StateMachine) insertWorkerLease(worker, scheduler string) {
+	m.changed = true
+	lease := &schema.WorkerLease{Worker: worker, Scheduler: scheduler, FencingToken: m.nextToken()}
+	m.state.WorkerLeases = slices.Insert(m.state.WorkerLeases, searchWorkerLease(m.state.WorkerLeases, worker), lease)
+}
--- a/internal/mutation/replace_mutants.go
+++ b/internal/mutation/replace_mutants.go
@@ -4,7 +4,7 @@
 // whose orders may be sent again; see docs/control/replace.md.
 var replaceMutants = []*Mutant{
 	{Guard: "what was taken is known again", Rule: 11, Test: "internal/sim TestReplaceIsLinearizable", Edits: []Edit{{"internal/clusterstate",
-		"			return true\n		}\n	}\n	return false\n}\n\n// oldestRememberedRevision", "			return false\n		}\n	}\n	return false\n}\n\n// firstRemembered"}}},
+		"			return true\n		}\n	}\n	return false\n}\n\n// oldestRememberedRevision", "			return false\n		}\n	}\n	return false\n}\n\n// oldestRememberedRevision"}}},
 	{Guard: "more than the last change is remembered", Rule: 11, Test: "platform TestReplaceOverHTTP", Edits: []Edit{{"internal/clusterstate",
 		"	if len(m.state.AcceptedVersions) > maxRememberedUpdates {", "	if len(m.state.AcceptedVersions) > 1 {"}}},
 	{Guard: "an order is known by its content", Rule: 11, Test: "internal/sim TestReplaceIsLinearizable", Edits: []Edit{{"internal/clusterstate",
@@ -12,7 +12,7 @@
 	{Guard: "what was taken is part of the snapshot", Rule: 11, Test: "internal/clusterstate TestReplaceIsCompareAndSet", Edits: []Edit{{"internal/clusterstate",
 		"	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m.state)", "	bare := m.State()\n	bare.AcceptedVersions = nil\n	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(bare)"}}},
 	{Guard: "an order ahead of its base isn't refused", Rule: 11, Test: "internal/sim TestReplaceIsLinearizable", Edits: []Edit{{"internal/clusterstate",
-		"Result{Code: 503, Error", "Result{Code: 412, Error"}}},
+		"Result{Code: http.StatusServiceUnavailable, Error", "Result{Code: http.StatusPreconditionFailed, Error"}}},
 	{Guard: "an order ahead of its base isn't taken", Rule: 11, Test: "platform TestReplaceOverHTTP", Edits: []Edit{{"internal/clusterstate",
 		"	if update.BaseVersion > current.Version {", "	if false {"}}},
 	{Guard: "what is forgotten isn't refused", Rule: 11, Test: "internal/clusterstate TestWhatIsAnsweredLate", Edits: []Edit{{"internal/clusterstate",
