--- a/internal/mutation/replace_mutants.go
+++ b/internal/mutation/replace_mutants.go
@@ -15,7 +15,7 @@
 		"Result{Code: http.StatusServiceUnavailable, Error", "Result{Code: http.StatusPreconditionFailed, Error"}}},
 	{Guard: "an order ahead of its base isn't taken", Rule: 11, Test: "platform TestReplaceOverHTTP", Edits: []Edit{{"internal/clusterstate",
 		"	if update.BaseVersion > current.Version {", "	if false {"}}},
-	{Guard: "what is forgotten isn't refused", Rule: 11, Test: "internal/clusterstate TestWhatIsAnsweredLate", Edits: []Edit{{"internal/clusterstate",
+	{Guard: "what is forgotten isn't refused", Rule: 11, Test: "internal/clusterstate TestLateUpdates", Edits: []Edit{{"internal/clusterstate",
 		"	if !remembered {", "	if false {"}}},
 	{Guard: "an answer belongs to the record of its term", Rule: 11, Test: "internal/replica TestRepliesMatchEntryTerm", Edits: []Edit{{"internal/replica",
 		"	isPending = isPending && pending.term == entry.Term\n", ""}}},
--- a/internal/mutation/replication_mutants.go
+++ b/internal/mutation/replication_mutants.go
@@ -31,7 +31,7 @@
 			Edits: []Edit{{"internal/raft", "m.CommitConfirmed && g.applied >= m.Commit && reply.round == m.AckedRound", "m.CommitConfirmed && reply.round == m.AckedRound"}}},
 		{Guard: "rows that may be on their way aren't sent again", Test: "internal/replica TestConfigurationRowsInFlight",
 			Edits: []Edit{{"internal/replica", "	if last.revision == configuration.Revision && now < last.inFlightUntil {\n", "	if last.revision == configuration.Revision && now < last.inFlightUntil && false {\n"}}},
-		{Guard: "a copy without the plan is taken by who holds it", Test: "internal/clusterstate TestCopiesOnTheirWay",
+		{Guard: "a copy without the plan is taken by who holds it", Test: "internal/clusterstate TestSharedStateUpdates",
 			Edits: []Edit{{"internal/clusterstate", "	case message.ConfigurationOmitted:\n", "	case message.ConfigurationOmitted && false:\n"}}},
 		{Guard: "a life never goes back to an older copy", Test: "internal/gateway TestClusterStateUpdates",
 			Edits: []Edit{{"internal/gateway", "	if state != nil && state.Version >= g.state.Version {\n", "	if state != nil {\n"}}},
