--- a/internal/membership/address_book.go
+++ b/internal/membership/address_book.go
@@ -1,18 +1,14 @@
 package membership
 
-// The address book that all tables of a process share.
+import "sync/atomic"
 
-import (
-	"sync/atomic"
-)
-
-// AddressBook resolves ids to inner addresses for the wires; it is written by the
-// table alone and read by anyone.
+// AddressBook resolves process ids to internal addresses for the transports. A Membership
+// writes it; any goroutine may read it.
 type AddressBook struct {
 	addresses atomic.Pointer[map[string]string]
 }
 
-// Address is where a process listens; empty where it isn't known. Safe for any goroutine.
+// Address returns the internal address (IP:port) of a process; empty if it isn't known.
 func (b *AddressBook) Address(id string) string {
 	if addresses := b.addresses.Load(); addresses != nil {
 		return (*addresses)[id]
--- a/internal/membership/bootstrap.go
+++ b/internal/membership/bootstrap.go
@@ -11,29 +11,37 @@
 	"sparnotch/internal/schema"
 )
 
-// Founding. Nobody tells how many stores there are, and the seeds may have no
-// disk. So every process tells which stores it sees, and a store promises, on
-// disk and once for all, only on a set S that every store of S and every seed
-// has told of, itself and lately. When all who were promised have told the same
-// promise, the group exists.
+// Bootstrap. The number of storage nodes isn't configured, and seeds may have no disk. So
+// every process reports which storage nodes it knows of, and a storage node votes, durably
+// and only once, for a set S of them: every storage node in S and every seed must have
+// reported exactly the same nodes as the voter, each itself and recently. Once all nodes in S
+// have reported the same vote, the group of the cluster state is created.
 //
-// Why no two different promises can both be kept: what a process sees only
-// grows until it promises (a store is let go only after a minute without a beat
-// from anybody, while a word older than two seconds counts for nothing), and
-// from then on it tells of its promise alone. Say P promised on S and Q on T.
-//   - If each is in the other's set, each has told the other's set before its own
-//     promise: so T is within S and S within T.
-//   - If P isn't in T, some seed told P of S, which holds P, and told Q of T,
-//     which doesn't, so T came first and T is within S. Then Q is in S and has
-//     told P of S before it promised on T, and what it sees has shrunk.
+// Why no two different votes can both succeed: until a process votes, the nodes it knows of
+// only grow (a node is forgotten after a minute without a heartbeat from anybody, while a
+// report older than two seconds doesn't count), and from then on it reports its vote alone.
+// Say P voted for S and Q for T.
+//   - If each is in the other's set, each has reported the other's set before its own vote:
+//     so T is a subset of S and S of T.
+//   - If P isn't in T, some seed reported S, with P, to P, and reported T, without P, to Q. So
+//     the latter came first and T is a subset of S. Then Q is in S and has reported S to P
+//     before it voted for T: the nodes it knew of shrank.
 //
-// A process that starts again sees nothing, so it may see less than before. It
-// takes all the seeds at once to forget P for Q to promise without it; even
-// then P's set can't be founded, for its stores have promised another.
+// A process that restarts knows of no nodes, so it may know of fewer than before. All seeds
+// at once would have to forget P for Q to vote without it; even then P's set can't succeed,
+// for its nodes have voted for another.
 //
-// Whoever hears a promise that names it joins in: it was made by this rule.
+// A storage node that receives a vote which names it adopts that vote: it was cast by these
+// rules.
 
-// visibleStorageNodes are the ids this process tells it sees.
+const (
+	agreementPeriod        = 700 * eventloop.Millisecond // all must agree for so long before a vote
+	reducedAgreementPeriod = 6 * eventloop.Second        // and for so long if there are fewer nodes than desired
+	reportMaxAge           = 2 * eventloop.Second        // older reports don't count
+)
+
+// visibleStorageNodes returns the ids of the storage nodes that this process reports to know
+// of, sorted.
 func (m *Membership) visibleStorageNodes() []string {
 	if m.identity != nil && len(m.identity.BootstrapVote) > 0 {
 		return m.identity.BootstrapVote
@@ -49,49 +57,63 @@
 	return ids
 }
 
-// mayBootstrap tells whether this store may found: it is empty, and was told that
-// all begins now.
+// mayBootstrap reports whether this process may vote: it is an empty storage node, and this
+// is the first start of the cluster.
 func (m *Membership) mayBootstrap() bool {
 	return m.identity != nil && !m.identity.Joined && (m.config.Bootstrap || m.isImplicitBootstrap() && m.isSeed())
 }
 
-// isImplicitBootstrap: settings that say neither which start is the first nor what may be
-// lost leave it to the stores that are each other's seeds. Settings that do say
-// so mean it: a store that comes back empty to a seed's address never founds.
+// isImplicitBootstrap reports whether the settings say neither that this is the first start
+// nor which failures to tolerate: then the storage nodes that are seeds bootstrap. If they
+// do say so they are taken at their word: a node that comes back empty at a seed's address
+// never bootstraps.
 func (m *Membership) isImplicitBootstrap() bool {
 	return !m.config.Bootstrap && m.config.MachineFailures == 0
 }
 
+// bootstrap casts this node's vote, or joins once its vote has succeeded.
 func (m *Membership) bootstrap(now eventloop.Micros, effects eventloop.Effects) {
 	if m.identity == nil || m.identity.Joined || m.pendingIdentity != nil {
 		return
 	}
-	vote := m.identity.BootstrapVote
-	if len(vote) == 0 {
-		if vote = m.adoptedVote(); vote == nil {
-			vote = m.settledVoters(now)
-		}
-		if vote != nil {
-			next := proto.Clone(m.identity).(*schema.StoreIdentity)
-			next.BootstrapVote = vote
-			m.frozenStorageNodes = m.visibleStorageNodes()
-			m.pendingIdentity = next
-			effects.Notify("replica", PersistIdentity{Identity: next})
-		}
+	if len(m.identity.BootstrapVote) == 0 {
+		m.castVote(now, effects)
+		return
+	}
+	if !m.hasVoteSucceeded() {
+		return
+	}
+	next := proto.Clone(m.identity).(*schema.StoreIdentity)
+	next.Joined = true
+	m.persist(PersistIdentity{Identity: next, BootstrapVoters: next.BootstrapVote}, effects)
+}
+
+func (m *Membership) castVote(now eventloop.Micros, effects eventloop.Effects) {
+	vote := m.adoptedVote()
+	if vote == nil {
+		vote = m.settledVoters(now)
+	}
+	if vote == nil {
 		return
 	}
+	m.frozenStorageNodes = m.visibleStorageNodes()
+	next := proto.Clone(m.identity).(*schema.StoreIdentity)
+	next.BootstrapVote = vote
+	m.persist(PersistIdentity{Identity: next}, effects)
+}
+
+// hasVoteSucceeded reports whether all nodes in this node's vote have cast the same.
+func (m *Membership) hasVoteSucceeded() bool {
+	vote := m.identity.BootstrapVote
 	for _, id := range vote {
 		if id != m.self.Id && !slices.Equal(m.reports[id].gossip.GetBootstrapVote(), vote) {
-			return
+			return false
 		}
 	}
-	next := proto.Clone(m.identity).(*schema.StoreIdentity)
-	next.Joined = true
-	m.pendingIdentity = next
-	effects.Notify("replica", PersistIdentity{Identity: next, BootstrapVoters: next.BootstrapVote})
+	return true
 }
 
-// adoptedVote is the promise of another store that names this one.
+// adoptedVote returns the vote of another storage node that names this one, or nil.
 func (m *Membership) adoptedVote() []string {
 	if m.clusterExists {
 		return nil
@@ -104,7 +126,7 @@
 	return nil
 }
 
-// settledVoters is the set to promise once all have agreed for long enough.
+// settledVoters returns the set to vote for once all have agreed for long enough, else nil.
 func (m *Membership) settledVoters(now eventloop.Micros) []string {
 	voters, desired := m.evaluateAgreement(now)
 	key := strings.Join(voters, " ") + "/" + strings.Join(m.visibleStorageNodes(), " ")
@@ -125,78 +147,74 @@
 	return voters
 }
 
-// evaluateAgreement is the founders if all who must have told of the same stores, and
-// how many founders are wished for.
-func (m *Membership) evaluateAgreement(now eventloop.Micros) ([]string, int) {
+// evaluateAgreement returns the first voters of the group, if all processes that must agree
+// report the same storage nodes, and how many voters are desired.
+func (m *Membership) evaluateAgreement(now eventloop.Micros) (voters []string, desired int) {
 	if m.clusterExists || !m.mayBootstrap() {
 		return nil, 0
 	}
 	visible := m.visibleStorageNodes()
-	agrees := func(report peerReport, received bool) bool {
-		return received && now-report.receivedAt < reportMaxAge && !report.gossip.Joined && slices.Equal(report.gossip.KnownStores, visible)
+	zones, agreed := m.bootstrapZones(now, visible)
+	if !agreed || !m.seedsAgree(now, visible) {
+		return nil, 0
 	}
-	zones := map[string]string{}
+	desired = m.config.VoterCount()
+	if !m.config.Bootstrap {
+		desired = min(desired, len(m.config.Seeds))
+	}
+	return m.config.Tolerance().SelectVoters(zones, m.config.VoterCount()), desired
+}
+
+// agrees reports whether a report counts for a bootstrap on the storage nodes that are
+// visible here.
+func (r peerReport) agrees(now eventloop.Micros, visible []string) bool {
+	return r.gossip != nil && now-r.receivedAt < reportMaxAge && !r.gossip.Joined && slices.Equal(r.gossip.KnownStores, visible)
+}
+
+// bootstrapZones returns the zones of the storage nodes that may become voters, by id, if all
+// visible ones agree. Nodes that may not bootstrap must agree too; they join later.
+func (m *Membership) bootstrapZones(now eventloop.Micros, visible []string) (zones map[string]string, agreed bool) {
+	zones = map[string]string{}
 	for _, id := range visible {
 		if id == m.self.Id {
 			zones[id] = m.self.Zone
 			continue
 		}
-		report, received := m.reports[id]
-		if !agrees(report, received) {
-			return nil, 0
+		report := m.reports[id]
+		if !report.agrees(now, visible) {
+			return nil, false
 		}
-		// One that isn't to found is seen all the same: it will join later.
 		if report.gossip.Empty {
 			zones[id] = report.gossip.Self.Zone
 		}
 	}
-	desired := m.config.VoterCount()
-	if !m.config.Bootstrap {
-		desired = min(desired, len(m.config.Seeds))
-	}
+	return zones, true
+}
+
+func (m *Membership) seedsAgree(now eventloop.Micros, visible []string) bool {
 	for _, seed := range m.config.Seeds {
 		if seed == m.self.InternalAddress {
 			continue
 		}
-		report, received := m.reportFrom(seed)
-		if !agrees(report, received) {
-			return nil, 0
+		report := m.reportFrom(seed)
+		if !report.agrees(now, visible) {
+			return false
 		}
-		// Nobody said that all begins now, so only the seeds together may.
+		// In an implicit bootstrap all seeds must be empty storage nodes.
 		if !m.config.Bootstrap && !report.gossip.Empty {
-			return nil, 0
+			return false
 		}
 	}
-	return m.config.Tolerance().SelectVoters(zones, m.config.VoterCount()), desired
+	return true
 }
 
-// reportFrom is the last word heard from an address.
-func (m *Membership) reportFrom(address string) (peerReport, bool) {
+// reportFrom returns the last report from an address; its gossip is nil if there is none.
+func (m *Membership) reportFrom(address string) peerReport {
 	var last peerReport
 	for _, report := range m.reports {
 		if report.gossip.Self.InternalAddress == address && report.receivedAt > last.receivedAt {
 			last = report
 		}
 	}
-	return last, last.gossip != nil
-}
-
-// SelectVoters chooses so many of the processes, whose cells are given by id: spread
-// over the cells, lowest ids first. All choose alike.
-func SpreadOverZones(zones map[string]string, count int) []string {
-	byZone := map[string][]string{}
-	for _, id := range slices.Sorted(maps.Keys(zones)) {
-		byZone[zones[id]] = append(byZone[zones[id]], id)
-	}
-	var chosen []string
-	for len(chosen) < min(count, len(zones)) {
-		for _, zone := range slices.Sorted(maps.Keys(byZone)) {
-			if ids := byZone[zone]; len(ids) > 0 && len(chosen) < count {
-				chosen = append(chosen, ids[0])
-				byZone[zone] = ids[1:]
-			}
-		}
-	}
-	slices.Sort(chosen)
-	return chosen
+	return last
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,6 +1,14 @@
-// Package membership owns the book of processes: who there is, where, and whether
-// they were heard. From three seeds a process finds all others, keeps telling
-// what it knows, and three empty stores found the system's group.
+// Package membership knows which processes belong to the cluster, where they listen and
+// whether they are alive. It is a gossip protocol in the manner of SWIM: each process counts
+// up a heartbeat of its own, and a member's status is superseded by one of a later
+// incarnation or a higher heartbeat. From the seeds of its settings a process finds all
+// others. The package also bootstraps the cluster: it agrees, once, on the storage nodes
+// that create the cluster state's group.
+//
+// A Membership is the component of one process and owns all of its state. Its subscribers,
+// the other components of the process, get a View at each tick; transports resolve addresses
+// by the AddressBook. What must survive a restart, the StoreIdentity, is persisted by the
+// component "replica" on PersistIdentity.
 package membership
 
 import (
@@ -13,72 +21,65 @@
 	"sparnotch/internal/schema"
 )
 
-// TickInterval is how often a process counts its beat and looks at what is due.
+// TickInterval is the period of the component's ticks, and of a process's heartbeats.
 const TickInterval = 250 * eventloop.Millisecond
 
 const (
-	forgetTimeout        = 60 * eventloop.Second
-	gossipMaxAge         = 10 * eventloop.Second // what wasn't heard of for so long isn't news to anybody
-	storageNodeTimeout   = 2 * eventloop.Second  // a store unheard of for longer is asked only for want of others
-	fullSyncInterval     = 4 * eventloop.Second  // between two whole books
-	startupTicks         = 40                    // how many a process is young
+	forgetTimeout  = 60 * eventloop.Second // a member that isn't heard from for so long is removed
+	pauseThreshold = 4 * TickInterval      // a longer time between two ticks means that this process was paused
+
 	persistPeersInterval = 5 * eventloop.Second
+	persistedPeersMaxAge = 2 * eventloop.Second // members heard from within it are persisted
 	maxPersistedPeers    = 12
-
-	agreementPeriod        = 700 * eventloop.Millisecond // what stores promise on has held so long
-	reducedAgreementPeriod = 6 * eventloop.Second        // and so long when there are fewer stores than wished for
-	reportMaxAge           = 2 * eventloop.Second        // an older word of a process isn't promised on
-	minGossipInterval      = 20 * eventloop.Millisecond  // between two greetings out of turn
 )
 
-// MaxControllerCandidates is how many side machines stand for controller, and how many of them
-// those that are no stores are told of: each more would be one more that all ask after.
-const MaxControllerCandidates = 7
-
-// Membership is the book's table.
+// Membership is the component of one process. It isn't safe for concurrent use.
 type Membership struct {
-	self               *schema.Member
-	config             Config
-	identity           *schema.StoreIdentity // nil without a data folder
-	pendingIdentity    *schema.StoreIdentity // our account as it is being kept
-	addresses          *AddressBook
-	members            map[string]MemberStatus
-	reports            map[string]peerReport       // of each process, by id
-	requesters         map[string]eventloop.Micros // who asked us, who are no store, and when last
-	seenStorageNodes   map[string]eventloop.Micros // ids of the stores heard of, and when last
-	frozenStorageNodes []string                    // the stores told of since we asked for our promise to be kept
-	subscribers        []string
-	rng                *rand.Rand
-	lastTick           eventloop.Micros
-	clusterExists      bool     // a system exists
-	knownAddresses     []string // addresses known from before this start
+	self            *schema.Member
+	config          Config
+	identity        *schema.StoreIdentity // as it is on disk; nil without a data folder
+	pendingIdentity *schema.StoreIdentity // being persisted; nil: nothing is
+	addresses       *AddressBook
+	subscribers     []string // components that get the View
+	rng             *rand.Rand
+
+	members            map[string]MemberStatus     // all other processes, by id
+	reports            map[string]peerReport       // the last gossip received from each process itself, by id
+	requesters         map[string]eventloop.Micros // when each process last requested gossip here; only without storage
+	seenStorageNodes   map[string]eventloop.Micros // when each storage node was last heard of, by id
+	frozenStorageNodes []string                    // what is reported while a bootstrap vote is being persisted
+	clusterExists      bool
+	knownAddresses     []string // peers persisted by the previous incarnation
 	peersPersistedAt   eventloop.Micros
 
 	ticks            uint64
-	pollTurn         uint64 // whose turn it is to be asked
-	awaitingResponse bool   // asked, and nobody has answered yet
-	hasUnsentChanges bool   // the hubs may not know yet what we know
-	hasUnknownMember bool   // a beat was heard of somebody we know nothing else about
-	fullSyncAt       eventloop.Micros
-	outOfTurnAt      eventloop.Micros
-	agreementKey     string           // what all seem to agree on
-	agreedSince      eventloop.Micros // and since when
+	lastTick         eventloop.Micros
+	pollTurn         uint64           // selects the storage node to poll next
+	awaitingResponse bool             // nobody has replied since the last poll
+	hasUnsentChanges bool             // the storage nodes may not know yet what is known here
+	hasUnknownMember bool             // a heartbeat was received of a member that isn't known otherwise
+	fullSyncAt       eventloop.Micros // when full members were last requested
+	outOfTurnAt      eventloop.Micros // when gossip was last sent between two ticks
+	agreementKey     string           // what all storage nodes and seeds agree on; empty: they don't
+	agreedSince      eventloop.Micros
 }
 
-// New makes the table. Readers are the tables that want the roll.
+// New returns the component of a process. The identity is nil without a data folder. The
+// subscribers are the components of this process that get the View.
 func New(self *schema.Member, config Config, identity *schema.StoreIdentity, addresses *AddressBook, subscribers []string, rng *rand.Rand) *Membership {
-	t := &Membership{
+	m := &Membership{
 		self: self, config: config, identity: identity, addresses: addresses, subscribers: subscribers, rng: rng,
-		members: map[string]MemberStatus{}, reports: map[string]peerReport{}, requesters: map[string]eventloop.Micros{}, seenStorageNodes: map[string]eventloop.Micros{},
+		members: map[string]MemberStatus{}, reports: map[string]peerReport{},
+		requesters: map[string]eventloop.Micros{}, seenStorageNodes: map[string]eventloop.Micros{},
 	}
-	t.clusterExists = identity != nil && identity.Joined
 	if identity != nil {
-		t.knownAddresses = identity.KnownAddresses
+		m.clusterExists = identity.Joined
+		m.knownAddresses = identity.KnownAddresses
 	}
-	return t
+	return m
 }
 
-// Step implements eventloop.Table.
+// Step implements eventloop.Component.
 func (m *Membership) Step(now eventloop.Micros, message eventloop.Message, effects eventloop.Effects) {
 	switch body := message.Body.(type) {
 	case eventloop.Tick:
@@ -96,34 +97,44 @@
 		refusalChanged := (body.Max >= WritesRefusedLatency) != (m.self.LatencyUs >= int64(WritesRefusedLatency))
 		m.self.LatencyUs = int64(body.Max)
 		if refusalChanged {
-			// Others choose by it who leads and who may vote: it doesn't wait for
-			// the pace.
-			m.self.Heartbeat++
-			m.broadcast(now, heartbeatsOnly, effects)
+			// Leaders and voters are chosen by it, so it doesn't wait for the next tick.
+			m.broadcastChange(now, effects)
 		}
 	case Draining:
 		m.self.Draining = true
-		m.self.Heartbeat++
-		m.broadcast(now, heartbeatsOnly, effects)
+		m.broadcastChange(now, effects)
 	}
 }
 
 func (m *Membership) handleTick(now eventloop.Micros, effects eventloop.Effects) {
-	// After a freeze everybody looks unheard, though it was we who were gone:
-	// let them be heard anew before anything is concluded.
-	if m.lastTick > 0 && now-m.lastTick > 4*TickInterval {
-		for id, known := range m.members {
-			known.LastHeard += now - m.lastTick
-			m.members[id] = known
-		}
-		clear(m.reports)
-		m.agreementKey = ""
-	}
+	m.compensatePause(now)
 	m.lastTick = now
-	for id, known := range m.members {
-		if now-known.LastHeard > forgetTimeout {
-			delete(m.members, id)
-			delete(m.reports, id)
+	m.removeExpired(now)
+	m.ticks++
+	m.sendGossip(now, effects)
+	m.bootstrap(now, effects)
+	m.persistPeers(now, effects)
+	m.publish(now, effects)
+}
+
+// compensatePause gives all members time to be heard from after this process was paused:
+// they look unresponsive, though it was this process that didn't receive.
+func (m *Membership) compensatePause(now eventloop.Micros) {
+	if m.lastTick == 0 || now-m.lastTick <= pauseThreshold {
+		return
+	}
+	for id, status := range m.members {
+		status.LastHeard += now - m.lastTick
+		m.members[id] = status
+	}
+	clear(m.reports)
+	m.agreementKey = ""
+}
+
+func (m *Membership) removeExpired(now eventloop.Micros) {
+	for id, status := range m.members {
+		if now-status.LastHeard > forgetTimeout {
+			m.removeMember(id)
 		}
 	}
 	for id, lastHeard := range m.seenStorageNodes {
@@ -131,57 +142,60 @@
 			delete(m.seenStorageNodes, id)
 		}
 	}
-	for id, at := range m.requesters {
-		if now-at > reportMaxAge {
+	for id, requestedAt := range m.requesters {
+		if now-requestedAt > reportMaxAge {
 			delete(m.requesters, id)
 		}
 	}
-	m.ticks++
-	m.sendGossip(now, effects)
-	m.bootstrap(now, effects)
-	m.persistPeers(now, effects)
-	m.publish(now, effects)
 }
 
-// persistPeers keeps the addresses of some processes durably.
+func (m *Membership) removeMember(id string) {
+	delete(m.members, id)
+	delete(m.reports, id)
+}
+
+// persistPeers persists the addresses of some live members, storage nodes first: after a
+// restart they are contacted besides the seeds, which may have been replaced by then.
 func (m *Membership) persistPeers(now eventloop.Micros, effects eventloop.Effects) {
 	if m.identity == nil || !m.identity.Joined || m.pendingIdentity != nil || now-m.peersPersistedAt < persistPeersInterval {
 		return
 	}
 	m.peersPersistedAt = now
-	var storageNodes, otherAddresses []string
+	var storageNodes, others []string
 	for _, id := range m.memberIDs() {
-		switch known := m.members[id]; {
-		case now-known.LastHeard > 2*eventloop.Second:
-		case known.Member.HasStorage:
-			storageNodes = append(storageNodes, known.Member.InternalAddress)
+		switch status := m.members[id]; {
+		case now-status.LastHeard > persistedPeersMaxAge:
+		case status.Member.HasStorage:
+			storageNodes = append(storageNodes, status.Member.InternalAddress)
 		default:
-			otherAddresses = append(otherAddresses, known.Member.InternalAddress)
+			others = append(others, status.Member.InternalAddress)
 		}
 	}
-	peers := append(storageNodes, otherAddresses...)
+	peers := append(storageNodes, others...)
 	peers = peers[:min(len(peers), maxPersistedPeers)]
 	if len(peers) == 0 || slices.Equal(peers, m.identity.KnownAddresses) {
 		return
 	}
 	next := proto.Clone(m.identity).(*schema.StoreIdentity)
 	next.KnownAddresses = peers
-	m.pendingIdentity = next
-	effects.Notify("replica", PersistIdentity{Identity: next})
+	m.persist(PersistIdentity{Identity: next}, effects)
 }
 
-const (
-	selfOnly       gossipDetail = iota // nothing
-	heartbeatsOnly                     // what changes while a process lives; who doesn't know one asks
-	fullMembers
-)
+// persist requests a change of the identity. It takes effect on IdentityPersisted; until
+// then no other is requested.
+func (m *Membership) persist(request PersistIdentity, effects eventloop.Effects) {
+	m.pendingIdentity = request.Identity
+	effects.Notify("replica", request)
+}
 
+// publish sends a snapshot of all members, this process included, to the subscribers and
+// the address book.
 func (m *Membership) publish(now eventloop.Micros, effects eventloop.Effects) {
 	addresses := map[string]string{m.self.Id: m.self.InternalAddress}
 	view := &View{Self: proto.Clone(m.self).(*schema.Member), Members: map[string]MemberStatus{}}
-	for id, known := range m.members {
-		addresses[id] = known.Member.InternalAddress
-		view.Members[id] = known
+	for id, status := range m.members {
+		addresses[id] = status.Member.InternalAddress
+		view.Members[id] = status
 	}
 	view.Members[m.self.Id] = MemberStatus{Member: view.Self, LastHeard: now}
 	m.addresses.addresses.Store(&addresses)
--- a/internal/membership/topology.go
+++ b/internal/membership/topology.go
@@ -1,27 +1,26 @@
 package membership
 
-// Where voters stand, so that what may be lost at once leaves a majority: machines,
-// whole zones, or whole regions.
-
 import (
 	"fmt"
 	"maps"
 	"slices"
 )
 
-// FaultTolerance is what may be lost at once, each alone; the regions are given by zone.
+// FaultTolerance are the failures that a group must survive: so many machines, or zones, or
+// regions lost at once. Voters are spread over these failure domains so that a majority of
+// them is left.
 type FaultTolerance struct {
 	Machines, Zones, Regions int
 	RegionByZone             map[string]string
 }
 
-// Voters is how many voters each group is to have: a majority outlives the losses.
+// Voters returns how many voters each group is to have.
 func (t FaultTolerance) Voters() int { return 2*max(1, t.Machines, t.Zones, t.Regions) + 1 }
 
-// RequiresSpread tells whether it matters in which zones voters stand.
+// RequiresSpread reports whether it matters in which zones the voters are.
 func (t FaultTolerance) RequiresSpread() bool { return t.Zones > 0 || t.Regions > 0 }
 
-// region is that of a zone; a zone that none is known for is one by itself.
+// region returns the region of a zone; a zone without one is its own region.
 func (t FaultTolerance) region(zone string) string {
 	if region := t.RegionByZone[zone]; region != "" {
 		return region
@@ -30,54 +29,42 @@
 }
 
 func (t FaultTolerance) regions(zones []string) []string {
-	list := make([]string, 0, len(zones))
+	regions := make([]string, 0, len(zones))
 	for _, zone := range zones {
-		list = append(list, t.region(zone))
-	}
-	return list
-}
-
-// sumOfLargest is how many of the places the most crowded few hold.
-func sumOfLargest(domains []string, limit int) int {
-	counts := map[string]int{}
-	for _, domain := range domains {
-		counts[domain]++
-	}
-	sizes := slices.Sorted(maps.Values(counts))
-	slices.Reverse(sizes)
-	sum := 0
-	for _, size := range sizes[:min(limit, len(sizes))] {
-		sum += size
+		regions = append(regions, t.region(zone))
 	}
-	return sum
+	return regions
 }
 
-// ExcessVoters is by how many voters in these zones the loss of the zones or regions that
-// are to be borne would take too many; 0: a majority is left.
+// ExcessVoters returns by how many voters, of a group with voters in these zones, the tolerated
+// zone or region failures would take more than a majority can spare; 0: a majority survives.
 func (t FaultTolerance) ExcessVoters(zones []string) int {
 	tolerable := (len(zones) - 1) / 2
 	return max(0, sumOfLargest(zones, t.Zones)-tolerable) + max(0, sumOfLargest(t.regions(zones), t.Regions)-tolerable)
 }
 
-// TolerableFailures is how many machines, zones and regions may go, of voters in these zones of
-// which those that are live stand in the second list.
+// TolerableFailures returns how many machines, or zones, or regions a group may lose, given
+// the zones of all its voters and of the live ones.
 func (t FaultTolerance) TolerableFailures(voters, live []string) (machines, zones, regions int) {
 	headroom := len(live) - (len(voters)/2 + 1)
-	maxDomains := func(occupied []string) int {
-		domains := 0
-		for domains < len(occupied) && sumOfLargest(occupied, domains+1) <= headroom {
-			domains++
-		}
-		return domains
-	}
 	if headroom < 0 {
 		return 0, 0, 0
 	}
-	return headroom, maxDomains(live), maxDomains(t.regions(live))
+	return headroom, maxLostDomains(live, headroom), maxLostDomains(t.regions(live), headroom)
+}
+
+// maxLostDomains returns how many of the failure domains, whichever they are, may be lost
+// without losing more than so many voters.
+func maxLostDomains(domains []string, headroom int) int {
+	lost := 0
+	for lost < len(domains) && sumOfLargest(domains, lost+1) <= headroom {
+		lost++
+	}
+	return lost
 }
 
-// SelectVoters chooses so many of the processes, whose zones are given by id, as the voters
-// of a group. All choose alike.
+// SelectVoters selects so many of the processes, whose zones are given by id, as the voters of
+// a group. All processes select alike.
 func (t FaultTolerance) SelectVoters(zones map[string]string, count int) []string {
 	if t.Regions == 0 {
 		return SpreadOverZones(zones, count)
@@ -99,15 +86,36 @@
 			}
 		}
 	}
-	var chosen []string
+	var selected []string
 	for region, members := range byRegion {
-		chosen = append(chosen, SpreadOverZones(members, share[region])...)
+		selected = append(selected, SpreadOverZones(members, share[region])...)
 	}
-	slices.Sort(chosen)
-	return chosen
+	slices.Sort(selected)
+	return selected
 }
 
-// Shortfall says why stores in these zones can't bear what is to be borne; empty: they can.
+// SpreadOverZones selects so many of the processes, whose zones are given by id: from the
+// zones in turn, the lowest ids first. All processes select alike.
+func SpreadOverZones(zones map[string]string, count int) []string {
+	byZone := map[string][]string{}
+	for _, id := range slices.Sorted(maps.Keys(zones)) {
+		byZone[zones[id]] = append(byZone[zones[id]], id)
+	}
+	var selected []string
+	for len(selected) < min(count, len(zones)) {
+		for _, zone := range slices.Sorted(maps.Keys(byZone)) {
+			if ids := byZone[zone]; len(ids) > 0 && len(selected) < count {
+				selected = append(selected, ids[0])
+				byZone[zone] = ids[1:]
+			}
+		}
+	}
+	slices.Sort(selected)
+	return selected
+}
+
+// Shortfall says why storage nodes in these zones can't tolerate the failures; empty if they
+// can.
 func (t FaultTolerance) Shortfall(zones []string) string {
 	zoneByID := map[string]string{}
 	for k, zone := range zones {
@@ -128,9 +136,8 @@
 	return fmt.Sprintf("the loss of %d of %d regions with stores would leave no majority of %d", t.Regions, countDistinct(t.regions(zones)), len(best))
 }
 
-// TopologyShortfall says why the zones of the settings can't bear the loss of as many of them
-// or of their regions as are to be borne, wherever the stores stand; empty: they can, or
-// no zones are told.
+// TopologyShortfall says why the configured zones can't tolerate the zone and region failures,
+// wherever the storage nodes are; empty if they can, or no zones are configured.
 func (t FaultTolerance) TopologyShortfall() string {
 	zones := slices.Collect(maps.Keys(t.RegionByZone))
 	regions := countDistinct(t.regions(zones))
@@ -145,6 +152,22 @@
 	return ""
 }
 
+// sumOfLargest returns how many of the entries the most frequent domains have, up to a limit
+// of domains.
+func sumOfLargest(domains []string, limit int) int {
+	counts := map[string]int{}
+	for _, domain := range domains {
+		counts[domain]++
+	}
+	sizes := slices.Sorted(maps.Values(counts))
+	slices.Reverse(sizes)
+	sum := 0
+	for _, size := range sizes[:min(limit, len(sizes))] {
+		sum += size
+	}
+	return sum
+}
+
 func countDistinct(domains []string) int {
 	set := map[string]bool{}
 	for _, domain := range domains {
--- a/internal/mutation/calls_mutants.go
+++ b/internal/mutation/calls_mutants.go
@@ -32,6 +32,6 @@
 		{Guard: "a queue that is to go is named with its making", Test: "internal/clusterstate TestDelayedQueueRemoval", Edits: []Edit{{"internal/clusterstate",
 			`name == placement.Queue+"#"+strconv.FormatUint(placement.Generation, 10)`, `len(name) > len(placement.Queue) && name[:len(placement.Queue)+1] == placement.Queue+"#" && strconv.Itoa(0) == "0"`}}},
 		{Guard: "a former life's hello counts no more", Test: "internal/membership TestLateHellos", Edits: []Edit{{"internal/membership",
-			"isKnown && gossip.Self.Incarnation < previous.Member.Incarnation {", "isKnown && previous.Member == nil {"}}},
+			"known && gossip.Self.Incarnation < previous.Member.Incarnation {", "known && previous.Member == nil {"}}},
 	}...)
 }
