--- /dev/null
+++ b/internal/membership/bootstrap_test.go
@@ -0,0 +1,129 @@
+package membership
+
+import (
+	"fmt"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/schema"
+)
+
+func TestBootstrap(t *testing.T) {
+	const rounds = 40
+	never := eventloop.Micros(-1)
+	for _, test := range []struct {
+		name            string
+		shape           string
+		bootstrap       bool
+		machineFailures uint32
+		loss            float64          // of messages in the first 4 s
+		maxDelay        eventloop.Micros // of a message
+		startWithin     eventloop.Micros // all start in this period
+		lastStartDelay  eventloop.Micros // the last storage node starts so much later
+		restarts        int              // of any process in the first 3 s
+		voters          int              // 0: depends on the seed
+		deadline        eventloop.Micros // bootstrapped so long after the start; never: not at all
+	}{
+		{name: "three storage nodes, each other's seeds, implicit", shape: "sssfhh", maxDelay: 20 * eventloop.Millisecond, startWithin: 100 * eventloop.Millisecond, voters: 3, deadline: 2 * eventloop.Second},
+		{name: "a spare storage node beside them", shape: "sssSfhh", maxDelay: 20 * eventloop.Millisecond, startWithin: 100 * eventloop.Millisecond, voters: 3, deadline: 2 * eventloop.Second},
+		{name: "two seeds, implicit", shape: "ssfh", maxDelay: 20 * eventloop.Millisecond, startWithin: 100 * eventloop.Millisecond, voters: 2, deadline: 2 * eventloop.Second},
+		{name: "one seed, implicit", shape: "sfh", maxDelay: 20 * eventloop.Millisecond, startWithin: 100 * eventloop.Millisecond, voters: 1, deadline: 2 * eventloop.Second},
+		{name: "seeds without disks", shape: "FFFSSShhh", bootstrap: true, machineFailures: 1, maxDelay: 20 * eventloop.Millisecond, startWithin: 100 * eventloop.Millisecond, voters: 3, deadline: 2 * eventloop.Second},
+		{name: "one seed with a disk, six storage nodes", shape: "FsFSSSSSfhhh", bootstrap: true, machineFailures: 1, maxDelay: 20 * eventloop.Millisecond, startWithin: 100 * eventloop.Millisecond, voters: 3, deadline: 2 * eventloop.Second},
+		{name: "two tolerated failures, six storage nodes", shape: "sssSSShhh", bootstrap: true, machineFailures: 2, maxDelay: 20 * eventloop.Millisecond, startWithin: 100 * eventloop.Millisecond, voters: 5, deadline: 2 * eventloop.Second},
+		{name: "fewer storage nodes than desired", shape: "FFsShh", bootstrap: true, machineFailures: 1, maxDelay: 20 * eventloop.Millisecond, startWithin: 100 * eventloop.Millisecond, voters: 2, deadline: 8 * eventloop.Second},
+		{name: "messages lost", shape: "FsFSSSfhh", bootstrap: true, machineFailures: 1, loss: 0.4, maxDelay: 60 * eventloop.Millisecond, startWithin: eventloop.Second, voters: 3, deadline: 10 * eventloop.Second},
+		{name: "messages delayed", shape: "FsFSSSfhh", bootstrap: true, machineFailures: 1, loss: 0.1, maxDelay: 900 * eventloop.Millisecond, startWithin: eventloop.Second, voters: 3, deadline: 20 * eventloop.Second},
+		{name: "a delayed storage node that is needed", shape: "FFFSSSh", bootstrap: true, machineFailures: 1, loss: 0.1, maxDelay: 50 * eventloop.Millisecond, startWithin: 200 * eventloop.Millisecond, lastStartDelay: 3 * eventloop.Second, voters: 3, deadline: 12 * eventloop.Second},
+		{name: "a delayed storage node that isn't", shape: "sFFSSSSh", bootstrap: true, machineFailures: 1, loss: 0.2, maxDelay: 50 * eventloop.Millisecond, startWithin: eventloop.Second, lastStartDelay: 1200 * eventloop.Millisecond, voters: 3, deadline: 12 * eventloop.Second},
+		{name: "restarts", shape: "FsFSSSfhh", bootstrap: true, machineFailures: 1, loss: 0.2, maxDelay: 50 * eventloop.Millisecond, startWithin: eventloop.Second, restarts: 6, voters: 3, deadline: 14 * eventloop.Second},
+		{name: "restarts, implicit", shape: "sssSfhh", loss: 0.2, maxDelay: 50 * eventloop.Millisecond, startWithin: eventloop.Second, restarts: 6, voters: 3, deadline: 14 * eventloop.Second},
+		{name: "restarts, two tolerated failures, a delayed storage node", shape: "sFsSSSSh", bootstrap: true, machineFailures: 2, loss: 0.3, maxDelay: 300 * eventloop.Millisecond, startWithin: 2 * eventloop.Second, lastStartDelay: 2 * eventloop.Second, restarts: 8, deadline: 20 * eventloop.Second},
+		{name: "empty storage nodes that aren't at their first start", shape: "sssSSh", machineFailures: 1, maxDelay: 20 * eventloop.Millisecond, startWithin: eventloop.Second, deadline: never},
+		{name: "a gateway node at a seed's address, implicit", shape: "ssFSh", maxDelay: 20 * eventloop.Millisecond, startWithin: eventloop.Second, deadline: never},
+	} {
+		Convey(test.name, t, func() {
+			var slowest eventloop.Micros
+			for seed := range uint64(rounds) {
+				n := newNetwork(seed)
+				n.loss, n.lossEnd, n.maxDelay = test.loss, 5*eventloop.Second, test.maxDelay
+				n.addHosts(test.shape, test.bootstrap, test.machineFailures)
+				var storageNodes []*host
+				for _, h := range n.hosts {
+					if h.hasDisk {
+						storageNodes = append(storageNodes, h)
+					}
+				}
+				storageNodes[len(storageNodes)-1].startDelay = test.lastStartDelay
+				n.startAll(test.startWithin)
+				for range test.restarts {
+					h := n.hosts[n.rng.IntN(len(n.hosts))]
+					n.after(n.randomDelay(3*eventloop.Second), func() {
+						if h.incarnation > 0 {
+							h.stop()
+							n.after(n.randomDelay(500*eventloop.Millisecond), func() {
+								if h.incarnation == 0 {
+									h.start()
+								}
+							})
+						}
+					})
+				}
+				// Messages still in flight after the bootstrap could do harm, so it runs on for a while.
+				for end := eventloop.Second + max(test.deadline, 8*eventloop.Second); n.now < end && (n.bootstrappedAt == 0 || !n.isBootstrapped() || n.now < n.bootstrappedAt+3*eventloop.Second); {
+					n.runTo(n.now + 250*eventloop.Millisecond)
+				}
+				if test.deadline == never {
+					if len(n.votes) != 0 {
+						So(fmt.Sprintf("seed %d: votes %v", seed, n.votes), ShouldEqual, "")
+					}
+					continue
+				}
+				slowest = max(slowest, n.bootstrappedAt-eventloop.Second)
+				succeeded := len(n.votes) == 1 && n.isBootstrapped() && (test.voters == 0 || n.voterCount() == test.voters)
+				if !succeeded || n.bootstrappedAt-eventloop.Second > test.deadline {
+					So(fmt.Sprintf("seed %d: votes %v, bootstrapped %v after %d us", seed, n.votes, n.bootstrapped, n.bootstrappedAt-eventloop.Second), ShouldEqual, "")
+				}
+			}
+			t.Logf("%s: bootstrapped after %d ms at the latest", test.name, slowest/eventloop.Millisecond)
+		})
+	}
+}
+
+func TestNoBootstrapBesideCluster(t *testing.T) {
+	Convey("A storage node beside a cluster casts no vote, whatever its settings say", t, func() {
+		for _, bootstrap := range []bool{false, true} {
+			for seed := range uint64(30) {
+				n := newNetwork(seed)
+				n.loss, n.lossEnd = 0.3, 20*eventloop.Second
+				n.addHosts("FsFSSSSfhh", true, 1)
+				// The fourth to the sixth are the cluster; the seed's storage node comes
+				// back empty, and one more is new.
+				for _, k := range []int{3, 4, 5} {
+					n.hosts[k].identity = &schema.StoreIdentity{Id: fmt.Sprintf("old%d", k), Joined: true, BootstrapVote: []string{"old3", "old4", "old5"}}
+				}
+				for _, k := range []int{1, 6} {
+					n.hosts[k].config.Bootstrap = bootstrap
+				}
+				n.startAll(2 * eventloop.Second)
+				n.runTo(20 * eventloop.Second)
+				So(len(n.bootstrapped), ShouldEqual, 0)
+				for _, k := range []int{1, 6} {
+					So(n.hosts[k].identity.Joined, ShouldBeFalse)
+					So(n.hosts[k].identity.BootstrapVote, ShouldBeEmpty)
+				}
+			}
+		}
+	})
+	Convey("It has joined once the cluster has added it", t, func() {
+		n := newNetwork(1)
+		n.addHosts("s", false, 1)
+		n.startAll(0)
+		n.runTo(2 * eventloop.Second)
+		h := n.hosts[0]
+		h.step(eventloop.Message{Body: IdentityPersisted{Identity: &schema.StoreIdentity{Id: h.id, Joined: true}}})
+		So(h.membership.clusterExists, ShouldBeTrue)
+	})
+}
--- /dev/null
+++ b/internal/membership/gossip_test.go
@@ -0,0 +1,195 @@
+package membership
+
+import (
+	"encoding/gob"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/schema"
+)
+
+func TestGossip(t *testing.T) {
+	// Storage nodes hear of all processes, the others not of all agent nodes.
+	isExpected := func(by, of *host) bool { return by.hasDisk || !of.config.IsAgentNode }
+	isStorageNode := func(_, of *host) bool { return of.hasDisk }
+	inRunningCluster := func(name string, test func(n *network)) {
+		Convey(name, t, func() {
+			for seed := range uint64(10) {
+				test(newRunningCluster(seed))
+			}
+		})
+	}
+	inRunningCluster("In a cluster of eighteen all processes hear of the storage and gateway nodes regularly, and the storage nodes of all processes", func(n *network) {
+		So(n.isBootstrapped(), ShouldBeTrue)
+		So(n.maxSilence(20*eventloop.Second, isStorageNode), ShouldBeLessThan, 1000*eventloop.Millisecond)
+		So(n.maxSilence(20*eventloop.Second, isExpected), ShouldBeLessThan, 1500*eventloop.Millisecond)
+	})
+	inRunningCluster("also if one message in ten is lost", func(n *network) {
+		n.loss, n.lossEnd = 0.1, n.now+eventloop.Second*60
+		byAgentNode := func(by, of *host) bool { return by.config.IsAgentNode && of.hasDisk }
+		So(n.maxSilence(20*eventloop.Second, byAgentNode), ShouldBeLessThan, 1500*eventloop.Millisecond)
+	})
+	inRunningCluster("also if an agent node is partitioned from a storage node", func(n *network) {
+		storageNode, agentNode := n.hosts[1], n.hosts[12]
+		n.isPartitioned = func(from, to *host) bool {
+			return from == storageNode && to == agentNode || from == agentNode && to == storageNode
+		}
+		So(n.maxSilence(20*eventloop.Second, isStorageNode), ShouldBeLessThan, 1500*eventloop.Millisecond)
+	})
+	inRunningCluster("A storage node that is partitioned from the other storage nodes is heard of indirectly", func(n *network) {
+		storageNode := n.hosts[4]
+		n.isPartitioned = func(from, to *host) bool {
+			return from == storageNode && to.hasDisk || from.hasDisk && to == storageNode
+		}
+		n.runTo(n.now + 5*eventloop.Second)
+		So(n.maxSilence(20*eventloop.Second, func(by, of *host) bool { return of == storageNode && by.config.IsAgentNode }), ShouldBeLessThan, 2500*eventloop.Millisecond)
+	})
+	inRunningCluster("A storage node that crashed soon isn't heard of any more, and the others are", func(n *network) {
+		storageNode := n.hosts[5]
+		storageNode.stop()
+		crashedAt := n.now
+		n.runTo(n.now + 3*eventloop.Second)
+		for _, by := range n.hosts {
+			if by.incarnation > 0 {
+				So(by.membership.members[storageNode.id].LastHeard-crashedAt, ShouldBeLessThan, 600*eventloop.Millisecond)
+			}
+		}
+		So(n.maxSilence(20*eventloop.Second, func(_, of *host) bool { return of.hasDisk && of != storageNode }), ShouldBeLessThan, 1500*eventloop.Millisecond)
+	})
+	inRunningCluster("A process that starts is soon known everywhere, and so is one that drains", func(n *network) {
+		gateway := n.hosts[8]
+		gateway.stop()
+		gateway.start()
+		n.runTo(n.now + 2500*eventloop.Millisecond)
+		for _, by := range n.hosts {
+			if by != gateway {
+				So(by.view.Members, ShouldContainKey, gateway.id)
+				So(by.addresses.Address(gateway.id), ShouldEqual, gateway.address)
+			}
+		}
+		gateway.step(eventloop.Message{Body: Draining{}})
+		n.runTo(n.now + 600*eventloop.Millisecond)
+		for _, by := range n.hosts {
+			if by != gateway && by.config.IsAgentNode {
+				So(by.membership.members[gateway.id].Member.Draining, ShouldBeTrue)
+			}
+		}
+	})
+	inRunningCluster("A gateway node that reaches no storage node is heard of indirectly", func(n *network) {
+		gateway := n.hosts[8]
+		n.isPartitioned = func(from, to *host) bool { return from == gateway && to.hasDisk || from.hasDisk && to == gateway }
+		n.runTo(n.now + 5*eventloop.Second)
+		So(n.maxSilence(20*eventloop.Second, func(by, of *host) bool { return of == gateway && by.hasDisk }), ShouldBeLessThan, 4*eventloop.Second)
+	})
+	inRunningCluster("All agree on the candidates for controller, and one that crashes is soon replaced", func(n *network) {
+		candidates := func(by *host) []string {
+			zones := map[string]string{}
+			for id, status := range by.view.Members {
+				if status.Member.Role == schema.Role_ROLE_CONTROLLER && by.view.IsAlive(id, n.now, storageNodeTimeout) {
+					zones[id] = status.Member.Zone
+				}
+			}
+			return SpreadOverZones(zones, MaxControllerCandidates)
+		}
+		agreed := func() []string {
+			want := candidates(n.hosts[1])
+			So(len(want), ShouldEqual, MaxControllerCandidates)
+			for _, by := range n.hosts {
+				if by.incarnation > 0 && by.config.IsAgentNode {
+					got := candidates(by)
+					So(slices.Contains(got, by.id), ShouldEqual, slices.Contains(want, by.id))
+				}
+			}
+			return want
+		}
+		first := agreed()
+		for _, h := range n.hosts {
+			if h.id == first[0] {
+				h.stop()
+			}
+		}
+		n.runTo(n.now + 5*eventloop.Second)
+		So(agreed(), ShouldNotContain, first[0])
+	})
+	Convey("In a cluster of 80 agent and gateway nodes are sent few members", t, func() {
+		n := newNetwork(2)
+		n.maxDelay = 2 * eventloop.Millisecond
+		n.addHosts("FsFSSSSSffffffff"+strings.Repeat("h", 64), true, 1)
+		n.startAll(200 * eventloop.Millisecond)
+		n.runTo(12 * eventloop.Second)
+		atAgent, atGateway := 0, 0
+		n.onGossip = func(_, to *host, gossip *schema.Gossip) {
+			if to.config.IsAgentNode {
+				atAgent = max(atAgent, len(gossip.Members))
+			}
+			if !to.config.IsAgentNode && !to.hasDisk {
+				atGateway = max(atGateway, len(gossip.Members))
+			}
+		}
+		n.encoders = map[string]*gob.Encoder{}
+		n.runTo(n.now + 5*eventloop.Second)
+		n.messages, n.bytes = 0, 0
+		n.runTo(n.now + 10*eventloop.Second)
+		t.Logf("80 processes: %d messages/s, %d bytes/s; at most %d members in a message to an agent node, %d to a gateway node", n.messages/10, n.bytes/10, atAgent, atGateway)
+		So(atAgent, ShouldBeLessThanOrEqualTo, 16+MaxControllerCandidates)
+		So(atGateway, ShouldBeLessThanOrEqualTo, 16+MaxControllerCandidates)
+	})
+	Convey("The traffic is bounded", t, func() {
+		n := newRunningCluster(1)
+		n.messages, n.bytes, n.encoders = 0, 0, map[string]*gob.Encoder{}
+		n.runTo(n.now + 5*eventloop.Second) // types are sent over each link once
+		n.messages, n.bytes = 0, 0
+		n.runTo(n.now + 20*eventloop.Second)
+		t.Logf("18 processes: %d messages/s, %d bytes/s", n.messages/20, n.bytes/20)
+		So(n.messages/20, ShouldBeLessThan, 250)
+		So(n.bytes/20, ShouldBeLessThan, 100_000)
+	})
+}
+
+func TestPausedProcess(t *testing.T) {
+	Convey("After a pause no member looks unresponsive, and no vote is based on earlier reports", t, func() {
+		n := newNetwork(3)
+		n.addHosts("sss", false, 0)
+		n.startAll(100 * eventloop.Millisecond)
+		n.runTo(eventloop.Second + 400*eventloop.Millisecond)
+		h := n.hosts[0]
+		others := slices.Sorted(maps.Keys(h.membership.members))
+		So(len(others), ShouldEqual, 2)
+		h.membership.Step(n.now+30*eventloop.Second, eventloop.Message{Body: eventloop.Tick{}}, h)
+		for _, id := range others {
+			So(h.view.IsAlive(id, n.now+30*eventloop.Second, eventloop.Second), ShouldBeTrue)
+		}
+		So(h.membership.reports, ShouldBeEmpty)
+	})
+}
+
+func TestFullRestart(t *testing.T) {
+	Convey("After a full restart agent nodes whose seeds have no disk soon hear of a storage node, in whatever order all start", t, func() {
+		for seed := range uint64(60) {
+			n := newNetwork(seed)
+			n.addHosts("FFFSSShhhhhh", true, 1)
+			for _, k := range []int{3, 4, 5} {
+				n.hosts[k].identity = &schema.StoreIdentity{
+					Id: fmt.Sprintf("old%d", k), Joined: true, BootstrapVote: []string{"old3", "old4", "old5"}, KnownAddresses: []string{"10.0.0.03:1", "10.0.0.04:1", "10.0.0.05:1"},
+				}
+			}
+			// The storage nodes find each other by their known addresses; the seeds start last.
+			for _, h := range n.hosts[:3] {
+				h.startDelay = 300*eventloop.Millisecond + n.randomDelay(300*eventloop.Millisecond)
+			}
+			n.startAll(100 * eventloop.Millisecond)
+			n.runTo(n.now + 2*eventloop.Second)
+			for _, h := range n.hosts {
+				if h.config.IsAgentNode {
+					So(h.membership.liveStorageNodes(n.now), ShouldNotBeEmpty)
+				}
+			}
+		}
+	})
+}
--- a/internal/membership/newly_joined_test.go
+++ b/internal/membership/newly_joined_test.go
@@ -9,26 +9,26 @@
 	"sparnotch/internal/schema"
 )
 
-func TestNewcomers(t *testing.T) {
-	store := func(boot uint64, ran eventloop.Micros) *schema.Member {
-		return &schema.Member{Id: "d", HasStorage: true, Incarnation: boot, Heartbeat: uint64(ran / TickInterval)}
+func TestNewlyJoined(t *testing.T) {
+	storageNode := func(incarnation uint64, uptime eventloop.Micros) *schema.Member {
+		return &schema.Member{Id: "d", HasStorage: true, Incarnation: incarnation, Heartbeat: uint64(uptime / TickInterval)}
 	}
 	minute := 60 * eventloop.Second
-	Convey("A store that has never run before and started of late, in a cluster that is older, is a newcomer", t, func() {
-		So(IsNewlyJoined(store(1, eventloop.Second), minute), ShouldBeTrue)
-		So(IsNewlyJoined(store(1, eventloop.Second), 10*eventloop.Second), ShouldBeTrue)
+	Convey("A storage node that never ran before and started recently, in an older cluster, has newly joined", t, func() {
+		So(IsNewlyJoined(storageNode(1, eventloop.Second), minute), ShouldBeTrue)
+		So(IsNewlyJoined(storageNode(1, eventloop.Second), 10*eventloop.Second), ShouldBeTrue)
 	})
-	Convey("It is none when it was there from the beginning, ran before, has run for long, leaves, or stores nothing", t, func() {
-		So(IsNewlyJoined(store(1, 20*eventloop.Second), 20*eventloop.Second), ShouldBeFalse)
-		So(IsNewlyJoined(store(2, eventloop.Second), minute), ShouldBeFalse)
-		So(IsNewlyJoined(store(1, 40*eventloop.Second), minute), ShouldBeFalse)
-		leaving, front := store(1, eventloop.Second), store(1, eventloop.Second)
-		leaving.Draining, front.HasStorage = true, false
-		So(IsNewlyJoined(leaving, minute), ShouldBeFalse)
-		So(IsNewlyJoined(front, minute), ShouldBeFalse)
+	Convey("It hasn't if it was there from the first start, ran before, has run for long, drains, or has no storage", t, func() {
+		So(IsNewlyJoined(storageNode(1, 20*eventloop.Second), 20*eventloop.Second), ShouldBeFalse)
+		So(IsNewlyJoined(storageNode(2, eventloop.Second), minute), ShouldBeFalse)
+		So(IsNewlyJoined(storageNode(1, 40*eventloop.Second), minute), ShouldBeFalse)
+		draining, gateway := storageNode(1, eventloop.Second), storageNode(1, eventloop.Second)
+		draining.Draining, gateway.HasStorage = true, false
+		So(IsNewlyJoined(draining, minute), ShouldBeFalse)
+		So(IsNewlyJoined(gateway, minute), ShouldBeFalse)
 	})
-	Convey("Of the live ones that don't vote yet one is named", t, func() {
-		view := &View{Members: map[string]MemberStatus{"d": {Member: store(1, eventloop.Second), LastHeard: minute}}}
+	Convey("One of the live ones that aren't voters is found", t, func() {
+		view := &View{Members: map[string]MemberStatus{"d": {Member: storageNode(1, eventloop.Second), LastHeard: minute}}}
 		So(view.FindNewlyJoined(minute, eventloop.Second, minute, nil), ShouldEqual, "d")
 		So(view.FindNewlyJoined(minute, eventloop.Second, minute, []string{"d"}), ShouldBeEmpty)
 		So(view.FindNewlyJoined(minute+eventloop.Second, eventloop.Second, minute, nil), ShouldBeEmpty)
--- a/internal/membership/stale_gossip_test.go
+++ b/internal/membership/stale_gossip_test.go
@@ -10,38 +10,38 @@
 	"sparnotch/internal/schema"
 )
 
-// dialCounter takes what a table sends and counts it by address.
+// dialCounter counts the messages that a component dials, by address.
 type dialCounter map[string]int
 
-func (s dialCounter) Send(string, any)           {}
-func (s dialCounter) Dial(address string, _ any) { s[address]++ }
-func (s dialCounter) Notify(string, any)         {}
-func (s dialCounter) Respond(uint64, any)        {}
+func (c dialCounter) Send(string, any)           {}
+func (c dialCounter) Dial(address string, _ any) { c[address]++ }
+func (c dialCounter) Notify(string, any)         {}
+func (c dialCounter) Respond(uint64, any)        {}
 
-func TestLateHellos(t *testing.T) {
-	Convey("Given a store that has started a second time", t, func() {
+func TestStaleGossip(t *testing.T) {
+	Convey("Given a storage node in its second incarnation", t, func() {
 		self := &schema.Member{Id: "me", Incarnation: 1, InternalAddress: "10.0.0.1:1", HasStorage: true}
-		table := New(self, Config{Seeds: []string{"10.0.0.2:1"}, Bootstrap: true}, &schema.StoreIdentity{Id: "me"}, &AddressBook{}, nil, rand.New(rand.NewPCG(1, 1)))
+		component := New(self, Config{Seeds: []string{"10.0.0.2:1"}, Bootstrap: true}, &schema.StoreIdentity{Id: "me"}, &AddressBook{}, nil, rand.New(rand.NewPCG(1, 1)))
 		effects, now := dialCounter{}, 10*eventloop.Second
-		gossip := func(boot, beat uint64, address string, stores ...string) {
+		receive := func(incarnation, heartbeat uint64, address string, knownStores ...string) {
 			now += eventloop.Millisecond
-			table.Step(now, eventloop.Message{From: "other", Body: &schema.Gossip{
-				Self: &schema.Member{Id: "other", Incarnation: boot, Heartbeat: beat, InternalAddress: address, HasStorage: true}, Empty: true, KnownStores: stores,
+			component.Step(now, eventloop.Message{From: "other", Body: &schema.Gossip{
+				Self: &schema.Member{Id: "other", Incarnation: incarnation, Heartbeat: heartbeat, InternalAddress: address, HasStorage: true}, Empty: true, KnownStores: knownStores,
 			}}, effects)
 		}
-		gossip(2, 7, "10.0.0.2:1", "me", "other")
-		Convey("the word of its former life counts no more and isn't answered", func() {
-			gossip(1, 90, "10.0.0.3:1", "former")
-			So(table.reports["other"].gossip.KnownStores, ShouldResemble, []string{"me", "other"})
-			So(table.members["other"].Member.InternalAddress, ShouldEqual, "10.0.0.2:1")
+		receive(2, 7, "10.0.0.2:1", "me", "other")
+		Convey("a message of its first incarnation is ignored and not answered", func() {
+			receive(1, 90, "10.0.0.3:1", "previous")
+			So(component.reports["other"].gossip.KnownStores, ShouldResemble, []string{"me", "other"})
+			So(component.members["other"].Member.InternalAddress, ShouldEqual, "10.0.0.2:1")
 			So(effects["10.0.0.3:1"], ShouldEqual, 0)
 		})
-		Convey("what it said before doesn't take the place of what it said since", func() {
-			gossip(2, 6, "10.0.0.2:1", "other")
-			So(table.reports["other"].gossip.KnownStores, ShouldResemble, []string{"me", "other"})
-			So(table.reports["other"].receivedAt, ShouldEqual, now-eventloop.Millisecond)
-			gossip(2, 8, "10.0.0.2:1", "other")
-			So(table.reports["other"].gossip.KnownStores, ShouldResemble, []string{"other"})
+		Convey("an older message of the same incarnation doesn't replace the report of a newer one", func() {
+			receive(2, 6, "10.0.0.2:1", "other")
+			So(component.reports["other"].gossip.KnownStores, ShouldResemble, []string{"me", "other"})
+			So(component.reports["other"].receivedAt, ShouldEqual, now-eventloop.Millisecond)
+			receive(2, 8, "10.0.0.2:1", "other")
+			So(component.reports["other"].gossip.KnownStores, ShouldResemble, []string{"other"})
 		})
 	})
 }
--- a/internal/mutation/calls_mutants.go
+++ b/internal/mutation/calls_mutants.go
@@ -31,7 +31,7 @@
 		{Guard: "an older claim's answer counts no more", Test: "internal/controller TestAnswersToClaims", Edits: []Edit{{"internal/controller", "if reply.Id < c.newestAnsweredClaim {", "if false {"}}},
 		{Guard: "a queue that is to go is named with its making", Test: "internal/clusterstate TestDelayedQueueRemoval", Edits: []Edit{{"internal/clusterstate",
 			`name == placement.Queue+"#"+strconv.FormatUint(placement.Generation, 10)`, `len(name) > len(placement.Queue) && name[:len(placement.Queue)+1] == placement.Queue+"#" && strconv.Itoa(0) == "0"`}}},
-		{Guard: "a former life's hello counts no more", Test: "internal/membership TestLateHellos", Edits: []Edit{{"internal/membership",
+		{Guard: "a former life's hello counts no more", Test: "internal/membership TestStaleGossip", Edits: []Edit{{"internal/membership",
 			"known && gossip.Self.Incarnation < previous.Member.Incarnation {", "known && previous.Member == nil {"}}},
 	}...)
 }
--- a/internal/mutation/replication_mutants.go
+++ b/internal/mutation/replication_mutants.go
@@ -39,7 +39,7 @@
 			Edits: []Edit{{"internal/gateway", "now-pending.sentAt > pending.retryDelay() ||", "now-pending.sentAt > requestRetryDelay ||"}}},
 		{Guard: "a slot is synced before its log is written", Test: "internal/storage TestInterruptedSnapshotInstall",
 			Edits: []Edit{{"internal/storage", "	if err := s.disk.Sync(slotName(next)); err != nil {\n		return err\n	}\n", ""}}},
-		{Guard: "a known store is asked where seeds are gone", Test: "internal/membership TestWhoIsNewWithoutSeeds",
+		{Guard: "a known store is asked where seeds are gone", Test: "internal/membership TestUnknownMemberWithoutSeeds",
 			Edits: []Edit{{"internal/membership", "	if len(storageNodes) > 0 && !m.isAliveAt(now, seed) {\n", "	if false {\n"}}},
 	}...)
 }
