--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,11 +1,17 @@
-// Package controller owns control: it compares what is wanted with what is, and acts
-// once at a time, under a controller's lease that the cluster state gives and checks.
-// It holds nothing durable; with every side machine gone the rest goes on as
-// the cluster state last said.
+// Package controller is the cluster's control plane: it reconciles the cluster state with the
+// configuration and with the processes that are alive. It places and removes queues, chooses
+// the storage node that leads the queues and holds the worker leases, replaces lost voters,
+// and ends the sessions of gateway nodes that are gone.
+//
+// Each agent node runs a Controller, but only the holder of the controller lease acts. The
+// lease is granted by the cluster state, which also checks its fencing token on each command.
+// A Controller owns no durable state: it works on copies of the cluster state that it polls
+// from the storage nodes. Without any controller the cluster goes on as the cluster state
+// last said.
 package controller
 
 import (
-	"sort"
+	"slices"
 
 	"sparnotch/internal/clusterstate"
 	"sparnotch/internal/eventloop"
@@ -14,85 +20,88 @@
 	"sparnotch/internal/timing"
 )
 
-// TickInterval is the tick of the table.
+// TickInterval is the period of the component's ticks.
 const TickInterval = 50 * eventloop.Millisecond
 
-const (
-	pollInterval        = 250 * eventloop.Millisecond
-	leaseRenewInterval  = 800 * eventloop.Millisecond
-	leaseRetryInterval  = 500 * eventloop.Millisecond
-	leaseSafetyMargin   = 300 * eventloop.Millisecond // a lease is let go this long before it ends
-	deposedTimeout      = 600 * eventloop.Millisecond // one that doesn't answer for so long, while others lead what it led, is passed over
-	actionInterval      = 200 * eventloop.Millisecond // between two acts on one thing
-	maxLatencyUs        = int64(300 * eventloop.Millisecond)
-	latencyMoveCooldown = 15 * eventloop.Second // between two moves for latency alone
-)
+// actionInterval is how long an action isn't repeated: its effect may not be visible yet.
+const actionInterval = 200 * eventloop.Millisecond
 
-// storageNodeReport is the last word of one store.
-type storageNodeReport struct {
-	receivedAt eventloop.Micros
-	update     *schema.ClusterStateResponse
+// Controller is the component of one agent node. It isn't safe for concurrent use.
+type Controller struct {
+	id          string
+	subscribers []string // components that get the cluster state
+	timeouts    timing.Timeouts
+	tolerance   membership.FaultTolerance
+
+	votersPerGroup int
+
+	// What is known of the cluster.
+	state         *schema.ClusterState
+	values        *clusterstate.Values
+	view          *membership.View // nil until the first one
+	reports       map[string]storageNodeReport
+	missingSince  map[string]eventloop.Micros // when a storage node, or "gateway/" and a gateway node, was first missed
+	lastLocations map[string]lastLocation     // of the storage nodes, also of those that left the view
+	polledAt      eventloop.Micros
+	pollTurn      int // selects the storage node to poll next
+
+	// The controller lease.
+	leaseExpiryUs       int64                       // the latest expiry seen, in the cluster state's time; 0: none
+	leaseExpirySeenAt   eventloop.Micros            // when it was first seen
+	pendingClaims       map[uint64]eventloop.Micros // when each unanswered claim was sent, by request id
+	claimedAt           eventloop.Micros            // when the last claim was sent
+	newestAnsweredClaim uint64
+	fencingToken        uint64           // 0: the lease isn't held
+	leaseValidUntil     eventloop.Micros // by this node's clock
+
+	// What was done last.
+	lastRequestID   uint64
+	lastActions     map[string]eventloop.Micros // when each action was taken
+	lastQueueAction string                      // the content of the last placement of queues
+	leadersMovedAt  eventloop.Micros
 }
 
-// lastLocation is where a store lived, in which zone, and when it was last heard there.
+// lastLocation is where a storage node was last heard from.
 type lastLocation struct {
 	address, zone string
 	lastHeard     eventloop.Micros
 }
 
-// Controller is the controller's table; every side machine has one, one of them acts.
-type Controller struct {
-	id                  string
-	state               *schema.ClusterState
-	values              *clusterstate.Values
-	view                *membership.View
-	reports             map[string]storageNodeReport
-	leaseExpiryUs       int64 // the lease's end as last seen, in the cluster state's time
-	leaseExpirySeenAt   eventloop.Micros
-	polledAt            eventloop.Micros
-	claimedAt           eventloop.Micros
-	pendingClaims       map[uint64]eventloop.Micros
-	newestAnsweredClaim uint64 // newest claim that was answered
-	fencingToken        uint64
-	leaseValidUntil     eventloop.Micros // my lease ends, by my clock
-	lastActions         map[string]eventloop.Micros
-	lastQueueAction     string // the queues of the last act on queues
-	leadersMovedAt      eventloop.Micros
-	missingSince        map[string]eventloop.Micros
-	lastLocations       map[string]lastLocation // where each store lived, as last heard
-	lastRequestID       uint64
-	pollTurn            int // whose turn it is to be asked
-	votersPerGroup      int // how many each group is to have
-	timeouts            timing.Timeouts
-	tolerance           membership.FaultTolerance // what may be lost at once
-	subscribers         []string
-}
-
-// New makes the table of a side machine. Losses are the stores that may be lost
-// at once (0: one). Readers are the tables of this process that want the cluster state.
+// New returns the controller of an agent node. The machine failures are the storage nodes that
+// may be lost at once; 0: one. The subscribers are the components of this process that get
+// the cluster state.
 func New(id string, machineFailures uint32, subscribers ...string) *Controller {
 	return &Controller{
-		id: id, timeouts: timing.FromBounds(nil), votersPerGroup: membership.Config{MachineFailures: machineFailures}.VoterCount(), subscribers: subscribers, state: &schema.ClusterState{}, values: clusterstate.ParseValues(nil), reports: map[string]storageNodeReport{}, pendingClaims: map[uint64]eventloop.Micros{},
-		lastActions: map[string]eventloop.Micros{}, missingSince: map[string]eventloop.Micros{}, lastLocations: map[string]lastLocation{},
+		id:             id,
+		subscribers:    subscribers,
+		timeouts:       timing.FromBounds(nil),
+		votersPerGroup: membership.Config{MachineFailures: machineFailures}.VoterCount(),
+		state:          &schema.ClusterState{},
+		values:         clusterstate.ParseValues(nil),
+		reports:        map[string]storageNodeReport{},
+		missingSince:   map[string]eventloop.Micros{},
+		lastLocations:  map[string]lastLocation{},
+		pendingClaims:  map[uint64]eventloop.Micros{},
+		lastActions:    map[string]eventloop.Micros{},
 	}
 }
 
-// WithBounds sets what the deployment promises and asks; nil or zero: the defaults.
+// WithBounds sets the timeouts by the bounds of the deployment; nil or zero: the defaults.
 func (c *Controller) WithBounds(bounds *schema.Bounds) *Controller {
 	c.timeouts = timing.FromBounds(bounds)
 	return c
 }
 
-// WithTolerance sets what may be lost at once: voters are spread so that a majority is left.
+// WithTolerance sets the failures that each group must survive.
 func (c *Controller) WithTolerance(tolerance membership.FaultTolerance) *Controller {
 	c.tolerance, c.votersPerGroup = tolerance, tolerance.Voters()
 	return c
 }
 
-// StateViewRequest asks what this side machine believes.
+// StateViewRequest asks for a StateView, which is the response to the request of that number.
 type StateViewRequest struct{ Request uint64 }
 
-// StateView is what a side machine believes.
+// StateView is what an agent node knows of the cluster, for operators.
 type StateView struct {
 	Node         string           `json:"node"`
 	Version      uint64           `json:"cluster_state_version"`
@@ -102,7 +111,7 @@
 	Members      []*schema.Member `json:"members"`
 }
 
-// Step implements eventloop.Table.
+// Step implements eventloop.Component.
 func (c *Controller) Step(now eventloop.Micros, message eventloop.Message, effects eventloop.Effects) {
 	switch body := message.Body.(type) {
 	case eventloop.Tick:
@@ -114,64 +123,20 @@
 	case *schema.Response:
 		c.handleClaimReply(now, body)
 	case StateViewRequest:
-		view := &StateView{Node: c.id, Version: c.state.Version, Controller: c.state.ControllerLease.GetHolder(), FencingToken: c.state.ControllerLease.GetFencingToken(), IsController: c.holdsLease(now)}
-		for _, id := range c.memberIDs() {
-			view.Members = append(view.Members, c.view.Members[id].Member)
-		}
-		effects.Respond(body.Request, view)
-	}
-}
-
-func (c *Controller) handleClusterState(now eventloop.Micros, from string, update *schema.ClusterStateResponse, effects eventloop.Effects) {
-	state, err := clusterstate.DecodeUpdate(update, c.state.Configuration)
-	if err != nil {
-		return // it is asked for again
-	}
-	changed := state != nil && state.Version > c.state.Version
-	if state != nil && state.Version >= c.state.Version {
-		c.state, c.values = state, c.values.Refresh(state.Configuration)
-		effects.Notify("membership", membership.ClusterStateObserved{Version: state.Version})
-	}
-	if update.ControllerLeaseExpiresUs > c.leaseExpiryUs {
-		c.leaseExpiryUs, c.leaseExpirySeenAt = update.ControllerLeaseExpiresUs, now
-	}
-	// An answer from before a change must not undo what we know.
-	if update.Version >= c.state.Version {
-		c.reports[from] = storageNodeReport{receivedAt: now, update: update}
-		// The whole each time: a reader that missed one isn't told of it again.
-		for _, subscriber := range c.subscribers {
-			effects.Notify(subscriber, &schema.ClusterStateResponse{State: c.state, Version: c.state.Version, Leaders: update.Leaders})
-		}
-	}
-	// A step of a repair waits for the word that the one before is done.
-	if len(update.QueueStatuses) > 0 && c.view != nil && c.holdsLease(now) {
-		c.reconcileMembers(now, effects)
-	}
-	// Queues that a table has just added are waited for.
-	if changed && c.view != nil && c.holdsLease(now) {
-		c.reconcileQueues(now, effects)
+		effects.Respond(body.Request, c.stateView(now))
 	}
 }
 
-func (c *Controller) memberIDs() []string {
-	var ids []string
-	if c.view != nil {
-		for id := range c.view.Members {
-			ids = append(ids, id)
-		}
+func (c *Controller) stateView(now eventloop.Micros) *StateView {
+	lease := c.state.ControllerLease
+	view := &StateView{
+		Node: c.id, Version: c.state.Version,
+		Controller: lease.GetHolder(), FencingToken: lease.GetFencingToken(), IsController: c.holdsLease(now),
 	}
-	sort.Strings(ids)
-	return ids
-}
-
-func (c *Controller) liveStorageNodes(now eventloop.Micros) []string {
-	var ids []string
 	for _, id := range c.memberIDs() {
-		if known := c.view.Members[id]; known.Member.HasStorage && c.view.IsAlive(id, now, c.timeouts.SuspectTimeout) {
-			ids = append(ids, id)
-		}
+		view.Members = append(view.Members, c.view.Members[id].Member)
 	}
-	return ids
+	return view
 }
 
 func (c *Controller) handleTick(now eventloop.Micros, effects eventloop.Effects) {
@@ -192,3 +157,40 @@
 	c.reconcileMembers(now, effects)
 	c.reconcileSessions(now, effects)
 }
+
+func (c *Controller) memberIDs() []string {
+	if c.view == nil {
+		return nil
+	}
+	ids := make([]string, 0, len(c.view.Members))
+	for id := range c.view.Members {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	return ids
+}
+
+// liveStorageNodes returns the ids of the live storage nodes, sorted.
+func (c *Controller) liveStorageNodes(now eventloop.Micros) []string {
+	var ids []string
+	for _, id := range c.memberIDs() {
+		if c.view.Members[id].Member.HasStorage && c.isAlive(now, id) {
+			ids = append(ids, id)
+		}
+	}
+	return ids
+}
+
+func (c *Controller) isAlive(now eventloop.Micros, id string) bool {
+	return c.view.IsAlive(id, now, c.timeouts.SuspectTimeout)
+}
+
+// allowAction reports whether an action may be taken, at most once in an interval, and notes
+// that it is.
+func (c *Controller) allowAction(now eventloop.Micros, action string, interval eventloop.Micros) bool {
+	if last, found := c.lastActions[action]; found && now-last < interval {
+		return false
+	}
+	c.lastActions[action] = now
+	return true
+}
--- /dev/null
+++ b/internal/controller/queues.go
@@ -0,0 +1,75 @@
+package controller
+
+import (
+	"strings"
+
+	"sparnotch/internal/clusterstate"
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/replica"
+	"sparnotch/internal/schema"
+)
+
+// reconcileQueues places the queues that are configured and removes those that aren't any more.
+func (c *Controller) reconcileQueues(now eventloop.Micros, effects eventloop.Effects) {
+	statuses := c.groupStatuses(now)
+	root := statuses[clusterstate.Group]
+	if root == nil {
+		return
+	}
+	command := &schema.PlaceQueues{
+		FencingToken: c.fencingToken,
+		Queues:       c.missingQueues(now, root),
+		Removed:      c.endedQueues(statuses),
+	}
+	if len(command.Queues)+len(command.Removed) == 0 {
+		return
+	}
+	// Only the same placement waits until its effect can be visible.
+	action := describePlacement(command)
+	if action != c.lastQueueAction {
+		delete(c.lastActions, "queues")
+	}
+	// Without a leader to send it to, it is tried again at the next tick.
+	if c.leaderOf(now, clusterstate.Group) != "" && c.allowAction(now, "queues", actionInterval) {
+		c.lastQueueAction = action
+		c.sendCommand(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: command}}, effects)
+	}
+}
+
+// missingQueues returns placements for the configured queues that have none.
+func (c *Controller) missingQueues(now eventloop.Micros, root *schema.QueueStatus) []*schema.QueuePlacement {
+	var missing []*schema.QueuePlacement
+	leader := ""
+	for _, name := range c.values.Queues() {
+		if clusterstate.FindQueue(c.state, name) != nil {
+			continue
+		}
+		if len(missing) == 0 {
+			leader = c.mostSuitable(now)
+		}
+		missing = append(missing, &schema.QueuePlacement{Queue: name, InitialVoters: root.Voters, PreferredLeader: leader})
+	}
+	return missing
+}
+
+// endedQueues returns the groups of the queues that aren't configured any more and have no live
+// or retained jobs.
+func (c *Controller) endedQueues(statuses map[string]*schema.QueueStatus) []string {
+	var ended []string
+	for _, placement := range c.state.Queues {
+		group := replica.GroupName(placement)
+		status := statuses[group]
+		if !c.values.HasQueue(placement.Queue) && status != nil && status.LiveJobs == 0 && status.RetainedJobs == 0 {
+			ended = append(ended, group)
+		}
+	}
+	return ended
+}
+
+func describePlacement(command *schema.PlaceQueues) string {
+	var names []string
+	for _, placement := range command.Queues {
+		names = append(names, placement.Queue)
+	}
+	return strings.Join(names, " ") + "/" + strings.Join(command.Removed, " ")
+}
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -1,7 +1,5 @@
 package controller
 
-// Ending the sessions of gateways that are gone.
-
 import (
 	"maps"
 	"slices"
@@ -10,28 +8,38 @@
 	"sparnotch/internal/schema"
 )
 
-// reconcileSessions ends those of gateway that have been gone longer than the plan lets
-// them timeout.
+// incarnationMask selects a gateway node's incarnation in that of its sessions; the upper bits
+// count how often it has started its sessions anew.
+const incarnationMask = 1<<32 - 1
+
+// reconcileSessions ends the sessions of gateway nodes that have been unresponsive for longer
+// than the configured timeout, or have restarted.
 func (c *Controller) reconcileSessions(now eventloop.Micros, effects eventloop.Effects) {
 	timeout := eventloop.Micros(c.values.Fleet("session_timeout_s")) * eventloop.Second
 	statuses := c.groupStatuses(now)
 	for _, group := range slices.Sorted(maps.Keys(statuses)) {
 		status := statuses[group]
-		var ended []*schema.ExpiredGateway
-		for _, session := range status.Gateways {
-			key := "gateway/" + session.Gateway
-			known, isKnown := c.view.Members[session.Gateway]
-			isNewer := isKnown && known.Member.Incarnation != session.Incarnation&(1<<32-1)
-			if isKnown && !isNewer && now-known.LastHeard < c.timeouts.SuspectTimeout {
-				delete(c.missingSince, key)
-				continue
-			}
-			if isNewer || c.missingFor(now, key) > timeout {
-				ended = append(ended, &schema.ExpiredGateway{Gateway: session.Gateway, Incarnation: session.Incarnation})
+		var expired []*schema.ExpiredGateway
+		for _, gateway := range status.Gateways {
+			if c.isGatewayExpired(now, gateway, timeout) {
+				expired = append(expired, &schema.ExpiredGateway{Gateway: gateway.Gateway, Incarnation: gateway.Incarnation})
 			}
 		}
-		if len(ended) > 0 && c.allowAction(now, "sessions/"+status.Queue, eventloop.Second) {
-			effects.Send(status.Leader, &schema.EndSessionsRequest{Queue: status.Queue, Gateways: ended})
+		if len(expired) > 0 && c.allowAction(now, "sessions/"+status.Queue, eventloop.Second) {
+			effects.Send(status.Leader, &schema.EndSessionsRequest{Queue: status.Queue, Gateways: expired})
 		}
 	}
 }
+
+func (c *Controller) isGatewayExpired(now eventloop.Micros, gateway *schema.ExpiredGateway, timeout eventloop.Micros) bool {
+	member, found := c.view.Members[gateway.Gateway]
+	if found && member.Member.Incarnation != gateway.Incarnation&incarnationMask {
+		return true
+	}
+	key := "gateway/" + gateway.Gateway
+	if found && now-member.LastHeard < c.timeouts.SuspectTimeout {
+		delete(c.missingSince, key)
+		return false
+	}
+	return c.missingFor(now, key) > timeout
+}
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -1,53 +1,52 @@
 package controller
 
-// Voters are spread over zones and regions where those may be lost whole.
-
 import (
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/schema"
 )
 
-// zoneOf is the zone of a store, also of one that the book has let go.
+// zoneOf returns the zone of a storage node, also of one that left the view.
 func (c *Controller) zoneOf(id string) string {
-	if known, isKnown := c.view.Members[id]; isKnown {
-		return known.Member.GetZone()
+	if status, found := c.view.Members[id]; found {
+		return status.Member.GetZone()
 	}
 	return c.lastLocations[id].zone
 }
 
-// excessVoters is by how many voters too many the zones or regions that may be lost would
-// hold, were one voter gone and another there; empty: none.
-func (c *Controller) excessVoters(status *schema.QueueStatus, gone, there string) int {
+// excessVoters returns by how many voters a group, with one voter removed and another added,
+// would exceed what its zones and regions may have for their loss to leave a majority. Empty ids
+// mean none.
+func (c *Controller) excessVoters(status *schema.QueueStatus, removed, added string) int {
 	if !c.tolerance.RequiresSpread() {
 		return 0
 	}
 	var zones []string
 	for _, id := range status.Voters {
-		if id != gone {
+		if id != removed {
 			zones = append(zones, c.zoneOf(id))
 		}
 	}
-	if there != "" {
-		zones = append(zones, c.zoneOf(there))
+	if added != "" {
+		zones = append(zones, c.zoneOf(added))
 	}
 	return c.tolerance.ExcessVoters(zones)
 }
 
-// canTolerateFailures tells whether the stores that are known, the silent ones too, stand so that
-// the zones and regions can be lost.
+// canTolerateFailures reports whether the zones of all known storage nodes, unresponsive ones
+// too, allow to tolerate the zone and region failures.
 func (c *Controller) canTolerateFailures() bool {
 	var zones []string
-	for _, known := range c.view.Members {
-		if known.Member.HasStorage {
-			zones = append(zones, known.Member.Zone)
+	for _, status := range c.view.Members {
+		if status.Member.HasStorage {
+			zones = append(zones, status.Member.Zone)
 		}
 	}
 	return c.tolerance.RequiresSpread() && c.tolerance.Shortfall(zones) == ""
 }
 
-// canReplace tells whether the vote of one may go to another: not where that leaves the
-// zones or regions worse spread than they may be. The lost one's zone may come back;
-// until then the others bear what they bore.
+// canReplace reports whether a storage node may get the vote of a leaving voter: not if that
+// leaves the voters spread worse than required. The zone of a lost voter may come back; until
+// then the others tolerate what they did.
 func (c *Controller) canReplace(status *schema.QueueStatus, leaving, id string) bool {
 	if leaving == "" || !c.canTolerateFailures() {
 		return true
@@ -56,7 +55,8 @@
 	return after == 0 || after < c.excessVoters(status, "", "")
 }
 
-// isBetterSpread tells whether one store is to be preferred to another.
+// isBetterSpread reports whether one storage node is to be preferred to another as replacement
+// of a leaving voter.
 func (c *Controller) isBetterSpread(status *schema.QueueStatus, leaving, id, other string, votersByZone map[string]int) bool {
 	if a, b := c.excessVoters(status, leaving, id), c.excessVoters(status, leaving, other); a != b {
 		return a < b
@@ -64,25 +64,28 @@
 	return votersByZone[c.zoneOf(id)] < votersByZone[c.zoneOf(other)]
 }
 
-// misplacedVoter is a voter whose vote stands better with another store, where the zones or
-// regions can't be lost as the voters are; never the leader's.
+// misplacedVoter returns a voter, never the leader, whose vote another storage node should have
+// because the voters don't tolerate the loss of a zone or region; empty if there is none.
 func (c *Controller) misplacedVoter(now eventloop.Micros, status *schema.QueueStatus) string {
 	fewest := c.excessVoters(status, "", "")
 	if fewest == 0 || len(status.Voters) != c.votersPerGroup || !c.canTolerateFailures() {
 		return ""
 	}
-	others := status.Learners
-	if len(others) == 0 {
+	replacements := status.Learners
+	if len(replacements) == 0 {
 		for _, id := range c.liveStorageNodes(now) {
 			if c.canLearn(now, status, id) {
-				others = append(others, id)
+				replacements = append(replacements, id)
 			}
 		}
 	}
 	best := ""
 	for _, id := range status.Voters {
-		for _, other := range others {
-			if after := c.excessVoters(status, id, other); id != status.Leader && after < fewest {
+		if id == status.Leader {
+			continue
+		}
+		for _, replacement := range replacements {
+			if after := c.excessVoters(status, id, replacement); after < fewest {
 				best, fewest = id, after
 			}
 		}
