--- a/internal/mutation/calls_mutants.go
+++ b/internal/mutation/calls_mutants.go
@@ -28,7 +28,7 @@
 			"n.lastRequestID.Store(n.Member.Incarnation << incarnationShift)", "n.lastRequestID.Store(0)"}}},
 		{Guard: "an outcome names its front", Test: "internal/gateway TestForeignOutcomes", Edits: []Edit{{"internal/gateway", "outcome.Session.Gateway != g.id || ", ""}}},
 		{Guard: "an outcome names its front's life", Test: "internal/gateway TestForeignOutcomes", Edits: []Edit{{"internal/gateway", " || outcome.Session.Incarnation != g.incarnation {", " {"}}},
-		{Guard: "an older claim's answer counts no more", Test: "internal/controller TestAnswersToClaims", Edits: []Edit{{"internal/controller", "if reply.Id < c.newestAnsweredClaim {", "if false {"}}},
+		{Guard: "an older claim's answer counts no more", Test: "internal/controller TestStaleClaimReplies", Edits: []Edit{{"internal/controller", "if reply.Id < c.newestAnsweredClaim {", "if false {"}}},
 		{Guard: "a queue that is to go is named with its making", Test: "internal/clusterstate TestDelayedQueueRemoval", Edits: []Edit{{"internal/clusterstate",
 			`name == placement.Queue+"#"+strconv.FormatUint(placement.Generation, 10)`, `len(name) > len(placement.Queue) && name[:len(placement.Queue)+1] == placement.Queue+"#" && strconv.Itoa(0) == "0"`}}},
 		{Guard: "a former life's hello counts no more", Test: "internal/membership TestStaleGossip", Edits: []Edit{{"internal/membership",
