--- a/internal/clusterstate/clusterstate.go
+++ b/internal/clusterstate/clusterstate.go
@@ -134,7 +134,9 @@
 
 // WithoutDocument returns a configuration without its document; the rows are shared.
 func WithoutDocument(configuration *schema.Configuration) *schema.Configuration {
-	return &schema.Configuration{Revision: configuration.GetRevision(), Rows: configuration.GetRows(), Version: configuration.GetVersion()}
+	return &schema.Configuration{
+		Revision: configuration.GetRevision(), Rows: configuration.GetRows(), Version: configuration.GetVersion(),
+	}
 }
 
 // Version counts the applied changes; a renewal of the controller lease is none.
--- a/internal/clusterstate/compression.go
+++ b/internal/clusterstate/compression.go
@@ -26,7 +26,7 @@
 	Errors = errorx.NewNamespace("clusterstate")
 	// InvalidEncoding is the type of errors for data that can't be decompressed or decoded,
 	// and for updates without a configuration that the receiver doesn't hold.
-	InvalidEncoding = Errors.NewType("bad_packed")
+	InvalidEncoding = Errors.NewType("invalid_encoding")
 )
 
 // Compress compresses data unless it is small or doesn't shrink: then it is returned as it
--- a/internal/clusterstate/controller_lease.go
+++ b/internal/clusterstate/controller_lease.go
@@ -25,7 +25,9 @@
 	current := m.state.ControllerLease
 	expired := current.Holder == "" || current.ExpiresUs <= m.state.NowUs
 	if current.Holder != holder && !expired {
-		return &Result{Code: http.StatusConflict, Error: &schema.Error{Code: "controller_taken", Message: "another controller holds the lease"}}
+		return &Result{Code: http.StatusConflict, Error: &schema.Error{
+			Code: "controller_taken", Message: "another controller holds the lease",
+		}}
 	}
 	token := current.FencingToken
 	// A holder that let its lease expire gets a new token too: commands that it sent under
@@ -34,11 +36,15 @@
 		token = m.nextToken()
 		m.changed = true
 	}
-	m.state.ControllerLease = &schema.ControllerLease{Holder: holder, FencingToken: token, ExpiresUs: m.state.NowUs + ControllerLeaseUs}
+	m.state.ControllerLease = &schema.ControllerLease{
+		Holder: holder, FencingToken: token, ExpiresUs: m.state.NowUs + ControllerLeaseUs,
+	}
 	return &Result{Code: http.StatusOK, FencingToken: token}
 }
 
 // leaseExpired rejects a command whose fencing token isn't that of the current lease.
 func leaseExpired() *Result {
-	return &Result{Code: http.StatusForbidden, Error: &schema.Error{Code: "lease_over", Message: "the controller lease is not the current one"}}
+	return &Result{Code: http.StatusForbidden, Error: &schema.Error{
+		Code: "lease_over", Message: "the controller lease is not the current one",
+	}}
 }
--- a/internal/clusterstate/replace.go
+++ b/internal/clusterstate/replace.go
@@ -138,7 +138,9 @@
 func (m *StateMachine) applyUpdate(update *schema.ConfigurationUpdate, version uint64, document []byte, accepted *schema.AcceptedVersion) *Result {
 	previous := m.state.Configuration
 	m.state.PreviousConfigurations = trimHistory(append(m.state.PreviousConfigurations, WithoutDocument(previous)))
-	m.state.Configuration = &schema.Configuration{Revision: previous.Revision + 1, Rows: update.Rows, Version: version, Document: document}
+	m.state.Configuration = &schema.Configuration{
+		Revision: previous.Revision + 1, Rows: update.Rows, Version: version, Document: document,
+	}
 	m.state.AcceptedVersions = append(m.state.AcceptedVersions, accepted)
 	if len(m.state.AcceptedVersions) > maxRememberedUpdates {
 		m.state.AcceptedVersions = m.state.AcceptedVersions[1:]
@@ -204,7 +206,8 @@
 // revisionDigest distinguishes edits without a version by their base and all their content.
 func revisionDigest(update *schema.ConfigurationUpdate) []byte {
 	hash := sha256.New()
-	hash.Write([]byte(strconv.FormatUint(update.GetBaseRevision(), 10) + "\n" + strings.Join(canonicalRows(update.Rows), "\n") + "\n"))
+	hash.Write([]byte(strconv.FormatUint(update.GetBaseRevision(), 10) + "\n"))
+	hash.Write([]byte(strings.Join(canonicalRows(update.Rows), "\n") + "\n"))
 	hash.Write(update.Document)
 	return hash.Sum(nil)[:digestBytes]
 }
--- a/internal/clusterstate/shared_state.go
+++ b/internal/clusterstate/shared_state.go
@@ -56,7 +56,8 @@
 		if err != nil {
 			return nil, InvalidEncoding.Wrap(err, "rows of revision %d", configuration.Revision)
 		}
-		return withConfiguration(state, &schema.Configuration{Revision: configuration.Revision, Version: configuration.Version, Rows: rows}), nil
+		complete := &schema.Configuration{Revision: configuration.Revision, Version: configuration.Version, Rows: rows}
+		return withConfiguration(state, complete), nil
 	}
 	return state, nil
 }
--- a/internal/clusterstate/values.go
+++ b/internal/clusterstate/values.go
@@ -24,7 +24,10 @@
 // ParseValues parses a configuration; nil gives the defaults. Number keys whose value isn't a
 // whole number keep their default.
 func ParseValues(configuration *schema.Configuration) *Values {
-	v := &Values{numbers: map[rowID]int64{}, texts: map[rowID]string{}, queueSet: map[string]bool{}, revision: configuration.GetRevision()}
+	v := &Values{
+		numbers: map[rowID]int64{}, texts: map[rowID]string{}, queueSet: map[string]bool{},
+		revision: configuration.GetRevision(),
+	}
 	for _, row := range configuration.GetRows() {
 		if row.Kind == "queue" && !v.queueSet[row.Name] {
 			v.queueSet[row.Name] = true
--- a/internal/controller/cluster_state.go
+++ b/internal/controller/cluster_state.go
@@ -133,6 +133,8 @@
 		return 0
 	}
 	c.lastRequestID++
-	effects.Send(to, &schema.Request{Id: c.lastRequestID, Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(command)})
+	effects.Send(to, &schema.Request{
+		Id: c.lastRequestID, Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(command),
+	})
 	return c.lastRequestID
 }
--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -13,7 +13,9 @@
 func (c *Controller) observeStorageNodes(now eventloop.Micros) {
 	for id, status := range c.view.Members {
 		if status.Member.HasStorage {
-			c.lastLocations[id] = lastLocation{address: status.Member.InternalAddress, zone: status.Member.Zone, lastHeard: status.LastHeard}
+			c.lastLocations[id] = lastLocation{
+				address: status.Member.InternalAddress, zone: status.Member.Zone, lastHeard: status.LastHeard,
+			}
 			c.isLost(now, id)
 		}
 	}
@@ -33,7 +35,8 @@
 		// It is first missed when it has been unresponsive for this timeout.
 		missing += c.timeouts.SuspectTimeout
 	}
-	return c.hasSuccessor(now, id) || missing > c.timeouts.ReplaceTimeout || missing > c.timeouts.ReplaceByNewTimeout && c.hasNewlyJoined(now)
+	return c.hasSuccessor(now, id) || missing > c.timeouts.ReplaceTimeout ||
+		missing > c.timeouts.ReplaceByNewTimeout && c.hasNewlyJoined(now)
 }
 
 // missingFor returns how long something has been missed, from the first call on.
@@ -58,7 +61,8 @@
 		return false
 	}
 	for other, status := range c.view.Members {
-		isSuccessor := other != id && status.Member.HasStorage && status.Member.InternalAddress == previous.address && status.LastHeard > previous.lastHeard
+		isSuccessor := other != id && status.Member.HasStorage &&
+			status.Member.InternalAddress == previous.address && status.LastHeard > previous.lastHeard
 		if isSuccessor && c.isAlive(now, other) {
 			return true
 		}
--- a/internal/controller/group_members.go
+++ b/internal/controller/group_members.go
@@ -122,7 +122,8 @@
 func (c *Controller) departingVoter(now eventloop.Micros, status *schema.QueueStatus) string {
 	// While a change is under way the replacement may be a voter already.
 	isChanging := len(status.Learners) > 0 || len(status.Voters) > c.votersPerGroup
-	if isChanging || c.view.FindNewlyJoined(now, c.timeouts.SuspectTimeout, c.clusterAge(now), status.Voters) != "" {
+	replacement := c.view.FindNewlyJoined(now, c.timeouts.SuspectTimeout, c.clusterAge(now), status.Voters)
+	if isChanging || replacement != "" {
 		for _, id := range status.Voters {
 			if voter, found := c.view.Members[id]; found && voter.Member.Draining {
 				return id
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -13,7 +13,10 @@
 
 // Tolerance returns the failures to tolerate.
 func (c Config) Tolerance() FaultTolerance {
-	return FaultTolerance{Machines: int(c.MachineFailures), Zones: int(c.ZoneFailures), Regions: int(c.RegionFailures), RegionByZone: c.RegionByZone}
+	return FaultTolerance{
+		Machines: int(c.MachineFailures), Zones: int(c.ZoneFailures), Regions: int(c.RegionFailures),
+		RegionByZone: c.RegionByZone,
+	}
 }
 
 // VoterCount returns how many voters each group is to have: a majority survives the tolerated
--- a/internal/membership/gossip_message.go
+++ b/internal/membership/gossip_message.go
@@ -51,7 +51,10 @@
 	if detail == fullMembers {
 		return member
 	}
-	return &schema.Member{Id: member.Id, Incarnation: member.Incarnation, Heartbeat: member.Heartbeat, Draining: member.Draining, LatencyUs: member.LatencyUs}
+	return &schema.Member{
+		Id: member.Id, Incarnation: member.Incarnation,
+		Heartbeat: member.Heartbeat, Draining: member.Draining, LatencyUs: member.LatencyUs,
+	}
 }
 
 // newGossipToStorageNode returns a message to a storage node or seed. An agent node that
--- a/internal/membership/gossip_receive.go
+++ b/internal/membership/gossip_receive.go
@@ -33,7 +33,7 @@
 	if gossip.IsReply {
 		m.awaitingResponse = false
 	} else {
-		m.replyTo(now, from, gossip, content, effects)
+		m.replyTo(now, gossip, content, effects)
 	}
 	if content.hasUnknownMember {
 		m.requestUnknownMember(now, gossip.Self.InternalAddress, effects)
@@ -79,7 +79,7 @@
 
 // replyTo replies to a request, with full members if it has any or the requester may not
 // know the cluster.
-func (m *Membership) replyTo(now eventloop.Micros, from string, request *schema.Gossip, content gossipContent, effects eventloop.Effects) {
+func (m *Membership) replyTo(now eventloop.Micros, request *schema.Gossip, content gossipContent, effects eventloop.Effects) {
 	detail := heartbeatsOnly
 	if content.hasFullMember || !m.clusterExists || !request.Joined {
 		detail = fullMembers
@@ -88,7 +88,7 @@
 		// A process that polls one without storage may reach no storage node, so its status
 		// is passed on.
 		m.hasUnsentChanges = m.hasUnsentChanges || m.clusterExists
-		m.requesters[from] = now
+		m.requesters[request.Self.Id] = now
 	}
 	effects.Dial(request.Self.InternalAddress, m.newGossipReply(now, detail, request))
 }
--- a/internal/membership/newly_joined.go
+++ b/internal/membership/newly_joined.go
@@ -18,14 +18,16 @@
 // of its heartbeats, also to a process that has just started.
 func IsNewlyJoined(member *schema.Member, clusterAge eventloop.Micros) bool {
 	uptime := eventloop.Micros(member.Heartbeat) * TickInterval
-	return member.HasStorage && member.Incarnation <= 1 && !member.Draining && uptime < newlyJoinedPeriod && uptime+bootstrapPeriod < clusterAge
+	return member.HasStorage && member.Incarnation <= 1 && !member.Draining &&
+		uptime < newlyJoinedPeriod && uptime+bootstrapPeriod < clusterAge
 }
 
 // FindNewlyJoined returns the id of a live newly joined storage node that isn't among the
 // voters and accepts writes; empty if there is none.
 func (v *View) FindNewlyJoined(now, timeout, clusterAge eventloop.Micros, voters []string) string {
 	for _, id := range slices.Sorted(maps.Keys(v.Members)) {
-		if IsNewlyJoined(v.Members[id].Member, clusterAge) && v.IsAlive(id, now, timeout) && !v.RefusesWrites(id) && !slices.Contains(voters, id) {
+		isAvailable := v.IsAlive(id, now, timeout) && !v.RefusesWrites(id) && !slices.Contains(voters, id)
+		if isAvailable && IsNewlyJoined(v.Members[id].Member, clusterAge) {
 			return id
 		}
 	}
