--- a/internal/mutation/replication_mutants.go
+++ b/internal/mutation/replication_mutants.go
@@ -31,7 +31,7 @@
 			Edits: []Edit{{"internal/raft", "m.CommitConfirmed && g.applied >= m.Commit && response.round == m.AckedRound", "m.CommitConfirmed && response.round == m.AckedRound"}}},
 		{Guard: "rows that may be on their way aren't sent again", Test: "internal/replica TestConfigurationRowsInFlight",
 			Edits: []Edit{{"internal/replica", "	if last.revision == configuration.Revision && now < last.inFlightUntil {\n", "	if last.revision == configuration.Revision && now < last.inFlightUntil && false {\n"}}},
-		{Guard: "a copy without the plan is taken by who holds it", Test: "internal/clusterstate TestCopiesOnTheirWay",
+		{Guard: "a copy without the plan is taken by who holds it", Test: "internal/clusterstate TestSharedStateUpdates",
 			Edits: []Edit{{"internal/clusterstate", "	case message.ConfigurationOmitted:\n", "	case message.ConfigurationOmitted && false:\n"}}},
 		{Guard: "a life never goes back to an older copy", Test: "internal/gateway TestClusterStateUpdates",
 			Edits: []Edit{{"internal/gateway", "	if state != nil && state.Version >= g.state.Version {\n", "	if state != nil {\n"}}},
@@ -39,7 +39,7 @@
 			Edits: []Edit{{"internal/gateway", "now-pending.sentAt > pending.retryDelay() ||", "now-pending.sentAt > requestRetryDelay ||"}}},
 		{Guard: "a slot is synced before its log is written", Test: "internal/storage TestInterruptedSnapshotInstall",
 			Edits: []Edit{{"internal/storage", "	if err := s.disk.Sync(slotName(next)); err != nil {\n		return err\n	}\n", ""}}},
-		{Guard: "a known store is asked where seeds are gone", Test: "internal/membership TestWhoIsNewWithoutSeeds",
+		{Guard: "a known store is asked where seeds are gone", Test: "internal/membership TestUnknownMemberWithoutSeeds",
 			Edits: []Edit{{"internal/membership", "	if len(storageNodes) > 0 && !m.isAliveAt(now, seed) {\n", "	if false {\n"}}},
 	}...)
 }
