--- a/internal/agent/chaos_test.go
+++ b/internal/agent/chaos_test.go
@@ -13,11 +13,11 @@
 	"sparnotch/internal/schema"
 )
 
-// runWithAllFaults is a run under every fault at once, the same for the same seed.
-func runWithAllFaults(seed uint64) (breaches []string, ends int) {
+// runWithAllFaults plays a run under all faults at once. It is deterministic by seed.
+func runWithAllFaults(seed uint64) (violations []string, ends int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	faultsOver := false
-	setup := fakeworker.Config{
+	config := fakeworker.Config{
 		EnforcesCapacity: seed%2 == 0, ClockDrift: 0.98 + 0.02*rng.Float64(),
 		Fault: func(eventloop.Micros, agent.Call) fakeworker.Fault {
 			if faultsOver || rng.IntN(4) > 0 {
@@ -31,119 +31,119 @@
 		},
 	}
 	bounds := &schema.Bounds{StopUs: int64(800 * eventloop.Millisecond), HoldMostUs: int64(3 * eventloop.Second)}
-	b := newHarness(setup, bounds)
-	b.messageDelay = func(any) eventloop.Micros {
+	h := newHarness(config, bounds)
+	h.messageDelay = func(any) eventloop.Micros {
 		if faultsOver || rng.IntN(8) > 0 {
 			return eventloop.Micros(1+rng.IntN(4)) * eventloop.Millisecond
 		}
 		return eventloop.Micros(rng.IntN(300)) * eventloop.Millisecond
 	}
-	w := b.addScheduler("p1", 5, "w1")
-	configureFaults := func(w *fakeScheduler) {
-		w.acknowledgeAfter = eventloop.Micros(rng.Int64N(int64(200 * eventloop.Millisecond)))
-		w.losesReply = func() bool { return !faultsOver && rng.IntN(5) == 0 }
+	s := h.addScheduler("p1", 5, "w1")
+	configureFaults := func(s *fakeScheduler) {
+		s.acknowledgeAfter = eventloop.Micros(rng.Int64N(int64(200 * eventloop.Millisecond)))
+		s.losesReply = func() bool { return !faultsOver && rng.IntN(5) == 0 }
 	}
-	configureFaults(w)
-	addBreach := func(format string, given ...any) { breaches = append(breaches, fmt.Sprintf(format, given...)) }
+	configureFaults(s)
+	addViolation := func(format string, given ...any) { violations = append(violations, fmt.Sprintf(format, given...)) }
 	attempts := map[uint32]uint32{}
 	lastTask := uint32(0)
-	worker, fencingToken, checked, frozenAt := "w1", uint64(5), 0, 0
+	worker, fencingToken, checked, pausedAt := "w1", uint64(5), 0, 0
 	ended := map[string]bool{}
-	b.onStart = func(key string) {
+	h.onStart = func(key string) {
 		if ended[key] {
-			addBreach("%s begins though it was told as ended", key)
+			addViolation("%s starts though it was reported as ended", key)
 		}
 	}
-	for k := 0; k < 40_000; k++ {
-		if k == 30_000 {
+	for step := 0; step < 40_000; step++ {
+		if step == 30_000 {
 			faultsOver = true
 		}
-		if k%500 == 0 && !faultsOver {
+		if step%500 == 0 && !faultsOver {
 			switch rng.IntN(12) {
 			case 0:
 				fencingToken++
-				previous := w
-				w = b.addScheduler(fmt.Sprintf("p%d", fencingToken), fencingToken, worker)
-				configureFaults(w)
-				w.starts, w.stops, w.firstReported = previous.starts, previous.stops, previous.firstReported
+				previous := s
+				s = h.addScheduler(fmt.Sprintf("p%d", fencingToken), fencingToken, worker)
+				configureFaults(s)
+				s.starts, s.stops, s.firstReported = previous.starts, previous.stops, previous.firstReported
 				checked = 0
 			case 1:
-				b.agent = agent.New(bounds, uint64(b.now))
-				b.publishClusterState()
+				h.agent = agent.New(bounds, uint64(h.now))
+				h.publishClusterState()
 			case 2:
 				fencingToken++
 				worker = fmt.Sprintf("w%d", fencingToken)
-				b.worker.Restart(b.now, worker)
-				w.starts, w.stops, w.fencingToken = nil, nil, fencingToken
-				b.moveLease(w.id, fencingToken, worker)
+				h.worker.Restart(h.now, worker)
+				s.starts, s.stops, s.fencingToken = nil, nil, fencingToken
+				h.moveLease(s.id, fencingToken, worker)
 			case 3:
-				b.isFrozen, frozenAt = !b.isFrozen, k
+				h.isPaused, pausedAt = !h.isPaused, step
 			}
 		}
-		// Who is frozen nearly throughout is put to no test.
-		if b.isFrozen && k-frozenAt > 8_000 {
-			b.isFrozen = false
+		// An agent that is paused nearly all the time tests nothing.
+		if h.isPaused && step-pausedAt > 8_000 {
+			h.isPaused = false
 		}
 		if faultsOver {
-			b.isFrozen = false
+			h.isPaused = false
 		}
-		if k%100 == 0 && k < 28_000 && len(w.starts) < 8 {
+		if step%100 == 0 && step < 28_000 && len(s.starts) < 8 {
 			lastTask++
 			attempts[lastTask] = 1
-			w.starts = append(w.starts, newOrder("start", "j", lastTask, 1, fmt.Sprintf("run_us=%d cores=150", rng.IntN(2_000_000)+1)))
+			s.starts = append(s.starts, newOrder("start", "j", lastTask, 1, fmt.Sprintf("run_us=%d cores=150", rng.IntN(2_000_000)+1)))
 		}
-		if k%700 == 0 && len(w.starts) > 0 && !faultsOver {
-			stop := w.starts[rng.IntN(len(w.starts))]
-			w.stops = append(w.stops, newOrder("stop", "j", stop.Task, stop.Attempt, ""))
+		if step%700 == 0 && len(s.starts) > 0 && !faultsOver {
+			stop := s.starts[rng.IntN(len(s.starts))]
+			s.stops = append(s.stops, newOrder("stop", "j", stop.Task, stop.Attempt, ""))
 		}
-		b.run(eventloop.Millisecond)
-		// Whatever was told as ended doesn't run, then or later, and its task is
-		// given out again as the next attempt.
-		for ; checked < len(w.ends); checked++ {
+		h.run(eventloop.Millisecond)
+		// A run that was reported as ended doesn't run, then or later, and its task is
+		// ordered again as the next attempt.
+		for ; checked < len(s.ends); checked++ {
 			var task, attempt uint32
 			var how string
-			if _, err := fmt.Sscanf(w.ends[checked], "j.0.0.%d/%d %s", &task, &attempt, &how); err != nil {
-				addBreach("%s: %v", w.ends[checked], err)
+			if _, err := fmt.Sscanf(s.ends[checked], "j.0.0.%d/%d %s", &task, &attempt, &how); err != nil {
+				addViolation("%s: %v", s.ends[checked], err)
 			}
 			key := attemptName("j", 0, 0, task, attempt)
 			if ended[key] {
-				addBreach("%s told twice", key)
+				addViolation("%s was reported twice", key)
 			}
 			ended[key] = true
-			if b.worker.IsRunning(fakeworker.RunID{Task: agent.TaskName{Job: "j", Task: task}, Attempt: attempt}) {
-				addBreach("%s runs at %d though it was told as ended", key, k)
+			if h.worker.IsRunning(fakeworker.RunID{Task: agent.TaskName{Job: "j", Task: task}, Attempt: attempt}) {
+				addViolation("%s runs at %d though it was reported as ended", key, step)
 			}
 			ends++
-			kept := w.starts[:0:0]
-			for _, o := range w.starts {
+			kept := s.starts[:0:0]
+			for _, o := range s.starts {
 				if o.Task != task || o.Attempt != attempt {
 					kept = append(kept, o)
 				} else if how != "done" && !faultsOver {
 					kept = append(kept, newOrder("start", "j", task, attempt+1, o.Text))
 				}
 			}
-			w.starts = kept
+			s.starts = kept
 		}
-		if len(breaches) > 0 {
-			return breaches, ends
+		if len(violations) > 0 {
+			return violations, ends
 		}
 	}
-	for key, count := range b.startCounts {
+	for key, count := range h.startCounts {
 		if count > 1 {
-			addBreach("%s began %d times", key, count)
+			addViolation("%s started %d times", key, count)
 		}
 	}
-	if b.worker.UnacknowledgedCount() > 0 || b.worker.RunningCount() > 0 || len(w.starts) > 0 {
-		addBreach("left over: %d ends, %d runs, %d orders", b.worker.UnacknowledgedCount(), b.worker.RunningCount(), len(w.starts))
+	if h.worker.UnacknowledgedCount() > 0 || h.worker.RunningCount() > 0 || len(s.starts) > 0 {
+		addViolation("left over: %d ends, %d runs, %d orders", h.worker.UnacknowledgedCount(), h.worker.RunningCount(), len(s.starts))
 	}
-	return breaches, ends
+	return violations, ends
 }
 
 func TestAllFaults(t *testing.T) {
-	Convey("Whatever is lost, late or restarted, what was told as ended doesn't run, and all comes to its end", t, func() {
+	Convey("Whatever is lost, delayed or restarted, what was reported as ended doesn't run, and all tasks end", t, func() {
 		for seed := uint64(1); seed <= 12; seed++ {
-			breaches, ends := runWithAllFaults(seed)
-			So(breaches, ShouldBeEmpty)
+			violations, ends := runWithAllFaults(seed)
+			So(violations, ShouldBeEmpty)
 			So(ends, ShouldBeGreaterThan, 20)
 		}
 	})
--- a/internal/agent/poll.go
+++ b/internal/agent/poll.go
@@ -7,13 +7,39 @@
 	"sparnotch/internal/schema"
 )
 
-// sendPoll keeps one announce open at the ward's scheduler, and sends a new one at
-// once when something has changed.
+const (
+	pollTimeout          = 700 * eventloop.Millisecond // a poll that isn't answered by then is superseded by a new one
+	unansweredTimeout    = 3 * pollTimeout             // after so long without an answer polls say so
+	pollWait             = 400 * eventloop.Millisecond // how long the scheduler may hold its answer back
+	rejectedPollDelay    = 100 * eventloop.Millisecond // after a rejected poll
+	minPollInterval      = 10 * eventloop.Millisecond  // between two polls that report changes
+	idlePollDelay        = 50 * eventloop.Millisecond  // after an early answer without orders
+	departedReportPeriod = 10 * eventloop.Second       // a departed worker's ended tasks are reported for so long
+	rejectionsBeforeJump = 8                           // rejected polls in a row before the sequence number jumps
+	sequenceJump         = 1 << 32
+)
+
+// The actions of an order.
+const (
+	actionStart = "start"
+	actionStop  = "stop"
+)
+
+// pendingPoll is the poll that the scheduler hasn't answered.
+type pendingPoll struct {
+	sequence        uint64
+	sentAt          eventloop.Micros
+	scheduler       string
+	replacedWorkers []string
+}
+
+// sendPoll keeps one poll open at the scheduler that holds the worker lease, and
+// sends a new one at once when something has changed.
 func (a *Agent) sendPoll(now eventloop.Micros, w *workerState, effects eventloop.Effects) {
 	if w.scheduler == "" || w.fencingToken == 0 || w.inspectedToken != w.fencingToken && w.departedAt == 0 && !w.isHoldExpired {
 		return
 	}
-	// Of one that has left, or is deaf, only what is over is told.
+	// Of a departed or unresponsive worker only ended tasks are reported.
 	if w.departedAt > 0 && now-w.departedAt > departedReportPeriod || (w.departedAt > 0 || w.isHoldExpired) && len(w.unacknowledged) == 0 {
 		return
 	}
@@ -22,22 +48,30 @@
 		return
 	}
 	a.pollSequence++
+	if w.unansweredSince == 0 {
+		w.unansweredSince = now
+	}
+	heartbeat := a.newHeartbeat(now, w)
+	w.pendingPoll = &pendingPoll{sequence: a.pollSequence, sentAt: now, scheduler: w.scheduler, replacedWorkers: heartbeat.ReplacedWorkers}
+	w.lastPollAt, w.hasChanges = now, false
+	effects.Send(w.scheduler, &schema.WorkerPollRequest{Id: a.pollSequence, Worker: w.id, Heartbeat: heartbeat})
+}
+
+// newHeartbeat reports the worker's capacity, and its running and ended tasks.
+func (a *Agent) newHeartbeat(now eventloop.Micros, w *workerState) *schema.WorkerHeartbeat {
 	heartbeat := &schema.WorkerHeartbeat{
 		Incarnation: 1, Seq: a.pollSequence, CoresMilli: w.heartbeat.Cores, MemoryMb: w.heartbeat.Memory, Accelerators: w.heartbeat.Accelerators,
 		Rack: w.heartbeat.Rack, Labels: w.heartbeat.Labels, Pool: w.heartbeat.Pool, Draining: w.isDraining, FencingToken: w.fencingToken,
 		MaxWaitUs: int64(pollWait), GangBarrier: true, TasksByName: true, ReplacedWorkers: slices.Clone(a.replacedWorkers),
 		WarmUpUs: int64(max(0, w.heartbeat.WarmUpRemaining-(now-w.lastHeard))),
 	}
-	if w.unansweredSince == 0 {
-		w.unansweredSince = now
-	}
 	heartbeat.Unanswered = now-w.unansweredSince > unansweredTimeout
 	if w.isHoldExpired {
-		// It is spoken for only to tell what is over there; it gets nothing new.
+		// An unresponsive worker gets no new tasks.
 		heartbeat.CoresMilli, heartbeat.MemoryMb, heartbeat.Accelerators = 0, 0, 0
 	}
 	if w.leaseExpiresAt-now < w.leaseDuration/2 {
-		// What runs there may not wait for the answer to be worth something.
+		// The lease must be renewed soon, so the answer mustn't be held back.
 		heartbeat.MaxWaitUs = 0
 	}
 	if w.isDraining {
@@ -55,13 +89,11 @@
 	for _, key := range sortedKeys(w.unacknowledged) {
 		heartbeat.Ended = append(heartbeat.Ended, w.unacknowledged[key].status)
 	}
-	w.pendingPoll = &pendingPoll{sequence: a.pollSequence, sentAt: now, scheduler: w.scheduler, replacedWorkers: heartbeat.ReplacedWorkers}
-	w.lastPollAt, w.hasChanges = now, false
-	effects.Send(w.scheduler, &schema.WorkerPollRequest{Id: a.pollSequence, Worker: w.id, Heartbeat: heartbeat})
+	return heartbeat
 }
 
-// handlePollResponse takes the answer to the announce that stands; whatever an older one
-// says, the next says again.
+// handlePollResponse takes the answer to the pending poll. Answers to earlier polls
+// are ignored: the scheduler repeats in the next what still holds.
 func (a *Agent) handlePollResponse(now eventloop.Micros, from string, m *schema.WorkerPollResponse) {
 	w := a.worker
 	if w != nil && from == w.scheduler {
@@ -75,27 +107,32 @@
 	if m.Orders == nil || m.Orders.FencingToken < w.fencingToken {
 		w.nextPollAt = now + rejectedPollDelay
 		if w.rejections++; w.rejections%rejectionsBeforeJump == 0 {
-			// Should a forerunner's number have been higher, it would stay so.
+			// An earlier run of this process may have sent a higher sequence number.
 			a.pollSequence += sequenceJump
 		}
 		return
 	}
 	w.rejections = 0
 	if m.Orders.FencingToken > w.fencingToken {
-		// Its inventory was taken before older orders were shut out.
+		// What was reported dates from before the worker was fenced with this token.
 		w.raiseToken(m.Orders.FencingToken)
 		return
 	}
+	a.acceptOrders(now, w, p, m.Orders)
+}
+
+// acceptOrders takes an answer under the current fencing token.
+func (a *Agent) acceptOrders(now eventloop.Micros, w *workerState, p *pendingPoll, orders *schema.WorkerOrders) {
 	for _, worker := range p.replacedWorkers {
 		if k := slices.Index(a.replacedWorkers, worker); k >= 0 {
 			a.replacedWorkers = slices.Delete(a.replacedWorkers, k, k+1)
 		}
 	}
-	if duration := eventloop.Micros(m.Orders.LeaseUs); duration > 0 {
+	if duration := eventloop.Micros(orders.LeaseUs); duration > 0 {
 		w.leaseExpiresAt, w.leaseDuration = max(w.leaseExpiresAt, p.sentAt+duration), duration
 	}
-	changed := a.handleAcknowledgements(now, w, m.Orders.Acknowledged)
-	for _, order := range m.Orders.Orders {
+	changed := w.handleAcknowledgements(now, orders.Acknowledged)
+	for _, order := range orders.Orders {
 		changed = a.applyOrder(now, w, order) || changed
 	}
 	w.nextPollAt = now
@@ -104,65 +141,56 @@
 	}
 }
 
-func (a *Agent) handleAcknowledgements(now eventloop.Micros, w *workerState, notes []*schema.TaskStatus) bool {
-	changed := false
-	for _, note := range notes {
-		key := attemptKey{TaskName{note.Name, note.Round, note.StepInRound, note.Task}, note.Attempt}
-		if e := w.unacknowledged[key]; e != nil {
-			e.isAcknowledged, changed = true, true
-			delete(w.unacknowledged, key)
-		}
-	}
-	if changed {
-		w.advanceAcknowledged()
-		if !w.hasUnacknowledgedEnds() {
-			w.nextLongInspection, w.backoff = min(w.nextLongInspection, now), minBackoff
-		}
-	}
-	return changed
-}
-
-// applyOrder takes an order, a difference that repeats until we announce that it is
-// none any more; it tells whether that was new.
+// applyOrder takes an order and reports whether it was new. The scheduler repeats
+// an order until a poll shows that it is carried out.
 func (a *Agent) applyOrder(now eventloop.Micros, w *workerState, order *schema.TaskOrder) bool {
 	key := attemptKey{TaskName{order.Name, order.Round, order.StepInRound, order.Task}, order.Attempt}
-	r := w.runs[key]
 	if w.unacknowledged[key] != nil || w.departedAt > 0 {
 		return false
 	}
 	switch order.Action {
-	case "start":
-		if r != nil {
-			return false
-		}
-		if _, abandoned := w.abandoned[key]; abandoned {
-			// A scheduler that hasn't heard yet what became of it: others may have
-			// the task by now.
-			w.unacknowledged[key] = &endedAttempt{status: w.taskStatus(key, "stopped", order.Checkpoint)}
-			w.hasChanges = true
-			return true
-		}
-		w.runs[key] = &run{
-			key: key, state: starting, text: order.Text, checkpoint: order.Checkpoint, cores: order.CoresMilli, memory: order.MemoryMb,
-			startedAt: now, usesCapacity: true,
-		}
+	case actionStart:
+		return w.orderStart(now, key, order)
+	case actionStop:
+		return a.orderStop(now, w, key)
+	}
+	return false
+}
+
+func (w *workerState) orderStart(now eventloop.Micros, key attemptKey, order *schema.TaskOrder) bool {
+	if w.runs[key] != nil {
+		return false
+	}
+	if _, abandoned := w.abandoned[key]; abandoned {
+		// The scheduler doesn't know yet that the attempt is over; the task may have
+		// been given to another worker by now.
+		w.unacknowledged[key] = &endedAttempt{status: w.taskStatus(key, "stopped", order.Checkpoint)}
+		w.hasChanges = true
+		return true
+	}
+	w.runs[key] = &run{
+		key: key, state: starting, text: order.Text, checkpoint: order.Checkpoint, cores: order.CoresMilli, memory: order.MemoryMb,
+		startedAt: now, usesCapacity: true,
+	}
+	return true
+}
+
+func (a *Agent) orderStop(now eventloop.Micros, w *workerState, key attemptKey) bool {
+	r := w.runs[key]
+	if r == nil {
+		// Unknown here; the worker must still promise that it never starts.
+		w.runs[key] = &run{key: key, state: stopping, startedAt: now, retryAt: now}
+		return true
+	}
+	if r.state == starting && r.callAttempts == 0 && now-a.startedAt >= predecessorCallPeriod {
+		a.markStopped(w, r)
+		return true
+	}
+	if r.state == starting || r.state == running || r.state == unresolved && !r.isStopped {
+		// A start that is still in flight doesn't matter: after the stop the worker
+		// rejects it.
+		r.state, r.openCall, r.callAttempts, r.retryAt = stopping, 0, 0, now
 		return true
-	case "stop":
-		if r == nil {
-			// Not heard of here; that it never will be is what the scheduler asks.
-			w.runs[key] = &run{key: key, state: stopping, startedAt: now, retryAt: now}
-			return true
-		}
-		if r.state == starting && r.callAttempts == 0 && now-a.startedAt >= predecessorCallPeriod {
-			a.markStopped(w, r)
-			return true
-		}
-		if r.state == starting || r.state == running || r.state == unresolved && !r.isStopped {
-			// A start that is still open makes no difference: after the stop it
-			// is turned away.
-			r.state, r.openCall, r.callAttempts, r.retryAt = stopping, 0, 0, now
-			return true
-		}
 	}
 	return false
 }
--- a/internal/agent/unanswered_test.go
+++ b/internal/agent/unanswered_test.go
@@ -10,20 +10,20 @@
 )
 
 func TestUnansweredPolls(t *testing.T) {
-	Convey("An agent says when its announces aren't answered, and no more once one was", t, func() {
-		b, w := newDefaultHarness(fakeworker.Config{}, nil)
-		b.run(2 * eventloop.Second)
-		for _, a := range w.heartbeats {
+	Convey("Polls say when earlier ones weren't answered, until one is", t, func() {
+		h, s := newDefaultHarness(fakeworker.Config{}, nil)
+		h.run(2 * eventloop.Second)
+		for _, a := range s.heartbeats {
 			So(a.Unanswered, ShouldBeFalse)
 		}
 		partitioned := true
-		w.losesReply = func() bool { return partitioned }
-		w.heartbeats = nil
-		b.run(6 * eventloop.Second)
-		So(w.heartbeats[0].Unanswered, ShouldBeFalse)
-		So(w.heartbeats[len(w.heartbeats)-1].Unanswered, ShouldBeTrue)
+		s.losesReply = func() bool { return partitioned }
+		s.heartbeats = nil
+		h.run(6 * eventloop.Second)
+		So(s.heartbeats[0].Unanswered, ShouldBeFalse)
+		So(s.heartbeats[len(s.heartbeats)-1].Unanswered, ShouldBeTrue)
 		partitioned = false
-		b.run(eventloop.Second)
-		So(w.heartbeats[len(w.heartbeats)-1].Unanswered, ShouldBeFalse)
+		h.run(eventloop.Second)
+		So(s.heartbeats[len(s.heartbeats)-1].Unanswered, ShouldBeFalse)
 	})
 }
