--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -93,7 +93,7 @@
 		config.Cores, config.Memory = 1000, 1000
 	}
 	config.OnEvent = func(now eventloop.Micros, kind string, run fakeworker.RunID, state string) {
-		if kind == "begin" {
+		if kind == fakeworker.EventBegin {
 			key := attemptName(run.Task.Job, run.Task.Round, run.Task.StepInRound, run.Task.Task, run.Attempt)
 			h.startCounts[key]++
 			h.startTimes[key] = now
--- a/internal/codesize/codesize_test.go
+++ b/internal/codesize/codesize_test.go
@@ -33,7 +33,6 @@
 	"internal/checker/plans.go checkConfigurationEffects": 82,
 	"internal/checker/plans.go checkConfigurations":       99,
 	"internal/checker/service.go checkServiceRecovers":    67,
-	"internal/fakeworker/called.go":                       614,
 	"internal/gateway/submissions.go handleSubmit":        71,
 	"internal/gateway/validate.go ValidateJob":            77,
 	"internal/process/node.go StartWithStore":             79,
--- a/internal/fakeworker/fakeworker.go
+++ b/internal/fakeworker/worker.go
@@ -1,13 +1,16 @@
-// Package fakeworker is the stand-in worker as a step machine: it guards its room,
-// honours its lease, turns away old wards, and tells what it does. Real
-// stand-ins and simulated ones run the same.
+// Package fakeworker has fake workers for tests, simulations and benchmarks. They run
+// nothing: a task's text says how long it takes.
+//
+// Worker polls a scheduler itself, under a worker lease. CalledWorker takes calls
+// from an agent (internal/agent). Both are driven by their caller, which passes the
+// time to each method, so a run can be deterministic; neither is safe for concurrent
+// use. Both guard their capacity, honour their lease, reject stale fencing tokens,
+// and report to a hook what they do, for the checker.
 package fakeworker
 
 import (
 	"math/rand/v2"
 	"sort"
-	"strconv"
-	"strings"
 
 	"sparnotch/internal/checker"
 	"sparnotch/internal/eventloop"
@@ -16,10 +19,20 @@
 
 const (
 	heartbeatInterval    = 500 * eventloop.Millisecond
-	minHeartbeatInterval = 20 * eventloop.Millisecond // between two announces at least
+	minHeartbeatInterval = 20 * eventloop.Millisecond  // between two heartbeats that report changes
+	unansweredDelay      = 100 * eventloop.Millisecond // after a heartbeat that wasn't answered
+	maxAnswerWait        = 400 * eventloop.Millisecond // how long the scheduler may hold its answer back
+	contactEventInterval = eventloop.Second
 	endedRetention       = 120 * eventloop.Second
 )
 
+// The actions of an order.
+const (
+	actionStop = "stop"
+	actionHold = "hold"
+)
+
+// runKey names one attempt at a task.
 type runKey struct {
 	queue      string
 	job        uint64
@@ -27,30 +40,33 @@
 	attempt    uint32
 }
 
+// run is an attempt that runs or is reserved here.
 type run struct {
 	key           runKey
 	name          string
 	cores, memory int64
-	isReserved    bool
+	isReserved    bool // capacity is reserved, and nothing runs yet
 	startedAt     eventloop.Micros
 	endsAt        eventloop.Micros
-	outcome       string
-	isStalled     bool
+	outcome       string // how it will end
+	isStalled     bool   // it makes no progress and never ends by itself
 }
 
+// endedRun is an attempt that must not start again.
 type endedRun struct {
 	endedAt eventloop.Micros
 	outcome string
 }
 
-// Behaviour are how a worker may misbehave.
+// Behaviour is how a worker misbehaves.
 type Behaviour struct {
-	FailureRate float64 // of its tasks that it fails
+	FailureRate float64 // share of its tasks that fail
 	Slowdown    float64 // factor on run times; 0 is 1
-	StallRate   float64 // share of tasks that stand still
+	StallRate   float64 // share of tasks that stall
 }
 
-// ID is one stand-in.
+// Worker is a fake of a worker that polls its scheduler. Behaviour may be changed
+// between calls.
 type Worker struct {
 	Name               string
 	Incarnation        uint64
@@ -61,30 +77,32 @@
 	rng                *rand.Rand
 	emit               func(checker.Event)
 	heartbeatSequence  uint64
-	lastReplySequence  uint64 // seq of the newest answer taken
+	lastReplySequence  uint64 // of the heartbeat with the newest answer taken
 	fencingToken       uint64
 	leaseExpiresAt     eventloop.Micros
 	isDraining         bool
 	runs               map[runKey]*run
-	unacknowledged     map[runKey]*schema.TaskStatus // not noted yet
-	unreportedFailures map[runKey]uint64             // failures not known to be reported, and the first announce with them
-	endedRuns          map[runKey]endedRun           // attempts that must not start again
+	unacknowledged     map[runKey]*schema.TaskStatus // by the scheduler
+	unreportedFailures map[runKey]uint64             // by the first heartbeat that reports each; 0: none yet
+	endedRuns          map[runKey]endedRun
 	lastHeartbeatAt    eventloop.Micros
 	heartbeatSoon      bool
 	lastContactEvent   eventloop.Micros
 }
 
-// New makes a worker and tells that it is up.
-func New(now eventloop.Micros, name, rack string, cores, memory int64, incarnation uint64, rng *rand.Rand, tell func(checker.Event)) *Worker {
+// New makes a worker with so many thousandths of a core and MB of memory. Its events
+// go to emit; the first, at once, says that it is up.
+func New(now eventloop.Micros, name, rack string, cores, memory int64, incarnation uint64, rng *rand.Rand, emit func(checker.Event)) *Worker {
 	w := &Worker{
-		Name: name, Incarnation: incarnation, rack: rack, cores: cores, memory: memory, rng: rng, emit: tell,
-		runs: map[runKey]*run{}, unacknowledged: map[runKey]*schema.TaskStatus{}, endedRuns: map[runKey]endedRun{}, unreportedFailures: map[runKey]uint64{}, heartbeatSoon: true, lastHeartbeatAt: -heartbeatInterval,
+		Name: name, Incarnation: incarnation, rack: rack, cores: cores, memory: memory, rng: rng, emit: emit,
+		runs: map[runKey]*run{}, unacknowledged: map[runKey]*schema.TaskStatus{}, endedRuns: map[runKey]endedRun{}, unreportedFailures: map[runKey]uint64{},
+		heartbeatSoon: true, lastHeartbeatAt: -heartbeatInterval,
 	}
-	tell(checker.Event{At: now, Kind: checker.WorkerUp, Actor: name, Cores: cores, Memory: memory, Rack: rack, Incarnation: incarnation})
+	emit(checker.Event{At: now, Kind: checker.WorkerUp, Actor: name, Cores: cores, Memory: memory, Rack: rack, Incarnation: incarnation})
 	return w
 }
 
-// Drain makes the worker say that it leaves.
+// Drain makes the worker report that it is draining: it starts nothing more.
 func (w *Worker) Drain(now eventloop.Micros) {
 	if !w.isDraining {
 		w.isDraining, w.heartbeatSoon = true, true
@@ -92,10 +110,10 @@
 	}
 }
 
-// IsIdle tells whether nothing runs and nothing is left to report.
+// IsIdle reports whether nothing runs and nothing is left to report.
 func (w *Worker) IsIdle() bool { return len(w.runs)+len(w.unacknowledged) == 0 }
 
-// Crash tells that all that ran has ended with the worker.
+// Crash emits the event that the worker is gone, with all its runs.
 func (w *Worker) Crash(now eventloop.Micros) {
 	w.emit(checker.Event{At: now, Kind: checker.WorkerGone, Actor: w.Name, Incarnation: w.Incarnation})
 }
@@ -132,14 +150,14 @@
 	return a.attempt < b.attempt
 }
 
-// Tick ends what has run its time, and everything when the lease is over.
+// Tick ends the runs whose time is over, and all of them when the lease is over.
 func (w *Worker) Tick(now eventloop.Micros) {
-	isOver := now >= w.leaseExpiresAt
+	leaseExpired := now >= w.leaseExpiresAt
 	for _, r := range w.sortedRuns() {
 		switch {
-		case isOver && !r.isReserved:
-			// Nobody answers: others may be given this work soon. What is only
-			// held doesn't run, and whoever wards us next may still start it.
+		case leaseExpired && !r.isReserved:
+			// The scheduler may give these tasks to others now. What is only reserved
+			// doesn't run, and the next lease's holder may still start it.
 			w.endRun(now, r, "stopped")
 		case !r.isReserved && !r.isStalled && now >= r.endsAt:
 			w.endRun(now, r, r.outcome)
@@ -152,7 +170,7 @@
 	}
 }
 
-// NextEventAt is when something is due: an announce, an end, the lease's.
+// NextEventAt is when the next heartbeat or end is due.
 func (w *Worker) NextEventAt() eventloop.Micros {
 	next := w.nextHeartbeatAt()
 	for _, r := range w.runs {
@@ -170,7 +188,7 @@
 	return w.lastHeartbeatAt + heartbeatInterval
 }
 
-// IsHeartbeatDue tells whether an announce is due.
+// IsHeartbeatDue reports whether a heartbeat is due.
 func (w *Worker) IsHeartbeatDue(now eventloop.Micros) bool { return now >= w.nextHeartbeatAt() }
 
 func (w *Worker) endRun(now eventloop.Micros, r *run, outcome string) {
@@ -192,30 +210,30 @@
 	w.heartbeatSoon = true
 }
 
-// NewHeartbeat says what the worker has and does.
+// NewHeartbeat makes the next heartbeat: the capacity, and the running and ended tasks.
 func (w *Worker) NewHeartbeat(now eventloop.Micros) *schema.WorkerHeartbeat {
 	w.heartbeatSequence++
 	w.lastHeartbeatAt, w.heartbeatSoon = now, false
 	heartbeat := &schema.WorkerHeartbeat{
 		Incarnation: w.Incarnation, Seq: w.heartbeatSequence, CoresMilli: w.cores, MemoryMb: w.memory, Rack: w.rack, Draining: w.isDraining,
-		FencingToken: w.fencingToken, MaxWaitUs: int64(400 * eventloop.Millisecond),
+		FencingToken: w.fencingToken, MaxWaitUs: int64(maxAnswerWait),
 	}
 	for _, r := range w.sortedRuns() {
-		note := &schema.TaskStatus{
+		status := &schema.TaskStatus{
 			Queue: r.key.queue, Job: r.key.job, Step: r.key.step, Task: r.key.task, Attempt: r.key.attempt,
 			State: "running", RunUs: int64(now - r.startedAt), CoresMilli: r.cores, MemoryMb: r.memory,
 		}
 		if r.isReserved {
-			note.State, note.RunUs = "held", 0
+			status.State, status.RunUs = "held", 0
 		}
 		if r.isStalled {
-			note.IdleUs = note.RunUs
+			status.IdleUs = status.RunUs
 		}
-		heartbeat.Running = append(heartbeat.Running, note)
+		heartbeat.Running = append(heartbeat.Running, status)
 	}
 	for _, k := range sortedKeys(w.unacknowledged) {
 		heartbeat.Ended = append(heartbeat.Ended, w.unacknowledged[k])
-		if seq, unreported := w.unreportedFailures[k]; unreported && seq == 0 {
+		if sequence, unreported := w.unreportedFailures[k]; unreported && sequence == 0 {
 			w.unreportedFailures[k] = w.heartbeatSequence
 		}
 	}
@@ -231,37 +249,38 @@
 	return keys
 }
 
-// HandleUnanswered says that an announce came to nothing; the next may go at once
-// to another front.
+// HandleUnanswered takes the failure of a heartbeat: the next goes soon, to another
+// gateway node.
 func (w *Worker) HandleUnanswered(now eventloop.Micros) {
-	if w.lastHeartbeatAt+100*eventloop.Millisecond < now {
+	if w.lastHeartbeatAt+unansweredDelay < now {
 		w.heartbeatSoon = true
 	} else {
-		w.lastHeartbeatAt = now - heartbeatInterval + 100*eventloop.Millisecond
+		w.lastHeartbeatAt = now - heartbeatInterval + unansweredDelay
 	}
 }
 
-// HandleCall carries out the answer to the announce numbered seq, sent at `sent`.
-func (w *Worker) HandleOrders(now, sent eventloop.Micros, seq uint64, orders *schema.WorkerOrders) {
-	// An older answer than one taken may tell to start what is long over; an
-	// older ward has been succeeded.
-	if seq <= w.lastReplySequence || orders.FencingToken < w.fencingToken {
+// HandleOrders carries out the answer to the heartbeat of this sequence number, which
+// was sent at sentAt: the lease counts from then.
+func (w *Worker) HandleOrders(now, sentAt eventloop.Micros, sequence uint64, orders *schema.WorkerOrders) {
+	// An older answer may order what is over by now; a lower token is of a lease that
+	// has been given to another.
+	if sequence <= w.lastReplySequence || orders.FencingToken < w.fencingToken {
 		return
 	}
-	w.lastReplySequence, w.fencingToken = seq, orders.FencingToken
-	if w.lastContactEvent == 0 || now >= w.lastContactEvent+eventloop.Second {
+	w.lastReplySequence, w.fencingToken = sequence, orders.FencingToken
+	if w.lastContactEvent == 0 || now >= w.lastContactEvent+contactEventInterval {
 		w.lastContactEvent = now
 		w.emit(checker.Event{At: now, Kind: checker.WorkerAnswered, Actor: w.Name, Incarnation: w.Incarnation})
 	}
-	w.leaseExpiresAt = max(w.leaseExpiresAt, sent+eventloop.Micros(orders.LeaseUs))
+	w.leaseExpiresAt = max(w.leaseExpiresAt, sentAt+eventloop.Micros(orders.LeaseUs))
 	for _, k := range sortedKeys(w.unreportedFailures) {
-		if first := w.unreportedFailures[k]; first > 0 && first <= seq {
+		if first := w.unreportedFailures[k]; first > 0 && first <= sequence {
 			delete(w.unreportedFailures, k)
 			w.emitRunEvent(now, checker.FailureReported, &run{key: k}, "failed")
 		}
 	}
-	for _, note := range orders.Acknowledged {
-		delete(w.unacknowledged, runKey{note.Queue, note.Job, note.Step, note.Task, note.Attempt})
+	for _, status := range orders.Acknowledged {
+		delete(w.unacknowledged, runKey{status.Queue, status.Job, status.Step, status.Task, status.Attempt})
 	}
 	for _, order := range orders.Orders {
 		w.applyOrder(now, order)
@@ -271,53 +290,68 @@
 	}
 }
 
+// applyOrder carries out one order.
 func (w *Worker) applyOrder(now eventloop.Micros, order *schema.TaskOrder) {
 	k := runKey{order.Queue, order.Job, order.Step, order.Task, order.Attempt}
 	r := w.runs[k]
-	fresh := &run{key: k, name: order.Name, cores: order.CoresMilli, memory: order.MemoryMb}
-	w.emitRunEvent(now, checker.Order, fresh, order.Action)
-	if p, over := w.endedRuns[k]; over {
-		// Whoever still wants it hasn't heard how it ended.
-		w.emitRunEvent(now, checker.OrderDropped, fresh, p.outcome)
-		w.reportEnd(k, p.outcome)
+	ordered := &run{key: k, name: order.Name, cores: order.CoresMilli, memory: order.MemoryMb}
+	w.emitRunEvent(now, checker.Order, ordered, order.Action)
+	if ended, over := w.endedRuns[k]; over {
+		// The scheduler doesn't know yet how it ended.
+		w.emitRunEvent(now, checker.OrderDropped, ordered, ended.outcome)
+		w.reportEnd(k, ended.outcome)
 		return
 	}
 	switch order.Action {
-	case "stop":
+	case actionStop:
 		if r == nil {
-			// Never begun here; saying so lets it be given to another, and it
-			// can't begin here any more.
-			fresh.isReserved = true
-			r = fresh
+			// It never started here, and can't any more once it is reported as ended.
+			w.rejectRun(now, ordered)
+			return
 		}
 		w.endRun(now, r, "stopped")
-		return
-	case "hold":
-		if r == nil && w.hasCapacity(fresh) {
-			fresh.isReserved = true
-			w.runs[k] = fresh
-		} else if r == nil {
-			fresh.isReserved = true
-			w.endRun(now, fresh, "stopped")
-		}
-		return
+	case actionHold:
+		w.reserve(now, r, ordered)
+	default:
+		w.orderStart(now, r, ordered, order.Text)
+	}
+}
+
+// rejectRun reports an attempt as stopped that hasn't started.
+func (w *Worker) rejectRun(now eventloop.Micros, ordered *run) {
+	ordered.isReserved = true
+	w.endRun(now, ordered, "stopped")
+}
+
+// reserve reserves the capacity for an attempt, if it is free.
+func (w *Worker) reserve(now eventloop.Micros, r, ordered *run) {
+	switch {
+	case r != nil:
+	case w.hasCapacity(ordered):
+		ordered.isReserved = true
+		w.runs[ordered.key] = ordered
+	default:
+		w.rejectRun(now, ordered)
 	}
+}
+
+// orderStart starts an attempt, reserved before or not, unless it runs already.
+func (w *Worker) orderStart(now eventloop.Micros, r, ordered *run, text string) {
 	if r != nil && !r.isReserved {
 		return
 	}
 	if r == nil {
-		if w.isDraining || now >= w.leaseExpiresAt || w.hasOtherAttempt(k) || !w.hasCapacity(fresh) {
-			fresh.isReserved = true
-			w.endRun(now, fresh, "stopped")
+		if w.isDraining || now >= w.leaseExpiresAt || w.hasOtherAttempt(ordered.key) || !w.hasCapacity(ordered) {
+			w.rejectRun(now, ordered)
 			return
 		}
-		r = fresh
-		w.runs[k] = r
+		r = ordered
+		w.runs[r.key] = r
 	}
-	w.startRun(now, r, order.Text)
+	w.startRun(now, r, text)
 }
 
-// hasOtherAttempt tells whether another attempt of the same task is here.
+// hasOtherAttempt reports whether another attempt of the same task is here.
 func (w *Worker) hasOtherAttempt(k runKey) bool {
 	for other := range w.runs {
 		if other.queue == k.queue && other.job == k.job && other.step == k.step && other.task == k.task {
@@ -327,8 +361,9 @@
 	return false
 }
 
-func (w *Worker) hasCapacity(fresh *run) bool {
-	cores, memory := w.cores-fresh.cores, w.memory-fresh.memory
+// hasCapacity reports whether the free capacity suffices for a run.
+func (w *Worker) hasCapacity(ordered *run) bool {
+	cores, memory := w.cores-ordered.cores, w.memory-ordered.memory
 	for _, r := range w.runs {
 		cores -= r.cores
 		memory -= r.memory
@@ -336,11 +371,11 @@
 	return cores >= 0 && memory >= 0
 }
 
-// startRun runs a task: the stand-ins' texts say how long ("run_us=30000") and
+// startRun starts a run. The task's text says how long it takes ("run_us=30000") and
 // how often it fails ("fail=0.1").
 func (w *Worker) startRun(now eventloop.Micros, r *run, text string) {
 	r.isReserved, r.startedAt, r.outcome = false, now, "done"
-	duration := eventloop.Micros(textParameter(text, "run_us", 20_000))
+	duration := eventloop.Micros(textParameter(text, "run_us", defaultRunUs))
 	if w.Behaviour.Slowdown > 0 {
 		duration = eventloop.Micros(float64(duration) * w.Behaviour.Slowdown)
 	}
@@ -352,14 +387,3 @@
 	r.isStalled = w.Behaviour.StallRate > 0 && w.rng.Float64() < w.Behaviour.StallRate
 	w.emitRunEvent(now, checker.TaskStart, r, "")
 }
-
-func textParameter(text, parameter string, fallback float64) float64 {
-	for _, field := range strings.Fields(text) {
-		if value, found := strings.CutPrefix(field, parameter+"="); found {
-			if parsed, err := strconv.ParseFloat(value, 64); err == nil {
-				return parsed
-			}
-		}
-	}
-	return fallback
-}
--- a/internal/fakeworker/fakeworker_test.go
+++ b/internal/fakeworker/worker_test.go
@@ -21,7 +21,7 @@
 		return w, seen
 	}
 	lease := int64(4 * eventloop.Second)
-	Convey("A worker turns away an older ward, and an answer older than one it has taken", t, func() {
+	Convey("A worker ignores orders with a lower fencing token, and an answer older than one it has taken", t, func() {
 		w, seen := newWorker()
 		first, second, third := w.NewHeartbeat(eventloop.Second).Seq, w.NewHeartbeat(eventloop.Second).Seq, w.NewHeartbeat(eventloop.Second).Seq
 		w.HandleOrders(eventloop.Second, eventloop.Second, second, &schema.WorkerOrders{FencingToken: 5, LeaseUs: lease})
@@ -31,7 +31,7 @@
 		w.HandleOrders(eventloop.Second, eventloop.Second, third, &schema.WorkerOrders{FencingToken: 5, LeaseUs: lease, Orders: start(0)})
 		So(seen[checker.TaskStart], ShouldEqual, 1)
 	})
-	Convey("It stops what runs when its lease ends, counted from when it asked, and keeps what it holds", t, func() {
+	Convey("It stops its runs when its lease ends, counted from when the heartbeat was sent, and keeps its reservations", t, func() {
 		w, seen := newWorker()
 		seq := w.NewHeartbeat(eventloop.Second).Seq
 		hold := &schema.TaskOrder{Action: "hold", Queue: "l", Job: 2, Attempt: 1, CoresMilli: 10}
@@ -42,7 +42,7 @@
 		So(seen[checker.TaskEnd+"stopped"], ShouldEqual, 1)
 		So(w.NewHeartbeat(6*eventloop.Second).Running, ShouldHaveLength, 1)
 	})
-	Convey("It takes no more than its room, nor the same attempt twice", t, func() {
+	Convey("It takes no more than its capacity, nor the same attempt twice", t, func() {
 		w, seen := newWorker()
 		big := start(0)
 		big[0].CoresMilli = 900
