--- a/internal/deployments/deployments.go
+++ b/internal/deployments/deployments.go
@@ -1,5 +1,5 @@
-// Package deployments owns the two deployments that must be served: their machines,
-// their disks and their callers, as sizes for simulated and real fleets.
+// Package deployments describes the deployments that the simulator and the benchmarks
+// run: their nodes, disks, workers and jobs.
 package deployments
 
 import (
@@ -9,54 +9,57 @@
 	"sparnotch/internal/schema"
 )
 
-// JobType is one sort of job that a deployment's callers hand in.
+// JobType is a kind of job that a deployment's clients submit.
 type JobType struct {
 	Name         string
 	Queue        string
-	Urgency      int
-	MeanInterval float64 // seconds between two, on average
+	Urgency      int     // of the queue, 0 to 100
+	MeanInterval float64 // seconds between two submissions
 	Text         string
 	Steps        []*schema.Step
 }
 
-// Deployment is one of the two.
+// Deployment describes one deployment.
 type Deployment struct {
 	Name             string
 	JobTypes         []JobType
-	SyncUs           int64
-	Cores            int64 // of a worker, thousandths
-	Memory           int64
-	Gateways         int // the first three have a disk
-	Agents           int
+	SyncUs           int64   // duration of a disk sync
+	Cores            int64   // of a worker, thousandths
+	Memory           int64   // of a worker, MB
+	Gateways         int     // including the storage nodes
+	Agents           int     // agent nodes
 	Workers          int     // three to a rack
-	StorageNodeCores float64 // cores a front with a disk has
-	GatewayCores     float64 // and one without
+	StorageNodeCores float64 // of one node, cores
+	GatewayCores     float64 // of one node without a disk
 	AgentCores       float64
 
-	// Where its workers are called: what its callers hand in then, how often a
-	// task may run failing, and what is promised.
+	// For workers that take calls: the jobs, how often a failing task is attempted, and
+	// the bounds that the deployment promises.
 	CalledJobTypes []JobType
 	MaxAttempts    uint32
 	Bounds         *schema.Bounds
 }
 
+// newStep is a step of tasks with resources in thousandths of a core and MB.
 func newStep(name string, tasks uint32, cores, memory int64, after ...string) *schema.Step {
 	return &schema.Step{Name: name, Tasks: tasks, CoresMilli: cores, MemoryMb: memory, Dependencies: after, AllowedFailures: 2}
 }
 
-func newCalledStep(name string, tasks uint32, cores, memory, us int64, after ...string) *schema.Step {
-	return &schema.Step{Name: name, Tasks: tasks, CoresMilli: cores, MemoryMb: memory, Dependencies: after, EstimatedRunUs: us}
+// newCalledStep is a step for called workers, with the estimated run time of a task in µs.
+func newCalledStep(name string, tasks uint32, cores, memory, runUs int64, after ...string) *schema.Step {
+	return &schema.Step{Name: name, Tasks: tasks, CoresMilli: cores, MemoryMb: memory, Dependencies: after, EstimatedRunUs: runUs}
 }
 
-// newBounds in milliseconds.
-func newBounds(hold, stop, save, restore int64) *schema.Bounds {
+// newBounds takes the worker lease, the stop timeout, the checkpoint interval and the
+// restore delay in milliseconds.
+func newBounds(lease, stop, checkpoint, restore int64) *schema.Bounds {
 	return &schema.Bounds{
-		HoldMostUs: hold * 1000, StopUs: stop * 1000, GatherUs: 3_000_000, StatusUs: 120_000_000, ApplyUs: 2_000_000, AwayMilli: 1500,
-		SaveUs: save * 1000, RestoreUs: restore * 1000, BeatUs: 1_500_000, DrainUs: 2_000_000,
+		HoldMostUs: lease * 1000, StopUs: stop * 1000, GatherUs: 3_000_000, StatusUs: 120_000_000, ApplyUs: 2_000_000, AwayMilli: 1500,
+		SaveUs: checkpoint * 1000, RestoreUs: restore * 1000, BeatUs: 1_500_000, DrainUs: 2_000_000,
 	}
 }
 
-// All are the bank and Skemaværket.
+// All are the known deployments. They must not be changed.
 var All = []*Deployment{
 	{
 		Name: "bank", SyncUs: 500, Cores: 64_000, Memory: 128_000, Gateways: 7, Agents: 11, Workers: 11, StorageNodeCores: 1, GatewayCores: 0.45, AgentCores: 0.25,
@@ -66,7 +69,7 @@
 			{"schedule", "schedules", 20, 6, "run_us=250000", []*schema.Step{newStep("load", 8, 1000, 1024), newStep("months", 48, 1000, 1024, "load"), newStep("print", 1, 1000, 2048, "months")}},
 		},
 		MaxAttempts: 4, Bounds: newBounds(10_000, 900, 1000, 250),
-		// Half of the quotes have a second step, and three in ten of the schedules.
+		// Half of the quotes have a second step, as have three in ten of the schedules.
 		CalledJobTypes: []JobType{
 			{"quote", "quotes", 80, 2 / 4.51, "quote", []*schema.Step{newCalledStep("rates", 14, 6000, 512, 380_000)}},
 			{"quotes", "quotes", 80, 2 / 4.51, "quotes", []*schema.Step{newCalledStep("rates", 14, 6000, 512, 380_000), newCalledStep("sums", 14, 6000, 512, 380_000, "rates")}},
@@ -93,7 +96,7 @@
 	},
 }
 
-// Find gives the deployment of a name.
+// Find returns the deployment of a name. The error lists the names.
 func Find(name string) (*Deployment, error) {
 	var names []string
 	for _, d := range All {
@@ -105,7 +108,7 @@
 	return nil, fmt.Errorf("profile: %q is none of %s", name, strings.Join(names, ", "))
 }
 
-// ConfigRows is the deployment's table.
+// ConfigRows is the configuration of the deployment's workers and queues.
 func (d *Deployment) ConfigRows() []*schema.ConfigurationRow {
 	rows := []*schema.ConfigurationRow{
 		{Kind: "fleet", Key: "worker_cores_milli", Value: fmt.Sprint(d.Cores)},
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -1,43 +1,46 @@
-// Package hollow owns the tables of processes with nothing behind them: the
-// stead of a side's agent with a worker whose tasks only take their time, and
-// that of a controller on a side that is none. Real wires and simulated ones carry
-// the same.
+// Package hollow has the components of hollow nodes: agent nodes that load a cluster
+// like real ones without real workers behind them, for scalability measurements.
+//
+// Agent takes the place of the agent component; its worker is a fakeworker.Worker
+// whose tasks only take time. StatePoller takes the place of the controller component
+// on nodes that are no controller candidates. They run in real processes
+// (sparnotch-bench) and in the simulator alike.
 package hollow
 
 import (
-	"hash/fnv"
 	"math/rand/v2"
-	"slices"
 
 	"sparnotch/internal/checker"
 	"sparnotch/internal/clusterstate"
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/fakeworker"
-	"sparnotch/internal/membership"
 	"sparnotch/internal/process"
 	"sparnotch/internal/replica"
 	"sparnotch/internal/schema"
 )
 
-// Hand is the name of the agent's stead among a process's tables, and its tick.
+// The name of the Agent among a node's components, and its tick.
 const (
-	AgentName         = "hand"
+	AgentName         = "hollow-agent"
 	AgentTickInterval = 50 * eventloop.Millisecond
 )
 
 const (
 	pollTimeout  = 1200 * eventloop.Millisecond
 	maxOpenPolls = 2
+	// registrationInterval is the least time between two requests to register the worker.
+	registrationInterval = eventloop.Second
 )
 
-// Hooks is told what the worker does; any of it may be nil.
+// Hooks are called when something happens at the node; each may be nil.
 type Hooks struct {
 	OnStart  func(now eventloop.Micros, job string, step, task uint32)
 	OnEnd    func()
-	OnConfig func(now eventloop.Micros, generation uint64) // a newer plan has come to this process
+	OnConfig func(now eventloop.Micros, revision uint64) // a newer configuration revision has arrived
 }
 
-// Agent announces to the ward's scheduler and takes the answers.
+// Agent polls the scheduler that holds its worker's lease, and passes the orders to
+// the worker.
 type Agent struct {
 	hooks        Hooks
 	worker       *fakeworker.Worker
@@ -48,19 +51,20 @@
 	registeredAt eventloop.Micros
 }
 
+// openPoll is a poll that hasn't been answered.
 type openPoll struct {
 	sequence uint64
 	sentAt   eventloop.Micros
 }
 
-// Resources is what a worker has: thousandths of a core, and MB.
+// Resources of a worker: thousandths of a core, and MB.
 type Resources struct{ Cores, Memory int64 }
 
-// New makes a side's table with a worker of this name. The incarnation grows
-// with each start of it.
+// New makes an agent with a worker of this name. The incarnation must grow with each
+// start of it.
 func New(now eventloop.Micros, name, rack string, capacity Resources, incarnation uint64, rng *rand.Rand, hooks Hooks) *Agent {
-	h := &Agent{hooks: hooks, openPolls: map[uint64]openPoll{}}
-	h.worker = fakeworker.New(now, name, rack, capacity.Cores, capacity.Memory, incarnation, rng, func(e checker.Event) {
+	a := &Agent{hooks: hooks, openPolls: map[uint64]openPoll{}}
+	a.worker = fakeworker.New(now, name, rack, capacity.Cores, capacity.Memory, incarnation, rng, func(e checker.Event) {
 		switch {
 		case e.Kind == checker.TaskStart && hooks.OnStart != nil:
 			hooks.OnStart(e.At, e.Name, e.Step, e.Task)
@@ -68,10 +72,10 @@
 			hooks.OnEnd()
 		}
 	})
-	return h
+	return a
 }
 
-// Step implements eventloop.Table.
+// Step implements eventloop.Component.
 func (a *Agent) Step(now eventloop.Micros, message eventloop.Message, effects eventloop.Effects) {
 	switch body := message.Body.(type) {
 	case eventloop.Tick:
@@ -98,6 +102,7 @@
 	a.sendPoll(now, effects)
 }
 
+// handleClusterState takes over a newer cluster state.
 func (a *Agent) handleClusterState(now eventloop.Micros, m *schema.ClusterStateResponse) {
 	if m.State != nil && m.State.Version > a.state.GetVersion() {
 		if a.hooks.OnConfig != nil && a.state.GetConfiguration().GetRevision() < m.State.Configuration.GetRevision() {
@@ -110,17 +115,15 @@
 	}
 }
 
+// sendPoll polls the scheduler if a heartbeat is due, or registers a worker that has no
+// lease yet.
 func (a *Agent) sendPoll(now eventloop.Micros, effects eventloop.Effects) {
 	if !a.worker.IsHeartbeatDue(now) || len(a.openPolls) >= maxOpenPolls || a.state == nil {
 		return
 	}
 	lease := clusterstate.FindWorkerLease(a.state, a.worker.Name)
 	if lease == nil || lease.Scheduler == "" {
-		if now-a.registeredAt > eventloop.Second && a.leader != "" {
-			a.registeredAt = now
-			effects.Send(a.leader, &schema.Request{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(
-				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_RegisterWorker{RegisterWorker: &schema.RegisterWorker{Worker: a.worker.Name}}})})
-		}
+		a.register(now, effects)
 		return
 	}
 	heartbeat := a.worker.NewHeartbeat(now)
@@ -129,7 +132,17 @@
 	effects.Send(lease.Scheduler, &schema.WorkerPollRequest{Id: a.lastPoll, Worker: a.worker.Name, Heartbeat: heartbeat})
 }
 
-// ComponentsFor names the tables of a side that a message is for.
+// register asks the cluster state for a lease of the worker.
+func (a *Agent) register(now eventloop.Micros, effects eventloop.Effects) {
+	if now-a.registeredAt <= registrationInterval || a.leader == "" {
+		return
+	}
+	a.registeredAt = now
+	command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_RegisterWorker{RegisterWorker: &schema.RegisterWorker{Worker: a.worker.Name}}}
+	effects.Send(a.leader, &schema.Request{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(command)})
+}
+
+// ComponentsFor names the components of a hollow node that a message is for.
 func ComponentsFor(body any) []string {
 	switch body.(type) {
 	case *schema.WorkerPollResponse:
@@ -139,56 +152,3 @@
 	}
 	return []string{process.ComponentFor(schema.Role_ROLE_CONTROLLER, body)}
 }
-
-// StatePoller stands where the controller's table would on a side that is none: it
-// asks one store for the cluster state, and does nothing with it.
-type StatePoller struct {
-	members     *membership.View
-	version     uint64
-	storageNode string
-}
-
-// StatePollInterval is how often it asks.
-const StatePollInterval = 250 * eventloop.Millisecond
-
-const livenessTimeout = 1500 * eventloop.Millisecond
-
-// Step implements eventloop.Table.
-func (p *StatePoller) Step(now eventloop.Micros, message eventloop.Message, effects eventloop.Effects) {
-	switch body := message.Body.(type) {
-	case *membership.View:
-		p.members = body
-	case *schema.ClusterStateResponse:
-		if body.State != nil {
-			p.version = max(p.version, body.State.Version)
-		}
-	case eventloop.Tick:
-		if p.members == nil {
-			return
-		}
-		if p.storageNode == "" || !p.members.IsAlive(p.storageNode, now, livenessTimeout) {
-			p.storageNode = p.pickStorageNode(now)
-		}
-		if p.storageNode != "" {
-			effects.Send(p.storageNode, &schema.ClusterStateRequest{Version: p.version})
-		}
-	}
-}
-
-// pickStorageNode takes one of the live stores by its own id, so that sides spread over
-// them.
-func (p *StatePoller) pickStorageNode(now eventloop.Micros) string {
-	var stores []string
-	for id, known := range p.members.Members {
-		if known.Member.HasStorage && p.members.IsAlive(id, now, livenessTimeout) {
-			stores = append(stores, id)
-		}
-	}
-	if len(stores) == 0 {
-		return ""
-	}
-	slices.Sort(stores)
-	hash := fnv.New32a()
-	hash.Write([]byte(p.members.Self.Id))
-	return stores[int(hash.Sum32()%uint32(len(stores)))]
-}
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -17,23 +17,23 @@
 	body any
 }
 
-// recordedEffects keeps what a step sends.
+// recordedEffects records what a step sends.
 type recordedEffects struct{ sent []sentMessage }
 
-func (o *recordedEffects) Send(to string, body any)         { o.sent = append(o.sent, sentMessage{to, body}) }
-func (o *recordedEffects) Dial(address string, body any)    {}
-func (o *recordedEffects) Notify(table string, body any)    {}
-func (o *recordedEffects) Respond(request uint64, body any) {}
+func (o *recordedEffects) Send(to string, body any)          { o.sent = append(o.sent, sentMessage{to, body}) }
+func (o *recordedEffects) Dial(address string, body any)     {}
+func (o *recordedEffects) Notify(component string, body any) {}
+func (o *recordedEffects) Respond(request uint64, body any)  {}
 
 func TestAgent(t *testing.T) {
-	Convey("A hollow side makes its worker known, announces to its ward, and runs what it is told", t, func() {
+	Convey("An agent registers its worker, polls its lease's scheduler, and starts what is ordered", t, func() {
 		var started []string
 		ended, revisions := 0, []uint64{}
 		now := 2 * eventloop.Second
 		h := New(now, "w1", "r1", Resources{4000, 4000}, 1, rand.New(rand.NewPCG(1, 1)), Hooks{
 			OnStart:  func(_ eventloop.Micros, job string, _, _ uint32) { started = append(started, job) },
 			OnEnd:    func() { ended++ },
-			OnConfig: func(_ eventloop.Micros, generation uint64) { revisions = append(revisions, generation) },
+			OnConfig: func(_ eventloop.Micros, revision uint64) { revisions = append(revisions, revision) },
 		})
 		step := func(from string, body any) []sentMessage {
 			effects := &recordedEffects{}
@@ -66,7 +66,7 @@
 }
 
 func TestStatePoller(t *testing.T) {
-	Convey("Sides that are no controllers spread over the stores", t, func() {
+	Convey("Nodes that are no controllers spread over the storage nodes", t, func() {
 		asked := map[string]int{}
 		for k := range 30 {
 			members := &membership.View{Self: &schema.Member{Id: fmt.Sprintf("p%03d", k)}, Members: map[string]membership.MemberStatus{}}
