--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,115 +1,123 @@
-// Package capacity owns what capacity is worked out from: readings taken while one
-// size of a deployment is swept, the curves fitted to them, and the sums that
-// lead from those to machines.
+// Package capacity estimates the nodes that a deployment needs from measurements.
+//
+// sparnotch-bench sweeps one dimension of a deployment (workers, queues, starts a
+// second) and takes Measurements of each role. FitSeries fits a curve to each metric
+// of a role over a dimension. EstimateNodes adds the curves up for a Demand.
+// EstimateCost compares real and simulated sweeps, to tell what messages and syncs
+// cost. The package holds no state; docs/CAPACITY.md explains the method.
 package capacity
 
 import (
+	"cmp"
 	"encoding/csv"
 	"io"
-	"sort"
+	"slices"
 	"strconv"
 
 	"github.com/joomcode/errorx"
 )
 
 var (
-	// Errors is the namespace of what this package refuses.
+	// Errors is the namespace of this package's errors.
 	Errors = errorx.NewNamespace("capacity")
-	// Invalid is a file or a size that can't be taken; its text names the field.
+	// Invalid is the type of errors in a file or a demand; the text names the field.
 	Invalid = Errors.NewType("bad")
+
+	writeError = Errors.NewType("write")
 )
 
-// Measurement is one quantity of one role, read in one run.
+// Measurement is the value of one metric of one role in one run.
 type Measurement struct {
 	Dimension string  // what was swept: workers, queues, starts, ...
 	Level     float64 // how much of it there was
-	Repeat    int     // which of the runs at this value, from 1
-	Role      string  // store, front, side, caller, whole
-	Metric    string  // quantity with its unit: cpu_milli, sent_s, bytes_s, rss_mb, ...
-	Amount    float64 // of one process of the role; of all, where the role is whole
+	Repeat    int     // which of the runs at this level, from 1
+	Role      string  // leader, store, front, side, caller; whole: all processes together
+	Metric    string  // with its unit: cpu_milli, sent_s, bytes_out_s, rss_mb, ...
+	Amount    float64 // of one process of the role, on average
 }
 
 var header = []string{"size", "value", "repeat", "role", "what", "amount"}
 
 func formatNumber(value float64) string { return strconv.FormatFloat(value, 'g', 6, 64) }
 
-// WriteCSV writes readings as CSV, with a header.
-func WriteCSV(out io.Writer, readings []Measurement) error {
+// WriteCSV writes measurements as CSV, with a header.
+func WriteCSV(out io.Writer, measurements []Measurement) error {
 	writer := csv.NewWriter(out)
 	lines := [][]string{header}
-	for _, r := range readings {
+	for _, r := range measurements {
 		lines = append(lines, []string{r.Dimension, formatNumber(r.Level), strconv.Itoa(r.Repeat), r.Role, r.Metric, formatNumber(r.Amount)})
 	}
 	if err := writer.WriteAll(lines); err != nil {
-		return Errors.NewType("write").Wrap(err, "readings")
+		return writeError.Wrap(err, "measurements")
 	}
 	return nil
 }
 
-// ReadCSV reads what Write has written. Errors are Bad, with line and column.
+// ReadCSV reads what WriteCSV has written. Errors are Invalid and name line and column.
 func ReadCSV(in io.Reader) ([]Measurement, error) {
 	reader := csv.NewReader(in)
 	reader.FieldsPerRecord = len(header)
 	lines, err := reader.ReadAll()
 	if err != nil {
-		return nil, Invalid.Wrap(err, "readings")
+		return nil, Invalid.Wrap(err, "measurements")
 	}
-	var list []Measurement
-	for at, line := range lines {
-		if at == 0 {
-			for k, name := range header {
-				if line[k] != name {
-					return nil, Invalid.New("line 1: column %d is %q and not %q", k+1, line[k], name)
-				}
-			}
-			continue
-		}
-		value, err := strconv.ParseFloat(line[1], 64)
-		if err != nil {
-			return nil, Invalid.New("line %d, value: %q is no number", at+1, line[1])
-		}
-		repeat, err := strconv.Atoi(line[2])
-		if err != nil {
-			return nil, Invalid.New("line %d, repeat: %q is no whole number", at+1, line[2])
+	if len(lines) == 0 {
+		return nil, nil
+	}
+	for k, name := range header {
+		if lines[0][k] != name {
+			return nil, Invalid.New("line 1: column %d is %q and not %q", k+1, lines[0][k], name)
 		}
-		amount, err := strconv.ParseFloat(line[5], 64)
+	}
+	var list []Measurement
+	for k, fields := range lines[1:] {
+		m, err := parseMeasurement(k+2, fields)
 		if err != nil {
-			return nil, Invalid.New("line %d, amount: %q is no number", at+1, line[5])
+			return nil, err
 		}
-		list = append(list, Measurement{line[0], value, repeat, line[3], line[4], amount})
+		list = append(list, m)
 	}
 	return list, nil
 }
 
-// Series are the readings of one quantity of one role over one size.
+func parseMeasurement(line int, fields []string) (Measurement, error) {
+	level, err := strconv.ParseFloat(fields[1], 64)
+	if err != nil {
+		return Measurement{}, Invalid.New("line %d, value: %q is not a number", line, fields[1])
+	}
+	repeat, err := strconv.Atoi(fields[2])
+	if err != nil {
+		return Measurement{}, Invalid.New("line %d, repeat: %q is not a whole number", line, fields[2])
+	}
+	amount, err := strconv.ParseFloat(fields[5], 64)
+	if err != nil {
+		return Measurement{}, Invalid.New("line %d, amount: %q is not a number", line, fields[5])
+	}
+	return Measurement{Dimension: fields[0], Level: level, Repeat: repeat, Role: fields[3], Metric: fields[4], Amount: amount}, nil
+}
+
+// Series are the measurements of one metric of one role over one dimension.
 type Series struct {
 	Dimension, Role, Metric string
-	X, Y                    []float64
+	X, Y                    []float64 // levels and amounts
 }
 
-// GroupSeries parts readings into series, in a steady order.
-func GroupSeries(readings []Measurement) []*Series {
-	found := map[[3]string]*Series{}
+// GroupSeries groups measurements into series, sorted by dimension, role and metric.
+func GroupSeries(measurements []Measurement) []*Series {
+	found := map[seriesKey]*Series{}
 	var list []*Series
-	for _, r := range readings {
-		key := [3]string{r.Dimension, r.Role, r.Metric}
-		s := found[key]
+	for _, m := range measurements {
+		k := seriesKey{m.Dimension, m.Role, m.Metric}
+		s := found[k]
 		if s == nil {
-			s = &Series{Dimension: r.Dimension, Role: r.Role, Metric: r.Metric}
-			found[key] = s
+			s = &Series{Dimension: m.Dimension, Role: m.Role, Metric: m.Metric}
+			found[k] = s
 			list = append(list, s)
 		}
-		s.X, s.Y = append(s.X, r.Level), append(s.Y, r.Amount)
+		s.X, s.Y = append(s.X, m.Level), append(s.Y, m.Amount)
 	}
-	sort.Slice(list, func(a, b int) bool {
-		x, y := list[a], list[b]
-		if x.Dimension != y.Dimension {
-			return x.Dimension < y.Dimension
-		}
-		if x.Role != y.Role {
-			return x.Role < y.Role
-		}
-		return x.Metric < y.Metric
+	slices.SortFunc(list, func(a, b *Series) int {
+		return cmp.Or(cmp.Compare(a.Dimension, b.Dimension), cmp.Compare(a.Role, b.Role), cmp.Compare(a.Metric, b.Metric))
 	})
 	return list
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -18,7 +18,7 @@
 }
 
 func TestReadings(t *testing.T) {
-	Convey("Readings come back from CSV as they were written", t, func() {
+	Convey("Measurements are read from CSV as they were written", t, func() {
 		list := []Measurement{{"queues", 8, 1, "store", "cpu_milli", 12.5}, {"queues", 16, 2, "side", "bytes_s", 1024}}
 		var out bytes.Buffer
 		So(WriteCSV(&out, list), ShouldBeNil)
@@ -26,7 +26,7 @@
 		So(err, ShouldBeNil)
 		So(back, ShouldResemble, list)
 	})
-	Convey("What can't be read is named by line and column", t, func() {
+	Convey("Errors name line and column", t, func() {
 		for text, want := range map[string]string{
 			"size,value,repeat,role,what,amount\nlanes,x,1,store,cpu,1\n": "line 2, value",
 			"size,value,repeat,role,what,amount\nlanes,1,x,store,cpu,1\n": "line 2, repeat",
@@ -41,7 +41,7 @@
 }
 
 func TestFit(t *testing.T) {
-	Convey("A straight line is found, and not bent by a little noise", t, func() {
+	Convey("A straight line is found in spite of noise", t, func() {
 		wobble := 0.0
 		fit := FitSeries(newSeries(func(x float64) float64 {
 			wobble = -wobble + 0.05
@@ -53,17 +53,17 @@
 		So(fit.RSquared, ShouldBeGreaterThan, 0.99)
 		So(fit.Extrapolation(1200), ShouldEqual, 15)
 	})
-	Convey("A square is found", t, func() {
+	Convey("A parabola is found", t, func() {
 		fit := FitSeries(newSeries(func(x float64) float64 { return 1 + 0.2*x + 0.01*x*x }))
 		So(fit.Quadratic, ShouldAlmostEqual, 0.01, 0.0001)
 		So(fit.StandardError, ShouldBeLessThan, 0.001)
 	})
-	Convey("A slope that can't be told from noise is none", t, func() {
+	Convey("A slope within the noise is taken as 0", t, func() {
 		fit := FitSeries(&Series{X: []float64{10, 20, 40, 80, 10, 20, 40, 80}, Y: []float64{5, 6, 5.5, 5.2, 6, 5, 5.4, 5.9}})
 		So(fit.Slope, ShouldEqual, 0)
 		So(fit.At(1200), ShouldAlmostEqual, 5.5, 0.01)
 	})
-	Convey("One value of x gives a flat line", t, func() {
+	Convey("A single value of x gives a flat line", t, func() {
 		fit := FitSeries(&Series{X: []float64{5, 5}, Y: []float64{1, 3}})
 		So(fit.At(100), ShouldEqual, 2)
 	})
@@ -78,7 +78,7 @@
 }
 
 func TestCost(t *testing.T) {
-	Convey("What is spent beyond the tables is laid on messages, bytes and syncs", t, func() {
+	Convey("Processor time beyond the components' steps is attributed to messages, bytes and syncs", t, func() {
 		var real, simulated []Measurement
 		for k, role := range []string{"leader", "store", "side"} {
 			for _, x := range []float64{12, 24, 48, 96} {
--- a/internal/capacity/size_test.go
+++ b/internal/capacity/estimate_test.go
@@ -6,7 +6,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// linearMeasurements is a set of slopes whose sums can be done by hand: a leader costs a
+// linearMeasurements can be added up by hand: a leader costs a
 // thousandth of a core for each worker, two for each queue, three for each start
 // a second, over 10.
 func linearMeasurements() []Measurement {
@@ -28,20 +28,20 @@
 
 func TestSize(t *testing.T) {
 	wanted := Demand{Workers: 60, Queues: 7, StartsPerSecond: 30, Cores: 1, MemoryMB: 256, Utilization: 0.5}
-	Convey("The sums follow from the slopes", t, func() {
-		needs, err := EstimateNodes(linearMeasurements(), wanted)
+	Convey("Estimates add up the curves", t, func() {
+		estimates, err := EstimateNodes(linearMeasurements(), wanted)
 		So(err, ShouldBeNil)
-		So(needs, ShouldHaveLength, 3)
-		So(needs[0].Role, ShouldEqual, "store")
-		So(needs[0].Machines, ShouldEqual, 3)
-		So(needs[0].CPUMilli, ShouldAlmostEqual, 10+60+2*7+3*30, 0.001)
-		So(needs[0].Bottleneck, ShouldBeEmpty)
-		So(needs[0].Extrapolation, ShouldAlmostEqual, 0.75, 0.001)
-		So(needs[1].Machines, ShouldEqual, 2)
-		So(needs[2].Machines, ShouldEqual, 60)
-		So(needs[2].BytesPerSecond, ShouldAlmostEqual, 1200, 0.001)
+		So(estimates, ShouldHaveLength, 3)
+		So(estimates[0].Role, ShouldEqual, "store")
+		So(estimates[0].Machines, ShouldEqual, 3)
+		So(estimates[0].CPUMilli, ShouldAlmostEqual, 10+60+2*7+3*30, 0.001)
+		So(estimates[0].Bottleneck, ShouldBeEmpty)
+		So(estimates[0].Extrapolation, ShouldAlmostEqual, 0.75, 0.001)
+		So(estimates[1].Machines, ShouldEqual, 2)
+		So(estimates[2].Machines, ShouldEqual, 60)
+		So(estimates[2].BytesPerSecond, ShouldAlmostEqual, 1200, 0.001)
 	})
-	Convey("Tables that were timed by themselves go before the whole, with what their messages cost", t, func() {
+	Convey("Components that were timed by themselves take precedence over the process, with the cost of messages", t, func() {
 		list := append(linearMeasurements(), Measurement{"base", 1, 0, "message_us", "value", 100}, Measurement{"base", 1, 0, "ground_milli", "value", 7})
 		for _, x := range []float64{10, 20, 40, 80} {
 			list = append(list,
@@ -49,24 +49,24 @@
 				Measurement{"workers", x, 1, "leader", "sent_s", 2 * x}, Measurement{"workers", x, 1, "leader", "received_s", 3 * x},
 			)
 		}
-		needs, err := EstimateNodes(list, wanted)
+		estimates, err := EstimateNodes(list, wanted)
 		So(err, ShouldBeNil)
-		So(needs[0].CPUMilli, ShouldAlmostEqual, 7+36+0.1*5*60+2*(7-2)+3*(30-5), 0.001)
+		So(estimates[0].CPUMilli, ShouldAlmostEqual, 7+36+0.1*5*60+2*(7-2)+3*(30-5), 0.001)
 		list = append(list, Measurement{"base", 1, 0, "together_milli", "value", 0.2})
 		more, err := EstimateNodes(list, wanted)
 		So(err, ShouldBeNil)
-		So(more[0].CPUMilli, ShouldAlmostEqual, needs[0].CPUMilli+0.2*(60-10)*(30-5), 0.001)
+		So(more[0].CPUMilli, ShouldAlmostEqual, estimates[0].CPUMilli+0.2*(60-10)*(30-5), 0.001)
 	})
-	Convey("What a machine can't give is said", t, func() {
+	Convey("A bottleneck is named", t, func() {
 		more := wanted
 		more.StartsPerSecond, more.Workers = 400, 200
-		needs, err := EstimateNodes(linearMeasurements(), more)
+		estimates, err := EstimateNodes(linearMeasurements(), more)
 		So(err, ShouldBeNil)
-		So(needs[0].Bottleneck, ShouldEqual, "processor")
-		So(needs[1].Machines, ShouldEqual, 3) // 2 x (4+200 + 5 + 395) of 500
-		So(needs[2].Bottleneck, ShouldEqual, "bytes")
+		So(estimates[0].Bottleneck, ShouldEqual, "processor")
+		So(estimates[1].Machines, ShouldEqual, 3) // 2 x (4+200 + 5 + 395) of 500
+		So(estimates[2].Bottleneck, ShouldEqual, "bytes")
 	})
-	Convey("A field that can't be taken is named", t, func() {
+	Convey("An invalid field is named", t, func() {
 		for field, spoil := range map[string]func(*Demand){
 			"workers": func(w *Demand) { w.Workers = 0 }, "queues": func(w *Demand) { w.Queues = -1 }, "starts": func(w *Demand) { w.StartsPerSecond = -1 },
 			"share": func(w *Demand) { w.Cores = 0 }, "memory_mb": func(w *Demand) { w.MemoryMB = 1 }, "busy": func(w *Demand) { w.Utilization = 2 },
@@ -78,7 +78,7 @@
 			So(err.Error(), ShouldContainSubstring, field+":")
 		}
 	})
-	Convey("The slopes that are kept with the product are whole", t, func() {
+	Convey("The default measurements are complete", t, func() {
 		list, err := DefaultMeasurements()
 		So(err, ShouldBeNil)
 		_, err = EstimateNodes(list, wanted)
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -9,22 +9,23 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Fit is a curve through a series: Base + Slope·x + Curve·x².
+// Fit is a curve through a series: Intercept + Slope·x + Quadratic·x².
 type Fit struct {
 	Dimension, Role, Metric     string
 	Intercept, Slope, Quadratic float64
-	RSquared                    float64 // share of the readings' variance that the curve explains
-	StandardError               float64 // standard error of a reading around the curve, in its unit
-	MinX, MaxX                  float64 // range of x that was measured
+	RSquared                    float64 // share of the variance that the curve explains
+	StandardError               float64 // of a measurement around the curve, in its unit
+	MinX, MaxX                  float64 // range that was measured
 	Samples                     int
 }
 
-// maxQuadraticResidual: a bend counts only where it takes away so much of what a straight
-// line leaves unexplained, or every noise would be drawn out to a square.
+// maxQuadraticResidual is the share of the straight line's residual that a parabola may
+// leave. A parabola that explains less is taken for noise, which extrapolation would
+// magnify.
 const maxQuadraticResidual = 0.5
 
 // FitSeries fits a straight line, or a parabola where that explains clearly more.
-// Fewer than three readings, or one value of x, give a flat line.
+// With a single value of x, or without a significant slope, the line is flat.
 func FitSeries(s *Series) Fit {
 	fit := Fit{Dimension: s.Dimension, Role: s.Role, Metric: s.Metric, Samples: len(s.X)}
 	if len(s.X) == 0 {
@@ -45,23 +46,29 @@
 	fit.Intercept, fit.Slope = stat.LinearRegression(s.X, s.Y, nil, false)
 	line := fit.residualSumOfSquares(s)
 	if !fit.hasSignificantSlope(s, line) {
-		// Drawn out to ten times the range, noise would say anything.
+		// Noise, extrapolated to ten times the range, could give any value.
 		fit.Intercept, fit.Slope = stat.Mean(s.Y, nil), 0
 	}
-	if len(distinct) >= 4 {
-		bent := fit
-		if bent.fitQuadratic(s) && bent.Quadratic > 0 && bent.residualSumOfSquares(s) < maxQuadraticResidual*line {
-			fit = bent
+	if len(distinct) >= minQuadraticLevels {
+		parabola := fit
+		if parabola.fitQuadratic(s) && parabola.Quadratic > 0 && parabola.residualSumOfSquares(s) < maxQuadraticResidual*line {
+			fit = parabola
 		}
 	}
 	fit.computeQuality(s)
 	return fit
 }
 
-// minSlopeErrors: a slope within so many of its own standard errors is none.
-const minSlopeErrors = 2
+const (
+	// minSlopeErrors is how many of its own standard errors a slope must exceed.
+	minSlopeErrors = 2
+	// minQuadraticLevels is how many distinct values of x a parabola needs.
+	minQuadraticLevels = 4
+)
 
-func (f *Fit) hasSignificantSlope(s *Series, left float64) bool {
+// hasSignificantSlope reports whether the slope exceeds its own standard error
+// clearly; residual is the sum of squares that the line leaves.
+func (f *Fit) hasSignificantSlope(s *Series, residual float64) bool {
 	if len(s.X) < 3 {
 		return true
 	}
@@ -69,12 +76,13 @@
 	for _, x := range s.X {
 		spread += (x - mean) * (x - mean)
 	}
-	err := math.Sqrt(left / float64(len(s.X)-2) / spread)
+	err := math.Sqrt(residual / float64(len(s.X)-2) / spread)
 	return math.Abs(f.Slope) > minSlopeErrors*err
 }
 
+// fitQuadratic fits a parabola by least squares; false when that has no solution.
 func (f *Fit) fitQuadratic(s *Series) bool {
-	// Columns of like size, or the square drowns the rest.
+	// The columns are scaled to a like size, for numerical stability.
 	scale := f.MaxX
 	a, b := mat.NewDense(len(s.X), 3, nil), mat.NewVecDense(len(s.X), s.Y)
 	for k, x := range s.X {
@@ -88,7 +96,7 @@
 	return true
 }
 
-// residualSumOfSquares is the sum of squares the curve leaves.
+// residualSumOfSquares is the sum of the squared residuals.
 func (f *Fit) residualSumOfSquares(s *Series) float64 {
 	sum := 0.0
 	for k, x := range s.X {
@@ -98,6 +106,7 @@
 	return sum
 }
 
+// computeQuality sets StandardError and RSquared.
 func (f *Fit) computeQuality(s *Series) {
 	residual := f.residualSumOfSquares(s)
 	parameters := 2
@@ -116,10 +125,11 @@
 	}
 }
 
-// At is the curve's value.
+// At is the curve's value at x.
 func (f *Fit) At(x float64) float64 { return f.Intercept + f.Slope*x + f.Quadratic*x*x }
 
-// Extrapolation is by how much x lies beyond what was measured: 1 and less is measured.
+// Extrapolation is x as a multiple of the largest measured value: up to 1, x lies
+// within what was measured.
 func (f *Fit) Extrapolation(x float64) float64 {
 	if f.MaxX <= 0 {
 		return math.Inf(1)
@@ -127,6 +137,7 @@
 	return x / f.MaxX
 }
 
+// String prints the curve with its quality and range.
 func (f *Fit) String() string {
 	text := fmt.Sprintf("%.4g %+.4g·x", f.Intercept, f.Slope)
 	if f.Quadratic != 0 {
@@ -135,10 +146,10 @@
 	return fmt.Sprintf("%s, ±%.3g, R² %.3f, %g to %g, %d runs", text, f.StandardError, f.RSquared, f.MinX, f.MaxX, f.Samples)
 }
 
-// FitAll fits every series.
-func FitAll(readings []Measurement) []Fit {
+// FitAll fits every series of measurements.
+func FitAll(measurements []Measurement) []Fit {
 	var list []Fit
-	for _, s := range GroupSeries(readings) {
+	for _, s := range GroupSeries(measurements) {
 		list = append(list, FitSeries(s))
 	}
 	return list
--- a/internal/capacity/plot.go
+++ b/internal/capacity/plot.go
@@ -12,22 +12,24 @@
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
+// plotError is the type of errors in drawing or writing a plot.
+var plotError = Errors.NewType("plot")
+
 const (
 	tileWidth  = 4.2 * vg.Inch
 	tileHeight = 3 * vg.Inch
 	columns    = 2
 )
 
-// Plot draws one size: a tile for each quantity, in it a curve for each role
-// through its readings, as a PNG file.
-func Plot(path, size string, readings []Measurement, quantities []string) error {
-	fault := Errors.NewType("plot")
-	rows := (len(quantities) + columns - 1) / columns
+// Plot draws the measurements over one dimension as a PNG file: a tile for each metric,
+// in it each role's measurements and fitted curve.
+func Plot(path, dimension string, measurements []Measurement, metrics []string) error {
+	rows := (len(metrics) + columns - 1) / columns
 	tiles := make([][]*plot.Plot, rows)
-	for k, what := range quantities {
-		tile, err := newTile(size, what, readings)
+	for k, metric := range metrics {
+		tile, err := newTile(dimension, metric, measurements)
 		if err != nil {
-			return fault.Wrap(err, "%s over %s", what, size)
+			return plotError.Wrap(err, "%s over %s", metric, dimension)
 		}
 		tiles[k/columns] = append(tiles[k/columns], tile)
 	}
@@ -48,22 +50,23 @@
 	}
 	file, err := os.Create(path)
 	if err != nil {
-		return fault.Wrap(err, "file")
+		return plotError.Wrap(err, "file")
 	}
 	defer file.Close()
 	if _, err := (vgimg.PngCanvas{Canvas: canvas}).WriteTo(file); err != nil {
-		return fault.Wrap(err, "file")
+		return plotError.Wrap(err, "file")
 	}
 	return nil
 }
 
-func newTile(size, what string, readings []Measurement) (*plot.Plot, error) {
+// newTile draws one metric.
+func newTile(dimension, metric string, measurements []Measurement) (*plot.Plot, error) {
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = size, what
+	p.X.Label.Text, p.Y.Label.Text = dimension, metric
 	p.Legend.Top, p.Legend.Left = true, true
 	k := 0
-	for _, s := range GroupSeries(readings) {
-		if s.Dimension != size || s.Metric != what {
+	for _, s := range GroupSeries(measurements) {
+		if s.Dimension != dimension || s.Metric != metric {
 			continue
 		}
 		points := make(plotter.XYs, len(s.X))
