--- a/cmd/sparnotchctl/capacity.go
+++ b/cmd/sparnotchctl/capacity.go
@@ -11,20 +11,20 @@
 	"sparnotch/internal/capacity"
 )
 
-// capacityCommand says what machines a deployment needs.
+// capacityCommand estimates the nodes that a deployment needs.
 type capacityCommand struct {
 	demand       capacity.Demand
 	measurements string
 }
 
-func (*capacityCommand) Name() string     { return "size" }
-func (*capacityCommand) Synopsis() string { return "say what machines a deployment needs" }
+func (*capacityCommand) Name() string     { return "capacity" }
+func (*capacityCommand) Synopsis() string { return "estimate the nodes that a deployment needs" }
 func (*capacityCommand) Usage() string {
-	return `sparnotchctl size -workers 1200 -queues 20 -starts 850
-  Works machines, memory and shares of a core out from measured slopes, those of
-  docs/CAPACITY.md. REACH says how far beyond what was measured the sum goes: up
-  to 1 it lies within. OVER names what one machine of the role can't give.
-  Exit codes: 0 worked out, 2 bad flags (the field is named).
+	return `sparnotchctl capacity -workers 1200 -queues 20 -starts 850
+  Estimates nodes, memory and shares of a core from measurements, those of
+  docs/CAPACITY.md. REACH is the extrapolation: up to 1 the deployment lies within
+  what was measured. OVER names what one node of the role lacks.
+  Exit codes: 0 done, 2 bad flags (the field is named).
 `
 }
 
@@ -32,15 +32,15 @@
 	set.IntVar(&c.demand.Workers, "workers", 0, "machines that run tasks")
 	set.IntVar(&c.demand.Queues, "queues", 0, "queues")
 	set.Float64Var(&c.demand.StartsPerSecond, "starts", 0, "task starts a second at the peak")
-	set.Float64Var(&c.demand.Cores, "share", 1, "cores of a machine with a store or a front")
+	set.Float64Var(&c.demand.Cores, "share", 1, "cores of a storage or gateway node")
 	set.Float64Var(&c.demand.MemoryMB, "memory_mb", 256, "its memory")
-	set.Float64Var(&c.demand.Utilization, "busy", 0.5, "how much of a machine is planned with; the rest is for peaks and losses")
+	set.Float64Var(&c.demand.Utilization, "busy", 0.5, "planned utilization of a node; the rest is headroom for peaks and failures")
 	set.StringVar(&c.measurements, "slopes", "", "CSV file of sparnotch-bench slope (default: the product's own)")
 }
 
 func (c *capacityCommand) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if set.NArg() > 0 {
-		printError("%s: is no flag", set.Arg(0))
+		printError("%s: is not a flag", set.Arg(0))
 		return exitUsage
 	}
 	measurements, err := c.readMeasurements()
--- a/cmd/sparnotchctl/capacity_test.go
+++ b/cmd/sparnotchctl/capacity_test.go
@@ -11,7 +11,7 @@
 
 func runCapacity(args ...string) subcommands.ExitStatus {
 	c := &capacityCommand{}
-	set := flag.NewFlagSet("size", flag.ContinueOnError)
+	set := flag.NewFlagSet("capacity", flag.ContinueOnError)
 	c.SetFlags(set)
 	if err := set.Parse(args); err != nil {
 		return exitUsage
@@ -20,7 +20,7 @@
 }
 
 func TestCapacityCommand(t *testing.T) {
-	Convey("sparnotchctl size works a deployment out, and turns bad fields away with 2", t, func() {
+	Convey("sparnotchctl capacity estimates a deployment, and exits with 2 for bad fields", t, func() {
 		So(runCapacity("-workers", "48", "-queues", "4", "-starts", "20"), ShouldEqual, subcommands.ExitSuccess)
 		So(runCapacity("-queues", "4", "-starts", "20"), ShouldEqual, exitUsage)
 		So(runCapacity("-workers", "48", "-queues", "4", "-starts", "-1"), ShouldEqual, exitUsage)
--- a/cmd/sparnotchctl/client.go
+++ b/cmd/sparnotchctl/client.go
@@ -24,24 +24,31 @@
 	exitDiffers  = subcommands.ExitStatus(4)
 )
 
-const exitHelp = "  Exit codes: 0 done, 1 no answer, 2 bad flags, 3 turned away, 4 differs.\n"
+const exitHelp = "  Exit codes: 0 done, 1 no answer, 2 bad flags, 3 rejected, 4 differs.\n"
 
-// nodeClient is the flag that all commands share.
+const (
+	maxResponseBytes  = 64 << 20
+	maxRequestTimeout = 6 * time.Second        // of one request to one node
+	retryDelay        = 200 * time.Millisecond // after all nodes were tried
+)
+
+// nodeClient calls the nodes that the flags name; commands that call nodes embed it.
 type nodeClient struct {
 	addresses string
 	timeout   time.Duration
 }
 
 func (n *nodeClient) register(set *flag.FlagSet) {
-	set.StringVar(&n.addresses, "nodes", os.Getenv("SPARNOTCH_NODES"), "outer addresses (IP:port), joined by commas; the first that answers is used (default: $SPARNOTCH_NODES)")
+	set.StringVar(&n.addresses, "nodes", os.Getenv("SPARNOTCH_NODES"), "HTTP addresses (IP:port), joined by commas; the first that answers is used (default: $SPARNOTCH_NODES)")
 	set.DurationVar(&n.timeout, "span", 15*time.Second, "how long to try")
 }
 
+// printError prints an error of this program.
 func printError(format string, args ...any) {
 	fmt.Fprintf(os.Stderr, "sparnotchctl: "+format+"\n", args...)
 }
 
-// sendOnce makes one call to one node.
+// sendOnce makes one request to one node.
 func sendOnce(timeout time.Duration, method, address, path string, body []byte) (int, []byte, error) {
 	request, err := http.NewRequest(method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
@@ -54,13 +61,12 @@
 		return 0, nil, err
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, 64<<20))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	return response.StatusCode, data, err
 }
 
-// call tries the nodes in turn until one gives a final answer. Whatever sparnotchctl
-// sends may be sent again: hand-ins, cancels and tables are known by name or
-// generation.
+// call tries the nodes in turn until one gives a final answer. All requests are
+// idempotent: jobs and cancels go by name, configurations by generation.
 func (n *nodeClient) call(method, path string, body []byte) ([]byte, subcommands.ExitStatus) {
 	var addresses []string
 	for _, address := range strings.Split(n.addresses, ",") {
@@ -72,10 +78,10 @@
 		printError("nodes: at least one address is needed (-nodes or $SPARNOTCH_NODES)")
 		return nil, exitUsage
 	}
-	lastError := "nobody answered"
+	lastError := "no node has answered"
 	for deadline, attempt := time.Now().Add(n.timeout), 0; time.Now().Before(deadline); attempt++ {
 		address := addresses[attempt%len(addresses)]
-		code, data, err := sendOnce(min(n.timeout, 6*time.Second), method, address, path, body)
+		code, data, err := sendOnce(min(n.timeout, maxRequestTimeout), method, address, path, body)
 		switch {
 		case err != nil:
 			lastError = err.Error()
@@ -88,20 +94,21 @@
 			return data, exitRejected
 		}
 		if attempt%len(addresses) == len(addresses)-1 {
-			time.Sleep(200 * time.Millisecond)
+			time.Sleep(retryDelay)
 		}
 	}
 	printError("%s", lastError)
 	return nil, exitFailed
 }
 
+// printRejection prints why a request was rejected.
 func printRejection(code int, data []byte) {
 	fault := &schema.Error{}
 	if json.Unmarshal(data, fault) != nil || fault.Code == "" {
-		printError("turned away (%d): %s", code, strings.TrimSpace(string(data)))
+		printError("rejected (%d): %s", code, strings.TrimSpace(string(data)))
 		return
 	}
-	text := fmt.Sprintf("turned away (%d, %s): %s", code, fault.Code, fault.Message)
+	text := fmt.Sprintf("rejected (%d, %s): %s", code, fault.Code, fault.Message)
 	if fault.Field != "" {
 		text += " [" + fault.Field + "]"
 	}
--- a/cmd/sparnotchctl/config.go
+++ b/cmd/sparnotchctl/config.go
@@ -1,123 +1,28 @@
 package main
 
 import (
-	"bytes"
 	"context"
-	"encoding/csv"
 	"encoding/json"
-	"errors"
 	"flag"
 	"fmt"
-	"io"
 	"os"
 	"sort"
-	"strconv"
 	"strings"
 
 	"github.com/google/subcommands"
 	"google.golang.org/protobuf/encoding/protojson"
-	"google.golang.org/protobuf/proto"
 
 	"sparnotch/internal/clusterstate"
 	"sparnotch/internal/schema"
 )
 
-// The sheet: a first line with the generation it was built on, a head, rows. The
-// author's edition stands beside the generation where there is one, to be seen;
-// a sheet is sent back by its generation alone.
-const (
-	revisionHeader = "#generation"
-	versionHeader  = "#edition"
-)
-
-var columns = []string{"kind", "name", "key", "value"}
-
-func writeConfigCSV(out io.Writer, config *schema.Configuration) error {
-	w := csv.NewWriter(out)
-	first := []string{revisionHeader, strconv.FormatUint(config.Revision, 10), "", ""}
-	if config.Version > 0 {
-		first[2], first[3] = versionHeader, strconv.FormatUint(config.Version, 10)
-	}
-	if err := w.Write(first); err != nil {
-		return err
-	}
-	if err := w.Write(columns); err != nil {
-		return err
-	}
-	for _, row := range config.Rows {
-		if err := w.Write([]string{row.Kind, row.Name, row.Key, row.Value}); err != nil {
-			return err
-		}
-	}
-	w.Flush()
-	return w.Error()
-}
-
-// parseUpdate reads CSV, as a spreadsheet writes it, or JSON.
-func parseUpdate(data []byte) (*schema.ConfigurationUpdate, error) {
-	data = bytes.TrimPrefix(data, []byte("\xef\xbb\xbf"))
-	if trimmed := bytes.TrimSpace(data); len(trimmed) > 0 && trimmed[0] == '{' {
-		update := &schema.ConfigurationUpdate{}
-		err := protojson.Unmarshal(trimmed, update)
-		if update.BaseRevision != nil {
-			// An edit of what plan-get has shown. Under the edition shown with it, it
-			// would pass for that edition sent again, and nothing of it be taken.
-			update.Version, update.BaseVersion, update.Document = 0, 0, nil
-		}
-		return update, err
-	}
-	reader := csv.NewReader(bytes.NewReader(data))
-	reader.FieldsPerRecord = -1
-	if first, _, _ := strings.Cut(string(data), "\n"); strings.Count(first, ";") > strings.Count(first, ",") {
-		reader.Comma = ';' // what spreadsheets write where the comma is the decimal sign
-	}
-	update := &schema.ConfigurationUpdate{}
-	for {
-		fields, err := reader.Read()
-		if errors.Is(err, io.EOF) {
-			return update, nil
-		}
-		if err != nil {
-			return nil, err
-		}
-		line, _ := reader.FieldPos(0)
-		for k := range fields {
-			fields[k] = strings.TrimSpace(fields[k])
-		}
-		for len(fields) > 4 && fields[len(fields)-1] == "" {
-			fields = fields[:len(fields)-1]
-		}
-		switch {
-		case strings.Join(fields, "") == "" || strings.Join(fields, ",") == strings.Join(columns, ","):
-		case fields[0] == revisionHeader:
-			if len(fields) < 2 {
-				return nil, fmt.Errorf("line %d: the generation is missing", line)
-			}
-			number, err := strconv.ParseUint(fields[1], 10, 64)
-			if err != nil {
-				return nil, fmt.Errorf("line %d: %q is no generation", line, fields[1])
-			}
-			update.BaseRevision = proto.Uint64(number)
-		case len(fields) != 4:
-			return nil, fmt.Errorf("line %d: %d fields, a row has kind, name, key and value", line, len(fields))
-		default:
-			update.Rows = append(update.Rows, &schema.ConfigurationRow{Kind: fields[0], Name: fields[1], Key: fields[2], Value: fields[3]})
-		}
-	}
-}
-
+// loadUpdate reads and validates the one file that a command names.
 func loadUpdate(set *flag.FlagSet) (*schema.ConfigurationUpdate, subcommands.ExitStatus) {
 	if set.NArg() != 1 {
-		printError("one sheet is needed, - for standard input")
+		printError("one file is needed, - for standard input")
 		return nil, exitUsage
 	}
-	var data []byte
-	var err error
-	if set.Arg(0) == "-" {
-		data, err = io.ReadAll(os.Stdin)
-	} else {
-		data, err = os.ReadFile(set.Arg(0))
-	}
+	data, err := readFile(set.Arg(0))
 	if err != nil {
 		printError("%v", err)
 		return nil, exitUsage
@@ -134,20 +39,21 @@
 	return update, subcommands.ExitSuccess
 }
 
+// getConfig gets the current configuration.
 func (n *nodeClient) getConfig() (*schema.Configuration, subcommands.ExitStatus) {
 	data, status := n.call("GET", "/v1/plan", nil)
 	if status != subcommands.ExitSuccess {
 		return nil, status
 	}
-	plan := &schema.Configuration{}
-	if err := protojson.Unmarshal(data, plan); err != nil {
+	config := &schema.Configuration{}
+	if err := protojson.Unmarshal(data, config); err != nil {
 		printError("%v", err)
 		return nil, exitFailed
 	}
-	return plan, status
+	return config, status
 }
 
-// formatVersions are a plan's generation, and its edition if its author has them.
+// formatVersions prints a configuration's revision, and its author's version if it has one.
 func formatVersions(config *schema.Configuration) string {
 	if config.Version == 0 {
 		return fmt.Sprintf("generation %d", config.Revision)
@@ -155,17 +61,16 @@
 	return fmt.Sprintf("generation %d, edition %d", config.Revision, config.Version)
 }
 
-// --- get ---
-
+// configGetCommand prints the configuration.
 type configGetCommand struct {
 	nodeClient
 	isJSON bool
 }
 
-func (*configGetCommand) Name() string     { return "plan-get" }
-func (*configGetCommand) Synopsis() string { return "print the plan as a sheet" }
+func (*configGetCommand) Name() string     { return "config-get" }
+func (*configGetCommand) Synopsis() string { return "print the configuration as CSV" }
 func (*configGetCommand) Usage() string {
-	return "sparnotchctl plan-get [-json] > sheet.csv\n  The sheet carries the generation it was built on; edit it and send it back whole with plan-put.\n" + exitHelp
+	return "sparnotchctl config-get [-json] > config.csv\n  The file names the generation that it shows; edit it and send it back complete with config-apply.\n" + exitHelp
 }
 func (c *configGetCommand) SetFlags(set *flag.FlagSet) {
 	c.register(set)
@@ -187,13 +92,12 @@
 	return status
 }
 
-// --- check ---
-
+// configCheckCommand validates a file without sending it.
 type configCheckCommand struct{}
 
-func (*configCheckCommand) Name() string           { return "plan-check" }
-func (*configCheckCommand) Synopsis() string       { return "check a sheet without sending it" }
-func (*configCheckCommand) Usage() string          { return "sparnotchctl plan-check SHEET\n" + exitHelp }
+func (*configCheckCommand) Name() string           { return "config-check" }
+func (*configCheckCommand) Synopsis() string       { return "check a configuration without sending it" }
+func (*configCheckCommand) Usage() string          { return "sparnotchctl config-check FILE\n" + exitHelp }
 func (*configCheckCommand) SetFlags(*flag.FlagSet) {}
 func (c *configCheckCommand) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	update, status := loadUpdate(set)
@@ -201,25 +105,24 @@
 		return status
 	}
 	if update.Version > 0 {
-		fmt.Printf("good: %d rows, edition %d built on %d, queues %s\n", len(update.Rows), update.Version, update.BaseVersion, strings.Join(clusterstate.QueueNames(&schema.Configuration{Rows: update.Rows}), " "))
+		fmt.Printf("valid: %d rows, edition %d built on %d, queues %s\n", len(update.Rows), update.Version, update.BaseVersion, strings.Join(clusterstate.QueueNames(&schema.Configuration{Rows: update.Rows}), " "))
 		return status
 	}
 	if update.BaseRevision == nil {
-		printError("%s: the line %q is missing: get the sheet with plan-get", set.Arg(0), revisionHeader)
+		printError("%s: the line %q is missing: get the file with config-get", set.Arg(0), revisionHeader)
 		return exitRejected
 	}
-	fmt.Printf("good: %d rows, built on generation %d, queues %s\n", len(update.Rows), update.GetBaseRevision(), strings.Join(clusterstate.QueueNames(&schema.Configuration{Rows: update.Rows}), " "))
+	fmt.Printf("valid: %d rows, built on generation %d, queues %s\n", len(update.Rows), update.GetBaseRevision(), strings.Join(clusterstate.QueueNames(&schema.Configuration{Rows: update.Rows}), " "))
 	return status
 }
 
-// --- put ---
-
+// configApplyCommand sends a complete configuration.
 type configApplyCommand struct{ nodeClient }
 
-func (*configApplyCommand) Name() string     { return "plan-put" }
-func (*configApplyCommand) Synopsis() string { return "send a sheet back whole" }
+func (*configApplyCommand) Name() string     { return "config-apply" }
+func (*configApplyCommand) Synopsis() string { return "send a complete configuration" }
 func (*configApplyCommand) Usage() string {
-	return "sparnotchctl plan-put SHEET\n  Turned away when the plan has changed since the sheet was made. Sending the\n  sheet that has just taken effect again does no harm.\n" + exitHelp
+	return "sparnotchctl config-apply FILE\n  Rejected when the configuration has changed since the file was made. Sending the\n  file that has just taken effect again does no harm.\n" + exitHelp
 }
 func (c *configApplyCommand) SetFlags(set *flag.FlagSet) { c.register(set) }
 func (c *configApplyCommand) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -241,18 +144,17 @@
 		printError("%v", err)
 		return exitFailed
 	}
-	fmt.Printf("taken: %s, %d rows\n", formatVersions(config), len(config.Rows))
+	fmt.Printf("applied: %s, %d rows\n", formatVersions(config), len(config.Rows))
 	return status
 }
 
-// --- diff ---
-
+// configDiffCommand compares a file with the configuration.
 type configDiffCommand struct{ nodeClient }
 
-func (*configDiffCommand) Name() string     { return "plan-diff" }
-func (*configDiffCommand) Synopsis() string { return "say how a sheet differs from the plan" }
+func (*configDiffCommand) Name() string     { return "config-diff" }
+func (*configDiffCommand) Synopsis() string { return "show how a file differs from the configuration" }
 func (*configDiffCommand) Usage() string {
-	return "sparnotchctl plan-diff SHEET\n  Exits with 4 when they differ.\n" + exitHelp
+	return "sparnotchctl config-diff FILE\n  Exits with 4 when they differ.\n" + exitHelp
 }
 func (c *configDiffCommand) SetFlags(set *flag.FlagSet) { c.register(set) }
 func (c *configDiffCommand) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -265,9 +167,9 @@
 		return status
 	}
 	if update.Version > 0 {
-		fmt.Printf("the sheet is edition %d built on %d, the plan is at %s\n", update.Version, update.BaseVersion, formatVersions(config))
+		fmt.Printf("the file is edition %d built on %d, the configuration is at %s\n", update.Version, update.BaseVersion, formatVersions(config))
 	} else if update.BaseRevision == nil || update.GetBaseRevision() != config.Revision {
-		fmt.Printf("the sheet was built on generation %d, the plan is at %d\n", update.GetBaseRevision(), config.Revision)
+		fmt.Printf("the file was built on generation %d, the configuration is at %d\n", update.GetBaseRevision(), config.Revision)
 	}
 	if lines := diffRows(config.Rows, update.Rows); len(lines) > 0 {
 		fmt.Println(strings.Join(lines, "\n"))
@@ -276,6 +178,7 @@
 	return status
 }
 
+// diffRows lists removed (-), changed (~) and added (+) rows, by their keys.
 func diffRows(old, updated []*schema.ConfigurationRow) []string {
 	values := func(rows []*schema.ConfigurationRow) map[string]string {
 		m := map[string]string{}
@@ -302,13 +205,12 @@
 	return lines
 }
 
-// --- history ---
-
+// configHistoryCommand shows what each retained revision changed.
 type configHistoryCommand struct{ nodeClient }
 
-func (*configHistoryCommand) Name() string                 { return "plan-history" }
-func (*configHistoryCommand) Synopsis() string             { return "say what each kept generation changed" }
-func (*configHistoryCommand) Usage() string                { return "sparnotchctl plan-history\n" + exitHelp }
+func (*configHistoryCommand) Name() string                 { return "config-history" }
+func (*configHistoryCommand) Synopsis() string             { return "show what each retained generation changed" }
+func (*configHistoryCommand) Usage() string                { return "sparnotchctl config-history\n" + exitHelp }
 func (c *configHistoryCommand) SetFlags(set *flag.FlagSet) { c.register(set) }
 func (c *configHistoryCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	data, status := c.call("GET", "/v1/plan/history", nil)
@@ -338,15 +240,14 @@
 	return status
 }
 
-// --- form ---
-
+// configKeysCommand lists the keys of the configuration.
 type configKeysCommand struct{}
 
-func (*configKeysCommand) Name() string { return "plan-form" }
+func (*configKeysCommand) Name() string { return "config-keys" }
 func (*configKeysCommand) Synopsis() string {
-	return "list every key of the plan, its default, bounds and meaning"
+	return "list every key of the configuration, its default, bounds and meaning"
 }
-func (*configKeysCommand) Usage() string          { return "sparnotchctl plan-form\n" }
+func (*configKeysCommand) Usage() string          { return "sparnotchctl config-keys\n" }
 func (*configKeysCommand) SetFlags(*flag.FlagSet) {}
 func (*configKeysCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	fmt.Println(strings.Join(clusterstate.DescribeKeys(), "\n"))
--- a/cmd/sparnotchctl/config_test.go
+++ b/cmd/sparnotchctl/configcsv_test.go
@@ -12,7 +12,7 @@
 
 func TestConfigCSV(t *testing.T) {
 	config := &schema.Configuration{Revision: 3, Version: 7, Document: []byte("x"), Rows: []*schema.ConfigurationRow{{Kind: "queue", Name: "l", Key: "prefix", Value: "/a,b/"}}}
-	Convey("A sheet shows generation and edition, and goes back by its generation", t, func() {
+	Convey("The CSV form shows generation and edition, and an update names its base by the generation", t, func() {
 		text := &bytes.Buffer{}
 		So(writeConfigCSV(text, config), ShouldBeNil)
 		So(text.String(), ShouldStartWith, "#generation,3,#edition,7\n")
@@ -28,13 +28,13 @@
 		}
 		So(formatVersions(config), ShouldEqual, "generation 3, edition 7")
 	})
-	Convey("Without editions nothing is said of them", t, func() {
+	Convey("Without editions none is shown", t, func() {
 		text := &bytes.Buffer{}
 		So(writeConfigCSV(text, &schema.Configuration{Revision: 3}), ShouldBeNil)
 		So(text.String(), ShouldStartWith, "#generation,3,,\n")
 		So(formatVersions(&schema.Configuration{Revision: 3}), ShouldEqual, "generation 3")
 	})
-	Convey("An author's own sheet keeps its edition", t, func() {
+	Convey("An author's own update keeps its edition", t, func() {
 		update, err := parseUpdate([]byte(`{"edition":"8","base_edition":"7","rows":[]}`))
 		So(err, ShouldBeNil)
 		So([]uint64{update.Version, update.BaseVersion}, ShouldResemble, []uint64{8, 7})
--- a/cmd/sparnotchctl/datadir_test.go
+++ b/cmd/sparnotchctl/datadir_test.go
@@ -35,7 +35,7 @@
 	return code, string(text)
 }
 
-// writeTestStorage writes a store with one queue, in which one task fails and is run again.
+// writeTestStorage writes the data of one queue, in which one task fails and is retried.
 func writeTestStorage(path string, change func([]*schema.Entry) []*schema.Entry) (*storage.Dir, *queue.Machine) {
 	key := &schema.TaskKey{Job: 1}
 	checkout := &schema.QueueCommand{Body: &schema.QueueCommand_Checkout{Checkout: &schema.Checkout{Placements: []*schema.Placement{{Key: key, Worker: "w1", Incarnation: 1}}}}}
@@ -67,7 +67,7 @@
 		{Identity: &schema.StoreIdentity{Id: "a", Starts: 1, Joined: true}},
 		{Group: "quotes#2", HardState: &schema.HardState{Term: 1}, Entries: change(entries)},
 	}), ShouldBeNil)
-	// Another, so that damage of the first can't be taken for a torn end.
+	// Another, so that corruption of the first can't be taken for a torn write at the end.
 	So(store.Commit([]*schema.StoreChange{{Identity: &schema.StoreIdentity{Id: "a", Starts: 2, Joined: true}}}), ShouldBeNil)
 	return folder, machine
 }
@@ -85,31 +85,31 @@
 }
 
 func TestDataDirs(t *testing.T) {
-	whole := func(records []*schema.Entry) []*schema.Entry { return records }
-	Convey("A whole folder is told as such and replayed to the state it stands for, and not written to", t, func() {
+	intact := func(entries []*schema.Entry) []*schema.Entry { return entries }
+	Convey("An intact directory is reported as such and replayed to its state, and not written to", t, func() {
 		path := t.TempDir()
-		folder, machine := writeTestStorage(path, whole)
+		folder, machine := writeTestStorage(path, intact)
 		code, text := runCommand(&verifyCommand{}, path)
 		So(code, ShouldEqual, 2)
 		So(text, ShouldContainSubstring, "in use")
 		folder.Close()
 		before := readFiles(path)
 		code, text = runCommand(&verifyCommand{}, path)
-		So(text, ShouldContainSubstring, "quotes#2: term 1, checkpoint at 0, 6 records")
+		So(text, ShouldContainSubstring, "quotes#2: term 1, snapshot at 0, 6 entries")
 		So(code, ShouldEqual, 0)
 		code, text = runCommand(&replayCommand{}, "-queue", "quotes", path)
 		So(code, ShouldEqual, 0)
 		So(text, ShouldContainSubstring, "Return failed")
-		So(text, ShouldContainSubstring, "first s/0 is out on w1, attempt 2")
+		So(text, ShouldContainSubstring, "first s/0 is checked out on w1, attempt 2")
 		So(text, ShouldContainSubstring, "digest "+replica.Digest(machine.Snapshot(true)))
 		code, text = runCommand(&replayCommand{}, "-queue", "quotes", "-to", "3", path)
 		So(code, ShouldEqual, 0)
-		So(text, ShouldContainSubstring, "at 3: 1 live and 0 kept")
+		So(text, ShouldContainSubstring, "at 3: 1 live and 0 retained")
 		code, text = runCommand(&replayCommand{}, "-queue", "quotes", "-job", "nobody", path)
 		So(code, ShouldEqual, 0)
 		So(text, ShouldNotContainSubstring, "first")
 		So(readFiles(path), ShouldResemble, before)
-		Convey("and what can't be is told with its field", func() {
+		Convey("and bad flags are named", func() {
 			code, text = runCommand(&replayCommand{}, "-queue", "nope", path)
 			So(code, ShouldEqual, 2)
 			So(text, ShouldContainSubstring, `queue: "nope" is none of quotes`)
@@ -119,7 +119,7 @@
 			code, _ = runCommand(&verifyCommand{})
 			So(code, ShouldEqual, 2)
 		})
-		Convey("and damage is told with file and offset", func() {
+		Convey("and corruption is reported with file and offset", func() {
 			log := filepath.Join(path, "log-0")
 			data, err := os.ReadFile(log)
 			So(err, ShouldBeNil)
@@ -131,11 +131,11 @@
 			So(readFiles(path)["log-0"], ShouldEqual, string(data))
 		})
 	})
-	Convey("Records that don't fit together are found", t, func() {
+	Convey("Inconsistent entries are found", t, func() {
 		for what, change := range map[string]func([]*schema.Entry) []*schema.Entry{
-			"follows record": func(list []*schema.Entry) []*schema.Entry { return append(list[:2:2], list[3:]...) },
-			"record 4":       func(list []*schema.Entry) []*schema.Entry { list[3].Data = []byte("x"); return list },
-			"knows of 1":     func(list []*schema.Entry) []*schema.Entry { list[5].Term = 9; return list },
+			"follows entry":   func(list []*schema.Entry) []*schema.Entry { return append(list[:2:2], list[3:]...) },
+			"entry 4":         func(list []*schema.Entry) []*schema.Entry { list[3].Data = []byte("x"); return list },
+			"hard state of 1": func(list []*schema.Entry) []*schema.Entry { list[5].Term = 9; return list },
 		} {
 			path := t.TempDir()
 			folder, _ := writeTestStorage(path, change)
@@ -145,7 +145,7 @@
 			So(text, ShouldContainSubstring, what)
 		}
 	})
-	Convey("A folder that is none of ours is told so, and left alone", t, func() {
+	Convey("A foreign directory is reported as such, and left alone", t, func() {
 		path := t.TempDir()
 		code, text := runCommand(&verifyCommand{}, path)
 		So(code, ShouldEqual, 2)
--- a/cmd/sparnotchctl/jobs.go
+++ b/cmd/sparnotchctl/jobs.go
@@ -11,15 +11,16 @@
 	"github.com/google/subcommands"
 )
 
+// submitCommand submits a job.
 type submitCommand struct {
 	nodeClient
 	queue, name string
 }
 
-func (*submitCommand) Name() string     { return "hand-in" }
-func (*submitCommand) Synopsis() string { return "hand in a job" }
+func (*submitCommand) Name() string     { return "submit" }
+func (*submitCommand) Synopsis() string { return "submit a job" }
 func (*submitCommand) Usage() string {
-	return "sparnotchctl hand-in -queue QUEUE -name NAME JOB.json\n  JOB.json, - for standard input, is a text and steps, as docs/interface.md says.\n  It is sent again after any silence: the name keeps it one job.\n" + exitHelp
+	return "sparnotchctl submit -queue QUEUE -name NAME JOB.json\n  JOB.json, - for standard input, is a text and steps, as docs/interface.md says.\n  It is retried after a timeout: the name keeps it one job.\n" + exitHelp
 }
 func (c *submitCommand) SetFlags(set *flag.FlagSet) {
 	c.register(set)
@@ -31,13 +32,7 @@
 		printError("queue, name and one file are needed")
 		return exitUsage
 	}
-	var body []byte
-	var err error
-	if set.Arg(0) == "-" {
-		body, err = io.ReadAll(os.Stdin)
-	} else {
-		body, err = os.ReadFile(set.Arg(0))
-	}
+	body, err := readFile(set.Arg(0))
 	if err != nil {
 		printError("%v", err)
 		return exitUsage
@@ -49,11 +44,12 @@
 	return status
 }
 
+// jobPath is the path of a job in the interface.
 func jobPath(queue, name string) string {
 	return "/v1/queues/" + url.PathEscape(queue) + "/jobs/" + url.PathEscape(name)
 }
 
-// jobCommand shows or cancels one job.
+// jobCommand shows or cancels one job, as its verb says.
 type jobCommand struct {
 	nodeClient
 	verb        string
@@ -91,6 +87,7 @@
 	return status
 }
 
+// listJobsCommand lists a queue's jobs.
 type listJobsCommand struct {
 	nodeClient
 	queue, after string
@@ -98,7 +95,7 @@
 }
 
 func (*listJobsCommand) Name() string     { return "jobs" }
-func (*listJobsCommand) Synopsis() string { return "list a queue's live and kept jobs, by name" }
+func (*listJobsCommand) Synopsis() string { return "list a queue's live and retained jobs, by name" }
 func (*listJobsCommand) Usage() string {
 	return "sparnotchctl jobs -queue QUEUE [-after NAME] [-most 100]\n  `next` in the answer is the -after of the next page.\n" + exitHelp
 }
@@ -119,3 +116,11 @@
 	}
 	return status
 }
+
+// readFile reads a file, or standard input for "-".
+func readFile(name string) ([]byte, error) {
+	if name == "-" {
+		return io.ReadAll(os.Stdin)
+	}
+	return os.ReadFile(name)
+}
--- a/cmd/sparnotchctl/main.go
+++ b/cmd/sparnotchctl/main.go
@@ -1,30 +1,98 @@
-// Command sparnotchctl is the operators' command line.
+// Command sparnotchctl is the operators' command line. Its commands call the HTTP
+// interface of running nodes (docs/interface.md), read the data directory of a stopped
+// process, or estimate the capacity that a deployment needs.
 package main
 
 import (
 	"context"
 	"flag"
+	"fmt"
+	"io"
 	"os"
+	"path"
 
 	"github.com/google/subcommands"
 )
 
-func main() {
-	subcommands.Register(subcommands.HelpCommand(), "")
-	subcommands.Register(subcommands.FlagsCommand(), "")
-	for _, each := range []subcommands.Command{&configGetCommand{}, &configCheckCommand{}, &configApplyCommand{}, &configDiffCommand{}, &configHistoryCommand{}, &configKeysCommand{}} {
-		subcommands.Register(each, "the plan")
-	}
-	for _, each := range []subcommands.Command{&submitCommand{}, &jobCommand{verb: "job"}, &jobCommand{verb: "cancel"}, &listJobsCommand{}} {
-		subcommands.Register(each, "jobs")
+// groups are the commands under the headings that help gives them.
+var groups = []struct {
+	name     string
+	commands []subcommands.Command
+}{
+	{"the configuration", []subcommands.Command{
+		&configGetCommand{}, &configCheckCommand{}, &configApplyCommand{}, &configDiffCommand{}, &configHistoryCommand{}, &configKeysCommand{},
+	}},
+	{"jobs", []subcommands.Command{&submitCommand{}, &jobCommand{verb: "job"}, &jobCommand{verb: "cancel"}, &listJobsCommand{}}},
+	{"nodes", []subcommands.Command{
+		&showCommand{name: "state", path: "/v1/belief", synopsis: "print one node's view of the cluster and of its replicas"},
+		&showCommand{name: "placements", path: "/v1/placements", synopsis: "print where a scheduler has placed tasks, and why"},
+		&showCommand{name: "counters", path: "/v1/counts", synopsis: "print what one process has done so far"},
+		&showCommand{name: "ready", path: "/readyz", synopsis: "check whether a node can serve"},
+		&compareCommand{},
+	}},
+	{"the data directory of a stopped process", []subcommands.Command{&verifyCommand{}, &replayCommand{}}},
+	{"capacity", []subcommands.Command{&capacityCommand{}}},
+}
+
+// aliases are earlier names of commands.
+var aliases = map[string]string{
+	"config-get":     "plan-get",
+	"config-check":   "plan-check",
+	"config-apply":   "plan-put",
+	"config-diff":    "plan-diff",
+	"config-history": "plan-history",
+	"config-keys":    "plan-form",
+	"submit":         "hand-in",
+	"state":          "belief",
+	"counters":       "counts",
+	"verify":         "check",
+	"capacity":       "size",
+}
+
+// newCommander registers all commands and their aliases.
+func newCommander(flags *flag.FlagSet, name string) *subcommands.Commander {
+	commander := subcommands.NewCommander(flags, name)
+	explainGroup := commander.ExplainGroup
+	commander.ExplainGroup = func(out io.Writer, group *subcommands.CommandGroup) {
+		if group.Name() == "" {
+			explainGroup(out, group)
+			return
+		}
+		explainWithAliases(out, group.Name())
 	}
-	for _, each := range []subcommands.Command{&showCommand{endpoint: "belief"}, &showCommand{endpoint: "placements"}, &showCommand{endpoint: "counts"}, &showCommand{endpoint: "ready"}, &compareCommand{}} {
-		subcommands.Register(each, "nodes")
+	commander.Register(commander.HelpCommand(), "")
+	commander.Register(commander.FlagsCommand(), "")
+	for _, group := range groups {
+		for _, command := range group.commands {
+			commander.Register(command, group.name)
+			if alias, found := aliases[command.Name()]; found {
+				commander.Register(subcommands.Alias(alias, command), group.name)
+			}
+		}
 	}
-	for _, each := range []subcommands.Command{&verifyCommand{}, &replayCommand{}} {
-		subcommands.Register(each, "a stopped process's data folder")
+	return commander
+}
+
+// explainWithAliases lists a group's commands, and their aliases as such.
+func explainWithAliases(out io.Writer, name string) {
+	fmt.Fprintf(out, "Subcommands for %s:\n", name)
+	for _, group := range groups {
+		if group.name != name {
+			continue
+		}
+		for _, command := range group.commands {
+			synopsis := command.Synopsis()
+			if alias, found := aliases[command.Name()]; found {
+				synopsis += " (alias: " + alias + ")"
+			}
+			fmt.Fprintf(out, "\t%-15s  %s\n", command.Name(), synopsis)
+		}
 	}
-	subcommands.Register(&capacityCommand{}, "sizes")
+	fmt.Fprintln(out)
+}
+
+func main() {
+	commander := newCommander(flag.CommandLine, path.Base(os.Args[0]))
 	flag.Parse()
-	os.Exit(int(subcommands.Execute(context.Background())))
+	os.Exit(int(commander.Execute(context.Background())))
 }
--- a/cmd/sparnotchctl/nodes.go
+++ b/cmd/sparnotchctl/nodes.go
@@ -14,46 +14,36 @@
 	"github.com/google/subcommands"
 
 	"sparnotch/internal/replica"
+	"sparnotch/internal/schema"
 )
 
-// printEntry prints what one node says of itself.
+// showCommand prints what one node answers under a path.
 type showCommand struct {
 	nodeClient
-	endpoint string
+	name, path, synopsis string
 }
 
-func (c *showCommand) Name() string { return c.endpoint }
-func (c *showCommand) Synopsis() string {
-	return map[string]string{
-		"belief":     "print what one node believes",
-		"placements": "print where a scheduler has put tasks, and why",
-		"counts":     "print what one process has done so far",
-		"ready":      "say whether a node can serve",
-	}[c.endpoint]
-}
+func (c *showCommand) Name() string     { return c.name }
+func (c *showCommand) Synopsis() string { return c.synopsis }
 func (c *showCommand) Usage() string {
-	return fmt.Sprintf("sparnotchctl %s -nodes IP:PORT\n%s", c.endpoint, exitHelp)
+	return fmt.Sprintf("sparnotchctl %s -nodes IP:PORT\n%s", c.name, exitHelp)
 }
 func (c *showCommand) SetFlags(set *flag.FlagSet) { c.register(set) }
 func (c *showCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	path := "/v1/" + c.endpoint
-	if c.endpoint == "ready" {
-		path = "/readyz"
-	}
-	data, status := c.call("GET", path, nil)
+	data, status := c.call("GET", c.path, nil)
 	if status == subcommands.ExitSuccess {
 		os.Stdout.Write(data)
 	}
 	return status
 }
 
-// compareCommand sets two nodes' beliefs side by side.
+// compareCommand compares the states of two nodes.
 type compareCommand struct {
 	timeout time.Duration
 }
 
 func (*compareCommand) Name() string     { return "compare" }
-func (*compareCommand) Synopsis() string { return "say in what two nodes' beliefs differ" }
+func (*compareCommand) Synopsis() string { return "show how the states of two nodes differ" }
 func (*compareCommand) Usage() string {
 	return "sparnotchctl compare IP:PORT IP:PORT\n  Nodes are asked a moment apart, so indexes may differ by what happened between;\n  two digests of one group at one applied index must be the same.\n  Exits with 4 when they differ.\n" + exitHelp
 }
@@ -86,65 +76,76 @@
 	return exitDiffers
 }
 
-func diffStates(a, b *replica.NodeStateView) []string {
-	var lines []string
-	addLine := func(what string, x, y any) {
-		if fmt.Sprint(x) != fmt.Sprint(y) {
-			lines = append(lines, fmt.Sprintf("%s: %v | %v", what, x, y))
-		}
+// stateDiff collects the lines that differ between two nodes' states.
+type stateDiff struct{ lines []string }
+
+func (d *stateDiff) add(what string, x, y any) {
+	if fmt.Sprint(x) != fmt.Sprint(y) {
+		d.lines = append(d.lines, fmt.Sprintf("%s: %v | %v", what, x, y))
 	}
-	addLine("cluster state version", a.ClusterStateVersion, b.ClusterStateVersion)
-	addLine("plan generation", a.ConfigurationRevision, b.ConfigurationRevision)
-	addLine("cluster state fresh", a.IsClusterStateFresh, b.IsClusterStateFresh)
-	addLine("controller", a.Controller, b.Controller)
-	addLine("controller lease", a.ControllerLease, b.ControllerLease)
-	groups := map[string][2]*replica.GroupStateView{}
-	for k, state := range []*replica.NodeStateView{a, b} {
-		for _, group := range state.Groups {
-			pair := groups[group.Group]
-			pair[k] = group
-			groups[group.Group] = pair
+}
+
+// diffStates lists what differs between two nodes' states, a line each.
+func diffStates(a, b *replica.NodeStateView) []string {
+	d := &stateDiff{}
+	d.add("cluster state version", a.ClusterStateVersion, b.ClusterStateVersion)
+	d.add("configuration generation", a.ConfigurationRevision, b.ConfigurationRevision)
+	d.add("cluster state fresh", a.IsClusterStateFresh, b.IsClusterStateFresh)
+	d.add("controller", a.Controller, b.Controller)
+	d.add("controller lease", a.ControllerLease, b.ControllerLease)
+	d.addGroups(a, b)
+	d.addWorkerLeases(a, b)
+	d.addMembers(a, b)
+	return d.lines
+}
+
+// byKey pairs the values of two nodes by key; where a node has none, it is the zero value.
+func byKey[T, V any](x, y []T, entry func(T) (string, V)) map[string][2]V {
+	pairs := map[string][2]V{}
+	for k, list := range [][]T{x, y} {
+		for _, item := range list {
+			key, value := entry(item)
+			pair := pairs[key]
+			pair[k] = value
+			pairs[key] = pair
 		}
 	}
-	names := slices.Sorted(maps.Keys(groups))
-	for _, name := range names {
+	return pairs
+}
+
+func (d *stateDiff) addGroups(a, b *replica.NodeStateView) {
+	groups := byKey(a.Groups, b.Groups, func(group *replica.GroupStateView) (string, *replica.GroupStateView) { return group.Group, group })
+	for _, name := range slices.Sorted(maps.Keys(groups)) {
 		x, y := groups[name][0], groups[name][1]
 		if x == nil || y == nil {
-			addLine(name+" is held", x != nil, y != nil)
+			d.add(name+" has a replica", x != nil, y != nil)
 			continue
 		}
-		addLine(name+" leader", x.Leader, y.Leader)
-		addLine(name+" term", x.Term, y.Term)
-		addLine(name+" voters", x.Voters, y.Voters)
-		addLine(name+" learners", x.Learners, y.Learners)
+		d.add(name+" leader", x.Leader, y.Leader)
+		d.add(name+" term", x.Term, y.Term)
+		d.add(name+" voters", x.Voters, y.Voters)
+		d.add(name+" learners", x.Learners, y.Learners)
 		if x.Applied == y.Applied && x.Digest != y.Digest {
-			lines = append(lines, fmt.Sprintf("%s STATE at %d: %s | %s", name, x.Applied, x.Digest, y.Digest))
+			d.lines = append(d.lines, fmt.Sprintf("%s STATE at %d: %s | %s", name, x.Applied, x.Digest, y.Digest))
 		}
-		addLine(name+" applied", x.Applied, y.Applied)
-	}
-	leases := map[string][2]string{}
-	for k, state := range []*replica.NodeStateView{a, b} {
-		for _, lease := range state.WorkerLeases {
-			pair := leases[lease.Worker]
-			pair[k] = fmt.Sprintf("%s@%d", lease.Scheduler, lease.FencingToken)
-			leases[lease.Worker] = pair
-		}
-	}
-	workers := slices.Sorted(maps.Keys(leases))
-	for _, worker := range workers {
-		addLine("ward of "+worker, leases[worker][0], leases[worker][1])
+		d.add(name+" applied", x.Applied, y.Applied)
 	}
-	members := map[string][2]bool{}
-	for k, state := range []*replica.NodeStateView{a, b} {
-		for _, member := range state.Members {
-			pair := members[member.Id+" at "+member.InternalAddress]
-			pair[k] = true
-			members[member.Id+" at "+member.InternalAddress] = pair
-		}
+}
+
+func (d *stateDiff) addWorkerLeases(a, b *replica.NodeStateView) {
+	leases := byKey(a.WorkerLeases, b.WorkerLeases, func(lease *schema.WorkerLease) (string, string) {
+		return lease.Worker, fmt.Sprintf("%s@%d", lease.Scheduler, lease.FencingToken)
+	})
+	for _, worker := range slices.Sorted(maps.Keys(leases)) {
+		d.add("lease of "+worker, leases[worker][0], leases[worker][1])
 	}
-	ids := slices.Sorted(maps.Keys(members))
-	for _, id := range ids {
-		addLine("member "+id+" known", members[id][0], members[id][1])
+}
+
+func (d *stateDiff) addMembers(a, b *replica.NodeStateView) {
+	members := byKey(a.Members, b.Members, func(member *schema.Member) (string, bool) {
+		return member.Id + " at " + member.InternalAddress, true
+	})
+	for _, id := range slices.Sorted(maps.Keys(members)) {
+		d.add("member "+id+" known", members[id][0], members[id][1])
 	}
-	return lines
 }
--- a/cmd/sparnotchctl/recorded_test.go
+++ b/cmd/sparnotchctl/recorded_test.go
@@ -42,10 +42,10 @@
 			So(code, ShouldEqual, 0)
 			code, text = runCommand(&replayCommand{}, "-queue", "quotes", path)
 			So(code, ShouldEqual, 0)
-			So(text, ShouldContainSubstring, "at 462: 1 live and 70 kept jobs, digest "+recordedQuotesDigest)
+			So(text, ShouldContainSubstring, "at 462: 1 live and 70 retained jobs, digest "+recordedQuotesDigest)
 			code, text = runCommand(&replayCommand{}, "-queue", "exports", path)
 			So(code, ShouldEqual, 0)
-			So(text, ShouldContainSubstring, "at 16: 0 live and 2 kept jobs, digest "+recordedExportsDigest)
+			So(text, ShouldContainSubstring, "at 16: 0 live and 2 retained jobs, digest "+recordedExportsDigest)
 		})
 		Convey(name+" holds the recorded configuration and cluster state", t, func() {
 			store, err := storage.OpenReadOnly(copyRecorded(t, name))
