--- a/cmd/sparnotch-platform/main.go
+++ b/cmd/sparnotch-platform/main.go
@@ -1,5 +1,5 @@
-// Command sparnotch-platform runs the product's processes on the users' platform: what they
-// are told comes from the settings file that the environment names.
+// Command sparnotch-platform runs gateway nodes and agent nodes on the users' platform,
+// with the settings of the file that an environment variable names (package platform).
 package main
 
 import (
@@ -19,18 +19,21 @@
 	"sparnotch/platform"
 )
 
+const bytesPerMB = 1_000_000
+
 func main() {
 	subcommands.Register(subcommands.HelpCommand(), "")
-	subcommands.Register(&command{name: "front", synopsis: "run a front process", role: schema.Role_ROLE_SERVER}, "")
-	subcommands.Register(&command{name: "side", synopsis: "run a side process, the agent of the worker there", role: schema.Role_ROLE_CONTROLLER}, "")
+	subcommands.Register(&command{name: "front", synopsis: "run a gateway node", role: schema.Role_ROLE_SERVER}, "")
+	subcommands.Register(&command{name: "side", synopsis: "run an agent node, with the agent of its worker", role: schema.Role_ROLE_CONTROLLER}, "")
 	subcommands.Register(&command{name: "check", synopsis: "check the settings and start nothing"}, "")
 	flag.Parse()
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
 
+// command runs a node of a role, or checks the settings.
 type command struct {
 	name, synopsis string
-	role           schema.Role // none: only a check
+	role           schema.Role // none: check the settings only
 }
 
 func (c *command) Name() string             { return c.name }
@@ -38,7 +41,7 @@
 func (c *command) SetFlags(_ *flag.FlagSet) {}
 
 func (c *command) Usage() string {
-	return fmt.Sprintf("sparnotch-platform %s\n  %s, by the settings file that %s names.\n  Exit codes: 0 left when warned, 1 failed, 2 bad settings (the setting is named).\n",
+	return fmt.Sprintf("sparnotch-platform %s\n  %s, by the settings file that %s names.\n  Exit codes: 0 shut down on request, 1 failed, 2 bad settings (the setting is named).\n",
 		c.name, c.synopsis, platform.SettingsVariable)
 }
 
@@ -58,12 +61,12 @@
 		fmt.Println("settings are good")
 		return subcommands.ExitSuccess
 	}
-	// The settings may change under us; whatever counts is read at the next start.
+	// SIGHUP changes nothing: settings are read at the start only.
 	signal.Ignore(syscall.SIGHUP)
-	// Above the limit the process is killed, so the collector works harder
-	// before: a fifth is left for what the runtime doesn't count.
+	// The platform kills a process above its memory limit. The collector works against a
+	// soft limit below it: a fifth is left for memory that the runtime doesn't count.
 	if settings.MemoryMB > 0 {
-		debug.SetMemoryLimit(settings.MemoryMB * 1_000_000 / 5 * 4)
+		debug.SetMemoryLimit(settings.MemoryMB * bytesPerMB / 5 * 4)
 	}
 	var workerClients []agent.WorkerClient
 	if c.role == schema.Role_ROLE_CONTROLLER {
--- a/cmd/sparnotch/main.go
+++ b/cmd/sparnotch/main.go
@@ -1,6 +1,6 @@
-// Command sparnotch runs the daemons of a cluster: servers, which take requests
-// from callers, workers and operators and may hold replicas of the queues, and
-// controllers, which watch over the servers and hold nothing durable.
+// Command sparnotch runs the nodes of a cluster: servers, which take requests from
+// clients, workers and operators and may hold replicas of the queues, and controller
+// candidates, which watch over the servers and hold nothing durable.
 package main
 
 import (
