--- a/cmd/sparnotch-bench/fleet.go
+++ b/cmd/sparnotch-bench/fleet.go
@@ -228,12 +228,12 @@
 
 // faultActions are the faults of the fleet command, by name.
 var faultActions = map[string]faultAction{
-	"kill":    strikeLeader((*fleet).killNode),
-	"freeze":  strikeLeader((*fleet).freezeNode),
-	"wipe":    strikeLeader((*fleet).wipeNode),
-	"cut":     strikeLeader(partitionNode(true, true)),
-	"mute":    strikeLeader(partitionNode(true, false)),
-	"deaf":    strikeLeader(partitionNode(false, true)),
+	"kill":    leaderFault((*fleet).killNode),
+	"freeze":  leaderFault((*fleet).freezeNode),
+	"wipe":    leaderFault((*fleet).wipeNode),
+	"cut":     leaderFault(partitionNode(true, true)),
+	"mute":    leaderFault(partitionNode(true, false)),
+	"deaf":    leaderFault(partitionNode(false, true)),
 	"split":   (*fleet).splitZone,
 	"race":    (*fleet).raceOperators,
 	"offline": (*fleet).disconnectWorker,
--- a/cmd/sparnotch-bench/fleet_faults.go
+++ b/cmd/sparnotch-bench/fleet_faults.go
@@ -67,8 +67,8 @@
 	f.history.add(checker.Event{Kind: checker.Fault, State: text})
 }
 
-// strikeLeader injects a fault into the node that leads a queue.
-func strikeLeader(strike func(f *fleet, ctx context.Context, d *daemon, duration time.Duration)) faultAction {
+// leaderFault injects a fault into the node that leads a queue.
+func leaderFault(inject func(f *fleet, ctx context.Context, d *daemon, duration time.Duration)) faultAction {
 	return func(f *fleet, ctx context.Context, fault plannedFault) {
 		d := f.leader(ctx)
 		if d == nil {
@@ -78,7 +78,7 @@
 		f.recordFault(fault.text + " " + d.name)
 		f.setAvailable(d, false)
 		defer f.setAvailable(d, true)
-		strike(f, ctx, d, fault.duration)
+		inject(f, ctx, d, fault.duration)
 	}
 }
 
@@ -134,7 +134,7 @@
 func (f *fleet) splitZone(ctx context.Context, fault plannedFault) {
 	zone := zoneName(f.partitions)
 	f.partitions++
-	f.recordFault("cell " + zone + " split off for " + fault.duration.String())
+	f.recordFault("zone " + zone + " partitioned for " + fault.duration.String())
 	for _, d := range f.gateways {
 		if d.zone == zone {
 			f.setAvailable(d, false)
@@ -166,7 +166,7 @@
 
 // disconnectWorker partitions a worker, which runs on, from all gateway nodes.
 func (f *fleet) disconnectWorker(ctx context.Context, fault plannedFault) {
-	f.recordFault("worker w02 is cut off and runs on, for " + fault.duration.String())
+	f.recordFault("worker w02 is partitioned and runs on, for " + fault.duration.String())
 	w := f.workers["w02"]
 	w.setDisconnected(true)
 	f.history.add(checker.Event{Kind: checker.WorkerPartitioned, Actor: "w02"})
@@ -177,7 +177,7 @@
 
 // restartAgents kills and restarts all agent nodes, one after another.
 func (f *fleet) restartAgents(ctx context.Context, _ plannedFault) {
-	f.recordFault("all side machines swapped out, one after another")
+	f.recordFault("all agent nodes restarted, one after another")
 	for _, d := range f.agents {
 		d.terminate(syscall.SIGKILL)
 		f.restart(d)
@@ -186,14 +186,14 @@
 }
 
 func (f *fleet) crashWorker(ctx context.Context, fault plannedFault) {
-	f.recordFault("worker w00 crashes, and comes back")
+	f.recordFault("worker w00 crashes, and is restarted")
 	f.cancels["w00"]()
 	sleep(ctx, fault.duration)
 	f.startWorker(ctx, 0)
 }
 
 func (f *fleet) drainWorker(context.Context, plannedFault) {
-	f.recordFault("worker w01 leaves")
+	f.recordFault("worker w01 drains")
 	w := f.workers["w01"]
 	w.mu.Lock()
 	w.worker.Drain(f.history.now())
@@ -236,7 +236,7 @@
 // killAll kills all nodes and starts them again: it stops agent nodes first, and
 // starts gateway nodes first.
 func (f *fleet) killAll(context.Context, plannedFault) {
-	f.recordFault("every process is killed and started again")
+	f.recordFault("every process is killed and restarted")
 	for _, d := range slices.Backward(f.daemons()) {
 		f.setAvailable(d, false)
 		d.terminate(syscall.SIGKILL)
