--- a/internal/gateway/backpressure.go
+++ b/internal/gateway/backpressure.go
@@ -1,41 +1,66 @@
 package gateway
 
-// Turning away: at what pace a queue takes work, and when to come back.
+// Load shedding: which submissions are rejected, and when their clients should retry.
 
 import (
-	"encoding/json"
+	"net/http"
 
 	"sparnotch/internal/eventloop"
-	"sparnotch/internal/schema"
 )
 
-// FaultBody encodes an error for callers.
-func FaultBody(code, message, field string) []byte {
-	data, err := json.Marshal(&schema.Error{Code: code, Message: message, Field: field})
-	if err != nil {
-		return nil
-	}
-	return data
+const (
+	minRateWindow        = eventloop.Second // over which a rate is measured
+	minRate              = 0.2              // per second; a lower one predicts nothing
+	unknownRateWait      = 5 * eventloop.Second
+	maxRetryAfterSeconds = 30
+
+	// gatewayThroughput is the key of all submissions of this gateway.
+	gatewayThroughput = ""
+)
+
+// endedJobsKey is the key of the throughput of jobs that a queue ends. That of its
+// confirmed submissions is the queue's name.
+func endedJobsKey(queue string) string { return "live/" + queue }
+
+// overload is the reason to reject a submission for now.
+type overload struct {
+	code, message string
+	throughputKey string // of what must make progress before a retry can succeed
 }
 
-func (g *Gateway) reject(requestID uint64, code int32, name, message string, retryAfter int, effects eventloop.Effects) {
-	effects.Respond(requestID, Response{Code: code, Body: FaultBody(name, message, ""), RetryAfter: retryAfter})
+// overloadOf returns why a submission can't be accepted now; nil: it can.
+func (g *Gateway) overloadOf(queue string, s *session) *overload {
+	status := g.queueStatus[queue]
+	switch {
+	case g.unconfirmedCount >= maxPending:
+		return &overload{codeGatewayFull, gatewayFullMessage, gatewayThroughput}
+	case s != nil && len(s.unconfirmed) >= int(g.values.Fleet("window")):
+		return &overload{codeWindowFull, "this client has too many hand-ins unconfirmed", queue}
+	case g.unconfirmedByQueue[queue] >= maxPending/2:
+		return &overload{codeQueueFull, "the queue has too many hand-ins unconfirmed", queue}
+	case status != nil && status.StorageExhausted:
+		return &overload{codeStorageFull, "the stores keep the room they have for the work they hold", endedJobsKey(queue)}
+	case status != nil && int64(status.LiveJobs) >= g.values.Fleet("live_jobs"):
+		return &overload{codeQueueFull, "the queue has as many live jobs as the plan allows", endedJobsKey(queue)}
+	}
+	return nil
 }
 
-// rejectOverloaded says no before the submission has a number, and when there should be
-// room: each who is told so is given the next turn, at the pace at which room
-// has been coming of late.
-func (g *Gateway) rejectOverloaded(now eventloop.Micros, m SubmitJob, code, message, throughputKey string, effects eventloop.Effects) {
-	g.reject(m.RequestID, 429, code, message, g.throughputOf(throughputKey).nextRetryAfter(now), effects)
+// rejectOverloaded rejects a submission with a time to retry. Each rejected client is
+// given a time of its own, one after another at the measured rate, so that they don't
+// come back all at once.
+func (g *Gateway) rejectOverloaded(now eventloop.Micros, requestID uint64, reason *overload, effects eventloop.Effects) {
+	retryAfter := g.throughputOf(reason.throughputKey).nextRetryAfter(now)
+	g.reject(requestID, http.StatusTooManyRequests, reason.code, reason.message, retryAfter, effects)
 }
 
-// throughput is how fast something gets done, and who is expected back.
+// throughput measures how fast something gets done, and schedules retries by it.
 type throughput struct {
-	done         uint64 // so far
-	previousDone uint64 // at the last look
+	done         uint64 // in all
+	previousDone uint64 // when the rate was last measured
 	measuredAt   eventloop.Micros
-	rate         float64          // a second
-	nextRetryAt  eventloop.Micros // when the last who was told to come back may
+	rate         float64          // per second, exponentially smoothed
+	nextRetryAt  eventloop.Micros // the latest that was given to a client
 }
 
 func (g *Gateway) throughputOf(key string) *throughput {
@@ -45,7 +70,7 @@
 	return g.throughputs[key]
 }
 
-// record takes in how much has been done, in all, by now.
+// record takes the total that is done by now, and measures the rate once a window.
 func (p *throughput) record(now eventloop.Micros, done uint64) {
 	p.done = max(p.done, done)
 	if p.measuredAt == 0 {
@@ -59,23 +84,12 @@
 	}
 }
 
-// nextStorageNode gives the next turn, in whole seconds from now.
+// nextRetryAfter schedules one more retry, and returns the seconds until then.
 func (p *throughput) nextRetryAfter(now eventloop.Micros) int {
-	// Where nothing gets done, nobody knows; a few seconds are worth a try.
-	wait := 5 * eventloop.Second
-	if p.rate > 0.2 {
+	wait := unknownRateWait
+	if p.rate > minRate {
 		wait = eventloop.Micros(float64(eventloop.Second) / p.rate)
 	}
 	p.nextRetryAt = min(max(p.nextRetryAt, now)+wait, now+maxRetryAfterSeconds*eventloop.Second)
 	return max(1, int((p.nextRetryAt-now+eventloop.Second-1)/eventloop.Second))
 }
-
-// rejectNotReady is the answer of a front that has no word of the cluster state: the longer
-// it lasts, the less soon it is worth asking here again.
-func (g *Gateway) rejectNotReady(now eventloop.Micros, requestID uint64, effects eventloop.Effects) {
-	retryAfter := 1
-	if since := g.lease.confirmedAt; since > 0 {
-		retryAfter = min(max(int((now-since)/(2*eventloop.Second)), 1), 10)
-	}
-	g.reject(requestID, 503, "not_ready", "this front has no fresh word of the cluster state: ask another", retryAfter, effects)
-}
--- a/internal/gateway/cluster_state.go
+++ b/internal/gateway/cluster_state.go
@@ -1,8 +1,12 @@
 package gateway
 
-// The gateway's copy of the cluster state, and what is asked for.
+// The gateway's copy of the cluster state: polled from storage nodes, and served under
+// a read lease.
 
 import (
+	"maps"
+	"slices"
+
 	"sparnotch/internal/clusterstate"
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/schema"
@@ -13,65 +17,115 @@
 	return &schema.ClusterStateRequest{Version: g.state.Version, HeldRevision: g.state.Configuration.GetRevision()}
 }
 
+// refreshClusterState polls the cluster state when it is time to.
+func (g *Gateway) refreshClusterState(now eventloop.Micros, effects eventloop.Effects) {
+	if now-g.stateQueriedAt < g.stateQueryInterval(now) {
+		return
+	}
+	// The local replica may be no voter, as after the loss of its disk, or be
+	// partitioned from the others: then other storage nodes are polled.
+	isLocalFresh := g.hasLocalReplica && !g.lease.needsRenewal(now) && g.state.Version > 0 && len(g.leaders) > 0
+	g.stateQueriedAt = now
+	switch {
+	case isLocalFresh:
+		g.sendStateQuery(now, g.id, effects)
+	case g.lease.needsRenewal(now):
+		for _, id := range g.nextStorageNodes() {
+			g.sendStateQuery(now, id, effects)
+		}
+	default:
+		if node := g.anyStorageNode(now); node != "" {
+			g.sendStateQuery(now, node, effects)
+		}
+	}
+}
+
+// stateQueryInterval is the interval of polling. It is shorter without a fresh copy, as
+// nothing can be served then, and for a while after a queue lost its leader.
+func (g *Gateway) stateQueryInterval(now eventloop.Micros) eventloop.Micros {
+	if g.lease.needsRenewal(now) {
+		return 2 * TickInterval
+	}
+	for _, since := range g.leaderlessSince {
+		if now-since < leaderLossPeriod {
+			return TickInterval
+		}
+	}
+	return min(maxStateQueryInterval, g.lease.duration()/queriesPerLease)
+}
+
+func (g *Gateway) sendStateQuery(now eventloop.Micros, node string, effects eventloop.Effects) {
+	query := g.newStateQuery()
+	query.Sequence = g.lease.newQuery(now)
+	effects.Send(node, query)
+}
+
+// nextStorageNodes returns the next storage nodes in turn, whether they seem alive or
+// not: those that do may be partitioned together with this node.
+func (g *Gateway) nextStorageNodes() []string {
+	if g.membership == nil {
+		return nil
+	}
+	var storageNodes []string
+	for _, id := range slices.Sorted(maps.Keys(g.membership.Members)) {
+		if g.membership.Members[id].Member.HasStorage {
+			storageNodes = append(storageNodes, id)
+		}
+	}
+	var selected []string
+	for range min(storageNodesPerQuery, len(storageNodes)) {
+		selected = append(selected, storageNodes[g.nextStorageNode%len(storageNodes)])
+		g.nextStorageNode++
+	}
+	return selected
+}
+
+// handleClusterState takes an update of the cluster state from a storage node.
 func (g *Gateway) handleClusterState(now eventloop.Micros, m *schema.ClusterStateResponse, effects eventloop.Effects) {
 	state, err := clusterstate.DecodeUpdate(m, g.state.Configuration)
 	if err != nil {
-		return // it is asked for again, and until then nothing fresh has been heard
+		return // the next poll repeats it, and the lease isn't renewed until then
 	}
 	if state != nil && state.Version >= g.state.Version {
 		g.state, g.values = state, g.values.Refresh(state.Configuration)
 		g.updateLeaderless(now)
 		g.endRemovedQueues(now, effects)
 	}
-	// Our own replica tells of every change, also while it is still catching up
-	// after a start; only an answer comes from one that has.
+	// The local replica notifies of each change, also while it catches up after a
+	// start. Only responses to queries renew the lease.
 	if m.Version >= g.state.Version {
 		g.lease.renew(m.Sequence, eventloop.Micros(m.AgeUs))
 	}
-	leaderChanged := false
-	for queue, leader := range m.Leaders {
-		if leader != g.leaders[queue] && g.isPlausibleLeader(now, leader) {
-			leaderChanged = true
-			g.setLeader(queue, leader)
-			if g.unconfirmedByQueue[queue] > 0 {
-				g.redirectDue[queue] = true
-			}
-		}
-	}
-	if leaderChanged {
-		// What was asked of somebody else needn't wait until it is asked again.
-		for _, pending := range g.requests {
-			if leader, known := m.Leaders[pending.message.Group]; known && leader == g.leaders[pending.message.Group] && pending.sentTo != leader {
-				pending.isResendDue = true
-			}
-		}
-	}
+	g.updateLeaders(now, m.Leaders)
 	for _, status := range m.QueueStatuses {
 		if status.Queue != "" {
 			g.queueStatus[status.Queue] = status
-			g.throughputOf("live/"+status.Queue).record(now, status.EndedJobs)
+			g.throughputOf(endedJobsKey(status.Queue)).record(now, status.EndedJobs)
 		}
 	}
 }
 
-func (g *Gateway) queryClusterState(now eventloop.Micros, effects eventloop.Effects) {
-	if now-g.stateQueriedAt < g.stateQueryInterval(now) {
-		return
-	}
-	g.stateQueriedAt = now
-	if g.lease.needsRenewal(now) {
-		for _, id := range g.nextStorageNodes() {
-			g.sendStateQuery(now, id, effects)
+// updateLeaders takes the leaders by group, and schedules what is pending at others to
+// be sent to the new ones.
+func (g *Gateway) updateLeaders(now eventloop.Micros, leaders map[string]string) {
+	hasChanged := false
+	for group, leader := range leaders {
+		if leader == g.leaders[group] || !g.isPlausibleLeader(now, leader) {
+			continue
 		}
+		hasChanged = true
+		g.setLeader(group, leader)
+		if g.unconfirmedByQueue[group] > 0 {
+			g.redirectDue[group] = true
+		}
+	}
+	if !hasChanged {
 		return
 	}
-	if to := g.anyStorageNode(now); to != "" {
-		g.sendStateQuery(now, to, effects)
+	for _, pending := range g.requests {
+		leader, found := leaders[pending.message.Group]
+		if found && leader == g.leaders[pending.message.Group] && pending.sentTo != leader {
+			pending.isResendDue = true
+		}
 	}
 }
-
-func (g *Gateway) sendStateQuery(now eventloop.Micros, node string, effects eventloop.Effects) {
-	query := g.newStateQuery()
-	query.Sequence = g.lease.newQuery(now)
-	effects.Send(node, query)
-}
--- a/internal/gateway/cluster_state_test.go
+++ b/internal/gateway/cluster_state_test.go
@@ -12,16 +12,16 @@
 func TestClusterStateUpdates(t *testing.T) {
 	queue := []*schema.ConfigurationRow{{Kind: "queue", Name: "l", Key: "urgency", Value: "1"}}
 	update := func(version, generation uint64, isHeld bool) *schema.ClusterStateResponse {
-		plan := &schema.Configuration{Revision: generation}
+		configuration := &schema.Configuration{Revision: generation}
 		if !isHeld {
-			plan.Rows = queue
+			configuration.Rows = queue
 		}
 		return &schema.ClusterStateResponse{
 			Version: version, Leaders: map[string]string{"l": "a"}, ConfigurationOmitted: isHeld,
-			State: &schema.ClusterState{Version: version, Configuration: plan, Queues: []*schema.QueuePlacement{{Queue: "l", Generation: 1}}},
+			State: &schema.ClusterState{Version: version, Configuration: configuration, Queues: []*schema.QueuePlacement{{Queue: "l", Generation: 1}}},
 		}
 	}
-	Convey("A life of a process never goes back to an older copy", t, func() {
+	Convey("The copy never goes back to an older version within one incarnation", t, func() {
 		h := newHarness()
 		h.step(update(5, 3, false))
 		h.step(update(4, 2, false))
@@ -32,28 +32,13 @@
 		So(h.gateway.state.Configuration.Rows, ShouldHaveLength, 1)
 		So(h.gateway.newStateQuery().HeldRevision, ShouldEqual, 3)
 	})
-	Convey("A copy whose plan isn't held here is no copy, and no word by which to serve", t, func() {
+	Convey("An update that omits a configuration not held here is ignored, and doesn't renew the lease", t, func() {
 		h := newHarness()
-		heard := h.gateway.lease.confirmedAt
+		before := h.gateway.lease.confirmedAt
 		h.now += 2 * eventloop.Second
 		h.step(update(9, 8, true))
 		So(h.gateway.state.Version, ShouldEqual, 1)
 		So(h.gateway.state.Configuration.Rows, ShouldNotBeEmpty)
-		So(h.gateway.lease.confirmedAt, ShouldEqual, heard)
-	})
-}
-
-func TestLargeRequestRetryDelay(t *testing.T) {
-	Convey("A request that may still be on its way over the slowest link isn't sent again", t, func() {
-		h := newHarness()
-		h.gateway.leaders["clusterstate"] = "a"
-		h.step(LeaderRequest{RequestID: 1, Kind: "clusterstate", Group: "clusterstate", Body: make([]byte, 250_000), Deadline: h.now + 4*eventloop.Second})
-		began := h.now
-		// Whoever doesn't answer is held for gone when it is sent again.
-		for h.gateway.requests[1].sentAt == began && h.now < began+3*eventloop.Second {
-			h.now += TickInterval
-			h.step(eventloop.Tick{})
-		}
-		So(h.now-began, ShouldBeBetween, eventloop.LinkTime(250_000), eventloop.LinkTime(250_000)+2*requestRetryDelay)
+		So(h.gateway.lease.confirmedAt, ShouldEqual, before)
 	})
 }
--- a/internal/gateway/confirmation.go
+++ b/internal/gateway/confirmation.go
@@ -1,6 +1,10 @@
 package gateway
 
+// Linearizable reads of which queues there are, for requests to a queue that the
+// gateway's copy of the configuration lacks.
+
 import (
+	"net/http"
 	"strconv"
 
 	"google.golang.org/protobuf/proto"
@@ -11,26 +15,47 @@
 )
 
 const (
-	confirmationTimeout     = 500 * eventloop.Millisecond // a call for an unknown queue waits so long for the leader's word
+	confirmationTimeout     = 500 * eventloop.Millisecond
 	maxAwaitingConfirmation = 256
-	// Confirmations are requests of our own, numbered above those of callers.
+	// Confirmations are requests of the gateway's own, numbered above those of the
+	// process.
 	firstConfirmationID = 1 << 63
 )
 
-// confirmation holds calls for queues that our copy of the plan lacks until the
-// cluster state's leader has told, with a majority's word given after the call came,
-// what the plan is. Whoever has just put a plan may use it at once, and nobody is told
-// that there is no such queue by a copy that may be old.
+// deferredCall is a client's request that waits until its queue is confirmed to exist
+// or not.
+type deferredCall interface {
+	id() uint64
+	resume(g *Gateway, now eventloop.Micros, effects eventloop.Effects)
+}
+
+func (m SubmitJob) id() uint64     { return m.RequestID }
+func (m LeaderRequest) id() uint64 { return m.RequestID }
+
+func (m SubmitJob) resume(g *Gateway, now eventloop.Micros, effects eventloop.Effects) {
+	g.handleSubmit(now, m, true, effects)
+}
+
+func (m LeaderRequest) resume(g *Gateway, now eventloop.Micros, effects eventloop.Effects) {
+	g.handleRequest(now, m, true, effects)
+}
+
+// confirmation holds requests to queues that our copy of the configuration lacks, until
+// the leader of the cluster state has confirmed, after they came, what the newest
+// configuration is. So a new configuration can be used at once, and no client is
+// answered from a stale copy that a queue doesn't exist. One confirmation is in flight
+// at a time; it decides the calls that came before it was sent.
 type confirmation struct {
-	requestID  uint64 // of the request that is out; 0: none
+	requestID  uint64 // of the one in flight; 0: none
 	sentAt     eventloop.Micros
-	inFlight   []any // calls that came before it was sent: its answer decides them
-	queued     []any // calls that came since
+	inFlight   []deferredCall // that it decides
+	queued     []deferredCall // for the next one
 	lastNumber uint64
 }
 
-// awaitConfirmation holds a call until its queue is found, or confirmed not to be there.
-func (g *Gateway) awaitConfirmation(now eventloop.Micros, call any, effects eventloop.Effects) bool {
+// awaitConfirmation holds a call until its queue is confirmed to exist or not. It
+// returns false where too many calls wait already.
+func (g *Gateway) awaitConfirmation(now eventloop.Micros, call deferredCall, effects eventloop.Effects) bool {
 	c := &g.confirmation
 	if len(c.inFlight)+len(c.queued) >= maxAwaitingConfirmation {
 		return false
@@ -42,7 +67,7 @@
 	return true
 }
 
-// sendConfirmation asks for all calls that wait for an answer to a question sent since.
+// sendConfirmation sends the next confirmation if calls wait for one.
 func (g *Gateway) sendConfirmation(now eventloop.Micros, effects eventloop.Effects) {
 	c := &g.confirmation
 	if len(c.queued) == 0 {
@@ -50,55 +75,42 @@
 	}
 	c.lastNumber++
 	c.requestID, c.sentAt, c.inFlight, c.queued = firstConfirmationID+c.lastNumber, now, c.queued, nil
-	body, err := proto.Marshal(g.newStateQuery())
-	if err != nil {
-		panic("gateway: " + err.Error())
-	}
-	confirmationRequest := &request{message: LeaderRequest{RequestID: c.requestID, Kind: "state", Group: clusterstate.Group, Body: body, Deadline: now + confirmationTimeout}}
-	g.requests[c.requestID] = confirmationRequest
-	g.sendRequest(now, confirmationRequest, effects)
+	pending := &request{message: LeaderRequest{
+		RequestID: c.requestID, Kind: KindState, Group: clusterstate.Group, Body: marshal(g.newStateQuery()), Deadline: now + confirmationTimeout,
+	}}
+	g.requests[c.requestID] = pending
+	g.sendRequest(now, pending, effects)
 }
 
-// finishConfirmation takes the leader's answer and decides the calls that rode on it.
+// finishConfirmation takes the leader's response, and resumes the calls that it decides.
 func (g *Gateway) finishConfirmation(now eventloop.Micros, m *schema.Response, effects eventloop.Effects) {
 	update := &schema.ClusterStateResponse{}
-	if m.Code != 200 || proto.Unmarshal(m.Body, update) != nil {
+	if m.Code != http.StatusOK || proto.Unmarshal(m.Body, update) != nil {
 		g.failConfirmation(now, effects)
 		return
 	}
 	g.handleClusterState(now, update, effects)
 	if g.state.Version < update.Version {
-		// What is newer is still on its way here.
+		// The response omitted a newer state, as it is being sent already.
 		g.failConfirmation(now, effects)
 		return
 	}
 	g.lease.confirmedAt = max(g.lease.confirmedAt, g.confirmation.sentAt)
 	for _, call := range g.takeInFlight() {
-		switch m := call.(type) {
-		case SubmitJob:
-			g.handleSubmit(now, m, true, effects)
-		case LeaderRequest:
-			g.handleRequest(now, m, true, effects)
-		}
+		call.resume(g, now, effects)
 	}
 	g.sendConfirmation(now, effects)
 }
 
-// failConfirmation turns away what rode on the question: nobody knows whether there is
-// such a queue.
+// failConfirmation rejects the calls in flight: whether their queues exist is unknown.
 func (g *Gateway) failConfirmation(now eventloop.Micros, effects eventloop.Effects) {
 	for _, call := range g.takeInFlight() {
-		switch m := call.(type) {
-		case SubmitJob:
-			g.rejectNotReady(now, m.RequestID, effects)
-		case LeaderRequest:
-			g.rejectNotReady(now, m.RequestID, effects)
-		}
+		g.rejectNotReady(now, call.id(), effects)
 	}
 	g.sendConfirmation(now, effects)
 }
 
-func (g *Gateway) takeInFlight() []any {
+func (g *Gateway) takeInFlight() []deferredCall {
 	c := &g.confirmation
 	calls := c.inFlight
 	delete(g.requests, c.requestID)
@@ -106,29 +118,33 @@
 	return calls
 }
 
-// expireConfirmation gives up on a leader that doesn't answer.
+// expireConfirmation fails a confirmation that the leader doesn't answer in time.
 func (g *Gateway) expireConfirmation(now eventloop.Micros, effects eventloop.Effects) {
 	if g.confirmation.requestID != 0 && now-g.confirmation.sentAt > confirmationTimeout {
 		g.failConfirmation(now, effects)
 	}
 }
 
-// handleUnknownQueue answers for a queue that isn't placed, or parks the call first. The
-// queue is empty where host and path lead to none.
-func (g *Gateway) handleUnknownQueue(now eventloop.Micros, requestID uint64, queue string, call any, isConfirmed bool, effects eventloop.Effects) {
+// handleUnknownQueue rejects a call to a queue that our copy of the cluster state
+// lacks, once that is confirmed. The queue is empty where no route matched.
+func (g *Gateway) handleUnknownQueue(now eventloop.Micros, queue string, call deferredCall, isConfirmed bool, effects eventloop.Effects) {
 	switch {
 	case !g.lease.isValid(now):
-		g.rejectNotReady(now, requestID, effects)
+		g.rejectNotReady(now, call.id(), effects)
 	case !isConfirmed:
 		if !g.awaitConfirmation(now, call, effects) {
-			g.reject(requestID, 503, "not_ready", "too many calls wait to hear what queues there are", 1, effects)
+			g.rejectUnavailable(call.id(), "too many calls wait to hear what queues there are", effects)
 		}
-	// Before the first plan nobody knows what queues there are to be.
+	// Before the first configuration nobody knows which queues there will be.
 	case g.state.Configuration.GetRevision() == 0 || g.values.HasQueue(queue):
-		g.reject(requestID, 503, "not_ready", "there is no plan yet, or the queue is being made", 1, effects)
+		g.rejectUnavailable(call.id(), "there is no plan yet, or the queue is being made", effects)
 	case queue == "":
-		effects.Respond(requestID, Response{Code: 404, Body: FaultBody("unknown_queue", "the plan has no queue for this host and path", "path")})
+		effects.Respond(call.id(), Response{
+			Code: http.StatusNotFound, Body: FaultBody(codeUnknownQueue, "the plan has no queue for this host and path", "path"),
+		})
 	default:
-		effects.Respond(requestID, Response{Code: 404, Body: FaultBody("unknown_queue", "the plan has no queue "+strconv.Quote(queue), "queue")})
+		effects.Respond(call.id(), Response{
+			Code: http.StatusNotFound, Body: FaultBody(codeUnknownQueue, "the plan has no queue "+strconv.Quote(queue), "queue"),
+		})
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,12 +1,21 @@
-// Package gateway owns what a front does for callers, workers and operators:
-// it numbers each client session's submissions, resends what isn't confirmed,
-// and carries other requests to whoever leads.
+// Package gateway is the entry point of a node for clients, workers and operators.
+//
+// Gateway is the component that serves them. It numbers the submissions of each
+// client session and resends those that aren't confirmed, so that each takes effect
+// exactly once; it forwards other requests to the leader of their group and retries
+// them until their deadline; and it forwards worker heartbeats to the scheduler that
+// holds the worker's lease.
+//
+// A Gateway owns no durable state. It answers from a copy of the cluster state that it
+// polls from storage nodes, for as long as its read lease on that copy lasts
+// (stateLease); routing, rejection and retry hints all derive from this copy.
 package gateway
 
 import (
 	"encoding/json"
 	"maps"
 	"math/rand/v2"
+	"net/http"
 	"slices"
 
 	"sparnotch/internal/clusterstate"
@@ -15,76 +24,120 @@
 	"sparnotch/internal/schema"
 )
 
-// TickInterval is the tick of the table.
+// TickInterval is how often the component expects an eventloop.Tick.
 const TickInterval = 50 * eventloop.Millisecond
 
 const (
-	resendInterval          = 700 * eventloop.Millisecond  // an unconfirmed submission is sent again after this
-	minRedirectInterval     = 40 * eventloop.Millisecond   // between two redirects of one thing
-	requestRetryDelay       = 400 * eventloop.Millisecond  // another request is sent again after this
-	storageNodeTimeout      = 1200 * eventloop.Millisecond // a store unheard for longer is asked only for want of others
-	maxStateQueryInterval   = 250 * eventloop.Millisecond  // between looks at the cluster state, at most
-	storageNodesPerQuery    = 2                            // stores that a front without word asks at once
-	leaderLossPeriod        = 2 * eventloop.Second         // after a queue lost its leader the cluster state is looked at more often
-	sessionIdleTimeout      = 30 * eventloop.Second        // a client session that rests this long is ended
-	maxTickGap              = 20 * eventloop.Second        // after a longer pause this front starts afresh
-	listedGatewayTimeout    = 5 * eventloop.Second         // fronts that weren't heard of for longer aren't listed
-	bootstrapRequestTimeout = 900 * eventloop.Millisecond  // a process that never had word carries an operator's call so long; who calls waits a second
-	maxPending              = 4096                         // requests of all kinds at once
-	minRateWindow           = eventloop.Second             // over which what a queue gets done is counted
-	maxRetryAfterSeconds    = 30                           // seconds
-	maxResendBatch          = 64                           // submissions resent a queue and tick
-	maxEndedSessions        = 64
-	leaderlessGracePeriod   = 300 * eventloop.Millisecond // a queue without a leader for so long takes no new hand-ins here
+	// Resending and redirecting.
+	resendInterval      = 700 * eventloop.Millisecond // of an unconfirmed submission
+	minRedirectInterval = 40 * eventloop.Millisecond  // between two redirects of a queue or request
+	requestRetryDelay   = 400 * eventloop.Millisecond // of a request without a response
+	maxResendBatch      = 64                          // submissions resent per queue and tick
+
+	// Polling the cluster state.
+	maxStateQueryInterval = 250 * eventloop.Millisecond
+	storageNodeTimeout    = 1200 * eventloop.Millisecond // since the last gossip, until others are preferred
+	storageNodesPerQuery  = 2                            // polled at once while the read lease needs renewal
+	leaderLossPeriod      = 2 * eventloop.Second         // of faster polling after a queue lost its leader
+	leaderlessGracePeriod = 300 * eventloop.Millisecond  // until submissions to a leaderless queue are rejected
+
+	// Sessions.
+	sessionIdleTimeout      = 30 * eventloop.Second
+	endedSessionInterval    = 10 * eventloop.Second // between two reports of ended sessions to a queue
+	maxEndedSessions        = 64                    // per queue; more are reported at once
+	maxTickGap              = 20 * eventloop.Second // after a longer pause all sessions are restarted
+	incarnationRestartShift = 32                    // restarts count in the upper half of the incarnation
+
+	// Limits of pending work, and for how long it is remembered.
+	maxPending              = 4096 // of submissions, of requests and of announcements
+	listedGatewayTimeout    = 5 * eventloop.Second
+	bootstrapRequestTimeout = 900 * eventloop.Millisecond // clients wait a second
+	registrationInterval    = eventloop.Second            // between two registrations of one worker
+	registrationMemory      = 10 * eventloop.Second
 )
 
-// Gateway is the gateway's table.
+// Gateway is the component. It is driven by Step alone and isn't safe for concurrent
+// use.
 type Gateway struct {
-	id                   string
-	incarnation          uint64
-	lastSession          uint64 // of sessions made here, so that none is ever taken up again
-	rng                  *rand.Rand
-	state                *schema.ClusterState
-	values               *clusterstate.Values
-	lease                stateLease
-	leaders              map[string]string
-	leaderlessSince      map[string]eventloop.Micros // queues that nobody is known to lead, and since when
-	queueStatus          map[string]*schema.QueueStatus
-	membership           *membership.View
+	id          string
+	incarnation uint64
+	rng         *rand.Rand
+	lastTick    eventloop.Micros
+	isDraining  bool
+
+	// The copy of the cluster state.
+	state           *schema.ClusterState
+	values          *clusterstate.Values // parsed from the configuration in state
+	lease           stateLease           // on state
+	hasLocalReplica bool                 // this node stores a replica of the cluster state
+	stateQueriedAt  eventloop.Micros
+	nextStorageNode int  // round-robin position among the storage nodes
+	wasInContact    bool // the lease hadn't expired at the last tick
+
+	// What is known of nodes and queues.
+	membership         *membership.View // nil until the first one came
+	leaders            map[string]string
+	leaderlessSince    map[string]eventloop.Micros // by queue
+	queueStatus        map[string]*schema.QueueStatus
+	redirectedAt       map[string]eventloop.Micros    // by queue
+	redirectDue        map[string]bool                // queues to be redirected at the next tick
+	leadershipDeniedAt map[queueNode]eventloop.Micros // when a node last rejected submissions as no leader
+	throughputs        map[string]*throughput
+
+	// Submissions.
 	sessions             map[queueClient]*session
-	sessionsByID         map[string]*session
-	requests             map[uint64]*request
-	announcements        map[uint64]ForwardAnnouncement
-	registrationSentAt   map[string]eventloop.Micros
+	sessionsByID         map[string]*session // by sessionKey
+	lastSession          uint64              // makes the names of sessions unique within the incarnation
 	endedSessions        map[string][]*schema.Session
-	confirmation         confirmation // of queues that our copy of the plan lacks
+	submissionsByRequest map[uint64]*submission // those whose client still waits
 	unconfirmedCount     int
-	unconfirmedByQueue   map[string]int         // unconfirmed by queue
-	submissionsByRequest map[uint64]*submission // by request
-	stateQueriedAt       eventloop.Micros
-	redirectedAt         map[string]eventloop.Micros    // by queue
-	redirectDue          map[string]bool                // queues whose redirect waits for the next tick
-	leadershipDeniedAt   map[queueNode]eventloop.Micros // when a store last said that it doesn't lead a queue
-	lastTick             eventloop.Micros
-	throughputs          map[string]*throughput
-	wasInContact         bool // requests in hand could be carried at the last tick
-	nextStorageNode      int  // of stores that are asked without word
-	isDraining           bool
-	hasLocalReplica      bool // the cluster state is in this process
+	unconfirmedByQueue   map[string]int
+
+	// Requests of other kinds.
+	requests           map[uint64]*request
+	confirmation       confirmation
+	announcements      map[uint64]ForwardAnnouncement
+	registrationSentAt map[string]eventloop.Micros // by worker
 }
 
-// New makes the table of the front with this id and boot.
+// queueNode is a queue and a node that may lead it.
+type queueNode struct{ queue, node string }
+
+// New makes the gateway of the node with this id. The incarnation must be higher than
+// in each former process with the same id. The gateway owns rng.
 func New(id string, incarnation uint64, hasLocalReplica bool, rng *rand.Rand) *Gateway {
 	return &Gateway{
-		id: id, incarnation: incarnation, rng: rng, hasLocalReplica: hasLocalReplica, state: &schema.ClusterState{}, values: clusterstate.ParseValues(nil),
-		leaders: map[string]string{}, leaderlessSince: map[string]eventloop.Micros{}, queueStatus: map[string]*schema.QueueStatus{}, sessions: map[queueClient]*session{}, sessionsByID: map[string]*session{},
-		requests: map[uint64]*request{}, announcements: map[uint64]ForwardAnnouncement{}, registrationSentAt: map[string]eventloop.Micros{}, endedSessions: map[string][]*schema.Session{},
-		unconfirmedByQueue: map[string]int{}, submissionsByRequest: map[uint64]*submission{}, redirectedAt: map[string]eventloop.Micros{}, redirectDue: map[string]bool{}, leadershipDeniedAt: map[queueNode]eventloop.Micros{},
-		throughputs: map[string]*throughput{}, lease: newStateLease(incarnation),
+		id:          id,
+		incarnation: incarnation,
+		rng:         rng,
+
+		state:           &schema.ClusterState{},
+		values:          clusterstate.ParseValues(nil),
+		lease:           newStateLease(incarnation),
+		hasLocalReplica: hasLocalReplica,
+
+		leaders:            map[string]string{},
+		leaderlessSince:    map[string]eventloop.Micros{},
+		queueStatus:        map[string]*schema.QueueStatus{},
+		redirectedAt:       map[string]eventloop.Micros{},
+		redirectDue:        map[string]bool{},
+		leadershipDeniedAt: map[queueNode]eventloop.Micros{},
+		throughputs:        map[string]*throughput{},
+
+		sessions:             map[queueClient]*session{},
+		sessionsByID:         map[string]*session{},
+		endedSessions:        map[string][]*schema.Session{},
+		submissionsByRequest: map[uint64]*submission{},
+		unconfirmedByQueue:   map[string]int{},
+
+		requests:           map[uint64]*request{},
+		announcements:      map[uint64]ForwardAnnouncement{},
+		registrationSentAt: map[string]eventloop.Micros{},
 	}
 }
 
-// WithBounds takes what the deployment promises.
+// WithBounds sets the deadline by which a new configuration must be in force; without
+// one the default stays. It returns the gateway itself.
 func (g *Gateway) WithBounds(bounds *schema.Bounds) *Gateway {
 	if apply := eventloop.Micros(bounds.GetApplyUs()); apply > 0 {
 		g.lease.applyBound = apply
@@ -92,7 +145,7 @@
 	return g
 }
 
-// Step implements eventloop.Table.
+// Step implements eventloop.Component.
 func (g *Gateway) Step(now eventloop.Micros, message eventloop.Message, effects eventloop.Effects) {
 	switch body := message.Body.(type) {
 	case eventloop.Tick:
@@ -109,6 +162,8 @@
 		g.listGateways(now, body, effects)
 	case ForgetRequest:
 		g.forgetRequest(body.RequestID)
+	case StartDraining:
+		g.isDraining = true
 	case *schema.SubmitResponse:
 		g.handleApplied(now, message.From, body, effects)
 	case *schema.Response:
@@ -118,112 +173,122 @@
 	case *schema.ClusterStateResponse:
 		g.handleClusterState(now, body, effects)
 	case *membership.View:
-		g.membership = body
-		for group, id := range g.leaders {
-			if known, isKnown := body.Members[id]; isKnown && known.Member.Draining {
-				g.clearLeader(now, group)
-			}
-		}
-	case StartDraining:
-		g.isDraining = true
+		g.handleMembership(now, body)
 	}
 }
 
 func (g *Gateway) handleTick(now eventloop.Micros, effects eventloop.Effects) {
 	if g.lastTick > 0 && now-g.lastTick > maxTickGap {
-		// Others may have given us up meanwhile, and our callers have.
+		// The queues may have declared this gateway dead meanwhile, and its clients
+		// have stopped waiting.
 		g.restartSessions(now, effects)
 	}
 	g.lastTick = now
-	// A replica of our own may not be one of the voters, as after its disk was
-	// lost, or may be cut off from them: then others are asked.
-	if !g.hasLocalReplica || g.lease.needsRenewal(now) || g.state.Version == 0 || len(g.leaders) == 0 {
-		g.queryClusterState(now, effects)
-	} else if now-g.stateQueriedAt >= g.stateQueryInterval(now) {
-		g.stateQueriedAt = now
-		g.sendStateQuery(now, g.id, effects)
-	}
-	resendQueues := map[string]bool{}
-	for key, s := range g.sessions {
-		if len(s.unconfirmed) > 0 {
-			resendQueues[key.queue] = true
-		}
-	}
-	for _, queue := range sortedKeys(g.redirectDue) {
-		delete(g.redirectDue, queue)
-		g.redirectedAt[queue] = now
-		if submissions := g.misrouted(queue); len(submissions) > 0 {
-			g.sendSubmissions(now, queue, submissions, effects)
-		}
-	}
-	for _, queue := range sortedKeys(resendQueues) {
-		isOverdue := func(each *submission) bool { return now-each.sentAt >= resendInterval }
-		if submissions := g.selectUnconfirmed(queue, isOverdue); len(submissions) > 0 {
-			// Whoever doesn't answer may be gone: ask around.
-			g.clearLeader(now, queue)
-			g.sendSubmissions(now, queue, submissions, effects)
-		}
-	}
+	g.refreshClusterState(now, effects)
+	g.sendDueRedirects(now, effects)
+	g.resendOverdue(now, effects)
 	g.expireConfirmation(now, effects)
-	for _, throughput := range g.throughputs {
-		throughput.record(now, throughput.done)
+	for _, measured := range g.throughputs {
+		measured.record(now, measured.done)
 	}
+	g.checkContact(now, effects)
+	g.retryRequests(now, effects)
+	g.endIdleSessions(now, effects)
+	g.dropExpired(now)
+}
+
+// checkContact fails what is pending once the read lease expires.
+func (g *Gateway) checkContact(now eventloop.Micros, effects eventloop.Effects) {
 	isInContact := !g.lease.isExpired(now)
 	if g.wasInContact && !isInContact {
 		g.failPending(now, effects)
 	}
 	g.wasInContact = isInContact
-	g.retryRequests(now, effects)
-	g.endIdleSessions(now, effects)
-	for id, announcement := range g.announcements {
-		if now > announcement.Deadline {
-			delete(g.announcements, id)
-		}
+}
+
+// failPending answers all clients that wait, as this gateway can't reach a leader any
+// more. Submissions are numbered and go on being resent, and commands may have been
+// forwarded, so the outcome of these is unknown.
+func (g *Gateway) failPending(now eventloop.Micros, effects eventloop.Effects) {
+	for _, id := range slices.Sorted(maps.Keys(g.submissionsByRequest)) {
+		g.submissionsByRequest[id].requestID = 0
+		delete(g.submissionsByRequest, id)
+		effects.Respond(id, outcomeUnknown())
 	}
-	for key, at := range g.leadershipDeniedAt {
-		if now-at > resendInterval {
-			delete(g.leadershipDeniedAt, key)
-		}
+	g.failConfirmation(now, effects)
+	for _, id := range slices.Sorted(maps.Keys(g.announcements)) {
+		g.rejectNotReady(now, id, effects)
+		delete(g.announcements, id)
 	}
-	for worker, at := range g.registrationSentAt {
-		if now-at > 10*eventloop.Second {
-			delete(g.registrationSentAt, worker)
+	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
+		switch g.requests[id].message.Kind {
+		case KindCancel, KindClusterState:
+			effects.Respond(id, outcomeUnknown())
+		default:
+			g.rejectNotReady(now, id, effects)
 		}
+		delete(g.requests, id)
 	}
 }
 
-func sortedKeys(keys map[string]bool) []string {
-	return slices.Sorted(maps.Keys(keys))
+// dropExpired removes announcements past their deadline, and what is remembered for a
+// while only. The process answers clients whose deadline has passed by itself.
+func (g *Gateway) dropExpired(now eventloop.Micros) {
+	maps.DeleteFunc(g.announcements, func(_ uint64, announcement ForwardAnnouncement) bool {
+		return now > announcement.Deadline
+	})
+	maps.DeleteFunc(g.leadershipDeniedAt, func(_ queueNode, at eventloop.Micros) bool {
+		return now-at > resendInterval
+	})
+	maps.DeleteFunc(g.registrationSentAt, func(_ string, at eventloop.Micros) bool {
+		return now-at > registrationMemory
+	})
 }
 
-// listGateways lists the fronts heard of lately, so that whoever knows one of them
-// finds the others.
+func (g *Gateway) handleMembership(now eventloop.Micros, view *membership.View) {
+	g.membership = view
+	for group, id := range g.leaders {
+		if status, found := view.Members[id]; found && status.Member.Draining {
+			g.clearLeader(now, group)
+		}
+	}
+}
+
+// listGateways answers with the gateways that were alive lately, so that a client that
+// knows one of them finds the others.
 func (g *Gateway) listGateways(now eventloop.Micros, m ListGateways, effects eventloop.Effects) {
-	gateways := &schema.GatewayList{Gateways: []*schema.GatewayEndpoint{}}
+	list := &schema.GatewayList{Gateways: []*schema.GatewayEndpoint{}}
 	if g.membership != nil {
-		ids := slices.Sorted(maps.Keys(g.membership.Members))
-		for _, id := range ids {
-			if member := g.membership.Members[id].Member; member.Role == schema.Role_ROLE_SERVER && g.membership.IsAlive(id, now, listedGatewayTimeout) {
-				gateways.Gateways = append(gateways.Gateways, &schema.GatewayEndpoint{Address: member.HttpAddress, Zone: member.Zone, Draining: member.Draining})
+		for _, id := range slices.Sorted(maps.Keys(g.membership.Members)) {
+			member := g.membership.Members[id].Member
+			if member.Role != schema.Role_ROLE_SERVER || !g.membership.IsAlive(id, now, listedGatewayTimeout) {
+				continue
 			}
+			list.Gateways = append(list.Gateways, &schema.GatewayEndpoint{
+				Address: member.HttpAddress, Zone: member.Zone, Draining: member.Draining,
+			})
 		}
 	}
-	data, err := json.Marshal(gateways)
+	data, err := json.Marshal(list)
 	if err != nil {
-		g.reject(m.RequestID, 500, "internal", err.Error(), 0, effects)
+		g.reject(m.RequestID, http.StatusInternalServerError, codeInternal, err.Error(), 0, effects)
 		return
 	}
-	effects.Respond(m.RequestID, Response{Code: 200, Body: data})
+	effects.Respond(m.RequestID, Response{Code: http.StatusOK, Body: data})
 }
 
-// checkReadiness tells whether this front can take requests and carry them.
+// checkReadiness answers whether this gateway accepts and can forward requests.
 func (g *Gateway) checkReadiness(now eventloop.Micros, m CheckReadiness, effects eventloop.Effects) {
 	switch {
 	case g.isDraining:
-		g.reject(m.RequestID, 503, "leaving", "this process is leaving", 0, effects)
+		g.reject(m.RequestID, http.StatusServiceUnavailable, codeDraining, "this process is leaving", 0, effects)
 	case !g.lease.isValid(now):
-		g.reject(m.RequestID, 503, "not_ready", "no fresh word of the cluster state", 1, effects)
+		g.reject(m.RequestID, http.StatusServiceUnavailable, codeNotReady, "no fresh word of the cluster state", 1, effects)
 	default:
-		effects.Respond(m.RequestID, Response{Code: 200, Body: []byte(`{"ready":true}`)})
+		effects.Respond(m.RequestID, Response{Code: http.StatusOK, Body: []byte(`{"ready":true}`)})
 	}
 }
+
+func sortedKeys(keys map[string]bool) []string {
+	return slices.Sorted(maps.Keys(keys))
+}
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -1,42 +1,63 @@
 package gateway
 
-// The messages that a process's other tables and the outside give to its gateway.
+// The messages that the rest of the process posts to the gateway. Each that carries a
+// RequestID is answered with a Response to that request, unless a ForgetRequest comes
+// first. Deadlines are instants of the process's clock.
 
 import (
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/schema"
 )
 
-// SubmitJob is a submission from HTTP. Where no queue is named, host and path lead to
-// it by the plan's entries, and what follows the prefix is the job's name.
+// Kinds of requests, as they are sent to the leader of a group.
+const (
+	// KindStatus reads a job, KindCancel cancels it.
+	KindStatus = "status"
+	KindCancel = "cancel"
+	// KindList reads a page of a queue's jobs, KindCounts how many there are.
+	KindList   = "list"
+	KindCounts = "counts"
+	// KindConfiguration reads the configuration, KindHistory its former revisions.
+	KindConfiguration = "plan"
+	KindHistory       = "history"
+	// KindState reads the whole cluster state, KindClusterState proposes a command to
+	// it.
+	KindState        = "state"
+	KindClusterState = "clusterstate"
+)
+
+// SubmitJob submits a job for a client. Where Queue is empty, host and path are matched
+// with the configuration's routes: the route gives the queue, and the rest of the path
+// the job's name.
 type SubmitJob struct {
 	RequestID uint64
 	Queue     string
 	Host      string
 	Path      string
-	Client    string
+	Client    string // names the session
 	Name      string
-	Digest    []byte
+	Digest    []byte // of the job as the client gave it
 	Job       *schema.Job
 	Deadline  eventloop.Micros
 }
 
-// LeaderRequest is any other request that a group's leader answers. Where no group is
-// named, host and path lead to a queue as for SubmitJob.
+// LeaderRequest is any other request to the leader of a group. Where Group is empty,
+// host and path are matched with the configuration's routes, as for SubmitJob.
 type LeaderRequest struct {
 	RequestID uint64
 	Kind      string
-	Group     string
+	Group     string // a queue, or clusterstate.Group
 	Host      string
 	Path      string
-	Name      string
-	After     string
-	Limit     uint32
-	Body      []byte
+	Name      string // of a job
+	After     string // the last job of the page before; for KindList
+	Limit     uint32 // jobs on a page; for KindList
+	Body      []byte // a marshalled command; for KindClusterState
 	Deadline  eventloop.Micros
 }
 
-// ForwardAnnouncement is a worker's announce.
+// ForwardAnnouncement passes a worker's heartbeat on to the scheduler that holds the
+// worker's lease. The response's body holds the scheduler's orders.
 type ForwardAnnouncement struct {
 	RequestID uint64
 	Worker    string
@@ -44,21 +65,21 @@
 	Deadline  eventloop.Micros
 }
 
-// CheckReadiness asks whether this front can serve.
+// CheckReadiness asks whether the gateway accepts requests.
 type CheckReadiness struct{ RequestID uint64 }
 
-// ListGateways asks for all fronts this one knows.
+// ListGateways asks for the addresses of all gateways that are known to be alive.
 type ListGateways struct{ RequestID uint64 }
 
-// ForgetRequest says that nobody waits for a request any more.
+// ForgetRequest says that nobody waits for a response any more.
 type ForgetRequest struct{ RequestID uint64 }
 
-// StartDraining says that this process is to leave.
+// StartDraining makes the gateway report itself as not ready. It goes on serving.
 type StartDraining struct{}
 
-// Respond goes back to whoever waits.
+// Response is an HTTP response.
 type Response struct {
-	Code       int32
+	Code       int32 // HTTP status
 	Body       []byte
-	RetryAfter int // seconds, for 429 and 503
+	RetryAfter int // seconds; 0: none
 }
--- a/internal/gateway/removed_queues.go
+++ b/internal/gateway/removed_queues.go
@@ -1,6 +1,6 @@
 package gateway
 
-// Queues that the plan has dropped: what is under way for them.
+// Work that is pending for queues that were removed from the configuration.
 
 import (
 	"cmp"
@@ -11,8 +11,8 @@
 	"sparnotch/internal/eventloop"
 )
 
-// endRemovedQueues answers what is under way for queues that are there no more: nobody
-// leads them, so it would wait here in vain.
+// endRemovedQueues answers what is pending for queues that were removed: they have no
+// leader any more that would.
 func (g *Gateway) endRemovedQueues(now eventloop.Micros, effects eventloop.Effects) {
 	byName := func(a, b queueClient) int {
 		return cmp.Or(cmp.Compare(a.queue, b.queue), cmp.Compare(a.client, b.client))
@@ -28,16 +28,16 @@
 			continue
 		}
 		delete(g.requests, id)
-		if message.Kind == "cancel" {
+		if message.Kind == KindCancel {
 			effects.Respond(id, outcomeUnknown())
 			continue
 		}
-		g.handleUnknownQueue(now, id, message.Group, message, false, effects)
+		g.handleUnknownQueue(now, message.Group, message, false, effects)
 	}
 }
 
-// endSession forgets a session whose queue is over. Its numbers mean nothing any more,
-// and whether what it held was taken before isn't known.
+// endSession drops a session whose queue was removed. Whether its submissions were
+// applied before is unknown.
 func (g *Gateway) endSession(key queueClient, effects eventloop.Effects) {
 	s := g.sessions[key]
 	for _, pending := range s.unconfirmed {
@@ -48,6 +48,5 @@
 	}
 	g.unconfirmedCount -= len(s.unconfirmed)
 	g.unconfirmedByQueue[key.queue] -= len(s.unconfirmed)
-	delete(g.sessionsByID, s.queue+"/"+s.id.Client)
-	delete(g.sessions, key)
+	g.dropSession(key, s)
 }
--- /dev/null
+++ b/internal/gateway/removed_queues_test.go
@@ -0,0 +1,28 @@
+package gateway
+
+import (
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"sparnotch/internal/clusterstate"
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/schema"
+)
+
+func TestPendingWorkOfRemovedQueue(t *testing.T) {
+	Convey("What is pending for a removed queue is answered at once and released", t, func() {
+		h := newHarness()
+		id := h.submit("c", "one")
+		h.step(LeaderRequest{RequestID: 100, Kind: KindStatus, Group: "l", Name: "one", Deadline: h.now + 9*eventloop.Second})
+		h.step(LeaderRequest{RequestID: 101, Kind: KindCancel, Group: "l", Name: "one", Deadline: h.now + 9*eventloop.Second})
+		gone := &schema.ClusterState{Version: 2, Configuration: &schema.Configuration{Revision: 2}}
+		h.step(&schema.ClusterStateResponse{Version: 2, State: gone, Leaders: map[string]string{clusterstate.Group: "a"}})
+		// It may have been applied before.
+		So([]int32{h.responses[id].Code, h.responses[101].Code}, ShouldResemble, []int32{504, 504})
+		So(h.responses, ShouldNotContainKey, uint64(100))
+		h.confirmState(nil)
+		So(h.responses[100].Code, ShouldEqual, 404)
+		So([]int{h.gateway.unconfirmedCount, h.gateway.unconfirmedByQueue["l"], len(h.gateway.sessions), len(h.gateway.sessionsByID), len(h.gateway.submissionsByRequest)}, ShouldResemble, make([]int, 5))
+	})
+}
--- a/internal/gateway/replies_test.go
+++ b/internal/gateway/replies_test.go
@@ -11,18 +11,8 @@
 	"sparnotch/internal/schema"
 )
 
-// deliverOutcome is a leader's word on the submission that was sent last, for whatever
-// session the change makes of its own.
-func (h *harness) deliverOutcome(code int32, change func(session *schema.Session)) {
-	_, submit := h.lastSubmit()
-	sent := submit.Enqueues[len(submit.Enqueues)-1]
-	session := &schema.Session{Gateway: sent.Session.Gateway, Incarnation: sent.Session.Incarnation, Client: sent.Session.Client}
-	change(session)
-	h.step(&schema.SubmitResponse{Queue: "l", Leader: "a", Results: []*schema.SubmitResult{{Session: session, Number: sent.Number, Code: code, View: &schema.JobView{Name: "x"}}}})
-}
-
 func TestForeignOutcomes(t *testing.T) {
-	Convey("A submission isn't confirmed by word for another front, another life or another session", t, func() {
+	Convey("A submission isn't confirmed by outcomes of another gateway, incarnation or session", t, func() {
 		h := newHarness()
 		requestID := h.submit("c", "one")
 		for _, code := range []int32{201, 410} {
@@ -43,7 +33,7 @@
 
 func TestLateReplies(t *testing.T) {
 	handle := func(h *harness, number uint64) {
-		h.step(LeaderRequest{RequestID: number, Kind: "plan", Group: clusterstate.Group, Deadline: h.now + eventloop.Second})
+		h.step(LeaderRequest{RequestID: number, Kind: KindConfiguration, Group: clusterstate.Group, Deadline: h.now + eventloop.Second})
 	}
 	reply := func(h *harness, number uint64, body string) {
 		h.step(&schema.Response{Id: number, Code: 200, Body: []byte(body), Group: clusterstate.Group, Leader: "a"})
@@ -52,21 +42,21 @@
 		h := newHarness()
 		handle(h, 1)
 		handle(h, 2)
-		Convey("each gets its own answer, and the first of two", func() {
+		Convey("each gets its own response, and the first of duplicates", func() {
 			reply(h, 2, "two")
 			reply(h, 2, "two again")
 			reply(h, 1, "one")
 			So(string(h.responses[2].Body), ShouldEqual, "two")
 			So(string(h.responses[1].Body), ShouldEqual, "one")
 		})
-		Convey("the answer to one that nobody waits for any more goes to nobody", func() {
+		Convey("the response to a forgotten request is dropped", func() {
 			h.step(ForgetRequest{RequestID: 1})
 			reply(h, 1, "one")
 			So(h.responses, ShouldBeEmpty)
 			reply(h, 2, "two")
 			So(string(h.responses[2].Body), ShouldEqual, "two")
 		})
-		Convey("nor does one that comes after the time was over and that was said", func() {
+		Convey("so is a response that comes after the deadline", func() {
 			h.now += 2 * eventloop.Second
 			h.step(eventloop.Tick{})
 			So(h.responses[1].Code, ShouldBeIn, int32(503), int32(504))
@@ -79,12 +69,12 @@
 }
 
 func TestResendsKeepTheirNumber(t *testing.T) {
-	Convey("What a silent leader is sent again comes under the same number, and after its answer no more", t, func() {
+	Convey("What an unresponsive leader is sent again keeps its number, and ends with the response", t, func() {
 		h := newHarness()
 		document := []byte("a configuration")
-		h.step(LeaderRequest{RequestID: 900, Kind: "clusterstate", Group: clusterstate.Group, Body: document, Deadline: h.now + eventloop.Second})
+		h.step(LeaderRequest{RequestID: 900, Kind: KindClusterState, Group: clusterstate.Group, Body: document, Deadline: h.now + eventloop.Second})
 		submitted := h.submit("c", "one")
-		// arrivals counts what was sent since the last look, by number.
+		// arrivals counts what was sent since its last call, by number.
 		arrivals := func() (requests, submissions map[uint64]int) {
 			requests, submissions = map[uint64]int{}, map[uint64]int{}
 			for _, each := range h.sent {
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -1,48 +1,54 @@
 package gateway
 
-// Requests that another process answers: asked, asked again, answered once.
+// Requests that the leader of a group answers: forwarded, retried until a deadline, and
+// answered once.
 
 import (
-	"sort"
+	"maps"
+	"net/http"
+	"slices"
 
 	"sparnotch/internal/clusterstate"
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/schema"
 )
 
+// request is a forwarded request that has no response yet.
 type request struct {
 	message      LeaderRequest
 	sentAt       eventloop.Micros
-	sentTo       string
+	sentTo       string // empty: nobody, or one that has denied to be the leader
 	redirectedAt eventloop.Micros
-	isResendDue  bool
+	isResendDue  bool // at the next tick
 }
 
-// retryDelay is when a request that wasn't answered is sent again: not while it may
-// still be on its way over the slowest link, or each would hold up the next.
+// retryDelay is the time from sending to retrying. A large request isn't retried while
+// it may be in transit on the slowest link, or each retry would delay the next.
 func (r *request) retryDelay() eventloop.Micros {
 	return requestRetryDelay + eventloop.LinkTime(len(r.message.Body))
 }
 
+// handleRequest forwards a request. With isConfirmed, a queue that our copy of the
+// cluster state lacks doesn't exist.
 func (g *Gateway) handleRequest(now eventloop.Micros, m LeaderRequest, isConfirmed bool, effects eventloop.Effects) {
 	if len(g.requests) >= maxPending {
-		g.reject(m.RequestID, 429, "front_full", "this front has too much in hand", g.throughputOf("").nextRetryAfter(now), effects)
+		effects.Respond(m.RequestID, Overloaded(g.throughputOf(gatewayThroughput).nextRetryAfter(now)))
 		return
 	}
 	if !g.lease.isValid(now) {
-		// While the system is being founded an operator's call waits a little.
+		// While the cluster is being bootstrapped, operators' requests wait a moment.
 		if g.lease.confirmedAt > 0 || m.Group != clusterstate.Group {
 			g.rejectNotReady(now, m.RequestID, effects)
 			return
 		}
 		m.Deadline = min(m.Deadline, now+bootstrapRequestTimeout)
 	}
-	message := m
+	unrouted := m // routed anew when it is resumed
 	if m.Group == "" {
 		m.Group, m.Name, _ = g.values.MatchRoute(m.Host, m.Path)
 	}
 	if m.Group != clusterstate.Group && clusterstate.FindQueue(g.state, m.Group) == nil {
-		g.handleUnknownQueue(now, m.RequestID, m.Group, message, isConfirmed, effects)
+		g.handleUnknownQueue(now, m.Group, unrouted, isConfirmed, effects)
 		return
 	}
 	pending := &request{message: m}
@@ -53,78 +59,88 @@
 func (g *Gateway) sendRequest(now eventloop.Micros, pending *request, effects eventloop.Effects) {
 	m := pending.message
 	pending.sentAt, pending.sentTo = now, g.target(now, m.Group)
-	if to := pending.sentTo; to != "" {
-		effects.Send(to, &schema.Request{Id: m.RequestID, Kind: m.Kind, Group: m.Group, Name: m.Name, PageAfter: m.After, Limit: m.Limit, Body: m.Body})
+	if pending.sentTo == "" {
+		return
 	}
+	effects.Send(pending.sentTo, &schema.Request{
+		Id: m.RequestID, Kind: m.Kind, Group: m.Group, Name: m.Name, PageAfter: m.After, Limit: m.Limit, Body: m.Body,
+	})
 }
 
+// handleReply takes a response; one without a code is a redirect to the leader that it
+// names.
 func (g *Gateway) handleReply(now eventloop.Micros, m *schema.Response, effects eventloop.Effects) {
 	pending := g.requests[m.Id]
-	if pending == nil {
-		return
-	}
-	if m.Code != 0 && m.Id == g.confirmation.requestID {
+	switch {
+	case pending == nil:
+	case m.Code == 0:
+		g.redirectRequest(now, pending, m, effects)
+	case m.Id == g.confirmation.requestID:
 		g.finishConfirmation(now, m, effects)
-		return
+	default:
+		g.finishRequest(m, effects)
 	}
-	if m.Code != 0 {
-		delete(g.requests, m.Id)
-		if m.Leader != "" {
-			g.setLeader(m.Group, m.Leader)
-		}
-		body, err := clusterstate.Decompress(m.Body)
-		if err != nil {
-			effects.Respond(m.Id, outcomeUnknown())
-			return
-		}
-		response := Response{Code: m.Code, Body: body}
-		if m.Code >= 500 {
-			response.RetryAfter = 1
-		}
-		effects.Respond(m.Id, response)
+}
+
+func (g *Gateway) finishRequest(m *schema.Response, effects eventloop.Effects) {
+	delete(g.requests, m.Id)
+	if m.Leader != "" {
+		g.setLeader(m.Group, m.Leader)
+	}
+	body, err := clusterstate.Decompress(m.Body)
+	if err != nil {
+		effects.Respond(m.Id, outcomeUnknown())
 		return
 	}
-	if m.Leader != pending.sentTo && g.isPlausibleLeader(now, m.Leader) {
-		g.setLeader(m.Group, m.Leader)
-		if pending.isResendDue = now-pending.redirectedAt <= minRedirectInterval; !pending.isResendDue {
-			pending.redirectedAt = now
-			g.sendRequest(now, pending, effects)
-		}
+	response := Response{Code: m.Code, Body: body}
+	if m.Code >= http.StatusInternalServerError {
+		response.RetryAfter = 1
+	}
+	effects.Respond(m.Id, response)
+}
+
+func (g *Gateway) redirectRequest(now eventloop.Micros, pending *request, m *schema.Response, effects eventloop.Effects) {
+	if m.Leader == pending.sentTo || !g.isPlausibleLeader(now, m.Leader) {
+		// The node that denied may come to lead: then it is sent there again.
+		pending.sentTo = ""
+		g.clearLeader(now, m.Group)
 		return
 	}
-	// Whoever said so may come to lead: then it is asked again.
-	pending.sentTo = ""
-	g.clearLeader(now, m.Group)
+	g.setLeader(m.Group, m.Leader)
+	pending.isResendDue = now-pending.redirectedAt <= minRedirectInterval
+	if !pending.isResendDue {
+		pending.redirectedAt = now
+		g.sendRequest(now, pending, effects)
+	}
 }
 
 func (g *Gateway) forgetRequest(id uint64) {
 	delete(g.requests, id)
 	delete(g.announcements, id)
 	if pending := g.submissionsByRequest[id]; pending != nil {
-		// The submission itself has a number and goes on being resent: a gap
-		// would hold up all that comes after it.
+		// The submission itself is numbered and goes on being resent: a gap would
+		// hold up all later ones of its session.
 		pending.requestID = 0
 		delete(g.submissionsByRequest, id)
 	}
 }
 
+// retryRequests fails requests past their deadline, and sends those again whose
+// response is overdue or that are to be redirected.
 func (g *Gateway) retryRequests(now eventloop.Micros, effects eventloop.Effects) {
-	var ids []uint64
-	for id, pending := range g.requests {
-		if now-pending.sentAt > pending.retryDelay() || pending.isResendDue || now > pending.message.Deadline {
-			ids = append(ids, id)
-		}
-	}
-	sort.Slice(ids, func(a, b int) bool { return ids[a] < ids[b] })
-	for _, id := range ids {
+	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
 		pending := g.requests[id]
-		if now > pending.message.Deadline {
+		isOverdue := now-pending.sentAt > pending.retryDelay()
+		switch {
+		case now > pending.message.Deadline:
 			delete(g.requests, id)
 			effects.Respond(id, outcomeUnknown())
 			continue
-		}
-		if !pending.isResendDue {
-			g.clearLeader(now, pending.message.Group)
+		case pending.isResendDue:
+		case isOverdue:
+			g.clearLeader(now, pending.message.Group) // it may be gone
+		default:
+			continue
 		}
 		pending.isResendDue = false
 		g.sendRequest(now, pending, effects)
--- a/internal/gateway/state_lease.go
+++ b/internal/gateway/state_lease.go
@@ -3,25 +3,25 @@
 import "sparnotch/internal/eventloop"
 
 const (
-	// defaultApplyBound is when a new plan is in force everywhere, where the deployment
-	// doesn't say.
+	// defaultApplyBound is the deadline for a new configuration to be in force on
+	// each gateway, where the deployment gives none.
 	defaultApplyBound = 2 * eventloop.Second
-	// Three quarters of that bound are the lease; the rest is for what the state lags
-	// behind when a follower tells of it, and for the way of the answer.
+	// The lease lasts three quarters of that bound. The rest is for the lag of the
+	// follower that answers a query, and for the response's way.
 	leaseNumerator, leaseDenominator = 3, 4
-	queriesPerLease                  = 6  // a front asks at least so often while its lease lasts
-	maxTrackedQueries                = 32 // answers to older ones count no more
+	queriesPerLease                  = 6  // at least
+	maxTrackedQueries                = 32 // responses to older ones renew nothing
 )
 
-// stateLease says how long this front may answer from its copy of the cluster state.
-// It runs from when the question was sent, less the age that the answer tells, so an
-// answer that lay in a buffer, ours while we were frozen or the wire's while we were
-// cut off, is as old as it is.
+// stateLease is the read lease on the gateway's copy of the cluster state: it says how
+// long the copy may be served (a bounded-staleness read). It runs from when the query
+// was sent, less the age that the response states, so a response that was delayed, in
+// a buffer of ours or by the network, is worth no more than it was.
 type stateLease struct {
-	applyBound  eventloop.Micros // a plan is in force everywhere so long after it was taken
-	confirmedAt eventloop.Micros // our copy held all that was committed then; 0: never known
-	lastQueryID uint64           // of the newest question
-	queries     []stateQuery     // the newest last
+	applyBound  eventloop.Micros // after a configuration is committed, until it must be in force
+	confirmedAt eventloop.Micros // the copy held all that was committed by then; 0: never
+	lastQueryID uint64
+	queries     []stateQuery // the newest last
 }
 
 type stateQuery struct {
@@ -29,7 +29,7 @@
 	sentAt eventloop.Micros
 }
 
-// newStateLease numbers questions above those of the process's former lives.
+// newStateLease numbers queries above those of the process's former incarnations.
 func newStateLease(incarnation uint64) stateLease {
 	return stateLease{applyBound: defaultApplyBound, lastQueryID: incarnation << 32}
 }
@@ -38,23 +38,24 @@
 	return l.applyBound * leaseNumerator / leaseDenominator
 }
 
-// isValid tells whether the copy may be answered from.
+// isValid says whether the copy may be served.
 func (l *stateLease) isValid(now eventloop.Micros) bool {
 	return l.confirmedAt > 0 && now-l.confirmedAt <= l.duration()
 }
 
-// needsRenewal tells whether it is time to look for word wherever there may be some.
+// needsRenewal says whether half of the lease is over, so that several storage nodes
+// are to be polled.
 func (l *stateLease) needsRenewal(now eventloop.Micros) bool {
 	return l.confirmedAt == 0 || now-l.confirmedAt > l.duration()/2
 }
 
-// isExpired tells whether requests in hand are given up: a short while after the lease,
-// so that a late answer doesn't cost them.
+// isExpired says whether pending requests are to be failed: a while after the lease has
+// ended, so that a late response doesn't cost them.
 func (l *stateLease) isExpired(now eventloop.Micros) bool {
 	return l.confirmedAt == 0 || now-l.confirmedAt > l.applyBound
 }
 
-// newQuery numbers a question that is sent now.
+// newQuery returns the number of a query that is sent now.
 func (l *stateLease) newQuery(now eventloop.Micros) uint64 {
 	l.lastQueryID++
 	l.queries = append(l.queries, stateQuery{l.lastQueryID, now})
@@ -64,8 +65,8 @@
 	return l.lastQueryID
 }
 
-// renew takes the answer to a question: what it tells was all that was committed
-// so long before it was sent.
+// renew takes the response to a query: it held all that was committed that long before
+// the query was sent.
 func (l *stateLease) renew(queryID uint64, age eventloop.Micros) {
 	for _, query := range l.queries {
 		if query.id == queryID {
--- a/internal/gateway/submissions.go
+++ b/internal/gateway/submissions.go
@@ -1,11 +1,10 @@
 package gateway
 
-// Hand-ins: numbered in their client's session, sent until they are confirmed.
+// Job submissions: numbered in their client's session, and resent until confirmed.
 
 import (
 	"encoding/json"
-	"maps"
-	"slices"
+	"net/http"
 	"sort"
 	"strconv"
 
@@ -16,42 +15,28 @@
 	"sparnotch/internal/schema"
 )
 
+// submission is a job that its queue hasn't confirmed yet.
 type submission struct {
 	enqueue   *schema.Enqueue
-	requestID uint64
+	requestID uint64 // of the client that waits; 0: none does any more
 	sentAt    eventloop.Micros
 	sentTo    string
 }
 
-type session struct {
-	queue       string
-	id          *schema.Session
-	nextNumber  uint64
-	unconfirmed []*submission // unconfirmed, by number
-	lastUsed    eventloop.Micros
-}
-
-func (s *session) lowestUnconfirmed() uint64 {
-	if len(s.unconfirmed) > 0 {
-		return s.unconfirmed[0].enqueue.Number
-	}
-	return s.nextNumber
-}
-
-type queueClient struct{ queue, client string }
-
+// handleSubmit accepts a job or rejects it. With isConfirmed, a queue that our copy of
+// the cluster state lacks doesn't exist. A rejection is final, and so comes before the
+// job has a number.
 func (g *Gateway) handleSubmit(now eventloop.Micros, m SubmitJob, isConfirmed bool, effects eventloop.Effects) {
-	// What is parked must be looked up anew, so the mail stays as it came.
-	message := m
+	unrouted := m // routed anew when it is resumed
 	if m.Queue == "" {
 		m.Queue, m.Name, _ = g.values.MatchRoute(m.Host, m.Path)
 	}
 	if !g.values.HasQueue(m.Queue) || clusterstate.FindQueue(g.state, m.Queue) == nil {
-		g.handleUnknownQueue(now, m.RequestID, m.Queue, message, isConfirmed, effects)
+		g.handleUnknownQueue(now, m.Queue, unrouted, isConfirmed, effects)
 		return
 	}
 	if !IsValidName(m.Name) {
-		effects.Respond(m.RequestID, Response{Code: 422, Body: FaultBody("bad_name", "letters, digits, '.', '_', ':' and '-', at most 128", "name")})
+		effects.Respond(m.RequestID, Unprocessable(&schema.Error{Code: codeBadName, Message: NameRule, Field: "name"}))
 		return
 	}
 	if !g.lease.isValid(now) {
@@ -59,51 +44,32 @@
 		return
 	}
 	if fault := exceedsLargestWorker(g.values, m.Queue, m.Job); fault != nil {
-		data, _ := json.Marshal(fault)
-		effects.Respond(m.RequestID, Response{Code: 422, Body: data})
+		effects.Respond(m.RequestID, Unprocessable(fault))
 		return
 	}
 	if !g.canCommit(now, m.Queue) {
-		g.reject(m.RequestID, 503, "not_ready", "too many stores take no writes at the moment", 1, effects)
+		g.rejectUnavailable(m.RequestID, "too many stores take no writes at the moment", effects)
 		return
 	}
 	if g.isLeaderless(now, m.Queue) {
-		g.reject(m.RequestID, 503, "not_ready", "nobody is known to lead the queue at the moment", 1, effects)
+		g.rejectUnavailable(m.RequestID, "nobody is known to lead the queue at the moment", effects)
 		return
 	}
-	// Turning away is final, so it happens before the submission has a number.
-	s := g.sessions[queueClient{m.Queue, m.Client}]
-	window := int(g.values.Fleet("window"))
-	status := g.queueStatus[m.Queue]
-	switch {
-	case g.unconfirmedCount >= maxPending:
-		g.rejectOverloaded(now, m, "front_full", "this front has too much in hand", "", effects)
+	key := queueClient{m.Queue, m.Client}
+	if reason := g.overloadOf(m.Queue, g.sessions[key]); reason != nil {
+		g.rejectOverloaded(now, m.RequestID, reason, effects)
 		return
-	case s != nil && len(s.unconfirmed) >= window:
-		g.rejectOverloaded(now, m, "window_full", "this client has too many hand-ins unconfirmed", m.Queue, effects)
-		return
-	case g.unconfirmedByQueue[m.Queue] >= maxPending/2:
-		g.rejectOverloaded(now, m, "queue_full", "the queue has too many hand-ins unconfirmed", m.Queue, effects)
-		return
-	case status != nil && status.StorageExhausted:
-		g.rejectOverloaded(now, m, "store_full", "the stores keep the room they have for the work they hold", "live/"+m.Queue, effects)
-		return
-	case status != nil && int64(status.LiveJobs) >= g.values.Fleet("live_jobs"):
-		g.rejectOverloaded(now, m, "queue_full", "the queue has as many live jobs as the plan allows", "live/"+m.Queue, effects)
-		return
-	}
-	if s == nil {
-		g.lastSession++
-		s = &session{
-			queue: m.Queue, nextNumber: 1,
-			id: &schema.Session{Gateway: g.id, Incarnation: g.incarnation, Client: m.Client + "~" + strconv.FormatUint(g.lastSession, 10)},
-		}
-		g.sessions[queueClient{m.Queue, m.Client}] = s
-		g.sessionsByID[s.queue+"/"+s.id.Client] = s
 	}
+	g.enqueue(now, g.openSession(key), m, effects)
+}
+
+// enqueue numbers a job in its session and sends it.
+func (g *Gateway) enqueue(now eventloop.Micros, s *session, m SubmitJob, effects eventloop.Effects) {
 	pending := &submission{
 		requestID: m.RequestID,
-		enqueue:   &schema.Enqueue{Session: s.id, Number: s.nextNumber, Name: m.Name, Digest: m.Digest, Job: applyDefaultAttempts(g.values, m.Queue, m.Job)},
+		enqueue: &schema.Enqueue{
+			Session: s.id, Number: s.nextNumber, Name: m.Name, Digest: m.Digest, Job: applyDefaultAttempts(g.values, m.Queue, m.Job),
+		},
 	}
 	s.nextNumber++
 	s.lastUsed = now
@@ -114,34 +80,9 @@
 	g.sendSubmissions(now, s.queue, []*submission{pending}, effects)
 }
 
-// failPending answers at once, when this front has lost touch, all that it can't
-// carry any more. What was handed in has its number and goes on being resent,
-// so whether it takes effect is unknown.
-func (g *Gateway) failPending(now eventloop.Micros, effects eventloop.Effects) {
-	for _, id := range slices.Sorted(maps.Keys(g.submissionsByRequest)) {
-		g.submissionsByRequest[id].requestID = 0
-		delete(g.submissionsByRequest, id)
-		effects.Respond(id, outcomeUnknown())
-	}
-	g.failConfirmation(now, effects)
-	for _, id := range slices.Sorted(maps.Keys(g.announcements)) {
-		g.rejectNotReady(now, id, effects)
-		delete(g.announcements, id)
-	}
-	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
-		switch g.requests[id].message.Kind {
-		case "cancel", "clusterstate":
-			effects.Respond(id, outcomeUnknown())
-		default:
-			g.rejectNotReady(now, id, effects)
-		}
-		delete(g.requests, id)
-	}
-}
-
-// applyDefaultAttempts states what the queue allows where a step states nothing. The
-// digest is of what the caller gave, so a resend is the same job whatever the
-// plan has become.
+// applyDefaultAttempts sets the queue's number of attempts where a step states none. The
+// digest is of the job as the client gave it, so a resend is recognised whatever the
+// configuration has become.
 func applyDefaultAttempts(values *clusterstate.Values, queue string, job *schema.Job) *schema.Job {
 	attempts := values.Number("queue", queue, "attempts")
 	if !values.IsSet("queue", queue, "attempts") || attempts <= 1 {
@@ -156,8 +97,9 @@
 	return job
 }
 
-// exceedsLargestWorker finds a task that no worker of the plan could ever hold. Of a pool's
-// workers the plan says nothing: the scheduler sees what they are.
+// exceedsLargestWorker finds a task that fits on no worker of the configuration; nil:
+// none. The workers of a pool aren't configured, so for a queue with one the scheduler
+// decides.
 func exceedsLargestWorker(values *clusterstate.Values, queue string, job *schema.Job) *schema.Error {
 	if values.Text("queue", queue, "pool") != "" {
 		return nil
@@ -166,24 +108,32 @@
 	for k, step := range job.Steps {
 		field := "steps[" + strconv.Itoa(k) + "]."
 		if step.CoresMilli > cores {
-			return &schema.Error{Code: "never_fits", Field: field + "cores_milli", Message: "no worker has more than " + strconv.FormatInt(cores, 10) + " thousandths of a core (worker_cores_milli)"}
+			return &schema.Error{
+				Code: codeNeverFits, Field: field + "cores_milli",
+				Message: "no worker has more than " + strconv.FormatInt(cores, 10) + " thousandths of a core (worker_cores_milli)",
+			}
 		}
 		if step.MemoryMb > memory {
-			return &schema.Error{Code: "never_fits", Field: field + "memory_mb", Message: "no worker has more than " + strconv.FormatInt(memory, 10) + " megabytes (worker_memory_mb)"}
+			return &schema.Error{
+				Code: codeNeverFits, Field: field + "memory_mb",
+				Message: "no worker has more than " + strconv.FormatInt(memory, 10) + " megabytes (worker_memory_mb)",
+			}
 		}
 	}
 	return nil
 }
 
+// sendSubmissions sends submissions of one queue to its leader in one message.
 func (g *Gateway) sendSubmissions(now eventloop.Micros, queue string, submissions []*submission, effects eventloop.Effects) {
 	to := g.target(now, queue)
 	m := &schema.SubmitRequest{Queue: queue}
 	for _, pending := range submissions {
 		pending.sentAt, pending.sentTo = now, to
-		s := g.sessionsByID[queue+"/"+pending.enqueue.Session.Client]
 		enqueue := pending.enqueue
+		s := g.sessionsByID[sessionKey(queue, enqueue.Session.Client)]
 		m.Enqueues = append(m.Enqueues, &schema.Enqueue{
-			Session: enqueue.Session, Number: enqueue.Number, Name: enqueue.Name, Digest: enqueue.Digest, Job: enqueue.Job, LowestUnconfirmed: s.lowestUnconfirmed(),
+			Session: enqueue.Session, Number: enqueue.Number, Name: enqueue.Name, Digest: enqueue.Digest, Job: enqueue.Job,
+			LowestUnconfirmed: s.lowestUnconfirmed(),
 		})
 	}
 	if to != "" {
@@ -191,65 +141,128 @@
 	}
 }
 
+// sendDueRedirects sends queues' submissions to leaders that became known since.
+func (g *Gateway) sendDueRedirects(now eventloop.Micros, effects eventloop.Effects) {
+	for _, queue := range sortedKeys(g.redirectDue) {
+		delete(g.redirectDue, queue)
+		g.redirectedAt[queue] = now
+		if submissions := g.misrouted(queue); len(submissions) > 0 {
+			g.sendSubmissions(now, queue, submissions, effects)
+		}
+	}
+}
+
+// resendOverdue sends submissions again that weren't confirmed in time. Their leader may
+// be gone, so they go to whichever node may know a new one.
+func (g *Gateway) resendOverdue(now eventloop.Micros, effects eventloop.Effects) {
+	queues := map[string]bool{}
+	for key, s := range g.sessions {
+		if len(s.unconfirmed) > 0 {
+			queues[key.queue] = true
+		}
+	}
+	isOverdue := func(pending *submission) bool { return now-pending.sentAt >= resendInterval }
+	for _, queue := range sortedKeys(queues) {
+		if submissions := g.selectUnconfirmed(queue, isOverdue); len(submissions) > 0 {
+			g.clearLeader(now, queue)
+			g.sendSubmissions(now, queue, submissions, effects)
+		}
+	}
+}
+
+// misrouted returns a queue's submissions that were last sent to another node than the
+// one believed to lead it now, or to that one before it came to lead.
+func (g *Gateway) misrouted(queue string) []*submission {
+	leader := g.leaders[queue]
+	deniedAt, wasDenied := g.leadershipDeniedAt[queueNode{queue, leader}]
+	return g.selectUnconfirmed(queue, func(pending *submission) bool {
+		return pending.sentTo != leader || wasDenied && pending.sentAt < deniedAt
+	})
+}
+
+// selectUnconfirmed returns a batch of a queue's unconfirmed submissions, ordered by
+// client and number.
+func (g *Gateway) selectUnconfirmed(queue string, isWanted func(*submission) bool) []*submission {
+	var clients []string
+	for key, s := range g.sessions {
+		if key.queue == queue && len(s.unconfirmed) > 0 {
+			clients = append(clients, key.client)
+		}
+	}
+	sort.Strings(clients)
+	var selected []*submission
+	for _, client := range clients {
+		for _, pending := range g.sessions[queueClient{queue, client}].unconfirmed {
+			if len(selected) < maxResendBatch && isWanted(pending) {
+				selected = append(selected, pending)
+			}
+		}
+	}
+	return selected
+}
+
+// handleApplied takes the outcomes of submissions from a queue's leader. A response
+// without outcomes is a redirect to the leader that it names, if it names one.
 func (g *Gateway) handleApplied(now eventloop.Micros, from string, m *schema.SubmitResponse, effects eventloop.Effects) {
-	if len(m.Results) == 0 && from != "" && m.Leader != from {
+	if len(m.Results) == 0 {
+		g.redirectSubmissions(now, from, m, effects)
+		return
+	}
+	g.setLeader(m.Queue, m.Leader)
+	var lost []*submission
+	for _, outcome := range m.Results {
+		lost = append(lost, g.handleOutcome(now, m.Queue, outcome, effects)...)
+	}
+	if len(lost) > 0 {
+		g.sendSubmissions(now, m.Queue, lost, effects)
+	}
+}
+
+func (g *Gateway) redirectSubmissions(now eventloop.Micros, from string, m *schema.SubmitResponse, effects eventloop.Effects) {
+	if from != "" && m.Leader != from {
 		g.leadershipDeniedAt[queueNode{m.Queue, from}] = now
 	}
-	if len(m.Results) > 0 || g.isPlausibleLeader(now, m.Leader) {
-		g.setLeader(m.Queue, m.Leader)
-	} else if len(m.Results) == 0 {
-		// It leads no more and knows nobody: ask around.
+	if !g.isPlausibleLeader(now, m.Leader) {
 		g.clearLeader(now, m.Queue)
+		return
 	}
-	var resend []*submission
-	for _, outcome := range m.Results {
-		resend = append(resend, g.handleOutcome(now, m.Queue, outcome, effects)...)
-	}
-	if len(m.Results) == 0 && g.leaders[m.Queue] != "" {
-		// Two that each name the other, as happens while a leader is being
-		// elected, must not have everything thrown to and fro between them.
-		if now-g.redirectedAt[m.Queue] > minRedirectInterval {
-			g.redirectedAt[m.Queue] = now
-			resend = g.misrouted(m.Queue)
-		} else {
-			g.redirectDue[m.Queue] = true
-		}
+	g.setLeader(m.Queue, m.Leader)
+	// While a leader is being elected, two nodes may name each other: the interval
+	// keeps submissions from looping between them.
+	if now-g.redirectedAt[m.Queue] <= minRedirectInterval {
+		g.redirectDue[m.Queue] = true
+		return
 	}
-	if len(resend) > 0 {
-		g.sendSubmissions(now, m.Queue, resend, effects)
+	g.redirectedAt[m.Queue] = now
+	if submissions := g.misrouted(m.Queue); len(submissions) > 0 {
+		g.sendSubmissions(now, m.Queue, submissions, effects)
 	}
 }
 
-// handleOutcome settles one submission, and returns those below it that must have
-// been lost on the way.
+// handleOutcome confirms one submission, and returns those of its session to be resent.
 func (g *Gateway) handleOutcome(now eventloop.Micros, queue string, outcome *schema.SubmitResult, effects eventloop.Effects) []*submission {
-	// Starts and numbers are alike on many fronts: the id is what tells whose a
-	// submission is.
+	// Sessions and numbers of other gateways may be equal to ours.
 	if outcome.Session == nil || outcome.Session.Gateway != g.id || outcome.Session.Incarnation != g.incarnation {
 		return nil
 	}
-	s := g.sessionsByID[queue+"/"+outcome.Session.Client]
+	s := g.sessionsByID[sessionKey(queue, outcome.Session.Client)]
 	if s == nil {
 		return nil
 	}
-	index := sort.Search(len(s.unconfirmed), func(k int) bool { return s.unconfirmed[k].enqueue.Number >= outcome.Number })
-	if index == len(s.unconfirmed) || s.unconfirmed[index].enqueue.Number != outcome.Number {
+	confirmed, lost := s.confirm(outcome.Number)
+	if confirmed == nil {
 		return nil
 	}
-	confirmed := s.unconfirmed[index]
-	lost := append([]*submission(nil), s.unconfirmed[:index]...)
-	s.unconfirmed = append(s.unconfirmed[:index:index], s.unconfirmed[index+1:]...)
 	g.unconfirmedCount--
 	g.unconfirmedByQueue[queue]--
-	g.throughputOf("").done++
+	g.throughputOf(gatewayThroughput).done++
 	g.throughputOf(queue).done++
 	if confirmed.requestID != 0 {
 		delete(g.submissionsByRequest, confirmed.requestID)
 		effects.Respond(confirmed.requestID, outcomeResponse(outcome))
 	}
-	if outcome.Code == 410 {
-		// This front had been given up as dead. Its numbers mean nothing any
-		// more; what isn't confirmed is unknown, and callers resend.
+	if outcome.Code == http.StatusGone {
+		// The queue had declared this gateway dead and forgotten its sessions.
 		g.restartSessions(now, effects)
 		return nil
 	}
@@ -268,71 +281,3 @@
 	}
 	return Response{Code: outcome.Code, Body: body}
 }
-
-func outcomeUnknown() Response {
-	return Response{Code: 504, Body: FaultBody("unknown", "whether this took effect is not known: send it again under the same name", ""), RetryAfter: 1}
-}
-
-// selectUnconfirmed lists a queue's submissions that are to be sent again, as many as
-// one pass may send.
-func (g *Gateway) selectUnconfirmed(queue string, isWanted func(*submission) bool) []*submission {
-	var clients []string
-	for key, s := range g.sessions {
-		if key.queue == queue && len(s.unconfirmed) > 0 {
-			clients = append(clients, key.client)
-		}
-	}
-	sort.Strings(clients)
-	var selected []*submission
-	for _, client := range clients {
-		for _, pending := range g.sessions[queueClient{queue, client}].unconfirmed {
-			if len(selected) < maxResendBatch && isWanted(pending) {
-				selected = append(selected, pending)
-			}
-		}
-	}
-	return selected
-}
-
-// restartSessions gives up every session: whatever they hold is unknown.
-func (g *Gateway) restartSessions(now eventloop.Micros, effects eventloop.Effects) {
-	queues := map[string]bool{}
-	for _, s := range g.sessions {
-		queues[s.queue] = true
-		for _, pending := range s.unconfirmed {
-			if pending.requestID != 0 {
-				effects.Respond(pending.requestID, outcomeUnknown())
-			}
-		}
-	}
-	for _, queue := range sortedKeys(queues) {
-		effects.Send(g.target(now, queue), &schema.EndSessionsRequest{Queue: queue, Gateways: []*schema.ExpiredGateway{{Gateway: g.id, Incarnation: g.incarnation}}})
-	}
-	g.sessions, g.sessionsByID, g.unconfirmedCount = map[queueClient]*session{}, map[string]*session{}, 0
-	g.unconfirmedByQueue, g.submissionsByRequest = map[string]int{}, map[uint64]*submission{}
-	g.incarnation += 1 << 32
-}
-
-// endIdleSessions ends sessions of clients that rest, by our own word, so that the
-// queue doesn't hold them for ever.
-func (g *Gateway) endIdleSessions(now eventloop.Micros, effects eventloop.Effects) {
-	for key, s := range g.sessions {
-		if len(s.unconfirmed) == 0 && now-s.lastUsed > sessionIdleTimeout {
-			delete(g.sessions, key)
-			delete(g.sessionsByID, s.queue+"/"+s.id.Client)
-			g.endedSessions[key.queue] = append(g.endedSessions[key.queue], s.id)
-		}
-	}
-	queues := map[string]bool{}
-	for queue, sessions := range g.endedSessions {
-		if len(sessions) >= maxEndedSessions || now%(10*eventloop.Second) < TickInterval {
-			queues[queue] = true
-		}
-	}
-	for _, queue := range sortedKeys(queues) {
-		sessions := g.endedSessions[queue]
-		delete(g.endedSessions, queue)
-		sort.Slice(sessions, func(a, b int) bool { return sessions[a].Client < sessions[b].Client })
-		effects.Send(g.target(now, queue), &schema.EndSessionsRequest{Queue: queue, Sessions: sessions})
-	}
-}
--- a/internal/mutation/partition_mutants.go
+++ b/internal/mutation/partition_mutants.go
@@ -36,7 +36,7 @@
 		{Guard: "what waits for a dropped queue is answered at once", Rule: 12, Test: "internal/gateway TestPendingWorkOfRemovedQueue", Edits: []Edit{{"internal/gateway",
 			"		g.endRemovedQueues(now, effects)\n", ""}}},
 		{Guard: "a front without word asks every store in turn", Rule: 12, Test: "internal/gateway TestStateLease", Edits: []Edit{{"internal/gateway",
-			"	if g.lease.needsRenewal(now) {\n		for _, id", "	if false {\n		for _, id"}}},
+			"	case g.lease.needsRenewal(now):\n		for _, id", "	case false:\n		for _, id"}}},
 		{Guard: "who isn't told whether it took effect is told when to come back", Rule: 12, Test: "platform TestOperatorCalls", Edits: []Edit{{"platform",
 			"response.Code == 503 || response.Code == 504 {", "response.Code == 503 {"}}},
 		{Guard: "a worker that hears nothing counts as silent", Rule: 1, Test: "internal/scheduler TestUnansweredWorkerIsUnresponsive", Edits: []Edit{{"internal/scheduler",
--- a/internal/mutation/replication_mutants.go
+++ b/internal/mutation/replication_mutants.go
@@ -36,7 +36,7 @@
 		{Guard: "a life never goes back to an older copy", Test: "internal/gateway TestClusterStateUpdates",
 			Edits: []Edit{{"internal/gateway", "	if state != nil && state.Version >= g.state.Version {\n", "	if state != nil {\n"}}},
 		{Guard: "a large request isn't sent again while it may be on its way", Test: "internal/gateway TestLargeRequestRetryDelay",
-			Edits: []Edit{{"internal/gateway", "now-pending.sentAt > pending.retryDelay() ||", "now-pending.sentAt > requestRetryDelay ||"}}},
+			Edits: []Edit{{"internal/gateway", "isOverdue := now-pending.sentAt > pending.retryDelay()", "isOverdue := now-pending.sentAt > requestRetryDelay"}}},
 		{Guard: "a slot is synced before its log is written", Test: "internal/storage TestInterruptedSnapshotInstall",
 			Edits: []Edit{{"internal/storage", "	if err := s.disk.Sync(slotName(next)); err != nil {\n		return err\n	}\n", ""}}},
 		{Guard: "a known store is asked where seeds are gone", Test: "internal/membership TestWhoIsNewWithoutSeeds",
