--- a/internal/process/components.go
+++ b/internal/process/components.go
@@ -1,5 +1,14 @@
-// Package process owns which tables a process is made of and where each message
-// goes, for real processes and simulated ones alike.
+// Package process assembles a node of the cluster from its components: which it has,
+// and which of them each message goes to.
+//
+// There are two kinds of nodes, by their role: ROLE_SERVER is a gateway node, and with a
+// data directory a storage node too; ROLE_CONTROLLER is an agent node, which runs beside
+// a worker and competes for the controller's duties. ServerComponents and
+// ControllerComponents make their components; the simulator runs these on a simulated
+// clock, network and disk.
+//
+// Node runs them in a real process. It owns the process's transport, its store and the
+// goroutines; each component owns its own state and is driven by eventloop.Process.
 package process
 
 import (
@@ -19,29 +28,48 @@
 	"sparnotch/internal/storage"
 )
 
-// ComponentSlot is one table of a process and its pace.
+// Names of components.
+const (
+	AgentComponent        = "agent"
+	ControllerComponent   = "controller"
+	GatewayComponent      = "gateway"
+	MembershipComponent   = "membership"
+	ReplicaComponent      = "replica"
+	SchedulerComponent    = "scheduler"
+	StorageComponent      = "storage" // writes batches; a Node's or the simulator's
+	WorkerCallerComponent = "caller"  // calls the worker; likewise
+)
+
+// Streams of random numbers: each component that needs one has its own.
+const (
+	membershipStream = 1
+	gatewayStream    = 2
+)
+
+// ComponentSlot is a component of a process.
 type ComponentSlot struct {
 	Name         string
 	Component    eventloop.Component
-	TickInterval eventloop.Micros
+	TickInterval eventloop.Micros // 0: no ticks
 }
 
-// Config are what a process starts with.
+// Config is what the components of a process start with.
 type Config struct {
-	Member                       *schema.Member
-	Seeds                        []string
-	Bootstrap                    bool              // the whole system starts for the first time
-	DiskBytes                    int64             // that the data folder may hold; 0: not told
-	MachineFailures              uint32            // stores that may be lost at once; 0: one
-	ZoneFailures, RegionFailures uint32            // that may be lost whole
-	RegionByZone                 map[string]string // of each zone
-	Storage                      *storage.State    // nil without a data folder
-	AddressBook                  *membership.AddressBook
-	WallClock                    func() int64
-	RandomSeed                   uint64
-	Now                          eventloop.Micros
-	Bounds                       *schema.Bounds
-	CallsWorker                  bool // a side process that calls the worker on its machine: there is a "caller"
+	Member          *schema.Member
+	Seeds           []string // internal addresses, IP:PORT
+	Bootstrap       bool     // the whole system starts for the first time
+	DiskBytes       int64    // that the data directory may hold; 0: unlimited
+	MachineFailures uint32   // at once, that must be tolerated; 0: one
+	ZoneFailures    uint32   // of whole zones, likewise
+	RegionFailures  uint32   // of whole regions, likewise
+	RegionByZone    map[string]string
+	Storage         *storage.State // nil without a data directory
+	AddressBook     *membership.AddressBook
+	WallClock       func() int64 // microseconds since 1970
+	RandomSeed      uint64
+	Now             eventloop.Micros
+	Bounds          *schema.Bounds
+	CallsWorker     bool // of an agent node: it has a WorkerCallerComponent
 }
 
 func (c *Config) newRand(stream uint64) *rand.Rand {
@@ -50,65 +78,90 @@
 
 func (c *Config) membershipConfig(isAgentNode bool) membership.Config {
 	return membership.Config{
-		Seeds: c.Seeds, Bootstrap: c.Bootstrap, MachineFailures: c.MachineFailures, IsAgentNode: isAgentNode, ZoneFailures: c.ZoneFailures, RegionFailures: c.RegionFailures, RegionByZone: c.RegionByZone,
+		Seeds: c.Seeds, Bootstrap: c.Bootstrap, IsAgentNode: isAgentNode,
+		MachineFailures: c.MachineFailures, ZoneFailures: c.ZoneFailures, RegionFailures: c.RegionFailures,
+		RegionByZone: c.RegionByZone,
 	}
 }
 
-// ServerComponents makes a front process's tables.
+// newMembership makes the membership component, which notifies the readers of each new
+// view.
+func (c *Config) newMembership(isAgentNode bool, identity *schema.StoreIdentity, readers []string) ComponentSlot {
+	member := proto.Clone(c.Member).(*schema.Member)
+	component := membership.New(member, c.membershipConfig(isAgentNode), identity, c.AddressBook, readers, c.newRand(membershipStream))
+	return ComponentSlot{MembershipComponent, component, membership.TickInterval}
+}
+
+// ServerComponents makes the components of a gateway node, and with Storage those of a
+// storage node. It panics with replica.Unreadable where the storage holds what can't be
+// decoded.
 func ServerComponents(cfg *Config) []ComponentSlot {
+	hasStorage := cfg.Storage != nil
 	var identity *schema.StoreIdentity
-	readers := []string{"gateway"}
-	if cfg.Storage != nil {
+	readers := []string{GatewayComponent}
+	if hasStorage {
 		identity = cfg.Storage.Identity
-		readers = append(readers, "replica")
+		readers = append(readers, ReplicaComponent)
 	}
-	member := cfg.Member
+	id := cfg.Member.Id
+	gatewayComponent := gateway.New(id, cfg.Member.Incarnation, hasStorage, cfg.newRand(gatewayStream)).WithBounds(cfg.Bounds)
 	slots := []ComponentSlot{
-		{"membership", membership.New(proto.Clone(member).(*schema.Member), cfg.membershipConfig(false), identity, cfg.AddressBook, readers, cfg.newRand(1)), membership.TickInterval},
-		{"gateway", gateway.New(member.Id, member.Incarnation, cfg.Storage != nil, cfg.newRand(2)).WithBounds(cfg.Bounds), gateway.TickInterval},
+		cfg.newMembership(false, identity, readers),
+		{GatewayComponent, gatewayComponent, gateway.TickInterval},
 	}
-	if cfg.Storage != nil {
-		slots = append(slots,
-			ComponentSlot{"replica", replica.New(member.Id, cfg.Storage, cfg.WallClock, raft.DefaultTimeouts, cfg.RandomSeed, cfg.Now).WithTolerance(cfg.membershipConfig(false).Tolerance()).WithBounds(cfg.Bounds).WithDiskCapacity(cfg.DiskBytes), replica.TickInterval},
-			ComponentSlot{"scheduler", scheduler.New(member.Id).WithBounds(cfg.Bounds), scheduler.TickInterval},
-		)
+	if !hasStorage {
+		return slots
 	}
-	return slots
+	replicaHost := replica.New(id, cfg.Storage, cfg.WallClock, raft.DefaultTimeouts, cfg.RandomSeed, cfg.Now).
+		WithTolerance(cfg.membershipConfig(false).Tolerance()).
+		WithBounds(cfg.Bounds).
+		WithDiskCapacity(cfg.DiskBytes)
+	return append(slots,
+		ComponentSlot{ReplicaComponent, replicaHost, replica.TickInterval},
+		ComponentSlot{SchedulerComponent, scheduler.New(id).WithBounds(cfg.Bounds), scheduler.TickInterval},
+	)
 }
 
-// ControllerComponents makes a side process's tables.
+// ControllerComponents makes the components of an agent node.
 func ControllerComponents(cfg *Config) []ComponentSlot {
-	var readers []string
-	var slots []ComponentSlot
+	var readers []string // of the controller's updates
+	if cfg.CallsWorker {
+		readers = []string{AgentComponent}
+	}
+	controllerComponent := controller.New(cfg.Member.Id, cfg.MachineFailures, readers...).
+		WithTolerance(cfg.membershipConfig(true).Tolerance()).
+		WithBounds(cfg.Bounds)
+	slots := []ComponentSlot{
+		cfg.newMembership(true, nil, []string{ControllerComponent}),
+		{ControllerComponent, controllerComponent, controller.TickInterval},
+	}
 	if cfg.CallsWorker {
-		readers = []string{"agent"}
-		slots = []ComponentSlot{{"agent", agent.New(cfg.Bounds, uint64(cfg.WallClock())), agent.TickInterval}}
+		slots = append(slots, ComponentSlot{AgentComponent, agent.New(cfg.Bounds, uint64(cfg.WallClock())), agent.TickInterval})
 	}
-	return append([]ComponentSlot{
-		{"membership", membership.New(proto.Clone(cfg.Member).(*schema.Member), cfg.membershipConfig(true), nil, cfg.AddressBook, []string{"controller"}, cfg.newRand(1)), membership.TickInterval},
-		{"controller", controller.New(cfg.Member.Id, cfg.MachineFailures, readers...).WithTolerance(cfg.membershipConfig(true).Tolerance()).WithBounds(cfg.Bounds), controller.TickInterval},
-	}, slots...)
+	return slots
 }
 
-// Component names the table a message from another process is for.
+// ComponentFor returns the name of the component that a message from another process
+// goes to, in a process of this role.
 func ComponentFor(role schema.Role, body any) string {
+	isAgentNode := role == schema.Role_ROLE_CONTROLLER
 	switch body.(type) {
 	case *schema.Gossip:
-		return "membership"
+		return MembershipComponent
 	case *schema.SubmitResponse:
-		return "gateway"
+		return GatewayComponent
 	case *schema.WorkerPollResponse:
-		if role == schema.Role_ROLE_CONTROLLER {
-			return "agent"
+		if isAgentNode {
+			return AgentComponent
 		}
-		return "gateway"
+		return GatewayComponent
 	case *schema.Response, *schema.ClusterStateResponse:
-		if role == schema.Role_ROLE_CONTROLLER {
-			return "controller"
+		if isAgentNode {
+			return ControllerComponent
 		}
-		return "gateway"
+		return GatewayComponent
 	case *schema.WorkerPollRequest, *schema.TaskEndAck:
-		return "scheduler"
+		return SchedulerComponent
 	}
-	return "replica"
+	return ReplicaComponent
 }
--- a/internal/process/identity_test.go
+++ b/internal/process/identity_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestWipedDiskGetsNewIdentity(t *testing.T) {
-	Convey("A store keeps its identity with its disk, and never without", t, func() {
+	Convey("A storage node keeps its identity with its disk, and gets a new one without", t, func() {
 		folder, inner := t.TempDir(), freePort(t)
 		identity := func() string {
 			options := &schema.Settings{Cell: "c", Inner: inner, Outer: "127.0.0.1:1", Data: folder, Seeds: []string{"127.0.0.1:1"}}
--- a/internal/process/late_replies_test.go
+++ b/internal/process/late_replies_test.go
@@ -15,25 +15,25 @@
 	"sparnotch/internal/transport"
 )
 
-// pendingCall is an request that a process waits for the answer of.
+// pendingCall is a request that a node waits for the response to.
 type pendingCall struct {
 	requestID uint64
-	answer    chan any
+	response  chan any
 }
 
 func requestPlan(ctx context.Context, node *Node) pendingCall {
-	numbers, answer := make(chan uint64, 1), make(chan any, 1)
+	numbers, response := make(chan uint64, 1), make(chan any, 1)
 	go func() {
-		answer <- node.Call(ctx, "gateway", 30*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
+		response <- node.Call(ctx, GatewayComponent, 30*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
 			numbers <- request
-			return gateway.LeaderRequest{RequestID: request, Kind: "plan", Group: clusterstate.Group, Deadline: deadline}
+			return gateway.LeaderRequest{RequestID: request, Kind: gateway.KindConfiguration, Group: clusterstate.Group, Deadline: deadline}
 		})
 	}()
-	return pendingCall{<-numbers, answer}
+	return pendingCall{<-numbers, response}
 }
 
 func TestRepliesToFormerIncarnation(t *testing.T) {
-	Convey("An answer to an request of a former life answers none of the present one", t, func() {
+	Convey("A response to a request of a former incarnation completes none of the present one", t, func() {
 		data := t.TempDir()
 		startNode := func() *Node {
 			options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
@@ -53,20 +53,20 @@
 		reply := func(number uint64, body string) {
 			other.SendTo(id, present.Options.Inner, &schema.Response{Id: number, Code: 200, Body: []byte(body), Group: clusterstate.Group})
 		}
-		// The late ones come first each time. The request may not be in hand yet, so
-		// all are told until it is answered; a second answer is one to the request
-		// before, for one to this could be the first that finds it in hand.
+		// The late responses come first each time. The gateway may not have the request
+		// yet, so all are sent until it is completed. The duplicate is one to the request
+		// before, as a duplicate to this one might be the first to arrive in time.
 		last := abandoned.requestID
 		for range 3 {
 			open := requestPlan(ctx, present)
 			So(open.requestID, ShouldBeGreaterThan, last)
-			for answer := any(nil); answer == nil; {
-				reply(abandoned.requestID, "for the former life")
-				reply(last, "a second answer")
-				reply(open.requestID, "for the present one")
+			for response := any(nil); response == nil; {
+				reply(abandoned.requestID, "for the former incarnation")
+				reply(last, "a duplicate")
+				reply(open.requestID, "for the present incarnation")
 				select {
-				case answer = <-open.answer:
-					So(string(answer.(gateway.Response).Body), ShouldEqual, "for the present one")
+				case response = <-open.response:
+					So(string(response.(gateway.Response).Body), ShouldEqual, "for the present incarnation")
 				default:
 					runtime.Gosched()
 				}
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -27,145 +27,149 @@
 	"sparnotch/internal/transport"
 )
 
-// Node is a process on a real machine: its tables on goroutines, its wires,
-// its storage.
+const (
+	// incarnationShift leaves each incarnation of a process 2^40 request ids.
+	incarnationShift = 40
+
+	latencyReportInterval = 250 * eventloop.Millisecond
+	partitionReadInterval = 100 * time.Millisecond
+	maxPendingBatches     = 4 // there is never more than one
+
+	// diskStopTimeout is how long Stop waits for a disk that doesn't respond. A write
+	// that is in progress there was acknowledged to nobody.
+	diskStopTimeout = time.Second
+)
+
+// Node is a running process: its components on goroutines, its transport and its store.
+// Its methods may be called concurrently.
 type Node struct {
 	Options *schema.Settings
 	Member  *schema.Member
 	Clock   eventloop.Clock
-	Failed  chan error // something after which the process must end
-	// Reopened hands over the store of a process that started without it, its
-	// disk having refused: the process is to start anew with it.
+	// Failed gets errors after which the process must end.
+	Failed chan error
+	// Reopened gets the store of a node that had to start without it. The receiver
+	// owns it, and is to stop this node and start a new one with the store.
 	Reopened chan *OpenedStore
 
-	log           *zap.Logger
-	components    *eventloop.Process
-	transport     *transport.Transport
-	addresses     *membership.AddressBook
-	openedStore   *OpenedStore
-	store         *storage.Store
-	batches       *eventloop.Queue[replica.Batch]
+	log        *zap.Logger
+	components *eventloop.Process
+	transport  *transport.Transport
+	addresses  *membership.AddressBook
+	cancel     context.CancelFunc
+	background sync.WaitGroup
+
 	mu            sync.Mutex
-	waiters       map[uint64]chan any
+	waiters       map[uint64]chan any // by request id
 	lastRequestID atomic.Uint64
-	cancel        context.CancelFunc
-	background    sync.WaitGroup
-	worstSync     atomic.Int64 // recent worst sync, decayed
-	syncStartedAt atomic.Int64 // when the sync that is under way began
-	storageCounts atomic.Pointer[storage.Stats]
-
-	pendingOpen  openAttempt // of a store that couldn't be opened yet; nil: none
-	storeRefuses atomic.Bool // the store takes no writes
-}
-
-// incarnationShift leaves each life of a process as many numbers for requests.
-const incarnationShift = 40
-
-func randomSeed() uint64 {
-	var raw [8]byte
-	if _, err := rand.Read(raw[:]); err != nil {
-		panic("crew: no randomness: " + err.Error())
-	}
-	return binary.BigEndian.Uint64(raw[:])
-}
 
-func newID() string {
-	var raw [8]byte
-	binary.BigEndian.PutUint64(raw[:], randomSeed())
-	return hex.EncodeToString(raw[:])
+	openedStore   *OpenedStore
+	pendingOpen   openAttempt    // of a store that couldn't be opened yet; nil: none
+	store         *storage.Store // nil: a node without storage
+	batches       *eventloop.Queue[replica.Batch]
+	storeRefuses  atomic.Bool  // the last write failed
+	worstSync     atomic.Int64 // recently, in µs; decays
+	syncStartedAt atomic.Int64 // of the write in progress; 0: none
+	storageStats  atomic.Pointer[storage.Stats]
 }
 
-// Start brings a process up. A side process that is given a hand calls the
-// worker on its machine with it.
+// Start starts a node; options are taken as valid. An agent node that is given a worker
+// client calls the worker with it. Errors: storage.DirRejected where the data directory
+// isn't ours or can't be decoded, config.Invalid where the internal address can't be
+// listened on.
 func Start(options *schema.Settings, role schema.Role, log *zap.Logger, callers ...agent.WorkerClient) (*Node, error) {
 	return StartWithStore(nil, options, role, log, callers...)
 }
 
-// StartWithStore is Start with a store that has been opened already, if one has.
+// StartWithStore is Start with a store that is open already; nil: it is opened here. The
+// node owns the store, also after an error.
 func StartWithStore(opened *OpenedStore, options *schema.Settings, role schema.Role, log *zap.Logger, callers ...agent.WorkerClient) (*Node, error) {
-	n := &Node{
-		Options: options, Clock: eventloop.RealClock(), Failed: make(chan error, 4), Reopened: make(chan *OpenedStore), log: log, addresses: &membership.AddressBook{},
-		waiters: map[uint64]chan any{}, batches: eventloop.NewQueue[replica.Batch](4),
-	}
-	n.Member = &schema.Member{Id: newID(), Incarnation: 1, Role: role, Zone: options.Cell, InternalAddress: options.Inner, HttpAddress: options.Outer}
+	n := newNode(options, role, log)
 	if options.Data != "" {
 		if err := n.attachStore(opened, openTimeout); err != nil {
 			return nil, err
 		}
 	}
-	// An answer names its request by number alone, and under a kept id it may come
-	// in a later life than it was asked for: no two lives share a number.
+	// Responses are matched with requests by id alone, and a node that kept its id may
+	// get one to a request of a former incarnation.
 	n.lastRequestID.Store(n.Member.Incarnation << incarnationShift)
+	if err := n.addComponents(role, callers); err != nil {
+		n.openedStore.Close()
+		return nil, err
+	}
+	// Messages may come as soon as the transport listens, so the mailboxes exist by now.
+	if err := n.listen(); err != nil {
+		n.openedStore.Close()
+		return nil, err
+	}
+	n.run()
+	log.Info("node started",
+		zap.String("id", n.Member.Id), zap.Uint64("incarnation", n.Member.Incarnation),
+		zap.String("internal_address", options.Inner), zap.String("http_address", options.Outer))
+	return n, nil
+}
+
+func newNode(options *schema.Settings, role schema.Role, log *zap.Logger) *Node {
+	n := &Node{
+		Options: options, Clock: eventloop.RealClock(), Failed: make(chan error, 4), Reopened: make(chan *OpenedStore),
+		Member: &schema.Member{
+			Id: newID(), Incarnation: 1, Role: role, Zone: options.Cell,
+			InternalAddress: options.Inner, HttpAddress: options.Outer,
+		},
+		log: log, addresses: &membership.AddressBook{}, waiters: map[uint64]chan any{},
+		batches: eventloop.NewQueue[replica.Batch](maxPendingBatches),
+	}
 	n.components = eventloop.NewProcess(n.Clock)
 	n.components.Outbound = (*nodeEffects)(n)
-	n.components.OnPanic = func(table string, cause any, stack []byte) {
-		log.Error("panic", zap.String("table", table), zap.Any("cause", cause), zap.ByteString("stack", stack))
-		n.Failed <- fmt.Errorf("table %s: %v", table, cause)
+	n.components.OnPanic = func(component string, cause any, stack []byte) {
+		log.Error("panic", zap.String("component", component), zap.Any("cause", cause), zap.ByteString("stack", stack))
+		n.Failed <- fmt.Errorf("component %s: %v", component, cause)
 	}
+	return n
+}
+
+// config is what the node's components start with.
+func (n *Node) config(callsWorker bool) *Config {
+	options := n.Options
 	cfg := &Config{
-		Member: n.Member, Seeds: options.Seeds, AddressBook: n.addresses, WallClock: n.Clock.Wall, RandomSeed: randomSeed(), Now: n.Clock.Now(),
-		Bootstrap: options.First, MachineFailures: options.Losses, ZoneFailures: options.ZoneLosses, RegionFailures: options.RegionLosses, RegionByZone: options.Regions,
-		Bounds: options.Bounds, DiskBytes: options.DiskBytes, CallsWorker: role == schema.Role_ROLE_CONTROLLER && len(callers) > 0,
-	}
-	if !timing.CanCatchUp(options.Bounds) {
-		log.Warn("a repair takes longer than the catch-up that the bounds allow")
-	}
-	if shortfall := cfg.membershipConfig(false).Tolerance().TopologyShortfall(); shortfall != "" {
-		log.Warn("the losses that are to be borne can't be", zap.String("why", shortfall))
+		Member: n.Member, Seeds: options.Seeds, AddressBook: n.addresses,
+		WallClock: n.Clock.Wall, RandomSeed: randomSeed(), Now: n.Clock.Now(),
+		Bootstrap: options.First, MachineFailures: options.Losses, ZoneFailures: options.ZoneLosses,
+		RegionFailures: options.RegionLosses, RegionByZone: options.Regions,
+		Bounds: options.Bounds, DiskBytes: options.DiskBytes, CallsWorker: callsWorker,
 	}
 	if n.store != nil {
 		cfg.Storage = n.store.State()
 	}
+	return cfg
+}
+
+func (n *Node) addComponents(role schema.Role, callers []agent.WorkerClient) error {
+	cfg := n.config(role == schema.Role_ROLE_CONTROLLER && len(callers) > 0)
+	if !timing.CanCatchUp(cfg.Bounds) {
+		n.log.Warn("a repair takes longer than the bound for catching up allows")
+	}
+	if shortfall := cfg.membershipConfig(false).Tolerance().TopologyShortfall(); shortfall != "" {
+		n.log.Warn("the required fault tolerance can't be met", zap.String("why", shortfall))
+	}
 	slots, err := buildComponents(role, cfg)
 	if err != nil {
-		n.openedStore.Close()
-		return nil, storage.DirRejected.Wrap(err, "data folder %s", options.Data)
+		return storage.DirRejected.Wrap(err, "data folder %s", n.Options.Data)
 	}
 	for _, slot := range slots {
 		n.components.Add(slot.Name, slot.Component, slot.TickInterval)
 	}
-	n.components.Add("storage", (*storageWriter)(n), 0)
+	n.components.Add(StorageComponent, (*storageWriter)(n), 0)
 	if cfg.CallsWorker {
-		n.components.Add("caller", newWorkerCaller(callers[0], func(reply agent.Reply) {
-			n.components.PostWait("agent", eventloop.Message{Body: reply})
+		n.components.Add(WorkerCallerComponent, newWorkerCaller(callers[0], func(reply agent.Reply) {
+			n.components.PostWait(AgentComponent, eventloop.Message{Body: reply})
 		}), 0)
 	}
-	// From here on messages come in, so the mailboxes must stand by now.
-	listening, err := transport.Listen(transport.Identity{ID: n.Member.Id, Boot: n.Member.Incarnation}, options.Inner, n.deliver)
-	if err != nil {
-		n.openedStore.Close()
-		return nil, config.Invalid.Wrap(err, "inner")
-	}
-	n.transport = listening
-	if options.TestCuts != "" {
-		listening.IsPartitioned = n.testPartition()
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	n.cancel = cancel
-	n.components.Run(ctx)
-	// The first look for the others needn't wait for the pace.
-	n.components.Post("membership", eventloop.Message{Body: eventloop.Tick{}})
-	n.runInBackground(func() { n.batches.Consume(ctx, 0, func(batch replica.Batch) { n.commit(ctx, batch) }, nil) })
-	n.runInBackground(func() {
-		wasHung := false
-		eventloop.NewQueue[int](1).Consume(ctx, 250*eventloop.Millisecond, nil, func() {
-			n.reportLatency()
-			if isHung := n.isDiskHung() && !n.storeRefuses.Load(); isHung != wasHung {
-				wasHung = isHung
-				n.log.Error("the disk's answer", zap.Bool("is_missing", isHung))
-			}
-			n.worstSync.Store(n.worstSync.Load() * 15 / 16)
-		})
-	})
-	if n.pendingOpen != nil {
-		n.runInBackground(func() { n.retryOpen(ctx) })
-	}
-	log.Info("started", zap.String("id", n.Member.Id), zap.Uint64("boot", n.Member.Incarnation), zap.String("inner", options.Inner), zap.String("outer", options.Outer))
-	return n, nil
+	return nil
 }
 
-// buildComponents makes a process's tables; an error if its store holds what can't be
-// read.
+// buildComponents makes a node's components. It returns replica.Unreadable where the
+// store holds what can't be decoded.
 func buildComponents(role schema.Role, cfg *Config) (slots []ComponentSlot, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -182,15 +186,43 @@
 	return ControllerComponents(cfg), nil
 }
 
-func (n *Node) runInBackground(run func()) {
+func (n *Node) listen() error {
+	self := transport.Identity{ID: n.Member.Id, Boot: n.Member.Incarnation}
+	listening, err := transport.Listen(self, n.Options.Inner, n.deliver)
+	if err != nil {
+		return config.Invalid.Wrap(err, "inner")
+	}
+	n.transport = listening
+	if n.Options.TestCuts != "" {
+		listening.IsPartitioned = n.testPartition()
+	}
+	return nil
+}
+
+// run starts the components and the background goroutines.
+func (n *Node) run() {
+	ctx, cancel := context.WithCancel(context.Background())
+	n.cancel = cancel
+	n.components.Run(ctx)
+	// Discovery of the other nodes needn't wait for the first tick.
+	n.components.Post(MembershipComponent, eventloop.Message{Body: eventloop.Tick{}})
+	n.runInBackground(func() { n.writeBatches(ctx) })
+	n.runInBackground(func() { n.watchDisk(ctx) })
+	if n.pendingOpen != nil {
+		n.runInBackground(func() { n.retryOpen(ctx) })
+	}
+}
+
+func (n *Node) runInBackground(work func()) {
 	n.background.Add(1)
 	go func() {
 		defer n.background.Done()
-		run()
+		work()
 	}()
 }
 
-// testPartition reads, now and then, the addresses a test wants cut off.
+// testPartition returns a function that says whether a test wants an address to be
+// unreachable. It reads the test's file again at intervals.
 func (n *Node) testPartition() func(address string) bool {
 	var mu sync.Mutex
 	var readAt time.Time
@@ -198,12 +230,12 @@
 	return func(address string) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		if time.Since(readAt) > 100*time.Millisecond {
+		if time.Since(readAt) > partitionReadInterval {
 			readAt = time.Now()
 			unreachable = map[string]bool{}
 			if data, err := os.ReadFile(n.Options.TestCuts); err == nil {
-				for _, line := range strings.Fields(string(data)) {
-					unreachable[line] = true
+				for _, listed := range strings.Fields(string(data)) {
+					unreachable[listed] = true
 				}
 			}
 		}
@@ -211,122 +243,44 @@
 	}
 }
 
-// storageWriter passes batches on to the duty that may block on the disk.
-type storageWriter Node
-
-func (w *storageWriter) Step(now eventloop.Micros, message eventloop.Message, effects eventloop.Effects) {
-	if batch, isBatch := message.Body.(replica.Batch); isBatch && !w.batches.TryPut(batch) {
-		// There is never more than one batch out, so this can't be.
-		w.log.Error("the storage's ring is full")
-	}
-}
-
-func (n *Node) deliver(from string, body any) {
-	n.components.Post(ComponentFor(n.Member.Role, body), eventloop.Message{From: from, Body: body})
-}
-
-// ReportHeartbeat takes a worker's word of itself; false when it couldn't be taken.
-func (n *Node) ReportHeartbeat(heartbeat agent.Heartbeat) bool {
-	return n.components.Post("agent", eventloop.Message{Body: heartbeat})
-}
-
-// ReportDeparture takes a worker's word that it has ended; false when it couldn't be
-// taken.
-func (n *Node) ReportDeparture(departed agent.Departed) bool {
-	return n.components.Post("agent", eventloop.Message{Body: departed})
-}
-
-// nodeEffects carries what leaves the tables.
-type nodeEffects Node
-
-func (o *nodeEffects) Send(to string, body any) {
-	n := (*Node)(o)
-	if to == n.Member.Id {
-		n.deliver(to, body)
-		return
-	}
-	n.transport.SendTo(to, n.addresses.Address(to), body)
-}
-
-func (o *nodeEffects) Dial(address string, body any) { o.transport.Send(address, body) }
-
-func (o *nodeEffects) Notify(component string, body any) { o.components.Notify(component, body) }
-
-func (o *nodeEffects) Respond(requestID uint64, body any) {
-	o.mu.Lock()
-	waiter := o.waiters[requestID]
-	delete(o.waiters, requestID)
-	o.mu.Unlock()
-	if waiter != nil {
-		waiter <- body
-	}
-}
-
-// Call gives a request to a table and waits for its answer; nil when the span
-// is over.
-func (n *Node) Call(ctx context.Context, component string, timeout eventloop.Micros, newMessage func(requestID uint64, deadline eventloop.Micros) any) any {
-	requestID := n.lastRequestID.Add(1)
-	waiter := make(chan any, 1)
-	n.mu.Lock()
-	n.waiters[requestID] = waiter
-	n.mu.Unlock()
-	defer func() {
-		n.mu.Lock()
-		delete(n.waiters, requestID)
-		n.mu.Unlock()
-	}()
-	if !n.components.Post(component, eventloop.Message{Body: newMessage(requestID, n.Clock.Now()+timeout)}) {
-		return gateway.Response{Code: 429, Body: gateway.FaultBody("front_full", "this front has too much in hand", ""), RetryAfter: 1}
-	}
-	timer := time.NewTimer(timeout.Duration())
-	defer timer.Stop()
-	select {
-	case response := <-waiter:
-		return response
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-	n.components.Post(component, eventloop.Message{Body: gateway.ForgetRequest{RequestID: requestID}})
-	return nil
-}
-
-// Counts are what a process has done so far.
+// Counts are what a node has done since it started. The JSON keys are part of the HTTP
+// interface.
 type Counts struct {
 	Transport    transport.Counts  `json:"wire"`
 	Storage      storage.Stats     `json:"storage"`
-	LostMessages map[string]uint64 `json:"lost_mails"`
+	LostMessages map[string]uint64 `json:"lost_mails"` // by component, for want of room in its mailbox
 }
 
-// Counts reads them.
+// Counts returns the current counts.
 func (n *Node) Counts() Counts {
 	counts := Counts{Transport: n.transport.Counts(), LostMessages: n.components.Dropped()}
-	if stats := n.storageCounts.Load(); stats != nil {
-		counts.Storage = *stats
+	if latest := n.storageStats.Load(); latest != nil {
+		counts.Storage = *latest
 	}
 	return counts
 }
 
-// StartDraining tells every table that this process is to leave.
+// StartDraining makes the components hand over what they lead and hold, so that the
+// process can end. They go on working until Stop.
 func (n *Node) StartDraining() {
-	n.components.Post("gateway", eventloop.Message{Body: gateway.StartDraining{}})
-	n.components.Post("membership", eventloop.Message{Body: membership.Draining{}})
-	n.components.Post("replica", eventloop.Message{Body: replica.Drain{}})
+	n.components.Post(GatewayComponent, eventloop.Message{Body: gateway.StartDraining{}})
+	n.components.Post(MembershipComponent, eventloop.Message{Body: membership.Draining{}})
+	n.components.Post(ReplicaComponent, eventloop.Message{Body: replica.Drain{}})
 }
 
-// MustStay tells whether this process still has something to hand over.
+// MustStay says whether a draining node still has something to hand over.
 func (n *Node) MustStay(ctx context.Context) bool {
 	if n.store == nil {
 		return false
 	}
-	view, _ := n.Call(ctx, "replica", eventloop.Second, func(requestID uint64, _ eventloop.Micros) any { return replica.GetStateView{Request: requestID} }).(*replica.NodeStateView)
-	return view != nil && view.HasHandoverPending
+	response := n.Call(ctx, ReplicaComponent, eventloop.Second, func(requestID uint64, _ eventloop.Micros) any {
+		return replica.GetStateView{Request: requestID}
+	})
+	view, isView := response.(*replica.NodeStateView)
+	return isView && view.HasHandoverPending
 }
 
-// diskStopTimeout is how long Stop waits for a disk that doesn't answer: what is out
-// there was told to nobody, and the process is to end in its time.
-const diskStopTimeout = time.Second
-
-// Stop ends the process's goroutines.
+// Stop ends the node's goroutines and closes its store, unless the disk doesn't respond.
 func (n *Node) Stop() {
 	n.cancel()
 	n.components.Wait()
@@ -340,6 +294,20 @@
 	case <-done:
 		n.openedStore.Close()
 	case <-time.After(diskStopTimeout):
-		n.log.Error("the disk doesn't answer: the store is left as it is")
+		n.log.Error("the disk doesn't respond: the store is left open")
+	}
+}
+
+func randomSeed() uint64 {
+	var raw [8]byte
+	if _, err := rand.Read(raw[:]); err != nil {
+		panic("process: no randomness: " + err.Error())
 	}
+	return binary.BigEndian.Uint64(raw[:])
+}
+
+func newID() string {
+	var raw [8]byte
+	binary.BigEndian.PutUint64(raw[:], randomSeed())
+	return hex.EncodeToString(raw[:])
 }
--- a/internal/process/node_test.go
+++ b/internal/process/node_test.go
@@ -22,7 +22,7 @@
 }
 
 func TestStartUnderTraffic(t *testing.T) {
-	Convey("A process that starts while others already send to it takes what comes, and stops cleanly", t, func() {
+	Convey("A node that starts while others already send to it receives the messages, and stops cleanly", t, func() {
 		inner := freePort(t)
 		other, err := transport.Listen(transport.Identity{ID: "other"}, "127.0.0.1:0", func(string, any) {})
 		So(err, ShouldBeNil)
--- a/internal/process/request_ids_test.go
+++ b/internal/process/request_ids_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestRequestIDsAcrossIncarnations(t *testing.T) {
-	Convey("A life of a process uses none of the request numbers of an earlier one, whose answers may still come", t, func() {
+	Convey("An incarnation uses none of the request ids of an earlier one, whose responses may still come", t, func() {
 		data, inner := t.TempDir(), freePort(t)
 		number := func() uint64 {
 			options := &schema.Settings{Cell: "c", Inner: inner, Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
@@ -23,16 +23,16 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
 			var given uint64
-			node.Call(ctx, "gateway", eventloop.Second, func(id uint64, _ eventloop.Micros) any {
+			node.Call(ctx, GatewayComponent, eventloop.Second, func(id uint64, _ eventloop.Micros) any {
 				given = id
 				return gateway.ForgetRequest{RequestID: id}
 			})
 			return given
 		}
-		const most = 1 << 32 // requests of one life
+		const maxRequests = 1 << 32 // of one incarnation
 		first := number()
 		second := number()
-		So(second, ShouldBeGreaterThan, first+most)
-		So(number(), ShouldBeGreaterThan, second+most)
+		So(second, ShouldBeGreaterThan, first+maxRequests)
+		So(number(), ShouldBeGreaterThan, second+maxRequests)
 	})
 }
--- a/internal/process/store.go
+++ b/internal/process/store.go
@@ -1,5 +1,7 @@
 package process
 
+// Opening the store of a node: at its start, or later where the disk fails then.
+
 import (
 	"context"
 	"time"
@@ -7,55 +9,51 @@
 	"go.uber.org/zap"
 	"google.golang.org/protobuf/proto"
 
-	"sparnotch/internal/eventloop"
-	"sparnotch/internal/membership"
-	"sparnotch/internal/replica"
 	"sparnotch/internal/schema"
 	"sparnotch/internal/storage"
 )
 
-// Between two attempts to write what the store has refused: short enough that a
-// store is back long before its groups have done without it, long enough that a
-// disk in trouble isn't kept busy.
 const (
+	// openTimeout is how long a start waits for a disk that doesn't respond: waiting
+	// that long costs less than starting twice.
+	openTimeout = 5 * time.Second
+
+	// The backoff of failed writes and opens: short enough that a store is back long
+	// before its groups have replaced it, long enough not to keep a failing disk busy.
 	minWriteRetryDelay = 50 * time.Millisecond
 	maxWriteRetryDelay = 400 * time.Millisecond
 )
 
-// openTimeout is how long a start waits for a disk that doesn't answer. Until then
-// waiting costs less than starting twice.
-const openTimeout = 5 * time.Second
-
-// OpenedStore is a data folder whose store has taken this start's number.
+// OpenedStore is a data directory that is open for one incarnation of a node.
 type OpenedStore struct {
-	folder *storage.Dir
-	store  *storage.Store
-	self   *schema.StoreIdentity
+	directory *storage.Dir
+	store     *storage.Store
+	identity  *schema.StoreIdentity // the id, and the number of this start
 }
 
-// openStore opens the data folder. A damaged store never comes back under its
-// old id: it is put aside, the process says so, and goes on as a new member.
+// openStore opens a data directory. A damaged store is quarantined, and a new one with a
+// new id takes its place: a store that has lost writes must not vote under its old id.
 func openStore(path string, log *zap.Logger) (*OpenedStore, error) {
-	folder, err := storage.OpenDir(path)
+	directory, err := storage.OpenDir(path)
 	if err != nil {
 		return nil, err
 	}
-	opened, err := openStoreIn(folder, log)
+	opened, err := openStoreIn(directory, log)
 	if err != nil {
-		folder.Close()
+		directory.Close()
 		return nil, err
 	}
 	return opened, nil
 }
 
-func openStoreIn(folder *storage.Dir, log *zap.Logger) (*OpenedStore, error) {
-	store, err := storage.Open(folder)
+func openStoreIn(directory *storage.Dir, log *zap.Logger) (*OpenedStore, error) {
+	store, err := storage.Open(directory)
 	if storage.IsCorrupted(err) {
-		log.Error("the store is damaged; it is put aside and this machine comes back as a new member", zap.Error(err))
-		if err := folder.Quarantine("damaged-" + newID()); err != nil {
+		log.Error("the store is damaged: it is quarantined, and this machine starts as a new member", zap.Error(err))
+		if err := directory.Quarantine("damaged-" + newID()); err != nil {
 			return nil, err
 		}
-		store, err = storage.Open(folder)
+		store, err = storage.Open(directory)
 	}
 	if err != nil {
 		return nil, err
@@ -65,22 +63,22 @@
 		self.Id = newID()
 	}
 	self.Starts++
-	// Nothing is told under a number of starts that could be given out again.
+	// The number is durable before it is used, so that no later start uses it again.
 	if err := store.Commit([]*schema.StoreChange{{Identity: self}}); err != nil {
 		return nil, err
 	}
-	return &OpenedStore{folder: folder, store: store, self: self}, nil
+	return &OpenedStore{directory: directory, store: store, identity: self}, nil
 }
 
-// Close lets the folder go.
+// Close closes the directory; nil is allowed.
 func (o *OpenedStore) Close() {
 	if o != nil {
-		o.folder.Close()
+		o.directory.Close()
 	}
 }
 
-// openAttempt is an attempt to open a store that is under way; a disk that doesn't
-// answer may keep it so for long.
+// openAttempt gets the result of an open that runs in the background: a disk that
+// doesn't respond may block it for long.
 type openAttempt chan openResult
 
 type openResult struct {
@@ -97,9 +95,10 @@
 	return attempt
 }
 
-// attachStore makes this process the one of the store, opened here or before. A
-// disk that refuses or doesn't answer is no reason to end or to wait: the process
-// starts as a front without a store, and Reopened tells when there is one.
+// attachStore makes this node the one of its store, which is opened here if it isn't
+// yet. Where the disk fails or doesn't respond within the timeout, the node starts as a
+// gateway node without storage, and Reopened gets the store once it could be opened. It
+// returns storage.DirRejected where the directory isn't ours.
 func (n *Node) attachStore(opened *OpenedStore, timeout time.Duration) error {
 	if opened == nil {
 		attempt := startOpenAttempt(n.Options.Data, n.log)
@@ -109,23 +108,23 @@
 				return result.err
 			}
 			if result.err != nil {
-				n.log.Error("the store can't be opened; this process starts as a front without one", zap.Error(result.err))
+				n.log.Error("the store can't be opened: starting without storage", zap.Error(result.err))
 				n.pendingOpen = startOpenAttempt(n.Options.Data, n.log)
 				return nil
 			}
 			opened = result.opened
 		case <-time.After(timeout):
-			n.log.Error("the disk doesn't answer; this process starts as a front without a store")
+			n.log.Error("the disk doesn't respond: starting without storage")
 			n.pendingOpen = attempt
 			return nil
 		}
 	}
 	n.openedStore, n.store = opened, opened.store
-	n.Member.Id, n.Member.Incarnation, n.Member.HasStorage = opened.self.Id, opened.self.Starts, true
+	n.Member.Id, n.Member.Incarnation, n.Member.HasStorage = opened.identity.Id, opened.identity.Starts, true
 	return nil
 }
 
-// retryOpen tries to open the data folder until it can be written to.
+// retryOpen tries to open the store until it succeeds.
 func (n *Node) retryOpen(ctx context.Context) {
 	attempt := n.pendingOpen
 	for delay := minWriteRetryDelay; ; delay = min(2*delay, maxWriteRetryDelay) {
@@ -145,7 +144,7 @@
 	}
 }
 
-// publishStore gives an opened store to whoever starts the process anew with it.
+// publishStore passes a store on to the receiver of Reopened.
 func (n *Node) publishStore(ctx context.Context, opened *OpenedStore) {
 	select {
 	case n.Reopened <- opened:
@@ -154,6 +153,7 @@
 	}
 }
 
+// sleep waits for the delay; false: the context ended before.
 func sleep(ctx context.Context, delay time.Duration) bool {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -164,67 +164,3 @@
 		return false
 	}
 }
-
-// commit writes a batch, again and again until it lasts: the replicas' table has
-// gone on from it in memory, and tells nothing that rests on it before.
-func (n *Node) commit(ctx context.Context, batch replica.Batch) {
-	startedAt := n.Clock.Now()
-	n.syncStartedAt.Store(int64(startedAt))
-	err := n.store.Commit(batch.Changes)
-	if err != nil {
-		n.reportRefusedWrite(batch, err)
-		for delay := minWriteRetryDelay; err != nil; delay = min(2*delay, maxWriteRetryDelay) {
-			if !sleep(ctx, delay) {
-				return
-			}
-			err = n.store.Commit(batch.Changes)
-		}
-		n.storeRefuses.Store(false)
-		n.log.Warn("the store takes writes again", zap.Duration("after", (n.Clock.Now()-startedAt).Duration()))
-		n.reportLatency()
-	}
-	if minDuration := time.Duration(n.Options.TestSyncUs) * time.Microsecond; minDuration > 0 {
-		if elapsed := (n.Clock.Now() - startedAt).Duration(); elapsed < minDuration {
-			<-time.After(minDuration - elapsed)
-		}
-	}
-	n.syncStartedAt.Store(0)
-	if duration := int64(n.Clock.Now() - startedAt); duration > n.worstSync.Load() {
-		n.worstSync.Store(duration)
-	}
-	counts := n.store.Stats()
-	n.storageCounts.Store(&counts)
-	n.components.PostWait("replica", eventloop.Message{Body: replica.Written{Number: batch.Number}})
-}
-
-// reportRefusedWrite tells the replicas and the book that the store takes no writes.
-func (n *Node) reportRefusedWrite(batch replica.Batch, err error) {
-	n.log.Error("the store takes no writes: what is led here goes to others, and nothing is confirmed or voted for", zap.Error(err))
-	n.storeRefuses.Store(true)
-	n.components.PostWait("replica", eventloop.Message{Body: replica.WriteFailed{Number: batch.Number, Reason: err.Error()}})
-	n.reportLatency()
-}
-
-// DiskHangTimeout is how long a sync may be out until the disk counts as one that
-// refuses: far longer than any disk in order takes, and well after a leader has
-// handed over because of it.
-const DiskHangTimeout = 2 * eventloop.Second
-
-// isDiskHung tells whether the disk hasn't answered for long.
-func (n *Node) isDiskHung() bool {
-	startedAt := n.syncStartedAt.Load()
-	return startedAt > 0 && n.Clock.Now()-eventloop.Micros(startedAt) > DiskHangTimeout
-}
-
-// reportLatency tells the book of this process's worst recent delay.
-func (n *Node) reportLatency() {
-	worst := max(n.components.TickLatency(), eventloop.Micros(n.worstSync.Load()))
-	// A sync that hasn't come back yet counts as long as it lasts.
-	if startedAt := n.syncStartedAt.Load(); startedAt > 0 {
-		worst = max(worst, n.Clock.Now()-eventloop.Micros(startedAt))
-	}
-	if n.storeRefuses.Load() || n.isDiskHung() {
-		worst = membership.WritesRefusedLatency
-	}
-	n.components.Post("membership", eventloop.Message{Body: membership.LatencyReport{Max: worst}})
-}
--- a/internal/process/caller_test.go
+++ b/internal/process/worker_caller_test.go
@@ -20,16 +20,16 @@
 }
 
 func TestCaller(t *testing.T) {
-	Convey("Looks that wait take no room from starts, and what finds no room is told as busy", t, func() {
-		g := blockingCaller{make(chan agent.Call), make(chan agent.Call, maxConcurrentCalls+maxConcurrentLooks)}
+	Convey("Inspections don't use up the slots of other calls, and a call without a slot is busy", t, func() {
+		g := blockingCaller{make(chan agent.Call), make(chan agent.Call, maxConcurrentCalls+maxConcurrentInspections)}
 		replies := make(chan agent.Reply, 2*maxConcurrentCalls)
-		table := newWorkerCaller(g, func(reply agent.Reply) { replies <- reply })
+		caller := newWorkerCaller(g, func(reply agent.Reply) { replies <- reply })
 		number := uint64(0)
 		call := func(act agent.Action) {
 			number++
-			table.Step(0, eventloop.Message{Body: agent.Call{Number: number, Action: act}}, nil)
+			caller.Step(0, eventloop.Message{Body: agent.Call{Number: number, Action: act}}, nil)
 		}
-		for k := 0; k < maxConcurrentLooks; k++ {
+		for k := 0; k < maxConcurrentInspections; k++ {
 			call(agent.Inspect)
 			<-g.entered
 		}
@@ -45,14 +45,14 @@
 		So((<-replies).Outcome, ShouldEqual, agent.Busy)
 		close(g.open)
 		seen := map[uint64]bool{}
-		for k := 0; k < maxConcurrentCalls+maxConcurrentLooks; k++ {
+		for k := 0; k < maxConcurrentCalls+maxConcurrentInspections; k++ {
 			reply := <-replies
 			So(reply.Outcome, ShouldEqual, agent.Succeeded)
 			seen[reply.Number] = true
 		}
-		So(seen, ShouldHaveLength, maxConcurrentCalls+maxConcurrentLooks)
+		So(seen, ShouldHaveLength, maxConcurrentCalls+maxConcurrentInspections)
 	})
-	Convey("A side process has an agent only where there is somebody to call with", t, func() {
+	Convey("An agent node has an agent only with a worker client", t, func() {
 		options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
 		without, err := Start(options, schema.Role_ROLE_CONTROLLER, zap.NewNop())
 		So(err, ShouldBeNil)
@@ -64,7 +64,7 @@
 		So(with.ReportDeparture(agent.Departed{Worker: "w"}), ShouldBeTrue)
 		with.Stop()
 	})
-	Convey("Answers of schedulers go to the agent of a side process, and to the gateway of a front", t, func() {
+	Convey("Responses of schedulers go to the agent of an agent node, and to the gateway of a gateway node", t, func() {
 		So(ComponentFor(schema.Role_ROLE_CONTROLLER, &schema.WorkerPollResponse{}), ShouldEqual, "agent")
 		So(ComponentFor(schema.Role_ROLE_SERVER, &schema.WorkerPollResponse{}), ShouldEqual, "gateway")
 	})
