--- a/internal/transport/identity.go
+++ b/internal/transport/identity.go
@@ -5,25 +5,25 @@
 	"sync/atomic"
 )
 
-// Identity names one life of a process: its id, and which start under that id
-// this is.
+// Identity names one incarnation of a process. gob encodes the names of the fields, so
+// they can't change.
 type Identity struct {
 	ID   string
-	Boot uint64 // rises with each start under the same id
+	Boot uint64 // the incarnation: it rises with each start under the same id
 }
 
-// introduction comes first on each connection: whose messages these are.
+// introduction is sent after the preamble: it says whose messages follow.
 type introduction struct{ From Identity }
 
-// sender is whose messages come on a connection.
+// sender is the process at the other end of an inbound connection.
 type sender struct {
 	Identity
-	isSuperseded atomic.Bool // a later life of the same process has introduced itself
+	isSuperseded atomic.Bool // a later incarnation has connected
 }
 
-// admit takes in whose messages come on a connection. A process has one life at a
-// time: what an earlier one sent and is still on its way is dropped, and its
-// connections are closed.
+// admit takes an inbound connection of a process. A process has one incarnation at a
+// time: connections of earlier ones are closed, and what was in transit on them is
+// dropped. It returns false where a later incarnation is known.
 func (t *Transport) admit(conn net.Conn, from Identity) (*sender, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -44,8 +44,8 @@
 	return admitted, true
 }
 
-// isAddressee tells whether a message is for this process: an address may be
-// another's by the time that a message gets there.
+// isAddressee says whether a message is meant for this process: another may have used
+// the address when it was sent.
 func (t *Transport) isAddressee(envelope Envelope) bool {
 	return envelope.To == "" || envelope.To == t.self.ID
 }
--- a/internal/transport/identity_test.go
+++ b/internal/transport/identity_test.go
@@ -10,7 +10,8 @@
 	"sparnotch/internal/schema"
 )
 
-// listenAs is a stand-in for another process: one life of an id.
+// listenAs makes the transport of one incarnation of a process, and records what
+// arrives there.
 func listenAs(id string, boot uint64, address string) (*Transport, chan arrival) {
 	arrivals := make(chan arrival, 4096)
 	n, err := Listen(Identity{ID: id, Boot: boot}, address, func(from string, body any) { arrivals <- arrival{from, body} })
@@ -18,7 +19,7 @@
 	return n, arrivals
 }
 
-// sendUntil sends again and again until a count has been reached.
+// sendUntil sends again and again until isDone.
 func sendUntil(isDone func() bool, send func()) {
 	for end := time.Now().Add(30 * time.Second); !isDone(); runtime.Gosched() {
 		So(time.Now(), ShouldHappenBefore, end)
@@ -28,7 +29,7 @@
 
 func newReply(number uint64) *schema.Response { return &schema.Response{Id: number, Code: 200} }
 
-// countByNumber empties what has arrived and counts it by number.
+// countByNumber drains what has arrived and counts it by number.
 func countByNumber(arrivals chan arrival) map[uint64]int {
 	counts := map[uint64]int{}
 	for {
@@ -42,7 +43,7 @@
 }
 
 func TestReusedAddresses(t *testing.T) {
-	Convey("An answer to a process that is gone isn't given to the next at its address", t, func() {
+	Convey("A message to a process that is gone isn't delivered to the next one at its address", t, func() {
 		a, _ := listenAs("a", 1, "127.0.0.1:0")
 		former, atFormer := listenAs("former", 1, "127.0.0.1:0")
 		address := former.Address()
@@ -57,7 +58,7 @@
 		So(next(atLater).body.(*schema.Response).Id, ShouldEqual, 3)
 		So(countByNumber(atLater), ShouldBeEmpty)
 	})
-	Convey("What is for whoever is at an address reaches anybody", t, func() {
+	Convey("A message to an address alone reaches whichever process is there", t, func() {
 		a, _ := listenAs("a", 1, "127.0.0.1:0")
 		b, atB := listenAs("b", 1, "127.0.0.1:0")
 		Reset(func() { a.Close(); b.Close() })
@@ -67,7 +68,7 @@
 }
 
 func TestFormerIncarnations(t *testing.T) {
-	Convey("What an earlier life of a process has sent counts no more once a later one has been heard", t, func() {
+	Convey("Messages of a former incarnation are dropped once a later one has connected", t, func() {
 		b, atB := listenAs("b", 1, "127.0.0.1:0")
 		former, _ := listenAs("a", 4, "127.0.0.1:0")
 		later, _ := listenAs("a", 5, "127.0.0.1:0")
@@ -77,13 +78,13 @@
 		later.SendTo("b", b.Address(), newReply(5))
 		So(next(atB), ShouldResemble, arrival{"a", newReply(5)})
 		So(b.Counts().Former, ShouldEqual, 1)
-		// Its connection is closed, and another isn't taken.
+		// Its connection is closed, and another isn't admitted.
 		sendUntil(func() bool { return b.Counts().Former >= 3 }, func() { former.SendTo("b", b.Address(), newReply(4)) })
 		later.SendTo("b", b.Address(), newReply(6))
 		So(next(atB), ShouldResemble, arrival{"a", newReply(6)})
 		So(countByNumber(atB), ShouldBeEmpty)
 	})
-	Convey("The same life may have several connections", t, func() {
+	Convey("One incarnation may have several connections", t, func() {
 		b, atB := listenAs("b", 1, "127.0.0.1:0")
 		a, _ := listenAs("a", 4, "127.0.0.1:0")
 		other, _ := listenAs("a", 4, "127.0.0.1:0")
@@ -96,7 +97,7 @@
 		}
 		So(b.Counts().Former, ShouldEqual, 0)
 	})
-	Convey("Who doesn't say who it is isn't listened to", t, func() {
+	Convey("A connection without an id in its introduction is closed", t, func() {
 		b, atB := listenAs("b", 1, "127.0.0.1:0")
 		nobody, _ := listenAs("", 1, "127.0.0.1:0")
 		Reset(func() { nobody.Close(); b.Close() })
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -7,12 +7,11 @@
 	"time"
 )
 
-// acceptRetryDelay lies between two attempts to take a connection.
 const acceptRetryDelay = 50 * time.Millisecond
 
-// RetryingListener makes a listener whose Accept fails only once it is closed. Whatever
-// else goes wrong (no memory, no file handles, a network that is down) passes,
-// and a server that gave up listening for it would end its process.
+// RetryingListener returns a listener whose Accept fails only when it is closed or the
+// context has ended, with net.ErrClosed. Other errors are transient (no memory, no file
+// descriptors, the network down), and net/http's servers end on them.
 func RetryingListener(ctx context.Context, listener net.Listener) net.Listener {
 	return &retryingListener{listener, ctx}
 }
@@ -22,14 +21,14 @@
 	ctx context.Context
 }
 
-func (p *retryingListener) Accept() (net.Conn, error) {
+func (l *retryingListener) Accept() (net.Conn, error) {
 	for {
-		conn, err := p.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return conn, err
 		}
 		select {
-		case <-p.ctx.Done():
+		case <-l.ctx.Done():
 			return nil, net.ErrClosed
 		case <-time.After(acceptRetryDelay):
 		}
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestRetryingListener(t *testing.T) {
-	Convey("A listener that fails now and then goes on, and ends when it is closed", t, func() {
+	Convey("Accept is retried after errors, and ends when the listener is closed", t, func() {
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		listener := RetryingListener(context.Background(), &failingListener{inner, 2})
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -36,7 +36,7 @@
 }
 
 func TestConnections(t *testing.T) {
-	Convey("Messages of every shape arrive whole and in order", t, func() {
+	Convey("Messages of all types arrive intact and in order", t, func() {
 		a, _ := listen("a")
 		b, atB := listen("b")
 		Reset(func() { a.Close(); b.Close() })
@@ -48,14 +48,14 @@
 		So(first.body.(*schema.AppendRequest).Entries[0].MemberSet.Voters[0], ShouldEqual, "a")
 		So(next(atB).body.(*schema.ClusterStateResponse).State.Configuration.Rows[0].Kind, ShouldEqual, "queue")
 		So(next(atB).body.(*schema.WorkerPollRequest).Heartbeat.Running[0].Queue, ShouldEqual, "l")
-		Convey("and go on after the other side has come back", func() {
+		Convey("also after the receiver has restarted", func() {
 			address := b.Address()
 			b.Close()
 			arrived := make(chan arrival, 4096)
 			again, err := Listen(Identity{ID: "b"}, address, func(from string, body any) { arrived <- arrival{from, body} })
 			So(err, ShouldBeNil)
 			Reset(again.Close)
-			// What was lost on the broken wire is resent by whoever needs it.
+			// What was lost on the failed connection isn't resent by the transport.
 			stop := time.After(30 * time.Second)
 			for {
 				a.Send(address, &schema.TimeoutNow{Group: "g"})
@@ -71,7 +71,7 @@
 			}
 		})
 	})
-	Convey("Garbage closes its wire and harms nothing", t, func() {
+	Convey("Malformed input closes its connection and nothing else", t, func() {
 		a, _ := listen("a")
 		b, atB := listen("b")
 		Reset(func() { a.Close(); b.Close() })
@@ -91,25 +91,25 @@
 		So(next(atB).from, ShouldEqual, "a")
 		So(b.Counts().Garbage, ShouldBeGreaterThan, 0)
 	})
-	Convey("A cut wire carries nothing", t, func() {
+	Convey("A partitioned address gets nothing", t, func() {
 		a, _ := listen("a")
 		b, atB := listen("b")
 		Reset(func() { a.Close(); b.Close() })
-		var isCut atomic.Bool
-		isCut.Store(true)
-		a.IsPartitioned = func(string) bool { return isCut.Load() }
-		a.Send(b.Address(), &schema.TimeoutNow{Group: "cut"})
+		var isPartitioned atomic.Bool
+		isPartitioned.Store(true)
+		a.IsPartitioned = func(string) bool { return isPartitioned.Load() }
+		a.Send(b.Address(), &schema.TimeoutNow{Group: "partitioned"})
 		for a.Counts().Lost == 0 {
 			runtime.Gosched()
 		}
-		isCut.Store(false)
-		a.Send(b.Address(), &schema.TimeoutNow{Group: "whole"})
-		So(next(atB).body.(*schema.TimeoutNow).Group, ShouldEqual, "whole")
+		isPartitioned.Store(false)
+		a.Send(b.Address(), &schema.TimeoutNow{Group: "healed"})
+		So(next(atB).body.(*schema.TimeoutNow).Group, ShouldEqual, "healed")
 	})
 }
 
 func TestUnresponsivePeers(t *testing.T) {
-	Convey("A peer that doesn't read holds nobody up", t, func() {
+	Convey("A peer that doesn't read delays no others", t, func() {
 		a, _ := listen("a")
 		b, atB := listen("b")
 		unread, err := net.Listen("tcp", "127.0.0.1:0")
@@ -123,7 +123,7 @@
 		a.Send(b.Address(), &schema.TimeoutNow{Group: "g"})
 		So(next(atB).from, ShouldEqual, "a")
 	})
-	Convey("What waits goes out in one write, and what waited too long not at all", t, func() {
+	Convey("Queued messages are sent in one write, and stale ones not at all", t, func() {
 		a, _ := listen("a")
 		b, atB := listen("b")
 		start := time.Now()
@@ -153,14 +153,14 @@
 		for range 50 {
 			So(next(atB).body.(*schema.TimeoutNow).Group, ShouldEqual, "fresh")
 		}
-		// What is counted after the write may come after what arrived.
+		// Messages are counted after the write, so they may arrive before.
 		for a.Counts().Sent < 50 {
 			runtime.Gosched()
 		}
 		So(a.Counts().Lost, ShouldEqual, 6)
 		So(a.Counts().Writes, ShouldEqual, 1)
 	})
-	Convey("A connection whose peer acknowledges nothing is given up", t, func() {
+	Convey("A connection whose peer acknowledges nothing fails", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		Reset(func() { listener.Close() })
@@ -169,17 +169,17 @@
 		defer conn.Close()
 		raw, err := conn.(*net.TCPConn).SyscallConn()
 		So(err, ShouldBeNil)
-		var span int
+		var timeout int
 		So(raw.Control(func(handle uintptr) {
-			span, err = unix.GetsockoptInt(int(handle), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
+			timeout, err = unix.GetsockoptInt(int(handle), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 		}), ShouldBeNil)
 		So(err, ShouldBeNil)
-		So(span, ShouldEqual, 3000)
+		So(timeout, ShouldEqual, 3000)
 	})
 }
 
 func TestPeerRestart(t *testing.T) {
-	Convey("A connection that its peer has closed is let go before the next message is written into it", t, func() {
+	Convey("A connection that its peer has closed is closed before the next message is written to it", t, func() {
 		a, _ := listen("a")
 		connection := &outboundConn{}
 		Reset(func() { connection.close(); a.Close() })
