--- a/internal/httpapi/connections_test.go
+++ b/internal/httpapi/connections_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestPipelinedRequests(t *testing.T) {
-	Convey("Given a process that nobody has told of a table yet", t, func() {
+	Convey("Given a node of a cluster without a configuration", t, func() {
 		options := &schema.Settings{Cell: "c", Inner: freeAddress(), Outer: freeAddress(), Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
 		node, err := process.Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 		So(err, ShouldBeNil)
@@ -38,8 +38,8 @@
 			_, err := io.WriteString(client, text)
 			So(err, ShouldBeNil)
 		}
-		// answer is the next one; code 0 at the connection's end.
-		answer := func() (int, string) {
+		// nextResponse returns the next response; code 0: the connection has ended.
+		nextResponse := func() (int, string) {
 			response, err := http.ReadResponse(reader, nil)
 			if err != nil {
 				return 0, ""
@@ -49,7 +49,7 @@
 			return response.StatusCode, string(body)
 		}
 		mustBeAlive := func() {
-			code, body := answer()
+			code, body := nextResponse()
 			So([]any{code, strings.Contains(body, `"alive"`)}, ShouldResemble, []any{200, true})
 		}
 		const alive = "GET /livez HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -57,15 +57,15 @@
 		put := func(path, body string) string {
 			return fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 		}
-		Convey("requests sent without waiting are answered in their order", func() {
+		Convey("pipelined requests are answered in order", func() {
 			send(counts + alive + counts + alive)
 			for range 2 {
-				_, body := answer()
+				_, body := nextResponse()
 				So(body, ShouldContainSubstring, "lost_mails")
 				mustBeAlive()
 			}
 		})
-		Convey("after each error the next request has its own answer, and what stands in a body is none", func() {
+		Convey("after each error the next request has its own response, and a request inside a body has none", func() {
 			for _, each := range []struct {
 				request string
 				code    int
@@ -75,17 +75,17 @@
 				{put("/v1/queues/l/jobs/j", `{"text":"t","steps":[{"name":"s","tasks":1,"cores_milli":1,"memory_mb":1}]}`), 503},
 			} {
 				send(each.request + alive)
-				code, _ := answer()
+				code, _ := nextResponse()
 				So(code, ShouldEqual, each.code)
 				mustBeAlive()
 			}
 		})
 		Convey("a body that is too large ends its connection", func() {
 			go io.WriteString(client, put("/v1/queues/l/jobs/j", strings.Repeat(" ", 2*maxJobBytes)+strings.Repeat(counts, 100))+alive)
-			code, body := answer()
+			code, body := nextResponse()
 			So(code, ShouldBeIn, 413, 0)
 			So(body, ShouldNotContainSubstring, "lost_mails")
-			code, _ = answer()
+			code, _ = nextResponse()
 			So(code, ShouldEqual, 0)
 		})
 	})
