--- a/internal/httpcall/client.go
+++ b/internal/httpcall/client.go
@@ -1,12 +1,11 @@
-// Package httpcall sends HTTP/1.1 requests that must not be repeated behind the
-// caller's back.
+// Package httpcall is an HTTP/1.1 client that never retries a request on its own.
 //
-// The client of net/http decides by itself when a request is sent again on
-// another connection, and gives a connection back for reuse without looking
-// whether more has come on it than the answer. Here both are explicit: a request
-// is written again only where not one byte of it has left this process, and a
-// connection is used again only after exactly one whole answer to each of its
-// requests. An error says which of the two cases it was: NotSent or Unanswered.
+// The client of net/http decides by itself when a request is sent again on another
+// connection (Request.GetBody, RFC 9110 section 9.2.2), and reuses a connection
+// without checking whether more has arrived on it than the response. Here a request is
+// retried only where no byte of it was written, and a connection is reused only after
+// exactly one complete response to each of its requests. Errors say which case it was:
+// NotSent or Unanswered. Client owns the connections.
 package httpcall
 
 import (
@@ -22,30 +21,29 @@
 )
 
 var (
-	// Errors is the namespace of the errors of this package.
+	// Errors is the namespace of this package's errors.
 	Errors = errorx.NewNamespace("httpcall")
-	// NotSent says that no byte of the request was written, so the peer can't
-	// have it and it may be sent again.
+	// NotSent means that no byte of the request was written: a retry is safe.
 	NotSent = Errors.NewType("not_sent")
-	// Unanswered says that some of the request was written and no whole answer to
-	// it came: it may have been carried out, or may be later.
+	// Unanswered means that the request was written, at least in part, and no complete
+	// response was read: it may have been processed, or still may be.
 	Unanswered = Errors.NewType("unanswered")
 
 	responseTooLong = Errors.NewType("too_long")
 	badHeader       = Errors.NewType("bad_header")
 )
 
-// Limits are the bounds of a client.
+// Limits bound a client's use of connections.
 type Limits struct {
-	MaxConnections   int           // to one address at once
-	MaxIdle          int           // of them kept open while nothing is asked
-	IdleTimeout      time.Duration // and how long each
-	DialTimeout      time.Duration // for a connection to come about
-	MaxResponseBytes int64         // the longest body of an answer
+	MaxConnections   int           // to one address; further requests wait
+	MaxIdle          int           // connections to one address
+	IdleTimeout      time.Duration // after the last response
+	DialTimeout      time.Duration
+	MaxResponseBytes int64 // of a body
 	KeepAlive        net.KeepAliveConfig
 }
 
-// Request is one call. A client sends it once.
+// Request is one HTTP request.
 type Request struct {
 	Address string // host:port
 	Method  string
@@ -54,14 +52,14 @@
 	Body    []byte
 }
 
-// Response is a whole answer: its body was read to the end.
+// Response is a complete response.
 type Response struct {
 	Code int
 	Body []byte
 }
 
-// Client keeps connections to a few addresses. It may be used by several
-// goroutines at once.
+// Client sends requests over connections that it keeps open. Its methods may be called
+// concurrently.
 type Client struct {
 	limits Limits
 	now    func() time.Time
@@ -69,17 +67,17 @@
 	peers  map[string]*peer
 }
 
-// New makes a client without connections.
+// New returns a client without connections.
 func New(limits Limits) *Client {
 	return &Client{limits: limits, now: time.Now, peers: map[string]*peer{}}
 }
 
-// Do sends a request and reads its answer, or returns NotSent or Unanswered. The
-// context bounds all of it, also the wait for a connection.
+// Do sends a request and reads the response. The context bounds all of it, including the
+// wait for a connection. Errors: NotSent and Unanswered.
 func (c *Client) Do(ctx context.Context, request Request) (Response, error) {
 	message, parsed, err := encode(request)
 	if err != nil {
-		return Response{}, NotSent.Wrap(err, "request")
+		return Response{}, NotSent.Wrap(err, "encoding the request")
 	}
 	p := c.peer(request.Address)
 	select {
@@ -91,7 +89,7 @@
 	for {
 		conn, err := c.connection(ctx, p)
 		if err != nil {
-			return Response{}, NotSent.Wrap(err, "dialling")
+			return Response{}, NotSent.Wrap(err, "dialing %s", request.Address)
 		}
 		response, err := conn.exchange(ctx, message, parsed, c.limits.MaxResponseBytes)
 		if err == nil {
@@ -99,16 +97,16 @@
 			return response, nil
 		}
 		conn.Close()
-		// An idle connection may have been closed by its peer since it was last
-		// looked at. Each one is used up, so this ends with a fresh one.
+		// The peer may have closed an idle connection just after it was checked. Each
+		// attempt uses one up, so the last one is on a new connection.
 		if !errorx.IsOfType(err, NotSent) || conn.responses == 0 || ctx.Err() != nil {
 			return Response{}, err
 		}
 	}
 }
 
-// encode gives a request's bytes, so that they leave in one write, and the form
-// that its answer is read by.
+// encode returns a request's bytes, which are sent in one write, and the form in which
+// http.ReadResponse needs it.
 func encode(request Request) ([]byte, *http.Request, error) {
 	parsed, err := http.NewRequest(request.Method, "http://"+request.Address+request.Path, bytes.NewReader(request.Body))
 	if err != nil {
@@ -116,7 +114,7 @@
 	}
 	for name, values := range request.Header {
 		for _, value := range values {
-			// The library would write it with blanks instead, as another value.
+			// net/http would silently replace these characters.
 			if strings.ContainsFunc(value, isControl) {
 				return nil, nil, badHeader.New("%s: %q", name, value)
 			}
@@ -132,8 +130,7 @@
 
 func isControl(char rune) bool { return char < ' ' && char != '\t' || char == 0x7f }
 
-// Close ends the connections that nothing is asked on. The client may be used
-// again.
+// Close closes the idle connections. The client may be used again.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/httpcall/client_test.go
+++ b/internal/httpcall/client_test.go
@@ -17,13 +17,13 @@
 	"sparnotch/internal/standin"
 )
 
-// testTimeout ends a test that would wait for ever; nothing else waits for it.
+// testTimeout ends a test that would block; no test depends on it.
 const testTimeout = 20 * time.Second
 
 var testLimits = Limits{MaxConnections: 4, MaxIdle: 4, IdleTimeout: time.Hour, DialTimeout: 30 * time.Second, MaxResponseBytes: 1 << 10}
 
-// scripted has the stand-in do one thing after another, and answer in order once
-// there is nothing more.
+// scripted makes the server behave in one way after another, and respond normally after
+// the last.
 func scripted(behaviours ...standin.Behaviour) func(int) standin.Behaviour {
 	return func(number int) standin.Behaviour {
 		if number > len(behaviours) {
@@ -33,7 +33,8 @@
 	}
 }
 
-// echo answers with the request's own body, so that an answer shows whose it is.
+// echo responds with the request's body, so that a response shows which request it
+// belongs to.
 func echo(arrival standin.Arrival) (int, string) { return http.StatusOK, string(arrival.Body) }
 
 func serve(script func(int) standin.Behaviour) *standin.Server {
@@ -46,7 +47,7 @@
 	return Request{Address: server.Address(), Method: http.MethodPost, Path: "/order", Body: []byte(text)}
 }
 
-// arrivalCount counts how often a body has arrived, whole or in part.
+// arrivalCount counts how often a body has arrived, at least in part.
 func arrivalCount(server *standin.Server, text string) int {
 	count := 0
 	for _, arrival := range server.Arrivals() {
@@ -57,7 +58,7 @@
 	return count
 }
 
-// mustRespond sends what is answered in order, and sees that the answer is its own.
+// mustRespond sends a request and checks that the response belongs to it.
 func mustRespond(client *Client, server *standin.Server, text string) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -73,12 +74,12 @@
 		behaviour standin.Behaviour
 	}{
 		{"reset before the body is read", standin.ResetBeforeBody}, {"reset in the body", standin.ResetInBody},
-		{"reset after the body", standin.ResetAfterBody}, {"reset in the answer", standin.ResetInResponse},
-		{"half an answer's body", standin.CloseInBody}, {"half an answer's head", standin.CloseInHeader},
+		{"reset after the body", standin.ResetAfterBody}, {"reset in the response", standin.ResetInResponse},
+		{"half of the response's body", standin.CloseInBody}, {"half of the response's header", standin.CloseInHeader},
 	} {
 		for _, isReused := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, on a used connection: %v", each.name, isReused), func(t *testing.T) {
-				Convey("The request arrives once, has no answer, and the next has its own on another connection", t, func() {
+				Convey("The request arrives once and gets no response, and the next one is on another connection", t, func() {
 					var before []standin.Behaviour
 					if isReused {
 						before = append(before, standin.Respond)
@@ -101,7 +102,7 @@
 }
 
 func TestAbandonedRequests(t *testing.T) {
-	Convey("A request that is given up is not sent again, and its late answer goes to nobody", t, func() {
+	Convey("An abandoned request isn't retried, and its late response is dropped", t, func() {
 		server := serve(scripted(standin.Respond, standin.RespondOnRelease))
 		client := New(testLimits)
 		Reset(func() { client.Close(); server.Close() })
@@ -116,13 +117,13 @@
 		So((<-server.Arrived).Number, ShouldEqual, 2)
 		cancel()
 		So(errorx.IsOfType(<-failed, Unanswered), ShouldBeTrue)
-		mustRespond(client, server, "while the answer is still to come")
+		mustRespond(client, server, "while the response is pending")
 		server.Release()
 		mustRespond(client, server, "after")
 		So(arrivalCount(server, "given up"), ShouldEqual, 1)
 		So(server.Connections(), ShouldEqual, 2)
 	})
-	Convey("What is given up before anything was written was not sent", t, func() {
+	Convey("A request abandoned before anything was written wasn't sent", t, func() {
 		server := serve(scripted())
 		client := New(Limits{MaxConnections: 1, MaxIdle: 1, IdleTimeout: time.Hour, MaxResponseBytes: 10})
 		Reset(func() { client.Close(); server.Close() })
@@ -135,7 +136,7 @@
 		So(errorx.IsOfType(err, NotSent), ShouldBeTrue)
 		So(arrivalCount(server, "never"), ShouldEqual, 0)
 	})
-	Convey("So was what nobody listens for", t, func() {
+	Convey("Neither was one to an address that nobody listens on", t, func() {
 		server := serve(scripted())
 		request := post(server, "to nobody")
 		server.Close()
@@ -149,11 +150,11 @@
 		name      string
 		behaviour standin.Behaviour
 	}{
-		{"two answers", standin.RespondTwice}, {"more bytes than it said", standin.RespondWithExtraBytes},
-		{"the last by its own word", standin.RespondAndClose}, {"no length", standin.RespondUnframed},
+		{"two responses", standin.RespondTwice}, {"more bytes than announced", standin.RespondWithExtraBytes},
+		{"Connection: close", standin.RespondAndClose}, {"no length", standin.RespondUnframed},
 	} {
 		t.Run(each.name, func(t *testing.T) {
-			Convey("The answer counts, and the connection isn't used again", t, func() {
+			Convey("The response counts, and the connection isn't reused", t, func() {
 				server := serve(scripted(each.behaviour, each.behaviour))
 				client := New(testLimits)
 				Reset(func() { client.Close(); server.Close() })
@@ -164,7 +165,7 @@
 			})
 		})
 	}
-	Convey("Informational answers come before the one that counts", t, func() {
+	Convey("Informational responses are skipped", t, func() {
 		server := serve(scripted(standin.RespondAfterInformational))
 		client := New(testLimits)
 		Reset(func() { client.Close(); server.Close() })
@@ -172,7 +173,7 @@
 		mustRespond(client, server, "second")
 		So(server.Connections(), ShouldEqual, 1)
 	})
-	Convey("An answer that is longer than any should be counts as none", t, func() {
+	Convey("A response over the limit counts as none", t, func() {
 		server, err := standin.Serve("127.0.0.1:0", scripted(), func(arrival standin.Arrival) (int, string) {
 			return http.StatusOK, strings.Repeat("x", len(arrival.Body)*300)
 		})
@@ -189,7 +190,7 @@
 }
 
 func TestUnsolicitedBytesOnIdleConnections(t *testing.T) {
-	Convey("Bytes that come on an idle connection are no answer to what is asked next", t, func() {
+	Convey("Unsolicited bytes on an idle connection are no response to the next request", t, func() {
 		strays := make(chan net.Conn, 1)
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
@@ -221,10 +222,10 @@
 }
 
 func TestPeerRestart(t *testing.T) {
-	Convey("A request to a peer that has started anew on its address goes there once, on a fresh connection", t, func() {
+	Convey("A request to a peer that has restarted is sent once, on a new connection", t, func() {
 		server := serve(scripted())
 		client := New(testLimits)
-		mustRespond(client, server, "to the first life")
+		mustRespond(client, server, "to the first incarnation")
 		idle := client.peer(server.Address()).idle[0]
 		server.Close()
 		again, err := standin.Serve(server.Address(), scripted(), echo)
@@ -233,10 +234,10 @@
 		for idle.isClean() {
 			runtime.Gosched()
 		}
-		mustRespond(client, again, "to the second life")
+		mustRespond(client, again, "to the second incarnation")
 		So(len(again.Arrivals()), ShouldEqual, 1)
 	})
-	Convey("So does one whose connection the peer has closed, or left unused for too long", t, func() {
+	Convey("So is one where the idle connection was closed by the peer, or idle for too long", t, func() {
 		server := serve(scripted(standin.RespondThenClose))
 		client := New(testLimits)
 		now := time.Now()
@@ -257,7 +258,7 @@
 }
 
 func TestConcurrentRequests(t *testing.T) {
-	Convey("Each of many requests at once gets its own answer, over as many connections as there may be", t, func() {
+	Convey("Each of many concurrent requests gets its own response, within the limit of connections", t, func() {
 		server := serve(func(number int) standin.Behaviour {
 			return []standin.Behaviour{standin.Respond, standin.RespondTwice, standin.ResetAfterBody, standin.CloseInBody}[number%4]
 		})
@@ -285,7 +286,7 @@
 }
 
 func TestInvalidRequests(t *testing.T) {
-	Convey("A request that can't be written as it is meant isn't sent", t, func() {
+	Convey("A request that can't be encoded isn't sent", t, func() {
 		server := serve(scripted())
 		client := New(testLimits)
 		Reset(func() { client.Close(); server.Close() })
--- a/internal/httpcall/connection.go
+++ b/internal/httpcall/connection.go
@@ -14,17 +14,17 @@
 
 const (
 	readBufferBytes = 4 << 10
-	maxHeaderBytes  = 64 << 10 // the longest head of an answer, with those that only inform
+	maxHeaderBytes  = 64 << 10 // of a response, with the informational ones before it
 )
 
-// connection carries one request at a time.
+// connection is used for one request at a time.
 type connection struct {
 	net.Conn
 	limited    *io.LimitedReader
 	reader     *bufio.Reader
-	responses  int       // whole ones so far
-	isReusable bool      // the last request was answered, and nothing else has come
-	lastUsed   time.Time // when that was
+	responses  int       // complete ones so far
+	isReusable bool      // the last response was complete, and nothing else has arrived
+	lastUsed   time.Time // when the last response was complete
 }
 
 func newConnection(conn net.Conn) *connection {
@@ -32,9 +32,8 @@
 	return &connection{Conn: conn, limited: limited, reader: bufio.NewReaderSize(limited, readBufferBytes)}
 }
 
-// isClean tells whether the peer has neither closed the connection nor sent
-// anything that nobody asked for: what stands on it before a request is written
-// can't be its answer.
+// isClean says whether the peer has neither closed the connection nor sent unsolicited
+// bytes: what arrives before a request is written can't be its response.
 func (c *connection) isClean() bool {
 	if !c.isReusable || c.reader.Buffered() > 0 {
 		return false
@@ -50,15 +49,15 @@
 	isEmpty := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		_, _, peekErr := unix.Recvfrom(int(descriptor), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		// Nothing to read yet is the one good case; zero bytes are an end.
+		// EAGAIN means that nothing has arrived. Zero bytes would mean the end.
 		isEmpty = peekErr == unix.EAGAIN || peekErr == unix.EWOULDBLOCK
 		return true
 	})
 	return err == nil && isEmpty
 }
 
-// exchange writes a request and reads its answer. Until that is whole, the
-// connection isn't to be used again.
+// exchange writes a request and reads its response. After an error the connection must
+// not be reused.
 func (c *connection) exchange(ctx context.Context, message []byte, request *http.Request, maxBytes int64) (Response, error) {
 	c.isReusable = false
 	if err := ctx.Err(); err != nil {
@@ -79,7 +78,7 @@
 		return Response{}, Unanswered.Wrap(err, "writing, after %d bytes", written)
 	}
 	response, isLast, err := c.readResponse(request, maxBytes)
-	// Once the context has ended, the deadline may still be about to change.
+	// If the context has ended, its callback may still change the deadline.
 	isReleased := release()
 	if err != nil {
 		return Response{}, Unanswered.Wrap(err, "reading")
@@ -89,7 +88,8 @@
 	return response, nil
 }
 
-// readResponse takes one whole answer in, and tells whether it is the connection's last.
+// readResponse reads one complete response, and says whether it is the connection's
+// last.
 func (c *connection) readResponse(request *http.Request, maxBytes int64) (Response, bool, error) {
 	c.limited.N = maxBytes + maxHeaderBytes
 	for {
@@ -105,13 +105,14 @@
 			return Response{}, true, err
 		}
 		if int64(len(body)) > maxBytes {
-			return Response{}, true, responseTooLong.New("an answer of over %d bytes", maxBytes)
+			return Response{}, true, responseTooLong.New("over %d bytes", maxBytes)
 		}
 		return Response{Code: response.StatusCode, Body: body}, response.Close || response.StatusCode == http.StatusSwitchingProtocols, nil
 	}
 }
 
-// isInformational tells whether another answer follows to the same request.
+// isInformational says whether another response to the same request follows (RFC 9110,
+// section 15.2).
 func isInformational(code int) bool {
 	return code >= 100 && code < 200 && code != http.StatusSwitchingProtocols
 }
--- a/internal/httpcall/peer.go
+++ b/internal/httpcall/peer.go
@@ -5,11 +5,11 @@
 	"net"
 )
 
-// peer is what a client keeps of one address.
+// peer holds the connections to one address.
 type peer struct {
 	address string
-	slots   chan struct{} // one for each request that is under way
-	idle    []*connection // last used last; guarded by the client's mutex
+	slots   chan struct{} // one for each request in progress
+	idle    []*connection // the last used one last; guarded by Client.mu
 }
 
 func (c *Client) peer(address string) *peer {
@@ -23,8 +23,7 @@
 	return p
 }
 
-// connection gives an idle connection on which nothing has come since its last
-// answer, or a fresh one.
+// connection returns a clean idle connection or a new one.
 func (c *Client) connection(ctx context.Context, p *peer) (*connection, error) {
 	for {
 		conn := c.takeIdle(p)
@@ -56,7 +55,8 @@
 	return conn
 }
 
-// release puts a connection back, unless it can't be used again or enough are idle.
+// release returns a connection to the idle ones, or closes it where it isn't reusable or
+// enough are idle.
 func (c *Client) release(p *peer, conn *connection) {
 	conn.lastUsed = c.now()
 	if !conn.isReusable {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -1,6 +1,6 @@
-// Package standin holds stand-ins for the peers of a process: servers on real
-// sockets that misbehave as they are told to, and count what arrives. They tell
-// of each step on channels, so that tests need not sleep.
+// Package standin is a test double for HTTP servers: Server listens on a real socket,
+// behaves or misbehaves for each request as its script says, and records the requests. It
+// reports each step on a channel, so that tests needn't sleep.
 package standin
 
 import (
@@ -12,57 +12,56 @@
 	"sync"
 )
 
-// Behaviour is what becomes of one request.
+// Behaviour is how the server handles one request. Resets are TCP resets.
 type Behaviour int
 
 const (
-	// Respond sends one whole answer.
+	// Respond sends a complete response.
 	Respond Behaviour = iota
-	// RespondAndClose sends one that says it is the connection's last.
+	// RespondAndClose sends a response with Connection: close, and closes.
 	RespondAndClose
-	// RespondThenClose closes the connection after one that doesn't say so.
+	// RespondThenClose sends a response, and closes without having announced it.
 	RespondThenClose
-	// RespondUnframed sends one whose end is the connection's end.
+	// RespondUnframed sends a response without a length, which ends with the connection.
 	RespondUnframed
-	// RespondTwice sends a second one in the same segment.
+	// RespondTwice sends the response twice in one write.
 	RespondTwice
-	// RespondWithExtraBytes sends more bytes than the answer's length says.
+	// RespondWithExtraBytes sends more bytes than Content-Length announces.
 	RespondWithExtraBytes
-	// RespondAfterInformational sends informational answers first.
+	// RespondAfterInformational sends informational responses first.
 	RespondAfterInformational
-	// RespondOnRelease waits for Release.
+	// RespondOnRelease sends a response after a call of Release.
 	RespondOnRelease
-	// NeverRespond reads the request and sends nothing.
+	// NeverRespond reads the request and sends nothing until Close.
 	NeverRespond
-	// ResetBeforeBody resets the connection when the head has been read.
+	// ResetBeforeBody resets the connection after the request's header was read.
 	ResetBeforeBody
-	// ResetInBody does so when half of the body has been read.
+	// ResetInBody resets it after half of the request's body.
 	ResetInBody
-	// ResetAfterBody does so when all of it has been read.
+	// ResetAfterBody resets it after the whole request.
 	ResetAfterBody
-	// ResetInResponse does so after half of the answer's body.
+	// ResetInResponse resets it after half of the response's body was sent.
 	ResetInResponse
-	// CloseInBody closes the connection in order after half of the answer's body.
+	// CloseInBody closes it after half of the response's body.
 	CloseInBody
-	// CloseInHeader closes it in order in the middle of the answer's head.
+	// CloseInHeader closes it within the response's header.
 	CloseInHeader
 )
 
-// Arrival is a request as it came.
+// Arrival is a received request.
 type Arrival struct {
-	Number     int // from 1, in the order in which the heads were read
-	Connection int // from 1, in the order in which they were accepted
+	Number     int // from 1, in the order of the headers
+	Connection int // from 1, in the order of accepting
 	Path       string
 	Header     http.Header
-	Body       []byte // as much as was read of it
+	Body       []byte // as far as it was read
 }
 
-// Server is a stand-in for whoever is called over HTTP.
+// Server is a scripted HTTP server. Its methods may be called concurrently.
 type Server struct {
-	// Arrived gets each request once as much of it was read as is going to be.
+	// Arrived gets each request once it was read, as far as it is to be.
 	Arrived chan Arrival
-	// Done gets the number of each request when the stand-in has done with it
-	// what it was told to.
+	// Done gets the number of each request once its behaviour is completed.
 	Done chan int
 
 	listener   net.Listener
@@ -78,11 +77,11 @@
 	open        map[net.Conn]bool
 }
 
-// eventBuffer is how many requests a test may leave unseen.
+// eventBuffer is how many events a test needn't receive.
 const eventBuffer = 1024
 
-// Serve listens on an address. The script says what becomes of each request by
-// its number, and answer what is answered.
+// Serve starts a server on an address. The script gives the behaviour for each request,
+// by its number, and respond the status and body of its response.
 func Serve(address string, script func(number int) Behaviour, respond func(Arrival) (code int, body string)) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -97,27 +96,28 @@
 	return s, nil
 }
 
-// Address is where it listens.
+// Address is where the server listens, IP:PORT.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Release lets one answer go that waits to be told.
+// Release lets one request with RespondOnRelease continue.
 func (s *Server) Release() { s.release <- struct{}{} }
 
-// Connections counts those accepted so far.
+// Connections returns how many connections were accepted so far.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.connections
 }
 
-// Arrivals lists the requests so far.
+// Arrivals returns the requests so far.
 func (s *Server) Arrivals() []Arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Arrival(nil), s.arrivals...)
 }
 
-// Close ends it as the death of its process would.
+// Close closes all sockets at once, as the end of a process does, and waits for the
+// goroutines.
 func (s *Server) Close() {
 	close(s.stopped)
 	s.listener.Close()
@@ -176,6 +176,7 @@
 	}
 }
 
+// recordHeader numbers a request; recordBody adds its body.
 func (s *Server) recordHeader(arrival Arrival) Arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,7 +203,7 @@
 	return body
 }
 
-// perform does what it was told to, and tells whether the connection stays open.
+// perform carries out a behaviour, and says whether the connection stays open.
 func (s *Server) perform(conn net.Conn, behaviour Behaviour, arrival Arrival) bool {
 	code, body := s.respond(arrival)
 	framed := func(header string) string {
@@ -239,7 +240,7 @@
 	case CloseInBody:
 		send(conn, truncated)
 	case CloseInHeader:
-		send(conn, response[:12])
+		send(conn, response[:len("HTTP/1.1 200")])
 	case ResetBeforeBody, ResetInBody, ResetAfterBody:
 		reset(conn)
 	}
@@ -251,7 +252,7 @@
 	return err == nil
 }
 
-// reset has the kernel send a reset in place of an orderly end.
+// reset makes the next Close send a TCP reset.
 func reset(conn net.Conn) {
 	if system, isTCP := conn.(*net.TCPConn); isTCP {
 		_ = system.SetLinger(0)
