--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -12,12 +12,12 @@
 )
 
 func TestSignals(t *testing.T) {
-	Convey("Only a warning ends a process", t, func() {
+	Convey("Only some signals shut a process down", t, func() {
 		for _, each := range []struct {
-			signal    os.Signal
-			isWarning bool
-			spills    int
-			logged    int
+			signal     os.Signal
+			isShutdown bool
+			flushes    int
+			logged     int
 		}{
 			{syscall.SIGTERM, true, 0, 0},
 			{syscall.SIGINT, true, 0, 0},
@@ -25,10 +25,10 @@
 			{syscall.SIGUSR1, false, 1, 1},
 		} {
 			core, logs := observer.New(zap.InfoLevel)
-			spills := 0
-			spill := func() error { spills++; return errors.New("full") }
-			So(isShutdownSignal(each.signal, zap.New(core), spill), ShouldEqual, each.isWarning)
-			So(spills, ShouldEqual, each.spills)
+			flushes := 0
+			flush := func() error { flushes++; return errors.New("full") }
+			So(isShutdownSignal(each.signal, zap.New(core), flush), ShouldEqual, each.isShutdown)
+			So(flushes, ShouldEqual, each.flushes)
 			So(logs.Len(), ShouldEqual, each.logged)
 		}
 	})
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -38,14 +38,14 @@
 		So(err, ShouldBeNil)
 		return string(text)
 	}
-	Convey("A data folder that is somebody else's: code 2, named, nothing written", t, func() {
+	Convey("A data directory with foreign files: exit code 2, the file is named, nothing is written", t, func() {
 		data := t.TempDir()
 		So(os.WriteFile(filepath.Join(data, "family.jpg"), []byte("x"), 0o600), ShouldBeNil)
 		So(Serve("x", options(data), schema.Role_ROLE_SERVER, never), ShouldEqual, ExitOptions)
 		So(fileNames(data), ShouldResemble, []string{"family.jpg"})
 		So(log(), ShouldContainSubstring, "family.jpg")
 	})
-	Convey("A data folder that is no folder: code 2, named, as it was", t, func() {
+	Convey("A data directory that is none: exit code 2, it is named and unchanged", t, func() {
 		data := filepath.Join(t.TempDir(), "file")
 		So(os.WriteFile(data, []byte("x"), 0o600), ShouldBeNil)
 		So(Serve("x", options(data), schema.Role_ROLE_SERVER, never), ShouldEqual, ExitOptions)
@@ -54,7 +54,7 @@
 		So(string(text), ShouldEqual, "x")
 		So(log(), ShouldContainSubstring, data)
 	})
-	Convey("A store whose checkpoint can't be read: code 2, with folder and group", t, func() {
+	Convey("A store with a snapshot that can't be decoded: exit code 2, directory and group are named", t, func() {
 		data := t.TempDir()
 		folder, err := storage.OpenDir(data)
 		So(err, ShouldBeNil)
@@ -67,7 +67,7 @@
 		So(log(), ShouldContainSubstring, data)
 		So(log(), ShouldContainSubstring, "mail#4")
 	})
-	Convey("An address that can't be had: code 2, named", t, func() {
+	Convey("An address in use: exit code 2, the setting is named", t, func() {
 		taken, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		Reset(func() { taken.Close() })
@@ -78,7 +78,7 @@
 	})
 }
 
-// recordingServer is a server that notes what it is asked to do.
+// recordingServer records the calls of Shutdown.
 type recordingServer struct{ shutdowns chan bool }
 
 func (c recordingServer) StartDraining() {}
@@ -89,7 +89,7 @@
 }
 
 func TestRestartWithReopenedStore(t *testing.T) {
-	Convey("A process whose disk refuses at its start serves, and starts anew with its store, without ending", t, func() {
+	Convey("A process whose disk fails at its start serves without storage, and restarts its node with the store", t, func() {
 		data := t.TempDir()
 		obstacle := filepath.Join(data, "slot-0")
 		So(os.Mkdir(obstacle, 0o700), ShouldBeNil)
@@ -101,7 +101,8 @@
 			return recordingServer{shutdowns}, nil
 		}
 		signals := make(chan os.Signal, 1)
-		go func() { ended <- serve(options, schema.Role_ROLE_SERVER, signals, log, ring, newServer, nil) }()
+		d := &daemon{options: options, role: schema.Role_ROLE_SERVER, signals: signals, log: log, ring: ring, newServer: newServer}
+		go func() { ended <- d.serve() }()
 		So(<-started, ShouldBeFalse)
 		So(os.Remove(obstacle), ShouldBeNil)
 		So(<-shutdowns, ShouldBeTrue)
