--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads a process's settings from a file and from flags, a
-// flag wins, and checks them before anything starts.
+// Package config reads the settings of a process from a JSON file and from flags, which
+// override the file, and validates them before anything starts.
 package config
 
 import (
@@ -18,39 +18,76 @@
 )
 
 var (
-	// Errors is the namespace of what this package refuses.
+	// Errors is the namespace of this package's errors.
 	Errors = errorx.NewNamespace("config")
-	// Invalid means a setting that can't be; the error names it.
+	// Invalid means a setting with an invalid value; the message names the setting.
 	Invalid = Errors.NewType("bad")
 )
 
-// Flags are the settings as flags.
+const (
+	minShutdownTimeoutUs     = 100_000
+	defaultShutdownTimeoutUs = 10_000_000
+	maxShutdownTimeoutUs     = 600_000_000
+	maxTestSyncUs            = 60_000_000
+	maxSeeds                 = 3
+	// maxLosses needs groups of nineteen replicas; larger ones only cost.
+	maxLosses = 9
+)
+
+// Flags are the command line's settings. The zero value is ready for Register.
 type Flags struct {
 	file   string
 	seeds  string
 	losses uint
 	values schema.Settings
+	apply  map[string]func(*schema.Settings) // by flag: copies the flag's value
 }
 
-// Register adds the settings to a flag set.
-func (f *Flags) Register(set *flag.FlagSet, hasData bool) {
-	set.StringVar(&f.file, "options", "", "JSON file with the settings; a flag wins over it")
-	set.StringVar(&f.values.Cell, "cell", "", "cell (zone) this machine stands in")
-	set.StringVar(&f.values.Inner, "inner", "", "IP:port for the system's own processes")
-	set.StringVar(&f.values.Outer, "outer", "", "IP:port for HTTP")
-	set.StringVar(&f.seeds, "seeds", "", "one to three inner addresses, joined by commas; our own may be among them")
-	set.StringVar(&f.values.Trace, "trace", "", "file the log is written to when something goes wrong (default: standard error)")
-	set.Int64Var(&f.values.WarnUs, "warn_us", 0, "longest time to leave after a warning, in microseconds (default 10000000)")
-	set.StringVar(&f.values.TestCuts, "test_cuts", "", "for tests: file of inner addresses that nothing is sent to")
-	if hasData {
-		set.StringVar(&f.values.Data, "data", "", "data folder; without one nothing durable is held here")
-		set.BoolVar(&f.values.First, "first", false, "the whole system starts for the first time: this store may help found it")
-		set.UintVar(&f.losses, "losses", 0, "stores that may be lost at once (default one)")
-		set.Int64Var(&f.values.TestSyncUs, "test_sync_us", 0, "for tests: a sync takes at least this long")
+// Register adds the flags to a flag set, with those about storage if the process may have
+// some.
+func (f *Flags) Register(set *flag.FlagSet, hasStorage bool) {
+	f.apply = map[string]func(*schema.Settings){}
+	set.StringVar(&f.file, "options", "", "JSON file with the settings; flags override it")
+	set.StringVar(&f.seeds, "seeds", "", "one to three internal addresses, separated by commas; our own may be among them")
+	f.apply["seeds"] = func(s *schema.Settings) { s.Seeds = strings.Split(f.seeds, ",") }
+	set.StringVar(setting(f, "cell", func(s *schema.Settings) *string { return &s.Cell }),
+		"cell", "", "cell (zone) of this machine")
+	set.StringVar(setting(f, "inner", func(s *schema.Settings) *string { return &s.Inner }),
+		"inner", "", "IP:port for the cluster's own processes")
+	set.StringVar(setting(f, "outer", func(s *schema.Settings) *string { return &s.Outer }),
+		"outer", "", "IP:port for HTTP")
+	set.StringVar(setting(f, "trace", func(s *schema.Settings) *string { return &s.Trace }),
+		"trace", "", "file that the log is written to after an error (default: standard error)")
+	set.Int64Var(setting(f, "warn_us", func(s *schema.Settings) *int64 { return &s.WarnUs }),
+		"warn_us", 0, "timeout of a graceful shutdown, in microseconds (default 10000000)")
+	set.StringVar(setting(f, "test_cuts", func(s *schema.Settings) *string { return &s.TestCuts }),
+		"test_cuts", "", "for tests: file of internal addresses that nothing is sent to")
+	if hasStorage {
+		f.registerStorage(set)
 	}
 }
 
-// Load reads the file, lays the flags over it, and checks the whole.
+func (f *Flags) registerStorage(set *flag.FlagSet) {
+	set.StringVar(setting(f, "data", func(s *schema.Settings) *string { return &s.Data }),
+		"data", "", "data directory; without one nothing durable is stored here")
+	set.BoolVar(setting(f, "first", func(s *schema.Settings) *bool { return &s.First }),
+		"first", false, "the whole system starts for the first time: this node may bootstrap it")
+	set.UintVar(&f.losses, "losses", 0, "failures of storage nodes at once that must be tolerated (default one)")
+	f.apply["losses"] = func(s *schema.Settings) { s.Losses = uint32(min(f.losses, math.MaxUint32)) }
+	set.Int64Var(setting(f, "test_sync_us", func(s *schema.Settings) *int64 { return &s.TestSyncUs }),
+		"test_sync_us", 0, "for tests: minimum duration of a sync, in microseconds")
+}
+
+// setting returns where a flag keeps its value, and has Load copy it to the field of the
+// settings.
+func setting[T any](f *Flags, name string, field func(*schema.Settings) *T) *T {
+	value := field(&f.values)
+	f.apply[name] = func(s *schema.Settings) { *field(s) = *value }
+	return value
+}
+
+// Load reads the file, overrides it with the flags that are set, and validates the
+// result. Errors: Invalid.
 func (f *Flags) Load(set *flag.FlagSet) (*schema.Settings, error) {
 	if set.NArg() > 0 {
 		return nil, Invalid.New("%s: is no flag", set.Arg(0))
@@ -61,53 +98,55 @@
 		if err != nil {
 			return nil, Invalid.Wrap(err, "options")
 		}
-		// protojson names the key it doesn't know.
 		if err := protojson.Unmarshal(data, options); err != nil {
+			// protojson randomly replaces spaces in its errors.
 			return nil, Invalid.New("options file %s: %s", f.file, strings.ReplaceAll(err.Error(), "\u00a0", " "))
 		}
 	}
-	set.Visit(func(set *flag.Flag) {
-		switch set.Name {
-		case "cell":
-			options.Cell = f.values.Cell
-		case "inner":
-			options.Inner = f.values.Inner
-		case "outer":
-			options.Outer = f.values.Outer
-		case "seeds":
-			options.Seeds = strings.Split(f.seeds, ",")
-		case "trace":
-			options.Trace = f.values.Trace
-		case "warn_us":
-			options.WarnUs = f.values.WarnUs
-		case "data":
-			options.Data = f.values.Data
-		case "first":
-			options.First = f.values.First
-		case "losses":
-			options.Losses = uint32(min(f.losses, math.MaxUint32))
-		case "test_sync_us":
-			options.TestSyncUs = f.values.TestSyncUs
-		case "test_cuts":
-			options.TestCuts = f.values.TestCuts
+	set.Visit(func(visited *flag.Flag) {
+		if apply, found := f.apply[visited.Name]; found {
+			apply(options)
 		}
 	})
 	if options.WarnUs == 0 {
-		options.WarnUs = 10_000_000
+		options.WarnUs = defaultShutdownTimeoutUs
 	}
 	return options, Validate(options)
 }
 
 var cellPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// maxLosses: a group of nineteen stores withstands nine; more only cost.
-const maxLosses = 9
-
-// Validate names the first setting that can't be taken.
+// Validate checks settings. Errors: Invalid, for the first setting that isn't valid.
 func Validate(options *schema.Settings) error {
 	if !cellPattern.MatchString(options.Cell) {
 		return Invalid.New("cell: %q is no name of a cell", options.Cell)
 	}
+	if err := validateAddresses(options); err != nil {
+		return err
+	}
+	if options.WarnUs < minShutdownTimeoutUs || options.WarnUs > maxShutdownTimeoutUs {
+		return Invalid.New("warn_us: must lie between %d and %d", minShutdownTimeoutUs, maxShutdownTimeoutUs)
+	}
+	if options.TestSyncUs < 0 || options.TestSyncUs > maxTestSyncUs {
+		return Invalid.New("test_sync_us: must lie between 0 and %d", maxTestSyncUs)
+	}
+	if options.DiskBytes < 0 {
+		return Invalid.New("disk_bytes: %d is negative", options.DiskBytes)
+	}
+	for _, tolerated := range []struct {
+		field string
+		value uint32
+	}{
+		{"losses", options.Losses}, {"zone_losses", options.ZoneLosses}, {"region_losses", options.RegionLosses},
+	} {
+		if tolerated.value > maxLosses {
+			return Invalid.New("%s: must be at most %d", tolerated.field, maxLosses)
+		}
+	}
+	return validateBounds(options.Bounds)
+}
+
+func validateAddresses(options *schema.Settings) error {
 	for _, each := range []struct{ field, value string }{{"inner", options.Inner}, {"outer", options.Outer}} {
 		if why := addressProblem(each.value); why != "" {
 			return Invalid.New("%s: %s", each.field, why)
@@ -116,7 +155,7 @@
 	if options.Inner == options.Outer {
 		return Invalid.New("outer: is the same as inner (%s)", options.Inner)
 	}
-	if len(options.Seeds) < 1 || len(options.Seeds) > 3 {
+	if len(options.Seeds) < 1 || len(options.Seeds) > maxSeeds {
 		return Invalid.New("seeds: one to three addresses are needed, %d are given", len(options.Seeds))
 	}
 	seen := map[string]bool{}
@@ -129,28 +168,10 @@
 		}
 		seen[seed] = true
 	}
-	if options.WarnUs < 100_000 || options.WarnUs > 600_000_000 {
-		return Invalid.New("warn_us: must lie between 100000 and 600000000")
-	}
-	if options.TestSyncUs < 0 || options.TestSyncUs > 60_000_000 {
-		return Invalid.New("test_sync_us: must lie between 0 and 60000000")
-	}
-	if options.DiskBytes < 0 {
-		return Invalid.New("disk_bytes: %d is negative", options.DiskBytes)
-	}
-	if options.Losses > maxLosses {
-		return Invalid.New("losses: must be at most %d", maxLosses)
-	}
-	if options.ZoneLosses > maxLosses {
-		return Invalid.New("zone_losses: must be at most %d", maxLosses)
-	}
-	if options.RegionLosses > maxLosses {
-		return Invalid.New("region_losses: must be at most %d", maxLosses)
-	}
-	return validateBounds(options.Bounds)
+	return nil
 }
 
-// validateBounds names the first bound that is negative.
+// validateBounds checks that no bound is negative.
 func validateBounds(bounds *schema.Bounds) error {
 	reflected := bounds.ProtoReflect()
 	fields := reflected.Descriptor().Fields()
@@ -163,6 +184,7 @@
 	return nil
 }
 
+// addressProblem says what is wrong with an IP:PORT; empty: nothing is.
 func addressProblem(address string) string {
 	if address == "" {
 		return "is missing"
