--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -68,16 +68,16 @@
 // Counts are what a transport has done so far. The JSON keys are part of the HTTP
 // interface.
 type Counts struct {
-	Sent     uint64 // messages
-	Received uint64 // messages
-	Bytes    uint64 // written
-	Writes   uint64 // system calls, each of which may carry several messages
-	Lost     uint64 // messages that found no room, became stale or were on a connection that failed
-	Dials    uint64
-	Garbage  uint64 // connections closed for what can't be decoded
-	BytesIn  uint64 // read
-	Strayed  uint64 // messages received for another process
-	Former   uint64 // connections closed or rejected, as a later incarnation of the sender is known
+	Sent     uint64 `json:"Sent"`     // messages
+	Received uint64 `json:"Received"` // messages
+	Bytes    uint64 `json:"Bytes"`    // written
+	Writes   uint64 `json:"Writes"`   // system calls, each of which may carry several messages
+	Lost     uint64 `json:"Lost"`     // messages that found no room, became stale or were on a connection that failed
+	Dials    uint64 `json:"Dials"`
+	Garbage  uint64 `json:"Garbage"` // connections closed for what can't be decoded
+	BytesIn  uint64 `json:"BytesIn"` // read
+	Strayed  uint64 `json:"Strayed"` // messages received for another process
+	Former   uint64 `json:"Former"`  // connections closed or rejected, as a later incarnation of the sender is known
 }
 
 // Transport sends and receives the messages of one process. Its methods may be called
