--- a/internal/gateway/backpressure.go
+++ b/internal/gateway/backpressure.go
@@ -71,25 +71,25 @@
 }
 
 // record takes the total that is done by now, and measures the rate once a window.
-func (p *throughput) record(now eventloop.Micros, done uint64) {
-	p.done = max(p.done, done)
-	if p.measuredAt == 0 {
-		p.measuredAt, p.previousDone = now, p.done
+func (t *throughput) record(now eventloop.Micros, done uint64) {
+	t.done = max(t.done, done)
+	if t.measuredAt == 0 {
+		t.measuredAt, t.previousDone = now, t.done
 		return
 	}
-	if elapsed := now - p.measuredAt; elapsed >= minRateWindow {
-		rate := float64(p.done-p.previousDone) * float64(eventloop.Second) / float64(elapsed)
-		p.rate = (p.rate + rate) / 2
-		p.measuredAt, p.previousDone = now, p.done
+	if elapsed := now - t.measuredAt; elapsed >= minRateWindow {
+		rate := float64(t.done-t.previousDone) * float64(eventloop.Second) / float64(elapsed)
+		t.rate = (t.rate + rate) / 2
+		t.measuredAt, t.previousDone = now, t.done
 	}
 }
 
 // nextRetryAfter schedules one more retry, and returns the seconds until then.
-func (p *throughput) nextRetryAfter(now eventloop.Micros) int {
+func (t *throughput) nextRetryAfter(now eventloop.Micros) int {
 	wait := unknownRateWait
-	if p.rate > minRate {
-		wait = eventloop.Micros(float64(eventloop.Second) / p.rate)
+	if t.rate > minRate {
+		wait = eventloop.Micros(float64(eventloop.Second) / t.rate)
 	}
-	p.nextRetryAt = min(max(p.nextRetryAt, now)+wait, now+maxRetryAfterSeconds*eventloop.Second)
-	return max(1, int((p.nextRetryAt-now+eventloop.Second-1)/eventloop.Second))
+	t.nextRetryAt = min(max(t.nextRetryAt, now)+wait, now+maxRetryAfterSeconds*eventloop.Second)
+	return max(1, int((t.nextRetryAt-now+eventloop.Second-1)/eventloop.Second))
 }
--- a/internal/process/late_replies_test.go
+++ b/internal/process/late_replies_test.go
@@ -21,7 +21,7 @@
 	response  chan any
 }
 
-func requestPlan(ctx context.Context, node *Node) pendingCall {
+func requestConfiguration(ctx context.Context, node *Node) pendingCall {
 	numbers, response := make(chan uint64, 1), make(chan any, 1)
 	go func() {
 		response <- node.Call(ctx, GatewayComponent, 30*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
@@ -43,7 +43,7 @@
 		}
 		former := startNode()
 		ctx, giveUp := context.WithCancel(context.Background())
-		id, abandoned := former.Member.Id, requestPlan(ctx, former)
+		id, abandoned := former.Member.Id, requestConfiguration(ctx, former)
 		former.Stop()
 		present := startNode()
 		other, err := transport.Listen(transport.Identity{ID: "other"}, "127.0.0.1:0", func(string, any) {})
@@ -58,7 +58,7 @@
 		// before, as a duplicate to this one might be the first to arrive in time.
 		last := abandoned.requestID
 		for range 3 {
-			open := requestPlan(ctx, present)
+			open := requestConfiguration(ctx, present)
 			So(open.requestID, ShouldBeGreaterThan, last)
 			for response := any(nil); response == nil; {
 				reply(abandoned.requestID, "for the former incarnation")
