--- a/internal/scheduler/barrier.go
+++ b/internal/scheduler/barrier.go
@@ -1,66 +1,71 @@
 package scheduler
 
 import (
-	"cmp"
-
 	"sparnotch/internal/eventloop"
-	"sparnotch/internal/queue"
 )
 
-// Where workers have the members of a group wait for each other, a group needs
-// no hold: it is started directly after its checkout. Who can't begin lets the
-// others go before they have waited for nothing.
+// Where the workers have a barrier, at which the members of a gang wait for each
+// other, a gang isn't held first: all members are ordered to start once they are
+// checked out. When one can't begin, the others are stopped before they have
+// waited in vain.
+
+// defaultBarrierTimeout is the barrierTimeout unless the bounds say more.
+const defaultBarrierTimeout = 2 * eventloop.Second
+
+// barrierTimeout is how long a member may take to begin. It is shorter than the
+// workers have the other members wait.
+func (s *Scheduler) barrierTimeout() eventloop.Micros {
+	if s.bounds.GetGatherUs() > 0 {
+		return eventloop.Micros(s.bounds.GatherUs) * 3 / 4
+	}
+	return defaultBarrierTimeout
+}
 
-// breakUpGang stops the rest of a group one of whose members can't begin any more.
+// breakUpGang stops the members of a task's gang when one of them can't begin any
+// more.
 func (s *Scheduler) breakUpGang(now eventloop.Micros, t *task) {
-	if t.state != queue.CheckedOut || t.evictOutcome != "" {
+	if !t.isActive() {
 		return
 	}
 	members := s.gangMembers(t)
-	broken := len(members) != int(t.spec.Tasks)
+	isBroken := len(members) != int(t.spec.Tasks)
 	for _, member := range members {
-		w := s.workers[member.worker]
-		if w != nil {
-			if report := w.ended[attemptKey{member.key, member.attempt}]; report != nil {
-				if report.note.State == "done" {
-					// It stands for all of them.
-					return
-				}
-				broken = true
-				continue
-			}
-		}
-		_, dead := s.deadWorkers[member.worker]
-		switch {
-		case member.state != queue.CheckedOut || member.evictOutcome != "" || dead:
-			broken = true
-		case member.startedAt > 0:
-		case now-member.since > s.barrierTimeout():
-			broken = true
-		case w != nil && w.hasAnnounced && (w.isDraining || w.incarnation != member.incarnation):
-			broken = true
+		if report := s.endReportOf(member); report != nil && report.note.State == outcomeDone {
+			// One member's success is the gang's.
+			return
 		}
+		isBroken = isBroken || s.cannotBegin(now, member)
 	}
-	if !broken {
-		return
+	if isBroken {
+		s.evictAll(members, outcomeStopped)
 	}
-	for _, member := range members {
-		if member.state == queue.CheckedOut && member.evictOutcome == "" {
-			s.evict(member, "stopped")
-		}
+}
+
+// cannotBegin reports whether a member of a gang neither runs nor will begin in time.
+func (s *Scheduler) cannotBegin(now eventloop.Micros, member *task) bool {
+	_, isWorkerDead := s.deadWorkers[member.worker]
+	if s.endReportOf(member) != nil || !member.isActive() || isWorkerDead {
+		return true
+	}
+	if member.startedAt > 0 {
+		return false
 	}
+	w := s.workers[member.worker]
+	return now-member.since > s.barrierTimeout() ||
+		w != nil && w.hasAnnounced && (w.isDraining || w.incarnation != member.incarnation)
 }
 
-// defaultBarrierTimeout is how long a member may take to begin: less than the others wait.
-func (s *Scheduler) barrierTimeout() eventloop.Micros {
-	if s.bounds.GetGatherUs() > 0 {
-		return eventloop.Micros(s.bounds.GatherUs) * 3 / 4
+// endReportOf is what a task's worker reports of the end of its attempt, or nil.
+func (s *Scheduler) endReportOf(t *task) *endReport {
+	w := s.workers[t.worker]
+	if w == nil {
+		return nil
 	}
-	return defaultBarrierTimeout
+	return w.ended[attemptKey{t.key, t.attempt}]
 }
 
-// canStartGang tells whether a task may be started: with a group, when none of it
-// has ended and every other member can begin as well.
+// canStartGang reports whether a task may be started as far as its gang, if it has
+// one, is concerned: no member has ended, and each can begin as well.
 func (s *Scheduler) canStartGang(t *task) bool {
 	if !t.spec.Gang {
 		return true
@@ -71,14 +76,12 @@
 	}
 	for _, member := range members {
 		w := s.workers[member.worker]
-		if member.state != queue.CheckedOut || member.evictOutcome != "" || w == nil || w.isDead {
+		if !member.isActive() || w == nil || w.isDead || w.hasEnded(member) {
 			return false
 		}
-		if w.ended[attemptKey{member.key, member.attempt}] != nil || member.startedAt == 0 && (!w.hasAnnounced || w.isDraining) {
+		if member.startedAt == 0 && (!w.hasAnnounced || w.isDraining) {
 			return false
 		}
 	}
 	return true
 }
-
-func (s *Scheduler) remoteDataMilli() int64 { return cmp.Or(s.bounds.GetAwayMilli(), 2000) }
--- /dev/null
+++ b/internal/scheduler/candidate.go
@@ -0,0 +1,88 @@
+package scheduler
+
+import (
+	"math"
+
+	"sparnotch/internal/clusterstate"
+	"sparnotch/internal/eventloop"
+)
+
+// candidate is a worker that a pass may place tasks on, with what it has left.
+type candidate struct {
+	worker         *worker
+	free           resources // now
+	freeAfterStops resources // once all stops under way are done, less what is reserved of that
+	maxTasks       int       // on probation: how many more it gets of work that can wait
+	rackWeight     int64     // percent
+	isEjected      bool      // only for work that has waited long
+	isClaimed      bool      // kept free for a wide step
+	victims        []*victim // what may be preempted on it, once hasVictims
+	hasVictims     bool
+}
+
+func (c *candidate) allocate(need resources) {
+	c.free.sub(need)
+	c.freeAfterStops.sub(need)
+	c.maxTasks--
+}
+
+func (c *candidate) release(need resources) {
+	c.free.add(need)
+	c.freeAfterStops.add(need)
+	c.maxTasks++
+}
+
+// candidates lists the workers that may be given work, for one pass.
+func (s *Scheduler) candidates(now eventloop.Micros) []*candidate {
+	candidates := s.candidateBuffer[:0]
+	cores := int64(0)
+	for _, w := range s.sortedWorkers() {
+		if !w.isResponsive(now) || w.isDraining {
+			continue
+		}
+		weight, allowed := s.rackWeight(w)
+		if !allowed {
+			continue
+		}
+		s.refreshUsage(w)
+		if w.hasUnknownUsage {
+			continue
+		}
+		c := reuseNext(candidates)
+		*c = candidate{worker: w, free: w.total(), maxTasks: math.MaxInt32, rackWeight: weight}
+		c.free.sub(w.used)
+		c.freeAfterStops = c.free
+		c.freeAfterStops.add(w.releasing)
+		if now >= w.ejectedUntil && w.isSuspicious() {
+			s.eject(now, w, baseEjectionPeriod, 1)
+		}
+		c.isEjected = now < w.ejectedUntil
+		if w.isOnProbation {
+			c.maxTasks = max(0, w.probationTasks-w.taskCount)
+		}
+		candidates = append(candidates, c)
+		cores += w.cores
+	}
+	s.candidateBuffer, s.candidateCores = candidates, cores
+	return candidates
+}
+
+// reuseNext is the candidate of an earlier pass behind the end of the list, or a new one.
+func reuseNext(candidates []*candidate) *candidate {
+	if len(candidates) < cap(candidates) {
+		if reused := candidates[:len(candidates)+1][len(candidates)]; reused != nil {
+			return reused
+		}
+	}
+	return &candidate{}
+}
+
+// rackWeight is the weight of a worker's rack in percent. Workers of racks with
+// weight 0 and of racks without a valid name get no work, workers without a rack do.
+func (s *Scheduler) rackWeight(w *worker) (weight int64, allowed bool) {
+	weight = s.config.Number("rack", w.rack, "weight")
+	if !clusterstate.IsValidName(w.rack) || weight == 0 {
+		return 100, w.rack == ""
+	}
+	return weight, true
+}
--- /dev/null
+++ b/internal/scheduler/choose.go
@@ -0,0 +1,86 @@
+package scheduler
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+
+	"sparnotch/internal/eventloop"
+)
+
+// chooseWorkers filters and scores the candidates for tasks of one step. It returns
+// a candidate for every task, whose resources it has taken, or nil.
+func (s *Scheduler) chooseWorkers(now eventloop.Micros, tasks []*task, candidates []*candidate, req *placementRequest) []*candidate {
+	if !req.spec.Gang {
+		return s.chooseEach(now, tasks, candidates, req)
+	}
+	// The members of a gang either all wait at a barrier or are all held.
+	for _, hasBarrier := range []bool{true, false} {
+		var alike []*candidate
+		for _, c := range candidates {
+			if c.worker.hasBarrier == hasBarrier {
+				alike = append(alike, c)
+			}
+		}
+		if len(alike) == 0 {
+			continue
+		}
+		if req.spec.OneRack {
+			if chosen := s.chooseInOneRack(now, tasks, alike, req); chosen != nil {
+				return chosen
+			}
+		}
+		if chosen := s.chooseEach(now, tasks, alike, req); chosen != nil {
+			return chosen
+		}
+	}
+	return nil
+}
+
+// chooseInOneRack is chooseEach within one rack: that of the step's data, else the
+// one with most free capacity, that takes all tasks.
+func (s *Scheduler) chooseInOneRack(now eventloop.Micros, tasks []*task, candidates []*candidate, req *placementRequest) []*candidate {
+	byRack := map[string][]*candidate{}
+	weights := map[string]int64{}
+	for _, c := range candidates {
+		if !req.isEligible(c) {
+			continue
+		}
+		rack := c.worker.rack
+		byRack[rack] = append(byRack[rack], c)
+		weights[rack] += min(c.free.multipleOf(req.need), int64(len(tasks)))
+		if rack == req.spec.DataRack {
+			weights[rack] += 1 << 32
+		}
+	}
+	racks := slices.SortedFunc(maps.Keys(byRack), func(a, b string) int {
+		return cmp.Or(cmp.Compare(weights[b], weights[a]), cmp.Compare(a, b))
+	})
+	for _, rack := range racks {
+		if chosen := s.chooseEach(now, tasks, byRack[rack], req); chosen != nil {
+			return chosen
+		}
+	}
+	return nil
+}
+
+// chooseEach chooses the best candidate for each task in turn; nil: one fits nowhere.
+func (s *Scheduler) chooseEach(now eventloop.Micros, tasks []*task, candidates []*candidate, req *placementRequest) []*candidate {
+	chosen := make([]*candidate, 0, len(tasks))
+	undos := make([]func(), 0, len(tasks))
+	for _, t := range tasks {
+		c, score := s.bestCandidate(now, candidates, req)
+		if c == nil {
+			for _, undo := range undos {
+				undo()
+			}
+			return nil
+		}
+		undos = append(undos, req.allocate(c))
+		t.placementReason = fmt.Sprintf("score %.2f on %s: %d milli cores and %d MB left, rack %s has %d of this step",
+			score, c.worker.id, c.free.cores, c.free.memory, c.worker.rack, req.tasksPerRack[c.worker.rack])
+		chosen = append(chosen, c)
+	}
+	return chosen
+}
--- /dev/null
+++ b/internal/scheduler/claim.go
@@ -0,0 +1,52 @@
+package scheduler
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// claimWorkers keeps workers free for count tasks of a wide step, which would otherwise
+// starve behind narrower ones: those that are nearest to being free. It reports
+// whether there are enough.
+func (req *placementRequest) claimWorkers(count int, candidates []*candidate) bool {
+	type offer struct {
+		candidate *candidate
+		freeShare float64
+		tasks     int64 // that it takes once it is free
+	}
+	var offers []offer
+	for _, c := range candidates {
+		if tasks := req.tasksOnceFree(c); tasks > 0 && req.isEligible(c) {
+			offers = append(offers, offer{c, float64(c.freeAfterStops.cores) / float64(max(c.worker.cores, 1)), tasks})
+		}
+	}
+	slices.SortStableFunc(offers, func(a, b offer) int { return cmp.Compare(b.freeShare, a.freeShare) })
+	var taken []*candidate
+	for _, o := range offers {
+		if count <= 0 {
+			break
+		}
+		count -= int(min(o.tasks, math.MaxInt32))
+		taken = append(taken, o.candidate)
+	}
+	if count > 0 {
+		return false
+	}
+	for _, c := range taken {
+		c.isClaimed = true
+	}
+	return true
+}
+
+// tasksOnceFree is how many of the step's tasks a candidate takes once all has
+// ended on it that ends by itself.
+func (req *placementRequest) tasksOnceFree(c *candidate) int64 {
+	total := c.worker.total()
+	total.sub(c.worker.usedByServices)
+	tasks := total.multipleOf(req.need)
+	if req.spec.MaxPerWorker > 0 {
+		tasks = min(tasks, int64(req.spec.MaxPerWorker)-int64(req.tasksPerWorker[c.worker.id]))
+	}
+	return tasks
+}
--- /dev/null
+++ b/internal/scheduler/events.go
@@ -0,0 +1,187 @@
+package scheduler
+
+import (
+	"slices"
+
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/queue"
+	"sparnotch/internal/replica"
+)
+
+// applyEvents brings the view of a queue up to date with what its leader's state
+// machine has committed: numbered events, or the whole list of its tasks.
+func (s *Scheduler) applyEvents(now eventloop.Micros, m replica.TaskEvents, effects eventloop.Effects) {
+	if m.IsSnapshot {
+		s.replaceQueue(now, m)
+	} else if !s.applyNewEvents(now, m, effects) {
+		return
+	}
+	// A task that went out took its capacity when it was reserved; only tasks that
+	// became ready call for a pass.
+	if m.IsSnapshot || slices.ContainsFunc(m.Events, func(event *queue.TaskEvent) bool { return event.Status == queue.Ready }) {
+		s.needsPass = true
+	}
+	s.needsGangStart = true
+}
+
+// replaceQueue makes the view of a queue anew from the whole list of its tasks.
+func (s *Scheduler) replaceQueue(now eventloop.Micros, m replica.TaskEvents) {
+	previous := map[taskKey]task{}
+	q := newQueueView(m.Queue, m.Group, m.Term)
+	if old := s.queues[m.Queue]; old != nil {
+		q.peak = old.peak
+		if old.raftGroup == m.Group {
+			for key, t := range old.tasks {
+				previous[key] = *t
+			}
+		}
+	}
+	s.dropQueue(m.Queue)
+	s.queues[m.Queue] = q
+	q.urgency, q.maxRunning, q.latencyTarget = m.Urgency, m.Running, s.latencyTargetOf(m.Queue)
+	for _, event := range m.Events {
+		s.applyEvent(now, q, event)
+	}
+	s.inheritAttempts(previous, q)
+	q.lastSequence = m.LastSequence
+}
+
+// inheritAttempts keeps what only the scheduler knew of attempts that go on.
+func (s *Scheduler) inheritAttempts(previous map[taskKey]task, q *queueView) {
+	for key, t := range q.tasks {
+		old, found := previous[key]
+		if !found || old.attempt != t.attempt {
+			continue
+		}
+		t.inherit(&old)
+		t.placementReason = old.placementReason
+		if t.state == queue.Ready && old.reservedWorker != "" {
+			s.reserve(q, t, old.reservedWorker, old.reservedAt)
+		}
+	}
+}
+
+// inherit takes over what was observed of the same attempt.
+func (t *task) inherit(old *task) {
+	t.evictOutcome, t.attemptProgress = old.evictOutcome, old.attemptProgress
+	if (t.state == queue.Ready) == (old.state == queue.Ready) {
+		t.since = old.since
+	}
+}
+
+// applyNewEvents applies the events that follow those already known. It reports
+// false where they are of another term than the view.
+func (s *Scheduler) applyNewEvents(now eventloop.Micros, m replica.TaskEvents, effects eventloop.Effects) bool {
+	q := s.queues[m.Queue]
+	if q == nil || q.term != m.Term {
+		return false
+	}
+	for _, event := range m.Events {
+		if event.Sequence <= q.lastSequence {
+			continue
+		}
+		if event.Sequence != q.lastSequence+1 {
+			// An event is missing: ask for the whole list.
+			s.counts.Gaps++
+			effects.Notify("replica", replica.ResyncQueue{Group: m.Group})
+			break
+		}
+		q.lastSequence = event.Sequence
+		s.applyEvent(now, q, event)
+	}
+	return true
+}
+
+// applyEvent puts a task into the state that the event states.
+func (s *Scheduler) applyEvent(now eventloop.Micros, q *queueView, event *queue.TaskEvent) {
+	key := taskKey{q.name, event.Key.Job, event.Key.Step, event.Key.Task}
+	old := q.tasks[key]
+	s.removeTask(q, key)
+	if event.Status == queue.Inactive {
+		return
+	}
+	t := &task{
+		key: key, state: event.Status, attempt: event.Attempt, worker: event.Worker, incarnation: event.Incarnation,
+		sequence: event.Sequence, jobName: event.Name, spec: event.Spec, text: event.Text, since: now, isGangStarted: event.IsGangStarted,
+		round: event.Round, part: event.StepInRound, initialCheckpoint: event.Progress, failures: event.Failures,
+		roundDueAt: now - eventloop.Micros(event.RoundAgeUs), criticalPath: criticalPath{event.CriticalPath, event.RemainingPath},
+	}
+	if old != nil {
+		t.placementReason, t.strikes = old.placementReason, old.strikes
+		if old.attempt == t.attempt {
+			t.inherit(old)
+		}
+	}
+	s.addTask(q, t)
+}
+
+func (s *Scheduler) addTask(q *queueView, t *task) {
+	q.tasks[t.key] = t
+	s.tasksByName[t.name()] = append(s.tasksByName[t.name()], t)
+	if t.state == queue.Ready {
+		t.worker = ""
+		q.addReady(t)
+		return
+	}
+	q.tasksOut++
+	q.usage.add(resourcesOf(t.spec))
+	q.countOnWorker(t, t.worker, 1)
+	s.tasksOn(t.worker)[t.key] = t
+	if t.spec.Gang && t.key.task == 0 && t.state == queue.CheckedOut && !t.isGangStarted {
+		q.pendingGangs[t.key] = t
+	}
+	if w := s.workers[t.worker]; w != nil {
+		w.needsResponse, w.isUsageStale = true, true
+		if t.spec.Gang {
+			s.wakeGang(t)
+		}
+	}
+}
+
+func (s *Scheduler) removeTask(q *queueView, key taskKey) {
+	t := q.tasks[key]
+	if t == nil {
+		return
+	}
+	delete(q.tasks, key)
+	s.removeName(t)
+	if t.state == queue.Ready {
+		if t.reservedWorker != "" {
+			s.unreserve(q, t)
+		}
+		q.removeReady(t)
+		return
+	}
+	q.tasksOut--
+	q.usage.sub(resourcesOf(t.spec))
+	q.countOnWorker(t, t.worker, -1)
+	delete(q.pendingGangs, key)
+	delete(s.tasksByWorker[t.worker], key)
+	if w := s.workers[t.worker]; w != nil {
+		w.isUsageStale = true
+	} else if len(s.tasksByWorker[t.worker]) == 0 {
+		delete(s.tasksByWorker, t.worker)
+	}
+}
+
+func (s *Scheduler) removeName(t *task) {
+	others := slices.DeleteFunc(s.tasksByName[t.name()], func(other *task) bool { return other == t })
+	if len(others) == 0 {
+		delete(s.tasksByName, t.name())
+	} else {
+		s.tasksByName[t.name()] = others
+	}
+}
+
+// dropQueue forgets a queue that this node no longer leads.
+func (s *Scheduler) dropQueue(name string) {
+	q := s.queues[name]
+	if q == nil {
+		return
+	}
+	for key := range q.tasks {
+		s.removeTask(q, key)
+	}
+	delete(s.queues, name)
+	s.needsPass = true
+}
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -7,29 +7,31 @@
 	"sparnotch/internal/queue"
 )
 
-// feasibility is what a job can still be ended by. Work that comes in time goes
-// first, whatever its queue: while there is more to do than room, what is late
-// anyhow would else make late what follows it.
+// deadlineFeasibility is whether a job can still meet its queue's latency target.
+// Work that can goes first, whatever its queue: while there is more to do than
+// capacity, work that is late anyway would make late what follows it.
 type deadlineFeasibility int
 
 const (
 	onTime     deadlineFeasibility = iota
-	late                           // it misses its aim, but not by far
-	infeasible                     // by far
+	late                           // it misses the target, but by less than lateFactor
+	infeasible                     // it misses the target by far
+	feasibilityClasses
 )
 
 const (
-	lateFactor            = 3   // so many times its aim a job is worth having at all
+	lateFactor            = 3   // times the target, up to which a job is merely late
 	estimateTolerance     = 1.2 // estimates are rough
-	infeasibleUtilization = 0.6 // what is lost is begun while less of the room than this is in use
+	infeasibleUtilization = 0.6 // infeasible work is placed up to this utilization
+	waveFraction          = 4   // a step is assumed to get at most 1/4 of all cores at a time
 )
 
-// criticalPath is the longest way through a round, and that from a step on, itself
-// first.
+// criticalPath is the longest path through a round of a job, and that from one step
+// on, itself first.
 type criticalPath struct{ wholeRound, remaining []queue.PathStep }
 
-// latencyTarget is how long a queue's jobs should take at most: so many times their
-// longest way, and so much besides.
+// latencyTarget is how long a round of a queue's jobs should take at most: stretch
+// times its critical path, and slack besides.
 type latencyTarget struct {
 	stretch float64
 	slack   eventloop.Micros
@@ -42,32 +44,33 @@
 	}
 }
 
-// estimateDuration is how long a way should take, where no step may have more cores at
-// once than so many (0: any number); what is wider goes in waves.
+// estimateDuration is how long a path should take where no step has more milli
+// cores at once than cores (0: any number); wider steps go in waves. Steps without
+// an estimate count as 0.
 func (s *Scheduler) estimateDuration(name string, path []queue.PathStep, cores int64) (total eventloop.Micros) {
 	model := s.runtimeModels[runtimeKey{name, ""}]
-	for _, each := range path {
-		if each.EstimateUs <= 0 {
+	for _, leg := range path {
+		if leg.EstimateUs <= 0 {
 			continue
 		}
-		duration := float64(each.EstimateUs)
+		duration := float64(leg.EstimateUs)
 		if model != nil && model.count >= minRuns {
 			duration = math.Exp(model.predict(math.Log(duration)))
 		}
 		if cores > 0 {
-			duration *= math.Ceil(math.Max(1, float64(each.CoresMilli)/float64(cores)))
+			duration *= math.Ceil(math.Max(1, float64(leg.CoresMilli)/float64(cores)))
 		}
 		total += eventloop.Micros(duration)
 	}
 	return total
 }
 
-// feasibilityOf tells what a task's job can still come to.
+// feasibilityOf tells whether a task's job can still meet the latency target.
 func (s *Scheduler) feasibilityOf(now eventloop.Micros, q *queueView, t *task) deadlineFeasibility {
 	if t.spec.RunUntilCancelled || len(t.remaining) == 0 {
 		return onTime
 	}
-	duration := s.estimateDuration(q.name, t.wholeRound, s.candidateCores/wideFraction)
+	duration := s.estimateDuration(q.name, t.wholeRound, s.candidateCores/waveFraction)
 	if duration == 0 {
 		return onTime
 	}
@@ -86,3 +89,13 @@
 	}
 	return infeasible
 }
+
+// infeasibleBudget is how many milli cores infeasible work may still take.
+func infeasibleBudget(candidates []*candidate) int {
+	free, total := int64(0), int64(0)
+	for _, c := range candidates {
+		free += c.free.cores
+		total += c.worker.cores
+	}
+	return int(free) - int((1-infeasibleUtilization)*float64(total))
+}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -1,55 +1,72 @@
 package scheduler
 
-// Groups whose tasks run together: held, launched and evicted whole.
-
 import (
 	"maps"
 	"slices"
 
 	"sparnotch/internal/eventloop"
-	"sparnotch/internal/queue"
-	"sparnotch/internal/replica"
 	"sparnotch/internal/schema"
 )
 
-// evictOutcome has a task stopped; the outcome is what its end will be told as.
-func (s *Scheduler) evict(t *task, outcome string) {
-	t.evictOutcome = outcome
-	if w := s.workers[t.worker]; w != nil {
-		w.needsResponse, w.isUsageStale = true, true
-	}
-}
+// A gang is a step whose tasks run together (gang scheduling). Where workers have
+// no barrier (see barrier.go), its members are first held by their workers, which
+// reserve their resources, and start only once all are held.
 
-// evictWithGang has a task stopped, and its group with it.
+const (
+	// gangStartTimeout is after how long a gang's start that wasn't committed is
+	// proposed again, and how long it waits for all workers to have a poll open.
+	gangStartTimeout = 500 * eventloop.Millisecond
+	// minPollRemaining is what a poll must have left for a start to reach it after
+	// the commit.
+	minPollRemaining = 50 * eventloop.Millisecond
+	// gangHoldTimeout is when a gang that isn't held by all its workers is let go.
+	gangHoldTimeout = 3 * eventloop.Second
+)
+
+// evictWithGang evicts a task and the other members of its gang, if it has one.
 func (s *Scheduler) evictWithGang(t *task, outcome string) {
 	if !t.spec.Gang {
 		s.evict(t, outcome)
 		return
 	}
-	for _, member := range s.gangMembers(t) {
-		if member.state == queue.CheckedOut && member.evictOutcome == "" {
+	s.evictAll(s.gangMembers(t), outcome)
+}
+
+func (s *Scheduler) evictAll(members []*task, outcome string) {
+	for _, member := range members {
+		if member.isActive() {
 			s.evict(member, outcome)
 		}
 	}
 }
 
+// gangMembers lists the members of a task's gang that the queue's view has.
 func (s *Scheduler) gangMembers(t *task) []*task {
 	q := s.queues[t.key.queue]
-	var list []*task
+	var members []*task
 	for k := uint32(0); k < t.spec.Tasks; k++ {
 		if member := q.tasks[taskKey{t.key.queue, t.key.job, t.key.step, k}]; member != nil {
-			list = append(list, member)
+			members = append(members, member)
+		}
+	}
+	return members
+}
+
+// wakeGang has the polls of all members' workers looked at: what becomes of one
+// member may concern all.
+func (s *Scheduler) wakeGang(t *task) {
+	for _, member := range s.gangMembers(t) {
+		if w := s.workers[member.worker]; w != nil {
+			w.needsResponse = true
 		}
 	}
-	return list
 }
 
-// startGangs proposes that a group begins whose members are all held. The decision
-// is a record of the queue before any start leaves, so that a successor carries
-// it out instead of breaking it; and it waits for a moment until every worker
-// has an announce open, so that all starts leave in one step.
+// startGangs proposes the start of the gangs whose members are all held. The start
+// is committed to the queue's log before any start order leaves, so that another
+// scheduler carries it out instead of breaking up the gang.
 func (s *Scheduler) startGangs(now eventloop.Micros, effects eventloop.Effects) {
-	// Few of many queues have a group that isn't decided on.
+	// Few of many queues have a gang that is pending, so those are found first.
 	var names []string
 	for name, q := range s.queues {
 		if len(q.pendingGangs) > 0 && s.mayActFor(now, q) {
@@ -60,59 +77,59 @@
 	for _, name := range names {
 		q := s.queues[name]
 		for _, key := range slices.SortedFunc(maps.Keys(q.pendingGangs), compareTaskKeys) {
-			first := q.pendingGangs[key]
-			members := s.gangMembers(first)
-			if len(members) != int(first.spec.Tasks) || !s.isGangHeld(members) {
-				first.gangHeldAt = 0
-				continue
-			}
-			if first.gangHeldAt == 0 {
-				first.gangHeldAt = now
-			}
-			if first.gangStartProposedAt > 0 && now-first.gangStartProposedAt < gangStartTimeout || !s.canRespondToAll(now, members) && now-first.gangHeldAt < gangStartTimeout {
-				continue
-			}
-			command := &schema.StartGang{Job: first.key.job, Step: first.key.step}
-			for _, member := range members {
-				member.gangStartProposedAt = now
-				command.Attempts = append(command.Attempts, member.attempt)
-			}
-			effects.Notify("replica", replica.Propose{Group: q.raftGroup, Term: q.term, Command: &schema.QueueCommand{
-				Body: &schema.QueueCommand_StartGang{StartGang: command},
-			}})
+			s.startGang(now, q, q.pendingGangs[key], effects)
 		}
 	}
 }
 
-// isGangHeld tells whether every member is held by a worker that stays.
+// startGang proposes the start of the gang with this first member, if it is due.
+func (s *Scheduler) startGang(now eventloop.Micros, q *queueView, first *task, effects eventloop.Effects) {
+	members := s.gangMembers(first)
+	if len(members) != int(first.spec.Tasks) || !s.isGangHeld(members) {
+		first.gangHeldAt = 0
+		return
+	}
+	if first.gangHeldAt == 0 {
+		first.gangHeldAt = now
+	}
+	// All start orders should leave in one step, so for a moment the start waits
+	// until every worker has a poll open.
+	if first.gangStartProposedAt > 0 && now-first.gangStartProposedAt < gangStartTimeout || !s.canRespondToAll(now, members) && now-first.gangHeldAt < gangStartTimeout {
+		return
+	}
+	command := &schema.StartGang{Job: first.key.job, Step: first.key.step}
+	for _, member := range members {
+		member.gangStartProposedAt = now
+		command.Attempts = append(command.Attempts, member.attempt)
+	}
+	q.propose(&schema.QueueCommand{Body: &schema.QueueCommand_StartGang{StartGang: command}}, effects)
+}
+
+// isGangHeld reports whether every member is held by a worker that stays.
 func (s *Scheduler) isGangHeld(members []*task) bool {
 	for _, member := range members {
 		w := s.workers[member.worker]
-		if member.state != queue.CheckedOut || member.evictOutcome != "" || w == nil || w.isDraining || w.hasBarrier {
-			return false
-		}
-		if s.runningNote(member) == nil {
+		if !member.isActive() || w == nil || w.isDraining || w.hasBarrier || s.runningNote(member) == nil {
 			return false
 		}
 	}
 	return true
 }
 
-// isGangStarting tells whether a group that was decided on has members that are
-// still only held.
+// isGangStarting reports whether a task's gang has started, but has members that
+// are still only held.
 func (s *Scheduler) isGangStarting(t *task) bool {
 	if !t.isGangStarted {
 		return false
 	}
-	for _, member := range s.gangMembers(t) {
-		if note := s.runningNote(member); note != nil && note.State == "held" && member.evictOutcome == "" {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(s.gangMembers(t), func(member *task) bool {
+		note := s.runningNote(member)
+		return note != nil && note.State == runHeld && member.evictOutcome == ""
+	})
 }
 
-// acceptsMore tells whether every member's worker can be answered at once.
+// canRespondToAll reports whether the workers of all members have a poll open that
+// outlasts the commit of a start.
 func (s *Scheduler) canRespondToAll(now eventloop.Micros, members []*task) bool {
 	for _, member := range members {
 		w := s.workers[member.worker]
--- /dev/null
+++ b/internal/scheduler/limits.go
@@ -0,0 +1,115 @@
+package scheduler
+
+import (
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/schema"
+)
+
+const (
+	// minStopTimeout is how long preemption waits for a stop at least.
+	minStopTimeout = 3 * eventloop.Second
+	// departureStopLead is how long before its worker departs a task is stopped to
+	// save a checkpoint.
+	departureStopLead = 500 * eventloop.Millisecond
+)
+
+// evict has a task stopped; the outcome is what its end will be reported as.
+func (s *Scheduler) evict(t *task, outcome string) {
+	t.evictOutcome = outcome
+	if w := s.workers[t.worker]; w != nil {
+		w.needsResponse, w.isUsageStale = true, true
+	}
+}
+
+// enforceLimits evicts those of a worker's tasks that have run too long, stand
+// still, can't finish before the worker departs, or wait in a gang that doesn't
+// come together.
+func (s *Scheduler) enforceLimits(now eventloop.Micros, w *worker) {
+	for key, note := range w.running {
+		t := w.taskOf(key)
+		if t == nil || t.evictOutcome != "" {
+			continue
+		}
+		if note.State == runRunning && s.exceedsLimits(now, w, t, note) {
+			s.evict(t, outcomeFailed)
+		}
+		if !t.isActive() {
+			continue
+		}
+		if s.isStuck(now, w, t, note) {
+			s.evictStuck(now, w, t)
+		} else if s.mustCheckpoint(now, w, t) {
+			s.evictWithGang(t, outcomeStopped)
+		}
+	}
+	for _, t := range w.tasks {
+		s.watchStop(now, w, t)
+		if !t.spec.Gang {
+			continue
+		}
+		if w.hasBarrier {
+			s.breakUpGang(now, t)
+		} else if t.exceedsHold(now) {
+			s.evict(t, outcomeStopped)
+		}
+	}
+}
+
+// exceedsLimits reports whether a run is over the time limit, or over the limit on
+// time without progress, of its step or else of its queue.
+func (s *Scheduler) exceedsLimits(now eventloop.Micros, w *worker, t *task, note *schema.TaskStatus) bool {
+	limitOf := func(ofStep int64, ofQueue string) int64 {
+		if ofStep > 0 {
+			return ofStep
+		}
+		return s.config.Number("queue", t.key.queue, ofQueue) * int64(eventloop.Millisecond)
+	}
+	age := int64(now - w.lastHeard) // of the note
+	runLimit, stillLimit := limitOf(t.spec.TimeLimitUs, "limit_ms"), limitOf(t.spec.StallTimeoutUs, "still_ms")
+	return runLimit > 0 && note.RunUs+age > runLimit || stillLimit > 0 && note.IdleUs+age > stillLimit
+}
+
+// evictStuck stops a task that stands still on this worker, which may be why.
+func (s *Scheduler) evictStuck(now eventloop.Micros, w *worker, t *task) {
+	t.strikes++
+	if t.spec.Gang {
+		for _, member := range s.gangMembers(t) {
+			member.strikes = max(member.strikes, t.strikes)
+		}
+	}
+	s.evictWithGang(t, outcomeStopped)
+	s.eject(now, w, baseEjectionPeriod, 1)
+}
+
+// mustCheckpoint reports whether a task must be stopped now to save a checkpoint
+// before its worker departs. What saves none may as well run on.
+func (s *Scheduler) mustCheckpoint(now eventloop.Micros, w *worker, t *task) bool {
+	return w.isDraining && w.departsAt > 0 && t.spec.Checkpoints &&
+		now+departureStopLead >= w.departsAt && now+s.remainingRuntime(now, w, t) > w.departsAt
+}
+
+// watchStop marks a stop that takes too long, so that preemption counts on its
+// resources no longer.
+func (s *Scheduler) watchStop(now eventloop.Micros, w *worker, t *task) {
+	if !t.isStopping() {
+		return
+	}
+	if t.stopRequestedAt == 0 {
+		t.stopRequestedAt = now
+	}
+	if !t.isStopOverdue && now-t.stopRequestedAt > s.stopTimeout() {
+		t.isStopOverdue, w.isUsageStale = true, true
+	}
+}
+
+// stopTimeout is how long preemption waits for a stop.
+func (s *Scheduler) stopTimeout() eventloop.Micros {
+	return max(2*eventloop.Micros(s.bounds.GetStopUs()), minStopTimeout)
+}
+
+// exceedsHold reports whether a member of a gang has been held for too long. Once
+// the gang's start has been proposed, only the log knows what becomes of it.
+func (t *task) exceedsHold(now eventloop.Micros) bool {
+	return t.isActive() && !t.isGangStarted && now-t.since > gangHoldTimeout &&
+		(t.gangStartProposedAt == 0 || now-t.gangStartProposedAt > gangHoldTimeout)
+}
--- /dev/null
+++ b/internal/scheduler/polls.go
@@ -0,0 +1,147 @@
+package scheduler
+
+import (
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/schema"
+)
+
+// maxPollWait is how long a poll is held open at most.
+const maxPollWait = 400 * eventloop.Millisecond
+
+// openPoll is a worker's poll that waits for a response.
+type openPoll struct {
+	gateway  string // the process to respond to
+	id       uint64
+	deadline eventloop.Micros
+}
+
+// handlePoll takes in a worker's announcement and keeps its poll open until there
+// is something to respond with.
+func (s *Scheduler) handlePoll(now eventloop.Micros, gateway string, poll *schema.WorkerPollRequest, effects eventloop.Effects) {
+	w, announce := s.workers[poll.Worker], poll.Heartbeat
+	if !s.acceptsAnnouncement(now, w, announce) {
+		s.respondNothing(gateway, poll.Id, effects)
+		return
+	}
+	if announce.Incarnation > w.incarnation {
+		w.forgetIncarnation()
+	}
+	s.refreshUsage(w)
+	before := w.capacity()
+	isFirst := w.isFirstOf(announce.Incarnation)
+	wasUnresponsive := now-w.lastHeard > unresponsiveTimeout
+	w.announcement.update(now, announce)
+	w.isUsageStale = true
+	s.updateRuns(now, w, announce, effects)
+	s.returnAbandoned(now, w, effects)
+	s.markDead(now, announce.ReplacedWorkers, poll.Worker, effects)
+	s.replacePoll(now, gateway, poll, w, effects)
+	s.updateGangsOn(now, w)
+	if isFirst {
+		// The worker must learn at once who holds its lease, and its inventory is here.
+		s.respond(now, w, effects)
+	}
+	// Most announcements bring no new capacity, and a pass is expensive.
+	s.refreshUsage(w)
+	s.needsPass = s.needsPass || isFirst || wasUnresponsive || before != w.capacity()
+	s.needsGangStart = true
+}
+
+// acceptsAnnouncement reports whether an announcement counts as a sign of life.
+func (s *Scheduler) acceptsAnnouncement(now eventloop.Micros, w *worker, announce *schema.WorkerHeartbeat) bool {
+	// A scheduler that can't be sure of holding the worker lease grants nothing.
+	if w == nil || announce == nil || w.isDead || !s.isClusterStateCurrent(now) || announce.FencingToken > w.fencingToken {
+		return false
+	}
+	if announce.Incarnation < w.incarnation || announce.Incarnation == w.incarnation && announce.Seq <= w.seq {
+		return false
+	}
+	// The worker's messages arrive here, but no response arrives there: what is
+	// ordered may never begin, so the worker counts as unresponsive. The empty
+	// response grants nothing, and shows the worker when it hears again.
+	if announce.Unanswered && w.hasAnnounced && announce.Incarnation == w.incarnation {
+		return false
+	}
+	return true
+}
+
+// isFirstOf reports whether an announcement of this incarnation is the first
+// under the current lease.
+func (a *announcement) isFirstOf(incarnation uint64) bool {
+	return !a.hasAnnounced || a.incarnation != incarnation
+}
+
+func (a *announcement) update(now eventloop.Micros, m *schema.WorkerHeartbeat) {
+	if m.Draining && (!a.isDraining || a.isFirstOf(m.Incarnation)) {
+		a.drainingSince = now
+	}
+	a.incarnation, a.seq, a.lastHeard, a.hasAnnounced = m.Incarnation, m.Seq, now, true
+	a.cores, a.memory, a.accelerators = m.CoresMilli, m.MemoryMb, m.Accelerators
+	a.rack, a.pool, a.labels = m.Rack, m.Pool, m.Labels
+	a.hasBarrier, a.usesNames, a.isDraining = m.GangBarrier, m.TasksByName, m.Draining
+	a.departsAt = 0
+	if m.Draining && m.DepartsInUs > 0 {
+		a.departsAt = now + eventloop.Micros(m.DepartsInUs)
+	}
+	if m.WarmUpUs > 0 {
+		a.warmUpUntil = now + eventloop.Micros(m.WarmUpUs)
+	} else {
+		a.warmUpUntil = min(a.warmUpUntil, now)
+	}
+}
+
+// forgetIncarnation drops what was known of the incarnation before.
+func (w *worker) forgetIncarnation() {
+	w.ended = map[attemptKey]*endReport{}
+	w.resolved = map[namedAttempt]attemptKey{}
+	w.quality = quality{}
+}
+
+// updateRuns takes in what an announcement lists as running and ended.
+func (s *Scheduler) updateRuns(now eventloop.Micros, w *worker, announce *schema.WorkerHeartbeat, effects eventloop.Effects) {
+	running, ended := s.resolveNotes(w, announce)
+	w.running = map[attemptKey]*schema.TaskStatus{}
+	for _, note := range running {
+		w.running[attemptKeyOf(note)] = note
+		w.observeRun(now, note)
+	}
+	s.measureProgress(now, w)
+	s.recordEndReports(now, w, ended, effects)
+}
+
+// replacePoll opens a poll in place of the worker's former one, which is superseded.
+func (s *Scheduler) replacePoll(now eventloop.Micros, gateway string, poll *schema.WorkerPollRequest, w *worker, effects eventloop.Effects) {
+	// The response to the former would say less. An agent, which names its tasks,
+	// has one poll open at a time and doesn't take it.
+	if w.poll != nil && !poll.Heartbeat.TasksByName {
+		s.respond(now, w, effects)
+	}
+	wait := eventloop.Micros(min(max(poll.Heartbeat.MaxWaitUs, 0), int64(maxPollWait)))
+	w.poll, w.needsResponse = &openPoll{gateway: gateway, id: poll.Id, deadline: now + wait}, true
+}
+
+// updateGangsOn lets the gangs that have a member on a worker react to its announcement.
+func (s *Scheduler) updateGangsOn(now eventloop.Micros, w *worker) {
+	for _, t := range w.tasks {
+		if !t.spec.Gang {
+			continue
+		}
+		if w.hasBarrier {
+			s.breakUpGang(now, t)
+		}
+		s.wakeGang(t)
+	}
+}
+
+// closePoll ends a worker's open poll, if any, without granting anything.
+func (s *Scheduler) closePoll(w *worker, effects eventloop.Effects) {
+	if w.poll != nil {
+		s.respondNothing(w.poll.gateway, w.poll.id, effects)
+		w.poll = nil
+	}
+}
+
+// respondNothing ends a poll with a response that grants neither orders nor a lease.
+func (s *Scheduler) respondNothing(gateway string, poll uint64, effects eventloop.Effects) {
+	effects.Send(gateway, &schema.WorkerPollResponse{Id: poll, Scheduler: s.id})
+}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -6,93 +6,101 @@
 	"slices"
 
 	"sparnotch/internal/eventloop"
-	"sparnotch/internal/queue"
 	"sparnotch/internal/schema"
 )
 
 const (
-	maxAwaited            = 64                    // tasks of one step that room is kept for at once
-	acceleratorMilliCores = 8000                  // milli cores that an accelerator counts as
-	maxLossFactor         = 2                     // so many times its own work may be thrown away for a task
-	serviceLoss           = 30 * eventloop.Second // work that stopping a lasting task counts as at least
+	preemptionDelay       = 500 * eventloop.Millisecond  // how long urgent work waits before it preempts
+	claimDelay            = 1500 * eventloop.Millisecond // how long wide work waits before workers are kept free for it
+	maxAwaited            = 64                           // tasks of one step that future capacity is reserved for at once
+	maxLossFactor         = 2                            // how many times its own work may be lost for a task
+	wideFraction          = 4                            // a task of which fewer fit on any worker is wide
+	acceleratorMilliCores = 8000                         // what an accelerator counts as when work is measured
+	serviceLoss           = 30 * eventloop.Second        // run time that stopping a lasting task counts as losing
 )
 
-// victim is what can be displaced: a task, or a group as a whole.
+// victim is what may be preempted: a task, or a gang as a whole.
 type victim struct {
-	members     []*task
-	urgency     int64
-	feasibility deadlineFeasibility
-	loss        float64 // core-microseconds of work that are lost
-	isTaken     bool
+	members []*task
+	urgency int64
+	class   deadlineFeasibility
+	loss    float64 // core-microseconds of work
+	isTaken bool
 }
 
-// reserveFutureCapacity keeps room for tasks that find none now: room that is being freed, else
-// room of less urgent work that is displaced for them, else, for what is wide,
-// whole workers until they are free. It tells for how many of them.
-func (s *Scheduler) reserveFutureCapacity(now eventloop.Micros, q *queueView, step *stepQueue, req *placementRequest, limit int, candidates, allCandidates []*candidate, pass *passState) (awaited int) {
-	first, _ := step.ready.Min()
-	mayPreempt := req.feasibility != infeasible && s.mayPreempt(now, q, pass) && now-first.since >= preemptionDelay
-	count := min(step.ready.Len(), limit, maxAwaited)
+// reserveFutureCapacity reserves capacity for tasks that find none now: what is
+// being freed, else what is freed by preempting less urgent work, else, for a wide
+// step, whole workers until they are free. It returns for how many tasks.
+func (p *queuePass) reserveFutureCapacity(step *stepQueue, req *placementRequest) (awaited int) {
+	waited := p.now - step.first().since
+	mayPreempt := req.feasibility != infeasible && p.mayPreempt() && waited >= preemptionDelay
+	if p.isCapacityComing() || mayPreempt {
+		awaited = p.awaitStops(step, req, mayPreempt)
+	}
+	pool := p.scheduler.poolOf(p.queue)
+	if awaited == 0 && !p.claimedPools[pool] && waited >= claimDelay && req.isWide(p.candidates) {
+		count := 1
+		if req.spec.Gang {
+			count = step.ready.Len()
+		}
+		p.claimedPools[pool] = req.claimWorkers(count, p.candidates)
+	}
+	return awaited
+}
+
+// awaitStops reserves what is freed by stops: of each task by itself, of a gang for
+// all its members or none. It returns for how many tasks.
+func (p *queuePass) awaitStops(step *stepQueue, req *placementRequest, mayPreempt bool) (awaited int) {
+	count := min(step.ready.Len(), p.slots, maxAwaited)
 	if req.spec.Gang {
 		count = step.ready.Len()
 	}
-	if hasReleasing(candidates) || mayPreempt {
-		tx := &preemptionTx{scheduler: s, now: now, pass: pass}
-		for awaited < count && tx.reserveOne(q, req, candidates, allCandidates, mayPreempt) {
-			awaited++
-			if !req.spec.Gang {
-				tx.commit()
-			}
+	tx := &preemptionTx{queuePass: p}
+	for awaited < count && tx.reserveOne(req, mayPreempt) {
+		awaited++
+		if !req.spec.Gang {
+			tx.commit()
 		}
-		switch {
-		case !req.spec.Gang:
-		case awaited == count:
+	}
+	if req.spec.Gang {
+		if awaited == count {
 			tx.commit()
-		default:
+		} else {
 			tx.rollback()
 			awaited = 0
 		}
-		if mayPreempt && awaited < count {
-			pass.preemptionFailed = true
-		}
 	}
-	pool := s.config.Text("queue", q.name, "pool")
-	if awaited == 0 && !pass.claimedPools[pool] && now-first.since >= claimDelay && isWide(req, candidates) {
-		count := 1
-		if req.spec.Gang {
-			count = step.ready.Len()
-		}
-		pass.claimedPools[pool] = s.claimWorkers(req, count, candidates)
+	if mayPreempt && awaited < count {
+		p.preemptionFailed = true
 	}
 	return awaited
 }
 
-func hasReleasing(candidates []*candidate) bool {
-	return slices.ContainsFunc(candidates, func(c *candidate) bool { return c.freeAfterStops != c.free })
+// isCapacityComing reports whether a stop under way frees something.
+func (p *queuePass) isCapacityComing() bool {
+	return slices.ContainsFunc(p.candidates, func(c *candidate) bool { return c.freeAfterStops != c.free })
 }
 
-func (s *Scheduler) mayPreempt(now eventloop.Micros, q *queueView, pass *passState) bool {
-	return s.fleetSetting("preempt") != 0 && pass.minRunningUrgency < q.urgency && now-s.preemptionFailedAt >= TickInterval
+// mayPreempt reports whether the queue may preempt, and there is something to.
+func (p *queuePass) mayPreempt() bool {
+	s := p.scheduler
+	return s.fleetSetting("preempt") != 0 && p.minRunningUrgency < p.queue.urgency && p.now-s.preemptionFailedAt >= TickInterval
 }
 
-// canGainCapacity tells whether room may come about for what finds none.
-func (s *Scheduler) canGainCapacity(now eventloop.Micros, q *queueView, candidates []*candidate, pass *passState) bool {
-	return hasReleasing(candidates) || s.mayPreempt(now, q, pass)
-}
+// canGainCapacity reports whether a step that finds no capacity may come by some.
+func (p *queuePass) canGainCapacity() bool { return p.isCapacityComing() || p.mayPreempt() }
 
-// preemptionTx is a trial: what it takes and displaces stands once it is committed.
+// preemptionTx is a tentative reservation: its victims are evicted once it commits.
 type preemptionTx struct {
-	scheduler *Scheduler
-	now       eventloop.Micros
-	pass      *passState
-	undos     []func()
-	victims   []*victim
+	*queuePass
+	undos   []func()
+	victims []*victim
 }
 
 func (tx *preemptionTx) commit() {
 	for _, v := range tx.victims {
 		for _, member := range v.members {
-			tx.scheduler.evict(member, "stopped")
+			tx.scheduler.evict(member, outcomeStopped)
 			tx.scheduler.counts.Preempted++
 		}
 	}
@@ -106,88 +114,97 @@
 	tx.undos, tx.victims = nil, nil
 }
 
-// countOnWorker keeps room for one task.
-func (tx *preemptionTx) reserveOne(q *queueView, req *placementRequest, candidates, allCandidates []*candidate, mayPreempt bool) bool {
-	s := tx.scheduler
-	var best *candidate
-	var victims []*victim
-	cost := 0.0
-	for _, c := range candidates {
-		if !c.acceptsMore(req) || !s.isEligible(c, req) || !s.isBelowWorkerLimit(c, req) {
+// reserveOne reserves future capacity for one task of a step.
+func (tx *preemptionTx) reserveOne(req *placementRequest, mayPreempt bool) bool {
+	c, victims := tx.cheapest(req, mayPreempt)
+	if c == nil {
+		return false
+	}
+	for _, v := range victims {
+		tx.take(v)
+	}
+	c.freeAfterStops.sub(req.need)
+	req.count(c, 1)
+	tx.undos = append(tx.undos, func() {
+		c.freeAfterStops.add(req.need)
+		req.count(c, -1)
+	})
+	return true
+}
+
+// cheapest finds the first candidate on which the task fits after the stops under
+// way, else the one where the preemption that it takes loses least work.
+func (tx *preemptionTx) cheapest(req *placementRequest, mayPreempt bool) (best *candidate, victims []*victim) {
+	lowest := 0.0
+	for _, c := range tx.candidates {
+		if !req.mayRunOn(c) {
 			continue
 		}
 		if c.freeAfterStops.covers(req.need) {
-			best, victims = c, nil
-			break
+			return c, nil
 		}
 		if !mayPreempt {
 			continue
 		}
-		if found, sum := s.selectVictims(tx.now, c, q.urgency, req, tx.pass); found != nil && sum <= req.maxLoss && (best == nil || sum < cost) {
-			best, victims, cost = c, found, sum
+		if found, loss := tx.selectVictims(c, req); found != nil && loss <= req.maxLoss && (best == nil || loss < lowest) {
+			best, victims, lowest = c, found, loss
 		}
 	}
-	if best == nil {
-		return false
-	}
-	for _, v := range victims {
-		v.isTaken = true
-		tx.victims = append(tx.victims, v)
-		tx.undos = append(tx.undos, func() { v.isTaken = false })
-		for _, member := range v.members {
-			if at := slices.IndexFunc(allCandidates, func(c *candidate) bool { return c.worker.id == member.worker }); at >= 0 {
-				c, size := allCandidates[at], resourcesOf(member.spec)
-				c.freeAfterStops.add(size)
-				tx.undos = append(tx.undos, func() { c.freeAfterStops.sub(size) })
-			}
+	return best, victims
+}
+
+// take reckons with the end of a victim, on all workers that it has members on.
+func (tx *preemptionTx) take(v *victim) {
+	v.isTaken = true
+	tx.victims = append(tx.victims, v)
+	tx.undos = append(tx.undos, func() { v.isTaken = false })
+	for _, member := range v.members {
+		at := slices.IndexFunc(tx.allCandidates, func(c *candidate) bool { return c.worker.id == member.worker })
+		if at < 0 {
+			continue
 		}
+		c, size := tx.allCandidates[at], resourcesOf(member.spec)
+		c.freeAfterStops.add(size)
+		tx.undos = append(tx.undos, func() { c.freeAfterStops.sub(size) })
 	}
-	best.freeAfterStops.sub(req.need)
-	req.tasksPerWorker[best.worker.id]++
-	req.tasksPerRack[best.worker.rack]++
-	tx.undos = append(tx.undos, func() {
-		best.freeAfterStops.add(req.need)
-		req.tasksPerWorker[best.worker.id]--
-		req.tasksPerRack[best.worker.rack]--
-	})
-	return true
 }
 
-// selectVictims finds what of less urgency must go from a worker for a task to fit,
-// with the least work lost; nil if even all of it isn't enough.
-func (s *Scheduler) selectVictims(now eventloop.Micros, c *candidate, urgency int64, req *placementRequest, pass *passState) (victims []*victim, cost float64) {
+// selectVictims finds which victims on a candidate must go for a task to fit, with
+// the least work lost; nil: all of them aren't enough. It returns the loss in
+// core-microseconds.
+func (p *queuePass) selectVictims(c *candidate, req *placementRequest) (victims []*victim, loss float64) {
 	if !c.hasVictims {
-		c.hasVictims, c.victims = true, s.listVictims(now, c.worker, pass)
+		c.hasVictims, c.victims = true, p.listVictims(c.worker)
 	}
-	free, need := c.freeAfterStops, req.need
+	free, id := c.freeAfterStops, c.worker.id
 	for _, v := range c.victims {
-		if free.covers(need) {
+		if free.covers(req.need) {
 			break
 		}
-		if v.isTaken || v.urgency >= urgency || v.feasibility < req.feasibility || v.members[0].evictOutcome != "" {
+		if v.isTaken || v.urgency >= p.queue.urgency || v.class < req.feasibility || v.members[0].evictOutcome != "" {
 			continue
 		}
-		free.add(v.resourcesOn(c.worker.id))
+		free.add(v.resourcesOn(id))
 		victims = append(victims, v)
 	}
-	if !free.covers(need) {
+	if !free.covers(req.need) {
 		return nil, 0
 	}
-	// What has become needless by those after it stays, the dearest first.
+	// Drop the victims that later ones have made unnecessary, the most expensive first.
 	for k := len(victims) - 1; k >= 0; k-- {
-		remaining := free
-		if remaining.sub(victims[k].resourcesOn(c.worker.id)); remaining.covers(need) {
-			free = remaining
+		without := free
+		if without.sub(victims[k].resourcesOn(id)); without.covers(req.need) {
+			free = without
 			victims = slices.Delete(victims, k, k+1)
 		}
 	}
 	for _, v := range victims {
-		cost += v.loss
+		loss += v.loss
 	}
-	return victims, cost
+	return victims, loss
 }
 
-// resourcesOn is the room a unit takes on one worker.
+// resourcesOn is what a victim's end frees on one worker.
 func (v *victim) resourcesOn(worker string) (size resources) {
 	for _, member := range v.members {
 		if member.worker == worker {
@@ -197,36 +214,38 @@
 	return size
 }
 
-// listVictims lists what may be displaced on a worker, the least loss first.
-func (s *Scheduler) listVictims(now eventloop.Micros, w *worker, pass *passState) []*victim {
+// listVictims lists what may be preempted on a worker, the least loss first.
+func (p *queuePass) listVictims(w *worker) []*victim {
+	s := p.scheduler
 	var victims []*victim
 	seen := map[stepKey]bool{}
-	for _, t := range s.sortedTasks(w) {
+	for _, t := range w.sortedTasks() {
 		if !s.isPreemptible(t) {
 			continue
 		}
 		v := &victim{members: []*task{t}, urgency: s.queues[t.key.queue].urgency}
 		if t.spec.Gang {
-			if seen[t.key.stepKey()] {
+			step := t.key.stepKey()
+			if seen[step] {
 				continue
 			}
-			seen[t.key.stepKey()] = true
-			if known := pass.gangVictims[t.key.stepKey()]; known != nil {
+			seen[step] = true
+			if known := p.gangVictims[step]; known != nil {
 				victims = append(victims, known)
 				continue
 			}
-			pass.gangVictims[t.key.stepKey()] = v
-			if v.members = s.gangMembers(t); !allOf(v.members, s.isPreemptible) {
+			p.gangVictims[step] = v
+			if v.members = s.gangMembers(t); !s.areAllPreemptible(v.members) {
 				v.isTaken = true
 				continue
 			}
 		}
-		v.feasibility = s.feasibilityOf(now, s.queues[t.key.queue], t)
+		v.class = s.feasibilityOf(p.now, s.queues[t.key.queue], t)
 		for _, member := range v.members {
-			v.loss += lostWork(now, member)
+			v.loss += lostWork(p.now, member)
 		}
-		// What ends about as soon as it would stop frees its room all the same.
-		if s.remainingRuntime(now, w, t) < eventloop.Micros(s.bounds.GetStopUs())/2 && t.startedAt > 0 {
+		// What ends about as soon as it would stop frees its resources anyway.
+		if s.remainingRuntime(p.now, w, t) < eventloop.Micros(s.bounds.GetStopUs())/2 && t.startedAt > 0 {
 			continue
 		}
 		victims = append(victims, v)
@@ -237,20 +256,14 @@
 	return victims
 }
 
-func allOf(list []*task, is func(*task) bool) bool {
-	return !slices.ContainsFunc(list, func(t *task) bool { return !is(t) })
+func (s *Scheduler) areAllPreemptible(tasks []*task) bool {
+	return !slices.ContainsFunc(tasks, func(t *task) bool { return !s.isPreemptible(t) })
 }
 
-func (s *Scheduler) isPreemptible(t *task) bool {
-	if t.state != queue.CheckedOut || t.evictOutcome != "" {
-		return false
-	}
-	w := s.workers[t.worker]
-	return w == nil || w.ended[attemptKey{t.key, t.attempt}] == nil
-}
+func (s *Scheduler) isPreemptible(t *task) bool { return t.isActive() && s.endReportOf(t) == nil }
 
-// lostWork is the work that is lost when a task is stopped now: since its progress
-// was last kept, else since it began.
+// lostWork is the work in core-microseconds that is lost when a task is stopped
+// now: since its last checkpoint, else since it started.
 func lostWork(now eventloop.Micros, t *task) float64 {
 	cores := coresOf(t.spec)
 	if t.spec.RunUntilCancelled {
@@ -266,17 +279,17 @@
 	return cores * float64(now-from)
 }
 
-// maxLoss is how much work may be thrown away to begin a task at once: more
-// than about its own isn't gained by it.
+// maxLostWork is how much work, in core-microseconds, may be lost to start a task
+// at once: more than about its own isn't worth it.
 func (s *Scheduler) maxLostWork(q *queueView, t *task) float64 {
-	duration := s.estimateDuration(q.name, t.remaining[:min(1, len(t.remaining))], 0)
+	duration := s.estimateDuration(q.name, t.nextLeg(), 0)
 	if duration == 0 || t.spec.RunUntilCancelled {
 		return math.Inf(1)
 	}
 	return maxLossFactor * coresOf(t.spec) * float64(duration)
 }
 
-// loss is what a step's tasks take, in cores.
+// coresOf is what a task of a step takes, in cores; accelerators count as cores.
 func coresOf(spec *schema.Step) float64 {
 	return float64(spec.CoresMilli+acceleratorMilliCores*spec.Accelerators) / 1000
 }
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -4,38 +4,46 @@
 	"math"
 
 	"sparnotch/internal/eventloop"
-	"sparnotch/internal/queue"
-	"sparnotch/internal/schema"
 )
 
-// A worker that has turned slow, or on which nothing moves, ends nothing for a
-// while, so its ends say so too late. What its tasks tell of their progress
-// says it sooner, set against what alike tasks make elsewhere.
+// A worker that has turned slow or is frozen finishes nothing for a while, so the
+// ends of its tasks show it too late. The progress that its tasks report shows it
+// sooner, measured against what similar tasks make elsewhere.
 
 const (
-	progressDecayPeriod = 700 * eventloop.Millisecond  // within which what was seen is mostly forgotten
-	minExpectedProgress = 2.0                          // tasks' worth of progress to be expected before a worker is judged
-	minComparableRuns   = 20                           // runs that alike tasks' pace must be known from
-	slowProgressRatio   = 0.35                         // of the progress expected: less is slow
-	frozenTimeout       = 2200 * eventloop.Millisecond // without any progress on a worker; an agent looks about each second
-	minFrozenProgress   = 0.1                          // tasks' worth of progress to be expected in that time
-	minProgressRatio    = 0.05                         // of the usual pace, that a worker is taken to keep at least
+	progressDecayPeriod = 700 * eventloop.Millisecond  // in which observed progress decays to 1/e
+	minExpectedProgress = 2.0                          // tasks' worth that must be expected before a worker is judged
+	minComparableRuns   = 20                           // of similar tasks, that the expectation is made from
+	slowProgressRatio   = 0.35                         // of the expected progress: less is slow
+	minProgressRatio    = 0.05                         // that a worker is reckoned to make at least
+	frozenTimeout       = 2200 * eventloop.Millisecond // without any progress; agents look about each second
+	minFrozenProgress   = 0.1                          // tasks' worth that must be expected in that time
 )
 
-// progressMeter is the progress that a worker's tasks have made lately, and that which
-// was to be expected of them; in whole tasks.
+// progressMeter compares the progress that a worker's tasks made lately with what
+// was to be expected, in tasks' worth.
 type progressMeter struct {
-	actual, expected float64
-	lastProgressAt   eventloop.Micros // something last moved
+	actual, expected float64          // decayed
+	lastProgressAt   eventloop.Micros // any task's progress last changed
 }
 
-// sample is the progress of a task when something on its worker last moved.
+func (m *progressMeter) decay(now eventloop.Micros) {
+	factor := math.Exp(-float64(now-m.lastProgressAt) / float64(progressDecayPeriod))
+	m.actual, m.expected, m.lastProgressAt = m.actual*factor, m.expected*factor, now
+}
+
+// isSlow reports whether enough progress was to be expected, and far less was made.
+func (m *progressMeter) isSlow() bool {
+	return m.expected >= minExpectedProgress && m.actual < slowProgressRatio*m.expected
+}
+
+// progressSample is a task's progress when any task of its worker last moved.
 type progressSample struct {
 	at      eventloop.Micros
 	percent int64
 }
 
-// isProgressComparable tells whether a task's progress says something of its worker.
+// isProgressComparable reports whether a task's progress says something of its worker.
 func (s *Scheduler) isProgressComparable(now eventloop.Micros, w *worker, t *task) bool {
 	if t.spec.RunUntilCancelled || t.spec.Gang || t.startedAt == 0 || now < w.warmUpUntil {
 		return false
@@ -45,70 +53,75 @@
 	return model != nil && model.count >= minComparableRuns && (t.initialCheckpoint == "" || now-t.startedAt > 2*eventloop.Micros(s.bounds.GetRestoreUs()))
 }
 
-// measureProgress reads the progress that an announce tells.
+// measureProgress takes in the progress that an announcement reports, and ejects
+// the worker if it turns out slow.
 func (s *Scheduler) measureProgress(now eventloop.Micros, w *worker) {
-	progressed := false
-	for key, note := range w.running {
-		if t := w.tasks[key.taskKey]; t != nil && t.attempt == key.attempt && t.sample.at > 0 && note.Percent != t.sample.percent {
-			progressed = true
-		}
-	}
-	if progressed || w.progress.lastProgressAt == 0 {
-		decay := math.Exp(-float64(now-w.progress.lastProgressAt) / float64(progressDecayPeriod))
-		w.progress.actual, w.progress.expected, w.progress.lastProgressAt = w.progress.actual*decay, w.progress.expected*decay, now
+	hasProgressed := w.hasProgressed()
+	if hasProgressed || w.progress.lastProgressAt == 0 {
+		w.progress.decay(now)
 	}
 	for key, note := range w.running {
-		t := w.tasks[key.taskKey]
-		if t == nil || t.attempt != key.attempt || note.State != "running" || !s.isProgressComparable(now, w, t) {
+		t := w.taskOf(key)
+		if t == nil || note.State != runRunning || !s.isProgressComparable(now, w, t) {
 			continue
 		}
 		if t.sample.at == 0 {
 			t.sample = progressSample{now, note.Percent}
-		} else if progressed {
+		} else if hasProgressed {
 			s.recordProgress(now, w, t, note.Percent)
 		}
 	}
-	if w.progress.expected >= minExpectedProgress && w.progress.actual < slowProgressRatio*w.progress.expected {
+	if w.progress.isSlow() {
 		s.ejectSlowWorker(now, w, math.Max(minProgressRatio, w.progress.actual/w.progress.expected))
 	}
 }
 
+// hasProgressed reports whether the latest announcement shows progress of any task.
+func (w *worker) hasProgressed() bool {
+	for key, note := range w.running {
+		if t := w.taskOf(key); t != nil && t.sample.at > 0 && note.Percent != t.sample.percent {
+			return true
+		}
+	}
+	return false
+}
+
 func (s *Scheduler) recordProgress(now eventloop.Micros, w *worker, t *task, percent int64) {
 	w.progress.expected += float64(now-t.sample.at) / float64(s.expectedRuntime(w, t))
 	w.progress.actual += float64(percent-t.sample.percent) / 100
 	t.sample = progressSample{now, percent}
 }
 
-// recordFinalProgress reads the progress up to a task's end.
-func (s *Scheduler) recordFinalProgress(now eventloop.Micros, w *worker, t *task, note *schema.TaskStatus) {
-	if note.State == "done" && t.sample.at > 0 && s.isProgressComparable(now, w, t) {
+// recordFinalProgress takes in the progress up to a task's successful end.
+func (s *Scheduler) recordFinalProgress(now eventloop.Micros, w *worker, t *task) {
+	if t.sample.at > 0 && s.isProgressComparable(now, w, t) {
 		s.recordProgress(now, w, t, 100)
 		w.progress.lastProgressAt = now
 	}
 }
 
-// isFrozen tells whether nothing moves on a worker that is heard of.
+// isFrozen reports whether nothing moves on a worker though it announces itself.
 func (s *Scheduler) isFrozen(now eventloop.Micros, w *worker) bool {
 	if w.progress.lastProgressAt == 0 || now-w.progress.lastProgressAt < frozenTimeout || now-w.lastHeard > maxPollWait {
 		return false
 	}
-	want := 0.0
+	expected := 0.0
 	for key, note := range w.running {
-		t := w.tasks[key.taskKey]
-		if t == nil || t.attempt != key.attempt || t.sample.at == 0 || note.State != "running" || !s.isProgressComparable(now, w, t) {
+		t := w.taskOf(key)
+		if t == nil || t.sample.at == 0 || note.State != runRunning || !s.isProgressComparable(now, w, t) {
 			continue
 		}
 		if from := max(t.sample.at, w.progress.lastProgressAt); now-from >= frozenTimeout {
-			want += float64(now-from) / float64(s.expectedRuntime(w, t))
+			expected += float64(now-from) / float64(s.expectedRuntime(w, t))
 		}
 	}
-	return want > minFrozenProgress
+	return expected > minFrozenProgress
 }
 
-// ejectSlowWorker sets a worker aside that keeps only this share of the usual pace, and
-// has those of its tasks stopped that would end sooner elsewhere, where that
-// throws away no more than it is worth.
-func (s *Scheduler) ejectSlowWorker(now eventloop.Micros, w *worker, share float64) {
+// ejectSlowWorker ejects a worker that makes only this ratio of the expected
+// progress, and stops those of its tasks that would finish sooner elsewhere, where
+// the work that is lost is worth it.
+func (s *Scheduler) ejectSlowWorker(now eventloop.Micros, w *worker, ratio float64) {
 	w.progress = progressMeter{lastProgressAt: now}
 	if now < w.ejectedUntil {
 		return
@@ -116,15 +129,15 @@
 	if s.eject(now, w, slowEjectionPeriod, slowProbationTasks); now >= w.ejectedUntil {
 		return
 	}
-	for _, t := range s.sortedTasks(w) {
-		if t.state != queue.CheckedOut || t.evictOutcome != "" || !s.isProgressComparable(now, w, t) {
+	for _, t := range w.sortedTasks() {
+		if !t.isActive() || !s.isProgressComparable(now, w, t) {
 			continue
 		}
 		expected := float64(s.expectedRuntime(w, t))
-		runtimeHere := expected * float64(100-t.percent) / 100 / share
+		remainingHere := expected * float64(100-t.percent) / 100 / ratio
 		runtimeElsewhere := expected + float64(s.bounds.GetStopUs())
-		if runtimeHere > runtimeElsewhere && lostWork(now, t) <= maxLossFactor*coresOf(t.spec)*expected {
-			s.evict(t, "stopped")
+		if remainingHere > runtimeElsewhere && lostWork(now, t) <= maxLossFactor*coresOf(t.spec)*expected {
+			s.evict(t, outcomeStopped)
 		}
 	}
 }
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -1,7 +1,5 @@
 package scheduler
 
-// What workers report of runs and ends, carried to the queue's leader.
-
 import (
 	"sort"
 
@@ -10,9 +8,26 @@
 	"sparnotch/internal/schema"
 )
 
-// recordEndReports passes ended tasks on to their queues' leaders until they are noted.
+const (
+	// reportRetryInterval is after how long an end that wasn't acknowledged is
+	// reported to its queue again.
+	reportRetryInterval = 300 * eventloop.Millisecond
+	// gangFailureGrace is how long the failure of a gang's member is kept back for
+	// the other members to begin.
+	gangFailureGrace = eventloop.Second
+)
+
+// endReport is an end that a worker lists until it is acknowledged.
+type endReport struct {
+	note           *schema.TaskStatus
+	receivedAt     eventloop.Micros // first
+	sentAt         eventloop.Micros // last
+	isAcknowledged bool             // the queue has committed it
+}
+
+// recordEndReports takes in the ends that an announcement lists.
 func (s *Scheduler) recordEndReports(now eventloop.Micros, w *worker, notes []*schema.TaskStatus, effects eventloop.Effects) {
-	fresh := map[attemptKey]*endReport{}
+	listed := map[attemptKey]*endReport{}
 	for _, note := range notes {
 		key := attemptKeyOf(note)
 		report := w.ended[key]
@@ -20,98 +35,111 @@
 			report = &endReport{note: note, receivedAt: now, sentAt: -reportRetryInterval}
 			s.recordEnd(now, w, key, note)
 		}
-		fresh[key] = report
+		listed[key] = report
 	}
-	w.ended = fresh
+	w.ended = listed
 	s.forwardEndReports(now, w, effects)
 }
 
+// forwardEndReports reports ends to the leaders of their queues until they are
+// acknowledged.
 func (s *Scheduler) forwardEndReports(now eventloop.Micros, w *worker, effects eventloop.Effects) {
-	for _, key := range sortedEndKeys(w) {
+	for _, key := range w.sortedEndKeys() {
 		report := w.ended[key]
 		if report.isAcknowledged || now-report.sentAt < reportRetryInterval {
 			continue
 		}
-		outcome := report.note.State
-		end := &schema.TaskEndReport{
-			Queue: key.queue, Key: &schema.TaskKey{Job: key.job, Step: key.step, Task: key.task},
-			Attempt: key.attempt, Worker: w.id, Checkpoint: report.note.Checkpoint, WholeGang: outcome == "done" && w.hasBarrier,
-		}
-		if q := s.queues[key.queue]; q != nil && s.mayActFor(now, q) {
-			t := q.tasks[key.taskKey]
-			// It isn't out under that attempt any more, so nothing is left to
-			// report, but that it failed. That is sure only when nothing is on
-			// its way to us.
-			superseded := t == nil || t.attempt > key.attempt
-			if superseded && outcome != "failed" {
-				report.isAcknowledged = true
-				continue
-			}
-			// Who fails at once would have the others stopped before the last of
-			// them has begun, whose order was lost on the way.
-			if !superseded && outcome == "failed" && now-report.receivedAt < gangFailureGrace && s.isGangStarting(t) {
-				continue
-			}
-			if !superseded && t.attempt == key.attempt && t.evictOutcome != "" && outcome == "stopped" {
-				outcome = t.evictOutcome
-			}
-			if t != nil {
-				end.WholeGang = end.WholeGang && t.spec.Gang
-				// A run that ends before it has kept anything new leaves what there was.
-				if end.Checkpoint == "" && t.attempt == key.attempt {
-					end.Checkpoint = t.latestCheckpoint()
-				}
-				if !t.spec.Checkpoints {
-					end.Checkpoint = ""
-				}
-			}
-		}
-		if outcome == "done" {
-			end.Checkpoint = ""
+		if end := s.endOf(now, w, key, report); end != nil {
+			report.sentAt = now
+			effects.Notify("replica", replica.TaskEnded{End: end})
 		}
-		report.sentAt = now
-		end.Outcome = outcome
-		effects.Notify("replica", replica.TaskEnded{End: end})
 	}
 }
 
-func sortedEndKeys(w *worker) []attemptKey {
+// endOf is what to report of an end to its queue; nil: nothing, or not yet.
+func (s *Scheduler) endOf(now eventloop.Micros, w *worker, key attemptKey, report *endReport) *schema.TaskEndReport {
+	end := &schema.TaskEndReport{
+		Queue: key.queue, Key: key.toSchema(), Attempt: key.attempt, Worker: w.id,
+		Outcome: report.note.State, Checkpoint: report.note.Checkpoint, WholeGang: report.note.State == outcomeDone && w.hasBarrier,
+	}
+	if q := s.queues[key.queue]; q != nil && s.mayActFor(now, q) && !s.completeEnd(now, end, q.tasks[key.taskKey], report) {
+		return nil
+	}
+	if end.Outcome == outcomeDone {
+		end.Checkpoint = ""
+	}
+	return end
+}
+
+// completeEnd adds to an end what the queue's view of the task says, nil if it has
+// none. It reports false where the end isn't to be reported, or not yet.
+func (s *Scheduler) completeEnd(now eventloop.Micros, end *schema.TaskEndReport, t *task, report *endReport) bool {
+	// Where the task isn't out under that attempt any more, nothing is left to
+	// report but a failure, which counts. The view may be relied on only because
+	// this node may act for the queue.
+	superseded := t == nil || t.attempt > end.Attempt
+	if superseded && end.Outcome != outcomeFailed {
+		report.isAcknowledged = true
+		return false
+	}
+	// A member that fails at once would have the others stopped before the last of
+	// them has begun, whose start order was lost on the way.
+	if !superseded && end.Outcome == outcomeFailed && now-report.receivedAt < gangFailureGrace && s.isGangStarting(t) {
+		return false
+	}
+	if t == nil {
+		return true
+	}
+	if !superseded && t.attempt == end.Attempt && t.evictOutcome != "" && end.Outcome == outcomeStopped {
+		end.Outcome = t.evictOutcome
+	}
+	end.WholeGang = end.WholeGang && t.spec.Gang
+	// A run that ends before it has saved a new checkpoint leaves the one before.
+	if end.Checkpoint == "" && t.attempt == end.Attempt {
+		end.Checkpoint = t.latestCheckpoint()
+	}
+	if !t.spec.Checkpoints {
+		end.Checkpoint = ""
+	}
+	return true
+}
+
+func (w *worker) sortedEndKeys() []attemptKey {
 	keys := make([]attemptKey, 0, len(w.ended))
 	for key := range w.ended {
 		keys = append(keys, key)
 	}
-	sort.Slice(keys, func(a, b int) bool { return taskKeyLess(keys[a].taskKey, keys[b].taskKey) })
+	sort.Slice(keys, func(a, b int) bool { return compareTaskKeys(keys[a].taskKey, keys[b].taskKey) < 0 })
 	return keys
 }
 
+// handleEndReply notes that a queue has committed an end.
 func (s *Scheduler) handleEndReply(m *schema.TaskEndAck) {
-	if w := s.workers[m.Worker]; w != nil && m.Key != nil {
-		if report := w.ended[attemptKey{taskKey{m.Queue, m.Key.Job, m.Key.Step, m.Key.Task}, m.Attempt}]; report != nil {
+	if m.Key == nil {
+		return
+	}
+	key := attemptKey{taskKey{m.Queue, m.Key.Job, m.Key.Step, m.Key.Task}, m.Attempt}
+	if w := s.workers[m.Worker]; w != nil {
+		if report := w.ended[key]; report != nil {
 			report.isAcknowledged, w.needsResponse = true, true
 		}
 	}
-	// The queue has taken the end in, though its shift may not be here yet: this
-	// attempt isn't started any more.
-	if q := s.queues[m.Queue]; q != nil && m.Key != nil {
-		if t := q.tasks[taskKey{m.Queue, m.Key.Job, m.Key.Step, m.Key.Task}]; t != nil && t.attempt == m.Attempt && t.worker == m.Worker {
+	// The event that says so may not be here yet: until then the attempt must not
+	// be ordered again.
+	if q := s.queues[m.Queue]; q != nil {
+		if t := q.tasks[key.taskKey]; t != nil && t.attempt == m.Attempt && t.worker == m.Worker {
 			t.isEndAcknowledged = true
 		}
 	}
 }
 
-func (s *Scheduler) runningNote(t *task) *schema.TaskStatus {
-	w := s.workers[t.worker]
-	if w == nil {
-		return nil
-	}
-	return w.running[attemptKey{t.key, t.attempt}]
-}
-
+// hasAcknowledgedEnds reports whether there are settled ends to acknowledge to the
+// worker.
 func (s *Scheduler) hasAcknowledgedEnds(now eventloop.Micros, w *worker) bool {
 	for _, report := range w.ended {
 		if report.isAcknowledged {
 			return true
 		}
 	}
-	return len(w.unknownEnds) > 0 && len(s.orphanedNotes(now, w.unknownEnds)) > 0
+	return len(s.orphanedNotes(now, w.unknownEnds)) > 0
 }
--- a/internal/scheduler/resolve.go
+++ b/internal/scheduler/resolve.go
@@ -1,72 +1,76 @@
 package scheduler
 
 import (
-	"maps"
-	"slices"
-
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/schema"
 )
 
-// taskName is a task as an agent names it, which knows no queue.
+// taskName is a task as an agent names it, which knows no queues.
 type taskName struct {
-	name        string
+	jobName     string
 	round, part uint32
 	task        uint32
 }
 
+// namedAttempt is an attempt as an agent names it.
 type namedAttempt struct {
 	taskName
 	attempt uint32
 }
 
+func (t *task) name() taskName { return taskName{t.jobName, t.round, t.part, t.key.task} }
+
 func namedAttemptOf(note *schema.TaskStatus) namedAttempt {
 	return namedAttempt{taskName{note.Name, note.Round, note.StepInRound, note.Task}, note.Attempt}
 }
 
-// resolveNotes finds the queue and key of every note of a named announce. What can't
-// be found stays with the worker as strange runs and unknown ends.
+// resolveNotes gives the queue and key to every note of an announcement that names
+// its tasks by job. The notes of which no task is known stay with the worker.
 func (s *Scheduler) resolveNotes(w *worker, announce *schema.WorkerHeartbeat) (running, ended []*schema.TaskStatus) {
 	if !announce.TasksByName {
 		w.unknownRuns, w.unknownEnds = nil, nil
 		return announce.Running, announce.Ended
 	}
-	known := make(map[namedAttempt]attemptKey, len(announce.Running)+len(announce.Ended))
-	find := func(notes []*schema.TaskStatus) (resolved, unresolved []*schema.TaskStatus) {
-		for _, note := range notes {
-			key, found := s.resolveNote(w, note)
-			if !found {
-				unresolved = append(unresolved, note)
-				continue
-			}
-			known[namedAttemptOf(note)] = key
-			resolved = append(resolved, &schema.TaskStatus{
-				Queue: key.queue, Job: key.job, Step: key.step, Task: key.task, Attempt: key.attempt, State: note.State,
-				RunUs: note.RunUs, IdleUs: note.IdleUs, CoresMilli: note.CoresMilli, MemoryMb: note.MemoryMb,
-				Name: note.Name, Round: note.Round, StepInRound: note.StepInRound, Checkpoint: note.Checkpoint, Percent: note.Percent,
-			})
-		}
-		return resolved, unresolved
-	}
-	running, w.unknownRuns = find(announce.Running)
-	ended, w.unknownEnds = find(announce.Ended)
-	w.resolved = known
+	keys := make(map[namedAttempt]attemptKey, len(announce.Running)+len(announce.Ended))
+	running, w.unknownRuns = s.resolveList(w, announce.Running, keys)
+	ended, w.unknownEnds = s.resolveList(w, announce.Ended, keys)
+	w.resolved = keys
 	return running, ended
 }
 
+// resolveList resolves notes and adds the keys it finds to keys.
+func (s *Scheduler) resolveList(w *worker, notes []*schema.TaskStatus, keys map[namedAttempt]attemptKey) (resolved, unresolved []*schema.TaskStatus) {
+	for _, note := range notes {
+		key, found := s.resolveNote(w, note)
+		if !found {
+			unresolved = append(unresolved, note)
+			continue
+		}
+		keys[namedAttemptOf(note)] = key
+		resolved = append(resolved, &schema.TaskStatus{
+			Queue: key.queue, Job: key.job, Step: key.step, Task: key.task, Attempt: key.attempt, State: note.State,
+			RunUs: note.RunUs, IdleUs: note.IdleUs, CoresMilli: note.CoresMilli, MemoryMb: note.MemoryMb,
+			Name: note.Name, Round: note.Round, StepInRound: note.StepInRound, Checkpoint: note.Checkpoint, Percent: note.Percent,
+		})
+	}
+	return resolved, unresolved
+}
+
+// resolveNote finds the attempt that a note names. Jobs of several queues may have
+// the same name, so what is checked out to the worker goes first.
 func (s *Scheduler) resolveNote(w *worker, note *schema.TaskStatus) (attemptKey, bool) {
 	name := namedAttemptOf(note)
-	candidates := s.tasksByName[name.taskName]
-	for _, t := range candidates {
+	tasks := s.tasksByName[name.taskName]
+	for _, t := range tasks {
 		if t.worker == w.id && t.attempt == note.Attempt {
 			return attemptKey{t.key, note.Attempt}, true
 		}
 	}
-	// What it stood for once it stands for still, also after the task is gone.
+	// A name keeps its meaning, also after the task is gone.
 	if key, known := w.resolved[name]; known {
 		return key, true
 	}
-	for _, t := range candidates {
+	for _, t := range tasks {
 		if t.attempt >= note.Attempt {
 			return attemptKey{t.key, note.Attempt}, true
 		}
@@ -74,99 +78,18 @@
 	return attemptKey{}, false
 }
 
-// orphanedNotes lists those of a worker's notes that no queue can know: every queue
-// of the plan is led here, and none has such a task. Before that is sure they
-// are left alone.
+// orphanedNotes lists those of a worker's unknown notes that belong to no task of
+// any queue. It is empty until this node leads every queue and so can be sure.
 func (s *Scheduler) orphanedNotes(now eventloop.Micros, notes []*schema.TaskStatus) []*schema.TaskStatus {
 	if len(notes) == 0 || !s.leadsAllQueues(now) {
 		return nil
 	}
-	var list []*schema.TaskStatus
+	var orphaned []*schema.TaskStatus
 	for _, note := range notes {
-		// A task that has come since is for the next announce.
+		// A task that has come since is resolved by the next announcement.
 		if len(s.tasksByName[namedAttemptOf(note).taskName]) == 0 {
-			list = append(list, &schema.TaskStatus{Name: note.Name, Round: note.Round, StepInRound: note.StepInRound, Task: note.Task, Attempt: note.Attempt})
-		}
-	}
-	return list
-}
-
-// leadsAllQueues tells whether every queue of the plan that stands in the cluster state is
-// led here and may be acted for.
-func (s *Scheduler) leadsAllQueues(now eventloop.Micros) bool {
-	if s.clusterState.Version == 0 || !s.isClusterStateCurrent(now) {
-		return false
-	}
-	for _, place := range s.clusterState.Queues {
-		if !s.config.HasQueue(place.Queue) {
-			continue
-		}
-		if q := s.queues[place.Queue]; q == nil || !s.mayActFor(now, q) {
-			return false
-		}
-	}
-	return true
-}
-
-// observeRun takes down what is seen of a running task.
-func (s *Scheduler) observeRun(now eventloop.Micros, w *worker, note *schema.TaskStatus) {
-	t := w.tasks[attemptKeyOf(note).taskKey]
-	if t == nil || t.attempt != note.Attempt || note.State == "held" {
-		return
-	}
-	if t.startedAt == 0 {
-		t.startedAt = now - eventloop.Micros(note.RunUs)
-		if note.RunUs == 0 && t.orderedAt > 0 {
-			t.startedAt = t.orderedAt
-		}
-		t.progressedAt, t.percent = now, note.Percent
-	}
-	if note.Percent != t.percent {
-		t.progressedAt, t.percent = now, note.Percent
-	}
-	if note.Checkpoint != "" && note.Checkpoint != t.lastCheckpoint {
-		t.lastCheckpoint, t.checkpointedAt = note.Checkpoint, now
-	}
-}
-
-// markDead takes an agent's word for the workers that stood on its machine
-// before: nothing of theirs runs, so their tasks are given back at once.
-func (s *Scheduler) markDead(now eventloop.Micros, list []string, reporter string, effects eventloop.Effects) {
-	for _, id := range list {
-		if id == reporter {
-			continue
-		}
-		_, known := s.deadWorkers[id]
-		s.deadWorkers[id] = now
-		if w := s.workers[id]; w != nil && !w.isDead {
-			w.isDead = true
-			s.closePoll(w, effects)
-		}
-		if !known {
-			s.returnTasksOf(now, id, effects)
-		}
-	}
-}
-
-func (s *Scheduler) returnTasksOf(now eventloop.Micros, id string, effects eventloop.Effects) {
-	for _, key := range slices.SortedFunc(maps.Keys(s.tasksByWorker[id]), compareTaskKeys) {
-		t := s.tasksByWorker[id][key]
-		// What it had told before it died goes its own way.
-		if w := s.workers[id]; w != nil && w.ended[attemptKey{key, t.attempt}] != nil {
-			continue
-		}
-		s.returnTask(now, t, "lost", effects)
-	}
-}
-
-// removeDeadWorkers gives back what has come to be known of dead workers since.
-func (s *Scheduler) removeDeadWorkers(now eventloop.Micros, effects eventloop.Effects) {
-	for _, id := range slices.Sorted(maps.Keys(s.deadWorkers)) {
-		since := s.deadWorkers[id]
-		if len(s.tasksByWorker[id]) > 0 {
-			s.returnTasksOf(now, id, effects)
-		} else if now-since > deadWorkerRetention {
-			delete(s.deadWorkers, id)
+			orphaned = append(orphaned, &schema.TaskStatus{Name: note.Name, Round: note.Round, StepInRound: note.StepInRound, Task: note.Task, Attempt: note.Attempt})
 		}
 	}
+	return orphaned
 }
--- /dev/null
+++ b/internal/scheduler/respond.go
@@ -0,0 +1,71 @@
+package scheduler
+
+import (
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/schema"
+)
+
+// respondToPolls responds to the open polls that have reached their deadline or
+// for which there is something to say.
+func (s *Scheduler) respondToPolls(now eventloop.Micros, effects eventloop.Effects) {
+	for _, w := range s.sortedWorkers() {
+		if w.poll == nil || !w.needsResponse && now < w.poll.deadline {
+			continue
+		}
+		w.needsResponse = false
+		if orders := s.reconcile(now, w); now >= w.poll.deadline || len(orders) > 0 || s.hasAcknowledgedEnds(now, w) {
+			s.respondWith(now, w, orders, effects)
+		}
+	}
+}
+
+// respond responds to a worker's open poll at once.
+func (s *Scheduler) respond(now eventloop.Micros, w *worker, effects eventloop.Effects) {
+	s.respondWith(now, w, s.reconcile(now, w), effects)
+}
+
+// respondWith grants the worker its lease to run tasks, gives it orders, and
+// acknowledges the ends that are settled.
+func (s *Scheduler) respondWith(now eventloop.Micros, w *worker, orders []*schema.TaskOrder, effects eventloop.Effects) {
+	if !s.isClusterStateCurrent(now) || now-w.lastHeard > unresponsiveTimeout {
+		s.closePoll(w, effects)
+		return
+	}
+	for _, order := range orders {
+		s.countOrder(now, w, order)
+	}
+	w.lastResponse = now
+	effects.Send(w.poll.gateway, &schema.WorkerPollResponse{Id: w.poll.id, Code: 200, Scheduler: s.id, Orders: &schema.WorkerOrders{
+		FencingToken: w.fencingToken, LeaseUs: s.fleetSetting("lease_ms") * 1000, Scheduler: s.id, Orders: orders,
+		Acknowledged: append(w.acknowledgedEnds(), s.orphanedNotes(now, w.unknownEnds)...),
+	}})
+	w.poll = nil
+}
+
+// acknowledgedEnds lists the ends that the worker needn't report any longer.
+func (w *worker) acknowledgedEnds() []*schema.TaskStatus {
+	var notes []*schema.TaskStatus
+	for _, key := range w.sortedEndKeys() {
+		if report := w.ended[key]; report.isAcknowledged {
+			notes = append(notes, &schema.TaskStatus{
+				Queue: key.queue, Job: key.job, Step: key.step, Task: key.task, Attempt: key.attempt,
+				Name: report.note.Name, Round: report.note.Round, StepInRound: report.note.StepInRound,
+			})
+		}
+	}
+	return notes
+}
+
+func (s *Scheduler) countOrder(now eventloop.Micros, w *worker, order *schema.TaskOrder) {
+	switch order.Action {
+	case actStart:
+		s.counts.Starts++
+		if t := w.tasks[taskKey{order.Queue, order.Job, order.Step, order.Task}]; t != nil {
+			t.orderedAt = now
+		}
+	case actHold:
+		s.counts.Holds++
+	default:
+		s.counts.Stops++
+	}
+}
--- /dev/null
+++ b/internal/scheduler/runtime.go
@@ -0,0 +1,154 @@
+package scheduler
+
+import (
+	"cmp"
+	"math"
+
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/schema"
+)
+
+const (
+	minRuns             = 3                           // that a model predicts from
+	minJudgedRun        = 500 * eventloop.Millisecond // shorter runs say nothing of a worker's speed
+	maxRuntimeModels    = 4096                        // past which all are forgotten
+	runtimeDecay        = 0.99                        // of a model, per run
+	estimatePriorRuns   = 5                           // runs that the estimates themselves count as
+	slopePriorVariance  = 0.05                        // the variance of estimates that goes with a slope of 1
+	maxDeviation        = 0.7                         // how far off a run may move the line, as a logarithm
+	minTrustedPercent   = 5                           // from which a task's progress tells its remaining runtime
+	slowdownDecay       = 0.8                         // of a worker's slowdown, per run
+	unknownRuntime      = math.MaxInt64 / 4           // longer than anything
+	defaultRemoteFactor = 2000                        // thousandths; see remoteDataFactor
+	defaultEstimate     = eventloop.Second            // of steps without one
+)
+
+// runtimeKey names tasks whose runs can be compared: those of a queue that have
+// estimates, and others by the name of their step.
+type runtimeKey struct {
+	queue, step string
+}
+
+// runtimeKeyOf also returns the task's estimate in microseconds.
+func runtimeKeyOf(t *task) (runtimeKey, float64) {
+	if t.spec.EstimatedRunUs > 0 {
+		return runtimeKey{t.key.queue, ""}, float64(t.spec.EstimatedRunUs)
+	}
+	return runtimeKey{t.key.queue, t.spec.Name}, float64(defaultEstimate)
+}
+
+// runtimeModel predicts how long tasks run, by a linear regression of the logarithm
+// of their runtimes on that of their estimates, both in microseconds: estimates are
+// rough and say less than what other tasks took. Outliers move the line little, so
+// that one bad worker doesn't.
+type runtimeModel struct {
+	meanX, meanY, varianceX, covarianceXY float64 // decayed
+	isEstimated                           bool
+	count                                 int
+	lastWorker, previousWorker            string // the latest two workers on which one finished
+	lastAt, previousAt                    eventloop.Micros
+}
+
+// predict returns the logarithm of the runtime for that of an estimate.
+func (m *runtimeModel) predict(x float64) float64 {
+	slope := math.Max(0, math.Min(1, (m.covarianceXY+slopePriorVariance)/(m.varianceX+slopePriorVariance)))
+	line := m.meanY + slope*(x-m.meanX)
+	if !m.isEstimated {
+		return line
+	}
+	// The first to finish are the short ones: they say little of the others.
+	return line + (x-line)*estimatePriorRuns/float64(estimatePriorRuns+m.count)
+}
+
+// observe moves the line by one run.
+func (m *runtimeModel) observe(x, y float64) {
+	if m.count > 0 {
+		y = math.Max(m.predict(x)-maxDeviation, math.Min(m.predict(x)+maxDeviation, y))
+	}
+	m.count++
+	part := math.Max(1-runtimeDecay, 1/float64(m.count))
+	dx, dy := x-m.meanX, y-m.meanY
+	m.meanX += part * dx
+	m.meanY += part * dy
+	m.varianceX += part * (dx*(x-m.meanX) - m.varianceX)
+	m.covarianceXY += part * (dx*(y-m.meanY) - m.covarianceXY)
+}
+
+// finishedOn notes the worker on which a task finished.
+func (m *runtimeModel) finishedOn(worker string, now eventloop.Micros) {
+	if m.lastWorker != worker {
+		m.previousWorker, m.previousAt = m.lastWorker, m.lastAt
+	}
+	m.lastWorker, m.lastAt = worker, now
+}
+
+// hasFinishedElsewhere reports whether a task finished lately on another worker.
+func (m *runtimeModel) hasFinishedElsewhere(now eventloop.Micros, worker string, window eventloop.Micros) bool {
+	if m.lastWorker != worker {
+		return now-m.lastAt < window
+	}
+	return m.previousWorker != "" && now-m.previousAt < window
+}
+
+// recordRuntime learns from a successful run, for the model and for the worker's
+// slowdown.
+func (s *Scheduler) recordRuntime(now eventloop.Micros, w *worker, t *task, note *schema.TaskStatus) {
+	run := eventloop.Micros(note.RunUs)
+	if from := cmp.Or(t.startedAt, t.orderedAt); run == 0 && from > 0 {
+		run = now - from
+	}
+	if run <= 0 || t.spec.RunUntilCancelled || w.warmUpUntil > now-run {
+		return
+	}
+	key, estimate := runtimeKeyOf(t)
+	x, y := math.Log(estimate), math.Log(float64(run)/s.remoteDataFactor(w, t.spec))
+	model := s.runtimeModels[key]
+	if model == nil {
+		if len(s.runtimeModels) > maxRuntimeModels {
+			s.runtimeModels = map[runtimeKey]*runtimeModel{}
+		}
+		model = &runtimeModel{isEstimated: key.step == ""}
+		s.runtimeModels[key] = model
+	}
+	if run >= minJudgedRun && model.count >= minRuns {
+		w.slowdown = slowdownDecay*w.slowdown + (1-slowdownDecay)*(y-model.predict(x))
+	}
+	model.observe(x, y)
+	model.finishedOn(w.id, now)
+}
+
+// expectedRuntime is how long a task should run on a worker; 0: unknown.
+func (s *Scheduler) expectedRuntime(w *worker, t *task) eventloop.Micros {
+	key, estimate := runtimeKeyOf(t)
+	duration := estimate
+	if model := s.runtimeModels[key]; model != nil && model.count >= minRuns {
+		duration = math.Exp(model.predict(math.Log(estimate)))
+	} else if t.spec.EstimatedRunUs == 0 {
+		return 0
+	}
+	return eventloop.Micros(duration * s.remoteDataFactor(w, t.spec))
+}
+
+// remainingRuntime is how much longer a running task should take; where that isn't
+// known it is taken to be long.
+func (s *Scheduler) remainingRuntime(now eventloop.Micros, w *worker, t *task) eventloop.Micros {
+	run := now - t.startedAt
+	if t.percent >= minTrustedPercent && run > 0 {
+		return run * eventloop.Micros(max(100-t.percent, 0)) / eventloop.Micros(t.percent)
+	}
+	expected := s.expectedRuntime(w, t)
+	if expected == 0 || t.spec.RunUntilCancelled {
+		return unknownRuntime
+	}
+	// An overdue task may end at any time, but hardly at once.
+	return max(expected-run, run/10)
+}
+
+// remoteDataFactor is how many times as long a step's tasks run on a worker because
+// their data is in another rack.
+func (s *Scheduler) remoteDataFactor(w *worker, spec *schema.Step) float64 {
+	if spec.DataRack != "" && spec.DataRack != w.rack {
+		return float64(cmp.Or(s.bounds.GetAwayMilli(), defaultRemoteFactor)) / 1000
+	}
+	return 1
+}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,96 +1,94 @@
-// Package scheduler owns which worker runs which task. It holds a copy of what
-// the queues led here have ready and out, and of what its workers say of
-// themselves; the answer to a worker's announce is the difference.
+// Package scheduler places the tasks of the queues that this node leads on the
+// workers whose leases it holds.
+//
+// The central type is Scheduler, a component of the event loop: a step function
+// that owns its state, never blocks and reads no clock. The queues' state
+// machines own which task is ready or checked out; the scheduler keeps a view of
+// it (queueView) that it rebuilds from numbered events, and a view of each worker
+// from the worker's announcements.
+//
+// A scheduling pass (pass.go) takes the ready tasks through the stages known from
+// Nomad and Kubernetes: filter the candidate workers (filter.go), score what is
+// left (score.go), and bind the task to the best one by proposing a checkout to
+// the queue's Raft group (bind.go). Tasks that find no capacity may preempt tasks
+// of less urgent queues (preempt.go). Once the checkout is committed, the
+// response to the worker's next poll carries the order: reconcile.go compares
+// what the queues want on a worker with what it says it runs.
+//
+// All times are in microseconds, cores in milli cores, memory in MB.
 package scheduler
 
 import (
 	"cmp"
+	"maps"
+	"slices"
 
 	"sparnotch/internal/clusterstate"
 	"sparnotch/internal/eventloop"
-	"sparnotch/internal/queue"
 	"sparnotch/internal/replica"
 	"sparnotch/internal/schema"
-	"sparnotch/internal/timing"
 )
 
-// TickInterval is the tick of the table.
+// TickInterval is how often the event loop sends the scheduler a tick.
 const TickInterval = 20 * eventloop.Millisecond
 
-const (
-	unresponsiveTimeout    = eventloop.Second             // no order to a worker not heard for this long
-	maxLeadershipAge       = timing.MaxLeaderStatusAge    // how old a leader's word may be for an order to leave
-	maxPollWait            = 400 * eventloop.Millisecond  // how long an announce is held back at most
-	reportRetryInterval    = 300 * eventloop.Millisecond  // a report that isn't settled is passed on again
-	reservationTimeout     = 3 * eventloop.Second         // a checkout that was never heard of is given up
-	gangStartTimeout       = 500 * eventloop.Millisecond  // a decision to begin a group that isn't heard of is proposed again
-	minPollRemaining       = 50 * eventloop.Millisecond   // an announce that is to be answered sooner may be gone by the decision
-	gangFailureGrace       = eventloop.Second             // how long a failure in a group waits for the others to begin
-	drainStartGrace        = 500 * eventloop.Millisecond  // a decided start may still reach a worker that has just said it leaves
-	gangHoldTimeout        = 3 * eventloop.Second         // a group that isn't held by then is let go
-	defaultBarrierTimeout  = 2 * eventloop.Second         // a member that hasn't begun by then lets the others go, unless the bounds say more
-	preemptionDelay        = 500 * eventloop.Millisecond  // how long urgent work waits before it displaces
-	claimDelay             = 1500 * eventloop.Millisecond // how long wide work waits before workers are kept free for it
-	ejectedFallbackDelay   = 2500 * eventloop.Millisecond // how long work that nobody else could run waits before it goes to workers that are set aside
-	ejectedLastResortDelay = 12 * eventloop.Second        // the same for other work
-	minStopTimeout         = 3 * eventloop.Second         // a stop that takes longer is waited for no more, unless the bounds say more
-	departureStopLead      = 500 * eventloop.Millisecond  // how long before its worker goes a task is stopped to keep its progress
-	deadWorkerRetention    = 60 * eventloop.Second        // how long a worker stays known as dead after the last word of it
-	maxPlacements          = 64                           // of one checkout, groups apart
-	maxUnplaced            = 32                           // steps that find no room, of one queue and pass
-	fullPassInterval       = eventloop.Second / 2         // between two passes that look at every step
-	passCooldown           = 10 * eventloop.Millisecond   // after a pass that has left much waiting
-)
-
-// Scheduler is the scheduler's table.
+// Scheduler decides which worker runs which task. Only its Step function may be
+// called once it runs in an event loop.
 type Scheduler struct {
-	id                 string
-	clusterState       *schema.ClusterState
-	config             *clusterstate.Values
-	queues             map[string]*queueView
-	workers            map[string]*worker
-	leadership         replica.LeadershipStatus
-	leadershipAt       eventloop.Micros
+	id           string
+	bounds       *schema.Bounds // what the deployment promises and demands
+	clusterState *schema.ClusterState
+	config       *clusterstate.Values     // the settings of clusterState
+	leadership   replica.LeadershipStatus // which queues this node may act for
+	leadershipAt eventloop.Micros         // when that was so
+
+	queues        map[string]*queueView
+	workers       map[string]*worker // those whose lease this scheduler holds
+	workerOrder   []*worker          // the same by id; nil: to be sorted again
+	tasksByWorker map[string]map[taskKey]*task
+	tasksByName   map[taskName][]*task
+	deadWorkers   map[string]eventloop.Micros // and when each was last reported dead
+	runtimeModels map[runtimeKey]*runtimeModel
+
 	needsPass          bool
-	needsGangStart     bool             // a group may have come to be held
-	candidateBuffer    []*candidate     // of the latest pass, used again
-	preemptionFailedAt eventloop.Micros // nothing was found to displace
-	fullPassAt         eventloop.Micros // the latest pass over every step
+	needsGangStart     bool             // a gang may have come to be held by all its workers
 	nextPassAt         eventloop.Micros // no pass before
-	counts             Counts
-	bounds             *schema.Bounds
-	tasksByWorker      map[string]map[taskKey]*task // by worker, whoever wards it
-	tasksByName        map[taskName][]*task
-	deadWorkers        map[string]eventloop.Micros // dead workers, and when that was last told
-	runtimeModels      map[runtimeKey]*runtimeModel
-	candidateCores     int64     // milli cores of all workers that may be given work
-	workerOrder        []*worker // by name; nil: to be made anew
+	fullPassAt         eventloop.Micros // the latest pass without a limit on unplaced steps
+	preemptionFailedAt eventloop.Micros // the latest pass in which nothing was found to preempt
+	candidateBuffer    []*candidate     // of the latest pass, for reuse
+	candidateCores     int64            // of all candidates of the latest pass
+
+	counts Counts
 }
 
-// Counts says what the scheduler has done.
+// Counts are totals since the process started. Its field names are part of the
+// JSON of /v1/placements.
 type Counts struct {
 	Starts, Stops, Holds, Preempted, LostTasks, Gaps uint64
 }
 
-// New makes the table of the scheduler with this process id.
+// New makes the scheduler of the node with this process id.
 func New(id string) *Scheduler {
 	return &Scheduler{
-		id: id, clusterState: &schema.ClusterState{}, config: clusterstate.ParseValues(nil), queues: map[string]*queueView{}, workers: map[string]*worker{},
-		tasksByWorker: map[string]map[taskKey]*task{}, tasksByName: map[taskName][]*task{}, deadWorkers: map[string]eventloop.Micros{}, runtimeModels: map[runtimeKey]*runtimeModel{},
+		id:            id,
+		clusterState:  &schema.ClusterState{},
+		config:        clusterstate.ParseValues(nil),
+		queues:        map[string]*queueView{},
+		workers:       map[string]*worker{},
+		tasksByWorker: map[string]map[taskKey]*task{},
+		tasksByName:   map[taskName][]*task{},
+		deadWorkers:   map[string]eventloop.Micros{},
+		runtimeModels: map[runtimeKey]*runtimeModel{},
 	}
 }
 
-// WithBounds sets what the deployment promises and asks; nil or zero: the defaults.
+// WithBounds sets what the deployment promises and demands; where that is nil or
+// zero the defaults hold.
 func (s *Scheduler) WithBounds(bounds *schema.Bounds) *Scheduler {
 	s.bounds = bounds
 	return s
 }
 
-// StateViewRequest asks for the reason of a task's placement.
-type StateViewRequest struct {
-	Request uint64
-}
-
 // Step implements eventloop.Table.
 func (s *Scheduler) Step(now eventloop.Micros, message eventloop.Message, effects eventloop.Effects) {
 	switch body := message.Body.(type) {
@@ -99,7 +97,8 @@
 	case *schema.ClusterStateResponse:
 		s.applyClusterState(now, body, effects)
 	case replica.LeadershipStatus:
-		// A process that was frozen finds word from before in its mail.
+		// A process that was frozen finds statuses from before in its mailbox, so
+		// the age counts from when it was true, not from now.
 		s.leadership, s.leadershipAt = body, cmp.Or(body.At, now)
 	case replica.TaskEvents:
 		s.applyEvents(now, body, effects)
@@ -115,8 +114,8 @@
 	if s.needsPass && now >= s.nextPassAt {
 		s.needsPass = false
 		s.pass(now, effects)
-		// What stands in a row loses nothing by a moment more, and a pass over a
-		// long row costs far more than the mail that asks for it.
+		// A backlog loses nothing by a moment's delay, and a pass over it costs far
+		// more than the message that asks for it.
 		if s.hasBacklog() {
 			s.nextPassAt = now + passCooldown
 		}
@@ -128,8 +127,26 @@
 	s.respondToPolls(now, effects)
 }
 
-func (s *Scheduler) fleetSetting(key string) int64 { return s.config.Fleet(key) }
+func (s *Scheduler) handleTick(now eventloop.Micros, effects eventloop.Effects) {
+	for _, w := range s.sortedWorkers() {
+		w.needsResponse = true
+		s.forwardEndReports(now, w, effects)
+		s.returnTasksOfUnresponsive(now, w, effects)
+		s.enforceLimits(now, w)
+		if s.isFrozen(now, w) {
+			s.ejectSlowWorker(now, w, minProgressRatio)
+		}
+	}
+	s.removeDeadWorkers(now, effects)
+	for _, q := range s.queues {
+		q.peak.update(q.usage)
+		s.expireReservations(now, q)
+	}
+	s.needsPass, s.needsGangStart = true, true
+}
 
+// applyClusterState takes over the settings and the worker leases of a newer
+// cluster state.
 func (s *Scheduler) applyClusterState(now eventloop.Micros, m *schema.ClusterStateResponse, effects eventloop.Effects) {
 	if m.State == nil {
 		return
@@ -142,34 +159,14 @@
 		}
 	}
 	for _, w := range s.sortedWorkers() {
-		id := w.id
-		if lease := leases[id]; lease == nil || lease.FencingToken != w.fencingToken {
-			s.closePoll(w, effects)
-			delete(s.workers, id)
-			s.workerOrder = nil
-			if len(w.tasks) == 0 {
-				delete(s.tasksByWorker, id)
-			}
+		if lease := leases[w.id]; lease == nil || lease.FencingToken != w.fencingToken {
+			s.dropWorker(w, effects)
 		}
 	}
 	for id, lease := range leases {
-		if s.workers[id] != nil {
-			continue
+		if s.workers[id] == nil {
+			s.addWorker(now, id, lease.FencingToken)
 		}
-		w := &worker{
-			id: id, fencingToken: lease.FencingToken, leaseSince: now, running: map[attemptKey]*schema.TaskStatus{},
-			ended: map[attemptKey]*endReport{}, tasks: s.tasksOn(id), resolved: map[namedAttempt]attemptKey{},
-			reserved: map[taskKey]*task{}, isUsageStale: true,
-		}
-		s.workers[id], s.workerOrder = w, nil
-		for _, q := range s.queues {
-			for key, t := range q.reserved {
-				if t.reservedWorker == id {
-					w.reserved[key] = t
-				}
-			}
-		}
-		_, w.isDead = s.deadWorkers[id]
 	}
 	for _, q := range s.queues {
 		q.latencyTarget = s.latencyTargetOf(q.name)
@@ -177,118 +174,18 @@
 	s.needsPass = true
 }
 
-func (s *Scheduler) handleTick(now eventloop.Micros, effects eventloop.Effects) {
-	lease := eventloop.Micros(s.fleetSetting("lease_ms")+s.fleetSetting("margin_ms")) * eventloop.Millisecond
-	for _, w := range s.sortedWorkers() {
-		w.needsResponse = true
-		s.forwardEndReports(now, w, effects)
-		// Whoever warded it before us may have answered it a little longer
-		// than we know.
-		last := max(w.lastResponse, w.leaseSince+timing.FromBounds(s.bounds).FormerLeaseTimeout)
-		// Who isn't sure of being the ward may have a successor that the worker
-		// answers to.
-		if now-w.lastHeard > unresponsiveTimeout && now-last > lease && s.isClusterStateCurrent(now) {
-			for _, t := range s.sortedTasks(w) {
-				s.returnTask(now, t, "lost", effects)
-			}
-		}
-		s.enforceLimits(now, w)
-		if s.isFrozen(now, w) {
-			s.ejectSlowWorker(now, w, minProgressRatio)
-		}
-	}
-	s.removeDeadWorkers(now, effects)
-	for _, q := range s.queues {
-		q.peak.update(q.usage)
-		for _, t := range q.reserved {
-			if now-t.reservedAt > reservationTimeout {
-				s.unreserve(q, t)
-				q.addReady(t)
-			}
+// sortedWorkers lists the workers by id. Every step goes over them, so the order
+// is kept between changes of the leases.
+func (s *Scheduler) sortedWorkers() []*worker {
+	if s.workerOrder == nil {
+		for _, id := range slices.Sorted(maps.Keys(s.workers)) {
+			s.workerOrder = append(s.workerOrder, s.workers[id])
 		}
 	}
-	s.needsPass, s.needsGangStart = true, true
+	return s.workerOrder
 }
 
-// reserve takes a ready task for a worker while its checkout is on its way.
-func (s *Scheduler) reserve(q *queueView, t *task, worker string, now eventloop.Micros) {
-	q.removeReady(t)
-	t.reservedWorker, t.reservedAt = worker, now
-	q.reserved[t.key] = t
-	q.countOnWorker(t, worker, 1)
-	if w := s.workers[worker]; w != nil {
-		w.reserved[t.key], w.isUsageStale = t, true
-	}
-}
-
-func (s *Scheduler) unreserve(q *queueView, t *task) {
-	delete(q.reserved, t.key)
-	q.countOnWorker(t, t.reservedWorker, -1)
-	if w := s.workers[t.reservedWorker]; w != nil {
-		delete(w.reserved, t.key)
-		w.isUsageStale = true
-	}
-	t.reservedWorker = ""
-}
+func (s *Scheduler) fleetSetting(key string) int64 { return s.config.Fleet(key) }
 
-// enforceLimits marks tasks that have run too long, stood still, or wait in a group
-// that doesn't come together.
-func (s *Scheduler) enforceLimits(now eventloop.Micros, w *worker) {
-	for key, note := range w.running {
-		t := w.tasks[key.taskKey]
-		if t == nil || t.attempt != key.attempt || t.evictOutcome != "" {
-			continue
-		}
-		age := int64(now - w.lastHeard)
-		limitOf := func(own int64, usual string) int64 {
-			if own > 0 {
-				return own
-			}
-			return s.config.Number("queue", key.queue, usual) * int64(eventloop.Millisecond)
-		}
-		if limit := limitOf(t.spec.TimeLimitUs, "limit_ms"); limit > 0 && note.State == "running" && note.RunUs+age > limit {
-			s.evict(t, "failed")
-		}
-		if limit := limitOf(t.spec.StallTimeoutUs, "still_ms"); limit > 0 && note.State == "running" && note.IdleUs+age > limit {
-			s.evict(t, "failed")
-		}
-		if t.evictOutcome != "" || t.state != queue.CheckedOut {
-			continue
-		}
-		if s.isStuck(now, w, t, note) {
-			t.strikes++
-			if t.spec.Gang {
-				for _, member := range s.gangMembers(t) {
-					member.strikes = max(member.strikes, t.strikes)
-				}
-			}
-			s.evictWithGang(t, "stopped")
-			s.eject(now, w, baseEjectionPeriod, 1)
-			continue
-		}
-		// What can't end in time keeps its progress; what keeps none may as well
-		// try.
-		if w.isDraining && w.departsAt > 0 && t.spec.Checkpoints && now+departureStopLead >= w.departsAt && now+s.remainingRuntime(now, w, t) > w.departsAt {
-			s.evictWithGang(t, "stopped")
-		}
-	}
-	for _, t := range w.tasks {
-		if t.state == queue.Stopping || t.evictOutcome != "" {
-			if t.stopRequestedAt == 0 {
-				t.stopRequestedAt = now
-			}
-			if !t.isStopOverdue && now-t.stopRequestedAt > s.stopTimeout() {
-				t.isStopOverdue, w.isUsageStale = true, true
-			}
-		}
-		if t.spec.Gang && w.hasBarrier {
-			s.breakUpGang(now, t)
-			continue
-		}
-		isWaiting := t.spec.Gang && t.state == queue.CheckedOut && !t.isGangStarted && t.evictOutcome == ""
-		// Once its start has been proposed, only the log knows what becomes of it.
-		if isWaiting && now-t.since > gangHoldTimeout && (t.gangStartProposedAt == 0 || now-t.gangStartProposedAt > gangHoldTimeout) {
-			s.evict(t, "stopped")
-		}
-	}
-}
+// poolOf is the pool of workers that a queue's tasks run in; empty: those without one.
+func (s *Scheduler) poolOf(q *queueView) string { return s.config.Text("queue", q.name, "pool") }
--- /dev/null
+++ b/internal/scheduler/score.go
@@ -0,0 +1,79 @@
+package scheduler
+
+import (
+	"math"
+
+	"sparnotch/internal/eventloop"
+)
+
+// The score stage: which of the candidates that fit is best. The weights weight_room,
+// weight_failures and weight_rack are settings of the fleet.
+const (
+	dataRackScore   = 2000 // for the rack that holds the step's data
+	sameRackScore   = 1000 // for the rack that the step keeps to
+	slowdownPenalty = 100  // for each time that runs take longer than elsewhere
+	warmUpPenalty   = 50   // for workers that have just started
+	maxLogSlowdown  = 3    // what is slower yet costs no more
+)
+
+// score rates a candidate for one task of a step; higher is better.
+func (s *Scheduler) score(now eventloop.Micros, c *candidate, req *placementRequest) float64 {
+	w := c.worker
+	score := float64(s.fleetSetting("weight_room")) * req.freeShare(c)
+	score -= float64(s.fleetSetting("weight_failures")) * w.failureRate()
+	score -= slowdownPenalty * math.Max(0, math.Exp(math.Min(w.slowdown, maxLogSlowdown))-1)
+	if now < w.warmUpUntil {
+		score -= warmUpPenalty
+	}
+	// Accelerators are kept for tasks that need them.
+	if req.need.accelerators == 0 && w.accelerators > 0 {
+		score -= float64(s.fleetSetting("weight_room"))
+	}
+	score += s.spreadScore(w.rack, req)
+	if req.spec.DataRack != "" && w.rack == req.spec.DataRack {
+		score += dataRackScore
+	}
+	if score > 0 {
+		score = score * float64(c.rackWeight) / 100
+	}
+	return score
+}
+
+// freeShare is the share of a candidate's resources that stays free beside the
+// task, of cores or memory, whichever is scarcer.
+func (req *placementRequest) freeShare(c *candidate) float64 {
+	share := func(free, need, total int64) float64 {
+		if total <= 0 {
+			return 0
+		}
+		return float64(free-need) / float64(total)
+	}
+	return math.Min(share(c.free.cores, req.need.cores, c.worker.cores), share(c.free.memory, max(req.need.memory, 1), c.worker.memory))
+}
+
+// spreadScore rates a rack by the step's other tasks: the step keeps to one rack or
+// spreads over racks.
+func (s *Scheduler) spreadScore(rack string, req *placementRequest) float64 {
+	switch {
+	case !req.spec.OneRack:
+		return -float64(s.fleetSetting("weight_rack")) * float64(req.tasksPerRack[rack]) / float64(max(req.spec.Tasks, 1))
+	case rack == req.preferredRack:
+		return sameRackScore
+	}
+	return 0
+}
+
+// bestCandidate is the best of the candidates that a task fits on; nil: none.
+func (s *Scheduler) bestCandidate(now eventloop.Micros, candidates []*candidate, req *placementRequest) (*candidate, float64) {
+	var best *candidate
+	top := math.Inf(-1)
+	for _, c := range candidates {
+		if !req.fits(c) {
+			continue
+		}
+		if score := s.score(now, c, req); score > top {
+			best, top = c, score
+		}
+	}
+	return best, top
+}
--- /dev/null
+++ b/internal/scheduler/stuck.go
@@ -0,0 +1,51 @@
+package scheduler
+
+import (
+	"slices"
+
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/schema"
+)
+
+const (
+	minStuckRun       = 2 * eventloop.Second  // shorter runs aren't stuck
+	stuckFactor       = 4                     // times the expected runtime, that a stuck task has run
+	similarRunWindow  = 10 * eventloop.Second // in which another worker must have finished a similar task
+	minStillTime      = eventloop.Second      // without progress, that a stuck task has stood still
+	minStillTimeAgent = 3 * eventloop.Second  // the same behind an agent, which looks only now and then
+	minFrozenTime     = 4 * eventloop.Second  // without progress, that suffices for tasks which report it
+	maxStrikes        = 10                    // that count
+)
+
+// isStuck reports whether a task stands still on its worker while others finish
+// similar ones.
+func (s *Scheduler) isStuck(now eventloop.Micros, w *worker, t *task, note *schema.TaskStatus) bool {
+	if t.spec.RunUntilCancelled || t.startedAt == 0 || note.State != runRunning {
+		return false
+	}
+	key, _ := runtimeKeyOf(t)
+	model := s.runtimeModels[key]
+	if model == nil || model.count < minRuns {
+		return false
+	}
+	expected := s.expectedRuntime(w, t)
+	if !model.hasFinishedElsewhere(now, w.id, max(similarRunWindow, 2*expected)) {
+		return false
+	}
+	// Members of a gang wait for each other to begin.
+	if t.spec.Gang && slices.ContainsFunc(s.gangMembers(t), func(member *task) bool { return member.startedAt == 0 }) {
+		return false
+	}
+	// Each strike doubles the patience: some tasks just are long.
+	patience := eventloop.Micros(1) << min(t.strikes, maxStrikes)
+	allowance := max(w.warmUpUntil-t.startedAt, 0) + eventloop.Micros(s.bounds.GetRestoreUs())
+	run := now - t.startedAt - allowance
+	isOverdue := run > stuckFactor*expected*patience && run > minStuckRun
+	if !w.usesNames {
+		stillTime := eventloop.Micros(note.IdleUs) + now - w.lastHeard
+		return isOverdue && stillTime > minStillTime
+	}
+	stillTime := now - t.progressedAt
+	isFrozen := stillTime > max(minFrozenTime, expected/4)*patience && run > max(minFrozenTime, expected)*patience
+	return isFrozen || isOverdue && stillTime > minStillTimeAgent
+}
--- a/internal/scheduler/task.go
+++ b/internal/scheduler/task.go
@@ -1,18 +1,28 @@
 package scheduler
 
-// A task as the scheduler sees it, and the shapes of tasks alike.
-
 import (
 	"cmp"
-	"strings"
-
-	"github.com/google/btree"
 
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/queue"
 	"sparnotch/internal/schema"
 )
 
+// Outcomes of a task's attempt, as reported to its queue.
+const (
+	outcomeDone    = "done"
+	outcomeFailed  = "failed"
+	outcomeStopped = "stopped"
+	outcomeLost    = "lost"
+)
+
+// States of a run that hasn't ended, in a worker's notes.
+const (
+	runHeld    = "held" // its resources are reserved, it waits for the gang's start
+	runRunning = "running"
+)
+
+// taskKey is a task, whatever its attempt; step counts over the rounds of the job.
 type taskKey struct {
 	queue string
 	job   uint64
@@ -20,7 +30,7 @@
 	task  uint32
 }
 
-// stepKey is a step of a job, of one of its rounds.
+// stepKey is a step of one round of a job.
 type stepKey struct {
 	queue string
 	job   uint64
@@ -29,54 +39,78 @@
 
 func (k taskKey) stepKey() stepKey { return stepKey{k.queue, k.job, k.step} }
 
+func (k taskKey) toSchema() *schema.TaskKey {
+	return &schema.TaskKey{Job: k.job, Step: k.step, Task: k.task}
+}
+
+func compareTaskKeys(a, b taskKey) int {
+	return cmp.Or(cmp.Compare(a.queue, b.queue), cmp.Compare(a.job, b.job), cmp.Compare(a.step, b.step), cmp.Compare(a.task, b.task))
+}
+
+// attemptKey is one attempt at a task.
 type attemptKey struct {
 	taskKey
 	attempt uint32
 }
 
+func attemptKeyOf(note *schema.TaskStatus) attemptKey {
+	return attemptKey{taskKey{note.Queue, note.Job, note.Step, note.Task}, note.Attempt}
+}
+
+// task is the scheduler's view of a task that is ready, checked out or stopping.
 type task struct {
-	key                 taskKey
-	state               queue.Status
-	attempt             uint32
-	worker              string
-	incarnation         uint64
-	sequence            uint64
-	jobName             string
-	spec                *schema.Step
-	text                string
-	reservedWorker      string // worker of a checkout on its way
-	reservedAt          eventloop.Micros
-	since               eventloop.Micros // ready or out since
-	evictOutcome        string           // outcome to report once the worker has stopped it
-	placementReason     string           // of the placement
-	returnedAt          eventloop.Micros
-	isGangStarted       bool             // its group is decided to begin
-	gangStartProposedAt eventloop.Micros // when that was proposed
-	gangHeldAt          eventloop.Micros // when the whole group was first seen held
-	isEndAcknowledged   bool             // its end has been noted, by more than we have heard of the queue
-	round, part         uint32
-	initialCheckpoint   string // progress its next start carries
-	failures            uint32 // counted so far
-	roundDueAt          eventloop.Micros
+	key               taskKey
+	state             queue.Status
+	attempt           uint32
+	worker            string // it is checked out to; empty while ready
+	incarnation       uint64 // of that worker
+	sequence          uint64 // of the event that checked it out
+	jobName           string
+	round, part       uint32
+	spec              *schema.Step
+	text              string           // the job's, for the worker
+	since             eventloop.Micros // in its state
+	failures          uint32           // counted so far
+	initialCheckpoint string           // that its next start begins from
+	roundDueAt        eventloop.Micros // when its job's round was due to begin
 	criticalPath
+
+	reservedWorker  string // while its checkout is on the way
+	reservedAt      eventloop.Micros
+	placementReason string
+
+	evictOutcome      string           // to report once its worker has stopped it; empty: it may stay
+	returnedAt        eventloop.Micros // its loss was last reported
+	isEndAcknowledged bool             // by the queue, ahead of the event that says so
+
+	isGangStarted       bool             // the start of its gang is committed
+	gangStartProposedAt eventloop.Micros // that was last proposed
+	gangHeldAt          eventloop.Micros // the whole gang was first seen held
+
 	attemptProgress
 }
 
-// attemptProgress is what was seen of one attempt.
+// attemptProgress is what was observed of one attempt.
 type attemptProgress struct {
-	startedAt       eventloop.Micros // first seen running
-	progressedAt    eventloop.Micros // its progress was last seen to change
-	checkpointedAt  eventloop.Micros // its kept progress was last seen to change
+	orderedAt       eventloop.Micros // its start order last left
+	startedAt       eventloop.Micros // it was first seen running; 0: not yet
+	progressedAt    eventloop.Micros // its percentage last changed
 	percent         int64
-	lastCheckpoint  string           // kept progress last seen
-	strikes         uint32           // times it was stopped for standing still
-	orderedAt       eventloop.Micros // its start order left last
+	checkpointedAt  eventloop.Micros // its checkpoint last changed
+	lastCheckpoint  string
 	sample          progressSample
+	strikes         uint32           // how often the task was stopped for being stuck
 	stopRequestedAt eventloop.Micros // it was first seen wanting to be stopped
-	isStopOverdue   bool             // its stop takes too long to wait for the room
+	isStopOverdue   bool             // preemption no longer waits for its resources
 }
 
-// latestCheckpoint is the newest progress known, for steps that keep any.
+// isStopping reports whether the task is to be stopped on its worker.
+func (t *task) isStopping() bool { return t.state == queue.Stopping || t.evictOutcome != "" }
+
+// isActive reports whether the task is checked out and may stay so.
+func (t *task) isActive() bool { return t.state == queue.CheckedOut && t.evictOutcome == "" }
+
+// latestCheckpoint is the newest checkpoint known, for steps that save any.
 func (t *task) latestCheckpoint() string {
 	if !t.spec.Checkpoints {
 		return ""
@@ -84,52 +118,26 @@
 	return cmp.Or(t.lastCheckpoint, t.initialCheckpoint)
 }
 
-// stepQueue is the ready tasks of one step.
-type stepQueue struct {
-	key   stepKey
-	spec  *schema.Step
-	ready *btree.BTreeG[*task]
-}
-
-// shape is all that decides whether steps fit anywhere: where one doesn't,
-// those of the same shape behind it needn't be tried.
-type shape struct {
-	need     resources
-	labels   string
-	together uint32  // members of a group
-	own      stepKey // of a step whose other tasks matter
-}
+// nextLeg is the task's own step on the critical path, as a path of its own.
+func (t *task) nextLeg() []queue.PathStep { return t.remaining[:min(1, len(t.remaining))] }
 
-func shapeOf(key stepKey, spec *schema.Step) shape {
-	result := shape{need: resourcesOf(spec)}
-	if len(spec.Labels) > 0 {
-		result.labels = strings.Join(spec.Labels, " ")
+// observeRun notes what an announcement shows of a run of the worker.
+func (w *worker) observeRun(now eventloop.Micros, note *schema.TaskStatus) {
+	t := w.taskOf(attemptKeyOf(note))
+	if t == nil || note.State == runHeld {
+		return
 	}
-	if spec.Gang {
-		result.together = spec.Tasks
+	if t.startedAt == 0 {
+		t.startedAt = now - eventloop.Micros(note.RunUs)
+		if note.RunUs == 0 && t.orderedAt > 0 {
+			t.startedAt = t.orderedAt
+		}
+		t.progressedAt, t.percent = now, note.Percent
 	}
-	if spec.MaxPerWorker > 0 {
-		result.own = key
+	if note.Percent != t.percent {
+		t.progressedAt, t.percent = now, note.Percent
+	}
+	if note.Checkpoint != "" && note.Checkpoint != t.lastCheckpoint {
+		t.lastCheckpoint, t.checkpointedAt = note.Checkpoint, now
 	}
-	return result
-}
-
-// shapeGroup is the ready steps of one shape, in order.
-type shapeGroup struct {
-	shape shape
-	steps *btree.BTreeG[*stepQueue]
-}
-
-func stepQueueLess(a, step *stepQueue) bool {
-	return cmp.Or(cmp.Compare(a.key.job, step.key.job), cmp.Compare(a.key.step, step.key.step)) < 0
-}
-
-func attemptKeyOf(note *schema.TaskStatus) attemptKey {
-	return attemptKey{taskKey{note.Queue, note.Job, note.Step, note.Task}, note.Attempt}
-}
-
-func taskKeyLess(a, b taskKey) bool { return compareTaskKeys(a, b) < 0 }
-
-func compareTaskKeys(a, b taskKey) int {
-	return cmp.Or(cmp.Compare(a.queue, b.queue), cmp.Compare(a.job, b.job), cmp.Compare(a.step, b.step), cmp.Compare(a.task, b.task))
 }
