--- a/internal/scheduler/barrier_test.go
+++ b/internal/scheduler/barrier_test.go
@@ -45,7 +45,7 @@
 		So(h.ordersOf(0, "hold"), ShouldBeEmpty)
 		return h
 	}
-	Convey("A group whose workers gather starts whole, directly after its checkout, without launch", t, func() {
+	Convey("A gang whose workers have a barrier starts as a whole right after its checkout, without a committed gang start", t, func() {
 		h := begin()
 		h.announce("v", run(0))
 		h.announce("w", run(1))
@@ -55,13 +55,13 @@
 				So(propose.Command.GetStartGang(), ShouldBeNil)
 			}
 		}
-		Convey("and one end stands for all", func() {
+		Convey("and one member's success is reported as the gang's", func() {
 			h.announce("v", over(0, "done"))
 			So(h.endReports()[0].WholeGang, ShouldBeTrue)
 			So(h.ordersOf(0, "stop"), ShouldBeEmpty)
 		})
 	})
-	Convey("Who turns a member away has the others stopped at once", t, func() {
+	Convey("When a worker rejects a member, the other members are stopped at once", t, func() {
 		for _, outcome := range []string{"stopped", "failed", "alone", "broken", "lapsed"} {
 			h := begin()
 			h.announce("v", run(0))
@@ -73,7 +73,7 @@
 			So(h.ordersOf(count, "stop")[0].Task, ShouldEqual, 0)
 		}
 	})
-	Convey("A member's worker that leaves before it began has the others stopped, and starts nothing", t, func() {
+	Convey("When a member's worker drains before the member began, the others are stopped and nothing is started", t, func() {
 		h := begin()
 		h.announce("v", run(0))
 		count := len(h.replies)
@@ -81,7 +81,7 @@
 		So(len(h.ordersOf(count, "stop")), ShouldEqual, 2)
 		So(h.ordersOf(count, "start"), ShouldBeEmpty)
 	})
-	Convey("A member that doesn't begin in time has the others stopped", t, func() {
+	Convey("When a member doesn't begin in time, the others are stopped", t, func() {
 		h := begin()
 		count := len(h.replies)
 		for k := 0; k < 25; k++ {
@@ -95,7 +95,7 @@
 		}
 		So(len(stops), ShouldEqual, 2)
 	})
-	Convey("Nothing is started when the worker of another member has left", t, func() {
+	Convey("Nothing is started when the worker of another member drains", t, func() {
 		h := newHarness("v", "w")
 		h.announce("w", withBarrier(func(a *schema.WorkerHeartbeat) { a.Draining = true }))
 		h.deliverEvents(true, 2, newEvent(1, 1, 0, queue.CheckedOut, "v", gang), newEvent(2, 1, 1, queue.CheckedOut, "w", gang))
@@ -109,7 +109,7 @@
 func TestBarrierGangStartsComplete(t *testing.T) {
 	gang := &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Gang: true}
 	withBarrier := withNames(func(a *schema.WorkerHeartbeat) { a.GangBarrier = true })
-	Convey("No member of a group is started while another isn't known to be out", t, func() {
+	Convey("No member of a gang is started while another isn't checked out", t, func() {
 		h := newHarness("v", "w")
 		h.announce("v", withBarrier)
 		h.announce("w", withBarrier)
@@ -117,7 +117,7 @@
 		h.announce("v", withBarrier)
 		So(h.ordersOf(0, "start"), ShouldBeEmpty)
 	})
-	Convey("and all are when they are", t, func() {
+	Convey("and all members are started once all are checked out", t, func() {
 		h := newHarness("v", "w")
 		h.announce("v", withBarrier)
 		h.announce("w", withBarrier)
@@ -127,7 +127,7 @@
 		h.announce("w", withBarrier)
 		So(len(h.ordersOf(0, "start")), ShouldBeGreaterThanOrEqualTo, 2)
 	})
-	Convey("nor while the worker of another hasn't been heard", t, func() {
+	Convey("nor is one started while the worker of another hasn't announced itself", t, func() {
 		h := newHarness("v", "w")
 		h.announce("v", withBarrier)
 		h.deliverEvents(true, 2, newEvent(1, 1, 0, queue.CheckedOut, "v", gang), newEvent(2, 1, 1, queue.CheckedOut, "w", gang))
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -10,8 +10,8 @@
 	"sparnotch/internal/schema"
 )
 
-// BenchmarkStart is what a task costs from its hand-over to its noted end, on
-// 40 workers that are full, with a backlog behind it.
+// BenchmarkStart measures one task from its event to its acknowledged end, on 40
+// full workers and with a backlog.
 func BenchmarkStart(b *testing.B) {
 	for _, size := range []struct{ backlog, shapes, queues int }{{0, 1, 1}, {0, 1, 50}, {2000, 1, 1}, {4000, 400, 1}} {
 		backlog, shapes := size.backlog, size.shapes
--- a/internal/scheduler/claim_test.go
+++ b/internal/scheduler/claim_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestWideStepsAreNotStarved(t *testing.T) {
-	Convey("A group that has waited keeps workers free from what comes after it", t, func() {
+	Convey("A gang that has waited has workers kept free of what comes after it", t, func() {
 		for _, urgency := range []int64{10, 5} {
 			h := newHarness("v", "w")
 			gang := &schema.Step{Name: "g", Tasks: 2, CoresMilli: 900, Gang: true}
@@ -37,14 +37,14 @@
 				So(len(h.placements()), ShouldEqual, 2)
 				So(h.placements()[0].Key.Job, ShouldEqual, 5)
 			})
-			Convey(fmt.Sprint("but not from what is more urgent than ", urgency), func() {
+			Convey(fmt.Sprint("but not of what is more urgent than ", urgency), func() {
 				h.syncQueue("m", 20, newEvent(1, 6, 0, queue.Ready, "", small))
 				So(len(h.placements()), ShouldEqual, 1)
 				So(h.placements()[0].Key.Job, ShouldEqual, 6)
 			})
 		}
 	})
-	Convey("What doesn't fit holds up nothing that does", t, func() {
+	Convey("Steps that don't fit don't block one that does", t, func() {
 		h := newHarness("w")
 		h.announce("w", nil)
 		var list []*queue.TaskEvent
--- a/internal/scheduler/events_test.go
+++ b/internal/scheduler/events_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestEventGapTriggersQuery(t *testing.T) {
-	Convey("A hand-over that went missing is asked for, and none after it is acted on before", t, func() {
+	Convey("When an event is missing, the whole list is requested, and no later event is applied before it arrives", t, func() {
 		h := newHarness("w")
 		h.announce("w", nil)
 		h.announce("w", nil)
@@ -22,7 +22,7 @@
 		So(len(h.replies), ShouldEqual, 1)
 		h.deliverEvents(true, 2, newEvent(2, 1, 0, queue.CheckedOut, "w", oneTask))
 		So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "start")
-		// What comes again is known.
+		// A duplicate is ignored.
 		h.deliverEvents(false, 2, newEvent(2, 1, 0, queue.Inactive, "", oneTask))
 		So(len(h.scheduler.queues["l"].tasks), ShouldEqual, 1)
 	})
--- a/internal/scheduler/feasibility_test.go
+++ b/internal/scheduler/feasibility_test.go
@@ -26,8 +26,8 @@
 		h.announce("w", withNames(func(a *schema.WorkerHeartbeat) { a.Draining = true }))
 		return h
 	}
-	// A step as wide as the room goes in four waves: the aim is 6.5 s, with some ease.
-	Convey("Work that comes in time goes before what is late anyhow, also where that is more urgent", t, func() {
+	// A step as wide as all cores runs in four waves: the target is 6.5 s, plus the tolerance.
+	Convey("Work that can meet its target goes before work that can't, even where that is more urgent", t, func() {
 		h := setUp()
 		h.syncQueue("l", 20, withCriticalPath(newEvent(1, 1, 0, queue.Ready, "", step), 12*eventloop.Second, eventloop.Second))
 		h.syncQueue("m", 10, withCriticalPath(newEvent(1, 2, 0, queue.Ready, "", step), 0, eventloop.Second))
@@ -35,7 +35,7 @@
 		So(len(h.placements()), ShouldEqual, 1)
 		So(h.placements()[0].Key.Job, ShouldEqual, 2)
 	})
-	Convey("Among what comes in time urgency decides", t, func() {
+	Convey("Among work that can meet its target urgency decides", t, func() {
 		h := setUp()
 		h.syncQueue("m", 10, withCriticalPath(newEvent(1, 2, 0, queue.Ready, "", step), 100*eventloop.Millisecond, eventloop.Second))
 		h.syncQueue("l", 20, withCriticalPath(newEvent(1, 1, 0, queue.Ready, "", step), 0, eventloop.Second))
@@ -43,7 +43,7 @@
 		So(len(h.placements()), ShouldEqual, 1)
 		So(h.placements()[0].Key.Job, ShouldEqual, 1)
 	})
-	Convey("What is lost is begun last, and only while much of the room is free", t, func() {
+	Convey("Infeasible work goes last, and only while much of the capacity is free", t, func() {
 		h := setUp()
 		h.syncQueue("l", 20,
 			withCriticalPath(newEvent(1, 1, 0, queue.Ready, "", most), 60*eventloop.Second, eventloop.Second),
@@ -53,7 +53,7 @@
 		So(len(h.placements()), ShouldEqual, 1)
 		So(h.placements()[0].Key.Job, ShouldEqual, 1)
 	})
-	Convey("What is wider than a quarter of the room goes in waves, which belongs to its aim", t, func() {
+	Convey("A step wider than a quarter of the cores runs in waves, which its target allows for", t, func() {
 		h := setUp()
 		h.scheduler.candidateCores = 1000
 		v := &queueView{name: "l", latencyTarget: h.scheduler.latencyTargetOf("l")}
--- a/internal/scheduler/filter_test.go
+++ b/internal/scheduler/filter_test.go
@@ -20,33 +20,33 @@
 		want   map[string]int
 		bounds *schema.Bounds
 	}{
-		{what: "only the queue's pool", rows: []*schema.ConfigurationRow{queueRow("l", "pool", "p")}, step: &schema.Step{CoresMilli: 100}, v: plain,
+		{what: "only in its queue's pool", rows: []*schema.ConfigurationRow{queueRow("l", "pool", "p")}, step: &schema.Step{CoresMilli: 100}, v: plain,
 			w: func(a *schema.WorkerHeartbeat) { a.Pool = "p" }, tasks: 1, want: map[string]int{"w": 1}},
-		{what: "a queue without a pool isn't for the workers of one", step: &schema.Step{CoresMilli: 100}, v: plain,
+		{what: "outside of pools if its queue has none", step: &schema.Step{CoresMilli: 100}, v: plain,
 			w: func(a *schema.WorkerHeartbeat) { a.Pool = "p" }, tasks: 1, want: map[string]int{"v": 1}},
-		{what: "all labels", step: &schema.Step{CoresMilli: 100, Labels: []string{"a", "b"}},
+		{what: "where all its labels are", step: &schema.Step{CoresMilli: 100, Labels: []string{"a", "b"}},
 			v: func(a *schema.WorkerHeartbeat) { a.Labels = []string{"a"} }, w: func(a *schema.WorkerHeartbeat) { a.Labels = []string{"c", "b", "a"} },
 			tasks: 2, want: map[string]int{"w": 2}},
-		{what: "accelerators", step: &schema.Step{CoresMilli: 100, Accelerators: 2},
+		{what: "where enough accelerators are", step: &schema.Step{CoresMilli: 100, Accelerators: 2},
 			v: plain, w: func(a *schema.WorkerHeartbeat) { a.Accelerators = 5 }, tasks: 4, want: map[string]int{"w": 2}},
-		{what: "workers with accelerators last", step: &schema.Step{CoresMilli: 100},
+		{what: "on workers with accelerators last if it needs none", step: &schema.Step{CoresMilli: 100},
 			v: plain, w: func(a *schema.WorkerHeartbeat) { a.Accelerators = 5 }, tasks: 1, want: map[string]int{"v": 1}},
-		{what: "so many on one worker", step: &schema.Step{CoresMilli: 100, MaxPerWorker: 2},
+		{what: "no more than so many tasks per worker", step: &schema.Step{CoresMilli: 100, MaxPerWorker: 2},
 			v: plain, w: plain, tasks: 6, want: map[string]int{"v": 2, "w": 2}},
-		{what: "its data's rack first, then elsewhere", step: &schema.Step{CoresMilli: 400, DataRack: "r2"},
+		{what: "in the rack of its data first, then elsewhere", step: &schema.Step{CoresMilli: 400, DataRack: "r2"},
 			v: plain, w: func(a *schema.WorkerHeartbeat) { a.Rack = "r2" }, tasks: 3, want: map[string]int{"w": 2, "v": 1}},
-		{what: "one rack where it fits", step: &schema.Step{CoresMilli: 400, OneRack: true},
+		{what: "in one rack where it fits", step: &schema.Step{CoresMilli: 400, OneRack: true},
 			v: plain, w: func(a *schema.WorkerHeartbeat) { a.Rack, a.CoresMilli = "r2", 1200 }, tasks: 3, want: map[string]int{"w": 3}},
-		{what: "several racks else", step: &schema.Step{CoresMilli: 400, OneRack: true},
+		{what: "in several racks if it doesn't fit in one", step: &schema.Step{CoresMilli: 400, OneRack: true},
 			v: plain, w: func(a *schema.WorkerHeartbeat) { a.Rack = "r2" }, tasks: 4, want: map[string]int{"v": 2, "w": 2}},
-		{what: "a group in one rack", step: &schema.Step{CoresMilli: 300, OneRack: true, Gang: true},
+		{what: "as a gang in one rack", step: &schema.Step{CoresMilli: 300, OneRack: true, Gang: true},
 			v: plain, w: func(a *schema.WorkerHeartbeat) { a.Rack, a.CoresMilli = "r2", 950 }, tasks: 3, want: map[string]int{"v": 3}},
-		{what: "a group in several", step: &schema.Step{CoresMilli: 400, OneRack: true, Gang: true},
+		{what: "as a gang in several racks if it doesn't fit in one", step: &schema.Step{CoresMilli: 400, OneRack: true, Gang: true},
 			v: plain, w: func(a *schema.WorkerHeartbeat) { a.Rack = "r2" }, tasks: 4, want: map[string]int{"v": 2, "w": 2}},
-		{what: "a cold worker last", step: &schema.Step{CoresMilli: 100},
+		{what: "on workers that are warming up last", step: &schema.Step{CoresMilli: 100},
 			v: func(a *schema.WorkerHeartbeat) { a.WarmUpUs = 5_000_000 }, w: plain, tasks: 1, want: map[string]int{"w": 1}},
 	} {
-		Convey("Work goes to "+each.what, t, func() {
+		Convey("A step is placed: "+each.what, t, func() {
 			h := newHarness("v", "w")
 			if each.rows != nil {
 				h.configure(each.rows, "v", "w")
@@ -66,7 +66,7 @@
 			So(got, ShouldResemble, each.want)
 		})
 	}
-	Convey("So many on one worker counts what is out there and what it still runs", t, func() {
+	Convey("The limit per worker counts tasks that are checked out and runs that are no longer", t, func() {
 		step := &schema.Step{Name: "s", Tasks: 4, CoresMilli: 100, MaxPerWorker: 2}
 		h := newHarness("w")
 		again := newEvent(3, 1, 2, queue.Ready, "", step)
@@ -77,7 +77,7 @@
 		h.deliverEvents(true, 4, newEvent(1, 1, 0, queue.CheckedOut, "w", step), newEvent(2, 1, 1, queue.Ready, "", step), again)
 		So(h.placements(), ShouldBeEmpty)
 	})
-	Convey("A task isn't started where its queue's pool is another by now", t, func() {
+	Convey("A task isn't started on a worker that its queue's pool no longer has", t, func() {
 		h := newHarness("w")
 		h.configure([]*schema.ConfigurationRow{queueRow("l", "pool", "p")}, "w")
 		h.syncQueue("l", 10, newEvent(1, 1, 0, queue.CheckedOut, "w", oneTask))
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -18,7 +18,7 @@
 			a.Running = []*schema.TaskStatus{{Queue: "l", Job: 1, Task: task, Attempt: 1, State: "held", CoresMilli: 600, MemoryMb: 1}}
 		}
 	}
-	Convey("A group that must run together is checked out whole, held everywhere, then started", t, func() {
+	Convey("A gang is checked out as a whole, held by all its workers, then started", t, func() {
 		h := newHarness("v", "w")
 		h.announce("v", nil)
 		h.deliverEvents(true, 2, newEvent(1, 1, 0, queue.Ready, "", gang), newEvent(2, 1, 1, queue.Ready, "", gang))
@@ -31,7 +31,7 @@
 		h.announce("v", held(0))
 		h.announce("w", nil)
 		So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "hold")
-		// While a worker has no announce open its start would leave later than the
+		// While a worker has no poll open its start order would leave later than the
 		// others'.
 		h.deliver(&schema.TaskEndAck{Queue: "l", Key: &schema.TaskKey{Job: 9}, Attempt: 1, Worker: "v"})
 		h.now += maxPollWait
@@ -41,21 +41,21 @@
 		h.announce("w", held(1))
 		So(h.notified, ShouldBeEmpty)
 		h.announce("v", held(0))
-		// Held everywhere, the decision is a record before any start leaves.
+		// Once all are held, the gang start is committed before any start order leaves.
 		count := len(h.replies)
 		launch := h.notified[len(h.notified)-1].(replica.Propose).Command.GetStartGang()
 		So(launch.GetAttempts(), ShouldResemble, []uint32{1, 1})
 		So(len(h.replies), ShouldEqual, count)
 		one, two := newEvent(5, 1, 0, queue.CheckedOut, "v", gang), newEvent(6, 1, 1, queue.CheckedOut, "w", gang)
 		one.IsGangStarted, two.IsGangStarted = true, true
-		Convey("all at once when it is applied", func() {
+		Convey("all at once when the gang start is applied", func() {
 			h.deliverEvents(false, 6, one, two)
 			So(len(h.replies), ShouldEqual, count+2)
 			for _, reply := range h.replies[count:] {
 				So(reply.Orders.Orders[0].Action, ShouldEqual, "start")
 			}
 		})
-		Convey("and by a successor, which never saw them held, when this one is gone", func() {
+		Convey("and by another scheduler, which never saw them held, when this one is gone", func() {
 			h = newHarness("v", "w")
 			h.deliverEvents(true, 6, one, two)
 			h.announce("v", func(a *schema.WorkerHeartbeat) { held(0)(a); a.Running[0].State = "running" })
@@ -63,10 +63,10 @@
 			So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "start")
 			So(h.lastReply().Orders.Orders[0].Task, ShouldEqual, 1)
 		})
-		Convey("before the failure of one of them breaks it up", func() {
+		Convey("before the failure of a member breaks it up", func() {
 			h = newHarness("v", "w")
 			h.deliverEvents(true, 6, one, two)
-			h.announce("w", held(1)) // whose start is lost on the way
+			h.announce("w", held(1)) // its start order is lost
 			h.notified = nil
 			h.announce("v", func(a *schema.WorkerHeartbeat) {
 				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: 1, State: "failed"}}
@@ -78,7 +78,7 @@
 			h.deliver(eventloop.Tick{})
 			So(h.notified[len(h.notified)-1].(replica.TaskEnded).End.Outcome, ShouldEqual, "failed")
 		})
-		Convey("also on a worker that has just said that it leaves, but not later", func() {
+		Convey("also on a worker that has just announced that it drains, but not later", func() {
 			h = newHarness("v", "w")
 			h.deliverEvents(true, 6, one, two)
 			h.announce("w", func(a *schema.WorkerHeartbeat) { held(1)(a); a.Draining = true })
@@ -88,13 +88,13 @@
 			h.announce("w", func(a *schema.WorkerHeartbeat) { held(1)(a); a.Draining = true })
 			So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "stop")
 		})
-		Convey("and a worker that leaves while only held lets the group go", func() {
+		Convey("and a worker that drains before the gang start has the gang stopped", func() {
 			h.announce("w", func(a *schema.WorkerHeartbeat) { held(1)(a); a.Draining = true })
 			h.deliver(eventloop.Tick{})
 			So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "stop")
 		})
 	})
-	Convey("A hold that doesn't come about lets all go", t, func() {
+	Convey("A gang that isn't held by all its workers in time is stopped", t, func() {
 		h := newHarness("v", "w")
 		h.deliverEvents(true, 2, newEvent(1, 1, 0, queue.CheckedOut, "v", gang), newEvent(2, 1, 1, queue.CheckedOut, "w", gang))
 		h.announce("w", nil)
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -9,7 +9,7 @@
 	"sparnotch/internal/schema"
 )
 
-// harness drives a scheduler by hand: it plays the leader and the workers.
+// harness drives a scheduler by hand: it plays the queues' leaders and the workers.
 type harness struct {
 	scheduler *Scheduler
 	now       eventloop.Micros
@@ -97,7 +97,8 @@
 
 var oneTask = &schema.Step{Name: "s", Tasks: 1, CoresMilli: 600, MemoryMb: 100}
 
-// configure is a cluster state with rows; every queue named in them stands in it.
+// configure delivers a cluster state with these configuration rows and every queue
+// that they name, and the leases of the workers.
 func (h *harness) configure(rows []*schema.ConfigurationRow, workers ...string) {
 	state := &schema.ClusterState{Version: 2, Configuration: &schema.Configuration{Rows: rows}}
 	for k, w := range workers {
@@ -117,7 +118,7 @@
 	return &schema.ConfigurationRow{Kind: "queue", Name: name, Key: key, Value: value}
 }
 
-// advance lets time go by with every leader's word fresh and every worker heard.
+// advance lets time pass tick by tick while this node's leadership stays confirmed.
 func (h *harness) advance(span eventloop.Micros) {
 	for end := h.now + span; h.now < end; {
 		h.now += min(TickInterval, end-h.now)
@@ -126,13 +127,13 @@
 	}
 }
 
-// name tells the whole list of a queue.
+// syncQueue delivers the whole list of a queue's tasks.
 func (h *harness) syncQueue(name string, urgency int64, list ...*queue.TaskEvent) {
 	h.deliver(replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 1, "m#1": 1, "k#1": 1}, IsClusterStateFresh: true})
 	h.deliver(replica.TaskEvents{Queue: name, Group: name + "#1", Term: 1, LastSequence: 1, Events: list, IsSnapshot: true, Running: 1000, Urgency: urgency})
 }
 
-// withNames is an agent's announce.
+// withNames makes an announcement one of an agent, which names its tasks by job.
 func withNames(change func(*schema.WorkerHeartbeat)) func(*schema.WorkerHeartbeat) {
 	return func(a *schema.WorkerHeartbeat) {
 		a.TasksByName = true
@@ -150,7 +151,7 @@
 	return withNames(func(a *schema.WorkerHeartbeat) { a.Ended = notes })
 }
 
-// ordersOf lists the orders of one kind in all answers since a point.
+// ordersOf lists the orders with this act in the responses from the given one on.
 func (h *harness) ordersOf(from int, act string) []*schema.TaskOrder {
 	var list []*schema.TaskOrder
 	for _, reply := range h.replies[from:] {
@@ -163,7 +164,7 @@
 	return list
 }
 
-// withCriticalPath gives a ready task its age and the estimates of the steps before it is done.
+// withCriticalPath gives a ready task its job's age and a critical path of one step.
 func withCriticalPath(s *queue.TaskEvent, age eventloop.Micros, estimate eventloop.Micros) *queue.TaskEvent {
 	legs := []queue.PathStep{{EstimateUs: int64(estimate), CoresMilli: s.Spec.CoresMilli}}
 	s.RoundAgeUs, s.CriticalPath, s.RemainingPath = int64(age), legs, legs
--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -15,7 +15,7 @@
 	wide := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 900, MemoryMb: 10}
 	long := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 700, MemoryMb: 10, EstimatedRunUs: 6_000_000}
 	brief := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 700, MemoryMb: 10, EstimatedRunUs: 500_000}
-	Convey("What waits goes to a worker on trial where much of the room is free, though others could run it", t, func() {
+	Convey("Where much capacity is free, work that has waited goes to a worker on probation though others could run it", t, func() {
 		h := newHarness("w", "x", "y")
 		for _, id := range []string{"w", "x", "y"} {
 			h.announce(id, withNames(nil))
@@ -33,7 +33,7 @@
 		}
 		So(h.placements()[0].Worker, ShouldEqual, "y")
 	})
-	Convey("Room that more urgent work has been using of late is left free by what takes long", t, func() {
+	Convey("Long tasks leave free what more urgent work has lately used", t, func() {
 		h := newHarness("w")
 		h.announce("w", withNames(nil))
 		h.syncQueue("l", 20, newEvent(1, 1, 0, queue.CheckedOut, "w", wide))
@@ -43,12 +43,12 @@
 		h.syncQueue("m", 10, withCriticalPath(newEvent(1, 2, 0, queue.Ready, "", long), 0, 6*eventloop.Second))
 		h.announce("w", withNames(nil))
 		So(h.placements(), ShouldBeEmpty)
-		Convey("but not by what is soon over", func() {
+		Convey("but short tasks don't", func() {
 			h.syncQueue("k", 10, withCriticalPath(newEvent(1, 3, 0, queue.Ready, "", brief), 0, 500*eventloop.Millisecond))
 			h.announce("w", withNames(nil))
 			So(len(h.placements()), ShouldEqual, 1)
 		})
-		Convey("and not for long where little is in use", func() {
+		Convey("and long ones don't for long where little is in use", func() {
 			for k := 0; k < 6; k++ {
 				h.advance(500 * eventloop.Millisecond)
 				h.announce("w", withNames(nil))
--- a/internal/scheduler/leases_test.go
+++ b/internal/scheduler/leases_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestLostOnlyAfterLeaseExpiry(t *testing.T) {
-	Convey("A silent worker's task is given back after lease and margin, not before", t, func() {
+	Convey("An unresponsive worker's task is returned after lease and margin, not before", t, func() {
 		h := newHarness("w")
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "w", oneTask))
 		h.now += 2 * eventloop.Second
@@ -31,14 +31,14 @@
 		So(len(h.endReports()), ShouldEqual, 1)
 		So(h.endReports()[0].Outcome, ShouldEqual, "lost")
 	})
-	Convey("A new incarnation's word gives back the old one's tasks at once", t, func() {
+	Convey("The announcement of a new incarnation returns the old one's tasks at once", t, func() {
 		h := newHarness("w")
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "w", oneTask))
 		h.announce("w", nil)
 		h.announce("w", func(a *schema.WorkerHeartbeat) { a.Incarnation = 2 })
 		So(len(h.endReports()), ShouldEqual, 1)
 	})
-	Convey("A new ward waits for what the former may still have granted", t, func() {
+	Convey("A new holder of the worker lease waits for what the former may still have granted", t, func() {
 		h := newHarness("w")
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "w", oneTask))
 		began := h.now
@@ -53,7 +53,7 @@
 }
 
 func TestLostOnlyWithCurrentClusterState(t *testing.T) {
-	Convey("A ward that has no fresh word of the cluster state takes no worker for lost", t, func() {
+	Convey("A scheduler without a current cluster state takes no worker for lost", t, func() {
 		h := newHarness("w")
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "w", oneTask))
 		h.announce("w", nil)
@@ -63,7 +63,7 @@
 			h.deliver(eventloop.Tick{})
 		}
 		So(h.endReports(), ShouldBeEmpty)
-		// Nor does one that has just thawed, and finds old word in its mail.
+		// Nor does one whose process was frozen and finds an old status in its mailbox.
 		h.deliver(replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 1}, IsClusterStateFresh: true, At: h.now - 3*eventloop.Second})
 		h.deliver(eventloop.Tick{})
 		So(h.endReports(), ShouldBeEmpty)
--- a/internal/scheduler/limits_test.go
+++ b/internal/scheduler/limits_test.go
@@ -17,12 +17,12 @@
 		percent int64
 		isSaved bool
 	}{
-		{"what ends in time runs out", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Checkpoints: true, EstimatedRunUs: 3_000_000}, 0, false},
-		{"what can't keeps its progress just before", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Checkpoints: true, EstimatedRunUs: 60_000_000}, 0, true},
-		{"by what it has done, where that is told", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Checkpoints: true, EstimatedRunUs: 60_000_000}, 95, false},
-		{"what keeps none is left alone", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimatedRunUs: 60_000_000}, 0, false},
+		{"a task that finishes in time runs on", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Checkpoints: true, EstimatedRunUs: 3_000_000}, 0, false},
+		{"one that can't is stopped just before, to save a checkpoint", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Checkpoints: true, EstimatedRunUs: 60_000_000}, 0, true},
+		{"one that reports progress is judged by that", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Checkpoints: true, EstimatedRunUs: 60_000_000}, 95, false},
+		{"one that saves no checkpoints runs on", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimatedRunUs: 60_000_000}, 0, false},
 	} {
-		Convey("On a worker with a time to go "+each.what, t, func() {
+		Convey("On a worker with a time of departure "+each.what, t, func() {
 			h := newHarness("w")
 			h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "w", each.step))
 			began := h.now
@@ -49,7 +49,7 @@
 }
 
 func TestTimeLimits(t *testing.T) {
-	Convey("A task that runs too long or stands still is stopped and counted as failed", t, func() {
+	Convey("A task that runs too long, or too long without progress, is stopped and reported as failed", t, func() {
 		for _, each := range []*schema.TaskStatus{
 			{Queue: "l", Job: 1, Attempt: 1, State: "running", RunUs: 2_000_001},
 			{Queue: "l", Job: 1, Attempt: 1, State: "running", RunUs: 1_500_000, IdleUs: 1_000_001},
--- a/internal/scheduler/pass_test.go
+++ b/internal/scheduler/pass_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestQueueOrder(t *testing.T) {
-	Convey("Queues are served by urgency, equals by who has waited longest", t, func() {
+	Convey("Queues are served by urgency, equal ones by the longest wait", t, func() {
 		h := newHarness("w")
 		h.announce("w", func(a *schema.WorkerHeartbeat) { a.Draining = true })
 		h.syncQueue("m", 10, newEvent(1, 1, 0, queue.Ready, "", oneTask))
@@ -26,7 +26,7 @@
 		}{{3, "l"}, {1, "m"}, {2, "k"}} {
 			So(len(h.placements()), ShouldEqual, 1)
 			So(h.placements()[0].Key.Job, ShouldEqual, want.job)
-			// Its queue is led elsewhere from now on, which leaves the room to the next.
+			// This node no longer leads its queue, which leaves the capacity to the next.
 			h.notified = nil
 			h.deliver(replica.LeadershipLost{Queue: want.queue})
 		}
@@ -34,7 +34,7 @@
 }
 
 func TestUnplaceableStepsDoNotBlock(t *testing.T) {
-	Convey("However many steps fit nowhere, what stands behind them is looked at before long", t, func() {
+	Convey("However many steps fit nowhere, those behind them are looked at before long", t, func() {
 		h := newHarness("w")
 		h.announce("w", nil)
 		var list []*queue.TaskEvent
@@ -53,7 +53,7 @@
 }
 
 func TestPassCooldown(t *testing.T) {
-	// One worker has room for one task; the other comes later.
+	// Each worker has capacity for one task; the second announces itself later.
 	desk := func(ready int) *harness {
 		h := newHarness("w1", "w2")
 		h.announce("w1", nil)
@@ -65,7 +65,7 @@
 		So(h.placements(), ShouldHaveLength, 1)
 		return h
 	}
-	Convey("While much waits a pass may come a moment after the one before, and no later", t, func() {
+	Convey("With a backlog a pass comes passCooldown after the one before, and no later", t, func() {
 		h := desk(maxPlacements + 2)
 		h.announce("w2", nil)
 		So(h.placements(), ShouldHaveLength, 1)
@@ -77,12 +77,12 @@
 		So(h.placements(), ShouldHaveLength, 2)
 		So(passCooldown, ShouldBeLessThan, TickInterval)
 	})
-	Convey("While little waits room is given out at once", t, func() {
+	Convey("Without a backlog capacity is used at once", t, func() {
 		h := desk(maxPlacements + 1)
 		h.announce("w2", nil)
 		So(h.placements(), ShouldHaveLength, 2)
 	})
-	Convey("A tick alone brings the pass about", t, func() {
+	Convey("A tick alone causes the pass", t, func() {
 		h := desk(maxPlacements + 2)
 		h.announce("w2", nil)
 		h.now += TickInterval
--- a/internal/scheduler/polls_test.go
+++ b/internal/scheduler/polls_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestSupersededAnnounces(t *testing.T) {
-	// replies are the answers to two announces of which the second follows at once.
+	// replies counts the responses to two polls of which the second follows at once.
 	replies := func(change func(*schema.WorkerHeartbeat)) int {
 		h := newHarness("w")
 		h.announce("w", change)
@@ -18,10 +18,10 @@
 		h.announce("w", change)
 		return len(h.replies) - 1
 	}
-	Convey("An announce that an agent has overtaken isn't answered, for it takes none but the newest's", t, func() {
+	Convey("A poll that its agent has superseded gets no response, since the agent only takes the newest's", t, func() {
 		So(replies(withNames(nil)), ShouldEqual, 0)
 	})
-	Convey("Of a worker behind a front each is, for its call is open", t, func() {
+	Convey("A worker that polls through a gateway gets a response to each, since its calls are open", t, func() {
 		So(replies(nil), ShouldEqual, 1)
 	})
 }
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -42,25 +42,25 @@
 		{what: "what has run least", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), run(2, 0, 9*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{3: 1}},
-		{what: "what has kept its progress", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", saving), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
+		{what: "what has saved a checkpoint", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", saving), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), {Queue: "l", Job: 2, Attempt: 1, State: "running", RunUs: 20_000_000, Checkpoint: "x", CoresMilli: 400}}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{2: 1}},
-		{what: "lasting tasks late", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", lasting), newEvent(1, 3, 0, queue.CheckedOut, "w", lasting), newEvent(1, 4, 0, queue.CheckedOut, "w", lasting)},
+		{what: "lasting tasks last", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", lasting), newEvent(1, 3, 0, queue.CheckedOut, "w", lasting), newEvent(1, 4, 0, queue.CheckedOut, "w", lasting)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), run(2, 0, eventloop.Millisecond)}, "w": {run(3, 0, eventloop.Millisecond), run(4, 0, eventloop.Millisecond)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{1: 1}},
-		{what: "no more than is needed, but enough for all that waits", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
+		{what: "no more than is needed, but enough for all waiting tasks", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second), run(2, 0, 3*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 8, 0, queue.Ready, "", mid), newEvent(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{1: 1, 2: 1}},
-		{what: "a group as a whole, which costs all of it", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", group), newEvent(1, 1, 1, queue.CheckedOut, "w", group), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid)},
+		{what: "a gang only as a whole, at the loss of all its members", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", group), newEvent(1, 1, 1, queue.CheckedOut, "w", group), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 5*eventloop.Second), run(2, 0, 20*eventloop.Second)}, "w": {run(1, 1, 5*eventloop.Second), run(3, 0, 9*eventloop.Second)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{3: 1}},
-		{what: "for a group as well", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
+		{what: "enough for a gang", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second), run(2, 0, 3*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Gang: true}), newEvent(1, 9, 1, queue.Ready, "", &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Gang: true})}, want: map[uint64]int{1: 1, 3: 1}},
-		{what: "nothing for what then doesn't fit", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "w", mid)},
+		{what: "nothing for a task that then doesn't fit", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second)}, "w": {run(2, 0, 8*eventloop.Second)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", &schema.Step{Name: "x", Tasks: 1, CoresMilli: 1200})}, want: map[uint64]int{}},
-		{what: "nothing for a group of which one doesn't fit", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "w", mid)},
+		{what: "nothing for a gang of which one member doesn't fit", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second)}, "w": {run(2, 0, 8*eventloop.Second)}},
 			urgent: []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Gang: true}), newEvent(1, 9, 1, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Gang: true}),
 				newEvent(1, 9, 2, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Gang: true})}, want: map[uint64]int{}},
@@ -68,7 +68,7 @@
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second)}, "w": {run(2, 0, 8*eventloop.Second)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", big)}, want: map[uint64]int{}},
 	} {
-		Convey("Urgent work displaces "+each.what, t, func() {
+		Convey("Urgent work preempts "+each.what, t, func() {
 			h := newHarness("v", "w")
 			h.deliver(replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 1, "m#1": 1}, IsClusterStateFresh: true})
 			h.syncQueue("l", max(each.lessUrgently, 10), each.less...)
@@ -80,14 +80,14 @@
 			announceAll()
 			h.syncQueue("m", 50, each.urgent...)
 			h.advance(preemptionDelay - TickInterval)
-			So(stops(h), ShouldBeEmpty) // it waits a little first
+			So(stops(h), ShouldBeEmpty) // not before preemptionDelay
 			h.advance(60 * eventloop.Millisecond)
 			announceAll()
 			h.advance(100 * eventloop.Millisecond)
 			So(stops(h), ShouldResemble, each.want)
 		})
 	}
-	Convey("The room that was freed goes to whom it was freed for", t, func() {
+	Convey("Freed capacity goes to the task that preempted for it", t, func() {
 		h := newHarness("w")
 		h.syncQueue("l", 10, newEvent(1, 1, 0, queue.CheckedOut, "w", mid), newEvent(1, 2, 0, queue.CheckedOut, "w", mid), newEvent(1, 3, 0, queue.Ready, "", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 300}))
 		both := []*schema.TaskStatus{run(1, 0, eventloop.Second), run(2, 0, eventloop.Second)}
@@ -124,14 +124,14 @@
 		h.announce("w", runs(span+preemptionDelay+2*TickInterval))
 		return h
 	}
-	Convey("No more work is thrown away for a task than twice its own", t, func() {
+	Convey("No more work is lost for a task than twice its own", t, func() {
 		So(simulate(eventloop.Second).scheduler.counts.Preempted, ShouldEqual, 1)
 		So(simulate(3*eventloop.Second).scheduler.counts.Preempted, ShouldEqual, 0)
 	})
 }
 
 func TestOverdueStops(t *testing.T) {
-	Convey("Urgent work waits for a stop that is under way, but not for one that doesn't come about", t, func() {
+	Convey("Urgent work waits for a stop under way, but not for one that is overdue", t, func() {
 		mid := &schema.Step{Name: "m", Tasks: 1, CoresMilli: 900}
 		h := newHarness("v", "w")
 		announceAll := func() {
--- a/internal/scheduler/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -43,7 +43,7 @@
 		}
 		return h
 	}
-	// play lets three tasks run on a worker that makes so much progress in each 100 ms.
+	// simulate runs three tasks on worker a, each with so much progress per 100 ms.
 	simulate := func(h *harness, span eventloop.Micros, percent float64) {
 		made := 0.0
 		for end := h.now + span; h.now < end; {
@@ -59,29 +59,29 @@
 		}
 	}
 	isAside := func(h *harness) bool { return h.now < h.scheduler.workers["a"].ejectedUntil }
-	Convey("A worker whose tasks make a fifth of the usual progress rests, and they go elsewhere", t, func() {
+	Convey("A worker whose tasks make a fifth of the expected progress is ejected, and they go elsewhere", t, func() {
 		h := setUp()
 		simulate(h, 1900*eventloop.Millisecond, 2)
 		So(isAside(h), ShouldBeTrue)
 		So(len(h.ordersOf(0, "stop")), ShouldBeGreaterThanOrEqualTo, 3)
 		So(h.scheduler.workers["a"].ejectionPeriod, ShouldEqual, slowEjectionPeriod)
 	})
-	Convey("One whose tasks make nearly the usual progress doesn't", t, func() {
+	Convey("One whose tasks make nearly the expected progress isn't", t, func() {
 		h := setUp()
 		simulate(h, 1500*eventloop.Millisecond, 6)
 		So(isAside(h), ShouldBeFalse)
 		So(h.ordersOf(0, "stop"), ShouldBeEmpty)
 	})
-	Convey("Progress that isn't told for a while says nothing yet", t, func() {
+	Convey("A short time without reported progress says nothing", t, func() {
 		h := setUp()
 		simulate(h, 2*eventloop.Second, 0)
 		So(isAside(h), ShouldBeFalse)
-		Convey("but when it isn't for long, the worker rests", func() {
+		Convey("but after a long time the worker is ejected", func() {
 			simulate(h, 1000*eventloop.Millisecond, 0)
 			So(isAside(h), ShouldBeTrue)
 		})
 	})
-	Convey("Estimates are trusted until more runs are known, since the short ones end first", t, func() {
+	Convey("Estimates are trusted until more runs are known, since the short ones finish first", t, func() {
 		p := &runtimeModel{isEstimated: true}
 		p.observe(16, 12)
 		So(p.predict(16), ShouldBeBetween, 15, 16)
--- a/internal/scheduler/quality_test.go
+++ b/internal/scheduler/quality_test.go
@@ -13,7 +13,7 @@
 
 func TestWorkerEjection(t *testing.T) {
 	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimatedRunUs: 1_000_000}
-	// finish lets a worker end one task after a run of so long.
+	// finish has a worker report one task as done after such a run.
 	job := uint64(100)
 	finish := func(h *harness, worker string, run eventloop.Micros) {
 		job++
@@ -44,7 +44,7 @@
 		}
 		return h
 	}
-	Convey("A worker whose runs take longer than others' is used last", t, func() {
+	Convey("A worker whose runs take longer than elsewhere is used last", t, func() {
 		h := setUp()
 		for k := 0; k < 4; k++ {
 			finish(h, "a", 4*eventloop.Second)
@@ -52,11 +52,11 @@
 		h.announce("b", withRunning(&schema.TaskStatus{Queue: "x", Name: "z", Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}))
 		h.announce("c", withRunning(&schema.TaskStatus{Queue: "x", Name: "z", Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}))
 		So(ready(h, step), ShouldNotEqual, "a")
-		Convey("but the others aren't taken for quick", func() {
+		Convey("but the others don't count as fast", func() {
 			So(h.scheduler.workers["b"].slowdown, ShouldBeBetween, -0.1, 0.1)
 		})
 	})
-	Convey("A task that stands still while others end alike ones is displaced, and its worker rests", t, func() {
+	Convey("A task that is stuck while other workers finish similar ones is stopped, and its worker is ejected", t, func() {
 		h := setUp()
 		sequence := h.scheduler.queues["l"].lastSequence
 		h.deliverEvents(false, sequence+1, newEvent(sequence+1, 7, 0, queue.CheckedOut, "a", step))
@@ -72,7 +72,7 @@
 			}
 		}
 		isStopped := func() bool { return len(h.ordersOf(0, "stop")) > 0 }
-		Convey("where nothing moves", func() {
+		Convey("if it makes no progress", func() {
 			simulate(3900*eventloop.Millisecond, 0)
 			So(isStopped(), ShouldBeFalse)
 			simulate(500*eventloop.Millisecond, 0)
@@ -84,7 +84,7 @@
 				So(ready(h, step), ShouldNotEqual, "a")
 			}
 		})
-		Convey("not where it just is long", func() {
+		Convey("but not if it is just long", func() {
 			simulate(8*eventloop.Second, 1)
 			So(isStopped(), ShouldBeFalse)
 			So(h.now-began, ShouldBeGreaterThan, 7*eventloop.Second)
@@ -97,7 +97,7 @@
 			})
 		}
 	}
-	Convey("A worker that fails a few in a row where others don't rests, longer each time", t, func() {
+	Convey("A worker that fails a few tasks in a row where others don't is ejected, for longer each time", t, func() {
 		h := setUp()
 		fail(h, "a", 1, 2)
 		So(ready(h, step), ShouldNotEqual, "a")
@@ -108,7 +108,7 @@
 		h.announce("c", withNames(nil))
 		So(ready(h, step), ShouldNotEqual, "a")
 		So(h.scheduler.workers["a"].ejectedUntil-h.now, ShouldEqual, 2*baseEjectionPeriod)
-		Convey("and is still used when nothing else has room for long", func() {
+		Convey("and is still used when nothing else has capacity for long", func() {
 			sequence := h.scheduler.queues["l"].lastSequence
 			only := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Labels: []string{"x"}}
 			h.notified = nil
@@ -122,13 +122,13 @@
 			So(len(h.placements()), ShouldEqual, 1)
 		})
 	})
-	Convey("Workers that are gone don't count where it is asked how the others do", t, func() {
+	Convey("Unresponsive workers don't count among the peers of a suspicious one", t, func() {
 		h := newHarness("a", "b", "c", "gone1", "gone2", "gone3", "gone4", "gone5")
 		h.deliverEvents(true, 0)
 		for _, id := range []string{"a", "b", "c"} {
 			h.announce(id, withNames(nil))
 		}
-		Convey("so half of those that are left are never set aside", func() {
+		Convey("so never half of the others are ejected", func() {
 			fail(h, "a", 1, 2)
 			ready(h, step)
 			fail(h, "b", 3, 4)
@@ -141,7 +141,7 @@
 			}
 			So(trials, ShouldEqual, 1)
 		})
-		Convey("and few failures are no sign where all fail now and then", func() {
+		Convey("and few failures are no evidence where all workers have some", func() {
 			for _, id := range []string{"a", "b", "c"} {
 				for k := uint64(1); k <= 4; k++ {
 					finish(h, id, eventloop.Second)
@@ -154,7 +154,7 @@
 			So(h.scheduler.workers["a"].isOnProbation, ShouldBeFalse)
 		})
 	})
-	Convey("A worker on trial gets one task at a time, but what has waited long goes there too", t, func() {
+	Convey("A worker on probation gets one task at a time, and what has waited long besides", t, func() {
 		h := setUp()
 		fail(h, "a", 1, 2)
 		ready(h, step)
@@ -180,7 +180,7 @@
 		}
 		So(len(h.placements()), ShouldEqual, 1)
 	})
-	Convey("Where a queue's tasks often fail by their own fault, a few failures in a row say nothing of their worker", t, func() {
+	Convey("Where a queue's tasks often fail by their own fault, a few failures in a row are no evidence against a worker", t, func() {
 		h := setUp()
 		for k := uint64(1); k <= 65; k++ {
 			for _, id := range []string{"a", "b", "c"} {
@@ -193,13 +193,13 @@
 		fail(h, "a", 1, 2, 3)
 		ready(h, step)
 		So(h.scheduler.workers["a"].isOnProbation, ShouldBeFalse)
-		Convey("but many do", func() {
+		Convey("but many are", func() {
 			fail(h, "a", 4, 5, 6, 7)
 			ready(h, step)
 			So(h.scheduler.workers["a"].isOnProbation, ShouldBeTrue)
 		})
 	})
-	Convey("One task that fails again and again says nothing of its worker", t, func() {
+	Convey("One task that fails again and again is no evidence against its worker", t, func() {
 		h := setUp()
 		for k := uint32(1); k < 4; k++ {
 			h.announce("a", func(a *schema.WorkerHeartbeat) {
@@ -212,7 +212,7 @@
 }
 
 func TestSuspectsAreEjected(t *testing.T) {
-	Convey("A worker that fails far more than others rests, and is tried again with one task", t, func() {
+	Convey("A worker that fails far more than others is ejected, and comes back with one task at a time", t, func() {
 		h := newHarness("v", "w")
 		small := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 10}
 		fail := func(job uint64) {
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -11,10 +11,10 @@
 )
 
 func TestCheckoutBeforeOrder(t *testing.T) {
-	Convey("An order leaves only once its checkout has been applied", t, func() {
+	Convey("A start order leaves only once its checkout has been applied", t, func() {
 		h := newHarness("w")
 		h.announce("w", nil)
-		So(h.lastReply().Orders.FencingToken, ShouldEqual, 1) // the worker learns of its ward at once
+		So(h.lastReply().Orders.FencingToken, ShouldEqual, 1) // the worker learns at once who holds its lease
 		h.announce("w", nil)
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.Ready, "", oneTask))
 		So(len(h.placements()), ShouldEqual, 1)
@@ -22,7 +22,7 @@
 		h.deliverEvents(false, 2, newEvent(2, 1, 0, queue.CheckedOut, "w", oneTask))
 		So(len(h.replies), ShouldEqual, 2)
 		So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "start")
-		Convey("not without a quorum heard a moment ago", func() {
+		Convey("not without a lately confirmed leadership", func() {
 			h := newHarness("w")
 			h.announce("w", nil)
 			h.announce("w", nil)
@@ -32,14 +32,14 @@
 			h.announce("w", nil)
 			So(h.lastReply().Orders, ShouldBeNil) // no lease either
 		})
-		Convey("not to a worker that leaves", func() {
+		Convey("not to a worker that drains", func() {
 			h.announce("w", func(a *schema.WorkerHeartbeat) { a.Draining = true })
 			So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "stop")
 			h.notified = nil
 			h.deliverEvents(false, 3, newEvent(3, 2, 0, queue.Ready, "", oneTask))
 			So(len(h.placements()), ShouldEqual, 0)
 		})
-		Convey("and never two for the same room", func() {
+		Convey("and never two for the same capacity", func() {
 			h.notified = nil
 			h.deliverEvents(false, 4, newEvent(3, 2, 0, queue.Ready, "", oneTask), newEvent(4, 3, 0, queue.Ready, "", oneTask))
 			So(len(h.placements()), ShouldEqual, 0)
@@ -47,13 +47,13 @@
 				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: 1, State: "done"}}
 			})
 			So(len(h.endReports()), ShouldEqual, 1)
-			So(len(h.placements()), ShouldEqual, 1) // by the worker's word the room is free
+			So(len(h.placements()), ShouldEqual, 1) // the worker reports the capacity as free
 		})
 	})
 }
 
 func TestAcknowledgedBeforeItsEvent(t *testing.T) {
-	Convey("What has been noted as ended isn't started again while its shift is on its way", t, func() {
+	Convey("A task whose end is acknowledged isn't started again while the event of its end is on the way", t, func() {
 		h := newHarness("w")
 		h.announce("w", nil)
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "w", oneTask))
--- a/internal/scheduler/reports_test.go
+++ b/internal/scheduler/reports_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestEndsAreAcknowledgedWhenApplied(t *testing.T) {
-	Convey("An end is told to its leader until the leader says that it was applied, and noted only then", t, func() {
+	Convey("An end is reported to the queue's leader until that has applied it, and acknowledged to the worker only then", t, func() {
 		h := newHarness("v")
 		h.announce("v", withNames(nil))
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "v", oneTask))
--- a/internal/scheduler/resolve_test.go
+++ b/internal/scheduler/resolve_test.go
@@ -19,7 +19,7 @@
 	note := func(state string) *schema.TaskStatus {
 		return &schema.TaskStatus{Name: "j7", Round: 2, StepInRound: 1, Task: 3, Attempt: 1, State: state}
 	}
-	Convey("An agent's notes are found by job, round and part", t, func() {
+	Convey("An agent's notes are resolved by job name, round and part", t, func() {
 		h := newHarness("w")
 		h.configure(rows, "w")
 		h.syncQueue("l", 10, out())
@@ -31,7 +31,7 @@
 		h.announce("w", withRunning(note("running")))
 		So(h.ordersOf(from, "start"), ShouldBeEmpty)
 		So(h.ordersOf(from, "stop"), ShouldBeEmpty)
-		Convey("and so are their ends, which are noted by name also once the task is gone", func() {
+		Convey("and so are ends, which are acknowledged by name even once the task is gone", func() {
 			h.announce("w", withEnded(note("done")))
 			So(h.endReports()[0].Key, ShouldResemble, &schema.TaskKey{Job: 7, Step: 5, Task: 3})
 			So(h.endReports()[0].Outcome, ShouldEqual, "done")
@@ -42,7 +42,7 @@
 			So(len(noted), ShouldEqual, 1)
 			So([]any{noted[0].Name, noted[0].Round, noted[0].StepInRound, noted[0].Task, noted[0].Attempt}, ShouldResemble, []any{"j7", uint32(2), uint32(1), uint32(3), uint32(1)})
 		})
-		Convey("with their progress: the end's own, else the last seen, else what it began with", func() {
+		Convey("with the checkpoint of the end, else the last one seen, else the one it began from", func() {
 			for _, each := range []struct{ seen, told, want string }{{"", "", "before"}, {"mid", "", "mid"}, {"mid", "last", "last"}} {
 				h := newHarness("w")
 				h.configure(rows, "w")
@@ -55,7 +55,7 @@
 			}
 		})
 	})
-	Convey("What no task is known for is left alone until every queue of the plan is led here", t, func() {
+	Convey("Notes of unknown tasks are left alone until this node leads every configured queue", t, func() {
 		stray, over := note("running"), note("done")
 		over.Task = 2
 		both := withNames(func(a *schema.WorkerHeartbeat) {
@@ -68,7 +68,7 @@
 		h.announce("w", both)
 		So(h.ordersOf(0, "stop"), ShouldBeEmpty)
 		So(h.lastReply().GetOrders().GetAcknowledged(), ShouldBeEmpty)
-		Convey("then the run is stopped and the end noted", func() {
+		Convey("then the run is stopped and the end acknowledged", func() {
 			h.syncQueue("m", 10)
 			h.announce("w", both)
 			stops := h.ordersOf(0, "stop")
@@ -77,7 +77,7 @@
 			So(len(h.lastReply().Orders.Acknowledged), ShouldEqual, 1)
 			So(h.lastReply().Orders.Acknowledged[0].Task, ShouldEqual, 2)
 		})
-		Convey("and a worker that runs what has no known size is given nothing", func() {
+		Convey("and a worker that runs something of unknown size is given nothing", func() {
 			h.syncQueue("l", 10, newEvent(1, 9, 0, queue.Ready, "", oneTask))
 			So(h.placements(), ShouldBeEmpty)
 			h.announce("w", withNames(nil))
--- a/internal/scheduler/resources_test.go
+++ b/internal/scheduler/resources_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestCapacityIsFreedByEndReport(t *testing.T) {
-	Convey("What is being stopped keeps its room until its end is listed", t, func() {
+	Convey("A task that is being stopped keeps its resources until its end is reported", t, func() {
 		h := newHarness("w")
 		note := &schema.TaskStatus{Name: "j1", Attempt: 1, State: "running"}
 		h.announce("w", withNames(nil))
@@ -25,12 +25,12 @@
 }
 
 func TestWorkerReportedUsage(t *testing.T) {
-	Convey("What a worker says it runs besides leaves no room for an order, whatever was checked out", t, func() {
+	Convey("What a worker reports to run besides counts against a start order, whatever is checked out", t, func() {
 		step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 600, MemoryMb: 1}
 		h := newHarness("w")
 		h.announce("w", nil)
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "w", step))
-		// Something of a queue that isn't led here runs there.
+		// A task of a queue that this node doesn't lead runs there.
 		other := &schema.TaskStatus{Queue: "other", Job: 9, Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}
 		count := len(h.replies)
 		h.announce("w", func(a *schema.WorkerHeartbeat) { a.Running = []*schema.TaskStatus{other} })
@@ -41,7 +41,7 @@
 }
 
 func TestReservedCapacity(t *testing.T) {
-	Convey("Room that a checkout on its way will take is given to nobody else", t, func() {
+	Convey("Capacity reserved for a checkout on the way isn't placed on again", t, func() {
 		step := &schema.Step{Name: "s", Tasks: 2, CoresMilli: 600, MemoryMb: 1}
 		h := newHarness("w")
 		h.announce("w", nil)
--- a/internal/scheduler/workers_test.go
+++ b/internal/scheduler/workers_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestReportedDeadWorker(t *testing.T) {
-	Convey("What an agent says is dead gives back its tasks at once and gets nothing more", t, func() {
+	Convey("The tasks of a worker that an agent reports dead are returned at once, and it gets nothing more", t, func() {
 		h := newHarness("old", "new")
 		saving := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 600, Checkpoints: true}
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "old", saving))
@@ -22,7 +22,7 @@
 		So(h.endReports()[0].Checkpoint, ShouldEqual, "half")
 		h.announce("old", withNames(nil))
 		So(h.lastReply().Orders, ShouldBeNil)
-		Convey("also what turns out to be there later", func() {
+		Convey("and so are tasks that turn out later to be checked out to it", func() {
 			h.notified = nil
 			h.deliverEvents(false, 2, newEvent(2, 2, 0, queue.CheckedOut, "old", saving))
 			h.deliver(eventloop.Tick{})
@@ -32,7 +32,7 @@
 }
 
 func TestUnansweredWorkerIsUnresponsive(t *testing.T) {
-	Convey("A worker that is heard, but hears nothing itself, counts as silent", t, func() {
+	Convey("A worker that announces itself but hears no responses counts as unresponsive", t, func() {
 		h := newHarness("w")
 		h.announce("w", nil)
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "w", oneTask))
@@ -46,7 +46,7 @@
 			h.now += 100 * eventloop.Millisecond
 			h.confirmLeadership(true)
 			h.announce("w", deaf)
-			// That grants nothing, so the lease ends by the last answer before.
+			// That grants nothing, so the lease ends by the last response before.
 			So(h.lastReply().Orders, ShouldBeNil)
 			h.deliver(eventloop.Tick{})
 			So(h.endReports(), ShouldBeEmpty)
