--- a/internal/mutation/partition_mutants.go
+++ b/internal/mutation/partition_mutants.go
@@ -40,7 +40,7 @@
 		{Guard: "who isn't told whether it took effect is told when to come back", Rule: 12, Test: "platform TestOperatorCalls", Edits: []Edit{{"platform",
 			"response.Code == 503 || response.Code == 504 {", "response.Code == 503 {"}}},
 		{Guard: "a worker that hears nothing counts as silent", Rule: 1, Test: "internal/scheduler TestUnansweredWorkerIsUnresponsive", Edits: []Edit{{"internal/scheduler",
-			"	if announce.Unanswered && w.hasAnnounced", "	if false && w.hasAnnounced"}}},
+			"	if heartbeat.Unanswered && w.hasHeartbeat", "	if false && w.hasHeartbeat"}}},
 		{Guard: "an agent says when it hears nothing", Rule: 1, Test: "internal/agent TestUnansweredPolls", Edits: []Edit{{"internal/agent",
 			"heartbeat.Unanswered = now-w.unansweredSince > unansweredTimeout", "heartbeat.Unanswered = false"}}},
 	}...)
--- a/internal/scheduler/barrier.go
+++ b/internal/scheduler/barrier.go
@@ -30,7 +30,7 @@
 	members := s.gangMembers(t)
 	isBroken := len(members) != int(t.spec.Tasks)
 	for _, member := range members {
-		if report := s.endReportOf(member); report != nil && report.note.State == outcomeDone {
+		if report := s.endReportOf(member); report != nil && report.status.State == outcomeDone {
 			// One member's success is the gang's.
 			return
 		}
@@ -52,7 +52,7 @@
 	}
 	w := s.workers[member.worker]
 	return now-member.since > s.barrierTimeout() ||
-		w != nil && w.hasAnnounced && (w.isDraining || w.incarnation != member.incarnation)
+		w != nil && w.hasHeartbeat && (w.isDraining || w.incarnation != member.incarnation)
 }
 
 // endReportOf is what a task's worker reports of the end of its attempt, or nil.
@@ -79,7 +79,7 @@
 		if !member.isActive() || w == nil || w.isDead || w.hasEnded(member) {
 			return false
 		}
-		if member.startedAt == 0 && (!w.hasAnnounced || w.isDraining) {
+		if member.startedAt == 0 && (!w.hasHeartbeat || w.isDraining) {
 			return false
 		}
 	}
--- a/internal/scheduler/barrier_test.go
+++ b/internal/scheduler/barrier_test.go
@@ -32,13 +32,13 @@
 	}
 	begin := func() *harness {
 		h := newHarness("v", "w")
-		h.announce("v", withBarrier(nil))
+		h.sendHeartbeat("v", withBarrier(nil))
 		h.deliverEvents(true, 2, newEvent(1, 1, 0, queue.Ready, "", gang), newEvent(2, 1, 1, queue.Ready, "", gang))
 		So(h.placements(), ShouldBeEmpty)
-		h.announce("w", withBarrier(nil))
+		h.sendHeartbeat("w", withBarrier(nil))
 		So(len(h.placements()), ShouldEqual, 2)
-		h.announce("v", withBarrier(nil))
-		h.announce("w", withBarrier(nil))
+		h.sendHeartbeat("v", withBarrier(nil))
+		h.sendHeartbeat("w", withBarrier(nil))
 		count := len(h.replies)
 		h.deliverEvents(false, 4, newEvent(3, 1, 0, queue.CheckedOut, "v", gang), newEvent(4, 1, 1, queue.CheckedOut, "w", gang))
 		So(len(h.ordersOf(count, "start")), ShouldEqual, 2)
@@ -47,8 +47,8 @@
 	}
 	Convey("A gang whose workers have a barrier starts as a whole right after its checkout, without a committed gang start", t, func() {
 		h := begin()
-		h.announce("v", run(0))
-		h.announce("w", run(1))
+		h.sendHeartbeat("v", run(0))
+		h.sendHeartbeat("w", run(1))
 		h.advance(100 * eventloop.Millisecond)
 		for _, tell := range h.notified {
 			if propose, ok := tell.(replica.Propose); ok {
@@ -56,7 +56,7 @@
 			}
 		}
 		Convey("and one member's success is reported as the gang's", func() {
-			h.announce("v", over(0, "done"))
+			h.sendHeartbeat("v", over(0, "done"))
 			So(h.endReports()[0].WholeGang, ShouldBeTrue)
 			So(h.ordersOf(0, "stop"), ShouldBeEmpty)
 		})
@@ -64,9 +64,9 @@
 	Convey("When a worker rejects a member, the other members are stopped at once", t, func() {
 		for _, outcome := range []string{"stopped", "failed", "alone", "broken", "lapsed"} {
 			h := begin()
-			h.announce("v", run(0))
+			h.sendHeartbeat("v", run(0))
 			count := len(h.replies)
-			h.announce("w", over(1, outcome))
+			h.sendHeartbeat("w", over(1, outcome))
 			So(h.endReports()[0].Outcome, ShouldEqual, outcome)
 			So(h.endReports()[0].WholeGang, ShouldBeFalse)
 			So(len(h.ordersOf(count, "stop")), ShouldEqual, 1)
@@ -75,9 +75,9 @@
 	})
 	Convey("When a member's worker drains before the member began, the others are stopped and nothing is started", t, func() {
 		h := begin()
-		h.announce("v", run(0))
+		h.sendHeartbeat("v", run(0))
 		count := len(h.replies)
-		h.announce("w", withBarrier(func(a *schema.WorkerHeartbeat) { a.Draining = true }))
+		h.sendHeartbeat("w", withBarrier(func(a *schema.WorkerHeartbeat) { a.Draining = true }))
 		So(len(h.ordersOf(count, "stop")), ShouldEqual, 2)
 		So(h.ordersOf(count, "start"), ShouldBeEmpty)
 	})
@@ -85,8 +85,8 @@
 		h := begin()
 		count := len(h.replies)
 		for k := 0; k < 25; k++ {
-			h.announce("v", run(0))
-			h.announce("w", withBarrier(nil))
+			h.sendHeartbeat("v", run(0))
+			h.sendHeartbeat("w", withBarrier(nil))
 			h.advance(100 * eventloop.Millisecond)
 		}
 		stops := map[uint32]bool{}
@@ -97,10 +97,10 @@
 	})
 	Convey("Nothing is started when the worker of another member drains", t, func() {
 		h := newHarness("v", "w")
-		h.announce("w", withBarrier(func(a *schema.WorkerHeartbeat) { a.Draining = true }))
+		h.sendHeartbeat("w", withBarrier(func(a *schema.WorkerHeartbeat) { a.Draining = true }))
 		h.deliverEvents(true, 2, newEvent(1, 1, 0, queue.CheckedOut, "v", gang), newEvent(2, 1, 1, queue.CheckedOut, "w", gang))
-		h.announce("v", withBarrier(nil))
-		h.announce("v", withBarrier(nil))
+		h.sendHeartbeat("v", withBarrier(nil))
+		h.sendHeartbeat("v", withBarrier(nil))
 		So(h.ordersOf(0, "start"), ShouldBeEmpty)
 		So(len(h.ordersOf(0, "stop")), ShouldBeGreaterThan, 1)
 	})
@@ -111,27 +111,27 @@
 	withBarrier := withNames(func(a *schema.WorkerHeartbeat) { a.GangBarrier = true })
 	Convey("No member of a gang is started while another isn't checked out", t, func() {
 		h := newHarness("v", "w")
-		h.announce("v", withBarrier)
-		h.announce("w", withBarrier)
+		h.sendHeartbeat("v", withBarrier)
+		h.sendHeartbeat("w", withBarrier)
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "v", gang))
-		h.announce("v", withBarrier)
+		h.sendHeartbeat("v", withBarrier)
 		So(h.ordersOf(0, "start"), ShouldBeEmpty)
 	})
 	Convey("and all members are started once all are checked out", t, func() {
 		h := newHarness("v", "w")
-		h.announce("v", withBarrier)
-		h.announce("w", withBarrier)
+		h.sendHeartbeat("v", withBarrier)
+		h.sendHeartbeat("w", withBarrier)
 		h.deliverEvents(true, 2, newEvent(1, 1, 0, queue.CheckedOut, "v", gang), newEvent(2, 1, 1, queue.CheckedOut, "w", gang))
 		h.advance(maxPollWait)
-		h.announce("v", withBarrier)
-		h.announce("w", withBarrier)
+		h.sendHeartbeat("v", withBarrier)
+		h.sendHeartbeat("w", withBarrier)
 		So(len(h.ordersOf(0, "start")), ShouldBeGreaterThanOrEqualTo, 2)
 	})
-	Convey("nor is one started while the worker of another hasn't announced itself", t, func() {
+	Convey("nor is one started while the worker of another has sent no heartbeat", t, func() {
 		h := newHarness("v", "w")
-		h.announce("v", withBarrier)
+		h.sendHeartbeat("v", withBarrier)
 		h.deliverEvents(true, 2, newEvent(1, 1, 0, queue.CheckedOut, "v", gang), newEvent(2, 1, 1, queue.CheckedOut, "w", gang))
-		h.announce("v", withBarrier)
+		h.sendHeartbeat("v", withBarrier)
 		So(h.ordersOf(0, "start"), ShouldBeEmpty)
 	})
 }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -28,12 +28,12 @@
 			}
 			running := map[string][]*schema.TaskStatus{}
 			over := map[string][]*schema.TaskStatus{}
-			announceAll := func(id string) {
-				h.announce(id, func(a *schema.WorkerHeartbeat) { a.TasksByName, a.Running, a.Ended = true, running[id], over[id] })
+			sendHeartbeats := func(id string) {
+				h.sendHeartbeat(id, func(a *schema.WorkerHeartbeat) { a.TasksByName, a.Running, a.Ended = true, running[id], over[id] })
 			}
 			for _, id := range ids {
-				announceAll(id)
-				announceAll(id)
+				sendHeartbeats(id)
+				sendHeartbeats(id)
 			}
 			h.deliverEvents(true, 0)
 			for k := 1; k < size.queues; k++ {
@@ -57,18 +57,18 @@
 				for _, tell := range tells {
 					switch m := tell.(type) {
 					case replica.Propose:
-						for _, pick := range m.Command.GetCheckout().GetPlacements() {
+						for _, placement := range m.Command.GetCheckout().GetPlacements() {
 							sequence++
-							h.deliverEvents(false, sequence, newEvent(sequence, pick.Key.Job, 0, queue.CheckedOut, pick.Worker, spec()))
-							running[pick.Worker] = append(running[pick.Worker], &schema.TaskStatus{Name: fmt.Sprint("j", pick.Key.Job), Attempt: 1, State: "running"})
-							announceAll(pick.Worker)
+							h.deliverEvents(false, sequence, newEvent(sequence, placement.Key.Job, 0, queue.CheckedOut, placement.Worker, spec()))
+							running[placement.Worker] = append(running[placement.Worker], &schema.TaskStatus{Name: fmt.Sprint("j", placement.Key.Job), Attempt: 1, State: "running"})
+							sendHeartbeats(placement.Worker)
 						}
 					case replica.TaskEnded:
 						sequence++
 						h.deliverEvents(false, sequence, newEvent(sequence, m.End.Key.Job, 0, queue.Inactive, "", spec()))
 						h.deliver(&schema.TaskEndAck{Queue: "l", Key: m.End.Key, Attempt: m.End.Attempt, Worker: m.End.Worker})
 						over[m.End.Worker] = nil
-						announceAll(m.End.Worker)
+						sendHeartbeats(m.End.Worker)
 					}
 				}
 				h.replies = h.replies[:0]
@@ -77,7 +77,7 @@
 					running[id], over[id] = list[1:], append(over[id], list[0])
 				}
 				over[id] = over[id][:len(over[id]):len(over[id])]
-				announceAll(id)
+				sendHeartbeats(id)
 				h.now += eventloop.Millisecond
 				if k%20 == 0 {
 					h.confirmLeadership(true)
--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// newPick is the placement of a task on a worker, for a checkout.
-func newPick(t *task, w *worker) *schema.Placement {
+// newPlacement is the placement of a task on a worker, for a checkout.
+func newPlacement(t *task, w *worker) *schema.Placement {
 	return &schema.Placement{Key: t.key.toSchema(), Worker: w.id, Incarnation: w.incarnation}
 }
 
--- a/internal/scheduler/claim_test.go
+++ b/internal/scheduler/claim_test.go
@@ -21,17 +21,17 @@
 			busy := func(a *schema.WorkerHeartbeat) {
 				a.Running = []*schema.TaskStatus{{Queue: "k", Job: 1, Attempt: 1, State: "running", CoresMilli: 500}}
 			}
-			h.announce("v", busy)
-			h.announce("w", nil)
+			h.sendHeartbeat("v", busy)
+			h.sendHeartbeat("w", nil)
 			h.syncQueue("l", 10, newEvent(1, 5, 0, queue.Ready, "", gang), newEvent(1, 5, 1, queue.Ready, "", gang))
 			So(h.placements(), ShouldBeEmpty)
 			h.advance(1600 * eventloop.Millisecond)
-			h.announce("v", busy)
-			h.announce("w", nil)
+			h.sendHeartbeat("v", busy)
+			h.sendHeartbeat("w", nil)
 			h.syncQueue("m", urgency, newEvent(1, 6, 0, queue.Ready, "", small))
 			So(h.placements(), ShouldBeEmpty)
 			Convey(fmt.Sprint("until it fits, before urgency ", urgency), func() {
-				h.announce("v", func(a *schema.WorkerHeartbeat) {
+				h.sendHeartbeat("v", func(a *schema.WorkerHeartbeat) {
 					a.Ended = []*schema.TaskStatus{{Queue: "k", Job: 1, Attempt: 1, State: "done"}}
 				})
 				So(len(h.placements()), ShouldEqual, 2)
@@ -46,7 +46,7 @@
 	})
 	Convey("Steps that don't fit don't block one that does", t, func() {
 		h := newHarness("w")
-		h.announce("w", nil)
+		h.sendHeartbeat("w", nil)
 		var list []*queue.TaskEvent
 		for job := uint64(1); job <= 40; job++ {
 			list = append(list, newEvent(job, job, 0, queue.Ready, "", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 5000}))
--- a/internal/scheduler/events_test.go
+++ b/internal/scheduler/events_test.go
@@ -12,8 +12,8 @@
 func TestEventGapTriggersQuery(t *testing.T) {
 	Convey("When an event is missing, the whole list is requested, and no later event is applied before it arrives", t, func() {
 		h := newHarness("w")
-		h.announce("w", nil)
-		h.announce("w", nil)
+		h.sendHeartbeat("w", nil)
+		h.sendHeartbeat("w", nil)
 		h.deliverEvents(true, 0)
 		h.deliverEvents(false, 2, newEvent(2, 1, 0, queue.CheckedOut, "w", oneTask))
 		query, ok := h.notified[len(h.notified)-1].(replica.ResyncQueue)
--- a/internal/scheduler/feasibility_test.go
+++ b/internal/scheduler/feasibility_test.go
@@ -23,7 +23,7 @@
 	setUp := func() *harness {
 		h := newHarness("w")
 		h.configure(rows, "w")
-		h.announce("w", withNames(func(a *schema.WorkerHeartbeat) { a.Draining = true }))
+		h.sendHeartbeat("w", withNames(func(a *schema.WorkerHeartbeat) { a.Draining = true }))
 		return h
 	}
 	// A step as wide as all cores runs in four waves: the target is 6.5 s, plus the tolerance.
@@ -31,7 +31,7 @@
 		h := setUp()
 		h.syncQueue("l", 20, withCriticalPath(newEvent(1, 1, 0, queue.Ready, "", step), 12*eventloop.Second, eventloop.Second))
 		h.syncQueue("m", 10, withCriticalPath(newEvent(1, 2, 0, queue.Ready, "", step), 0, eventloop.Second))
-		h.announce("w", withNames(nil))
+		h.sendHeartbeat("w", withNames(nil))
 		So(len(h.placements()), ShouldEqual, 1)
 		So(h.placements()[0].Key.Job, ShouldEqual, 2)
 	})
@@ -39,7 +39,7 @@
 		h := setUp()
 		h.syncQueue("m", 10, withCriticalPath(newEvent(1, 2, 0, queue.Ready, "", step), 100*eventloop.Millisecond, eventloop.Second))
 		h.syncQueue("l", 20, withCriticalPath(newEvent(1, 1, 0, queue.Ready, "", step), 0, eventloop.Second))
-		h.announce("w", withNames(nil))
+		h.sendHeartbeat("w", withNames(nil))
 		So(len(h.placements()), ShouldEqual, 1)
 		So(h.placements()[0].Key.Job, ShouldEqual, 1)
 	})
@@ -49,7 +49,7 @@
 			withCriticalPath(newEvent(1, 1, 0, queue.Ready, "", most), 60*eventloop.Second, eventloop.Second),
 			withCriticalPath(newEvent(1, 2, 0, queue.Ready, "", rest), 60*eventloop.Second, eventloop.Second),
 		)
-		h.announce("w", withNames(nil))
+		h.sendHeartbeat("w", withNames(nil))
 		So(len(h.placements()), ShouldEqual, 1)
 		So(h.placements()[0].Key.Job, ShouldEqual, 1)
 	})
--- a/internal/scheduler/filter_test.go
+++ b/internal/scheduler/filter_test.go
@@ -51,8 +51,8 @@
 			if each.rows != nil {
 				h.configure(each.rows, "v", "w")
 			}
-			h.announce("v", each.v)
-			h.announce("w", each.w)
+			h.sendHeartbeat("v", each.v)
+			h.sendHeartbeat("w", each.w)
 			each.step.Tasks = uint32(each.tasks)
 			var list []*queue.TaskEvent
 			for k := 0; k < each.tasks; k++ {
@@ -60,8 +60,8 @@
 			}
 			h.deliverEvents(true, uint64(each.tasks), list...)
 			got := map[string]int{}
-			for _, pick := range h.placements() {
-				got[pick.Worker]++
+			for _, placement := range h.placements() {
+				got[placement.Worker]++
 			}
 			So(got, ShouldResemble, each.want)
 		})
@@ -71,7 +71,7 @@
 		h := newHarness("w")
 		again := newEvent(3, 1, 2, queue.Ready, "", step)
 		again.Attempt = 1
-		h.announce("w", func(a *schema.WorkerHeartbeat) {
+		h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) {
 			a.Running = []*schema.TaskStatus{{Queue: "l", Job: 1, Task: 2, Attempt: 1, State: "running", CoresMilli: 100}}
 		})
 		h.deliverEvents(true, 4, newEvent(1, 1, 0, queue.CheckedOut, "w", step), newEvent(2, 1, 1, queue.Ready, "", step), again)
@@ -81,7 +81,7 @@
 		h := newHarness("w")
 		h.configure([]*schema.ConfigurationRow{queueRow("l", "pool", "p")}, "w")
 		h.syncQueue("l", 10, newEvent(1, 1, 0, queue.CheckedOut, "w", oneTask))
-		h.announce("w", nil)
+		h.sendHeartbeat("w", nil)
 		So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "stop")
 	})
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -109,7 +109,7 @@
 func (s *Scheduler) isGangHeld(members []*task) bool {
 	for _, member := range members {
 		w := s.workers[member.worker]
-		if !member.isActive() || w == nil || w.isDraining || w.hasBarrier || s.runningNote(member) == nil {
+		if !member.isActive() || w == nil || w.isDraining || w.hasBarrier || s.runStatus(member) == nil {
 			return false
 		}
 	}
@@ -123,8 +123,8 @@
 		return false
 	}
 	return slices.ContainsFunc(s.gangMembers(t), func(member *task) bool {
-		note := s.runningNote(member)
-		return note != nil && note.State == runHeld && member.evictOutcome == ""
+		status := s.runStatus(member)
+		return status != nil && status.State == runHeld && member.evictOutcome == ""
 	})
 }
 
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -20,16 +20,16 @@
 	}
 	Convey("A gang is checked out as a whole, held by all its workers, then started", t, func() {
 		h := newHarness("v", "w")
-		h.announce("v", nil)
+		h.sendHeartbeat("v", nil)
 		h.deliverEvents(true, 2, newEvent(1, 1, 0, queue.Ready, "", gang), newEvent(2, 1, 1, queue.Ready, "", gang))
 		So(len(h.placements()), ShouldEqual, 0) // one worker isn't enough
-		h.announce("w", nil)
+		h.sendHeartbeat("w", nil)
 		So(len(h.placements()), ShouldEqual, 2)
 		h.deliverEvents(false, 4, newEvent(3, 1, 0, queue.CheckedOut, "v", gang), newEvent(4, 1, 1, queue.CheckedOut, "w", gang))
-		h.announce("v", nil)
+		h.sendHeartbeat("v", nil)
 		So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "hold")
-		h.announce("v", held(0))
-		h.announce("w", nil)
+		h.sendHeartbeat("v", held(0))
+		h.sendHeartbeat("w", nil)
 		So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "hold")
 		// While a worker has no poll open its start order would leave later than the
 		// others'.
@@ -38,9 +38,9 @@
 		h.confirmLeadership(true)
 		h.deliver(eventloop.Tick{})
 		h.notified = nil
-		h.announce("w", held(1))
+		h.sendHeartbeat("w", held(1))
 		So(h.notified, ShouldBeEmpty)
-		h.announce("v", held(0))
+		h.sendHeartbeat("v", held(0))
 		// Once all are held, the gang start is committed before any start order leaves.
 		count := len(h.replies)
 		launch := h.notified[len(h.notified)-1].(replica.Propose).Command.GetStartGang()
@@ -58,38 +58,38 @@
 		Convey("and by another scheduler, which never saw them held, when this one is gone", func() {
 			h = newHarness("v", "w")
 			h.deliverEvents(true, 6, one, two)
-			h.announce("v", func(a *schema.WorkerHeartbeat) { held(0)(a); a.Running[0].State = "running" })
-			h.announce("w", held(1))
+			h.sendHeartbeat("v", func(a *schema.WorkerHeartbeat) { held(0)(a); a.Running[0].State = "running" })
+			h.sendHeartbeat("w", held(1))
 			So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "start")
 			So(h.lastReply().Orders.Orders[0].Task, ShouldEqual, 1)
 		})
 		Convey("before the failure of a member breaks it up", func() {
 			h = newHarness("v", "w")
 			h.deliverEvents(true, 6, one, two)
-			h.announce("w", held(1)) // its start order is lost
+			h.sendHeartbeat("w", held(1)) // its start order is lost
 			h.notified = nil
-			h.announce("v", func(a *schema.WorkerHeartbeat) {
+			h.sendHeartbeat("v", func(a *schema.WorkerHeartbeat) {
 				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: 1, State: "failed"}}
 			})
 			So(h.notified, ShouldBeEmpty)
-			h.announce("w", held(1))
+			h.sendHeartbeat("w", held(1))
 			So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "start")
-			h.announce("w", func(a *schema.WorkerHeartbeat) { held(1)(a); a.Running[0].State = "running" })
+			h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) { held(1)(a); a.Running[0].State = "running" })
 			h.deliver(eventloop.Tick{})
 			So(h.notified[len(h.notified)-1].(replica.TaskEnded).End.Outcome, ShouldEqual, "failed")
 		})
-		Convey("also on a worker that has just announced that it drains, but not later", func() {
+		Convey("also on a worker that has only just reported that it drains, but not later", func() {
 			h = newHarness("v", "w")
 			h.deliverEvents(true, 6, one, two)
-			h.announce("w", func(a *schema.WorkerHeartbeat) { held(1)(a); a.Draining = true })
+			h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) { held(1)(a); a.Draining = true })
 			So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "start")
 			h.now += drainStartGrace
 			h.confirmLeadership(true)
-			h.announce("w", func(a *schema.WorkerHeartbeat) { held(1)(a); a.Draining = true })
+			h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) { held(1)(a); a.Draining = true })
 			So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "stop")
 		})
 		Convey("and a worker that drains before the gang start has the gang stopped", func() {
-			h.announce("w", func(a *schema.WorkerHeartbeat) { held(1)(a); a.Draining = true })
+			h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) { held(1)(a); a.Draining = true })
 			h.deliver(eventloop.Tick{})
 			So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "stop")
 		})
@@ -97,11 +97,11 @@
 	Convey("A gang that isn't held by all its workers in time is stopped", t, func() {
 		h := newHarness("v", "w")
 		h.deliverEvents(true, 2, newEvent(1, 1, 0, queue.CheckedOut, "v", gang), newEvent(2, 1, 1, queue.CheckedOut, "w", gang))
-		h.announce("w", nil)
+		h.sendHeartbeat("w", nil)
 		h.now += gangHoldTimeout + eventloop.Millisecond
 		h.confirmLeadership(true)
-		h.announce("v", held(0))
-		h.announce("v", held(0))
+		h.sendHeartbeat("v", held(0))
+		h.sendHeartbeat("v", held(0))
 		h.deliver(eventloop.Tick{})
 		So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "stop")
 	})
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -51,7 +51,7 @@
 	return h
 }
 
-func (h *harness) announce(worker string, change func(*schema.WorkerHeartbeat)) {
+func (h *harness) sendHeartbeat(worker string, change func(*schema.WorkerHeartbeat)) {
 	h.polls++
 	a := &schema.WorkerHeartbeat{Incarnation: 1, Seq: h.polls, CoresMilli: 1000, MemoryMb: 1000, Rack: "r1", MaxWaitUs: int64(maxPollWait)}
 	if change != nil {
@@ -76,13 +76,13 @@
 }
 
 func (h *harness) placements() []*schema.Placement {
-	var picks []*schema.Placement
+	var placements []*schema.Placement
 	for _, tell := range h.notified {
 		if propose, ok := tell.(replica.Propose); ok {
-			picks = append(picks, propose.Command.GetCheckout().GetPlacements()...)
+			placements = append(placements, propose.Command.GetCheckout().GetPlacements()...)
 		}
 	}
-	return picks
+	return placements
 }
 
 func (h *harness) endReports() []*schema.TaskEndReport {
@@ -133,7 +133,7 @@
 	h.deliver(replica.TaskEvents{Queue: name, Group: name + "#1", Term: 1, LastSequence: 1, Events: list, IsSnapshot: true, Running: 1000, Urgency: urgency})
 }
 
-// withNames makes an announcement one of an agent, which names its tasks by job.
+// withNames makes a heartbeat one of an agent, which names its tasks by job.
 func withNames(change func(*schema.WorkerHeartbeat)) func(*schema.WorkerHeartbeat) {
 	return func(a *schema.WorkerHeartbeat) {
 		a.TasksByName = true
@@ -143,20 +143,20 @@
 	}
 }
 
-func withRunning(notes ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
-	return withNames(func(a *schema.WorkerHeartbeat) { a.Running = notes })
+func withRunning(statuses ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
+	return withNames(func(a *schema.WorkerHeartbeat) { a.Running = statuses })
 }
 
-func withEnded(notes ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
-	return withNames(func(a *schema.WorkerHeartbeat) { a.Ended = notes })
+func withEnded(statuses ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
+	return withNames(func(a *schema.WorkerHeartbeat) { a.Ended = statuses })
 }
 
 // ordersOf lists the orders with this act in the responses from the given one on.
-func (h *harness) ordersOf(from int, act string) []*schema.TaskOrder {
+func (h *harness) ordersOf(from int, action string) []*schema.TaskOrder {
 	var list []*schema.TaskOrder
 	for _, reply := range h.replies[from:] {
 		for _, order := range reply.GetOrders().GetOrders() {
-			if order.Action == act {
+			if order.Action == action {
 				list = append(list, order)
 			}
 		}
--- a/internal/scheduler/leases_test.go
+++ b/internal/scheduler/leases_test.go
@@ -17,7 +17,7 @@
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "w", oneTask))
 		h.now += 2 * eventloop.Second
 		h.confirmLeadership(true)
-		h.announce("w", nil)
+		h.sendHeartbeat("w", nil)
 		answered := h.now
 		for h.now < answered+5*eventloop.Second {
 			h.now += 100 * eventloop.Millisecond
@@ -31,11 +31,11 @@
 		So(len(h.endReports()), ShouldEqual, 1)
 		So(h.endReports()[0].Outcome, ShouldEqual, "lost")
 	})
-	Convey("The announcement of a new incarnation returns the old one's tasks at once", t, func() {
+	Convey("The heartbeat of a new incarnation returns the old one's tasks at once", t, func() {
 		h := newHarness("w")
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "w", oneTask))
-		h.announce("w", nil)
-		h.announce("w", func(a *schema.WorkerHeartbeat) { a.Incarnation = 2 })
+		h.sendHeartbeat("w", nil)
+		h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) { a.Incarnation = 2 })
 		So(len(h.endReports()), ShouldEqual, 1)
 	})
 	Convey("A new holder of the worker lease waits for what the former may still have granted", t, func() {
@@ -56,7 +56,7 @@
 	Convey("A scheduler without a current cluster state takes no worker for lost", t, func() {
 		h := newHarness("w")
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "w", oneTask))
-		h.announce("w", nil)
+		h.sendHeartbeat("w", nil)
 		for k := 0; k < 100; k++ {
 			h.now += 100 * eventloop.Millisecond
 			h.confirmLeadership(false)
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/limits.go
@@ -25,18 +25,18 @@
 // still, can't finish before the worker departs, or wait in a gang that doesn't
 // come together.
 func (s *Scheduler) enforceLimits(now eventloop.Micros, w *worker) {
-	for key, note := range w.running {
+	for key, status := range w.running {
 		t := w.taskOf(key)
 		if t == nil || t.evictOutcome != "" {
 			continue
 		}
-		if note.State == runRunning && s.exceedsLimits(now, w, t, note) {
+		if status.State == runRunning && s.exceedsLimits(now, w, t, status) {
 			s.evict(t, outcomeFailed)
 		}
 		if !t.isActive() {
 			continue
 		}
-		if s.isStuck(now, w, t, note) {
+		if s.isStuck(now, w, t, status) {
 			s.evictStuck(now, w, t)
 		} else if s.mustCheckpoint(now, w, t) {
 			s.evictWithGang(t, outcomeStopped)
@@ -57,16 +57,16 @@
 
 // exceedsLimits reports whether a run is over the time limit, or over the limit on
 // time without progress, of its step or else of its queue.
-func (s *Scheduler) exceedsLimits(now eventloop.Micros, w *worker, t *task, note *schema.TaskStatus) bool {
+func (s *Scheduler) exceedsLimits(now eventloop.Micros, w *worker, t *task, status *schema.TaskStatus) bool {
 	limitOf := func(ofStep int64, ofQueue string) int64 {
 		if ofStep > 0 {
 			return ofStep
 		}
 		return s.config.Number("queue", t.key.queue, ofQueue) * int64(eventloop.Millisecond)
 	}
-	age := int64(now - w.lastHeard) // of the note
+	age := int64(now - w.lastHeard) // of the status
 	runLimit, stillLimit := limitOf(t.spec.TimeLimitUs, "limit_ms"), limitOf(t.spec.StallTimeoutUs, "still_ms")
-	return runLimit > 0 && note.RunUs+age > runLimit || stillLimit > 0 && note.IdleUs+age > stillLimit
+	return runLimit > 0 && status.RunUs+age > runLimit || stillLimit > 0 && status.IdleUs+age > stillLimit
 }
 
 // evictStuck stops a task that stands still on this worker, which may be why.
--- a/internal/scheduler/limits_test.go
+++ b/internal/scheduler/limits_test.go
@@ -29,7 +29,7 @@
 			stoppedAt := eventloop.Micros(0)
 			percent := int64(0)
 			for h.now < began+3600*eventloop.Millisecond {
-				h.announce("w", withNames(func(a *schema.WorkerHeartbeat) {
+				h.sendHeartbeat("w", withNames(func(a *schema.WorkerHeartbeat) {
 					a.Draining, a.DepartsInUs = true, int64(began+4*eventloop.Second-h.now)
 					a.Running = []*schema.TaskStatus{{Name: "j1", Attempt: 1, State: "running", Percent: percent}}
 				}))
@@ -57,11 +57,11 @@
 			h := newHarness("w")
 			limited := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 10, TimeLimitUs: 2_000_000, StallTimeoutUs: 1_000_000}
 			h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "w", limited))
-			h.announce("w", nil)
-			h.announce("w", func(a *schema.WorkerHeartbeat) { a.Running = []*schema.TaskStatus{each} })
+			h.sendHeartbeat("w", nil)
+			h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) { a.Running = []*schema.TaskStatus{each} })
 			h.deliver(eventloop.Tick{})
 			So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "stop")
-			h.announce("w", func(a *schema.WorkerHeartbeat) {
+			h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) {
 				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: 1, State: "stopped"}}
 			})
 			So(h.endReports()[0].Outcome, ShouldEqual, "failed")
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -171,7 +171,7 @@
 	for k, t := range tasks {
 		w := chosen[k].worker
 		p.scheduler.reserve(p.queue, t, w.id, p.now)
-		p.placements = append(p.placements, newPick(t, w))
+		p.placements = append(p.placements, newPlacement(t, w))
 		p.slots--
 		p.budget -= int(req.need.cores)
 		p.headroom.sub(req.need)
--- a/internal/scheduler/pass_test.go
+++ b/internal/scheduler/pass_test.go
@@ -14,12 +14,12 @@
 func TestQueueOrder(t *testing.T) {
 	Convey("Queues are served by urgency, equal ones by the longest wait", t, func() {
 		h := newHarness("w")
-		h.announce("w", func(a *schema.WorkerHeartbeat) { a.Draining = true })
+		h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) { a.Draining = true })
 		h.syncQueue("m", 10, newEvent(1, 1, 0, queue.Ready, "", oneTask))
 		h.advance(100 * eventloop.Millisecond)
 		h.syncQueue("k", 10, newEvent(1, 2, 0, queue.Ready, "", oneTask))
 		h.syncQueue("l", 20, newEvent(1, 3, 0, queue.Ready, "", oneTask))
-		h.announce("w", nil)
+		h.sendHeartbeat("w", nil)
 		for _, want := range []struct {
 			job   uint64
 			queue string
@@ -36,7 +36,7 @@
 func TestUnplaceableStepsDoNotBlock(t *testing.T) {
 	Convey("However many steps fit nowhere, those behind them are looked at before long", t, func() {
 		h := newHarness("w")
-		h.announce("w", nil)
+		h.sendHeartbeat("w", nil)
 		var list []*queue.TaskEvent
 		for k := uint64(1); k <= 100; k++ {
 			huge := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 10_000 + int64(k)}
@@ -45,7 +45,7 @@
 		h.deliverEvents(true, 100, append(list, newEvent(101, 101, 0, queue.Ready, "", oneTask))...)
 		for k := 0; k < 3; k++ {
 			h.advance(200 * eventloop.Millisecond)
-			h.announce("w", nil)
+			h.sendHeartbeat("w", nil)
 		}
 		So(len(h.placements()), ShouldEqual, 1)
 		So(h.placements()[0].Key.Job, ShouldEqual, 101)
@@ -53,10 +53,10 @@
 }
 
 func TestPassCooldown(t *testing.T) {
-	// Each worker has capacity for one task; the second announces itself later.
+	// Each worker has capacity for one task; the second sends its heartbeat later.
 	desk := func(ready int) *harness {
 		h := newHarness("w1", "w2")
-		h.announce("w1", nil)
+		h.sendHeartbeat("w1", nil)
 		var list []*queue.TaskEvent
 		for k := 1; k <= ready; k++ {
 			list = append(list, newEvent(uint64(k), uint64(k), 0, queue.Ready, "", oneTask))
@@ -67,7 +67,7 @@
 	}
 	Convey("With a backlog a pass comes passCooldown after the one before, and no later", t, func() {
 		h := desk(maxPlacements + 2)
-		h.announce("w2", nil)
+		h.sendHeartbeat("w2", nil)
 		So(h.placements(), ShouldHaveLength, 1)
 		h.now += passCooldown - 1
 		h.deliver(&schema.TaskEndAck{})
@@ -79,12 +79,12 @@
 	})
 	Convey("Without a backlog capacity is used at once", t, func() {
 		h := desk(maxPlacements + 1)
-		h.announce("w2", nil)
+		h.sendHeartbeat("w2", nil)
 		So(h.placements(), ShouldHaveLength, 2)
 	})
 	Convey("A tick alone causes the pass", t, func() {
 		h := desk(maxPlacements + 2)
-		h.announce("w2", nil)
+		h.sendHeartbeat("w2", nil)
 		h.now += TickInterval
 		h.deliver(eventloop.Tick{})
 		So(h.placements(), ShouldHaveLength, 2)
--- a/internal/scheduler/polls.go
+++ b/internal/scheduler/polls.go
@@ -15,67 +15,67 @@
 	deadline eventloop.Micros
 }
 
-// handlePoll takes in a worker's announcement and keeps its poll open until there
+// handlePoll takes in a worker's heartbeat and keeps its poll open until there
 // is something to respond with.
 func (s *Scheduler) handlePoll(now eventloop.Micros, gateway string, poll *schema.WorkerPollRequest, effects eventloop.Effects) {
-	w, announce := s.workers[poll.Worker], poll.Heartbeat
-	if !s.acceptsAnnouncement(now, w, announce) {
+	w, heartbeat := s.workers[poll.Worker], poll.Heartbeat
+	if !s.acceptsHeartbeat(now, w, heartbeat) {
 		s.respondNothing(gateway, poll.Id, effects)
 		return
 	}
-	if announce.Incarnation > w.incarnation {
+	if heartbeat.Incarnation > w.incarnation {
 		w.forgetIncarnation()
 	}
 	s.refreshUsage(w)
 	before := w.capacity()
-	isFirst := w.isFirstOf(announce.Incarnation)
+	isFirst := w.isFirstOf(heartbeat.Incarnation)
 	wasUnresponsive := now-w.lastHeard > unresponsiveTimeout
-	w.announcement.update(now, announce)
+	w.heartbeatState.update(now, heartbeat)
 	w.isUsageStale = true
-	s.updateRuns(now, w, announce, effects)
+	s.updateRuns(now, w, heartbeat, effects)
 	s.returnAbandoned(now, w, effects)
-	s.markDead(now, announce.ReplacedWorkers, poll.Worker, effects)
+	s.markDead(now, heartbeat.ReplacedWorkers, poll.Worker, effects)
 	s.replacePoll(now, gateway, poll, w, effects)
 	s.updateGangsOn(now, w)
 	if isFirst {
 		// The worker must learn at once who holds its lease, and its inventory is here.
 		s.respond(now, w, effects)
 	}
-	// Most announcements bring no new capacity, and a pass is expensive.
+	// Most heartbeats bring no new capacity, and a pass is expensive.
 	s.refreshUsage(w)
 	s.needsPass = s.needsPass || isFirst || wasUnresponsive || before != w.capacity()
 	s.needsGangStart = true
 }
 
-// acceptsAnnouncement reports whether an announcement counts as a sign of life.
-func (s *Scheduler) acceptsAnnouncement(now eventloop.Micros, w *worker, announce *schema.WorkerHeartbeat) bool {
+// acceptsHeartbeat reports whether a heartbeat counts as a sign of life.
+func (s *Scheduler) acceptsHeartbeat(now eventloop.Micros, w *worker, heartbeat *schema.WorkerHeartbeat) bool {
 	// A scheduler that can't be sure of holding the worker lease grants nothing.
-	if w == nil || announce == nil || w.isDead || !s.isClusterStateCurrent(now) || announce.FencingToken > w.fencingToken {
+	if w == nil || heartbeat == nil || w.isDead || !s.isClusterStateCurrent(now) || heartbeat.FencingToken > w.fencingToken {
 		return false
 	}
-	if announce.Incarnation < w.incarnation || announce.Incarnation == w.incarnation && announce.Seq <= w.seq {
+	if heartbeat.Incarnation < w.incarnation || heartbeat.Incarnation == w.incarnation && heartbeat.Seq <= w.seq {
 		return false
 	}
 	// The worker's messages arrive here, but no response arrives there: what is
 	// ordered may never begin, so the worker counts as unresponsive. The empty
 	// response grants nothing, and shows the worker when it hears again.
-	if announce.Unanswered && w.hasAnnounced && announce.Incarnation == w.incarnation {
+	if heartbeat.Unanswered && w.hasHeartbeat && heartbeat.Incarnation == w.incarnation {
 		return false
 	}
 	return true
 }
 
-// isFirstOf reports whether an announcement of this incarnation is the first
+// isFirstOf reports whether a heartbeat of this incarnation is the first
 // under the current lease.
-func (a *announcement) isFirstOf(incarnation uint64) bool {
-	return !a.hasAnnounced || a.incarnation != incarnation
+func (a *heartbeatState) isFirstOf(incarnation uint64) bool {
+	return !a.hasHeartbeat || a.incarnation != incarnation
 }
 
-func (a *announcement) update(now eventloop.Micros, m *schema.WorkerHeartbeat) {
+func (a *heartbeatState) update(now eventloop.Micros, m *schema.WorkerHeartbeat) {
 	if m.Draining && (!a.isDraining || a.isFirstOf(m.Incarnation)) {
 		a.drainingSince = now
 	}
-	a.incarnation, a.seq, a.lastHeard, a.hasAnnounced = m.Incarnation, m.Seq, now, true
+	a.incarnation, a.seq, a.lastHeard, a.hasHeartbeat = m.Incarnation, m.Seq, now, true
 	a.cores, a.memory, a.accelerators = m.CoresMilli, m.MemoryMb, m.Accelerators
 	a.rack, a.pool, a.labels = m.Rack, m.Pool, m.Labels
 	a.hasBarrier, a.usesNames, a.isDraining = m.GangBarrier, m.TasksByName, m.Draining
@@ -97,13 +97,13 @@
 	w.quality = quality{}
 }
 
-// updateRuns takes in what an announcement lists as running and ended.
-func (s *Scheduler) updateRuns(now eventloop.Micros, w *worker, announce *schema.WorkerHeartbeat, effects eventloop.Effects) {
-	running, ended := s.resolveNotes(w, announce)
+// updateRuns takes in what a heartbeat lists as running and ended.
+func (s *Scheduler) updateRuns(now eventloop.Micros, w *worker, heartbeat *schema.WorkerHeartbeat, effects eventloop.Effects) {
+	running, ended := s.resolveStatuses(w, heartbeat)
 	w.running = map[attemptKey]*schema.TaskStatus{}
-	for _, note := range running {
-		w.running[attemptKeyOf(note)] = note
-		w.observeRun(now, note)
+	for _, status := range running {
+		w.running[attemptKeyOf(status)] = status
+		w.observeRun(now, status)
 	}
 	s.measureProgress(now, w)
 	s.recordEndReports(now, w, ended, effects)
@@ -120,7 +120,7 @@
 	w.poll, w.needsResponse = &openPoll{gateway: gateway, id: poll.Id, deadline: now + wait}, true
 }
 
-// updateGangsOn lets the gangs that have a member on a worker react to its announcement.
+// updateGangsOn lets the gangs that have a member on a worker react to its heartbeat.
 func (s *Scheduler) updateGangsOn(now eventloop.Micros, w *worker) {
 	for _, t := range w.tasks {
 		if !t.spec.Gang {
--- a/internal/scheduler/polls_test.go
+++ b/internal/scheduler/polls_test.go
@@ -8,14 +8,14 @@
 	"sparnotch/internal/schema"
 )
 
-func TestSupersededAnnounces(t *testing.T) {
+func TestSupersededPolls(t *testing.T) {
 	// replies counts the responses to two polls of which the second follows at once.
 	replies := func(change func(*schema.WorkerHeartbeat)) int {
 		h := newHarness("w")
-		h.announce("w", change)
+		h.sendHeartbeat("w", change)
 		So(h.replies, ShouldHaveLength, 1)
-		h.announce("w", change)
-		h.announce("w", change)
+		h.sendHeartbeat("w", change)
+		h.sendHeartbeat("w", change)
 		return len(h.replies) - 1
 	}
 	Convey("A poll that its agent has superseded gets no response, since the agent only takes the newest's", t, func() {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -16,7 +16,7 @@
 	maxLossFactor         = 2                            // how many times its own work may be lost for a task
 	wideFraction          = 4                            // a task of which fewer fit on any worker is wide
 	acceleratorMilliCores = 8000                         // what an accelerator counts as when work is measured
-	serviceLoss           = 30 * eventloop.Second        // run time that stopping a lasting task counts as losing
+	serviceLoss           = 30 * eventloop.Second        // run time that stopping a task that runs until cancelled counts as losing
 )
 
 // victim is what may be preempted: a task, or a gang as a whole.
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -15,7 +15,7 @@
 	big := &schema.Step{Name: "b", Tasks: 1, CoresMilli: 800}
 	mid := &schema.Step{Name: "m", Tasks: 1, CoresMilli: 400}
 	saving := &schema.Step{Name: "m", Tasks: 1, CoresMilli: 400, Checkpoints: true}
-	lasting := &schema.Step{Name: "m", Tasks: 1, CoresMilli: 400, RunUntilCancelled: true}
+	service := &schema.Step{Name: "m", Tasks: 1, CoresMilli: 400, RunUntilCancelled: true}
 	group := &schema.Step{Name: "m", Tasks: 2, CoresMilli: 400, Gang: true}
 	run := func(job uint64, task uint32, run eventloop.Micros) *schema.TaskStatus {
 		return &schema.TaskStatus{Queue: "l", Job: job, Task: task, Attempt: 1, State: "running", RunUs: int64(run), CoresMilli: 400}
@@ -45,7 +45,7 @@
 		{what: "what has saved a checkpoint", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", saving), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), {Queue: "l", Job: 2, Attempt: 1, State: "running", RunUs: 20_000_000, Checkpoint: "x", CoresMilli: 400}}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{2: 1}},
-		{what: "lasting tasks last", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", lasting), newEvent(1, 3, 0, queue.CheckedOut, "w", lasting), newEvent(1, 4, 0, queue.CheckedOut, "w", lasting)},
+		{what: "tasks that run until cancelled last", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", service), newEvent(1, 3, 0, queue.CheckedOut, "w", service), newEvent(1, 4, 0, queue.CheckedOut, "w", service)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), run(2, 0, eventloop.Millisecond)}, "w": {run(3, 0, eventloop.Millisecond), run(4, 0, eventloop.Millisecond)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{1: 1}},
 		{what: "no more than is needed, but enough for all waiting tasks", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
@@ -72,17 +72,17 @@
 			h := newHarness("v", "w")
 			h.deliver(replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 1, "m#1": 1}, IsClusterStateFresh: true})
 			h.syncQueue("l", max(each.lessUrgently, 10), each.less...)
-			announceAll := func() {
+			sendHeartbeats := func() {
 				for _, id := range []string{"v", "w"} {
-					h.announce(id, func(a *schema.WorkerHeartbeat) { a.Running = each.running[id] })
+					h.sendHeartbeat(id, func(a *schema.WorkerHeartbeat) { a.Running = each.running[id] })
 				}
 			}
-			announceAll()
+			sendHeartbeats()
 			h.syncQueue("m", 50, each.urgent...)
 			h.advance(preemptionDelay - TickInterval)
 			So(stops(h), ShouldBeEmpty) // not before preemptionDelay
 			h.advance(60 * eventloop.Millisecond)
-			announceAll()
+			sendHeartbeats()
 			h.advance(100 * eventloop.Millisecond)
 			So(stops(h), ShouldResemble, each.want)
 		})
@@ -91,15 +91,15 @@
 		h := newHarness("w")
 		h.syncQueue("l", 10, newEvent(1, 1, 0, queue.CheckedOut, "w", mid), newEvent(1, 2, 0, queue.CheckedOut, "w", mid), newEvent(1, 3, 0, queue.Ready, "", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 300}))
 		both := []*schema.TaskStatus{run(1, 0, eventloop.Second), run(2, 0, eventloop.Second)}
-		h.announce("w", func(a *schema.WorkerHeartbeat) { a.Running = both })
+		h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) { a.Running = both })
 		h.syncQueue("m", 50, newEvent(1, 9, 0, queue.Ready, "", &schema.Step{Name: "x", Tasks: 1, CoresMilli: 1000}))
 		h.advance(preemptionDelay + 2*TickInterval)
 		So(stops(h), ShouldResemble, map[uint64]int{1: 1, 2: 1})
-		h.announce("w", func(a *schema.WorkerHeartbeat) {
+		h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) {
 			a.Running, a.Ended = both[1:], []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: 1, State: "stopped"}}
 		})
 		So(h.placements(), ShouldBeEmpty)
-		h.announce("w", func(a *schema.WorkerHeartbeat) {
+		h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) {
 			a.Ended = []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: 1, State: "stopped"}, {Queue: "l", Job: 2, Attempt: 1, State: "stopped"}}
 		})
 		So(len(h.placements()), ShouldEqual, 1)
@@ -118,10 +118,10 @@
 	simulate := func(span eventloop.Micros) *harness {
 		h := newHarness("w")
 		h.syncQueue("m", 10, withCriticalPath(newEvent(1, 1, 0, queue.CheckedOut, "w", low), 0, 20*eventloop.Second))
-		h.announce("w", runs(span))
+		h.sendHeartbeat("w", runs(span))
 		h.syncQueue("l", 20, withCriticalPath(newEvent(1, 2, 0, queue.Ready, "", high), 0, eventloop.Second))
 		h.advance(preemptionDelay + 2*TickInterval)
-		h.announce("w", runs(span+preemptionDelay+2*TickInterval))
+		h.sendHeartbeat("w", runs(span+preemptionDelay+2*TickInterval))
 		return h
 	}
 	Convey("No more work is lost for a task than twice its own", t, func() {
@@ -134,26 +134,26 @@
 	Convey("Urgent work waits for a stop under way, but not for one that is overdue", t, func() {
 		mid := &schema.Step{Name: "m", Tasks: 1, CoresMilli: 900}
 		h := newHarness("v", "w")
-		announceAll := func() {
+		sendHeartbeats := func() {
 			for k, id := range []string{"v", "w"} {
-				h.announce(id, func(a *schema.WorkerHeartbeat) {
+				h.sendHeartbeat(id, func(a *schema.WorkerHeartbeat) {
 					a.Running = []*schema.TaskStatus{{Queue: "l", Job: uint64(k + 1), Attempt: 1, State: "running", RunUs: int64(k+1) * int64(eventloop.Second), CoresMilli: 900}}
 				})
 			}
 		}
 		h.syncQueue("l", 10, newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "w", mid))
-		announceAll()
+		sendHeartbeats()
 		h.syncQueue("m", 50, newEvent(1, 9, 0, queue.Ready, "", mid))
 		other := h.scheduler.queues["l"].tasks[taskKey{"l", 2, 0, 0}]
 		for k := 0; k < 25; k++ {
 			h.advance(100 * eventloop.Millisecond)
-			announceAll()
+			sendHeartbeats()
 		}
 		So(h.scheduler.queues["l"].tasks[taskKey{"l", 1, 0, 0}].evictOutcome, ShouldEqual, "stopped")
 		So(other.evictOutcome, ShouldEqual, "")
 		for end := h.now + preemptionDelay + eventloop.Second; h.now < end; {
 			h.advance(100 * eventloop.Millisecond)
-			announceAll()
+			sendHeartbeats()
 		}
 		So(other.evictOutcome, ShouldEqual, "stopped")
 	})
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -53,22 +53,22 @@
 	return model != nil && model.count >= minComparableRuns && (t.initialCheckpoint == "" || now-t.startedAt > 2*eventloop.Micros(s.bounds.GetRestoreUs()))
 }
 
-// measureProgress takes in the progress that an announcement reports, and ejects
+// measureProgress takes in the progress that a heartbeat reports, and ejects
 // the worker if it turns out slow.
 func (s *Scheduler) measureProgress(now eventloop.Micros, w *worker) {
 	hasProgressed := w.hasProgressed()
 	if hasProgressed || w.progress.lastProgressAt == 0 {
 		w.progress.decay(now)
 	}
-	for key, note := range w.running {
+	for key, status := range w.running {
 		t := w.taskOf(key)
-		if t == nil || note.State != runRunning || !s.isProgressComparable(now, w, t) {
+		if t == nil || status.State != runRunning || !s.isProgressComparable(now, w, t) {
 			continue
 		}
 		if t.sample.at == 0 {
-			t.sample = progressSample{now, note.Percent}
+			t.sample = progressSample{now, status.Percent}
 		} else if hasProgressed {
-			s.recordProgress(now, w, t, note.Percent)
+			s.recordProgress(now, w, t, status.Percent)
 		}
 	}
 	if w.progress.isSlow() {
@@ -76,10 +76,10 @@
 	}
 }
 
-// hasProgressed reports whether the latest announcement shows progress of any task.
+// hasProgressed reports whether the latest heartbeat shows progress of any task.
 func (w *worker) hasProgressed() bool {
-	for key, note := range w.running {
-		if t := w.taskOf(key); t != nil && t.sample.at > 0 && note.Percent != t.sample.percent {
+	for key, status := range w.running {
+		if t := w.taskOf(key); t != nil && t.sample.at > 0 && status.Percent != t.sample.percent {
 			return true
 		}
 	}
@@ -100,15 +100,15 @@
 	}
 }
 
-// isFrozen reports whether nothing moves on a worker though it announces itself.
+// isFrozen reports whether nothing moves on a worker though it sends heartbeats.
 func (s *Scheduler) isFrozen(now eventloop.Micros, w *worker) bool {
 	if w.progress.lastProgressAt == 0 || now-w.progress.lastProgressAt < frozenTimeout || now-w.lastHeard > maxPollWait {
 		return false
 	}
 	expected := 0.0
-	for key, note := range w.running {
+	for key, status := range w.running {
 		t := w.taskOf(key)
-		if t == nil || t.sample.at == 0 || note.State != runRunning || !s.isProgressComparable(now, w, t) {
+		if t == nil || t.sample.at == 0 || status.State != runRunning || !s.isProgressComparable(now, w, t) {
 			continue
 		}
 		if from := max(t.sample.at, w.progress.lastProgressAt); now-from >= frozenTimeout {
--- a/internal/scheduler/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -23,7 +23,7 @@
 	finish := func(h *harness, worker string) {
 		job++
 		shifts(h, newEvent(0, job, 0, queue.CheckedOut, worker, step))
-		h.announce(worker, withNames(func(a *schema.WorkerHeartbeat) {
+		h.sendHeartbeat(worker, withNames(func(a *schema.WorkerHeartbeat) {
 			a.Ended = []*schema.TaskStatus{{Name: fmt.Sprint("j", job), Attempt: 1, State: "done", RunUs: int64(eventloop.Second)}}
 		}))
 		shifts(h, newEvent(0, job, 0, queue.Inactive, "", step))
@@ -32,7 +32,7 @@
 		h := newHarness("a", "b", "c")
 		h.deliverEvents(true, 0)
 		for _, id := range []string{"a", "b", "c"} {
-			h.announce(id, withNames(nil))
+			h.sendHeartbeat(id, withNames(nil))
 		}
 		for k := 0; k < 10; k++ {
 			finish(h, "b")
@@ -47,13 +47,13 @@
 	simulate := func(h *harness, span eventloop.Micros, percent float64) {
 		made := 0.0
 		for end := h.now + span; h.now < end; {
-			var notes []*schema.TaskStatus
+			var statuses []*schema.TaskStatus
 			for k := 1; k <= 3; k++ {
-				notes = append(notes, &schema.TaskStatus{Name: fmt.Sprint("j", k), Attempt: 1, State: "running", Percent: int64(made)})
+				statuses = append(statuses, &schema.TaskStatus{Name: fmt.Sprint("j", k), Attempt: 1, State: "running", Percent: int64(made)})
 			}
-			h.announce("a", withNames(func(a *schema.WorkerHeartbeat) { a.Running = notes }))
-			h.announce("b", withNames(nil))
-			h.announce("c", withNames(nil))
+			h.sendHeartbeat("a", withNames(func(a *schema.WorkerHeartbeat) { a.Running = statuses }))
+			h.sendHeartbeat("b", withNames(nil))
+			h.sendHeartbeat("c", withNames(nil))
 			h.advance(100 * eventloop.Millisecond)
 			made += percent
 		}
--- a/internal/scheduler/quality.go
+++ b/internal/scheduler/quality.go
@@ -69,16 +69,16 @@
 }
 
 // recordEnd learns from the end of a run.
-func (s *Scheduler) recordEnd(now eventloop.Micros, w *worker, key attemptKey, note *schema.TaskStatus) {
-	switch note.State {
+func (s *Scheduler) recordEnd(now eventloop.Micros, w *worker, key attemptKey, status *schema.TaskStatus) {
+	switch status.State {
 	case outcomeDone:
-		s.recordSuccess(now, w, key, note)
+		s.recordSuccess(now, w, key, status)
 	case outcomeFailed:
 		s.recordFailure(w, key)
 	}
 }
 
-func (s *Scheduler) recordSuccess(now eventloop.Micros, w *worker, key attemptKey, note *schema.TaskStatus) {
+func (s *Scheduler) recordSuccess(now eventloop.Micros, w *worker, key attemptKey, status *schema.TaskStatus) {
 	w.counts.add(false)
 	s.recordOutcome(w, key.queue, false)
 	t := w.tasks[key.taskKey]
@@ -91,7 +91,7 @@
 		}
 	}
 	if t != nil && t.attempt == key.attempt {
-		s.recordRuntime(now, w, t, note)
+		s.recordRuntime(now, w, t, status)
 		s.recordFinalProgress(now, w, t)
 	}
 }
--- a/internal/scheduler/quality_test.go
+++ b/internal/scheduler/quality_test.go
@@ -19,7 +19,7 @@
 		job++
 		sequence := h.scheduler.queues["l"].lastSequence
 		h.deliverEvents(false, sequence+1, newEvent(sequence+1, job, 0, queue.CheckedOut, worker, step))
-		h.announce(worker, withNames(func(a *schema.WorkerHeartbeat) {
+		h.sendHeartbeat(worker, withNames(func(a *schema.WorkerHeartbeat) {
 			a.Ended = []*schema.TaskStatus{{Name: fmt.Sprint("j", job), Attempt: 1, State: "done", RunUs: int64(run)}}
 		}))
 		h.deliverEvents(false, sequence+2, newEvent(sequence+2, job, 0, queue.Inactive, "", step))
@@ -36,7 +36,7 @@
 		h := newHarness("a", "b", "c")
 		h.deliverEvents(true, 0)
 		for _, id := range []string{"a", "b", "c"} {
-			h.announce(id, withNames(nil))
+			h.sendHeartbeat(id, withNames(nil))
 		}
 		for k := 0; k < 4; k++ {
 			finish(h, "b", eventloop.Second)
@@ -49,8 +49,8 @@
 		for k := 0; k < 4; k++ {
 			finish(h, "a", 4*eventloop.Second)
 		}
-		h.announce("b", withRunning(&schema.TaskStatus{Queue: "x", Name: "z", Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}))
-		h.announce("c", withRunning(&schema.TaskStatus{Queue: "x", Name: "z", Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}))
+		h.sendHeartbeat("b", withRunning(&schema.TaskStatus{Queue: "x", Name: "z", Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}))
+		h.sendHeartbeat("c", withRunning(&schema.TaskStatus{Queue: "x", Name: "z", Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}))
 		So(ready(h, step), ShouldNotEqual, "a")
 		Convey("but the others don't count as fast", func() {
 			So(h.scheduler.workers["b"].slowdown, ShouldBeBetween, -0.1, 0.1)
@@ -65,7 +65,7 @@
 		simulate := func(span eventloop.Micros, moves int64) {
 			for end := h.now + span; h.now < end; {
 				percent += moves
-				h.announce("a", withRunning(&schema.TaskStatus{Name: "j7", Attempt: 1, State: "running", Percent: percent}))
+				h.sendHeartbeat("a", withRunning(&schema.TaskStatus{Name: "j7", Attempt: 1, State: "running", Percent: percent}))
 				finish(h, "b", eventloop.Second)
 				finish(h, "c", eventloop.Second)
 				h.advance(100 * eventloop.Millisecond)
@@ -78,7 +78,7 @@
 			simulate(500*eventloop.Millisecond, 0)
 			So(isStopped(), ShouldBeTrue)
 			h.notified = nil
-			h.announce("a", withEnded(&schema.TaskStatus{Name: "j7", Attempt: 1, State: "stopped"}))
+			h.sendHeartbeat("a", withEnded(&schema.TaskStatus{Name: "j7", Attempt: 1, State: "stopped"}))
 			So(h.endReports()[0].Outcome, ShouldEqual, "stopped")
 			for k := 0; k < 3; k++ {
 				So(ready(h, step), ShouldNotEqual, "a")
@@ -92,7 +92,7 @@
 	})
 	fail := func(h *harness, worker string, jobs ...uint64) {
 		for _, each := range jobs {
-			h.announce(worker, func(a *schema.WorkerHeartbeat) {
+			h.sendHeartbeat(worker, func(a *schema.WorkerHeartbeat) {
 				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: each, Attempt: 1, State: "failed"}}
 			})
 		}
@@ -104,8 +104,8 @@
 		So(h.scheduler.workers["a"].ejectedUntil-h.now, ShouldEqual, baseEjectionPeriod)
 		h.advance(baseEjectionPeriod)
 		fail(h, "a", 3)
-		h.announce("b", withNames(nil))
-		h.announce("c", withNames(nil))
+		h.sendHeartbeat("b", withNames(nil))
+		h.sendHeartbeat("c", withNames(nil))
 		So(ready(h, step), ShouldNotEqual, "a")
 		So(h.scheduler.workers["a"].ejectedUntil-h.now, ShouldEqual, 2*baseEjectionPeriod)
 		Convey("and is still used when nothing else has capacity for long", func() {
@@ -115,10 +115,10 @@
 			h.deliverEvents(false, sequence+1, newEvent(sequence+1, 900, 0, queue.Ready, "", only))
 			h.advance(2 * eventloop.Second)
 			has := withNames(func(a *schema.WorkerHeartbeat) { a.Labels = []string{"x"} })
-			h.announce("a", has)
+			h.sendHeartbeat("a", has)
 			So(h.placements(), ShouldBeEmpty)
 			h.advance(1100 * eventloop.Millisecond)
-			h.announce("a", has)
+			h.sendHeartbeat("a", has)
 			So(len(h.placements()), ShouldEqual, 1)
 		})
 	})
@@ -126,7 +126,7 @@
 		h := newHarness("a", "b", "c", "gone1", "gone2", "gone3", "gone4", "gone5")
 		h.deliverEvents(true, 0)
 		for _, id := range []string{"a", "b", "c"} {
-			h.announce(id, withNames(nil))
+			h.sendHeartbeat(id, withNames(nil))
 		}
 		Convey("so never half of the others are ejected", func() {
 			fail(h, "a", 1, 2)
@@ -161,22 +161,22 @@
 		sequence := h.scheduler.queues["l"].lastSequence
 		h.deliverEvents(false, sequence+1, newEvent(sequence+1, job, 0, queue.Inactive, "", step))
 		h.advance(baseEjectionPeriod)
-		has := func(notes ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
-			return withNames(func(a *schema.WorkerHeartbeat) { a.Labels, a.Running = []string{"x"}, notes })
+		has := func(statuses ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
+			return withNames(func(a *schema.WorkerHeartbeat) { a.Labels, a.Running = []string{"x"}, statuses })
 		}
 		only := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Labels: []string{"x"}}
 		sequence = h.scheduler.queues["l"].lastSequence
 		h.notified = nil
 		h.deliverEvents(false, sequence+1, newEvent(sequence+1, 900, 0, queue.CheckedOut, "a", only))
 		runs := &schema.TaskStatus{Name: "j900", Attempt: 1, State: "running"}
-		h.announce("a", has(runs))
+		h.sendHeartbeat("a", has(runs))
 		h.deliverEvents(false, sequence+2, newEvent(sequence+2, 901, 0, queue.Ready, "", only))
-		h.announce("a", has(runs))
+		h.sendHeartbeat("a", has(runs))
 		So(h.scheduler.workers["a"].isOnProbation, ShouldBeTrue)
 		So(h.placements(), ShouldBeEmpty)
 		for k := 0; k < 6; k++ {
 			h.advance(500 * eventloop.Millisecond)
-			h.announce("a", has(runs))
+			h.sendHeartbeat("a", has(runs))
 		}
 		So(len(h.placements()), ShouldEqual, 1)
 	})
@@ -202,7 +202,7 @@
 	Convey("One task that fails again and again is no evidence against its worker", t, func() {
 		h := setUp()
 		for k := uint32(1); k < 4; k++ {
-			h.announce("a", func(a *schema.WorkerHeartbeat) {
+			h.sendHeartbeat("a", func(a *schema.WorkerHeartbeat) {
 				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: k, State: "failed"}}
 			})
 		}
@@ -216,11 +216,11 @@
 		h := newHarness("v", "w")
 		small := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 10}
 		fail := func(job uint64) {
-			h.announce("w", func(a *schema.WorkerHeartbeat) {
+			h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) {
 				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: job, Attempt: 1, State: "failed"}}
 			})
 		}
-		h.announce("v", nil)
+		h.sendHeartbeat("v", nil)
 		for job := uint64(1); job < 8; job++ {
 			fail(job)
 		}
@@ -229,7 +229,7 @@
 		h.now += 11 * eventloop.Second
 		h.confirmLeadership(true)
 		h.notified = nil
-		h.announce("w", nil)
+		h.sendHeartbeat("w", nil)
 		h.deliverEvents(true, 3, newEvent(1, 51, 0, queue.Ready, "", small), newEvent(2, 52, 0, queue.Ready, "", small), newEvent(3, 53, 0, queue.Ready, "", small))
 		So(len(h.placements()), ShouldEqual, 1)
 	})
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -11,13 +11,13 @@
 
 // Acts of an order to a worker.
 const (
-	actStart = "start"
-	actHold  = "hold" // reserve the task's resources until its gang starts
-	actStop  = "stop"
+	actionStart = "start"
+	actionHold  = "hold" // reserve the task's resources until its gang starts
+	actionStop  = "stop"
 )
 
 // drainStartGrace is how long a committed gang start still reaches a worker that
-// has announced that it drains.
+// has reported that it drains.
 const drainStartGrace = 500 * eventloop.Millisecond
 
 // reconcile lists the orders that lead from what a worker says it has to what the
@@ -31,28 +31,28 @@
 			continue
 		}
 		q := s.queues[t.key.queue]
-		note := w.running[attemptKey{t.key, t.attempt}]
+		status := w.running[attemptKey{t.key, t.attempt}]
 		switch {
-		case t.isStopping() || w.isDraining && !t.staysWhileDraining(now, w, note):
-			orders = append(orders, newOrder(actStop, q, t))
+		case t.isStopping() || w.isDraining && !t.staysWhileDraining(now, w, status):
+			orders = append(orders, newOrder(actionStop, q, t))
 		case !s.mayActFor(now, q):
-		case note == nil:
+		case status == nil:
 			// The configuration may have moved the queue to another pool since.
 			if s.poolOf(q) != w.pool {
-				orders = append(orders, newOrder(actStop, q, t))
+				orders = append(orders, newOrder(actionStop, q, t))
 				continue
 			}
 			// What the worker reports free decides, whatever was reckoned here.
 			if need := resourcesOf(t.spec); left.covers(need) && !unknownUsage && (!w.hasBarrier || s.canStartGang(t)) {
 				left.sub(need)
-				act := actStart
+				action := actionStart
 				if t.spec.Gang && !t.isGangStarted && !w.hasBarrier {
-					act = actHold
+					action = actionHold
 				}
-				orders = append(orders, newOrder(act, q, t))
+				orders = append(orders, newOrder(action, q, t))
 			}
-		case note.State == runHeld && t.isGangStarted:
-			orders = append(orders, newOrder(actStart, q, t))
+		case status.State == runHeld && t.isGangStarted:
+			orders = append(orders, newOrder(actionStart, q, t))
 		}
 	}
 	return append(orders, s.stopOrphans(now, w)...)
@@ -61,30 +61,30 @@
 // reportedFree is what is free on a worker by its own report alone.
 func (s *Scheduler) reportedFree(w *worker) resources {
 	free := w.total()
-	for key, note := range w.running {
-		free.sub(s.usageOf(w, key, note))
+	for key, status := range w.running {
+		free.sub(s.usageOf(w, key, status))
 	}
-	for _, note := range w.unknownRuns {
-		free.sub(reportedUsage(note))
+	for _, status := range w.unknownRuns {
+		free.sub(reportedUsage(status))
 	}
 	return free
 }
 
 // staysWhileDraining reports whether a task stays on a worker that drains. What
 // runs may run out. A member of a gang whose start is committed is started if the
-// worker announced its draining only just now, since other members may have begun.
-func (t *task) staysWhileDraining(now eventloop.Micros, w *worker, note *schema.TaskStatus) bool {
-	if note == nil {
+// worker has reported only just now that it drains, since other members may have begun.
+func (t *task) staysWhileDraining(now eventloop.Micros, w *worker, status *schema.TaskStatus) bool {
+	if status == nil {
 		return false
 	}
-	return note.State != runHeld || t.isGangStarted && now-w.drainingSince < drainStartGrace
+	return status.State != runHeld || t.isGangStarted && now-w.drainingSince < drainStartGrace
 }
 
 // stopOrphans orders the end of what runs on a worker though its queue, which is
 // led here, doesn't have it checked out there, and of what belongs to no queue.
 func (s *Scheduler) stopOrphans(now eventloop.Micros, w *worker) []*schema.TaskOrder {
 	var orders []*schema.TaskOrder
-	for key, note := range w.running {
+	for key, status := range w.running {
 		q := s.queues[key.queue]
 		if q == nil || !s.mayActFor(now, q) {
 			continue
@@ -93,12 +93,12 @@
 			continue
 		}
 		orders = append(orders, &schema.TaskOrder{
-			Action: actStop, Queue: key.queue, Job: key.job, Step: key.step, Task: key.task, Attempt: note.Attempt, Term: q.term,
-			Name: note.Name, Round: note.Round, StepInRound: note.StepInRound,
+			Action: actionStop, Queue: key.queue, Job: key.job, Step: key.step, Task: key.task, Attempt: status.Attempt, Term: q.term,
+			Name: status.Name, Round: status.Round, StepInRound: status.StepInRound,
 		})
 	}
-	for _, note := range s.orphanedNotes(now, w.unknownRuns) {
-		orders = append(orders, &schema.TaskOrder{Action: actStop, Name: note.Name, Round: note.Round, StepInRound: note.StepInRound, Task: note.Task, Attempt: note.Attempt})
+	for _, status := range s.orphanedStatuses(now, w.unknownRuns) {
+		orders = append(orders, &schema.TaskOrder{Action: actionStop, Name: status.Name, Round: status.Round, StepInRound: status.StepInRound, Task: status.Task, Attempt: status.Attempt})
 	}
 	sort.Slice(orders, func(a, b int) bool { return orderLess(orders[a], orders[b]) })
 	return orders
@@ -111,14 +111,14 @@
 	) < 0
 }
 
-func newOrder(act string, q *queueView, t *task) *schema.TaskOrder {
-	saved := ""
+func newOrder(action string, q *queueView, t *task) *schema.TaskOrder {
+	checkpoint := ""
 	if t.spec.Checkpoints {
-		saved = t.initialCheckpoint
+		checkpoint = t.initialCheckpoint
 	}
 	return &schema.TaskOrder{
-		Action: act, Queue: q.name, Job: t.key.job, Step: t.key.step, Task: t.key.task, Attempt: t.attempt,
-		Name: t.jobName, Round: t.round, StepInRound: t.part, StepName: t.spec.Name, Text: t.text, Checkpoint: saved,
+		Action: action, Queue: q.name, Job: t.key.job, Step: t.key.step, Task: t.key.task, Attempt: t.attempt,
+		Name: t.jobName, Round: t.round, StepInRound: t.stepInRound, StepName: t.spec.Name, Text: t.text, Checkpoint: checkpoint,
 		CoresMilli: t.spec.CoresMilli, MemoryMb: t.spec.MemoryMb, Accelerators: t.spec.Accelerators,
 		Handover: t.sequence, Term: q.term,
 	}
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -19,21 +19,21 @@
 
 // endReport is an end that a worker lists until it is acknowledged.
 type endReport struct {
-	note           *schema.TaskStatus
+	status         *schema.TaskStatus
 	receivedAt     eventloop.Micros // first
 	sentAt         eventloop.Micros // last
 	isAcknowledged bool             // the queue has committed it
 }
 
-// recordEndReports takes in the ends that an announcement lists.
-func (s *Scheduler) recordEndReports(now eventloop.Micros, w *worker, notes []*schema.TaskStatus, effects eventloop.Effects) {
+// recordEndReports takes in the ends that a heartbeat lists.
+func (s *Scheduler) recordEndReports(now eventloop.Micros, w *worker, statuses []*schema.TaskStatus, effects eventloop.Effects) {
 	listed := map[attemptKey]*endReport{}
-	for _, note := range notes {
-		key := attemptKeyOf(note)
+	for _, status := range statuses {
+		key := attemptKeyOf(status)
 		report := w.ended[key]
 		if report == nil {
-			report = &endReport{note: note, receivedAt: now, sentAt: -reportRetryInterval}
-			s.recordEnd(now, w, key, note)
+			report = &endReport{status: status, receivedAt: now, sentAt: -reportRetryInterval}
+			s.recordEnd(now, w, key, status)
 		}
 		listed[key] = report
 	}
@@ -60,7 +60,7 @@
 func (s *Scheduler) endOf(now eventloop.Micros, w *worker, key attemptKey, report *endReport) *schema.TaskEndReport {
 	end := &schema.TaskEndReport{
 		Queue: key.queue, Key: key.toSchema(), Attempt: key.attempt, Worker: w.id,
-		Outcome: report.note.State, Checkpoint: report.note.Checkpoint, WholeGang: report.note.State == outcomeDone && w.hasBarrier,
+		Outcome: report.status.State, Checkpoint: report.status.Checkpoint, WholeGang: report.status.State == outcomeDone && w.hasBarrier,
 	}
 	if q := s.queues[key.queue]; q != nil && s.mayActFor(now, q) && !s.completeEnd(now, end, q.tasks[key.taskKey], report) {
 		return nil
@@ -141,5 +141,5 @@
 			return true
 		}
 	}
-	return len(s.orphanedNotes(now, w.unknownEnds)) > 0
+	return len(s.orphanedStatuses(now, w.unknownEnds)) > 0
 }
--- a/internal/scheduler/reports_test.go
+++ b/internal/scheduler/reports_test.go
@@ -13,10 +13,10 @@
 func TestEndsAreAcknowledgedWhenApplied(t *testing.T) {
 	Convey("An end is reported to the queue's leader until that has applied it, and acknowledged to the worker only then", t, func() {
 		h := newHarness("v")
-		h.announce("v", withNames(nil))
+		h.sendHeartbeat("v", withNames(nil))
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "v", oneTask))
-		note := func(state string) *schema.TaskStatus { return &schema.TaskStatus{Name: "j1", Attempt: 1, State: state} }
-		h.announce("v", withRunning(note("running")))
+		status := func(state string) *schema.TaskStatus { return &schema.TaskStatus{Name: "j1", Attempt: 1, State: state} }
+		h.sendHeartbeat("v", withRunning(status("running")))
 		isNoted := func() bool {
 			for _, reply := range h.replies {
 				if len(reply.GetOrders().GetAcknowledged()) > 0 {
@@ -26,13 +26,13 @@
 			return false
 		}
 		for k := 0; k < 3; k++ {
-			h.announce("v", withEnded(note("done")))
+			h.sendHeartbeat("v", withEnded(status("done")))
 			h.advance(maxPollWait + eventloop.Second)
 			So(isNoted(), ShouldBeFalse)
 			So(len(h.endReports()), ShouldBeGreaterThan, k)
 		}
 		h.deliver(&schema.TaskEndAck{Queue: "l", Key: &schema.TaskKey{Job: 1}, Attempt: 1, Worker: "v"})
-		h.announce("v", withEnded(note("done")))
+		h.sendHeartbeat("v", withEnded(status("done")))
 		h.advance(maxPollWait + eventloop.Second)
 		So(isNoted(), ShouldBeTrue)
 	})
--- a/internal/scheduler/resolve.go
+++ b/internal/scheduler/resolve.go
@@ -7,9 +7,9 @@
 
 // taskName is a task as an agent names it, which knows no queues.
 type taskName struct {
-	jobName     string
-	round, part uint32
-	task        uint32
+	jobName            string
+	round, stepInRound uint32
+	task               uint32
 }
 
 // namedAttempt is an attempt as an agent names it.
@@ -18,52 +18,52 @@
 	attempt uint32
 }
 
-func (t *task) name() taskName { return taskName{t.jobName, t.round, t.part, t.key.task} }
+func (t *task) name() taskName { return taskName{t.jobName, t.round, t.stepInRound, t.key.task} }
 
-func namedAttemptOf(note *schema.TaskStatus) namedAttempt {
-	return namedAttempt{taskName{note.Name, note.Round, note.StepInRound, note.Task}, note.Attempt}
+func namedAttemptOf(status *schema.TaskStatus) namedAttempt {
+	return namedAttempt{taskName{status.Name, status.Round, status.StepInRound, status.Task}, status.Attempt}
 }
 
-// resolveNotes gives the queue and key to every note of an announcement that names
-// its tasks by job. The notes of which no task is known stay with the worker.
-func (s *Scheduler) resolveNotes(w *worker, announce *schema.WorkerHeartbeat) (running, ended []*schema.TaskStatus) {
-	if !announce.TasksByName {
+// resolveStatuses gives the queue and key to every status of a heartbeat that names
+// its tasks by job. The statuses of which no task is known stay with the worker.
+func (s *Scheduler) resolveStatuses(w *worker, heartbeat *schema.WorkerHeartbeat) (running, ended []*schema.TaskStatus) {
+	if !heartbeat.TasksByName {
 		w.unknownRuns, w.unknownEnds = nil, nil
-		return announce.Running, announce.Ended
+		return heartbeat.Running, heartbeat.Ended
 	}
-	keys := make(map[namedAttempt]attemptKey, len(announce.Running)+len(announce.Ended))
-	running, w.unknownRuns = s.resolveList(w, announce.Running, keys)
-	ended, w.unknownEnds = s.resolveList(w, announce.Ended, keys)
+	keys := make(map[namedAttempt]attemptKey, len(heartbeat.Running)+len(heartbeat.Ended))
+	running, w.unknownRuns = s.resolveList(w, heartbeat.Running, keys)
+	ended, w.unknownEnds = s.resolveList(w, heartbeat.Ended, keys)
 	w.resolved = keys
 	return running, ended
 }
 
-// resolveList resolves notes and adds the keys it finds to keys.
-func (s *Scheduler) resolveList(w *worker, notes []*schema.TaskStatus, keys map[namedAttempt]attemptKey) (resolved, unresolved []*schema.TaskStatus) {
-	for _, note := range notes {
-		key, found := s.resolveNote(w, note)
+// resolveList resolves statuses and adds the keys it finds to keys.
+func (s *Scheduler) resolveList(w *worker, statuses []*schema.TaskStatus, keys map[namedAttempt]attemptKey) (resolved, unresolved []*schema.TaskStatus) {
+	for _, status := range statuses {
+		key, found := s.resolveStatus(w, status)
 		if !found {
-			unresolved = append(unresolved, note)
+			unresolved = append(unresolved, status)
 			continue
 		}
-		keys[namedAttemptOf(note)] = key
+		keys[namedAttemptOf(status)] = key
 		resolved = append(resolved, &schema.TaskStatus{
-			Queue: key.queue, Job: key.job, Step: key.step, Task: key.task, Attempt: key.attempt, State: note.State,
-			RunUs: note.RunUs, IdleUs: note.IdleUs, CoresMilli: note.CoresMilli, MemoryMb: note.MemoryMb,
-			Name: note.Name, Round: note.Round, StepInRound: note.StepInRound, Checkpoint: note.Checkpoint, Percent: note.Percent,
+			Queue: key.queue, Job: key.job, Step: key.step, Task: key.task, Attempt: key.attempt, State: status.State,
+			RunUs: status.RunUs, IdleUs: status.IdleUs, CoresMilli: status.CoresMilli, MemoryMb: status.MemoryMb,
+			Name: status.Name, Round: status.Round, StepInRound: status.StepInRound, Checkpoint: status.Checkpoint, Percent: status.Percent,
 		})
 	}
 	return resolved, unresolved
 }
 
-// resolveNote finds the attempt that a note names. Jobs of several queues may have
+// resolveStatus finds the attempt that a status names. Jobs of several queues may have
 // the same name, so what is checked out to the worker goes first.
-func (s *Scheduler) resolveNote(w *worker, note *schema.TaskStatus) (attemptKey, bool) {
-	name := namedAttemptOf(note)
+func (s *Scheduler) resolveStatus(w *worker, status *schema.TaskStatus) (attemptKey, bool) {
+	name := namedAttemptOf(status)
 	tasks := s.tasksByName[name.taskName]
 	for _, t := range tasks {
-		if t.worker == w.id && t.attempt == note.Attempt {
-			return attemptKey{t.key, note.Attempt}, true
+		if t.worker == w.id && t.attempt == status.Attempt {
+			return attemptKey{t.key, status.Attempt}, true
 		}
 	}
 	// A name keeps its meaning, also after the task is gone.
@@ -71,24 +71,24 @@
 		return key, true
 	}
 	for _, t := range tasks {
-		if t.attempt >= note.Attempt {
-			return attemptKey{t.key, note.Attempt}, true
+		if t.attempt >= status.Attempt {
+			return attemptKey{t.key, status.Attempt}, true
 		}
 	}
 	return attemptKey{}, false
 }
 
-// orphanedNotes lists those of a worker's unknown notes that belong to no task of
+// orphanedStatuses lists those of a worker's unknown statuses that belong to no task of
 // any queue. It is empty until this node leads every queue and so can be sure.
-func (s *Scheduler) orphanedNotes(now eventloop.Micros, notes []*schema.TaskStatus) []*schema.TaskStatus {
-	if len(notes) == 0 || !s.leadsAllQueues(now) {
+func (s *Scheduler) orphanedStatuses(now eventloop.Micros, statuses []*schema.TaskStatus) []*schema.TaskStatus {
+	if len(statuses) == 0 || !s.leadsAllQueues(now) {
 		return nil
 	}
 	var orphaned []*schema.TaskStatus
-	for _, note := range notes {
-		// A task that has come since is resolved by the next announcement.
-		if len(s.tasksByName[namedAttemptOf(note).taskName]) == 0 {
-			orphaned = append(orphaned, &schema.TaskStatus{Name: note.Name, Round: note.Round, StepInRound: note.StepInRound, Task: note.Task, Attempt: note.Attempt})
+	for _, status := range statuses {
+		// A task that has come since is resolved by the next heartbeat.
+		if len(s.tasksByName[namedAttemptOf(status).taskName]) == 0 {
+			orphaned = append(orphaned, &schema.TaskStatus{Name: status.Name, Round: status.Round, StepInRound: status.StepInRound, Task: status.Task, Attempt: status.Attempt})
 		}
 	}
 	return orphaned
--- a/internal/scheduler/resolve_test.go
+++ b/internal/scheduler/resolve_test.go
@@ -9,34 +9,34 @@
 	"sparnotch/internal/schema"
 )
 
-func TestNotesAreResolvedByName(t *testing.T) {
+func TestStatusesAreResolvedByName(t *testing.T) {
 	rows := []*schema.ConfigurationRow{queueRow("l", "urgency", "10"), queueRow("m", "urgency", "10")}
 	out := func() *queue.TaskEvent {
 		s := newEvent(1, 7, 3, queue.CheckedOut, "w", &schema.Step{Name: "s", Tasks: 4, CoresMilli: 600, Checkpoints: true})
 		s.Key.Step, s.Round, s.StepInRound, s.Progress = 5, 2, 1, "before"
 		return s
 	}
-	note := func(state string) *schema.TaskStatus {
+	status := func(state string) *schema.TaskStatus {
 		return &schema.TaskStatus{Name: "j7", Round: 2, StepInRound: 1, Task: 3, Attempt: 1, State: state}
 	}
-	Convey("An agent's notes are resolved by job name, round and part", t, func() {
+	Convey("An agent's task statuses are resolved by job name, round and part", t, func() {
 		h := newHarness("w")
 		h.configure(rows, "w")
 		h.syncQueue("l", 10, out())
-		h.announce("w", withNames(nil))
+		h.sendHeartbeat("w", withNames(nil))
 		start := h.lastReply().Orders.Orders[0]
 		So(start.Action, ShouldEqual, "start")
 		So([]any{start.Name, start.Round, start.StepInRound, start.Task, start.Attempt, start.Checkpoint}, ShouldResemble, []any{"j7", uint32(2), uint32(1), uint32(3), uint32(1), "before"})
 		from := len(h.replies)
-		h.announce("w", withRunning(note("running")))
+		h.sendHeartbeat("w", withRunning(status("running")))
 		So(h.ordersOf(from, "start"), ShouldBeEmpty)
 		So(h.ordersOf(from, "stop"), ShouldBeEmpty)
 		Convey("and so are ends, which are acknowledged by name even once the task is gone", func() {
-			h.announce("w", withEnded(note("done")))
+			h.sendHeartbeat("w", withEnded(status("done")))
 			So(h.endReports()[0].Key, ShouldResemble, &schema.TaskKey{Job: 7, Step: 5, Task: 3})
 			So(h.endReports()[0].Outcome, ShouldEqual, "done")
 			h.syncQueue("l", 10)
-			h.announce("w", withEnded(note("done")))
+			h.sendHeartbeat("w", withEnded(status("done")))
 			h.deliver(&schema.TaskEndAck{Queue: "l", Key: &schema.TaskKey{Job: 7, Step: 5, Task: 3}, Attempt: 1, Worker: "w"})
 			noted := h.lastReply().Orders.Acknowledged
 			So(len(noted), ShouldEqual, 1)
@@ -47,30 +47,30 @@
 				h := newHarness("w")
 				h.configure(rows, "w")
 				h.syncQueue("l", 10, out())
-				running, over := note("running"), note("stopped")
+				running, over := status("running"), status("stopped")
 				running.Checkpoint, over.Checkpoint = each.seen, each.told
-				h.announce("w", withRunning(running))
-				h.announce("w", withEnded(over))
+				h.sendHeartbeat("w", withRunning(running))
+				h.sendHeartbeat("w", withEnded(over))
 				So(h.endReports()[0].Checkpoint, ShouldEqual, each.want)
 			}
 		})
 	})
-	Convey("Notes of unknown tasks are left alone until this node leads every configured queue", t, func() {
-		stray, over := note("running"), note("done")
+	Convey("Statuses of unknown tasks are left alone until this node leads every configured queue", t, func() {
+		unknown, over := status("running"), status("done")
 		over.Task = 2
 		both := withNames(func(a *schema.WorkerHeartbeat) {
-			a.Running, a.Ended = []*schema.TaskStatus{stray}, []*schema.TaskStatus{over}
+			a.Running, a.Ended = []*schema.TaskStatus{unknown}, []*schema.TaskStatus{over}
 		})
 		h := newHarness("w")
 		h.configure(rows, "w")
 		h.syncQueue("l", 10)
-		h.announce("w", both)
-		h.announce("w", both)
+		h.sendHeartbeat("w", both)
+		h.sendHeartbeat("w", both)
 		So(h.ordersOf(0, "stop"), ShouldBeEmpty)
 		So(h.lastReply().GetOrders().GetAcknowledged(), ShouldBeEmpty)
 		Convey("then the run is stopped and the end acknowledged", func() {
 			h.syncQueue("m", 10)
-			h.announce("w", both)
+			h.sendHeartbeat("w", both)
 			stops := h.ordersOf(0, "stop")
 			So(len(stops), ShouldBeGreaterThan, 0)
 			So([]any{stops[0].Name, stops[0].Round, stops[0].StepInRound, stops[0].Task, stops[0].Attempt}, ShouldResemble, []any{"j7", uint32(2), uint32(1), uint32(3), uint32(1)})
@@ -80,7 +80,7 @@
 		Convey("and a worker that runs something of unknown size is given nothing", func() {
 			h.syncQueue("l", 10, newEvent(1, 9, 0, queue.Ready, "", oneTask))
 			So(h.placements(), ShouldBeEmpty)
-			h.announce("w", withNames(nil))
+			h.sendHeartbeat("w", withNames(nil))
 			So(len(h.placements()), ShouldEqual, 1)
 		})
 	})
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -48,7 +48,7 @@
 	isUsageStale    bool      // the sums are to be made again
 	used            resources // by all that is there or on its way
 	releasing       resources // of that, by what is being stopped
-	usedByServices  resources // of that, by lasting tasks, which never end by themselves
+	usedByServices  resources // of that, by tasks that run until cancelled
 	taskCount       int
 	hasUnknownUsage bool // it runs something of unknown size, so it may be full
 }
@@ -86,14 +86,14 @@
 			w.usedByServices.add(size)
 		}
 	}
-	for key, note := range w.running {
+	for key, status := range w.running {
 		if w.taskOf(key) == nil {
-			w.used.add(s.usageOf(w, key, note))
+			w.used.add(s.usageOf(w, key, status))
 			w.taskCount++
 		}
 	}
-	for _, note := range w.unknownRuns {
-		w.used.add(reportedUsage(note))
+	for _, status := range w.unknownRuns {
+		w.used.add(reportedUsage(status))
 		w.taskCount++
 	}
 	for _, t := range w.reserved {
@@ -104,8 +104,8 @@
 }
 
 // usageOf is what a run uses: as the worker reports it, else as its step states it.
-func (s *Scheduler) usageOf(w *worker, key attemptKey, note *schema.TaskStatus) resources {
-	size := reportedUsage(note)
+func (s *Scheduler) usageOf(w *worker, key attemptKey, status *schema.TaskStatus) resources {
+	size := reportedUsage(status)
 	if spec := s.specOf(w, key); spec != nil {
 		size.accelerators = spec.Accelerators
 		if size.cores == 0 && size.memory == 0 {
@@ -116,8 +116,8 @@
 }
 
 // reportedUsage is what a worker says that a run uses; zero: it doesn't say.
-func reportedUsage(note *schema.TaskStatus) resources {
-	return resources{cores: note.CoresMilli, memory: note.MemoryMb}
+func reportedUsage(status *schema.TaskStatus) resources {
+	return resources{cores: status.CoresMilli, memory: status.MemoryMb}
 }
 
 func (s *Scheduler) specOf(w *worker, key attemptKey) *schema.Step {
@@ -138,9 +138,9 @@
 	if !w.usesNames {
 		return false
 	}
-	isUnstated := func(note *schema.TaskStatus) bool { return reportedUsage(note) == resources{} }
-	for key, note := range w.running {
-		if isUnstated(note) && s.specOf(w, key) == nil {
+	isUnstated := func(status *schema.TaskStatus) bool { return reportedUsage(status) == resources{} }
+	for key, status := range w.running {
+		if isUnstated(status) && s.specOf(w, key) == nil {
 			return true
 		}
 	}
--- a/internal/scheduler/resources_test.go
+++ b/internal/scheduler/resources_test.go
@@ -13,13 +13,13 @@
 func TestCapacityIsFreedByEndReport(t *testing.T) {
 	Convey("A task that is being stopped keeps its resources until its end is reported", t, func() {
 		h := newHarness("w")
-		note := &schema.TaskStatus{Name: "j1", Attempt: 1, State: "running"}
-		h.announce("w", withNames(nil))
+		status := &schema.TaskStatus{Name: "j1", Attempt: 1, State: "running"}
+		h.sendHeartbeat("w", withNames(nil))
 		stopping := newEvent(1, 1, 0, queue.Stopping, "w", oneTask)
 		h.deliverEvents(true, 2, stopping, newEvent(2, 2, 0, queue.Ready, "", oneTask))
-		h.announce("w", withRunning(note))
+		h.sendHeartbeat("w", withRunning(status))
 		So(h.placements(), ShouldBeEmpty)
-		h.announce("w", withEnded(&schema.TaskStatus{Name: "j1", Attempt: 1, State: "stopped"}))
+		h.sendHeartbeat("w", withEnded(&schema.TaskStatus{Name: "j1", Attempt: 1, State: "stopped"}))
 		So(len(h.placements()), ShouldEqual, 1)
 	})
 }
@@ -28,14 +28,14 @@
 	Convey("What a worker reports to run besides counts against a start order, whatever is checked out", t, func() {
 		step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 600, MemoryMb: 1}
 		h := newHarness("w")
-		h.announce("w", nil)
+		h.sendHeartbeat("w", nil)
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "w", step))
 		// A task of a queue that this node doesn't lead runs there.
 		other := &schema.TaskStatus{Queue: "other", Job: 9, Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}
 		count := len(h.replies)
-		h.announce("w", func(a *schema.WorkerHeartbeat) { a.Running = []*schema.TaskStatus{other} })
+		h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) { a.Running = []*schema.TaskStatus{other} })
 		So(len(h.replies), ShouldEqual, count)
-		h.announce("w", nil)
+		h.sendHeartbeat("w", nil)
 		So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "start")
 	})
 }
@@ -44,11 +44,11 @@
 	Convey("Capacity reserved for a checkout on the way isn't placed on again", t, func() {
 		step := &schema.Step{Name: "s", Tasks: 2, CoresMilli: 600, MemoryMb: 1}
 		h := newHarness("w")
-		h.announce("w", nil)
+		h.sendHeartbeat("w", nil)
 		h.deliverEvents(true, 2, newEvent(1, 1, 0, queue.Ready, "", step), newEvent(2, 1, 1, queue.Ready, "", step))
 		So(len(h.placements()), ShouldEqual, 1)
 		h.notified = nil
-		h.announce("w", nil)
+		h.sendHeartbeat("w", nil)
 		h.deliver(eventloop.Tick{})
 		So(len(h.placements()), ShouldEqual, 0)
 	})
--- a/internal/scheduler/respond.go
+++ b/internal/scheduler/respond.go
@@ -37,33 +37,33 @@
 	w.lastResponse = now
 	effects.Send(w.poll.gateway, &schema.WorkerPollResponse{Id: w.poll.id, Code: 200, Scheduler: s.id, Orders: &schema.WorkerOrders{
 		FencingToken: w.fencingToken, LeaseUs: s.fleetSetting("lease_ms") * 1000, Scheduler: s.id, Orders: orders,
-		Acknowledged: append(w.acknowledgedEnds(), s.orphanedNotes(now, w.unknownEnds)...),
+		Acknowledged: append(w.acknowledgedEnds(), s.orphanedStatuses(now, w.unknownEnds)...),
 	}})
 	w.poll = nil
 }
 
 // acknowledgedEnds lists the ends that the worker needn't report any longer.
 func (w *worker) acknowledgedEnds() []*schema.TaskStatus {
-	var notes []*schema.TaskStatus
+	var statuses []*schema.TaskStatus
 	for _, key := range w.sortedEndKeys() {
 		if report := w.ended[key]; report.isAcknowledged {
-			notes = append(notes, &schema.TaskStatus{
+			statuses = append(statuses, &schema.TaskStatus{
 				Queue: key.queue, Job: key.job, Step: key.step, Task: key.task, Attempt: key.attempt,
-				Name: report.note.Name, Round: report.note.Round, StepInRound: report.note.StepInRound,
+				Name: report.status.Name, Round: report.status.Round, StepInRound: report.status.StepInRound,
 			})
 		}
 	}
-	return notes
+	return statuses
 }
 
 func (s *Scheduler) countOrder(now eventloop.Micros, w *worker, order *schema.TaskOrder) {
 	switch order.Action {
-	case actStart:
+	case actionStart:
 		s.counts.Starts++
 		if t := w.tasks[taskKey{order.Queue, order.Job, order.Step, order.Task}]; t != nil {
 			t.orderedAt = now
 		}
-	case actHold:
+	case actionHold:
 		s.counts.Holds++
 	default:
 		s.counts.Stops++
--- a/internal/scheduler/runtime.go
+++ b/internal/scheduler/runtime.go
@@ -92,8 +92,8 @@
 
 // recordRuntime learns from a successful run, for the model and for the worker's
 // slowdown.
-func (s *Scheduler) recordRuntime(now eventloop.Micros, w *worker, t *task, note *schema.TaskStatus) {
-	run := eventloop.Micros(note.RunUs)
+func (s *Scheduler) recordRuntime(now eventloop.Micros, w *worker, t *task, status *schema.TaskStatus) {
+	run := eventloop.Micros(status.RunUs)
 	if from := cmp.Or(t.startedAt, t.orderedAt); run == 0 && from > 0 {
 		run = now - from
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -5,7 +5,7 @@
 // that owns its state, never blocks and reads no clock. The queues' state
 // machines own which task is ready or checked out; the scheduler keeps a view of
 // it (queueView) that it rebuilds from numbered events, and a view of each worker
-// from the worker's announcements.
+// from the worker's heartbeats.
 //
 // A scheduling pass (pass.go) takes the ready tasks through the stages known from
 // Nomad and Kubernetes: filter the candidate workers (filter.go), score what is
--- a/internal/scheduler/stuck.go
+++ b/internal/scheduler/stuck.go
@@ -19,8 +19,8 @@
 
 // isStuck reports whether a task stands still on its worker while others finish
 // similar ones.
-func (s *Scheduler) isStuck(now eventloop.Micros, w *worker, t *task, note *schema.TaskStatus) bool {
-	if t.spec.RunUntilCancelled || t.startedAt == 0 || note.State != runRunning {
+func (s *Scheduler) isStuck(now eventloop.Micros, w *worker, t *task, status *schema.TaskStatus) bool {
+	if t.spec.RunUntilCancelled || t.startedAt == 0 || status.State != runRunning {
 		return false
 	}
 	key, _ := runtimeKeyOf(t)
@@ -42,7 +42,7 @@
 	run := now - t.startedAt - allowance
 	isOverdue := run > stuckFactor*expected*patience && run > minStuckRun
 	if !w.usesNames {
-		stillTime := eventloop.Micros(note.IdleUs) + now - w.lastHeard
+		stillTime := eventloop.Micros(status.IdleUs) + now - w.lastHeard
 		return isOverdue && stillTime > minStillTime
 	}
 	stillTime := now - t.progressedAt
--- a/internal/scheduler/task.go
+++ b/internal/scheduler/task.go
@@ -16,7 +16,7 @@
 	outcomeLost    = "lost"
 )
 
-// States of a run that hasn't ended, in a worker's notes.
+// States of a run that hasn't ended, in a worker's task statuses.
 const (
 	runHeld    = "held" // its resources are reserved, it waits for the gang's start
 	runRunning = "running"
@@ -53,26 +53,26 @@
 	attempt uint32
 }
 
-func attemptKeyOf(note *schema.TaskStatus) attemptKey {
-	return attemptKey{taskKey{note.Queue, note.Job, note.Step, note.Task}, note.Attempt}
+func attemptKeyOf(status *schema.TaskStatus) attemptKey {
+	return attemptKey{taskKey{status.Queue, status.Job, status.Step, status.Task}, status.Attempt}
 }
 
 // task is the scheduler's view of a task that is ready, checked out or stopping.
 type task struct {
-	key               taskKey
-	state             queue.Status
-	attempt           uint32
-	worker            string // it is checked out to; empty while ready
-	incarnation       uint64 // of that worker
-	sequence          uint64 // of the event that checked it out
-	jobName           string
-	round, part       uint32
-	spec              *schema.Step
-	text              string           // the job's, for the worker
-	since             eventloop.Micros // in its state
-	failures          uint32           // counted so far
-	initialCheckpoint string           // that its next start begins from
-	roundDueAt        eventloop.Micros // when its job's round was due to begin
+	key                taskKey
+	state              queue.Status
+	attempt            uint32
+	worker             string // it is checked out to; empty while ready
+	incarnation        uint64 // of that worker
+	sequence           uint64 // of the event that checked it out
+	jobName            string
+	round, stepInRound uint32
+	spec               *schema.Step
+	text               string           // the job's, for the worker
+	since              eventloop.Micros // in its state
+	failures           uint32           // counted so far
+	initialCheckpoint  string           // that its next start begins from
+	roundDueAt         eventloop.Micros // when its job's round was due to begin
 	criticalPath
 
 	reservedWorker  string // while its checkout is on the way
@@ -121,23 +121,23 @@
 // nextLeg is the task's own step on the critical path, as a path of its own.
 func (t *task) nextLeg() []queue.PathStep { return t.remaining[:min(1, len(t.remaining))] }
 
-// observeRun notes what an announcement shows of a run of the worker.
-func (w *worker) observeRun(now eventloop.Micros, note *schema.TaskStatus) {
-	t := w.taskOf(attemptKeyOf(note))
-	if t == nil || note.State == runHeld {
+// observeRun notes what a heartbeat shows of a run of the worker.
+func (w *worker) observeRun(now eventloop.Micros, status *schema.TaskStatus) {
+	t := w.taskOf(attemptKeyOf(status))
+	if t == nil || status.State == runHeld {
 		return
 	}
 	if t.startedAt == 0 {
-		t.startedAt = now - eventloop.Micros(note.RunUs)
-		if note.RunUs == 0 && t.orderedAt > 0 {
+		t.startedAt = now - eventloop.Micros(status.RunUs)
+		if status.RunUs == 0 && t.orderedAt > 0 {
 			t.startedAt = t.orderedAt
 		}
-		t.progressedAt, t.percent = now, note.Percent
+		t.progressedAt, t.percent = now, status.Percent
 	}
-	if note.Percent != t.percent {
-		t.progressedAt, t.percent = now, note.Percent
+	if status.Percent != t.percent {
+		t.progressedAt, t.percent = now, status.Percent
 	}
-	if note.Checkpoint != "" && note.Checkpoint != t.lastCheckpoint {
-		t.lastCheckpoint, t.checkpointedAt = note.Checkpoint, now
+	if status.Checkpoint != "" && status.Checkpoint != t.lastCheckpoint {
+		t.lastCheckpoint, t.checkpointedAt = status.Checkpoint, now
 	}
 }
--- a/internal/scheduler/workers.go
+++ b/internal/scheduler/workers.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// unresponsiveTimeout is the time without an announcement after which a worker
+	// unresponsiveTimeout is the time without a heartbeat after which a worker
 	// gets neither orders nor new tasks.
 	unresponsiveTimeout = eventloop.Second
 	// deadWorkerRetention is how long a worker stays known as dead after the last
@@ -26,7 +26,7 @@
 	isDead       bool             // reported dead by the agent that took its place
 	lastResponse eventloop.Micros // when it was last granted its own lease to run tasks
 
-	announcement
+	heartbeatState
 	poll          *openPoll // nil: none is waiting for a response
 	needsResponse bool      // there may be something to respond with
 
@@ -35,7 +35,7 @@
 	running  map[attemptKey]*schema.TaskStatus
 	ended    map[attemptKey]*endReport
 
-	resolved    map[namedAttempt]attemptKey // what the names in its notes stand for
+	resolved    map[namedAttempt]attemptKey // what the names in its statuses stand for
 	unknownRuns []*schema.TaskStatus        // runs of which no task is known
 	unknownEnds []*schema.TaskStatus        // ends of which no task is known
 
@@ -43,9 +43,9 @@
 	usageSummary
 }
 
-// announcement is what a worker last said of itself.
-type announcement struct {
-	hasAnnounced  bool // under the current lease
+// heartbeatState is what a worker last said of itself.
+type heartbeatState struct {
+	hasHeartbeat  bool // under the current lease
 	incarnation   uint64
 	seq           uint64
 	lastHeard     eventloop.Micros
@@ -56,9 +56,9 @@
 	pool          string
 	labels        []string
 	hasBarrier    bool // it has the members of a gang wait for each other
-	usesNames     bool // its notes name tasks by job instead of by queue and key
+	usesNames     bool // its statuses name tasks by job instead of by queue and key
 	isDraining    bool
-	drainingSince eventloop.Micros // when that was first announced
+	drainingSince eventloop.Micros // when that was first reported
 	departsAt     eventloop.Micros // while it drains; 0: unknown
 	warmUpUntil   eventloop.Micros
 }
@@ -129,13 +129,13 @@
 // total is the worker's resources, used or not.
 func (w *worker) total() resources { return resources{w.cores, w.memory, w.accelerators} }
 
-// isResponsive reports whether a worker is alive and has announced itself lately.
+// isResponsive reports whether a worker is alive and has sent a heartbeat lately.
 func (w *worker) isResponsive(now eventloop.Micros) bool {
-	return w.hasAnnounced && !w.isDead && now-w.lastHeard <= unresponsiveTimeout
+	return w.hasHeartbeat && !w.isDead && now-w.lastHeard <= unresponsiveTimeout
 }
 
-// runningNote is what a task's worker says of its run, or nil.
-func (s *Scheduler) runningNote(t *task) *schema.TaskStatus {
+// runStatus is what a task's worker says of its run, or nil.
+func (s *Scheduler) runStatus(t *task) *schema.TaskStatus {
 	w := s.workers[t.worker]
 	if w == nil {
 		return nil
--- a/internal/scheduler/workers_test.go
+++ b/internal/scheduler/workers_test.go
@@ -15,12 +15,12 @@
 		h := newHarness("old", "new")
 		saving := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 600, Checkpoints: true}
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "old", saving))
-		h.announce("old", withRunning(&schema.TaskStatus{Name: "j1", Attempt: 1, State: "running", Checkpoint: "half"}))
-		h.announce("old", withRunning(&schema.TaskStatus{Name: "j1", Attempt: 1, State: "running", Checkpoint: "half"}))
-		h.announce("new", withNames(func(a *schema.WorkerHeartbeat) { a.ReplacedWorkers = []string{"old"} }))
+		h.sendHeartbeat("old", withRunning(&schema.TaskStatus{Name: "j1", Attempt: 1, State: "running", Checkpoint: "half"}))
+		h.sendHeartbeat("old", withRunning(&schema.TaskStatus{Name: "j1", Attempt: 1, State: "running", Checkpoint: "half"}))
+		h.sendHeartbeat("new", withNames(func(a *schema.WorkerHeartbeat) { a.ReplacedWorkers = []string{"old"} }))
 		So(h.endReports()[0].Outcome, ShouldEqual, "lost")
 		So(h.endReports()[0].Checkpoint, ShouldEqual, "half")
-		h.announce("old", withNames(nil))
+		h.sendHeartbeat("old", withNames(nil))
 		So(h.lastReply().Orders, ShouldBeNil)
 		Convey("and so are tasks that turn out later to be checked out to it", func() {
 			h.notified = nil
@@ -32,20 +32,20 @@
 }
 
 func TestUnansweredWorkerIsUnresponsive(t *testing.T) {
-	Convey("A worker that announces itself but hears no responses counts as unresponsive", t, func() {
+	Convey("A worker that sends heartbeats but hears no responses counts as unresponsive", t, func() {
 		h := newHarness("w")
-		h.announce("w", nil)
+		h.sendHeartbeat("w", nil)
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "w", oneTask))
 		h.now += 2 * eventloop.Second
 		h.confirmLeadership(true)
-		h.announce("w", nil)
+		h.sendHeartbeat("w", nil)
 		So(h.lastReply().Orders.Orders, ShouldHaveLength, 1)
 		answered := h.now
 		deaf := func(a *schema.WorkerHeartbeat) { a.Unanswered = true }
 		for h.now < answered+5*eventloop.Second {
 			h.now += 100 * eventloop.Millisecond
 			h.confirmLeadership(true)
-			h.announce("w", deaf)
+			h.sendHeartbeat("w", deaf)
 			// That grants nothing, so the lease ends by the last response before.
 			So(h.lastReply().Orders, ShouldBeNil)
 			h.deliver(eventloop.Tick{})
@@ -53,14 +53,14 @@
 		}
 		h.now += 100 * eventloop.Millisecond
 		h.confirmLeadership(true)
-		h.announce("w", deaf)
+		h.sendHeartbeat("w", deaf)
 		h.deliver(eventloop.Tick{})
 		So(h.endReports(), ShouldHaveLength, 1)
 		So(h.endReports()[0].Outcome, ShouldEqual, "lost")
 		Convey("and gets nothing new until it hears again", func() {
 			h.deliverEvents(false, 2, newEvent(2, 1, 0, queue.Ready, "", oneTask))
 			So(h.placements(), ShouldBeEmpty)
-			h.announce("w", nil)
+			h.sendHeartbeat("w", nil)
 			h.deliver(eventloop.Tick{})
 			So(h.placements(), ShouldHaveLength, 1)
 		})
