--- a/internal/scheduler/barrier_test.go
+++ b/internal/scheduler/barrier_test.go
@@ -27,7 +27,7 @@
 	run := func(task uint32) func(*schema.WorkerHeartbeat) {
 		return withBarrier(func(a *schema.WorkerHeartbeat) { a.Running = []*schema.TaskStatus{member(task, "running")} })
 	}
-	over := func(task uint32, state string) func(*schema.WorkerHeartbeat) {
+	ended := func(task uint32, state string) func(*schema.WorkerHeartbeat) {
 		return withBarrier(func(a *schema.WorkerHeartbeat) { a.Ended = []*schema.TaskStatus{member(task, state)} })
 	}
 	begin := func() *harness {
@@ -56,7 +56,7 @@
 			}
 		}
 		Convey("and one member's success is reported as the gang's", func() {
-			h.sendHeartbeat("v", over(0, "done"))
+			h.sendHeartbeat("v", ended(0, "done"))
 			So(h.endReports()[0].WholeGang, ShouldBeTrue)
 			So(h.ordersOf(0, "stop"), ShouldBeEmpty)
 		})
@@ -66,7 +66,7 @@
 			h := begin()
 			h.sendHeartbeat("v", run(0))
 			count := len(h.replies)
-			h.sendHeartbeat("w", over(1, outcome))
+			h.sendHeartbeat("w", ended(1, outcome))
 			So(h.endReports()[0].Outcome, ShouldEqual, outcome)
 			So(h.endReports()[0].WholeGang, ShouldBeFalse)
 			So(len(h.ordersOf(count, "stop")), ShouldEqual, 1)
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -27,9 +27,9 @@
 				return &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, MemoryMb: int64(10 + made%shapes)}
 			}
 			running := map[string][]*schema.TaskStatus{}
-			over := map[string][]*schema.TaskStatus{}
+			ended := map[string][]*schema.TaskStatus{}
 			sendHeartbeats := func(id string) {
-				h.sendHeartbeat(id, func(a *schema.WorkerHeartbeat) { a.TasksByName, a.Running, a.Ended = true, running[id], over[id] })
+				h.sendHeartbeat(id, func(a *schema.WorkerHeartbeat) { a.TasksByName, a.Running, a.Ended = true, running[id], ended[id] })
 			}
 			for _, id := range ids {
 				sendHeartbeats(id)
@@ -67,16 +67,16 @@
 						sequence++
 						h.deliverEvents(false, sequence, newEvent(sequence, m.End.Key.Job, 0, queue.Inactive, "", spec()))
 						h.deliver(&schema.TaskEndAck{Queue: "l", Key: m.End.Key, Attempt: m.End.Attempt, Worker: m.End.Worker})
-						over[m.End.Worker] = nil
+						ended[m.End.Worker] = nil
 						sendHeartbeats(m.End.Worker)
 					}
 				}
 				h.replies = h.replies[:0]
 				id := ids[k%len(ids)]
 				if list := running[id]; len(list) > 0 {
-					running[id], over[id] = list[1:], append(over[id], list[0])
+					running[id], ended[id] = list[1:], append(ended[id], list[0])
 				}
-				over[id] = over[id][:len(over[id]):len(over[id])]
+				ended[id] = ended[id][:len(ended[id]):len(ended[id])]
 				sendHeartbeats(id)
 				h.now += eventloop.Millisecond
 				if k%20 == 0 {
--- a/internal/scheduler/filter_test.go
+++ b/internal/scheduler/filter_test.go
@@ -11,7 +11,7 @@
 
 func TestPlacementConstraints(t *testing.T) {
 	plain := func(a *schema.WorkerHeartbeat) {}
-	for _, each := range []struct {
+	for _, test := range []struct {
 		what   string
 		rows   []*schema.ConfigurationRow
 		step   *schema.Step
@@ -46,24 +46,24 @@
 		{what: "on workers that are warming up last", step: &schema.Step{CoresMilli: 100},
 			v: func(a *schema.WorkerHeartbeat) { a.WarmUpUs = 5_000_000 }, w: plain, tasks: 1, want: map[string]int{"w": 1}},
 	} {
-		Convey("A step is placed: "+each.what, t, func() {
+		Convey("A step is placed: "+test.what, t, func() {
 			h := newHarness("v", "w")
-			if each.rows != nil {
-				h.configure(each.rows, "v", "w")
+			if test.rows != nil {
+				h.configure(test.rows, "v", "w")
 			}
-			h.sendHeartbeat("v", each.v)
-			h.sendHeartbeat("w", each.w)
-			each.step.Tasks = uint32(each.tasks)
+			h.sendHeartbeat("v", test.v)
+			h.sendHeartbeat("w", test.w)
+			test.step.Tasks = uint32(test.tasks)
 			var list []*queue.TaskEvent
-			for k := 0; k < each.tasks; k++ {
-				list = append(list, newEvent(uint64(k+1), 1, uint32(k), queue.Ready, "", each.step))
+			for k := 0; k < test.tasks; k++ {
+				list = append(list, newEvent(uint64(k+1), 1, uint32(k), queue.Ready, "", test.step))
 			}
-			h.deliverEvents(true, uint64(each.tasks), list...)
+			h.deliverEvents(true, uint64(test.tasks), list...)
 			got := map[string]int{}
 			for _, placement := range h.placements() {
 				got[placement.Worker]++
 			}
-			So(got, ShouldResemble, each.want)
+			So(got, ShouldResemble, test.want)
 		})
 	}
 	Convey("The limit per worker counts tasks that are checked out and runs that are no longer", t, func() {
--- a/internal/scheduler/polls.go
+++ b/internal/scheduler/polls.go
@@ -67,26 +67,26 @@
 
 // isFirstOf reports whether a heartbeat of this incarnation is the first
 // under the current lease.
-func (a *heartbeatState) isFirstOf(incarnation uint64) bool {
-	return !a.hasHeartbeat || a.incarnation != incarnation
+func (h *heartbeatState) isFirstOf(incarnation uint64) bool {
+	return !h.hasHeartbeat || h.incarnation != incarnation
 }
 
-func (a *heartbeatState) update(now eventloop.Micros, m *schema.WorkerHeartbeat) {
-	if m.Draining && (!a.isDraining || a.isFirstOf(m.Incarnation)) {
-		a.drainingSince = now
+func (h *heartbeatState) update(now eventloop.Micros, m *schema.WorkerHeartbeat) {
+	if m.Draining && (!h.isDraining || h.isFirstOf(m.Incarnation)) {
+		h.drainingSince = now
 	}
-	a.incarnation, a.seq, a.lastHeard, a.hasHeartbeat = m.Incarnation, m.Seq, now, true
-	a.cores, a.memory, a.accelerators = m.CoresMilli, m.MemoryMb, m.Accelerators
-	a.rack, a.pool, a.labels = m.Rack, m.Pool, m.Labels
-	a.hasBarrier, a.usesNames, a.isDraining = m.GangBarrier, m.TasksByName, m.Draining
-	a.departsAt = 0
+	h.incarnation, h.seq, h.lastHeard, h.hasHeartbeat = m.Incarnation, m.Seq, now, true
+	h.cores, h.memory, h.accelerators = m.CoresMilli, m.MemoryMb, m.Accelerators
+	h.rack, h.pool, h.labels = m.Rack, m.Pool, m.Labels
+	h.hasBarrier, h.usesNames, h.isDraining = m.GangBarrier, m.TasksByName, m.Draining
+	h.departsAt = 0
 	if m.Draining && m.DepartsInUs > 0 {
-		a.departsAt = now + eventloop.Micros(m.DepartsInUs)
+		h.departsAt = now + eventloop.Micros(m.DepartsInUs)
 	}
 	if m.WarmUpUs > 0 {
-		a.warmUpUntil = now + eventloop.Micros(m.WarmUpUs)
+		h.warmUpUntil = now + eventloop.Micros(m.WarmUpUs)
 	} else {
-		a.warmUpUntil = min(a.warmUpUntil, now)
+		h.warmUpUntil = min(h.warmUpUntil, now)
 	}
 }
 
--- a/internal/scheduler/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -15,9 +15,9 @@
 	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimatedRunUs: 1_000_000}
 	job := uint64(100)
 	shifts := func(h *harness, list ...*queue.TaskEvent) {
-		for _, each := range list {
-			each.Sequence = h.scheduler.queues["l"].lastSequence + 1
-			h.deliverEvents(false, each.Sequence, each)
+		for _, event := range list {
+			event.Sequence = h.scheduler.queues["l"].lastSequence + 1
+			h.deliverEvents(false, event.Sequence, event)
 		}
 	}
 	finish := func(h *harness, worker string) {
--- a/internal/scheduler/quality_test.go
+++ b/internal/scheduler/quality_test.go
@@ -91,9 +91,9 @@
 		})
 	})
 	fail := func(h *harness, worker string, jobs ...uint64) {
-		for _, each := range jobs {
+		for _, failed := range jobs {
 			h.sendHeartbeat(worker, func(a *schema.WorkerHeartbeat) {
-				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: each, Attempt: 1, State: "failed"}}
+				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: failed, Attempt: 1, State: "failed"}}
 			})
 		}
 	}
@@ -133,13 +133,13 @@
 			ready(h, step)
 			fail(h, "b", 3, 4)
 			ready(h, step)
-			trials := 0
+			onProbation := 0
 			for _, id := range []string{"a", "b", "c"} {
 				if h.scheduler.workers[id].isOnProbation {
-					trials++
+					onProbation++
 				}
 			}
-			So(trials, ShouldEqual, 1)
+			So(onProbation, ShouldEqual, 1)
 		})
 		Convey("and few failures are no evidence where all workers have some", func() {
 			for _, id := range []string{"a", "b", "c"} {
--- a/internal/scheduler/resolve_test.go
+++ b/internal/scheduler/resolve_test.go
@@ -43,23 +43,23 @@
 			So([]any{noted[0].Name, noted[0].Round, noted[0].StepInRound, noted[0].Task, noted[0].Attempt}, ShouldResemble, []any{"j7", uint32(2), uint32(1), uint32(3), uint32(1)})
 		})
 		Convey("with the checkpoint of the end, else the last one seen, else the one it began from", func() {
-			for _, each := range []struct{ seen, told, want string }{{"", "", "before"}, {"mid", "", "mid"}, {"mid", "last", "last"}} {
+			for _, test := range []struct{ seen, told, want string }{{"", "", "before"}, {"mid", "", "mid"}, {"mid", "last", "last"}} {
 				h := newHarness("w")
 				h.configure(rows, "w")
 				h.syncQueue("l", 10, out())
-				running, over := status("running"), status("stopped")
-				running.Checkpoint, over.Checkpoint = each.seen, each.told
+				running, ended := status("running"), status("stopped")
+				running.Checkpoint, ended.Checkpoint = test.seen, test.told
 				h.sendHeartbeat("w", withRunning(running))
-				h.sendHeartbeat("w", withEnded(over))
-				So(h.endReports()[0].Checkpoint, ShouldEqual, each.want)
+				h.sendHeartbeat("w", withEnded(ended))
+				So(h.endReports()[0].Checkpoint, ShouldEqual, test.want)
 			}
 		})
 	})
 	Convey("Statuses of unknown tasks are left alone until this node leads every configured queue", t, func() {
-		unknown, over := status("running"), status("done")
-		over.Task = 2
+		unknown, ended := status("running"), status("done")
+		ended.Task = 2
 		both := withNames(func(a *schema.WorkerHeartbeat) {
-			a.Running, a.Ended = []*schema.TaskStatus{unknown}, []*schema.TaskStatus{over}
+			a.Running, a.Ended = []*schema.TaskStatus{unknown}, []*schema.TaskStatus{ended}
 		})
 		h := newHarness("w")
 		h.configure(rows, "w")
