--- a/internal/scheduler/claim.go
+++ b/internal/scheduler/claim.go
@@ -8,7 +8,7 @@
 
 // claimWorkers keeps workers free for count tasks of a wide step, which would otherwise
 // starve behind narrower ones: those that are nearest to being free. It reports
-// whether there are enough.
+// whether there are enough. Batch systems call this a reservation.
 func (req *placementRequest) claimWorkers(count int, candidates []*candidate) bool {
 	type offer struct {
 		candidate *candidate
--- a/internal/scheduler/quality.go
+++ b/internal/scheduler/quality.go
@@ -8,8 +8,12 @@
 )
 
 // Workers that fail far more than others, or turn out slow, are ejected for a while
-// (outlier ejection): they get only work that has waited long. After that they are
-// on probation, with few tasks at a time, until some succeed.
+// (outlier ejection, as in Envoy): they get only work that has waited long. After
+// that they are on probation, with few tasks at a time, until some succeed.
+//
+// Whether a worker fails too much is decided by Page's CUSUM test: each run adds the
+// logarithm of how much likelier its outcome is on a bad worker than on a sound one,
+// and the sum, which never falls below 0, ejects the worker at a threshold.
 
 const (
 	baseEjectionPeriod = 5 * eventloop.Second         // the first; each following one is twice as long
@@ -22,7 +26,7 @@
 	badFailureRatio       = 0.5  // of its runs, that a bad worker is taken to fail
 	minFailureRatio       = 0.01 // of the runs of a queue, that sound workers are taken to fail at least
 	failureRatioPriorRuns = 20   // runs that minFailureRatio counts as
-	ejectionSuspicion     = 7.5  // log likelihood ratio by which a worker is ejected
+	ejectionSuspicion     = 7.5  // sum at which a worker is ejected
 	probationSuspicion    = 3.5  // the same while it is on probation
 )
 
@@ -30,7 +34,7 @@
 type quality struct {
 	counts             outcomeCounts
 	slowdown           float64 // decayed mean of the log ratio of its runtimes to those expected
-	suspicion          float64 // log likelihood ratio that it is bad rather than sound; never below 0
+	suspicion          float64 // sum of log likelihood ratios that it is bad rather than sound; never below 0
 	lastFailed         taskKey // the task that failed here last
 	outcomes           map[string]*outcomeCounts
 	progress           progressMeter
