--- a/internal/gateway/submissions.go
+++ b/internal/gateway/submissions.go
@@ -209,11 +209,13 @@
 		return
 	}
 	g.setLeader(m.Queue, m.Leader)
+	incarnation := g.incarnation
 	var lost []*submission
 	for _, outcome := range m.Results {
 		lost = append(lost, g.handleOutcome(now, m.Queue, outcome, effects)...)
 	}
-	if len(lost) > 0 {
+	// An outcome may have ended all sessions: their submissions were answered then.
+	if len(lost) > 0 && g.incarnation == incarnation {
 		g.sendSubmissions(now, m.Queue, lost, effects)
 	}
 }
--- a/internal/gateway/submissions_test.go
+++ b/internal/gateway/submissions_test.go
@@ -66,6 +66,23 @@
 		So(fresh.Enqueues[0].Number, ShouldEqual, 1)
 		So(fresh.Enqueues[0].Session.Incarnation, ShouldNotEqual, submit.Enqueues[0].Session.Incarnation)
 	})
+	Convey("One response may hold a gap and then that declaration: nothing is resent in the ended session", t, func() {
+		h := newHarness()
+		first, second, third := h.submit("c", "one"), h.submit("c", "two"), h.submit("c", "three")
+		_, submit := h.lastSubmit()
+		session := submit.Enqueues[0].Session
+		count := len(h.sent)
+		h.step(&schema.SubmitResponse{Queue: "l", Leader: "a", Results: []*schema.SubmitResult{
+			{Session: session, Number: 2, Code: 201, View: &schema.JobView{Name: "two"}},
+			{Session: session, Number: 3, Code: 410},
+		}})
+		So(h.responses[first].Code, ShouldEqual, 504)
+		So(h.responses[second].Code, ShouldEqual, 201)
+		So(h.responses[third].Code, ShouldEqual, 504)
+		for _, message := range h.sent[count:] {
+			So(message.body, ShouldNotHaveSameTypeAs, submit)
+		}
+	})
 	Convey("So does one that was paused for long", t, func() {
 		h := newHarness()
 		h.step(eventloop.Tick{})
