--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -102,6 +102,33 @@
 	})
 }
 
+// A worker may depart without having drained: it then serves on for as long as a draining
+// one, so what runs there can't be returned yet.
+func TestDepartureWithoutDraining(t *testing.T) {
+	Convey("A departure that no draining came before starts the drain; the runs go on", t, func() {
+		h, s := newDefaultHarness(fakeworker.Config{}, nil)
+		s.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=3000000")}
+		h.run(2 * eventloop.Second)
+		So(h.worker.RunningCount(), ShouldEqual, 1)
+		h.deliver("", agent.Departed{Worker: "w1"})
+		h.run(4 * messageDelay)
+		So(s.lastHeartbeat().Draining, ShouldBeTrue)
+		So(s.ends, ShouldBeEmpty)
+		Convey("no task starts any more, and a repeated departure changes nothing", func() {
+			s.starts = append(s.starts, newOrder("start", "j", 1, 1, "run_us=60000000"))
+			h.deliver("", agent.Departed{Worker: "w1"})
+			h.run(500 * eventloop.Millisecond)
+			So(h.count(agent.Start), ShouldEqual, 1)
+			So(s.ends, ShouldResemble, []string{"j.0.0.1/1 stopped"})
+		})
+		Convey("an end during the drain is reported as it was", func() {
+			s.starts = nil
+			h.run(3 * eventloop.Second)
+			So(s.ends, ShouldResemble, []string{"j.0.0.0/1 done"})
+		})
+	})
+}
+
 func TestPausedAgent(t *testing.T) {
 	Convey("After a pause shorter than the hold, the hold is renewed before it ends", t, func() {
 		h, s := newDefaultHarness(fakeworker.Config{}, nil)
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -95,11 +95,18 @@
 	}
 }
 
-// handleDeparture takes the report of a worker that has ended in order: nothing
-// runs there any more, so its tasks can be returned at once.
+// handleDeparture takes the report of a worker that departs. One that had drained has
+// ended, and nothing runs there any more, so its tasks can be returned at once. One that
+// had not serves on for a while: it drains from now on, and what runs there is known to
+// be over only by the worker's own reports or at the end of its hold.
 func (a *Agent) handleDeparture(now eventloop.Micros, m Departed) {
-	a.recordFormer(m.Worker, 0, true)
 	w := a.worker
+	if w != nil && w.id == m.Worker && w.drainReportedAt == 0 {
+		w.hasChanges = w.hasChanges || !w.isDraining
+		w.isDraining = true
+		return
+	}
+	a.recordFormer(m.Worker, 0, true)
 	if w == nil || w.id != m.Worker || w.departedAt > 0 {
 		return
 	}
