--- a/cmd/sparnotch-bench/hollow_process.go
+++ b/cmd/sparnotch-bench/hollow_process.go
@@ -220,7 +220,7 @@
 	r.Wire.BytesIn += c.BytesIn
 	r.Wire.Lost += c.Lost
 	r.Wire.Dials += c.Dials
-	r.Wire.Garbage += c.Garbage
+	r.Wire.Malformed += c.Malformed
 }
 
 // addLost adds the messages that components have lost, by component.
--- a/cmd/sparnotchctl/capacity.go
+++ b/cmd/sparnotchctl/capacity.go
@@ -59,7 +59,7 @@
 		if over == "" {
 			over = "-"
 		}
-		fmt.Printf("%-6s %8d %10.0f %9.0f %9.1f %6.1f  %s\n", n.Role, n.Machines, n.CPUMilli, n.MemoryMB, n.BytesPerSecond/1000, n.Extrapolation, over)
+		fmt.Printf("%-6s %8d %10.0f %9.0f %9.1f %6.1f  %s\n", n.Role, n.Nodes, n.CPUMilli, n.MemoryMB, n.BytesPerSecond/1000, n.Extrapolation, over)
 	}
 	return subcommands.ExitSuccess
 }
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -18,7 +18,7 @@
 type Heartbeat struct {
 	Worker          string // names one incarnation: after a crash it is another
 	Pool            string
-	Cell            string
+	Zone            string
 	Rack            string
 	Labels          []string
 	Cores           int64 // thousandths of a core
--- a/internal/capacity/estimate.go
+++ b/internal/capacity/estimate.go
@@ -24,8 +24,8 @@
 	Utilization     float64 // planned share of both; the rest is headroom for peaks and failures
 }
 
-// Check returns an Invalid error that names the first field out of range.
-func (d Demand) Check() error {
+// Validate returns an Invalid error that names the first field out of range.
+func (d Demand) Validate() error {
 	switch {
 	case d.Workers < 1 || d.Workers > 100_000:
 		return Invalid.New("workers: must lie between 1 and 100000")
@@ -46,7 +46,7 @@
 // Estimate is what one node of a role needs.
 type Estimate struct {
 	Role           string
-	Machines       int     // nodes of the role
+	Nodes          int     // nodes of the role
 	CPUMilli       float64 // thousandths of a core
 	MemoryMB       float64
 	BytesPerSecond float64 // out and in
@@ -172,7 +172,7 @@
 // EstimateNodes estimates the nodes of each role that a deployment needs. Errors are
 // Invalid and name the field.
 func EstimateNodes(measurements []Measurement, d Demand) ([]Estimate, error) {
-	if err := d.Check(); err != nil {
+	if err := d.Validate(); err != nil {
 		return nil, err
 	}
 	m, err := newModel(measurements)
@@ -181,7 +181,7 @@
 	}
 	newEstimate := func(role string, nodes int) Estimate {
 		return Estimate{
-			Role: role, Machines: nodes, CPUMilli: m.estimate(role, cpuMetric, d), MemoryMB: m.estimate(role, "rss_mb", d),
+			Role: role, Nodes: nodes, CPUMilli: m.estimate(role, cpuMetric, d), MemoryMB: m.estimate(role, "rss_mb", d),
 			BytesPerSecond: m.estimate(role, "bytes_out_s", d) + m.estimate(role, "bytes_in_s", d), Extrapolation: m.extrapolation(d),
 		}
 	}
@@ -192,8 +192,8 @@
 	gateway := newEstimate(gatewayRole, 0)
 	// The work of all gateway nodes is spread over as many as it takes.
 	total := gateway.CPUMilli * m.base["fronts"]
-	gateway.Machines = max(minGateways, int(math.Ceil(total/limit.CPUMilli)))
-	gateway.CPUMilli = total / float64(gateway.Machines)
+	gateway.Nodes = max(minGateways, int(math.Ceil(total/limit.CPUMilli)))
+	gateway.CPUMilli = total / float64(gateway.Nodes)
 	gateway.Bottleneck = bottleneck(gateway, limit)
 	agent := newEstimate(agentRole, d.Workers)
 	agent.Bottleneck = bottleneck(agent, Estimate{CPUMilli: agentCPUMilli, MemoryMB: agentMemoryMB, BytesPerSecond: agentBytesPerSecond})
--- a/internal/capacity/estimate_test.go
+++ b/internal/capacity/estimate_test.go
@@ -33,12 +33,12 @@
 		So(err, ShouldBeNil)
 		So(estimates, ShouldHaveLength, 3)
 		So(estimates[0].Role, ShouldEqual, "store")
-		So(estimates[0].Machines, ShouldEqual, 3)
+		So(estimates[0].Nodes, ShouldEqual, 3)
 		So(estimates[0].CPUMilli, ShouldAlmostEqual, 10+60+2*7+3*30, 0.001)
 		So(estimates[0].Bottleneck, ShouldBeEmpty)
 		So(estimates[0].Extrapolation, ShouldAlmostEqual, 0.75, 0.001)
-		So(estimates[1].Machines, ShouldEqual, 2)
-		So(estimates[2].Machines, ShouldEqual, 60)
+		So(estimates[1].Nodes, ShouldEqual, 2)
+		So(estimates[2].Nodes, ShouldEqual, 60)
 		So(estimates[2].BytesPerSecond, ShouldAlmostEqual, 1200, 0.001)
 	})
 	Convey("Components that were timed by themselves take precedence over the process, with the cost of messages", t, func() {
@@ -63,7 +63,7 @@
 		estimates, err := EstimateNodes(linearMeasurements(), more)
 		So(err, ShouldBeNil)
 		So(estimates[0].Bottleneck, ShouldEqual, "processor")
-		So(estimates[1].Machines, ShouldEqual, 3) // 2 x (4+200 + 5 + 395) of 500
+		So(estimates[1].Nodes, ShouldEqual, 3) // 2 x (4+200 + 5 + 395) of 500
 		So(estimates[2].Bottleneck, ShouldEqual, "bytes")
 	})
 	Convey("An invalid field is named", t, func() {
--- a/internal/fakeworker/called_config.go
+++ b/internal/fakeworker/called_config.go
@@ -35,7 +35,7 @@
 // Config describes a called worker. The hooks decide what happens to it, so that
 // the caller can make a run deterministic; each may be nil.
 type Config struct {
-	Pool, Cell, Rack string
+	Pool, Zone, Rack string
 	Address          string
 	Labels           []string
 	Cores            int64 // thousandths of a core
--- a/internal/fakeworker/called_worker.go
+++ b/internal/fakeworker/called_worker.go
@@ -122,7 +122,7 @@
 	w.heartbeatCount++
 	c := w.config
 	heartbeat := agent.Heartbeat{
-		Worker: w.id, Pool: c.Pool, Cell: c.Cell, Rack: c.Rack, Labels: c.Labels, Cores: c.Cores, Memory: c.Memory,
+		Worker: w.id, Pool: c.Pool, Zone: c.Zone, Rack: c.Rack, Labels: c.Labels, Cores: c.Cores, Memory: c.Memory,
 		Accelerators: c.Accelerators, WarmUpRemaining: max(0, c.WarmUp-(now-w.startedAt)), Clock: w.Clock(now), Number: w.heartbeatCount, Address: c.Address,
 	}
 	if w.drainDeadline > 0 {
--- a/internal/process/node_test.go
+++ b/internal/process/node_test.go
@@ -46,7 +46,7 @@
 			for node.Counts().Transport.Received < 50 {
 				runtime.Gosched()
 			}
-			So(node.Counts().Transport.Garbage, ShouldEqual, 0)
+			So(node.Counts().Transport.Malformed, ShouldEqual, 0)
 			node.Stop()
 		}
 		close(stop)
--- a/internal/sim/called.go
+++ b/internal/sim/called.go
@@ -105,7 +105,7 @@
 	w.slowStartUntil = sim.Now + warmUp
 	drift := 0.98 + 0.02*w.rng.Float64()
 	w.worker = fakeworker.NewCalledWorker(sim.Now, w.Name(), fakeworker.Config{
-		Pool: w.pool, Cell: w.zone, Rack: w.rack, Address: w.machine, Labels: w.labels, Cores: w.cores, Memory: w.memory,
+		Pool: w.pool, Zone: w.zone, Rack: w.rack, Address: w.machine, Labels: w.labels, Cores: w.cores, Memory: w.memory,
 		Accelerators: w.accelerators, Bounds: sim.bounds, ClockDrift: drift, WarmUp: warmUp, EnforcesCapacity: sim.guardsCapacity(w.pool),
 		ParseTask: w.requirements, Fails: w.drawFailure, Slowdown: w.drawSlowdown, Fault: w.drawCallFault, StopDuration: w.drawStopDelay, OnEvent: w.recordEnd, OnStart: w.recordStart, OnAcknowledged: w.recordAcknowledgement,
 	}, sim.gangs)
--- a/internal/transport/identity_test.go
+++ b/internal/transport/identity_test.go
@@ -52,7 +52,7 @@
 		former.Close()
 		later, atLater := listenAs("later", 1, address)
 		Reset(func() { a.Close(); later.Close() })
-		sendUntil(func() bool { return later.Counts().Strayed+uint64(len(atLater)) > 0 }, func() { a.SendTo("former", address, newReply(2)) })
+		sendUntil(func() bool { return later.Counts().Misdelivered+uint64(len(atLater)) > 0 }, func() { a.SendTo("former", address, newReply(2)) })
 		So(countByNumber(atLater), ShouldBeEmpty)
 		a.SendTo("later", address, newReply(3))
 		So(next(atLater).body.(*schema.Response).Id, ShouldEqual, 3)
@@ -77,9 +77,9 @@
 		So(next(atB), ShouldResemble, arrival{"a", newReply(4)})
 		later.SendTo("b", b.Address(), newReply(5))
 		So(next(atB), ShouldResemble, arrival{"a", newReply(5)})
-		So(b.Counts().Former, ShouldEqual, 1)
+		So(b.Counts().Superseded, ShouldEqual, 1)
 		// Its connection is closed, and another isn't admitted.
-		sendUntil(func() bool { return b.Counts().Former >= 3 }, func() { former.SendTo("b", b.Address(), newReply(4)) })
+		sendUntil(func() bool { return b.Counts().Superseded >= 3 }, func() { former.SendTo("b", b.Address(), newReply(4)) })
 		later.SendTo("b", b.Address(), newReply(6))
 		So(next(atB), ShouldResemble, arrival{"a", newReply(6)})
 		So(countByNumber(atB), ShouldBeEmpty)
@@ -95,13 +95,13 @@
 			other.SendTo("b", b.Address(), newReply(100+number))
 			So(next(atB).body.(*schema.Response).Id, ShouldEqual, 100+number)
 		}
-		So(b.Counts().Former, ShouldEqual, 0)
+		So(b.Counts().Superseded, ShouldEqual, 0)
 	})
 	Convey("A connection without an id in its introduction is closed", t, func() {
 		b, atB := listenAs("b", 1, "127.0.0.1:0")
 		nobody, _ := listenAs("", 1, "127.0.0.1:0")
 		Reset(func() { nobody.Close(); b.Close() })
-		sendUntil(func() bool { return b.Counts().Garbage+uint64(len(atB)) > 0 }, func() { nobody.SendTo("b", b.Address(), newReply(1)) })
+		sendUntil(func() bool { return b.Counts().Malformed+uint64(len(atB)) > 0 }, func() { nobody.SendTo("b", b.Address(), newReply(1)) })
 		So(countByNumber(atB), ShouldBeEmpty)
 	})
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -68,16 +68,16 @@
 // Counts are what a transport has done so far. The JSON keys are part of the HTTP
 // interface.
 type Counts struct {
-	Sent     uint64 `json:"Sent"`     // messages
-	Received uint64 `json:"Received"` // messages
-	Bytes    uint64 `json:"Bytes"`    // written
-	Writes   uint64 `json:"Writes"`   // system calls, each of which may carry several messages
-	Lost     uint64 `json:"Lost"`     // messages that found no room, became stale or were on a connection that failed
-	Dials    uint64 `json:"Dials"`
-	Garbage  uint64 `json:"Garbage"` // connections closed for what can't be decoded
-	BytesIn  uint64 `json:"BytesIn"` // read
-	Strayed  uint64 `json:"Strayed"` // messages received for another process
-	Former   uint64 `json:"Former"`  // connections closed or rejected, as a later incarnation of the sender is known
+	Sent         uint64 `json:"Sent"`     // messages
+	Received     uint64 `json:"Received"` // messages
+	Bytes        uint64 `json:"Bytes"`    // written
+	Writes       uint64 `json:"Writes"`   // system calls, each of which may carry several messages
+	Lost         uint64 `json:"Lost"`     // messages that found no room, became stale or were on a connection that failed
+	Dials        uint64 `json:"Dials"`
+	Malformed    uint64 `json:"Garbage"` // connections closed for what can't be decoded
+	BytesIn      uint64 `json:"BytesIn"` // read
+	Misdelivered uint64 `json:"Strayed"` // messages received for another process
+	Superseded   uint64 `json:"Former"`  // connections closed or rejected, as a later incarnation of the sender is known
 }
 
 // Transport sends and receives the messages of one process. Its methods may be called
@@ -128,8 +128,8 @@
 func (t *Transport) Counts() Counts {
 	return Counts{
 		Sent: t.sent.Load(), Received: t.received.Load(), Bytes: t.bytes.Load(), Writes: t.writes.Load(),
-		Lost: t.lost.Load(), Dials: t.dials.Load(), Garbage: t.malformed.Load(), BytesIn: t.bytesIn.Load(),
-		Strayed: t.misdelivered.Load(), Former: t.superseded.Load(),
+		Lost: t.lost.Load(), Dials: t.dials.Load(), Malformed: t.malformed.Load(), BytesIn: t.bytesIn.Load(),
+		Misdelivered: t.misdelivered.Load(), Superseded: t.superseded.Load(),
 	}
 }
 
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -89,7 +89,7 @@
 		}
 		a.Send(b.Address(), &schema.TimeoutNow{Group: "g"})
 		So(next(atB).from, ShouldEqual, "a")
-		So(b.Counts().Garbage, ShouldBeGreaterThan, 0)
+		So(b.Counts().Malformed, ShouldBeGreaterThan, 0)
 	})
 	Convey("A partitioned address gets nothing", t, func() {
 		a, _ := listen("a")
