--- a/cmd/sparnotchctl/configcsv.go
+++ b/cmd/sparnotchctl/configcsv.go
@@ -9,7 +9,6 @@
 	"strconv"
 	"strings"
 
-	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
 	"sparnotch/internal/schema"
@@ -61,7 +60,7 @@
 
 func parseJSONUpdate(data []byte) (*schema.ConfigurationUpdate, error) {
 	update := &schema.ConfigurationUpdate{}
-	err := protojson.Unmarshal(data, update)
+	err := schema.UnmarshalJSON(data, update)
 	if update.BaseRevision != nil {
 		// An edit of what config-get has printed. With the version printed there it
 		// would be taken for that version sent again, and ignored.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,7 +12,6 @@
 	"strings"
 
 	"github.com/joomcode/errorx"
-	"google.golang.org/protobuf/encoding/protojson"
 
 	"sparnotch/internal/schema"
 )
@@ -98,7 +97,7 @@
 		if err != nil {
 			return nil, Invalid.Wrap(err, "options")
 		}
-		if err := protojson.Unmarshal(data, options); err != nil {
+		if err := schema.UnmarshalJSON(data, options); err != nil {
 			// protojson randomly replaces spaces in its errors.
 			return nil, Invalid.New("options file %s: %s", f.file, strings.ReplaceAll(err.Error(), "\u00a0", " "))
 		}
--- a/internal/httpapi/encoding.go
+++ b/internal/httpapi/encoding.go
@@ -11,10 +11,10 @@
 	"strings"
 
 	"github.com/kataras/iris/v12"
-	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
 	"sparnotch/internal/gateway"
+	"sparnotch/internal/schema"
 )
 
 func writeResponse(ctx iris.Context, response gateway.Response) {
@@ -103,7 +103,7 @@
 // decodeProtoJSON decodes a message from its proto JSON mapping. False: it isn't one,
 // and an error was written.
 func decodeProtoJSON(ctx iris.Context, data []byte, into proto.Message) bool {
-	err := protojson.Unmarshal(data, into)
+	err := schema.UnmarshalJSON(data, into)
 	if err == nil {
 		return true
 	}
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -51,6 +51,34 @@
 	}
 }
 
+// TestUnmarshalJSON: each form of a name that was accepted before a field was renamed still is.
+func TestUnmarshalJSON(t *testing.T) {
+	for _, test := range []struct {
+		what, json  string
+		baseVersion uint64
+		err         string // empty: none
+	}{
+		{"the name in JSON", `{"base_edition":7}`, 7, ""},
+		{"the name in lower camel case", `{"baseEdition" : "7"}`, 7, ""},
+		{"the name in the schema", `{"base_version":7}`, 7, ""},
+		{"a name in a value is left alone", `{"base_edition":7,"rows":[{"value":"\"baseEdition\":"}]}`, 7, ""},
+		{"an unknown name", `{"baseEdition":7,"bogus":1}`, 0, `unknown field "bogus"`},
+		{"a name given twice", `{"baseEdition":7,"base_edition":8}`, 0, `duplicate field "base_edition"`},
+	} {
+		Convey(test.what, t, func() {
+			update := &schema.ConfigurationUpdate{}
+			err := schema.UnmarshalJSON([]byte(test.json), update)
+			if test.err != "" {
+				So(err, ShouldNotBeNil)
+				So(strings.ReplaceAll(err.Error(), "\u00a0", " "), ShouldContainSubstring, test.err)
+				return
+			}
+			So(err, ShouldBeNil)
+			So(update.BaseVersion, ShouldEqual, test.baseVersion)
+		})
+	}
+}
+
 // namesInJSON reads the struct tags of a generated message.
 func namesInJSON(message reflect.Type) map[int]string {
 	names := map[int]string{}
