--- a/internal/mutation/partition_mutants.go
+++ b/internal/mutation/partition_mutants.go
@@ -38,7 +38,7 @@
 		{Guard: "a front without word asks every store in turn", Rule: 12, Test: "internal/gateway TestStateLease", Edits: []Edit{{"internal/gateway",
 			"	case g.lease.needsRenewal(now):\n		for _, id", "	case false:\n		for _, id"}}},
 		{Guard: "who isn't told whether it took effect is told when to come back", Rule: 12, Test: "platform TestOperatorCalls", Edits: []Edit{{"platform",
-			"response.Code == 503 || response.Code == 504 {", "response.Code == 503 {"}}},
+			"http.StatusServiceUnavailable, http.StatusGatewayTimeout:", "http.StatusServiceUnavailable:"}}},
 		{Guard: "a worker that hears nothing counts as silent", Rule: 1, Test: "internal/scheduler TestUnansweredWorkerIsUnresponsive", Edits: []Edit{{"internal/scheduler",
 			"	if heartbeat.Unanswered && w.hasHeartbeat", "	if false && w.hasHeartbeat"}}},
 		{Guard: "an agent says when it hears nothing", Rule: 1, Test: "internal/agent TestUnansweredPolls", Edits: []Edit{{"internal/agent",
--- a/internal/mutation/replace_mutants.go
+++ b/internal/mutation/replace_mutants.go
@@ -30,7 +30,7 @@
 	{Guard: "no two lives share a request's number", Rule: 11, Test: "internal/process TestRequestIDsAcrossIncarnations", Edits: []Edit{{"internal/process",
 		"	n.lastRequestID.Store(n.Member.Incarnation << incarnationShift)\n", ""}}},
 	{Guard: "a full front refuses no order", Test: "platform TestOperatorCalls", Edits: []Edit{{"platform",
-		"	if answer.Code == 429 {", "	if false {"}}},
+		"	if response.Code == http.StatusTooManyRequests {", "	if false {"}}},
 	{Guard: "a body that was cut refuses no order", Test: "platform TestOperatorCalls", Edits: []Edit{{"platform",
 		"	case errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &broken):", "	case errors.As(err, &broken) && false:"}}},
 }
