--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -93,7 +93,7 @@
 	for _, post := range b.messages {
 		buffer = appendNumbers(append(buffer, 'p'), uint64(messageKey("", post.To, post.Body)))
 	}
-	return appendNumbers(buffer, b.mark.Index, b.mark.Term)
+	return appendNumbers(buffer, b.syncPoint.Index, b.syncPoint.Term)
 }
 
 func appendGroupState(buffer []byte, log *storage.GroupState) []byte {
--- /dev/null
+++ b/internal/modelcheck/invariants_commit.go
@@ -0,0 +1,89 @@
+package modelcheck
+
+import (
+	"hash/maphash"
+
+	"sparnotch/internal/schema"
+)
+
+// checkCommitTerm checks that a leader commits by an entry of its own term: copies of an
+// earlier term's entry on a majority don't commit it (Raft, figure 8).
+func (w *World) checkCommitTerm(m *machine, commits []*schema.Entry) {
+	if len(commits) == 0 || !m.group.IsLeader() {
+		return
+	}
+	if last := commits[len(commits)-1]; last.Term != m.group.Term() {
+		w.fail("quorum: %s, leader of term %d, commits up to an entry of term %d", m.id, m.group.Term(), last.Term)
+	}
+}
+
+// checkCommit checks that all machines commit the same entry at an index (state machine
+// safety), and that a majority of the voters holds it durably when the first of them does.
+func (w *World) checkCommit(m *machine, entry *schema.Entry) {
+	info := w.entries[entryID{entry.Index, entry.Term}]
+	if info.digest != entryDigest(entry) {
+		w.fail("state machine safety: %s commits an entry at %d that no leader appended", m.id, entry.Index)
+	}
+	if entry.Index <= uint64(len(w.committed)) {
+		if known := w.committed[entry.Index-1]; known != info {
+			w.fail("state machine safety: %s commits another entry at %d (term %d, before %d)", m.id, entry.Index, entry.Term, known.term)
+		}
+		return
+	}
+	if entry.Index != uint64(len(w.committed))+1 {
+		w.fail("state machine safety: %s commits %d after %d", m.id, entry.Index, len(w.committed))
+		return
+	}
+	w.mutableGhost()
+	w.committed = append(w.committed, info)
+	w.committedInTerm = append(w.committedInTerm, m.group.Term())
+	voters := m.membership().GetVoters()
+	copies := 0
+	for _, id := range voters {
+		if containsEntry(w.durableLog(id), entry.Index, entry.Term) {
+			copies++
+		}
+	}
+	if copies < majority(voters) {
+		w.fail("quorum: entry %d of term %d is committed with %d copies among %v", entry.Index, entry.Term, copies, voters)
+	}
+}
+
+// membership is the latest one in the replica's log, committed or not: quorums are counted
+// by it.
+func (m *machine) membership() *schema.MemberSet { return membershipBefore(m.log, lastIndex(m.log)+1) }
+
+// checkState checks that all machines have the same state after an applied index, by entries
+// or by snapshot, and that its version never decreases within a machine's incarnation.
+func (w *World) checkState(m *machine) {
+	digest := maphash.Bytes(hashSeed, m.state.Snapshot())
+	known, isKnown := w.states[m.applied]
+	if isKnown && known != digest {
+		w.fail("state machine safety: the state of %s at %d differs from that of others", m.id, m.applied)
+	}
+	if !isKnown {
+		w.mutableGhost().states[m.applied] = digest
+	}
+	if m.state.Version() < m.maxVersion {
+		w.fail("versions: %s decreases from %d to %d", m.id, m.maxVersion, m.state.Version())
+	}
+	m.maxVersion = m.state.Version()
+}
+
+// recordReplacement notes which operation became the configuration, and checks that it was
+// based on the one before and wasn't refused.
+func (w *World) recordReplacement(before, after *schema.Configuration) {
+	for k := range w.operations {
+		o := &w.operations[k]
+		if o.isRead || o.content != string(after.Document) {
+			continue
+		}
+		if before.Version != o.baseVersion {
+			w.fail("operation %d, built on %d, was applied to %d", k, o.baseVersion, before.Version)
+		}
+		o.isApplied = true
+		if o.code != 0 && o.code != 200 {
+			w.fail("operation %d was refused and then applied", k)
+		}
+	}
+}
--- a/internal/modelcheck/machine.go
+++ b/internal/modelcheck/machine.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"maps"
+	"slices"
 
 	"google.golang.org/protobuf/proto"
 
@@ -13,52 +14,53 @@
 	"sparnotch/internal/storage"
 )
 
-// raftTimes are the group's; timeouts come when the scheduler says, so only their
-// order to each other matters.
+// raftTimes are the group's timeouts. They pass when the scheduler says, so only their order
+// matters.
 var raftTimes = raft.DefaultTimeouts
 
-// minimalRandom draws the shortest wait every time: the scheduler decides who is first.
+// minimalRandom always draws the shortest timeout: the scheduler decides who is first.
 type minimalRandom struct{}
 
+// Int64N returns 0.
 func (minimalRandom) Int64N(int64) int64 { return 0 }
 
 // batch is what one sync makes durable, and the messages that wait for it.
 type batch struct {
-	changes  []*schema.StoreChange
-	messages []raft.Message
-	mark     raft.SyncPoint
+	changes   []*schema.StoreChange
+	messages  []raft.Message
+	syncPoint raft.SyncPoint
 }
 
-// pendingProposal is an operation whose record isn't committed yet.
+// pendingProposal is an operation whose entry isn't applied yet.
 type pendingProposal struct {
 	term      uint64
 	operation int
 }
 
-// machine is one process with a disk: the host of a replica, as the table of
-// replicas is, one group only.
+// machine is one process with a disk. It hosts a replica of one group, in the way that
+// replica.Host hosts those of all groups.
 type machine struct {
-	world             *World // whose alone it is
-	cachedFingerprint uint64 // fingerprint; 0: to be made anew
+	world             *World // the only branch that may change it
+	cachedFingerprint uint64 // 0: to be computed
 	index             int
-	incarnation       int // disks it has had
+	incarnation       int // counts its disks, from 0
 	id                string
 	clock             eventloop.Micros
 	disk              disk
-	group             *raft.Group
-	log               *storage.GroupState // what the replica's changes come to, synced or not
+	group             *raft.Group         // nil: the disk holds no replica
+	log               *storage.GroupState // the sum of the group's changes, synced or not
 	state             *clusterstate.StateMachine
-	ownsState         bool // the state isn't shared with another branch
+	ownsState         bool // no other branch shares the state
 	nextBatch         batch
-	currentWrite      *batch
-	pendingProposals  map[uint64]pendingProposal
-	pendingReads      map[uint64]int
+	currentWrite      *batch                     // nil: the disk is idle
+	pendingProposals  map[uint64]pendingProposal // by log index
+	pendingReads      map[uint64]int             // operations by read ID
 	lastReadID        uint64
-	maxVersion        uint64 // highest of the state in this life
-	applied           uint64
+	maxVersion        uint64 // highest version of the state since the start
+	applied           uint64 // index
 }
 
-// newStoreID names a disk that has never been used.
+// newStoreID names a disk that was never used before.
 func newStoreID(index, incarnation int) string { return fmt.Sprintf("%c%d", 'a'+index, incarnation) }
 
 func (m *machine) clone() *machine {
@@ -71,26 +73,36 @@
 	c.ownsState = false
 	c.pendingProposals, c.pendingReads = maps.Clone(m.pendingProposals), maps.Clone(m.pendingReads)
 	if m.currentWrite != nil {
-		writing := *m.currentWrite
-		c.currentWrite = &writing
+		write := *m.currentWrite
+		c.currentWrite = &write
 	}
-	c.nextBatch.changes = c.nextBatch.changes[:len(c.nextBatch.changes):len(c.nextBatch.changes)]
-	c.nextBatch.messages = c.nextBatch.messages[:len(c.nextBatch.messages):len(c.nextBatch.messages)]
+	c.nextBatch.changes = slices.Clip(c.nextBatch.changes)
+	c.nextBatch.messages = slices.Clip(c.nextBatch.messages)
 	return &c
 }
 
-// start begins a life of the process from what its disk holds.
+// start starts the process from what its disk holds.
 func (m *machine) start() {
 	m.group, m.log, m.state = nil, nil, clusterstate.New()
 	m.ownsState = true
 	m.nextBatch, m.currentWrite = batch{}, nil
 	m.pendingProposals, m.pendingReads = map[uint64]pendingProposal{}, map[uint64]int{}
 	m.maxVersion, m.applied = 0, 0
-	if log := m.disk.content().Groups[groupName]; log != nil {
+	if log := m.durableLog(); log != nil {
 		m.openReplica(log)
 	}
 }
 
+// durableLog is what the disk holds of the group; nil if nothing.
+func (m *machine) durableLog() *storage.GroupState { return m.disk.content().Groups[groupName] }
+
+func (m *machine) durableHardState() *schema.HardState {
+	if log := m.durableLog(); log != nil {
+		return log.HardState
+	}
+	return &schema.HardState{}
+}
+
 func (m *machine) openReplica(log *storage.GroupState) {
 	m.log = cloneGroupState(log)
 	m.group = raft.New(groupName, m.id, cloneGroupState(log), raftTimes, minimalRandom{}, m.clock)
@@ -100,26 +112,26 @@
 func (m *machine) restore(snapshot *schema.Snapshot) {
 	state, err := clusterstate.Restore(snapshot.Data)
 	if err != nil {
-		panic("checkpoint can't be read: " + err.Error())
+		panic("modelcheck: a snapshot can't be restored: " + err.Error())
 	}
 	m.state, m.ownsState = state, true
 	m.applied = snapshot.Index
 }
 
-// ensureOwnState makes the state one that may be changed.
+// ensureOwnState copies the state if another branch shares it.
 func (m *machine) ensureOwnState() {
 	if m.ownsState {
 		return
 	}
 	state, err := clusterstate.Restore(m.state.Snapshot())
 	if err != nil {
-		panic("state can't be copied: " + err.Error())
+		panic("modelcheck: the state can't be copied: " + err.Error())
 	}
 	m.state, m.ownsState = state, true
 }
 
-// receive hands a message to the replica; one that is counted in by a leader it
-// has never heard of starts empty.
+// receive steps the group with a message. A machine without a replica creates an empty one for
+// a leader that adds it to the group.
 func (m *machine) receive(from string, body proto.Message) {
 	if m.group == nil {
 		switch body.(type) {
@@ -132,7 +144,7 @@
 	m.group.Step(m.clock, from, body)
 }
 
-// termAt is the term of an image's record; 0 where it holds none.
+// termAt is the term of the log's entry at an index; 0 if it doesn't hold the entry.
 func termAt(log *storage.GroupState, index uint64) uint64 {
 	switch {
 	case log == nil:
@@ -149,12 +161,12 @@
 	return log.Snapshot.Index + uint64(len(log.Entries))
 }
 
-// containsEntry tells whether an image has a record, or what stands for it.
+// containsEntry reports whether a log holds an entry, or a snapshot in its place.
 func containsEntry(log *storage.GroupState, index, term uint64) bool {
 	return log != nil && (index < log.Snapshot.Index || termAt(log, index) == term)
 }
 
-// membershipBefore is the membership in force below an index.
+// membershipBefore is the membership that a log holds below an index.
 func membershipBefore(log *storage.GroupState, index uint64) *schema.MemberSet {
 	members := log.Snapshot.MemberSet
 	for _, entry := range log.Entries {
@@ -165,9 +177,9 @@
 	return members
 }
 
-// applyChange makes a change of an image in memory.
+// applyChange returns a log with a change applied.
 func applyChange(log *storage.GroupState, change *schema.StoreChange) *storage.GroupState {
-	content := &storage.State{Groups: map[string]*storage.GroupState{groupName: log}}
-	content.Apply(change)
-	return content.Groups[groupName]
+	state := &storage.State{Groups: map[string]*storage.GroupState{groupName: log}}
+	state.Apply(change)
+	return state.Groups[groupName]
 }
