--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// Exploration is what to explore: from where, how far, and how much at most.
+// Exploration is a breadth-first search of all schedules from a starting point.
 type Exploration struct {
 	Name      string
 	Limits    Limits
-	Prefix    string // a schedule that leads to where it begins
-	Depth     int    // steps from there
-	MaxStates int    // at most
-	StepKinds string // letters of the steps that are taken; empty: all
+	Prefix    string // the schedule that leads to the starting point
+	Depth     int    // in steps from there
+	MaxStates int
+	StepKinds string // letters of the steps to take; "": all
 }
 
-// Result says what was explored.
+// Result says how much was explored.
 type Result struct {
 	States, Steps int
 	Depth         int // to which every schedule was followed
 	Elapsed       time.Duration
-	Violation     *Violation
+	Violation     *Violation // nil: none found
 }
 
-// String tells it in a line.
+// String is the result in one line.
 func (r *Result) String() string {
 	return fmt.Sprintf("%d states, %d steps, whole to depth %d, %v", r.States, r.Steps, r.Depth, r.Elapsed.Round(time.Millisecond))
 }
 
-// Violation is what doesn't hold, and the schedule that shows it.
+// Violation is a broken invariant, and the schedule that breaks it.
 type Violation struct {
 	Reason   string
 	Limits   Limits
@@ -40,18 +40,20 @@
 	Schedule []Step
 }
 
+// path is the way to a node of the search, shared by its successors.
 type path struct {
 	step   Step
 	parent *path
 }
 
-func (t *path) schedule(start []Step) []Step {
-	var list []Step
-	for ; t != nil; t = t.parent {
-		list = append(list, t.step)
+// schedule lists the steps of the path behind those of the prefix.
+func (p *path) schedule(prefix []Step) []Step {
+	var steps []Step
+	for ; p != nil; p = p.parent {
+		steps = append(steps, p.step)
 	}
-	slices.Reverse(list)
-	return append(slices.Clone(start), list...)
+	slices.Reverse(steps)
+	return slices.Concat(prefix, steps)
 }
 
 type searchNode struct {
@@ -59,17 +61,17 @@
 	path  *path
 }
 
-// Explore follows every schedule to a depth, breadth first, each world once.
+// Explore follows every schedule to a depth, breadth first, and each distinct world once.
 func Explore(exploration Exploration) *Result {
-	began := time.Now()
+	startedAt := time.Now()
 	result := &Result{}
-	start := ParseSchedule(exploration.Prefix)
+	prefix := ParseSchedule(exploration.Prefix)
 	first := NewWorld(exploration.Limits, 0)
-	for _, step := range start {
+	for _, step := range prefix {
 		first.Execute(step)
 	}
 	if first.Violation() != "" {
-		result.Violation = &Violation{first.Violation(), exploration.Limits, 0, start}
+		result.Violation = &Violation{first.Violation(), exploration.Limits, 0, prefix}
 		return result
 	}
 	seen := map[uint64]bool{first.Fingerprint(): true}
@@ -79,7 +81,7 @@
 		result.Steps += steps
 		result.States = len(seen)
 		if found != nil {
-			result.Violation = &Violation{found.world.Violation(), exploration.Limits, 0, found.path.schedule(start)}
+			result.Violation = &Violation{found.world.Violation(), exploration.Limits, 0, found.path.schedule(prefix)}
 			break
 		}
 		if len(seen) >= exploration.MaxStates {
@@ -88,54 +90,80 @@
 		result.Depth = depth
 		level = next
 	}
-	result.Elapsed = time.Since(began)
+	result.Elapsed = time.Since(startedAt)
 	return result
 }
 
-// expandLevel makes every step from every world of a level.
+// chunkSize is how many nodes a worker of the search takes at a time.
+const chunkSize = 16
+
+// levelSearch expands the nodes of one depth by several workers.
+type levelSearch struct {
+	exploration *Exploration
+	keepNext    bool // false at the last depth, whose successors aren't expanded
+
+	mu    sync.Mutex
+	level []searchNode // not taken yet
+	seen  map[uint64]bool
+	next  []searchNode
+	steps int
+	found *searchNode // the first that breaks an invariant
+}
+
+// expandLevel takes every step from every node of a level. It adds to seen, and returns the
+// nodes that weren't there.
 func expandLevel(level []searchNode, seen map[uint64]bool, keepNext bool, exploration *Exploration) (next []searchNode, steps int, found *searchNode) {
-	var mu sync.Mutex
-	var all sync.WaitGroup
-	at := 0
-	takeChunk := func(size int) []searchNode {
-		mu.Lock()
-		defer mu.Unlock()
-		if found != nil || len(seen) >= exploration.MaxStates {
-			return nil
+	search := &levelSearch{exploration: exploration, keepNext: keepNext, level: level, seen: seen}
+	var workers sync.WaitGroup
+	for range runtime.GOMAXPROCS(0) {
+		workers.Go(search.expand)
+	}
+	workers.Wait()
+	return search.next, search.steps, search.found
+}
+
+func (s *levelSearch) expand() {
+	for chunk := s.takeChunk(); len(chunk) > 0; chunk = s.takeChunk() {
+		for k := range chunk {
+			nodes, fingerprints := successors(chunk[k], s.exploration.StepKinds)
+			chunk[k].world = nil // the search of a level needs much memory
+			s.add(nodes, fingerprints)
 		}
-		chunk := level[at:min(len(level), at+size)]
-		at += len(chunk)
-		return chunk
 	}
-	for range runtime.GOMAXPROCS(0) {
-		all.Go(func() {
-			for chunk := takeChunk(16); len(chunk) > 0; chunk = takeChunk(16) {
-				for k := range chunk {
-					successorNodes, fingerprints := successors(chunk[k], exploration.StepKinds)
-					chunk[k].world = nil
-					mu.Lock()
-					steps += len(successorNodes)
-					for j, child := range successorNodes {
-						if child.world.Violation() != "" && found == nil {
-							found = &successorNodes[j]
-						}
-						if seen[fingerprints[j]] {
-							continue
-						}
-						seen[fingerprints[j]] = true
-						if keepNext {
-							next = append(next, child)
-						}
-					}
-					mu.Unlock()
-				}
-			}
-		})
+}
+
+// takeChunk returns nodes to expand; none when the search is over.
+func (s *levelSearch) takeChunk() []searchNode {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.found != nil || len(s.seen) >= s.exploration.MaxStates {
+		return nil
+	}
+	size := min(len(s.level), chunkSize)
+	chunk := s.level[:size]
+	s.level = s.level[size:]
+	return chunk
+}
+
+func (s *levelSearch) add(nodes []searchNode, fingerprints []uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.steps += len(nodes)
+	for k, node := range nodes {
+		if node.world.Violation() != "" && s.found == nil {
+			s.found = &nodes[k]
+		}
+		if s.seen[fingerprints[k]] {
+			continue
+		}
+		s.seen[fingerprints[k]] = true
+		if s.keepNext {
+			s.next = append(s.next, node)
+		}
 	}
-	all.Wait()
-	return next, steps, found
 }
 
+// successors takes every enabled step of some kinds, "" for all, from a node.
 func successors(from searchNode, kinds string) (nodes []searchNode, fingerprints []uint64) {
 	for _, step := range from.world.EnabledSteps() {
 		if kinds != "" && !strings.ContainsRune(kinds, rune(step[0])) {
@@ -150,89 +178,3 @@
 	}
 	return nodes, fingerprints
 }
-
-// EnabledSteps are the steps that a scheduler may take, except to lose a message: one
-// that never arrives has been lost.
-func (w *World) EnabledSteps() []Step {
-	var steps []Step
-	add := func(form string, args ...any) { steps = append(steps, Step(fmt.Sprintf(form, args...))) }
-	isListed := map[uint32]bool{}
-	for _, p := range w.inFlight {
-		if isListed[p.key] {
-			continue
-		}
-		isListed[p.key] = true
-		add("d%x", p.key)
-		if w.duplicates < w.limits.Duplicates {
-			add("u%x", p.key)
-		}
-	}
-	for k, m := range w.machines {
-		if m.currentWrite != nil {
-			add("s%d", k)
-		}
-		if w.crashes < w.limits.Crashes {
-			add("c%d", k)
-			if m.currentWrite != nil {
-				add("k%d", k)
-			}
-		}
-		if w.wipes < w.limits.Wipes {
-			add("w%d", k)
-		}
-		if m.group == nil {
-			continue
-		}
-		add("t%d", k)
-		if m.applied > m.log.Snapshot.Index {
-			add("f%d", k)
-		}
-		if m.group.IsLeader() {
-			steps = append(steps, w.leaderSteps(k, m)...)
-		}
-	}
-	for k, each := range w.operators {
-		if each.operation >= 0 {
-			add("g%d", k)
-		}
-	}
-	return steps
-}
-
-func (w *World) leaderSteps(k int, m *machine) []Step {
-	var steps []Step
-	add := func(form string, args ...any) { steps = append(steps, Step(fmt.Sprintf(form, args...))) }
-	add("b%d", k)
-	for j, each := range w.operators {
-		if w.proposals < w.limits.Proposals && (each.operation < 0 || !w.operations[each.operation].isRead) {
-			add("p%d%d", j, k)
-		}
-		if each.operation < 0 {
-			add("r%d%d", j, k)
-		}
-	}
-	members := m.group.MemberSet()
-	for _, other := range w.machines {
-		if other.id != m.id && slices.Contains(members.Voters, other.id) {
-			add("h%d%s", k, other.id)
-		}
-	}
-	if !w.limits.MembershipChanges {
-		return steps
-	}
-	for _, id := range members.Learners {
-		add("v%d%s", k, id)
-		add("o%d%s", k, id)
-	}
-	for _, id := range members.Voters {
-		if len(members.Voters) > 1 {
-			add("o%d%s", k, id)
-		}
-	}
-	for _, other := range w.machines {
-		if !slices.Contains(members.Voters, other.id) && !slices.Contains(members.Learners, other.id) {
-			add("l%d%s", k, other.id)
-		}
-	}
-	return steps
-}
--- /dev/null
+++ b/internal/modelcheck/files.go
@@ -0,0 +1,113 @@
+package modelcheck
+
+import (
+	"maps"
+	"os"
+	"slices"
+)
+
+const (
+	unlimited  = -1 // write budget
+	truncation = -1 // offset
+)
+
+// memoryFiles implements storage.Disk in memory. After a crash a file holds its synced
+// content with some of its unsynced writes in their order, the last of them perhaps torn.
+type memoryFiles struct {
+	synced, current map[string][]byte
+	writes          []fileWrite // since the last sync of their file
+	writeBudget     int         // bytes that still reach the disk, or unlimited
+}
+
+// fileWrite is a write at an offset, or a truncation to a size.
+type fileWrite struct {
+	name   string
+	offset int64 // or truncation
+	data   []byte
+	size   int64
+}
+
+// Read returns a file's content, unsynced writes included.
+func (f *memoryFiles) Read(name string) ([]byte, error) {
+	data, found := f.current[name]
+	if !found {
+		return nil, os.ErrNotExist
+	}
+	return data, nil
+}
+
+// consume takes bytes from the write budget; it fails once they aren't left.
+func (f *memoryFiles) consume(size int) error {
+	if f.writeBudget == unlimited {
+		return nil
+	}
+	if f.writeBudget < size {
+		f.writeBudget = 0
+		return os.ErrClosed
+	}
+	f.writeBudget -= size
+	return nil
+}
+
+// Write writes at an offset.
+func (f *memoryFiles) Write(name string, offset int64, data []byte) error {
+	w := fileWrite{name: name, offset: offset, data: slices.Clone(data)}
+	err := f.consume(len(data))
+	f.writes = append(f.writes, w)
+	f.current[name] = w.apply(f.current[name])
+	return err
+}
+
+// Truncate shortens a file, or extends it by zeros.
+func (f *memoryFiles) Truncate(name string, size int64) error {
+	w := fileWrite{name: name, offset: truncation, size: size}
+	err := f.consume(1)
+	f.writes = append(f.writes, w)
+	f.current[name] = w.apply(f.current[name])
+	return err
+}
+
+// Sync makes a file's writes durable.
+func (f *memoryFiles) Sync(name string) error {
+	if err := f.consume(1); err != nil {
+		return err
+	}
+	f.synced[name] = f.current[name]
+	f.writes = slices.DeleteFunc(f.writes, func(w fileWrite) bool { return w.name == name })
+	return nil
+}
+
+// apply returns a file's content after the write; the old one isn't changed.
+func (w fileWrite) apply(old []byte) []byte {
+	if w.offset == truncation {
+		return append(make([]byte, 0, w.size), old[:min(int64(len(old)), w.size)]...)[:w.size]
+	}
+	size := max(int64(len(old)), w.offset+int64(len(w.data)))
+	changed := append(make([]byte, 0, size), old...)[:size]
+	copy(changed[w.offset:], w.data)
+	return changed
+}
+
+// crash keeps all, some or none of each file's unsynced writes.
+func (f *memoryFiles) crash(draw func(n int) int) {
+	files := maps.Clone(f.synced)
+	isStopped := map[string]bool{}
+	for _, w := range f.writes {
+		if isStopped[w.name] {
+			continue
+		}
+		switch draw(3) {
+		case 0:
+			isStopped[w.name] = true
+		case 1:
+			if w.offset != truncation {
+				w.data = w.data[:draw(len(w.data)+1)]
+			}
+			files[w.name] = w.apply(files[w.name])
+			isStopped[w.name] = true
+		default:
+			files[w.name] = w.apply(files[w.name])
+		}
+	}
+	f.synced, f.current, f.writes, f.writeBudget = files, maps.Clone(files), nil, unlimited
+}
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -10,9 +10,9 @@
 	"sparnotch/internal/storage"
 )
 
-// Fingerprint tells worlds apart that could go on differently: two paths that
-// lead to one are followed once. Each machine's clock is left out, for only
-// what lies before and after it counts, and so is the time of records.
+// Fingerprint hashes all of a world that its future depends on, so that two paths to one
+// state are followed once. Clocks are left out, since only the times relative to them count,
+// and so are the times of entries.
 func (w *World) Fingerprint() uint64 {
 	buffer := make([]byte, 0, 256)
 	for _, m := range w.machines {
@@ -21,8 +21,8 @@
 		}
 		buffer = binary.LittleEndian.AppendUint64(buffer, m.cachedFingerprint)
 	}
-	for _, each := range w.operators {
-		buffer = appendNumbers(buffer, uint64(each.operation+1), each.knownVersion)
+	for _, operator := range w.operators {
+		buffer = appendNumbers(buffer, uint64(operator.operation+1), operator.knownVersion)
 	}
 	for k := range w.operations {
 		o := &w.operations[k]
@@ -31,14 +31,14 @@
 	}
 	buffer = appendNumbers(buffer, uint64(w.crashes), uint64(w.wipes), uint64(w.duplicates), uint64(w.proposals), w.maxKnownVersion, uint64(len(w.committed)), w.checksum)
 	var inFlightSum uint64
-	for _, p := range w.inFlight {
-		inFlightSum += mix(p.key)
+	for _, message := range w.inFlight {
+		inFlightSum += mix(message.key)
 	}
 	buffer = binary.LittleEndian.AppendUint64(buffer, inFlightSum)
 	return maphash.Bytes(hashSeed, buffer)
 }
 
-// mix spreads a key, so that sums of keys tell sets of messages apart.
+// mix spreads a key over 64 bits, so that a sum of keys identifies a set of messages.
 func mix(key uint32) uint64 {
 	x := (uint64(key) + 1) * 0x9e3779b97f4a7c15
 	x ^= x >> 29
@@ -63,9 +63,10 @@
 	return buffer
 }
 
+// fingerprint adds all of a machine but its clock.
 func (m *machine) fingerprint(buffer []byte) []byte {
 	buffer = append(append(buffer, '|'), m.id...)
-	if log := m.disk.content().Groups[groupName]; log != nil {
+	if log := m.durableLog(); log != nil {
 		buffer = appendGroupState(buffer, log)
 	}
 	if m.group == nil {
@@ -90,12 +91,13 @@
 	for _, change := range b.changes {
 		buffer = appendGroupState(append(buffer, 'c'), &storage.GroupState{HardState: change.HardState, Snapshot: change.Snapshot, Entries: change.Entries})
 	}
-	for _, post := range b.messages {
-		buffer = appendNumbers(append(buffer, 'p'), uint64(messageKey("", post.To, post.Body)))
+	for _, message := range b.messages {
+		buffer = appendNumbers(append(buffer, 'p'), uint64(messageKey("", message.To, message.Body)))
 	}
 	return appendNumbers(buffer, b.syncPoint.Index, b.syncPoint.Term)
 }
 
+// appendGroupState adds what a log holds; by log matching, the places of its entries are enough.
 func appendGroupState(buffer []byte, log *storage.GroupState) []byte {
 	buffer = appendNumbers(buffer, log.HardState.GetTerm(), log.Snapshot.GetIndex(), log.Snapshot.GetTerm(), uint64(len(log.Entries)))
 	buffer = append(buffer, log.HardState.GetVote()...)
--- a/internal/modelcheck/presets.go
+++ b/internal/modelcheck/presets.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// presets are the worlds that schedules are played in, by name.
+// presets are the worlds that are explored, by name.
 var presets = map[string]Limits{
-	// Every schedule to a depth: three replicas and two operators.
+	// For exhaustive searches: three replicas and two operators.
 	"whole":   {Machines: 3, Voters: 3, Operators: 2, Operations: 6, Messages: 64, Crashes: 1, Duplicates: 1, Proposals: 3},
 	"synced":  {Machines: 3, Voters: 3, Operators: 2, Operations: 6, Messages: 64, Crashes: 1, Duplicates: 0, Proposals: 3, SyncAtOnce: true},
 	"members": {Machines: 4, Voters: 3, Operators: 2, Operations: 4, Messages: 64, Crashes: 1, Wipes: 1, Proposals: 3, SyncAtOnce: true, MembershipChanges: true},
 	"drawn":   {Machines: 4, Voters: 3, Operators: 2, Operations: 12, Messages: 64, Crashes: 3, Wipes: 1, Duplicates: 6, Proposals: 12, MembershipChanges: true},
-	// Random walks, with joins and leaves, on stores that crashes tear.
+	// For random walks, with membership changes and torn files.
 	"walk3": walkLimits(3, 5),
 	"walk4": walkLimits(4, 6),
 	"walk5": walkLimits(5, 7),
 	"walk6": walkLimits(6, 7),
 	"walk7": walkLimits(7, 8),
-	// Some configurations are larger than what is sent in one message.
+	// Some configurations are larger than one message may be.
 	"large": largeLimits(),
-	// Time passes alike for all, so that leaders which act can be counted.
+	// All clocks run alike, so that leader leases can be checked.
 	"timed": timedLimits(),
 }
 
@@ -41,9 +41,9 @@
 }
 
 func preset(name string) (Limits, error) {
-	limits, isKnown := presets[name]
-	if !isKnown {
-		return limits, fmt.Errorf("no world is called %q", name)
+	limits, found := presets[name]
+	if !found {
+		return limits, fmt.Errorf("unknown world %q", name)
 	}
 	limits.Name = name
 	return limits, nil
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -1,15 +1,21 @@
 package modelcheck
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"slices"
-	"time"
 )
 
-// Walk makes a random schedule and follows it; it gives the steps taken.
+const (
+	walkStream        = 77 // of the random generator, beside the seed
+	minPartitionSteps = 40 // between two changes of the partition
+	maxPartitionSteps = 300
+	deliveryWindow    = 6 // one of so many of the oldest messages is next
+	idleMS            = 5 // that pass when no message can be delivered
+)
+
+// Walk follows a random schedule and returns the steps that had an effect.
 func Walk(w *World, seed uint64, length int) []Step {
-	walker := &walker{world: w, rng: rand.New(rand.NewPCG(seed, 77))}
+	walker := &walker{world: w, rng: rand.New(rand.NewPCG(seed, walkStream))}
 	var taken []Step
 	for range length {
 		step := walker.next()
@@ -24,22 +30,18 @@
 	return taken
 }
 
-// walker draws steps that get somewhere: most messages arrive, most writes
-// last; for a while at a time some links are cut and some machines are quiet.
+// walker draws steps that make progress: most messages are delivered and most writes synced,
+// while some links are blocked for a while at a time.
 type walker struct {
 	world        *World
 	rng          *rand.Rand
-	blocked      map[[2]int]bool // from, to
-	partitionEnd int
+	blocked      map[[2]int]bool // links, by from and to
+	partitionEnd int             // in steps drawn
 	drawn        int
-	planned      []Step // come first
+	planned      []Step // taken before any are drawn
 }
 
-const (
-	maxPartitionSteps = 300 // at most, between two changes of what is cut
-	deliveryWindow    = 6   // one of so many of the oldest messages is next
-)
-
+// next draws a step; "" if there is none of the kind that was drawn.
 func (k *walker) next() Step {
 	k.drawn++
 	if k.drawn >= k.partitionEnd {
@@ -57,84 +59,93 @@
 	at := rng.IntN(len(w.machines))
 	switch draw := rng.IntN(1000); {
 	case draw < 560:
-		return k.messageStep(rng.IntN(100))
+		return k.nextMessage(rng.IntN(100))
 	case draw < 780:
-		return k.writeStep()
+		return k.nextWrite()
 	case draw < 790:
-		return Step(fmt.Sprintf("t%d", at))
+		return machineStep(stepElectionTimeout, at)
 	case draw < 840:
-		return k.onLeader(func(at int, _ *machine) Step { return Step(fmt.Sprintf("b%d", at)) })
+		return k.onLeader(func(at int, _ *machine) Step { return machineStep(stepHeartbeatDue, at) })
 	case draw < 844:
-		return Step(fmt.Sprintf("%c%d", "ck"[rng.IntN(2)], at))
+		return machineStep(randomCrash(rng), at)
 	case draw < 845:
 		if k.canWipe(w.machines[at].id) {
-			return Step(fmt.Sprintf("w%d", at))
+			return machineStep(stepWipe, at)
 		}
-		return k.messageStep(0)
+		return k.nextMessage(0)
 	case draw < 860:
-		return Step(fmt.Sprintf("f%d", at))
+		return machineStep(stepCompact, at)
 	case draw < 863:
-		return k.onLeader(func(at int, m *machine) Step { return Step(fmt.Sprintf("h%d%s", at, k.randomVoter(m))) })
+		return k.onLeader(func(at int, m *machine) Step { return memberStep(stepTransferLeadership, at, k.randomVoter(m)) })
 	case draw < 866:
-		return k.onLeader(func(at int, _ *machine) Step { return Step(fmt.Sprintf("n%d", at)) })
+		return k.onLeader(func(at int, _ *machine) Step { return machineStep(stepAppendFillers, at) })
 	case draw < 915:
-		return k.onLeader(func(at int, _ *machine) Step { return Step(fmt.Sprintf("p%d%d", rng.IntN(len(w.operators)), at)) })
+		return k.onLeader(func(at int, _ *machine) Step { return operatorStep(stepReplace, rng.IntN(len(w.operators)), at) })
 	case draw < 955:
-		return k.onLeader(func(at int, _ *machine) Step { return Step(fmt.Sprintf("r%d%d", rng.IntN(len(w.operators)), at)) })
+		return k.onLeader(func(at int, _ *machine) Step { return operatorStep(stepRead, rng.IntN(len(w.operators)), at) })
 	case draw < 970:
-		return Step(fmt.Sprintf("g%d", rng.IntN(len(w.operators))))
+		return giveUpStep(rng.IntN(len(w.operators)))
 	case w.limits.MembershipChanges:
-		return k.onLeader(k.membershipStep)
+		return k.onLeader(k.nextMembershipChange)
 	}
-	return k.messageStep(0)
+	return k.nextMessage(0)
 }
 
-// changePartition cuts other links: none, one machine's in either direction or both,
-// or between two sides.
+func randomCrash(rng *rand.Rand) stepKind {
+	return [...]stepKind{stepCrash, stepCrashAfterSync}[rng.IntN(2)]
+}
+
+// changePartition blocks other links: none, those from, to or both of one machine, or those
+// between two sides.
 func (k *walker) changePartition() {
-	k.partitionEnd = k.drawn + 40 + k.rng.IntN(maxPartitionSteps)
+	k.partitionEnd = k.drawn + minPartitionSteps + k.rng.IntN(maxPartitionSteps)
 	k.blocked = map[[2]int]bool{}
 	count := len(k.world.machines)
 	side := k.rng.Uint64()
 	one := k.rng.IntN(count)
 	kind := k.rng.IntN(8)
 	if kind < 3 && k.rng.IntN(2) == 0 && !k.world.limits.SharedClock {
-		// Often it is a leader that is cut off, and the others miss it.
+		// Often it is a leader that is partitioned away, and the others' elections time out.
 		k.onLeader(func(at int, _ *machine) Step { one = at; return "" })
 		for _, other := range append(k.rng.Perm(count), k.rng.Perm(count)...) {
 			if other != one {
-				k.planned = append(k.planned, Step(fmt.Sprintf("t%d", other)))
+				k.planned = append(k.planned, machineStep(stepElectionTimeout, other))
 			}
 		}
 	}
 	if k.world.limits.SharedClock && k.rng.IntN(2) == 0 {
-		// Two that don't hear each other, though a third hears both.
+		// Two machines are partitioned from each other, though a third reaches both.
 		other := (one + 1 + k.rng.IntN(count-1)) % count
 		k.blocked[[2]int{one, other}], k.blocked[[2]int{other, one}] = true, true
 		return
 	}
-	for a := range count {
-		for b := range count {
-			isCut := false
-			switch kind {
-			case 0:
-				isCut = a == one
-			case 1:
-				isCut = b == one
-			case 2:
-				isCut = a == one || b == one
-			case 3:
-				isCut = side>>a&1 != side>>b&1
-			}
-			if isCut {
-				k.blocked[[2]int{a, b}] = true
+	for from := range count {
+		for to := range count {
+			if isLinkBlocked(kind, from, to, one, side) {
+				k.blocked[[2]int{from, to}] = true
 			}
 		}
 	}
 }
 
-// canWipe tells whether the group goes on without a disk, as far as any machine
-// knows its members; a walk over a group that can't be saved shows nothing.
+// isLinkBlocked tells which links a kind of partition blocks: from a machine, to it, both, or
+// across two sides given as bits; none for higher kinds.
+func isLinkBlocked(kind, from, to, machine int, side uint64) bool {
+	switch kind {
+	case 0:
+		return from == machine
+	case 1:
+		return to == machine
+	case 2:
+		return from == machine || to == machine
+	case 3:
+		return side>>from&1 != side>>to&1
+	}
+	return false
+}
+
+// canWipe reports whether the group keeps its majority without a disk, by every machine's view
+// of the members: a walk of a group without a quorum shows nothing.
 func (k *walker) canWipe(lost string) bool {
 	for _, m := range k.world.machines {
 		if m.group == nil || m.id == lost {
@@ -153,84 +164,86 @@
 	return true
 }
 
-// nextTimed is a step of a world with one clock.
+// nextTimed draws a step of a world with a shared clock.
 func (k *walker) nextTimed() Step {
 	at := k.rng.IntN(len(k.world.machines))
 	switch draw := k.rng.IntN(1000); {
 	case draw < 500 && len(k.world.inFlight) > 0:
-		return k.messageStep(k.rng.IntN(100))
+		return k.nextMessage(k.rng.IntN(100))
 	case draw < 700:
-		return k.writeStep()
+		return k.nextWrite()
 	case draw < 715:
-		return Step(fmt.Sprintf("%c%d", "ck"[k.rng.IntN(2)], at))
+		return machineStep(randomCrash(k.rng), at)
 	case draw < 725:
 		return k.onLeader(func(at int, _ *machine) Step {
-			return Step(fmt.Sprintf("p%d%d", k.rng.IntN(len(k.world.operators)), at))
+			return operatorStep(stepReplace, k.rng.IntN(len(k.world.operators)), at)
 		})
 	}
-	return Step(fmt.Sprintf("z%d", 1+k.rng.IntN(20)))
+	return advanceTimeStep(1 + k.rng.IntN(20))
 }
 
-// writeStep lets some write last.
-func (k *walker) writeStep() Step {
+// nextWrite syncs some machine's current write.
+func (k *walker) nextWrite() Step {
 	for _, at := range k.rng.Perm(len(k.world.machines)) {
 		if k.world.machines[at].currentWrite != nil {
-			return Step(fmt.Sprintf("s%d", at))
+			return machineStep(stepSyncWrite, at)
 		}
 	}
-	return k.messageStep(0)
+	return k.nextMessage(0)
 }
 
-func (k *walker) messageStep(luck int) Step {
+// nextMessage delivers one of the oldest messages that aren't blocked; a high draw of 0 to 99
+// duplicates or loses it.
+func (k *walker) nextMessage(draw int) Step {
 	w := k.world
-	var open []int
-	for j, p := range w.inFlight {
-		from, to := machineIndex(p.from), machineIndex(p.to)
+	var candidates []int
+	for j, message := range w.inFlight {
+		from, to := machineIndex(message.from), machineIndex(message.to)
 		if !k.blocked[[2]int{from, to}] {
-			open = append(open, j)
-			if len(open) == deliveryWindow {
+			candidates = append(candidates, j)
+			if len(candidates) == deliveryWindow {
 				break
 			}
 		}
 	}
-	if len(open) == 0 && w.limits.SharedClock {
-		return "z5"
+	if len(candidates) == 0 && w.limits.SharedClock {
+		return advanceTimeStep(idleMS)
 	}
-	if len(open) == 0 {
-		return k.idleStep()
+	if len(candidates) == 0 {
+		return k.nextWhenIdle()
 	}
-	p := w.inFlight[open[k.rng.IntN(len(open))]]
-	kind := 'd'
+	chosen := w.inFlight[candidates[k.rng.IntN(len(candidates))]]
+	kind := stepDeliver
 	switch {
-	case luck > 97:
-		kind = 'x'
-	case luck > 94:
-		kind = 'u'
+	case draw > 97:
+		kind = stepLose
+	case draw > 94:
+		kind = stepDuplicate
 	}
-	return Step(fmt.Sprintf("%c%x", kind, p.key))
+	return messageStep(kind, chosen.key)
 }
 
-// idleStep brings something about where nothing is under way.
-func (k *walker) idleStep() Step {
+// nextWhenIdle starts something where no message can be delivered.
+func (k *walker) nextWhenIdle() Step {
 	step := k.onLeader(func(at int, _ *machine) Step {
 		switch k.rng.IntN(4) {
 		case 0:
-			return Step(fmt.Sprintf("p%d%d", k.rng.IntN(len(k.world.operators)), at))
+			return operatorStep(stepReplace, k.rng.IntN(len(k.world.operators)), at)
 		case 1:
-			return Step(fmt.Sprintf("r%d%d", k.rng.IntN(len(k.world.operators)), at))
+			return operatorStep(stepRead, k.rng.IntN(len(k.world.operators)), at)
 		}
-		return Step(fmt.Sprintf("b%d", at))
+		return machineStep(stepHeartbeatDue, at)
 	})
 	if step == "" || k.rng.IntN(16) == 0 {
-		return Step(fmt.Sprintf("t%d", k.rng.IntN(len(k.world.machines))))
+		return machineStep(stepElectionTimeout, k.rng.IntN(len(k.world.machines)))
 	}
 	return step
 }
 
-// machineIndex is the machine an id was made on.
+// machineIndex is the machine that a store ID was made for; see newStoreID.
 func machineIndex(id string) int { return int(id[0] - 'a') }
 
-// onLeader lets a leader do something: any of them, for there may be an old one.
+// onLeader draws a step of a leader: any of them, for there may be a deposed one; "" without.
 func (k *walker) onLeader(do func(at int, m *machine) Step) Step {
 	var leaders []int
 	for at, m := range k.world.machines {
@@ -253,77 +266,42 @@
 	return voters[k.rng.IntN(len(voters))]
 }
 
-// membershipStep is the next step of the members, as a controller proposes them: who
-// learns is seen through, lost stores go, and the group keeps its size; now and
-// then it is another step, for a controller may act on old word.
-func (k *walker) membershipStep(at int, m *machine) Step {
+// nextMembershipChange is the next change that a controller would propose: learners are
+// promoted, lost stores removed, and the group keeps its size. Now and then it is any other
+// change, since a controller may act on a stale state.
+func (k *walker) nextMembershipChange(at int, m *machine) Step {
 	members := m.group.MemberSet()
 	if k.rng.IntN(5) == 0 {
-		return k.randomMembershipStep(at, m)
+		return k.randomMembershipChange(at, m)
 	}
 	if len(members.Learners) > 0 {
-		return Step(fmt.Sprintf("v%d%s", at, members.Learners[0]))
+		return memberStep(stepPromote, at, members.Learners[0])
 	}
 	if len(members.Voters) > k.world.limits.Voters {
 		for _, id := range members.Voters {
 			if k.world.machineByID(id) == nil {
-				return Step(fmt.Sprintf("o%d%s", at, id))
+				return memberStep(stepRemove, at, id)
 			}
 		}
-		return Step(fmt.Sprintf("o%d%s", at, k.randomVoter(m)))
+		return memberStep(stepRemove, at, k.randomVoter(m))
 	}
 	for _, j := range k.rng.Perm(len(k.world.machines)) {
 		if id := k.world.machines[j].id; !slices.Contains(members.Voters, id) {
-			return Step(fmt.Sprintf("l%d%s", at, id))
+			return memberStep(stepAddLearner, at, id)
 		}
 	}
 	return ""
 }
 
-func (k *walker) randomMembershipStep(at int, m *machine) Step {
+func (k *walker) randomMembershipChange(at int, m *machine) Step {
 	members := m.group.MemberSet()
 	switch k.rng.IntN(3) {
 	case 0:
-		return Step(fmt.Sprintf("o%d%s", at, k.randomVoter(m)))
+		return memberStep(stepRemove, at, k.randomVoter(m))
 	case 1:
 		if len(members.Learners) > 0 {
-			return Step(fmt.Sprintf("o%d%s", at, members.Learners[0]))
-		}
-	}
-	return Step(fmt.Sprintf("l%d%s", at, k.world.machines[k.rng.IntN(len(k.world.machines))].id))
-}
-
-// Replay follows a schedule.
-func Replay(limits Limits, seed uint64, steps []Step) *World {
-	w := NewWorld(limits, seed)
-	for _, step := range steps {
-		if w.Execute(step); w.Violation() != "" {
-			break
-		}
-	}
-	return w
-}
-
-// shrinkTimeout is how long shorter schedules are looked for.
-const shrinkTimeout = 3 * time.Second
-
-// Shrink takes steps out of a schedule as long as something still doesn't hold.
-func Shrink(found *Violation, isBroken func(*World) string) *Violation {
-	steps := found.Schedule
-	until := time.Now().Add(shrinkTimeout)
-	for size := len(steps) / 2; size > 0 && time.Now().Before(until); {
-		isShorter := false
-		for at := 0; at+size <= len(steps) && time.Now().Before(until); {
-			shorter := slices.Concat(steps[:at], steps[at+size:])
-			if isBroken(Replay(found.Limits, found.Seed, shorter)) != "" {
-				steps, isShorter = shorter, true
-			} else {
-				at += size
-			}
-		}
-		if !isShorter || size > len(steps) {
-			size /= 2
+			return memberStep(stepRemove, at, members.Learners[0])
 		}
 	}
-	return &Violation{isBroken(Replay(found.Limits, found.Seed, steps)), found.Limits, found.Seed, steps}
+	return memberStep(stepAddLearner, at, k.world.machines[k.rng.IntN(len(k.world.machines))].id)
 }
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -78,7 +78,7 @@
 		w.machines = append(w.machines, m)
 	}
 	for range limits.Operators {
-		w.operators = append(w.operators, operator{operation: -1})
+		w.operators = append(w.operators, operator{operation: noOperation})
 	}
 	return w
 }
