--- a/internal/modelcheck/history_test.go
+++ b/internal/modelcheck/history_test.go
@@ -3,15 +3,16 @@
 import (
 	"bytes"
 	"fmt"
+	"net/http"
 	"sync/atomic"
 	"time"
 
 	"github.com/anishathalye/porcupine"
 )
 
-// The configuration is a register that is replaced by compare-and-set. A
-// replace that was asked for several times is one operation: it takes effect
-// once at most, wherever its copies went, and is acknowledged again afterwards.
+// configurationRegister is the sequential model of the configuration: a register with
+// compare-and-set. A replace with all its retries is one operation, which takes effect
+// once at most and is acknowledged again afterwards.
 type configurationRegister struct {
 	version uint64
 	content string
@@ -24,7 +25,7 @@
 }
 
 type output struct {
-	code    int32 // 0: unclear
+	code    int32 // 0: unknown
 	version uint64
 	content string
 }
@@ -32,30 +33,32 @@
 var registerModel = porcupine.Model{
 	Init: func() any { return configurationRegister{} },
 	Step: func(state, in, out any) (bool, any) {
-		now, asked, answer := state.(configurationRegister), in.(input), out.(output)
-		next := configurationRegister{asked.version, asked.content}
-		isFree := now.version == asked.base
+		current, request, result := state.(configurationRegister), in.(input), out.(output)
+		next := configurationRegister{request.version, request.content}
+		matches := current.version == request.base
 		switch {
-		case asked.isRead:
-			return answer.version == now.version && answer.content == now.content, now
-		case answer.code == 200:
-			return isFree, next
-		case answer.code != 0:
-			return !isFree, now
-		case isFree:
+		case request.isRead:
+			return result.version == current.version && result.content == current.content, current
+		case result.code == http.StatusOK:
+			return matches, next
+		case result.code != 0:
+			return !matches, current
+		case matches:
 			return true, next
 		}
-		return true, now
+		return true, current
 	},
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%+v -> %+v", in, out) },
 }
 
-// historyTimeout is how long one history is judged; what takes longer is counted as unjudged.
+// historyTimeout limits the check of one history; those that take longer are counted in
+// undecidedHistories.
 const historyTimeout = time.Second
 
 var undecidedHistories atomic.Int64
 
-// checkHistory tells what is wrong with what the operators saw; empty if nothing.
+// checkHistory describes the world's violation, or checks that its operations are
+// linearizable; "" if all is well.
 func checkHistory(w *World) string {
 	if w.Violation() != "" {
 		return w.Violation()
@@ -67,28 +70,29 @@
 		if o.isRead && o.returnedAt == 0 {
 			continue
 		}
-		each := porcupine.Operation{
-			// An operation left unclear goes on beside its operator's next ones.
+		recorded := porcupine.Operation{
+			// Each operation is a client of its own, since an abandoned one may take effect
+			// during its operator's next ones.
 			ClientId: k, Call: int64(o.invokedAt), Return: int64(o.returnedAt),
 			Input:  input{o.isRead, o.baseVersion, o.version, o.content},
 			Output: output{o.code, o.readVersion, o.readContent},
 		}
 		if o.returnedAt == 0 {
 			last++
-			each.Return = last
+			recorded.Return = last
 		}
-		history = append(history, each)
+		history = append(history, recorded)
 	}
 	verdict := porcupine.CheckOperationsTimeout(registerModel, history, historyTimeout)
 	if verdict == porcupine.Unknown {
 		undecidedHistories.Add(1)
 	}
 	if verdict == porcupine.Illegal {
-		var said bytes.Buffer
-		for _, each := range history {
-			fmt.Fprintf(&said, "\n  %d..%d %s", each.Call, each.Return, registerModel.DescribeOperation(each.Input, each.Output))
+		var description bytes.Buffer
+		for _, operation := range history {
+			fmt.Fprintf(&description, "\n  %d..%d %s", operation.Call, operation.Return, registerModel.DescribeOperation(operation.Input, operation.Output))
 		}
-		return "history: not linearizable:" + said.String()
+		return "history: not linearizable:" + description.String()
 	}
 	return ""
 }
--- a/internal/modelcheck/rapid_test.go
+++ b/internal/modelcheck/rapid_test.go
@@ -6,12 +6,11 @@
 	"pgregory.net/rapid"
 )
 
-// maxDrawnSteps is how long a drawn schedule is at most.
+// maxDrawnSteps limits the length of a drawn schedule.
 const maxDrawnSteps = 120
 
-// TestDrawnSchedules lets rapid choose among all that may happen, as a state
-// machine whose state is the world; what it finds it shrinks by itself, and the
-// schedule is printed to be played again.
+// TestDrawnSchedules lets rapid choose among the enabled steps. Rapid shrinks what it finds;
+// the schedule is printed to be replayed.
 func TestDrawnSchedules(t *testing.T) {
 	limits, err := preset("drawn")
 	if err != nil {
@@ -19,20 +18,20 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		w := NewWorld(limits, 0)
-		taken := ParseSchedule(atRest)
+		taken := ParseSchedule(idleGroup)
 		for _, step := range taken {
 			w.Execute(step)
 		}
 		for _, choice := range rapid.SliceOfN(rapid.Uint16(), maxDrawnSteps/4, maxDrawnSteps).Draw(t, "choices") {
-			moves := w.EnabledSteps()
-			step := moves[int(choice)%len(moves)]
+			enabled := w.EnabledSteps()
+			step := enabled[int(choice)%len(enabled)]
 			if w.Execute(step); w.Violation() != "" {
 				break
 			}
 			taken = append(taken, step)
 		}
-		if broken := checkHistory(w); broken != "" {
-			t.Fatalf("%s\n%s", broken, replayCommand(&Violation{broken, limits, 0, taken}))
+		if violation := checkHistory(w); violation != "" {
+			t.Fatalf("%s\n%s", violation, replayCommand(&Violation{violation, limits, 0, taken}))
 		}
 	})
 }
