--- a/internal/mutation/fault_mutants.go
+++ b/internal/mutation/fault_mutants.go
@@ -4,12 +4,12 @@
 func init() {
 	Mutants = append(Mutants, []*Mutant{
 		{
-			Guard: "an edition that was taken is acknowledged when it comes again", Rule: 11, Size: "small-called", Seed: 2,
+			Guard: "a repeated accepted update is acknowledged", Rule: 11, Size: "small-called", Seed: 2,
 			Faults: "ackloss/all:6s@3s,race/all:1s@3500ms,crowd/all:1s@5s",
 			Edits:  []Edit{{"internal/clusterstate", "	if m.isApplied(update.Version, digest) {\n", "	if false {\n"}},
 		},
 		{
-			Guard: "an edition that isn't above the present one is refused", Rule: 11, Size: "small-called", Seed: 2,
+			Guard: "an update whose version isn't higher is refused", Rule: 11, Size: "small-called", Seed: 2,
 			Faults: "bad/all:1s@4s,bad/all:1s@9s",
 			Edits:  []Edit{{"internal/clusterstate", "	if update.Version <= update.BaseVersion {\n", "	if false {\n"}},
 		},
