--- a/internal/mutation/calls_mutants.go
+++ b/internal/mutation/calls_mutants.go
@@ -1,6 +1,6 @@
 package mutation
 
-// Guards that keep an answer with its call, and a call from being made twice,
+// Guards that match replies with their calls, and keep calls from being sent twice; see
 // docs/control/calls.md.
 func init() {
 	Mutants = append(Mutants, []*Mutant{
--- a/internal/mutation/fault_mutants.go
+++ b/internal/mutation/fault_mutants.go
@@ -1,6 +1,6 @@
 package mutation
 
-// Guards that faults of schedules show, docs/control/faults.md.
+// Guards whose mutants fault schedules kill; see docs/control/faults.md.
 func init() {
 	Mutants = append(Mutants, []*Mutant{
 		{
--- a/internal/mutation/membership_mutants.go
+++ b/internal/mutation/membership_mutants.go
@@ -1,9 +1,9 @@
 package mutation
 
-// memberMutants are the guards of changes of membership; see docs/control/members.md.
+// memberMutants are the guards of membership changes; see docs/control/members.md.
 var memberMutants = []*Mutant{
 	{Guard: "promotion waits for a caught-up learner", Test: "internal/replica TestPromotionRequiresCaughtUpLearner", Edits: []Edit{
-		// Both who takes the order and the group itself see to it.
+		// Both the replica that gets the request and the group check it.
 		{"internal/replica", "		if !canPromote(now, r.group, m.Promote) {\n			return\n		}\n", ""},
 		{"internal/raft", "if !slices.Contains(old.Learners, id) || !g.IsCaughtUp(id) {", "if !slices.Contains(old.Learners, id) {"}}},
 	{Guard: "an empty learner isn't caught up in a young group", Test: "internal/raft TestLearnerCaughtUp", Edits: []Edit{{"internal/raft",
--- a/internal/mutation/modelcheck_mutants.go
+++ b/internal/mutation/modelcheck_mutants.go
@@ -1,6 +1,6 @@
 package mutation
 
-// The model checker alone shows these; see docs/control/model.md.
+// Guards whose mutants only the model checker kills; see docs/control/model.md.
 func init() { Mutants = append(Mutants, modelMutants...) }
 
 const (
@@ -46,7 +46,7 @@
 		"return fmt.Sprintf(\"%c%d\", 'a'+index, incarnation)", "return fmt.Sprintf(\"%c%d\", 'a'+index, 0*incarnation)"}}},
 	{Guard: "a restarted replica honours the leader lease", Rule: 2, Test: "internal/raft TestRestartedReplicaHonoursLeaderLease", Edits: []Edit{{"internal/raft",
 		"return hasLeader || now < g.formerLeaseExpiry", "return hasLeader"}}},
-	// Besides its test, a day shows it.
+	// A scenario kills it too, besides the test of another mutant.
 	{Guard: "the leases of a former scheduler are waited for", Rule: 2, Scenario: "leader warned, then the next", Seed: 1, Edits: []Edit{{"internal/scheduler",
 		"last := max(w.lastResponse, w.leaseSince+timing.FromBounds(s.bounds).FormerLeaseTimeout)", "last := w.lastResponse"}}},
 	{Guard: "an accepted version is recognised again", Rule: 11, Test: walks, Edits: []Edit{{"internal/clusterstate",
--- a/internal/mutation/replace_mutants.go
+++ b/internal/mutation/replace_mutants.go
@@ -1,7 +1,7 @@
 package mutation
 
-// replaceMutants are the guards that make replacing the plan a compare-and-set
-// whose orders may be sent again; see docs/control/replace.md.
+// replaceMutants are the guards that make replacing the configuration an idempotent
+// compare-and-set; see docs/control/replace.md.
 var replaceMutants = []*Mutant{
 	{Guard: "a repeated replace is recognised", Rule: 11, Test: "internal/sim TestReplaceIsLinearizable", Edits: []Edit{{"internal/clusterstate",
 		"			return true\n		}\n	}\n	return false\n}\n\n// oldestRememberedRevision", "			return false\n		}\n	}\n	return false\n}\n\n// oldestRememberedRevision"}}},
