--- a/internal/modelcheck/describe_test.go
+++ b/internal/modelcheck/describe_test.go
@@ -29,7 +29,8 @@
 			continue
 		}
 		g := m.group
-		machines = append(machines, fmt.Sprintf("%s %s term %d last %d stable %d commit %d version %d", m.id, g.Role(), g.Term(), g.LastIndex(), g.StableIndex(), g.CommitIndex(), m.state.Configuration().GetVersion()))
+		machines = append(machines, fmt.Sprintf("%s %s term %d last %d stable %d commit %d version %d",
+			m.id, g.Role(), g.Term(), g.LastIndex(), g.StableIndex(), g.CommitIndex(), m.state.Configuration().GetVersion()))
 	}
 	return strings.Join(machines, " | ")
 }
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -29,7 +29,8 @@
 		buffer = appendNumbers(buffer, uint64(o.operator), o.baseVersion, o.version, uint64(o.code), o.readVersion, o.minVersion)
 		buffer = appendFlags(buffer, o.isRead, o.isAbandoned, o.isApplied, o.returnedAt > 0)
 	}
-	buffer = appendNumbers(buffer, uint64(w.crashes), uint64(w.wipes), uint64(w.duplicates), uint64(w.proposals), w.maxKnownVersion, uint64(len(w.committed)), w.checksum)
+	buffer = appendNumbers(buffer, uint64(w.crashes), uint64(w.wipes), uint64(w.duplicates), uint64(w.proposals),
+		w.maxKnownVersion, uint64(len(w.committed)), w.checksum)
 	var inFlightSum uint64
 	for _, message := range w.inFlight {
 		inFlightSum += mix(message.key)
--- a/internal/modelcheck/invariants_log.go
+++ b/internal/modelcheck/invariants_log.go
@@ -54,13 +54,15 @@
 // a snapshot continue it.
 func (w *World) checkLog(m *machine) {
 	if m.group.LastIndex() != lastIndex(m.log) || m.group.SnapshotIndex() != m.log.Snapshot.Index {
-		w.fail("durability: %s holds entries %d to %d, its store %d to %d", m.id, m.group.SnapshotIndex()+1, m.group.LastIndex(), m.log.Snapshot.Index+1, lastIndex(m.log))
+		w.fail("durability: %s holds entries %d to %d, its store %d to %d", m.id,
+			m.group.SnapshotIndex()+1, m.group.LastIndex(), m.log.Snapshot.Index+1, lastIndex(m.log))
 	}
 	if len(m.log.Entries) == 0 || m.log.Snapshot.Index == 0 {
 		return
 	}
 	first := m.log.Entries[0]
 	if previousTerm := w.entries[entryID{first.Index, first.Term}].previousTerm; previousTerm != m.log.Snapshot.Term {
-		w.fail("log matching: %s holds entry %d of term %d, which follows term %d, on a snapshot of term %d", m.id, first.Index, first.Term, previousTerm, m.log.Snapshot.Term)
+		w.fail("log matching: %s holds entry %d of term %d, which follows term %d, on a snapshot of term %d", m.id,
+			first.Index, first.Term, previousTerm, m.log.Snapshot.Term)
 	}
 }
--- a/internal/modelcheck/invariants_membership.go
+++ b/internal/modelcheck/invariants_membership.go
@@ -34,8 +34,9 @@
 		if slices.Contains(old.GetVoters(), id) {
 			continue
 		}
-		if last := w.durableLastIndex(id); last+maxPromotionLag < entry.Index-1 || last < membershipIndexBefore(m.log, entry.Index) {
-			w.fail("membership: %s was made a voter with %d entries of %d, the last change at %d", id, last, entry.Index-1, membershipIndexBefore(m.log, entry.Index))
+		last, lastChange := w.durableLastIndex(id), membershipIndexBefore(m.log, entry.Index)
+		if last+maxPromotionLag < entry.Index-1 || last < lastChange {
+			w.fail("membership: %s was made a voter with %d entries of %d, the last change at %d", id, last, entry.Index-1, lastChange)
 		}
 	}
 }
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -21,7 +21,8 @@
 
 // replayCommand is the command that replays a violation.
 func replayCommand(found *Violation) string {
-	return fmt.Sprintf("go test ./internal/modelcheck -v -run TestReplay -world %s -seed %d -schedule %q", found.Limits.Name, found.Seed, FormatSchedule(found.Schedule))
+	return fmt.Sprintf("go test ./internal/modelcheck -v -run TestReplay -world %s -seed %d -schedule %q",
+		found.Limits.Name, found.Seed, FormatSchedule(found.Schedule))
 }
 
 // reportViolation shrinks a violation and fails the test with the command that replays it.
@@ -193,7 +194,8 @@
 		})
 	}
 	workers.Wait()
-	t.Logf("%s: %d walks, %d steps, %d leaders, %d answers, %d changes of members, %d histories unjudged, %v", limits.Name,
+	t.Logf("%s: %d walks, %d steps, %d leaders, %d answers, %d changes of members, %d histories unjudged, %v",
+		limits.Name,
 		counts.walks, counts.steps, counts.leaders, counts.answers, counts.changes, undecidedHistories.Swap(0), time.Since(startedAt).Round(time.Millisecond))
 	if found != nil {
 		reportViolation(t, found)
--- a/internal/modelcheck/operators.go
+++ b/internal/modelcheck/operators.go
@@ -40,12 +40,16 @@
 
 func replaceCommand(o *operation) []byte {
 	update := &schema.ConfigurationUpdate{Version: o.version, BaseVersion: o.baseVersion, Document: []byte(o.content)}
-	return marshalCommand(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: update}}})
+	return marshalCommand(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{
+		UpdateConfiguration: &schema.UpdateConfiguration{Update: update},
+	}})
 }
 
 // fillerCommand is a command without an effect that matters; it takes up an entry.
 func fillerCommand() []byte {
-	return marshalCommand(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: "controller"}}})
+	return marshalCommand(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{
+		ClaimControllerLease: &schema.ClaimControllerLease{Holder: "controller"},
+	}})
 }
 
 func marshalCommand(command *schema.ClusterStateCommand) []byte {
--- a/internal/modelcheck/presets.go
+++ b/internal/modelcheck/presets.go
@@ -5,10 +5,23 @@
 // presets are the worlds that are explored, by name.
 var presets = map[string]Limits{
 	// For exhaustive searches: three replicas and two operators.
-	"whole":   {Machines: 3, Voters: 3, Operators: 2, Operations: 6, Messages: 64, Crashes: 1, Duplicates: 1, Proposals: 3},
-	"synced":  {Machines: 3, Voters: 3, Operators: 2, Operations: 6, Messages: 64, Crashes: 1, Duplicates: 0, Proposals: 3, SyncAtOnce: true},
-	"members": {Machines: 4, Voters: 3, Operators: 2, Operations: 4, Messages: 64, Crashes: 1, Wipes: 1, Proposals: 3, SyncAtOnce: true, MembershipChanges: true},
-	"drawn":   {Machines: 4, Voters: 3, Operators: 2, Operations: 12, Messages: 64, Crashes: 3, Wipes: 1, Duplicates: 6, Proposals: 12, MembershipChanges: true},
+	"whole": {
+		Machines: 3, Voters: 3, Operators: 2, Operations: 6, Messages: 64,
+		Crashes: 1, Duplicates: 1, Proposals: 3,
+	},
+	"synced": {
+		Machines: 3, Voters: 3, Operators: 2, Operations: 6, Messages: 64,
+		Crashes: 1, Proposals: 3, SyncAtOnce: true,
+	},
+	"members": {
+		Machines: 4, Voters: 3, Operators: 2, Operations: 4, Messages: 64,
+		Crashes: 1, Wipes: 1, Proposals: 3, SyncAtOnce: true, MembershipChanges: true,
+	},
+	// For schedules that rapid draws.
+	"drawn": {
+		Machines: 4, Voters: 3, Operators: 2, Operations: 12, Messages: 64,
+		Crashes: 3, Wipes: 1, Duplicates: 6, Proposals: 12, MembershipChanges: true,
+	},
 	// For random walks, with membership changes and torn files.
 	"walk3": walkLimits(3, 5),
 	"walk4": walkLimits(4, 6),
