--- a/internal/mutation/membership_mutants.go
+++ b/internal/mutation/membership_mutants.go
@@ -4,7 +4,7 @@
 var memberMutants = []*Mutant{
 	{Guard: "promotion waits for the copy", Test: "internal/replica TestPromotionRequiresCaughtUpLearner", Edits: []Edit{
 		// Both who takes the order and the group itself see to it.
-		{"internal/replica", "		if !canPromote(now, r.group, m.Promote) {\n			return\n		}\n", ""},
+		{"internal/replica", "		if !canPromote(now, group, m.Promote) {\n			return nil\n		}\n", ""},
 		{"internal/raft", "if !slices.Contains(old.Learners, id) || !g.IsCaughtUp(id) {", "if !slices.Contains(old.Learners, id) {"}}},
 	{Guard: "an empty learner isn't caught up in a young group", Test: "internal/raft TestLearnerCaughtUp", Edits: []Edit{{"internal/raft",
 		"p.match >= g.memberSetIndex && g.LastIndex()-p.match <= MaxLearnerLag", "g.LastIndex()-p.match <= MaxLearnerLag"}}},
--- a/internal/mutation/partition_mutants.go
+++ b/internal/mutation/partition_mutants.go
@@ -17,7 +17,7 @@
 			"		if index, _, err := r.group.Propose(now, m.Body); err == nil {\n",
 			"		preview, _ := clusterstate.Restore(h.clusterState.Snapshot())\n" +
 				"		if result, err := preview.Apply(0, m.Body); err == nil && result.Error != nil {\n" +
-				"			h.replyClusterStateResult(pending, result, r, effects)\n" +
+				"			h.replyClusterStateResult(pending, result, effects)\n" +
 				"			return\n" +
 				"		}\n" +
 				"		if index, _, err := r.group.Propose(now, m.Body); err == nil {\n"}}},
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -1,6 +1,7 @@
 package replica
 
-// Applying committed records, and telling of it.
+// Applying committed entries, and notifying other components and processes of the
+// results.
 
 import (
 	"maps"
@@ -13,98 +14,140 @@
 	"sparnotch/internal/schema"
 )
 
-type pendingReply struct {
-	term    uint64
-	from    string // process that asked; empty: this one
-	request *schema.Request
-	end     *schema.TaskEndReport
-}
-
+// applyEntry applies a committed entry to the group's state machine. It panics with
+// Unreadable if the entry can't be decoded.
 func (h *Host) applyEntry(now eventloop.Micros, r *replica, entry *schema.Entry, effects eventloop.Effects) {
 	pending, isPending := r.pendingCommands[entry.Index]
 	delete(r.pendingCommands, entry.Index)
-	// What was asked for under another term was replaced in the log; its
-	// asker asks again.
+	// A command that was proposed in another term was overwritten in the log by this
+	// entry. Its caller gets no answer and retries.
 	isPending = isPending && pending.term == entry.Term
 	if entry.Kind != schema.EntryKind_ENTRY_COMMAND {
 		return
 	}
+	var caller *pendingReply
+	if isPending {
+		caller = &pending
+	}
 	if r.queue == nil {
-		result, err := h.clusterState.Apply(entry.TimeUs, entry.Data)
-		if err != nil {
-			panic(Unreadable.Wrap(err, "record of %s", r.group.Name()))
-		}
-		h.compactClusterStateLog(r, entry)
-		h.publishClusterState(now, effects)
-		if isPending {
-			h.replyClusterStateResult(pending, result, r, effects)
-		}
-		return
+		h.applyClusterStateCommand(now, r, entry, caller, effects)
+	} else {
+		h.applyQueueCommand(r, entry, caller, effects)
+	}
+}
+
+// applyClusterStateCommand applies a command of the cluster state; caller is nil if
+// nobody waits for it here.
+func (h *Host) applyClusterStateCommand(now eventloop.Micros, r *replica, entry *schema.Entry, caller *pendingReply, effects eventloop.Effects) {
+	result, err := h.clusterState.Apply(entry.TimeUs, entry.Data)
+	if err != nil {
+		panic(Unreadable.Wrap(err, "entry of %s", r.group.Name()))
+	}
+	h.compactClusterStateLog(r, entry)
+	h.publishClusterState(now, effects)
+	if caller != nil {
+		h.replyClusterStateResult(*caller, result, effects)
 	}
+}
+
+// applyQueueCommand applies a command of a queue; the effects that concern others are
+// carried out by the leader alone. caller is nil if nobody waits for it here.
+func (h *Host) applyQueueCommand(r *replica, entry *schema.Entry, caller *pendingReply, effects eventloop.Effects) {
 	result, err := r.queue.Apply(entry.Index, entry.TimeUs, entry.Data)
 	if err != nil {
-		panic(Unreadable.Wrap(err, "record of %s", r.group.Name()))
+		panic(Unreadable.Wrap(err, "entry of %s", r.group.Name()))
 	}
-	if result.ReleaseCursor != nil {
-		r.group.Compact(result.ReleaseCursor.Index, result.ReleaseCursor.Snapshot)
+	if cursor := result.ReleaseCursor; cursor != nil {
+		r.group.Compact(cursor.Index, cursor.Snapshot)
 	}
 	if !r.group.IsLeader() {
 		return
 	}
 	for _, outcome := range result.Outcomes {
-		key := outcome.Session.Gateway + "/" + r.name
-		if h.applied[key] == nil {
-			h.applied[key] = &schema.SubmitResponse{Queue: r.name, Leader: h.id}
-		}
-		h.applied[key].Results = append(h.applied[key].Results, outcome)
+		h.addOutcome(r, outcome)
 	}
-	if len(result.Events) > 0 && r.notifiedTerm == r.group.Term() {
-		effects.Notify("scheduler", h.newTaskEvents(r, result.Events, false, result.Events[len(result.Events)-1].Sequence))
+	if count := len(result.Events); count > 0 && r.notifiedTerm == r.group.Term() {
+		effects.Notify("scheduler", h.newTaskEvents(r, result.Events, result.Events[count-1].Sequence))
 	}
-	if isPending && pending.end != nil {
-		h.acknowledgeEnd(pending.from, pending.end, effects)
+	switch {
+	case caller == nil:
+	case caller.end != nil:
+		h.acknowledgeEnd(caller.from, caller.end, effects)
+	case caller.request != nil:
+		h.reply(*caller, result.CancelCode, jobViewOrFault(result.CancelView), effects)
 	}
-	if isPending && pending.request != nil {
-		h.reply(pending, result.CancelCode, jobViewOrFault(result.CancelView), r.group, effects)
+}
+
+// addOutcome collects the outcome of a submission, so that each gateway gets one message
+// a step and queue.
+func (h *Host) addOutcome(r *replica, outcome *schema.SubmitResult) {
+	key := outcome.Session.Gateway + "/" + r.name
+	if h.applied[key] == nil {
+		h.applied[key] = &schema.SubmitResponse{Queue: r.name, Leader: h.id}
+	}
+	h.applied[key].Results = append(h.applied[key].Results, outcome)
+}
+
+// sendApplied sends the outcomes of this step to their gateways.
+func (h *Host) sendApplied(effects eventloop.Effects) {
+	for _, key := range slices.Sorted(maps.Keys(h.applied)) {
+		applied := h.applied[key]
+		delete(h.applied, key)
+		effects.Send(applied.Results[0].Session.Gateway, applied)
 	}
 }
 
-func (h *Host) newTaskEvents(r *replica, events []*queue.TaskEvent, isSnapshot bool, lastSequence uint64) TaskEvents {
+func (h *Host) newTaskEvents(r *replica, events []*queue.TaskEvent, lastSequence uint64) TaskEvents {
 	return TaskEvents{
-		Queue: r.name, Group: r.group.Name(), Term: r.group.Term(), LastSequence: lastSequence, Events: events, IsSnapshot: isSnapshot,
+		Queue: r.name, Group: r.group.Name(), Term: r.group.Term(), LastSequence: lastSequence, Events: events,
 		Urgency: h.values.Number("queue", r.name, "urgency"),
 		Running: h.values.Number("queue", r.name, "running"),
 	}
 }
 
-// notifyScheduler tells the scheduler of queues newly led, and of those led no more.
+// handleResyncQueue has the scheduler sent a snapshot at the end of this step.
+func (h *Host) handleResyncQueue(m ResyncQueue) {
+	if r := h.groups[m.Group]; r != nil && r.queue != nil {
+		r.notifiedTerm = 0
+	}
+}
+
+// notifyScheduler sends the scheduler a snapshot of each queue that this node has come
+// to lead, and tells it of those it no longer leads.
 func (h *Host) notifyScheduler(now eventloop.Micros, effects eventloop.Effects) {
-	for _, name := range h.groupNamesInOrder() {
+	for _, name := range h.groupNames() {
 		r := h.groups[name]
-		if r.queue == nil {
-			continue
-		}
-		if !r.group.IsLeader() {
-			if r.notifiedTerm != 0 {
-				r.notifiedTerm = 0
-				effects.Notify("scheduler", LeadershipLost{Queue: r.name})
-			}
-			if len(r.pendingCommands) > 0 {
-				r.pendingCommands = map[uint64]pendingReply{}
-			}
-			if len(r.pendingReads) > 0 {
-				r.pendingReads = map[uint64]pendingReply{}
-			}
-			continue
-		}
-		if r.notifiedTerm != r.group.Term() && r.group.HoldsLeaderLease(now) {
+		switch {
+		case r.queue == nil:
+		case !r.group.IsLeader():
+			h.endLeadership(r, effects)
+		case r.notifiedTerm != r.group.Term() && r.group.HoldsLeaderLease(now):
 			r.notifiedTerm = r.group.Term()
-			events, lastSequence := r.queue.ActiveTasks()
-			effects.Notify("scheduler", h.newTaskEvents(r, events, true, lastSequence))
+			snapshot := h.newTaskEvents(r, nil, 0)
+			snapshot.IsSnapshot = true
+			snapshot.Events, snapshot.LastSequence = r.queue.ActiveTasks()
+			effects.Notify("scheduler", snapshot)
 		}
 	}
 }
 
+// endLeadership forgets what only the leader of a queue keeps. Callers that still wait
+// retry with the new leader.
+func (h *Host) endLeadership(r *replica, effects eventloop.Effects) {
+	if r.notifiedTerm != 0 {
+		r.notifiedTerm = 0
+		effects.Notify("scheduler", LeadershipLost{Queue: r.name})
+	}
+	if len(r.pendingCommands) > 0 {
+		r.pendingCommands = map[uint64]pendingReply{}
+	}
+	if len(r.pendingReads) > 0 {
+		r.pendingReads = map[uint64]pendingReply{}
+	}
+}
+
+// publishClusterState passes a new version of the cluster state to the components of
+// this process and, where this node leads it, to those that should have it at once.
 func (h *Host) publishClusterState(now eventloop.Micros, effects eventloop.Effects) {
 	if h.clusterState.Version() == h.state.Version && h.state.Version != 0 {
 		return
@@ -116,37 +159,42 @@
 	}
 	effects.Notify("membership", membership.ClusterStateObserved{Version: h.state.Version})
 	if old.Configuration != h.state.Configuration {
+		// A queue's urgency and limit may have changed. They are sent with its snapshot,
+		// which is long while many tasks wait, so other changes don't cause one.
 		for _, r := range h.groups {
-			// Urgency may have changed with the plan. Nothing else in the cluster state is
-			// told with the list, which is long while much waits.
 			r.notifiedTerm = 0
 		}
 	}
-	// New queues are waited for: the controller places them, and their founders make
-	// them, when they hear of it.
-	r := h.groups[clusterstate.Group]
-	if !r.group.IsLeader() {
-		return
+	if r := h.groups[clusterstate.Group]; r.group.IsLeader() {
+		h.pushClusterState(now, r, old, effects)
 	}
+}
+
+// pushClusterState sends a new version at once where waiting for the next query would
+// delay work.
+func (h *Host) pushClusterState(now eventloop.Micros, r *replica, old *schema.ClusterState, effects eventloop.Effects) {
 	if len(old.Queues) != len(h.state.Queues) {
+		// The initial voters of a new queue create its replicas once they know of it,
+		// so they learn the commit index without waiting for the next heartbeat.
 		r.group.BroadcastCommit(now)
 	}
-	// Workers whose ward went elsewhere are served again as soon as their agents
-	// have heard.
+	known := &schema.ClusterStateRequest{Version: old.Version}
 	if h.membership != nil && anyLeaseMoved(old.WorkerLeases, h.state.WorkerLeases) {
+		// A worker whose lease has moved gets no orders until its agent knows the new
+		// scheduler.
 		for _, id := range slices.Sorted(maps.Keys(h.membership.Members)) {
 			if h.membership.Members[id].Member.Role == schema.Role_ROLE_CONTROLLER && h.membership.IsAlive(id, now, livenessTimeout) {
-				h.sendClusterState(now, id, &schema.ClusterStateRequest{Version: old.Version}, effects)
+				h.sendClusterState(now, id, known, effects)
 			}
 		}
 		return
 	}
 	if controller := h.state.ControllerLease.GetHolder(); controller != "" && old.Configuration != h.state.Configuration {
-		h.sendClusterState(now, controller, &schema.ClusterStateRequest{Version: old.Version}, effects)
+		h.sendClusterState(now, controller, known, effects)
 	}
 }
 
-// anyLeaseMoved tells whether a ward that was there is with another scheduler now.
+// anyLeaseMoved tells whether a worker's lease has gone from one scheduler to another.
 func anyLeaseMoved(before, after []*schema.WorkerLease) bool {
 	schedulers := map[string]string{}
 	for _, lease := range before {
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -1,8 +1,12 @@
 package replica
 
-// Making groups: the first ones of a cluster, and those of new queues.
+// Creating and removing replicas: the cluster state's at the bootstrap of a cluster,
+// those of queues as the cluster state lists them, and those of groups that this node
+// is added to.
 
 import (
+	"slices"
+
 	"google.golang.org/protobuf/proto"
 
 	"sparnotch/internal/clusterstate"
@@ -12,56 +16,85 @@
 	"sparnotch/internal/storage"
 )
 
+// handlePersistIdentity stores the identity that the membership asks for and, if it
+// names the first voters, bootstraps the cluster state's group.
 func (h *Host) handlePersistIdentity(now eventloop.Micros, m membership.PersistIdentity) {
-	// We may have been counted in since the book made up its account.
+	// A leader may have added this node to a group since the membership asked.
 	if h.identity.Joined && !m.Identity.Joined {
 		m.Identity.Joined = true
 	}
-	h.identity = m.Identity
-	h.nextWrite.changes = append(h.nextWrite.changes, &schema.StoreChange{Identity: m.Identity})
-	h.nextWrite.identities = append(h.nextWrite.identities, m.Identity)
+	h.persistIdentity(m.Identity)
 	if len(m.BootstrapVoters) > 0 && h.groups[clusterstate.Group] == nil {
 		h.bootstrapGroup(now, clusterstate.Group, m.BootstrapVoters)
 	}
 }
 
-// joinGroup opens a replica of a group whose leader counts us in: it starts empty and
-// learns, and never campaigns before it has learnt its member set.
+func (h *Host) persistIdentity(identity *schema.StoreIdentity) {
+	h.identity = identity
+	h.nextWrite.changes = append(h.nextWrite.changes, &schema.StoreChange{Identity: identity})
+	h.nextWrite.identities = append(h.nextWrite.identities, identity)
+}
+
+// joinGroup adds an empty replica of a group whose leader counts this node as a member.
+// It doesn't campaign before it has received its member set. The result is nil for a
+// queue that was deleted.
 func (h *Host) joinGroup(now eventloop.Micros, name string) *replica {
 	if name != clusterstate.Group && (QueueName(name) == "" || h.isObsolete(name)) {
 		return nil
 	}
 	r := h.openGroup(now, name, &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}})
 	if !h.identity.Joined {
-		// Counted in, so this store may found nothing any more.
-		self := proto.Clone(h.identity).(*schema.StoreIdentity)
-		self.Joined = true
-		h.identity = self
-		h.nextWrite.changes = append(h.nextWrite.changes, &schema.StoreChange{Identity: self})
-		h.nextWrite.identities = append(h.nextWrite.identities, self)
+		// A member of a cluster must not bootstrap another one.
+		identity := proto.Clone(h.identity).(*schema.StoreIdentity)
+		identity.Joined = true
+		h.persistIdentity(identity)
 	}
 	return r
 }
 
-func (h *Host) bootstrapGroup(now eventloop.Micros, name string, voters []string) {
-	state := &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: voters}}}
-	h.nextWrite.changes = append(h.nextWrite.changes, &schema.StoreChange{Group: name, Snapshot: state.Snapshot})
-	h.openGroup(now, name, state)
+// bootstrapGroup creates the replica of a new group with its first voters.
+func (h *Host) bootstrapGroup(now eventloop.Micros, name string, voters []string) *replica {
+	image := &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: voters}}}
+	h.nextWrite.changes = append(h.nextWrite.changes, &schema.StoreChange{Group: name, Snapshot: image.Snapshot})
+	return h.openGroup(now, name, image)
 }
 
-// bootstrapQueue makes the replica of a queue that this store is a founder of; who is
-// to keep the queue stands at once.
+// bootstrapQueue creates the replica of a queue that this node is a first voter of. The
+// preferred leader campaigns at once.
 func (h *Host) bootstrapQueue(now eventloop.Micros, place *schema.QueuePlacement) {
 	name := GroupName(place)
-	if existing := h.groups[name]; existing != nil {
-		// Its leader was faster than our copy of the cluster state.
-		if existing.group.SnapshotIndex() == 0 {
-			existing.group.Bootstrap(place.InitialVoters)
+	if r := h.groups[name]; r != nil {
+		// The queue's leader created it before this node's copy of the cluster state
+		// listed the queue.
+		if r.group.SnapshotIndex() == 0 {
+			r.group.Bootstrap(place.InitialVoters)
 		}
 		return
 	}
-	h.bootstrapGroup(now, name, place.InitialVoters)
+	r := h.bootstrapGroup(now, name, place.InitialVoters)
 	if place.PreferredLeader == h.id && !h.isDraining {
-		h.groups[name].group.BootstrapCampaign(now)
+		r.group.BootstrapCampaign(now)
+	}
+}
+
+// reconcileQueues creates and removes replicas as the cluster state lists the queues.
+func (h *Host) reconcileQueues(now eventloop.Micros, effects eventloop.Effects) {
+	if h.groups[clusterstate.Group] == nil {
+		return
+	}
+	listed := map[string]bool{clusterstate.Group: true}
+	for _, place := range h.state.Queues {
+		listed[GroupName(place)] = true
+		if slices.Contains(place.InitialVoters, h.id) {
+			h.bootstrapQueue(now, place)
+		}
+	}
+	for _, name := range h.groupNames() {
+		// A queue that isn't listed may be newer than this node's copy of the cluster
+		// state; only one that is known to be deleted is removed.
+		if !listed[name] && h.groups[name].queue != nil && h.isDeleted(name) {
+			h.dropGroup(name)
+			effects.Notify("scheduler", LeadershipLost{Queue: QueueName(name)})
+		}
 	}
 }
--- a/internal/replica/configuration_rows.go
+++ b/internal/replica/configuration_rows.go
@@ -1,6 +1,6 @@
 package replica
 
-// Rows of a large plan that are on their way to other processes.
+// Rows of a large configuration that are in flight to other processes.
 
 import (
 	"maps"
@@ -9,15 +9,15 @@
 	"sparnotch/internal/schema"
 )
 
-// configurationSent is when a plan's rows were last sent to a process.
+// configurationSent is the configuration whose rows were last sent to a process.
 type configurationSent struct {
 	revision      uint64
-	inFlightUntil eventloop.Micros // they may be on their way
+	inFlightUntil eventloop.Micros // the rows may arrive until then
 }
 
-// suppressResend tells whether a plan's packed rows were sent to a process so lately
-// that they may still be on their way, and else notes that they are sent now. Who
-// asks often would else be sent them again and again over a slow link.
+// suppressResend tells whether a configuration's packed rows may still be in flight to
+// a process. If they aren't, it records that they are sent now. Without it a process
+// that asks often over a slow link would be sent the same rows again and again.
 func (h *Host) suppressResend(now eventloop.Micros, to string, configuration *schema.Configuration) bool {
 	if len(configuration.PackedRows) == 0 || to == h.id {
 		return false
@@ -26,7 +26,7 @@
 	if last.revision == configuration.Revision && now < last.inFlightUntil {
 		return true
 	}
-	maps.DeleteFunc(h.configurationsSent, func(_ string, each configurationSent) bool { return now >= each.inFlightUntil })
+	maps.DeleteFunc(h.configurationsSent, func(_ string, sent configurationSent) bool { return now >= sent.inFlightUntil })
 	h.configurationsSent[to] = configurationSent{configuration.Revision, now + 2*eventloop.LinkTime(len(configuration.PackedRows))}
 	return false
 }
--- a/internal/replica/disk_capacity.go
+++ b/internal/replica/disk_capacity.go
@@ -1,30 +1,33 @@
 package replica
 
+// The capacity of the disk, part of which is reserved for what isn't a submission.
+
 import "sparnotch/internal/eventloop"
 
 const (
-	// diskCapacityFactor: of the room on a disk the two slots and the two logs, each as
-	// large as the content at most, take four parts. The fifth is for whatever
-	// isn't a hand-in: ends of tasks, cancels, changes of the plan, by which the
-	// content shrinks again.
+	// diskCapacityFactor is how many times the durable state must fit on the disk while
+	// submissions are accepted: two slots and two logs, each as large as the state at
+	// most, and as much again for task reports, cancels and configuration updates, by
+	// which the state becomes smaller again.
 	diskCapacityFactor = 5
-	diskCheckInterval  = eventloop.Second // between two looks
+	diskCheckInterval  = eventloop.Second
 )
 
-// diskCapacity is what is known of the disk's.
+// diskCapacity is the capacity of this node's disk, and whether it is used up.
 type diskCapacity struct {
-	limitBytes int64 // bytes that the data folder may hold; 0: not told
+	limitBytes int64 // that the data directory may hold; 0: unknown
 	checkedAt  eventloop.Micros
-	isLow      bool // no hand-in is taken
+	isLow      bool // submissions are rejected
 }
 
-// WithDiskCapacity tells how many bytes the data folder may hold; 0: not told.
-func (h *Host) WithDiskCapacity(disk int64) *Host {
-	h.disk.limitBytes = disk
+// WithDiskCapacity sets how many bytes the data directory may hold and returns h; 0:
+// unknown, so submissions are never rejected for it.
+func (h *Host) WithDiskCapacity(bytes int64) *Host {
+	h.disk.limitBytes = bytes
 	return h
 }
 
-// checkDiskCapacity sees whether the content leaves room for its next slot.
+// checkDiskCapacity updates whether submissions are rejected for lack of disk space.
 func (h *Host) checkDiskCapacity(now eventloop.Micros) {
 	if h.disk.limitBytes == 0 || now-h.disk.checkedAt < diskCheckInterval {
 		return
@@ -33,7 +36,7 @@
 	h.disk.isLow = diskCapacityFactor*h.contentBytes() > h.disk.limitBytes
 }
 
-// contentBytes is how much the groups' durable state holds.
+// contentBytes is the size of the durable state of all groups.
 func (h *Host) contentBytes() int64 {
 	size := 0
 	for _, r := range h.groups {
--- a/internal/replica/fault_tolerance.go
+++ b/internal/replica/fault_tolerance.go
@@ -1,6 +1,6 @@
 package replica
 
-// What may be lost now, for operators.
+// The failures that the cluster can tolerate at this moment, for operators.
 
 import (
 	"slices"
@@ -9,8 +9,9 @@
 	"sparnotch/internal/eventloop"
 )
 
-// FaultTolerance is how many machines, zones or regions may be lost at this moment with a
-// majority of the cluster state's voters left, and what the deployment is to bear.
+// FaultTolerance is how many machines, zones or regions may fail at this moment with a
+// majority of the cluster state's voters left, and how many the deployment wants to
+// tolerate.
 type FaultTolerance struct {
 	Machines       int    `json:"machines"`
 	Zones          int    `json:"zones"`
@@ -18,11 +19,11 @@
 	WantedMachines int    `json:"wanted_machines"`
 	WantedZones    int    `json:"wanted_zones"`
 	WantedRegions  int    `json:"wanted_regions"`
-	Shortfall      string `json:"short,omitempty"` // why the stores that are known can't bear it
+	Shortfall      string `json:"short,omitempty"` // why the known storage nodes don't suffice for that
 }
 
-// faultTolerance tells what may be lost as far as this node knows; its word is as old as its copy
-// of the cluster state and its book.
+// faultTolerance is the fault tolerance as far as this node knows: the result is as old
+// as its member set and its view of the membership.
 func (h *Host) faultTolerance(now eventloop.Micros) *FaultTolerance {
 	tolerance := &FaultTolerance{
 		WantedMachines: max(1, h.tolerance.Machines), WantedZones: h.tolerance.Zones, WantedRegions: h.tolerance.Regions,
@@ -31,20 +32,20 @@
 	if group == nil || h.membership == nil {
 		return tolerance
 	}
-	var voters, liveZones, zones []string
+	voters := group.group.MemberSet().Voters
+	var liveZones, zones []string
 	for id, known := range h.membership.Members {
 		if !known.Member.HasStorage {
 			continue
 		}
 		zones = append(zones, known.Member.Zone)
-		isVoter := slices.Contains(group.group.MemberSet().Voters, id)
-		if isVoter && h.membership.IsAlive(id, now, livenessTimeout) && !known.Member.Draining {
+		if slices.Contains(voters, id) && h.membership.IsAlive(id, now, livenessTimeout) && !known.Member.Draining {
 			liveZones = append(liveZones, known.Member.Zone)
 		}
 	}
-	// Of a voter that the book has let go only the number counts.
-	voters = make([]string, len(group.group.MemberSet().Voters))
-	tolerance.Machines, tolerance.Zones, tolerance.Regions = h.tolerance.TolerableFailures(voters, liveZones)
+	// The zones of all voters aren't known: the membership forgets a voter that is gone
+	// for long. Bears needs only their number.
+	tolerance.Machines, tolerance.Zones, tolerance.Regions = h.tolerance.TolerableFailures(make([]string, len(voters)), liveZones)
 	tolerance.Shortfall = h.tolerance.Shortfall(zones)
 	return tolerance
 }
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -1,22 +1,28 @@
-// Package replica owns the replicas of a process: the cluster state's and each queue's.
-// It hands messages to them, applies what they commit, lets their changes reach
-// the storage together, and performs effects where this process leads.
+// Package replica hosts the Raft replicas of one storage node: the cluster state's
+// and those of the job queues.
+//
+// Host is the component that owns them, and the only one that changes them (in
+// Host.Step). It routes messages to the replicas, applies the entries that they commit
+// to the state machines (packages clusterstate and queue), writes the changes of all
+// groups as one batch, so that a single sync serves all of them, and carries out the
+// effects of applied commands where this node leads. On the leader of a queue it also
+// proposes what time and the configuration require: ticks, queue settings, and the
+// re-enqueueing of old jobs that would keep the log from being compacted.
+//
+// Consensus is in package raft ("In Search of an Understandable Consensus Algorithm",
+// Ongaro and Ousterhout). Compaction of a queue's log by release cursors follows
+// "Quorum Queues Implementation Notes" (RabbitMQ), section "Snapshotting".
 package replica
 
 import (
 	"hash/fnv"
-	"maps"
 	"math/rand/v2"
-	"slices"
-	"strconv"
-	"strings"
 
 	"github.com/joomcode/errorx"
 
 	"sparnotch/internal/clusterstate"
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/membership"
-	"sparnotch/internal/queue"
 	"sparnotch/internal/raft"
 	"sparnotch/internal/schema"
 	"sparnotch/internal/storage"
@@ -24,152 +30,88 @@
 )
 
 var (
-	// Errors holds the package's error types.
+	// Errors is the namespace of the package's error types.
 	Errors = errorx.NewNamespace("replica")
-	// Unreadable is a checkpoint or record that is whole and yet can't be read: it
-	// was written by something else. A replica can't go on from it.
+	// Unreadable is the type of the error with which Host panics when the checksums of
+	// a snapshot or committed entry are right and its content can't be decoded: another
+	// version wrote it. The replica can't continue from it.
 	Unreadable = Errors.NewType("unreadable")
 )
 
-// TickInterval is the tick of the replicas.
+// TickInterval is the time between two ticks that a Host expects, in µs.
 const TickInterval = 25 * eventloop.Millisecond
 
-const (
-	stallTimeout         = 600 * eventloop.Millisecond // a sync that takes longer makes a leader pass its queues on
-	livenessTimeout      = 2 * eventloop.Second        // a process heard of within it is there
-	transferCooldown     = 5 * eventloop.Second        // between two attempts to pass a queue on
-	launchSpan           = 200 * eventloop.Millisecond // the starts of a group that was decided on have left by then
-	waitMost             = 400 * eventloop.Millisecond // how long passing on waits for that
-	maxUnapplied         = 8192                        // proposals of one group not applied yet
-	timedTickInterval    = eventloop.Second
-	maxWallDrift         = 100 * eventloop.Millisecond // a queue's timed jobs may be away from the time of day by so much
-	retainedTickInterval = 5 * eventloop.Second
-)
-
-type replica struct {
-	group                  *raft.Group
-	name                   string // queue name, empty for the cluster state
-	queue                  *queue.Machine
-	pendingCommands        map[uint64]pendingReply // by index
-	pendingReads           map[uint64]pendingReply // by read number
-	notifiedTerm           uint64                  // term for which the scheduler has the whole list
-	tickProposedAt         eventloop.Micros
-	tickIndex              uint64
-	reenqueueIndex         uint64
-	settingsIndex          uint64
-	logBytes               int // of the cluster state's records applied since its checkpoint
-	transferredAt          eventloop.Micros
-	notifiedMemberSetIndex uint64 // the last change of members that the controller was told of
-	notifiedLearner        string // and the last learner that had caught up
-	preferredAtTransfer    string // whom the cluster state named as leader then
-}
-
-// Host is the replicas' table.
+// Host owns the replicas of this node. It isn't safe for concurrent use: the event
+// loop calls Step with one message at a time.
 type Host struct {
-	id                    string
-	identity              *schema.StoreIdentity
-	timeouts              timing.Timeouts
-	controllerLeaseUntil  int64                     // the controller's lease as last seen, in the cluster state's time
-	controllerLeaseSeenAt eventloop.Micros          // and when that was
-	tolerance             membership.FaultTolerance // what may be lost at once
-	toleratedLosses       int                       // how many stores that may be at most
-	wallClock             func() int64
-	raftTimes             raft.Timeouts
-	electionJitter        *electionJitter
-	groups                map[string]*replica
-	sortedNames           []string // names of the groups, in order; nil: to be made anew
-	clusterState          *clusterstate.StateMachine
-	values                *clusterstate.Values
-	queueSettings         *schema.ApplySettings // what the plan asks of every queue
-	state                 *schema.ClusterState  // copy of the cluster state that others may hold
-	membership            *membership.View
-	nextWrite             pendingWrite
-	currentWrite          *pendingWrite
-	writeNumber           uint64
-	writeStartedAt        eventloop.Micros // when the write that is out was handed over
-	lastReadID            uint64
-	isDraining            bool
-	readOnly              readOnlyState
-	disk                  diskCapacity
-	applied               map[string]*schema.SubmitResponse // by gateway, of this step
-
-	configurationsSent map[string]configurationSent // by process
+	id              string
+	identity        *schema.StoreIdentity
+	timeouts        timing.Timeouts
+	tolerance       membership.FaultTolerance
+	toleratedLosses int // storage nodes whose simultaneous loss is to be tolerated
+	wallClock       func() int64
+	raftTimes       raft.Timeouts
+	electionJitter  *electionJitter
+
+	groups      map[string]*replica // by group name
+	sortedNames []string            // cached keys of groups; nil after a change
+
+	clusterState  *clusterstate.StateMachine
+	values        *clusterstate.Values
+	state         *schema.ClusterState  // copy of clusterState that other components may hold
+	queueSettings *schema.ApplySettings // from the configuration, for every queue
+
+	controllerLeaseUntil  int64            // as last seen, µs of the cluster state's time
+	controllerLeaseSeenAt eventloop.Micros // when that value was first seen
+
+	membership *membership.View // nil before the first report
+	isDraining bool
+
+	nextWrite      pendingWrite  // collects until currentWrite is durable
+	currentWrite   *pendingWrite // handed to the storage; nil: none
+	writeNumber    uint64
+	writeStartedAt eventloop.Micros
+	readOnly       readOnlyState
+	disk           diskCapacity
+
+	lastReadID         uint64
+	applied            map[string]*schema.SubmitResponse // outcomes of this step, by gateway and queue
+	configurationsSent map[string]configurationSent      // by process
 }
 
-// New makes the table from a store's content.
-func New(id string, state *storage.State, wall func() int64, times raft.Timeouts, seed uint64, now eventloop.Micros) *Host {
-	h := &Host{
-		id: id, identity: state.Identity, toleratedLosses: 1, timeouts: timing.FromBounds(nil), wallClock: wall, raftTimes: times, groups: map[string]*replica{},
-		clusterState: clusterstate.New(), applied: map[string]*schema.SubmitResponse{}, configurationsSent: map[string]configurationSent{},
-	}
+// New returns the host of the replicas in a storage node's durable state. wallClock
+// gives the time of day in µs since 1970. seed and the node's ID determine the random
+// part of its election timeouts. It panics with Unreadable if a snapshot can't be decoded.
+func New(id string, content *storage.State, wallClock func() int64, times raft.Timeouts, seed uint64, now eventloop.Micros) *Host {
 	hash := fnv.New64a()
 	hash.Write([]byte(id))
-	h.electionJitter = &electionJitter{rng: rand.New(rand.NewPCG(seed, hash.Sum64()))}
-	h.electionJitter.redraw()
+	h := &Host{
+		id: id, identity: content.Identity, toleratedLosses: 1, timeouts: timing.FromBounds(nil), wallClock: wallClock, raftTimes: times,
+		electionJitter: newElectionJitter(rand.New(rand.NewPCG(seed, hash.Sum64()))),
+		groups:         map[string]*replica{}, clusterState: clusterstate.New(), nextWrite: newPendingWrite(),
+		applied: map[string]*schema.SubmitResponse{}, configurationsSent: map[string]configurationSent{},
+	}
 	h.setState(h.clusterState.SharedState())
-	h.nextWrite.syncPoints = map[string]raft.SyncPoint{}
-	for name, state := range state.Groups {
-		h.openGroup(now, name, state)
+	for name, image := range content.Groups {
+		h.openGroup(now, name, image)
 	}
 	return h
 }
 
-// WithBounds sets what the deployment promises and asks; nil or zero: the defaults.
+// WithBounds sets the deployment's time bounds and returns h; nil or zero values
+// stand for the defaults.
 func (h *Host) WithBounds(bounds *schema.Bounds) *Host {
 	h.timeouts = timing.FromBounds(bounds)
 	return h
 }
 
-// WithTolerance sets what may be lost at once.
+// WithTolerance sets the failures that the deployment is to tolerate and returns h.
 func (h *Host) WithTolerance(tolerance membership.FaultTolerance) *Host {
 	h.tolerance, h.toleratedLosses = tolerance, tolerance.Voters()/2
 	return h
 }
 
-func (h *Host) openGroup(now eventloop.Micros, name string, state *storage.GroupState) *replica {
-	r := &replica{
-		group:           raft.New(name, h.id, state, h.raftTimes, h.electionJitter, now),
-		pendingCommands: map[uint64]pendingReply{}, pendingReads: map[uint64]pendingReply{},
-	}
-	r.group.SetWritable(!h.isReadOnly())
-	h.groups[name], h.sortedNames = r, nil
-	h.restoreGroup(r, state.Snapshot)
-	return r
-}
-
-// QueueName is the queue's name in a group's name.
-func QueueName(group string) string {
-	queue, _, isQueue := strings.Cut(group, "#")
-	if !isQueue {
-		return ""
-	}
-	return queue
-}
-
-// GroupName names the group of a queue's place: a queue that is made anew under an
-// old name is another group.
-func GroupName(place *schema.QueuePlacement) string {
-	return place.Queue + "#" + strconv.FormatUint(place.Generation, 10)
-}
-
-func (h *Host) restoreGroup(r *replica, snapshot *schema.Snapshot) {
-	if r.group.Name() == clusterstate.Group {
-		machine, err := clusterstate.Restore(snapshot.Data)
-		if err != nil {
-			panic(Unreadable.Wrap(err, "checkpoint of %s", r.group.Name()))
-		}
-		h.clusterState, r.logBytes = machine, 0
-		h.setState(machine.SharedState())
-		return
-	}
-	r.name = QueueName(r.group.Name())
-	machine, err := queue.Restore(r.name, snapshot.Index, snapshot.Data)
-	if err != nil {
-		panic(Unreadable.Wrap(err, "checkpoint of %s", r.group.Name()))
-	}
-	r.queue = machine
-}
-
+// setState replaces the copy of the cluster state, and what is derived from it.
 func (h *Host) setState(state *schema.ClusterState) {
 	h.state, h.values = state, h.clusterState.Values()
 	h.queueSettings = &schema.ApplySettings{
@@ -179,16 +121,7 @@
 	}
 }
 
-// groupNamesInOrder lists the groups in order; every mail asks for that, and groups seldom
-// come or go.
-func (h *Host) groupNamesInOrder() []string {
-	if h.sortedNames == nil {
-		h.sortedNames = slices.Sorted(maps.Keys(h.groups))
-	}
-	return h.sortedNames
-}
-
-// Step implements eventloop.Table.
+// Step handles one message of the event loop; it implements eventloop.Component.
 func (h *Host) Step(now eventloop.Micros, message eventloop.Message, effects eventloop.Effects) {
 	switch body := message.Body.(type) {
 	case eventloop.Tick:
@@ -232,9 +165,7 @@
 	case Propose:
 		h.handlePropose(now, body)
 	case ResyncQueue:
-		if r := h.groups[body.Group]; r != nil && r.queue != nil {
-			r.notifiedTerm = 0
-		}
+		h.handleResyncQueue(body)
 	case *schema.ChangeMembers:
 		h.handleChangeMembers(now, body)
 	case *schema.ClusterStateRequest:
@@ -246,25 +177,3 @@
 	}
 	h.flush(now, effects)
 }
-
-func (h *Host) stepGroup(now eventloop.Micros, from, name string, body any) {
-	r := h.groups[name]
-	if r == nil {
-		switch body.(type) {
-		case *schema.AppendRequest, *schema.InstallSnapshot, *schema.TransferChunk:
-			r = h.joinGroup(now, name)
-		}
-	}
-	if r != nil {
-		r.group.Step(now, from, body)
-	}
-}
-
-// isObsolete tells that the cluster state we hold knows a newer queue of that name, or
-// none though it once was there.
-func (h *Host) isObsolete(group string) bool {
-	if place := clusterstate.FindQueue(h.state, QueueName(group)); place != nil {
-		return GroupName(place) != group
-	}
-	return h.isDeleted(group)
-}
--- a/internal/replica/leadership.go
+++ b/internal/replica/leadership.go
@@ -1,6 +1,6 @@
 package replica
 
-// Who leads the groups of this process: taking over and passing on.
+// Which node leads the groups: taking over and handing over.
 
 import (
 	"math/rand/v2"
@@ -10,21 +10,38 @@
 	"sparnotch/internal/schema"
 )
 
-// electionJitter is one draw for all groups of a process: whoever stops hearing a
-// machine that led many calls for votes in all of them at once, so that one
-// machine comes to lead them together.
+const (
+	livenessTimeout     = 2 * eventloop.Second // since the last report of a process
+	transferCooldown    = 5 * eventloop.Second // between two handovers of a group
+	minTransferInterval = eventloop.Second     // the same where the cooldown doesn't apply
+	maxSuccessorSilence = 500 * eventloop.Millisecond
+	maxSuccessorLag     = 256 // entries that a successor may lack
+	electionJitterScale = 1 << 16
+	electionJitterBits  = 16
+)
+
+// electionJitter gives all groups of a node the same random part of the election
+// timeout. When a node that led many groups fails, the first other node to time out
+// campaigns in all of them at once, so that one node comes to lead them together.
 type electionJitter struct {
 	rng      *rand.Rand
-	fraction uint64 // of 1 << 16
+	fraction uint64 // of electionJitterScale
 }
 
-func (j *electionJitter) redraw() { j.fraction = j.rng.Uint64N(1 << 16) }
+func newElectionJitter(rng *rand.Rand) *electionJitter {
+	j := &electionJitter{rng: rng}
+	j.redraw()
+	return j
+}
 
-func (j *electionJitter) Int64N(n int64) int64 { return n * int64(j.fraction) >> 16 }
+func (j *electionJitter) redraw() { j.fraction = j.rng.Uint64N(electionJitterScale) }
 
-// handleTimeoutNow: somebody hands a group to us. Who is leaving takes none; who takes one
-// doesn't hand it back at once, though its copy of the cluster state or the book may
-// still speak for the one it came from.
+// Int64N gives the present fraction of n; it implements raft.Rand.
+func (j *electionJitter) Int64N(n int64) int64 { return n * int64(j.fraction) >> electionJitterBits }
+
+// handleTimeoutNow takes over a group that its leader hands over. A draining node
+// doesn't. The handover counts for the cooldown: this node's copy of the cluster state
+// or of the membership may be stale and speak for the former leader still.
 func (h *Host) handleTimeoutNow(now eventloop.Micros, from string, m *schema.TimeoutNow) {
 	if h.isDraining || h.isReadOnly() {
 		return
@@ -35,25 +52,21 @@
 	h.stepGroup(now, from, m.Group, m)
 }
 
-// transferIfNeeded hands a group over when this process is warned, when its disk
-// refuses or stalls, or when the cluster state wants the queue elsewhere.
+// transferIfNeeded hands over a group that this node leads while it is draining, while
+// its storage is read-only or stalled, or if the cluster state prefers another leader.
 func (h *Host) transferIfNeeded(now eventloop.Micros, r *replica) {
-	target := h.preferredLeader(r)
-	// A leader that was named since is given the queue at once: its workers have
-	// gone to it already, and nobody else can start anything on them.
-	isCooledDown := now-r.transferredAt >= transferCooldown || h.isDraining || target != r.preferredAtTransfer
-	isNewlyReadOnly := h.isReadOnly() && h.readOnly.since > r.transferredAt
-	if r.transferredAt > 0 && !isNewlyReadOnly && (!isCooledDown || now-r.transferredAt < eventloop.Second) {
+	preferred := h.preferredLeader(r)
+	if !h.mayTransfer(now, r, preferred) {
 		return
 	}
-	preferred := target
+	target := preferred
 	isTargetReady := target != h.id && h.canTakeOver(now, r, target) && !h.isNodeReadOnly(target)
+	mustLeave := h.isDraining || h.isStalled(now) && h.canElectAnother(now, r)
 	switch {
-	case h.isDraining || h.isStalled(now) && h.canElectAnother(now, r):
-		if !isTargetReady {
-			target = h.chooseSuccessor(now, r)
-		}
-	case !isTargetReady:
+	case isTargetReady:
+	case mustLeave:
+		target = h.chooseSuccessor(now, r)
+	default:
 		return
 	}
 	if target != "" {
@@ -62,7 +75,21 @@
 	}
 }
 
-// currentLeader is whom the cluster state names as leader of a queue.
+// mayTransfer tells whether enough time has passed since the last handover of a group.
+func (h *Host) mayTransfer(now eventloop.Micros, r *replica, preferred string) bool {
+	isNewlyReadOnly := h.isReadOnly() && h.readOnly.since > r.transferredAt
+	if r.transferredAt == 0 || isNewlyReadOnly {
+		return true
+	}
+	// A preferred leader that was named since gets the group without the cooldown: the
+	// leases of the queue's workers have gone to it, and nobody else can start tasks on
+	// them.
+	isCooledDown := now-r.transferredAt >= transferCooldown || h.isDraining || preferred != r.preferredAtTransfer
+	return isCooledDown && now-r.transferredAt >= minTransferInterval
+}
+
+// preferredLeader is the node that the cluster state prefers as leader of a queue;
+// empty: none, or the group is the cluster state's.
 func (h *Host) preferredLeader(r *replica) string {
 	if r.queue == nil {
 		return ""
@@ -70,14 +97,17 @@
 	return clusterstate.FindQueue(h.state, r.name).GetPreferredLeader()
 }
 
-// canTakeOver tells whether a voter is near enough to take a group over.
+// canTakeOver tells whether a voter is alive and lacks few enough entries to take over
+// a group.
 func (h *Host) canTakeOver(now eventloop.Micros, r *replica, id string) bool {
 	match, lastHeard := r.group.PeerProgress(id)
-	isKnown := h.membership != nil && h.membership.IsAlive(id, now, livenessTimeout) && !h.membership.Members[id].Member.Draining
-	return isKnown && lastHeard > 0 && now-lastHeard < 500*eventloop.Millisecond && r.group.LastIndex()-match < 256
+	isAlive := h.membership != nil && h.membership.IsAlive(id, now, livenessTimeout) && !h.membership.Members[id].Member.Draining
+	hasAnswered := lastHeard > 0 && now-lastHeard < maxSuccessorSilence
+	return isAlive && hasAnswered && r.group.LastIndex()-match < maxSuccessorLag
 }
 
-// currentLeader names who leads a group, or is about to.
+// currentLeader is the leader of a group as far as its replica knows, or the node that
+// is taking over; empty: unknown, or r is nil.
 func currentLeader(r *replica) string {
 	if r == nil {
 		return ""
--- a/internal/replica/maintenance.go
+++ b/internal/replica/maintenance.go
@@ -1,11 +1,9 @@
 package replica
 
-// What the leader of a group tends at each tick: time, releases, compaction.
+// What happens at each tick: elections, repairs, and what the leader of a queue
+// proposes because time has passed or the configuration has changed.
 
 import (
-	"slices"
-	"strconv"
-
 	"google.golang.org/protobuf/proto"
 
 	"sparnotch/internal/clusterstate"
@@ -13,10 +11,18 @@
 	"sparnotch/internal/schema"
 )
 
+const (
+	timedTickInterval    = eventloop.Second            // between ticks of a queue with timed jobs
+	retainedTickInterval = 5 * eventloop.Second        // between ticks of a queue that only retains ended jobs
+	maxWallDrift         = 100 * eventloop.Millisecond // of queue time against the time of day
+	maxStateLogEntries   = 512                         // of the cluster state's log, before it is compacted
+	maxStateLogBytes     = 1 << 20                     // the same in bytes, if its snapshot is smaller
+)
+
 func (h *Host) handleTick(now eventloop.Micros, effects eventloop.Effects) {
 	h.recordControllerLease(now)
 	hasCampaigned, hasChanged := false, false
-	for _, name := range h.groupNamesInOrder() {
+	for _, name := range h.groupNames() {
 		r := h.groups[name]
 		campaigns := r.group.PreVoteCount()
 		r.group.Tick(now)
@@ -28,88 +34,115 @@
 			hasChanged = r.takeMembershipChange() || hasChanged
 		}
 	}
-	if active := h.state.ControllerLease.GetHolder(); hasChanged && active != "" {
-		// Each step of a repair waits for this word; asked for it would come later.
-		h.sendClusterState(now, active, &schema.ClusterStateRequest{Version: h.state.Version}, effects)
+	if controller := h.state.ControllerLease.GetHolder(); hasChanged && controller != "" {
+		// Each step of a repair waits for this report, which would come later with the
+		// controller's next query.
+		h.sendClusterState(now, controller, &schema.ClusterStateRequest{Version: h.state.Version}, effects)
 	}
 	if hasCampaigned {
-		// Two machines with the same patience shouldn't call at once again.
+		// Two nodes with the same jitter must not campaign at the same time again.
 		h.electionJitter.redraw()
 	}
 	h.reconcileQueues(now, effects)
 	h.checkDiskCapacity(now)
-	status := LeadershipStatus{Terms: map[string]uint64{}, At: now}
+	effects.Notify("scheduler", h.leadershipStatus(now))
+}
+
+// leadershipStatus is what the scheduler may act on until the next tick.
+func (h *Host) leadershipStatus(now eventloop.Micros) LeadershipStatus {
+	status := LeadershipStatus{Terms: map[string]uint64{}, IsClusterStateFresh: h.isClusterStateFresh(now), At: now}
 	for name, r := range h.groups {
 		if r.queue != nil && r.group.HoldsLeaderLease(now) {
 			status.Terms[name] = r.group.Term()
 		}
 	}
-	status.IsClusterStateFresh = h.isClusterStateFresh(now)
-	effects.Notify("scheduler", status)
+	return status
 }
 
-// isClusterStateFresh tells whether our copy of the cluster state held, a moment ago, all
-// that was committed.
+// isClusterStateFresh tells whether this node's copy of the cluster state contained, a
+// moment ago, all that was committed.
 func (h *Host) isClusterStateFresh(now eventloop.Micros) bool {
 	r := h.groups[clusterstate.Group]
 	return r != nil && r.group.FreshAsOf() > 0 && now-r.group.FreshAsOf() < h.timeouts.MaxStateAge
 }
 
-// maintainQueue proposes what a queue's leader owes to time and to the plan.
+// maintainQueue proposes what time and the configuration require of a queue. Of each
+// kind of command one is pending at most.
 func (h *Host) maintainQueue(now eventloop.Micros, r *replica) {
-	g := r.group
-	if !g.HoldsLeaderLease(now) {
+	if r.queue == nil || !r.group.HoldsLeaderLease(now) {
 		return
 	}
-	if r.queue == nil {
-		return
-	}
-	m, groupTime := r.queue, g.GroupTime(now)
-	if next, found := m.NextStart(); found && next <= groupTime && r.tickIndex <= g.AppliedIndex() {
-		r.tickIndex = h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Tick{Tick: &schema.Tick{}}})
-		r.tickProposedAt = now
+	h.proposeDueTick(now, r)
+	h.proposeIdleTick(now, r)
+	h.proposeWallClockTick(now, r)
+	h.proposeSettings(now, r)
+	h.proposeReenqueue(now, r)
+}
+
+func (h *Host) proposeTick(now eventloop.Micros, r *replica, tick *schema.Tick) {
+	r.tickIndex = h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Tick{Tick: tick}})
+	r.tickProposedAt = now
+}
+
+// proposeDueTick starts the next round of a job when it is due.
+func (h *Host) proposeDueTick(now eventloop.Micros, r *replica) {
+	groupTime := r.group.GroupTime(now)
+	if next, found := r.queue.NextStart(); found && next <= groupTime && r.tickIndex <= r.group.AppliedIndex() {
+		h.proposeTick(now, r, &schema.Tick{})
 	}
-	// A queue that nothing happens in must still let time pass for what it
-	// holds, or a new leader would start from an old time.
+}
+
+// proposeIdleTick lets time pass in a queue that gets no other commands. Without it a
+// new leader would continue from an old time.
+func (h *Host) proposeIdleTick(now eventloop.Micros, r *replica) {
+	hasTimed := r.queue.TimedJobs() > 0
 	interval := retainedTickInterval
-	if m.TimedJobs() > 0 {
+	if hasTimed {
 		interval = timedTickInterval
 	}
-	if (m.TimedJobs() > 0 || m.RetainedJobs() > 0) && groupTime-m.Now() > int64(interval) && now-r.tickProposedAt > interval {
-		r.tickIndex = h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Tick{Tick: &schema.Tick{}}})
-		r.tickProposedAt = now
+	isBehind := r.group.GroupTime(now)-r.queue.Now() > int64(interval)
+	if (hasTimed || r.queue.RetainedJobs() > 0) && isBehind && now-r.tickProposedAt > interval {
+		h.proposeTick(now, r, &schema.Tick{})
 	}
-	// Jobs that are to start at a time of day keep to it, though queue time has
-	// stood still without a leader.
-	if m.TimedJobs() > 0 && r.tickIndex <= g.AppliedIndex() {
-		offset, isKnown := g.WallOffset(now, h.wallClock())
-		if drift := offset - m.WallOffset(); isKnown && (drift > int64(maxWallDrift) || drift < -int64(maxWallDrift)) {
-			r.tickIndex = h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Tick{Tick: &schema.Tick{WallOffsetUs: offset}}})
-			r.tickProposedAt = now
-		}
+}
+
+// proposeWallClockTick keeps jobs that start at a time of day to it: queue time stands
+// still while the queue has no leader.
+func (h *Host) proposeWallClockTick(now eventloop.Micros, r *replica) {
+	if r.queue.TimedJobs() == 0 || r.tickIndex > r.group.AppliedIndex() {
+		return
 	}
-	if wanted := h.queueSettings; !proto.Equal(wanted, m.Settings()) && r.settingsIndex <= g.AppliedIndex() {
-		r.settingsIndex = h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_ApplySettings{ApplySettings: wanted}})
+	offset, isKnown := r.group.WallOffset(now, h.wallClock())
+	drift := offset - r.queue.WallOffset()
+	if isKnown && (drift > int64(maxWallDrift) || drift < -int64(maxWallDrift)) {
+		h.proposeTick(now, r, &schema.Tick{WallOffsetUs: offset})
 	}
-	// One old job must not pin the log for ever: it enters it anew.
-	limit := uint64(h.values.Fleet("carry_records"))
-	if g.LastIndex()-g.SnapshotIndex() > limit && r.reenqueueIndex <= g.AppliedIndex() {
-		if id, index, payload := m.OldestJob(); id != 0 && g.LastIndex()-index > limit/2 {
-			r.reenqueueIndex = h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Reenqueue{Reenqueue: &schema.Reenqueue{Job: id, Payload: payload}}})
-		}
+}
+
+// proposeSettings brings the configuration's settings into the queue.
+func (h *Host) proposeSettings(now eventloop.Micros, r *replica) {
+	if r.settingsIndex <= r.group.AppliedIndex() && !proto.Equal(h.queueSettings, r.queue.Settings()) {
+		r.settingsIndex = h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_ApplySettings{ApplySettings: h.queueSettings}})
 	}
 }
 
-const (
-	maxStateLogEntries = 512     // of the cluster state's log, before it is let go
-	maxStateLogBytes   = 1 << 20 // and of their bytes, or as many as its checkpoint has
-)
+// proposeReenqueue appends the oldest live job again, so that it doesn't keep the log
+// from being compacted ("Quorum Queues Implementation Notes", section "Avoiding
+// Unbounded Log Growth").
+func (h *Host) proposeReenqueue(now eventloop.Micros, r *replica) {
+	g, limit := r.group, uint64(h.values.Fleet("carry_records"))
+	if g.LastIndex()-g.SnapshotIndex() <= limit || r.reenqueueIndex > g.AppliedIndex() {
+		return
+	}
+	if id, index, payload := r.queue.OldestJob(); id != 0 && g.LastIndex()-index > limit/2 {
+		r.reenqueueIndex = h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Reenqueue{Reenqueue: &schema.Reenqueue{Job: id, Payload: payload}}})
+	}
+}
 
-// compactClusterStateLog lets the cluster state's log go, on every replica: its whole
-// state is the checkpoint. The log may hold so many records, and as many bytes as the
-// checkpoint that a replica which lacks them would be sent instead; so what is
-// written is at most twice what is logged, and a replica that takes in faster than
-// that is written catches up.
+// compactClusterStateLog replaces the cluster state's log by a snapshot of the whole
+// state, on every replica. The log may hold maxStateLogEntries, and as many bytes as the
+// snapshot that a lagging replica would be sent instead. So at most twice the logged
+// bytes are written, and a replica that receives faster than that catches up.
 func (h *Host) compactClusterStateLog(r *replica, entry *schema.Entry) {
 	g := r.group
 	r.logBytes += len(entry.Data)
@@ -119,36 +152,3 @@
 	g.Compact(entry.Index, clusterstate.Compress(h.clusterState.Snapshot()))
 	r.logBytes = 0
 }
-
-// reconcileQueues makes what the cluster state says of queues true here.
-func (h *Host) reconcileQueues(now eventloop.Micros, effects eventloop.Effects) {
-	if h.groups[clusterstate.Group] == nil {
-		return
-	}
-	wanted := map[string]bool{clusterstate.Group: true}
-	for _, place := range h.state.Queues {
-		name := GroupName(place)
-		wanted[name] = true
-		if slices.Contains(place.InitialVoters, h.id) {
-			h.bootstrapQueue(now, place)
-		}
-	}
-	for _, name := range h.groupNamesInOrder() {
-		// Only a queue that the cluster state has dropped or made anew goes; one it
-		// doesn't know yet may be ahead of our copy.
-		if !wanted[name] && h.groups[name].queue != nil && h.isDeleted(name) {
-			delete(h.groups, name)
-			h.sortedNames = nil
-			h.nextWrite.changes = append(h.nextWrite.changes, &schema.StoreChange{Group: name, Removed: true})
-			delete(h.nextWrite.syncPoints, name)
-			effects.Notify("scheduler", LeadershipLost{Queue: QueueName(name)})
-		}
-	}
-}
-
-// isDeleted: generations come from one counter, so a queue whose generation the
-// cluster state has already given out, and which it doesn't list, has been ended.
-func (h *Host) isDeleted(group string) bool {
-	generation, err := strconv.ParseUint(group[len(QueueName(group))+1:], 10, 64)
-	return err == nil && generation < h.state.NextToken
-}
--- a/internal/replica/member_changes.go
+++ b/internal/replica/member_changes.go
@@ -1,6 +1,7 @@
 package replica
 
-// Changes of a group's membership as the controller asks for them.
+// Changes of a group's members that the controller asks for, and the handover of this
+// node's vote when it leaves.
 
 import (
 	"slices"
@@ -13,48 +14,64 @@
 	"sparnotch/internal/schema"
 )
 
-// responseTimeout is how long ago whoever is counted on may have answered last.
+// responseTimeout is how long ago a learner may have answered last to be promoted.
 const responseTimeout = 500 * eventloop.Millisecond
 
+// handleChangeMembers proposes one change of a group's members. A request that can't be
+// carried out is dropped: the controller works from the groups' status and asks again.
 func (h *Host) handleChangeMembers(now eventloop.Micros, m *schema.ChangeMembers) {
 	r := h.groups[m.Group]
-	// An old copy of the cluster state knows nothing of a lease that has gone to another.
+	// A stale copy of the cluster state can't tell whether the controller's lease has
+	// gone to another.
 	if r == nil || !r.group.IsLeader() || !h.isClusterStateFresh(now) || !h.clusterState.HoldsControllerLease(m.FencingToken) {
 		return
 	}
-	memberSet := proto.Clone(r.group.MemberSet()).(*schema.MemberSet)
+	memberSet := h.changedMemberSet(now, r.group, m)
+	if memberSet == nil {
+		return
+	}
+	// The controller's view may be stale or its request late. No change makes the quorum
+	// less fault-tolerant than required, unless it is so already.
+	margin := r.group.FailureTolerance(now, memberSet.Voters)
+	if margin < h.toleratedLosses && margin < r.group.FailureTolerance(now, r.group.MemberSet().Voters) {
+		return
+	}
+	// An error means that another change is in progress.
+	_ = r.group.ProposeMemberSet(now, memberSet)
+}
+
+// changedMemberSet is a group's member set after the requested change; nil: the change
+// isn't possible.
+func (h *Host) changedMemberSet(now eventloop.Micros, group *raft.Group, m *schema.ChangeMembers) *schema.MemberSet {
+	memberSet := proto.Clone(group.MemberSet()).(*schema.MemberSet)
+	isVoter := func(id string) bool { return slices.Contains(memberSet.Voters, id) }
+	isLearner := func(id string) bool { return slices.Contains(memberSet.Learners, id) }
 	switch {
-	case m.AddLearner != "" && !slices.Contains(memberSet.Voters, m.AddLearner) && !slices.Contains(memberSet.Learners, m.AddLearner):
+	case m.AddLearner != "" && !isVoter(m.AddLearner) && !isLearner(m.AddLearner):
 		memberSet.Learners = append(memberSet.Learners, m.AddLearner)
-	case m.Promote != "" && slices.Contains(memberSet.Learners, m.Promote):
-		if !canPromote(now, r.group, m.Promote) {
-			return
+	case m.Promote != "" && isLearner(m.Promote):
+		if !canPromote(now, group, m.Promote) {
+			return nil
 		}
 		memberSet.Learners = removeID(memberSet.Learners, m.Promote)
 		memberSet.Voters = append(memberSet.Voters, m.Promote)
 	case m.Remove == h.id:
-		// Who leads hands that over first, so that the group isn't left without.
-		return
-	case m.Remove != "" && (slices.Contains(memberSet.Voters, m.Remove) || slices.Contains(memberSet.Learners, m.Remove)):
+		// The leader hands over leadership first, so that the group keeps a leader.
+		return nil
+	case m.Remove != "" && (isVoter(m.Remove) || isLearner(m.Remove)):
 		memberSet.Voters, memberSet.Learners = removeID(memberSet.Voters, m.Remove), removeID(memberSet.Learners, m.Remove)
 		if len(memberSet.Voters) == 0 {
-			return
+			return nil
 		}
 	default:
-		return
+		return nil
 	}
-	// The controller's view may be old, or its order late: whatever it believes, no step
-	// leaves a quorum that the losses to be borne could break, unless it was so before.
-	margin := r.group.FailureTolerance(now, memberSet.Voters)
-	if margin < h.toleratedLosses && margin < r.group.FailureTolerance(now, r.group.MemberSet().Voters) {
-		return
-	}
-	// A refusal (a change is under way) is no matter: the controller asks again.
-	_ = r.group.ProposeMemberSet(now, memberSet)
+	return memberSet
 }
 
-// canPromote tells whether a learner may be made a voter: it has caught up, and answered
-// just now. Of four voters, one lost and one that doesn't answer, there is no majority.
+// canPromote tells whether a learner may become a voter: it has caught up and answers.
+// Otherwise four voters, of which one is lost and one doesn't answer, would have no
+// majority.
 func canPromote(now eventloop.Micros, group *raft.Group, id string) bool {
 	_, lastHeard := group.PeerProgress(id)
 	return now-lastHeard < responseTimeout && group.IsCaughtUp(id)
@@ -70,12 +87,12 @@
 	return kept
 }
 
-// takeMembershipChange tells once of each change of members that is committed, and of each
+// takeMembershipChange tells, once each, of a committed change of members and of a
 // learner that has caught up.
 func (r *replica) takeMembershipChange() bool {
 	g, changed := r.group, false
-	if at := g.MemberSetIndex(); at <= g.CommitIndex() && at != r.notifiedMemberSetIndex {
-		r.notifiedMemberSetIndex, changed = at, true
+	if index := g.MemberSetIndex(); index <= g.CommitIndex() && index != r.notifiedMemberSetIndex {
+		r.notifiedMemberSetIndex, changed = index, true
 	}
 	for _, id := range g.MemberSet().Learners {
 		if g.IsCaughtUp(id) && r.notifiedLearner != id {
@@ -85,19 +102,23 @@
 	return changed
 }
 
-// hasHandoverPending tells whether a process that was warned has something left to hand over: a
-// group that it leads, or a vote that a store which has come of late is to get.
+// hasHandoverPending tells whether this node must not end yet: it leads a group that
+// another voter could lead or, while it is draining, its vote is being replaced.
 func (h *Host) hasHandoverPending(now eventloop.Micros) bool {
 	age := h.clusterAge(now)
 	for _, r := range h.groups {
-		if r.group.IsLeader() && len(r.group.MemberSet().Voters) > 1 || h.isDraining && h.isBeingReplaced(now, r.group, age) {
+		if r.group.IsLeader() && len(r.group.MemberSet().Voters) > 1 {
+			return true
+		}
+		if h.isDraining && h.isBeingReplaced(now, r.group, age) {
 			return true
 		}
 	}
 	return false
 }
 
-// isBeingReplaced tells whether our vote in a group is being given to another.
+// isBeingReplaced tells whether this node's vote in a group goes to another node: a
+// change of members is in progress, or a storage node that joined lately is to get it.
 func (h *Host) isBeingReplaced(now eventloop.Micros, g *raft.Group, age eventloop.Micros) bool {
 	members := g.MemberSet()
 	if g.Leader() == "" || !slices.Contains(members.Voters, h.id) {
@@ -107,14 +128,16 @@
 	return isChanging || h.membership != nil && h.membership.FindNewlyJoined(now, livenessTimeout, age, members.Voters) != ""
 }
 
-// recordControllerLease keeps when the lease was last seen renewed, which tells the cluster's age.
+// recordControllerLease notes when the controller's lease was last seen renewed.
 func (h *Host) recordControllerLease(now eventloop.Micros) {
 	if until := h.clusterState.ControllerLeaseExpiry(); until != h.controllerLeaseUntil {
 		h.controllerLeaseUntil, h.controllerLeaseSeenAt = until, now
 	}
 }
 
-// clusterAge is for how long the cluster has been there, at least; 0: no lease was seen yet.
+// clusterAge is for how long the cluster has existed, at least: the cluster state's time
+// began with it, and a lease was renewed LeaseUs before it expires. 0: no lease was seen
+// yet.
 func (h *Host) clusterAge(now eventloop.Micros) eventloop.Micros {
 	if h.controllerLeaseUntil == 0 {
 		return 0
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -1,6 +1,6 @@
 package replica
 
-// The messages that a process's other tables exchange with its replicas.
+// The messages that other components of the process exchange with the Host.
 
 import (
 	"sparnotch/internal/eventloop"
@@ -8,54 +8,67 @@
 	"sparnotch/internal/schema"
 )
 
-// Batch goes to the storage; Written comes back when it lasts.
+// Batch is written to the storage; Written or WriteFailed answers it. The Host sends
+// the next batch after Written only.
 type Batch struct {
 	Number  uint64
 	Changes []*schema.StoreChange
 }
 
-// Written says that the batch with this number is durable.
+// Written reports that the batch of this number is durable.
 type Written struct {
 	Number uint64
 }
 
-// Propose is a command of the scheduler on this node, for the term it knows.
+// WriteFailed reports that the storage couldn't write the batch of this number. The
+// storage retries until it can; nothing that depends on the batch is sent before.
+type WriteFailed struct {
+	Number uint64
+	Reason string
+}
+
+// Propose is a command of this node's scheduler for a queue. It is dropped if the term
+// has changed since.
 type Propose struct {
 	Group   string
 	Term    uint64
 	Command *schema.QueueCommand
 }
 
-// TaskEvents tell the scheduler's table what a queue's commands did. Whole replaces
-// all it knew.
+// TaskEvents report to the scheduler what a queue's commands changed. A snapshot lists
+// all tasks that concern the scheduler and replaces what it knew of the queue.
 type TaskEvents struct {
-	Queue, Group       string
-	Term, LastSequence uint64
-	Events             []*queue.TaskEvent
-	IsSnapshot         bool
-	Urgency            int64
-	Running            int64
+	Queue, Group string
+	Term         uint64
+	LastSequence uint64 // of Events; for a snapshot, the number it was taken at
+	Events       []*queue.TaskEvent
+	IsSnapshot   bool
+	Urgency      int64 // the queue's, from the configuration
+	Running      int64 // most tasks of the queue that may run, from the configuration
 }
 
-// ResyncQueue asks for the whole list: the scheduler saw a gap in the numbers.
+// ResyncQueue asks for a snapshot of a queue's tasks: the scheduler saw a gap in the
+// sequence numbers.
 type ResyncQueue struct{ Group string }
 
-// LeadershipLost says that this node leads a queue no more.
+// LeadershipLost reports that this node no longer leads a queue.
 type LeadershipLost struct{ Queue string }
 
-// LeadershipStatus says which queues this node may act for at this moment, and how the
-// cluster state stands.
+// LeadershipStatus reports which queues this node may act for as leader, and whether
+// its copy of the cluster state is fresh. It is sent at each tick.
 type LeadershipStatus struct {
-	Terms               map[string]uint64 // group -> term
-	IsClusterStateFresh bool              // the cluster state's word is fresh
-	At                  eventloop.Micros  // when that was so, by the clock of the process; 0: now
+	Terms               map[string]uint64 // by group, of those this node leads
+	IsClusterStateFresh bool
+	At                  eventloop.Micros // when that was so, by the process's clock; 0: now
 }
 
-// TaskEnded is a worker's report for the queue's leader; Noted answers it.
+// TaskEnded is a worker's report to the leader of the task's queue. It is acknowledged
+// once it is applied.
 type TaskEnded struct{ End *schema.TaskEndReport }
 
-// Drain says that this process is to leave.
+// Drain begins the graceful shutdown of this node: it hands over leadership, and takes
+// over none.
 type Drain struct{}
 
-// GetStateView asks what this node believes.
+// GetStateView asks for a *NodeStateView, which answers the request of this number.
 type GetStateView struct{ Request uint64 }
--- a/internal/replica/persistence.go
+++ b/internal/replica/persistence.go
@@ -1,6 +1,7 @@
 package replica
 
-// What goes to storage and, once it is durable, to other processes.
+// Writing to the storage, and sending what must wait until that is durable (Raft,
+// section 5: a server updates its persistent state before it responds).
 
 import (
 	"maps"
@@ -12,122 +13,88 @@
 	"sparnotch/internal/schema"
 )
 
+// pendingWrite is a batch of changes, and what is done once it is durable.
 type pendingWrite struct {
 	changes    []*schema.StoreChange
 	messages   []raft.Message
-	syncPoints map[string]raft.SyncPoint
-	identities []*schema.StoreIdentity
+	marks      map[string]raft.SyncPoint // by group
+	identities []*schema.StoreIdentity   // reported to the membership
 
-	bytes, compactedBytes int // of the changes: now, and when they last were whole states
+	bytes          int // of changes
+	compactedBytes int // of changes when they were last compacted
 }
 
-func (h *Host) handleHeartbeats(now eventloop.Micros, from string, m *schema.HeartbeatBatch) {
-	for _, heartbeat := range m.Heartbeats {
-		r := h.groups[heartbeat.GetGroup()]
-		if r == nil {
-			// The Append that was to count us in may have been lost, and its leader
-			// waits for an answer before it sends another.
-			r = h.joinGroup(now, heartbeat.GetGroup())
-		}
-		if r != nil {
-			r.group.Step(now, from, heartbeat)
-		}
-	}
-	for _, reply := range m.Responses {
-		if r := h.groups[reply.GetGroup()]; r != nil {
-			r.group.Step(now, from, reply)
-		}
-	}
+func newPendingWrite() pendingWrite {
+	return pendingWrite{marks: map[string]raft.SyncPoint{}}
 }
 
-// flush carries out what the groups have left, until nothing is left.
+func (w *pendingWrite) isEmpty() bool {
+	return len(w.changes)+len(w.messages)+len(w.identities) == 0
+}
+
+// flush carries out what the groups have produced, until they produce nothing more.
 func (h *Host) flush(now eventloop.Micros, effects eventloop.Effects) {
-	heartbeats := map[string]*schema.HeartbeatBatch{}
+	heartbeats := heartbeatBatches{}
 	for hasMore := true; hasMore; {
 		hasMore = false
-		for _, name := range h.groupNamesInOrder() {
-			r := h.groups[name]
-			r.group.FlushReads(now)
-			ready, syncPoint := r.group.Ready()
-			if len(ready.Messages)+len(ready.Changes)+len(ready.CommittedEntries)+len(ready.ReadRequests) == 0 && ready.Snapshot == nil {
-				continue
-			}
-			hasMore = true
-			for _, message := range ready.Messages {
-				if message.AfterSync {
-					h.nextWrite.messages = append(h.nextWrite.messages, message)
-				} else {
-					h.sendGroupMessage(message, heartbeats, effects)
-				}
-			}
-			if len(ready.Changes) > 0 {
-				h.nextWrite.changes = append(h.nextWrite.changes, ready.Changes...)
-				h.nextWrite.bytes += changesSize(ready.Changes)
-				h.nextWrite.syncPoints[name] = syncPoint
-			}
-			if ready.Snapshot != nil {
-				h.restoreGroup(r, ready.Snapshot)
-				r.notifiedTerm = 0
-				if r.queue == nil {
-					h.publishClusterState(now, effects)
-				}
-			}
-			for _, entry := range ready.CommittedEntries {
-				h.applyEntry(now, r, entry, effects)
-			}
-			for _, readID := range ready.ReadRequests {
-				h.completeRead(now, r, readID, effects)
+		for _, name := range h.groupNames() {
+			if h.flushGroup(now, name, heartbeats, effects) {
+				hasMore = true
 			}
 		}
 	}
-	h.sendHeartbeats(heartbeats, effects)
+	heartbeats.send(effects)
 	h.sendApplied(effects)
 	h.notifyScheduler(now, effects)
 	h.boundPending(now)
 	h.startWrite(now, effects)
 }
 
-func (h *Host) sendGroupMessage(message raft.Message, heartbeats map[string]*schema.HeartbeatBatch, effects eventloop.Effects) {
-	if heartbeats[message.To] == nil {
-		heartbeats[message.To] = &schema.HeartbeatBatch{}
+// flushGroup carries out what one group has produced; it tells whether that was
+// anything.
+func (h *Host) flushGroup(now eventloop.Micros, name string, heartbeats heartbeatBatches, effects eventloop.Effects) bool {
+	r := h.groups[name]
+	r.group.FlushReads(now)
+	ready, mark := r.group.Ready()
+	if len(ready.Messages)+len(ready.Changes)+len(ready.CommittedEntries)+len(ready.ReadRequests) == 0 && ready.Snapshot == nil {
+		return false
 	}
-	switch body := message.Body.(type) {
-	case *schema.Heartbeat:
-		heartbeats[message.To].Heartbeats = append(heartbeats[message.To].Heartbeats, body)
-	case *schema.HeartbeatResponse:
-		body.WallUs = h.wallClock()
-		heartbeats[message.To].Responses = append(heartbeats[message.To].Responses, body)
-	default:
-		effects.Send(message.To, body)
+	for _, message := range ready.Messages {
+		if message.AfterSync {
+			h.nextWrite.messages = append(h.nextWrite.messages, message)
+		} else {
+			h.sendGroupMessage(message, heartbeats, effects)
+		}
 	}
-}
-
-func (h *Host) sendHeartbeats(heartbeats map[string]*schema.HeartbeatBatch, effects eventloop.Effects) {
-	ids := slices.Sorted(maps.Keys(heartbeats))
-	for _, id := range ids {
-		if len(heartbeats[id].Heartbeats)+len(heartbeats[id].Responses) > 0 {
-			effects.Send(id, heartbeats[id])
+	if len(ready.Changes) > 0 {
+		h.nextWrite.changes = append(h.nextWrite.changes, ready.Changes...)
+		h.nextWrite.bytes += changesSize(ready.Changes)
+		h.nextWrite.marks[name] = mark
+	}
+	if ready.Snapshot != nil {
+		h.restoreGroup(r, ready.Snapshot)
+		r.notifiedTerm = 0
+		if r.queue == nil {
+			h.publishClusterState(now, effects)
 		}
 	}
-}
-
-func (h *Host) sendApplied(effects eventloop.Effects) {
-	ids := slices.Sorted(maps.Keys(h.applied))
-	for _, id := range ids {
-		applied := h.applied[id]
-		delete(h.applied, id)
-		effects.Send(applied.Results[0].Session.Gateway, applied)
+	for _, entry := range ready.CommittedEntries {
+		h.applyEntry(now, r, entry, effects)
+	}
+	for _, readID := range ready.ReadRequests {
+		h.completeRead(now, r, readID, effects)
 	}
+	return true
 }
 
-// startWrite hands everything that has gathered to the storage as one batch, so that
-// one sync serves every group; the next gathers meanwhile.
+// startWrite hands all pending changes to the storage as one batch, so that one sync
+// serves every group. What comes meanwhile goes into the next batch.
 func (h *Host) startWrite(now eventloop.Micros, effects eventloop.Effects) {
-	if h.currentWrite != nil || len(h.nextWrite.changes)+len(h.nextWrite.messages)+len(h.nextWrite.identities) == 0 {
+	if h.currentWrite != nil || h.nextWrite.isEmpty() {
 		return
 	}
 	write := h.nextWrite
-	h.nextWrite = pendingWrite{syncPoints: map[string]raft.SyncPoint{}}
+	h.nextWrite = newPendingWrite()
 	h.currentWrite = &write
 	h.writeNumber++
 	h.writeStartedAt = now
@@ -139,6 +106,7 @@
 	effects.Notify("storage", Batch{Number: h.writeNumber, Changes: write.changes})
 }
 
+// handleWritten sends what waited for the batch and reports it to the groups.
 func (h *Host) handleWritten(now eventloop.Micros, m Written, effects eventloop.Effects) {
 	if h.currentWrite == nil || m.Number != h.writeNumber {
 		return
@@ -146,18 +114,17 @@
 	write := h.currentWrite
 	h.currentWrite = nil
 	h.recordWriteSuccess()
-	heartbeats := map[string]*schema.HeartbeatBatch{}
+	heartbeats := heartbeatBatches{}
 	for _, message := range write.messages {
 		h.sendGroupMessage(message, heartbeats, effects)
 	}
-	h.sendHeartbeats(heartbeats, effects)
-	for _, self := range write.identities {
-		effects.Notify("membership", membership.IdentityPersisted{Identity: self})
+	heartbeats.send(effects)
+	for _, identity := range write.identities {
+		effects.Notify("membership", membership.IdentityPersisted{Identity: identity})
 	}
-	names := slices.Sorted(maps.Keys(write.syncPoints))
-	for _, name := range names {
+	for _, name := range slices.Sorted(maps.Keys(write.marks)) {
 		if r := h.groups[name]; r != nil {
-			r.group.MarkSynced(now, write.syncPoints[name])
+			r.group.MarkSynced(now, write.marks[name])
 		}
 	}
 }
--- a/internal/replica/read_only.go
+++ b/internal/replica/read_only.go
@@ -1,5 +1,8 @@
 package replica
 
+// What a node does while its storage takes no writes, or none in time: it hands over
+// leadership, rejects changes, and bounds what waits for the storage.
+
 import (
 	"fmt"
 	"maps"
@@ -11,28 +14,22 @@
 	"sparnotch/internal/schema"
 )
 
-// WriteFailed comes from the storage when the batch that is out couldn't be written.
-// It is tried again until it lasts; nothing that waits for it is told before.
-type WriteFailed struct {
-	Number uint64
-	Reason string
-}
-
-// readOnlyState is since when the store has taken no writes, and why.
+// readOnlyState is since when the storage has taken no writes, and why; since 0: it does.
 type readOnlyState struct {
 	since  eventloop.Micros
 	reason string
 }
 
 const (
-	maxPendingBytes    = 8 << 20 // of records and checkpoints that may gather while the store takes nothing
-	maxPendingMessages = 4096    // messages that may wait for it
+	stallTimeout       = 600 * eventloop.Millisecond // for one write; a leader whose storage takes longer hands over
+	maxPendingBytes    = 8 << 20                     // of entries and snapshots that wait for a stalled storage
+	maxPendingMessages = 4096                        // that wait for a stalled storage
 )
 
-// isReadOnly tells whether the store takes no writes.
+// isReadOnly tells whether the last write failed.
 func (h *Host) isReadOnly() bool { return h.readOnly.since > 0 }
 
-// readOnlyReason is why the store takes no writes, empty if it does.
+// readOnlyReason is why the storage takes no writes; empty: it does.
 func (h *Host) readOnlyReason(now eventloop.Micros) string {
 	if !h.isReadOnly() && h.isStalled(now) {
 		return fmt.Sprintf("no answer for %v", (now - h.writeStartedAt).Duration().Round(time.Millisecond))
@@ -40,22 +37,22 @@
 	return h.readOnly.reason
 }
 
-// handleWriteFailed takes note that the store takes no writes: no replica here stands, and
-// every group led here goes to another at once.
+// handleWriteFailed makes every replica read-only, so that none campaigns, and hands
+// over the groups that this node leads.
 func (h *Host) handleWriteFailed(now eventloop.Micros, m WriteFailed) {
 	if h.currentWrite == nil || m.Number != h.writeNumber || h.isReadOnly() {
 		return
 	}
 	h.readOnly = readOnlyState{since: now, reason: m.Reason}
 	h.setWritable(false)
-	for _, name := range h.groupNamesInOrder() {
+	for _, name := range h.groupNames() {
 		if r := h.groups[name]; r.group.IsLeader() {
 			h.transferIfNeeded(now, r)
 		}
 	}
 }
 
-// recordWriteSuccess takes note that a write and its sync have succeeded.
+// recordWriteSuccess ends the read-only state after a write and its sync.
 func (h *Host) recordWriteSuccess() {
 	if h.isReadOnly() {
 		h.readOnly = readOnlyState{}
@@ -69,12 +66,12 @@
 	}
 }
 
-// isStalled tells whether the store takes no writes, or has one out for too long.
+// isStalled tells whether the storage takes no writes, or hasn't finished one in time.
 func (h *Host) isStalled(now eventloop.Micros) bool {
 	return h.isReadOnly() || h.currentWrite != nil && now-h.writeStartedAt > stallTimeout
 }
 
-// isNodeReadOnly tells whether a store is known to take no writes.
+// isNodeReadOnly tells whether a storage node is known to take no writes.
 func (h *Host) isNodeReadOnly(id string) bool {
 	if id == h.id {
 		return h.isReadOnly()
@@ -82,15 +79,15 @@
 	return h.membership != nil && h.membership.RefusesWrites(id)
 }
 
-// canCommit tells whether enough of a group's voters take writes, as far as is
-// known here.
+// canCommit tells whether a majority of a group's voters take writes, as far as this
+// node knows.
 func (h *Host) canCommit(now eventloop.Micros, r *replica) bool {
 	return h.membership == nil || h.membership.HasWritableQuorum(now, r.group.MemberSet().Voters, h.isNodeReadOnly)
 }
 
-// canElectAnother tells whether the other voters at hand can elect one of them
-// without us: our own vote can't last. Were they too few, handing over would
-// only cost the reads that are still answered here.
+// canElectAnother tells whether the other voters are a majority without this node,
+// whose own vote can't become durable. If they aren't, a handover would leave the group
+// without a leader and with it without reads.
 func (h *Host) canElectAnother(now eventloop.Micros, r *replica) bool {
 	voters, able := r.group.MemberSet().Voters, 0
 	for _, id := range voters {
@@ -101,8 +98,8 @@
 	return able > len(voters)/2
 }
 
-// chooseSuccessor is a voter that can take a group over, one whose store takes writes if
-// there is one.
+// chooseSuccessor is a voter that can take over a group, if possible one whose storage
+// takes writes; empty: there is none.
 func (h *Host) chooseSuccessor(now eventloop.Micros, r *replica) string {
 	successor := ""
 	for _, id := range r.group.MemberSet().Voters {
@@ -116,9 +113,9 @@
 	return successor
 }
 
-// boundPending keeps what gathers for a store that takes nothing within limits: groups'
-// changes become their whole state, and the oldest messages go, as on a network
-// that loses some.
+// boundPending limits what waits for a stalled storage: the changes of a group are
+// replaced by its whole state, and the oldest messages are dropped, which Raft tolerates
+// as loss on the network.
 func (h *Host) boundPending(now eventloop.Micros) {
 	if h.currentWrite == nil || !h.isStalled(now) {
 		return
@@ -131,13 +128,13 @@
 	}
 }
 
-// compactPending replaces the changes that wait by fewer with the same outcome.
+// compactPending replaces the waiting changes by fewer with the same result.
 func (h *Host) compactPending() {
 	groups := map[string]bool{}
-	var changes []*schema.StoreChange
+	var compacted []*schema.StoreChange
 	for _, change := range h.nextWrite.changes {
 		if change.Identity != nil {
-			changes = []*schema.StoreChange{{Identity: change.Identity}}
+			compacted = []*schema.StoreChange{{Identity: change.Identity}}
 		}
 		if change.Group != "" {
 			groups[change.Group] = true
@@ -145,18 +142,18 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
 		if r := h.groups[name]; r != nil {
-			changes = append(changes, r.group.FullState())
+			compacted = append(compacted, r.group.FullState())
 		} else {
-			changes = append(changes, &schema.StoreChange{Group: name, Removed: true})
+			compacted = append(compacted, &schema.StoreChange{Group: name, Removed: true})
 		}
 	}
-	h.nextWrite.changes = changes
-	h.nextWrite.bytes = changesSize(changes)
+	h.nextWrite.changes = compacted
+	h.nextWrite.bytes = changesSize(compacted)
 	h.nextWrite.compactedBytes = h.nextWrite.bytes
 }
 
-// changesSize is how much records and checkpoints hold, each counted a little more
-// than its data.
+// changesSize is the approximate size in bytes of changes: of the data of their entries
+// and snapshots, with an overhead for each.
 func changesSize(changes []*schema.StoreChange) int {
 	const overhead = 64
 	size := 0
--- /dev/null
+++ b/internal/replica/requests.go
@@ -0,0 +1,204 @@
+package replica
+
+// Requests of callers: reads of a state machine, cancels, and commands of the cluster
+// state.
+
+import (
+	"encoding/json"
+	"net/http"
+
+	"google.golang.org/protobuf/encoding/protojson"
+	"google.golang.org/protobuf/proto"
+
+	"sparnotch/internal/clusterstate"
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/schema"
+)
+
+// Kinds of schema.Request.
+const (
+	requestJobStatus     = "status"
+	requestJobList       = "list"
+	requestQueueCounts   = "counts"
+	requestConfiguration = "plan"
+	requestHistory       = "history" // of configurations
+	requestClusterState  = "state"
+	requestCancel        = "cancel"
+	requestCommand       = "clusterstate" // changes the cluster state
+)
+
+// Codes of schema.Fault.
+const (
+	faultNotReady   = "not_ready"
+	faultBadRequest = "bad_request"
+	faultUnknownJob = "unknown_job"
+	faultInternal   = "internal"
+)
+
+const unknownJobMessage = "no job of this name is known in the queue"
+
+// pendingReply is a request or task report that is answered once it is applied.
+type pendingReply struct {
+	term    uint64 // of the leadership that took it
+	from    string // process to answer; empty: a component of this one
+	request *schema.Request
+	end     *schema.TaskEndReport
+}
+
+// handleRequest answers a caller's request, or proposes its command, if this node leads
+// the group. If it doesn't, the reply names the leader.
+func (h *Host) handleRequest(now eventloop.Micros, from string, m *schema.Request, effects eventloop.Effects) {
+	r := h.groupFor(m)
+	if r == nil || !r.group.IsLeader() || r.group.Transferee() != "" {
+		effects.Send(from, &schema.Response{Id: m.Id, Group: m.Group, Leader: currentLeader(r)})
+		return
+	}
+	pending := pendingReply{term: r.group.Term(), from: from, request: m}
+	if (m.Kind == requestCancel || m.Kind == requestCommand) && !h.canCommit(now, r) {
+		h.reply(pending, http.StatusServiceUnavailable, faultJSON(faultNotReady, "too many stores take no writes at the moment"), effects)
+		return
+	}
+	switch m.Kind {
+	case requestJobStatus, requestJobList, requestQueueCounts, requestConfiguration, requestHistory, requestClusterState:
+		h.lastReadID++
+		if r.group.ReadIndex(now, h.lastReadID) != nil {
+			// A new leader doesn't know the commit index before its first entry is
+			// committed (Raft, section 8).
+			effects.Send(from, &schema.Response{Id: m.Id, Group: m.Group})
+			return
+		}
+		r.pendingReads[h.lastReadID] = pending
+	case requestCancel:
+		command := &schema.QueueCommand{Body: &schema.QueueCommand_Cancel{Cancel: &schema.Cancel{Name: m.Name}}}
+		if index := h.proposeQueue(now, r, command); index > 0 {
+			r.pendingCommands[index] = pending
+		}
+	case requestCommand:
+		// A command that can't be decoded must not get into the log: no replica could
+		// apply it.
+		if _, err := clusterstate.DecodeCommand(m.Body); err != nil {
+			h.reply(pending, http.StatusBadRequest, faultJSON(faultBadRequest, "the command can't be read"), effects)
+			return
+		}
+		if index, _, err := r.group.Propose(now, m.Body); err == nil {
+			r.pendingCommands[index] = pending
+		}
+	default:
+		h.reply(pending, http.StatusBadRequest, faultJSON(faultBadRequest, "no such request: "+m.Kind), effects)
+	}
+}
+
+// groupFor is the replica that a request is for; nil: this node has none.
+func (h *Host) groupFor(m *schema.Request) *replica {
+	if m.Group == clusterstate.Group {
+		return h.groups[clusterstate.Group]
+	}
+	return h.groupOfQueue(m.Group)
+}
+
+// completeRead answers a read whose index is confirmed and applied.
+func (h *Host) completeRead(now eventloop.Micros, r *replica, readID uint64, effects eventloop.Effects) {
+	pending, found := r.pendingReads[readID]
+	if !found {
+		return
+	}
+	delete(r.pendingReads, readID)
+	switch m := pending.request; m.Kind {
+	case requestJobStatus:
+		view, found := r.queue.JobView(m.Name)
+		if !found {
+			h.reply(pending, http.StatusNotFound, faultJSON(faultUnknownJob, unknownJobMessage), effects)
+			return
+		}
+		h.reply(pending, http.StatusOK, mustMarshalJSON(view), effects)
+	case requestJobList:
+		h.reply(pending, http.StatusOK, mustMarshalJSON(r.queue.List(m.PageAfter, int(m.Limit))), effects)
+	case requestQueueCounts:
+		h.reply(pending, http.StatusOK, mustMarshalJSON(r.queue.Counts()), effects)
+	case requestConfiguration:
+		h.reply(pending, http.StatusOK, clusterstate.Compress(configurationJSON(h.clusterState.Configuration())), effects)
+	case requestClusterState:
+		h.reply(pending, http.StatusOK, h.encodeClusterState(now, pending), effects)
+	case requestHistory:
+		h.reply(pending, http.StatusOK, clusterstate.Compress(h.historyJSON()), effects)
+	}
+}
+
+func (h *Host) reply(pending pendingReply, code int32, body []byte, effects eventloop.Effects) {
+	effects.Send(pending.from, &schema.Response{Id: pending.request.Id, Code: code, Body: body, Leader: h.id, Group: pending.request.Group})
+}
+
+// leaseReply is the answer to a command of a controller: its lease's fencing token.
+type leaseReply struct {
+	Lease uint64 `json:"lease"`
+}
+
+// replyClusterStateResult answers an applied command of the cluster state.
+func (h *Host) replyClusterStateResult(pending pendingReply, result *clusterstate.Result, effects eventloop.Effects) {
+	var body []byte
+	switch {
+	case result.Error != nil:
+		body = mustMarshalJSON(result.Error)
+	case result.Configuration != nil:
+		// The sender has the document already.
+		body = clusterstate.Compress(configurationJSON(clusterstate.WithoutDocument(result.Configuration)))
+	default:
+		body = mustMarshalJSON(leaseReply{Lease: result.FencingToken})
+	}
+	h.reply(pending, result.Code, body, effects)
+}
+
+// historyJSON lists the previous configurations and the current one, all without their
+// documents.
+func (h *Host) historyJSON() []byte {
+	history := h.clusterState.History()
+	parts := make([]json.RawMessage, 0, len(history)+1)
+	for _, configuration := range history {
+		parts = append(parts, configurationJSON(configuration))
+	}
+	parts = append(parts, configurationJSON(clusterstate.WithoutDocument(h.clusterState.Configuration())))
+	return mustMarshalJSON(parts)
+}
+
+func configurationJSON(configuration *schema.Configuration) []byte {
+	data, err := protojson.MarshalOptions{EmitUnpopulated: true}.Marshal(configuration)
+	if err != nil {
+		return faultJSON(faultInternal, err.Error())
+	}
+	return data
+}
+
+func jobViewOrFault(view *schema.JobView) []byte {
+	if view == nil {
+		return faultJSON(faultUnknownJob, unknownJobMessage)
+	}
+	return mustMarshalJSON(view)
+}
+
+func faultJSON(code, message string) []byte {
+	return mustMarshalJSON(&schema.Error{Code: code, Message: message})
+}
+
+// mustMarshalJSON panics on an error: none of the types that are passed can cause one.
+func mustMarshalJSON(value any) []byte {
+	data, err := json.Marshal(value)
+	if err != nil {
+		panic("replica: " + err.Error())
+	}
+	return data
+}
+
+// mustMarshal panics on an error, which a message of ours can only cause by invalid UTF-8.
+func mustMarshal(message proto.Message) []byte {
+	data, err := proto.Marshal(message)
+	if err != nil {
+		panic("replica: " + err.Error())
+	}
+	return data
+}
+
+// EncodeClusterStateCommand encodes a command for the body of a request, compressed if
+// it is large.
+func EncodeClusterStateCommand(command *schema.ClusterStateCommand) []byte {
+	return clusterstate.Compress(mustMarshal(command))
+}
--- /dev/null
+++ b/internal/replica/state_view.go
@@ -0,0 +1,93 @@
+package replica
+
+// The state view: what this node holds to be so, for operators.
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"sort"
+
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/schema"
+)
+
+// NodeStateView is this node's view of the cluster, as GET /v1/belief shows it. It may
+// be stale; IsClusterStateFresh tells how far it can be relied on.
+type NodeStateView struct {
+	Node                  string                   `json:"node"`
+	ClusterStateVersion   uint64                   `json:"cluster_state_version"`
+	ConfigurationRevision uint64                   `json:"plan_generation"`
+	IsClusterStateFresh   bool                     `json:"cluster_state_fresh"`
+	Controller            string                   `json:"controller"`
+	ControllerLease       uint64                   `json:"controller_lease"`        // its fencing token
+	ReadOnlyReason        string                   `json:"store_refuses,omitempty"` // why the storage takes no writes
+	Groups                []*GroupStateView        `json:"groups"`
+	WorkerLeases          []*schema.WorkerLease    `json:"wards"`
+	Queues                []*schema.QueuePlacement `json:"queues"`
+	Members               []*schema.Member         `json:"members"`
+	FaultTolerance        *FaultTolerance          `json:"bears"`
+	HasHandoverPending    bool                     `json:"needed"` // leadership or a vote is to be handed over before it may leave
+}
+
+// GroupStateView is this node's view of one Raft group that it has a replica of.
+type GroupStateView struct {
+	Group        string   `json:"group"`
+	Role         string   `json:"role"`
+	Leader       string   `json:"leader"`
+	Term         uint64   `json:"term"`
+	Commit       uint64   `json:"commit"`
+	Applied      uint64   `json:"applied"`
+	Last         uint64   `json:"last"`
+	Stable       uint64   `json:"stable"`
+	Released     uint64   `json:"released"`
+	Voters       []string `json:"voters"`
+	Learners     []string `json:"learners,omitempty"`
+	LiveJobs     int      `json:"live_jobs"`
+	RetainedJobs int      `json:"kept_jobs"`
+	Sessions     int      `json:"sessions"`
+	Reenqueues   uint64   `json:"carries"`
+	Digest       string   `json:"digest"` // of the state at Applied; see Digest
+}
+
+// stateView takes a view of the present state.
+func (h *Host) stateView(now eventloop.Micros) *NodeStateView {
+	view := &NodeStateView{
+		Node: h.id, ClusterStateVersion: h.state.Version, ConfigurationRevision: h.state.Configuration.GetRevision(),
+		IsClusterStateFresh: h.isClusterStateFresh(now), WorkerLeases: h.state.WorkerLeases, Queues: h.state.Queues,
+		Controller: h.state.ControllerLease.GetHolder(), ControllerLease: h.state.ControllerLease.GetFencingToken(),
+		HasHandoverPending: h.hasHandoverPending(now), FaultTolerance: h.faultTolerance(now), ReadOnlyReason: h.readOnlyReason(now),
+	}
+	for _, name := range h.groupNames() {
+		view.Groups = append(view.Groups, h.groupStateView(h.groups[name]))
+	}
+	if h.membership != nil {
+		for _, known := range h.membership.Members {
+			view.Members = append(view.Members, known.Member)
+		}
+		sort.Slice(view.Members, func(a, b int) bool { return view.Members[a].Id < view.Members[b].Id })
+	}
+	return view
+}
+
+func (h *Host) groupStateView(r *replica) *GroupStateView {
+	g := r.group
+	view := &GroupStateView{
+		Group: g.Name(), Role: g.Role(), Leader: g.Leader(), Term: g.Term(), Commit: g.CommitIndex(), Applied: g.AppliedIndex(),
+		Last: g.LastIndex(), Stable: g.StableIndex(), Released: g.SnapshotIndex(), Voters: g.MemberSet().Voters, Learners: g.MemberSet().Learners,
+	}
+	if r.queue == nil {
+		view.Digest = Digest(h.clusterState.Snapshot())
+		return view
+	}
+	view.LiveJobs, view.RetainedJobs = r.queue.LiveJobs(), r.queue.RetainedJobs()
+	view.Reenqueues, view.Sessions = r.queue.Reenqueues(), len(r.queue.Sessions())
+	view.Digest = Digest(r.queue.Snapshot(true))
+	return view
+}
+
+// Digest is the digest of an encoded state that the state view shows: the first 8 bytes
+// of its SHA-256, in hex.
+func Digest(state []byte) string {
+	sum := sha256.Sum256(state)
+	return hex.EncodeToString(sum[:8])
+}
--- a/internal/replica/submissions.go
+++ b/internal/replica/submissions.go
@@ -1,6 +1,7 @@
 package replica
 
-// Submissions to the queues that this process leads, and the ends of their tasks.
+// Commands for the queues that this node leads: submissions, task reports, and those of
+// the scheduler.
 
 import (
 	"google.golang.org/protobuf/proto"
@@ -10,6 +11,18 @@
 	"sparnotch/internal/schema"
 )
 
+// maxUnapplied is how many entries of a group may wait to be applied before more are
+// rejected.
+const maxUnapplied = 8192
+
+// Outcomes of schema.End.
+const (
+	outcomeDone   = "done"
+	outcomeFailed = "failed"
+	outcomeLost   = "lost"
+)
+
+// proposeQueue proposes a command and gives its log index; 0: it wasn't proposed.
 func (h *Host) proposeQueue(now eventloop.Micros, r *replica, command *schema.QueueCommand) uint64 {
 	data, err := proto.Marshal(command)
 	if err != nil {
@@ -22,10 +35,13 @@
 	return index
 }
 
+// isBacklogFull tells whether a group has more to apply than it should accept.
 func (h *Host) isBacklogFull(r *replica) bool {
 	return r.group.LastIndex()-r.group.AppliedIndex() > maxUnapplied
 }
 
+// handleSubmit proposes the submissions of a gateway. Those that are rejected are
+// dropped: the gateway has numbered them and sends them again.
 func (h *Host) handleSubmit(now eventloop.Micros, from string, m *schema.SubmitRequest, effects eventloop.Effects) {
 	place := clusterstate.FindQueue(h.state, m.Queue)
 	if place == nil {
@@ -36,7 +52,6 @@
 		effects.Send(from, &schema.SubmitResponse{Queue: m.Queue, Leader: currentLeader(r)})
 		return
 	}
-	// What finds no place is resent by its gateway, which has numbered it.
 	if h.isBacklogFull(r) || h.disk.isLow {
 		return
 	}
@@ -52,7 +67,8 @@
 	}
 }
 
-// startTime turns a start into queue time, once.
+// startTime is when a job starts, in µs of queue time; 0: when it is admitted. It is
+// fixed by the leader, so that every replica applies the same.
 func (h *Host) startTime(now eventloop.Micros, r *replica, job *schema.Job) int64 {
 	at := r.group.GroupTime(now)
 	switch {
@@ -60,8 +76,8 @@
 		return at + job.DelayUs
 	case job.StartUnixUs > 0:
 		start := at + job.StartUnixUs - r.group.WallTime(now, h.wallClock())
-		// The rounds of a job are counted from its start, though that be past;
-		// zero alone would mean the moment of its admission.
+		// The rounds of a job count from its start even where that is past, except for
+		// zero, which means its admission.
 		if job.Rounds > 1 && start != 0 {
 			return start
 		}
@@ -70,28 +86,30 @@
 	return 0
 }
 
+// handleSessionsDown proposes to remove sessions, or all those of gateways that are gone.
 func (h *Host) handleSessionsDown(now eventloop.Micros, m *schema.EndSessionsRequest) {
-	if place := clusterstate.FindQueue(h.state, m.Queue); place != nil {
-		if r := h.groups[GroupName(place)]; r != nil && r.group.HoldsLeaderLease(now) {
-			h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_EndSessions{EndSessions: &schema.EndSessions{Sessions: m.Sessions, Gateways: m.Gateways}}})
-		}
+	if r := h.groupOfQueue(m.Queue); r != nil && r.group.HoldsLeaderLease(now) {
+		h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_EndSessions{EndSessions: &schema.EndSessions{Sessions: m.Sessions, Gateways: m.Gateways}}})
 	}
 }
 
+// handlePropose proposes a command of this node's scheduler. One that acts for an older
+// term may have decided on stale tasks.
 func (h *Host) handlePropose(now eventloop.Micros, m Propose) {
 	r := h.groups[m.Group]
-	// A scheduler that acts for an older term has an older list.
 	if r == nil || r.queue == nil || r.group.Term() != m.Term || !r.group.HoldsLeaderLease(now) || h.isBacklogFull(r) {
 		return
 	}
 	h.proposeQueue(now, r, m.Command)
 }
 
+// handleTaskEnd proposes a worker's report; from is empty if the scheduler of this node
+// passes it on. What isn't acknowledged is reported again.
 func (h *Host) handleTaskEnd(now eventloop.Micros, from string, m *schema.TaskEndReport, effects eventloop.Effects) {
 	place := clusterstate.FindQueue(h.state, m.Queue)
 	if place == nil {
-		// The queue is over, and with it whatever the task was for. A cluster state
-		// that is still catching up says nothing of the kind.
+		// Nobody needs the report of a deleted queue's task. A stale copy of the cluster
+		// state doesn't show that the queue is deleted.
 		if h.isClusterStateFresh(now) {
 			h.acknowledgeEnd(from, m, effects)
 		}
@@ -112,22 +130,23 @@
 	}
 }
 
-// commandForEnd is what a worker's report asks of the queue. Ends other than done,
-// failed and lost (stopped, lapsed, broken by another member, alone without the
-// others) are no fault of the task's.
+// commandForEnd is the queue command for a worker's report. Outcomes other than done,
+// failed and lost (stopped, lease expired, gang stopped, gang incomplete) aren't the
+// task's fault and don't count as failures.
 func commandForEnd(m *schema.TaskEndReport) *schema.QueueCommand {
 	cause := schema.ReturnCause_RETURN_CAUSE_PREEMPTED
 	switch m.Outcome {
-	case "done":
+	case outcomeDone:
 		return &schema.QueueCommand{Body: &schema.QueueCommand_Settle{Settle: &schema.Settle{Key: m.Key, Attempt: m.Attempt, WholeGang: m.WholeGang}}}
-	case "failed":
+	case outcomeFailed:
 		cause = schema.ReturnCause_RETURN_CAUSE_FAILED
-	case "lost":
+	case outcomeLost:
 		cause = schema.ReturnCause_RETURN_CAUSE_WORKER_LOST
 	}
 	return &schema.QueueCommand{Body: &schema.QueueCommand_Return{Return: &schema.Return{Key: m.Key, Attempt: m.Attempt, Cause: cause, Checkpoint: m.Checkpoint}}}
 }
 
+// acknowledgeEnd answers a report; from is empty for the scheduler of this node.
 func (h *Host) acknowledgeEnd(from string, m *schema.TaskEndReport, effects eventloop.Effects) {
 	reply := &schema.TaskEndAck{Queue: m.Queue, Key: m.Key, Attempt: m.Attempt, Worker: m.Worker}
 	if from == "" {
