--- a/internal/replica/large_updates_test.go
+++ b/internal/replica/large_updates_test.go
@@ -16,7 +16,7 @@
 	"sparnotch/internal/storage"
 )
 
-// memoryDisk is a disk that never fails and knows how much lay on it at most.
+// memoryDisk is a disk that never fails. peak is the most bytes it has held.
 type memoryDisk struct {
 	files map[string][]byte
 	peak  int
@@ -49,10 +49,10 @@
 
 func (m *memoryDisk) Sync(string) error { return nil }
 
-// largeUpdate is a configuration of 256 KB that can hardly be packed.
-func largeUpdate(edition uint64) *schema.ConfigurationUpdate {
-	rng := rand.New(rand.NewPCG(edition, 1))
-	update := queuesUpdate(edition, "", "l")
+// largeUpdate is a configuration of 256 KB that can hardly be compressed.
+func largeUpdate(version uint64) *schema.ConfigurationUpdate {
+	rng := rand.New(rand.NewPCG(version, 1))
+	update := queuesUpdate(version, "", "l")
 	var document strings.Builder
 	for document.Len() < 256<<10 {
 		name := fmt.Sprintf("%x%x", rng.Uint64(), rng.Uint64())
@@ -65,7 +65,7 @@
 	return update
 }
 
-// putLargeConfiguration puts a sheet that takes its time.
+// putLargeConfiguration waits up to 1 s for the reply and gives its code.
 func (c *testCluster) putLargeConfiguration(update *schema.ConfigurationUpdate) int32 {
 	reply := c.putConfiguration(update)
 	for k := 0; reply == nil && k < 100; k++ {
@@ -78,12 +78,12 @@
 }
 
 func TestLargeUpdatesKeepLogBounded(t *testing.T) {
-	Convey("However many large changes come, the log, the disk and what a replica lacks at most stay bounded", t, func() {
+	Convey("However many large updates come, the log, the disk and a lagging replica's gap stay bounded", t, func() {
 		c := newTestCluster()
 		disk := &memoryDisk{files: map[string][]byte{}}
 		store, err := storage.Open(disk)
 		So(err, ShouldBeNil)
-		// One store's batches are kept for real.
+		// The batches of one node go to a real store.
 		c.onBatch = func(id string, batch Batch) {
 			if id == "a" {
 				So(store.Commit(batch.Changes), ShouldBeNil)
@@ -92,8 +92,8 @@
 		So(store.Commit([]*schema.StoreChange{{Identity: &schema.StoreIdentity{Id: "a"}}, {Group: clusterstate.Group, Snapshot: &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: nodeIDs}}}}), ShouldBeNil)
 		const count = 24
 		maxLogBytes := 0
-		for edition := uint64(1); edition <= count; edition++ {
-			So(c.putLargeConfiguration(largeUpdate(edition)), ShouldEqual, 200)
+		for version := uint64(1); version <= count; version++ {
+			So(c.putLargeConfiguration(largeUpdate(version)), ShouldEqual, 200)
 			c.run(20 * eventloop.Millisecond)
 			for _, id := range nodeIDs {
 				maxLogBytes = max(maxLogBytes, c.hosts[id].groups[clusterstate.Group].logBytes)
@@ -104,7 +104,7 @@
 		So(r.group.SnapshotIndex(), ShouldBeGreaterThan, 0)
 		t.Logf("base %d bytes, log %d, disk %d", r.group.SnapshotBytes(), maxLogBytes, disk.peak)
 		So(disk.peak, ShouldBeLessThan, 32<<20)
-		Convey("and a process that starts from that disk holds the last of them", func() {
+		Convey("and a node that restarts from that disk has one of the last of them", func() {
 			reopened, err := storage.Open(disk)
 			So(err, ShouldBeNil)
 			host := New("a", reopened.State(), func() int64 { return 0 }, raft.DefaultTimeouts, 1, c.now)
@@ -117,7 +117,7 @@
 }
 
 func TestLaggingReplicaServesNoClusterState(t *testing.T) {
-	Convey("A replica that comes back behind tells nobody of the cluster state, and gives its placer no leave, before it holds all that was acknowledged", t, func() {
+	Convey("A lagging replica answers no query for the cluster state, and isn't fresh for its scheduler, until it has all that was acknowledged", t, func() {
 		c := newTestCluster()
 		So(c.putConfiguration(queuesUpdate(1, "one", "l")).Code, ShouldEqual, 200)
 		c.run(500 * eventloop.Millisecond)
@@ -128,13 +128,13 @@
 		host := c.hosts[lagging]
 		c.isDown[lagging] = true
 		acknowledged := uint64(1)
-		for edition := uint64(2); edition <= 12; edition++ {
-			So(c.putLargeConfiguration(largeUpdate(edition)), ShouldEqual, 200)
-			acknowledged = edition
+		for version := uint64(2); version <= 12; version++ {
+			So(c.putLargeConfiguration(largeUpdate(version)), ShouldEqual, 200)
+			acknowledged = version
 		}
 		c.run(2 * eventloop.Second)
 		c.isDown[lagging] = false
-		// For a while heartbeats come through and nothing of what it lacks.
+		// For 2 s it receives heartbeats and no entries.
 		until := c.now + 2*eventloop.Second
 		c.isLost = func(to string, body any) bool {
 			switch body.(type) {
@@ -145,18 +145,18 @@
 		}
 		isCaughtUp := false
 		for k := 0; k < 3000 && !isCaughtUp; k++ {
-			c.received["f"], c.received[lagging+"/placer"] = nil, nil
+			c.received["f"], c.received[lagging+"/scheduler"] = nil, nil
 			c.step(lagging, "f", &schema.ClusterStateRequest{})
 			c.run(2 * eventloop.Millisecond)
-			for _, each := range c.received["f"] {
-				if update, isUpdate := each.(*schema.ClusterStateResponse); isUpdate {
+			for _, body := range c.received["f"] {
+				if update, isUpdate := body.(*schema.ClusterStateResponse); isUpdate {
 					isCaughtUp = true
 					So(c.now, ShouldBeGreaterThanOrEqualTo, until)
 					So(update.Version, ShouldEqual, c.hosts[c.leader("")].state.Version)
 				}
 			}
-			for _, each := range c.received[lagging+"/placer"] {
-				if status, isStatus := each.(LeadershipStatus); isStatus && status.IsClusterStateFresh {
+			for _, body := range c.received[lagging+"/scheduler"] {
+				if status, isStatus := body.(LeadershipStatus); isStatus && status.IsClusterStateFresh {
 					So(host.state.Configuration.Revision, ShouldEqual, acknowledged)
 				}
 			}
@@ -165,32 +165,3 @@
 		So(host.state.Configuration.Revision, ShouldEqual, acknowledged)
 	})
 }
-
-func TestConfigurationRowsInFlight(t *testing.T) {
-	Convey("Who asks often is sent the rows of a large plan once, and again when they must have been lost", t, func() {
-		c := newTestCluster()
-		So(c.putLargeConfiguration(largeUpdate(1)), ShouldEqual, 200)
-		c.run(300 * eventloop.Millisecond)
-		query := func(duration eventloop.Micros) (withRows, all int) {
-			c.received["f"] = nil
-			for end := c.now + duration; c.now < end; {
-				c.step("a", "f", &schema.ClusterStateRequest{})
-				c.run(20 * eventloop.Millisecond)
-			}
-			for _, body := range c.received["f"] {
-				if update, isUpdate := body.(*schema.ClusterStateResponse); isUpdate {
-					all++
-					if len(update.State.GetConfiguration().GetPackedRows()) > 0 {
-						withRows++
-					}
-				}
-			}
-			return withRows, all
-		}
-		withRows, all := query(200 * eventloop.Millisecond)
-		So(withRows, ShouldEqual, 1)
-		So(all, ShouldEqual, 1)
-		withRows, _ = query(2 * eventloop.Second)
-		So(withRows, ShouldBeBetween, 1, 8)
-	})
-}
--- a/internal/replica/member_changes_test.go
+++ b/internal/replica/member_changes_test.go
@@ -11,42 +11,16 @@
 	"sparnotch/internal/membership"
 	"sparnotch/internal/raft"
 	"sparnotch/internal/schema"
-	"sparnotch/internal/storage"
+	"sparnotch/internal/timing"
 )
 
-// addEmptyNode adds a store with an empty disk.
-func (c *testCluster) addEmptyNode(id string) {
-	content := &storage.State{Identity: &schema.StoreIdentity{Id: id}, Groups: map[string]*storage.GroupState{}}
-	c.hosts[id] = New(id, content, func() int64 { return 0 }, raft.DefaultTimeouts, 4, c.now)
-}
-
-// changeMembers has the controller ask the leader for a change of members, and gives what
-// the members are then.
-func (c *testCluster) changeMembers(m *schema.ChangeMembers) *schema.MemberSet {
-	m.Group, m.FencingToken = clusterstate.Group, c.claimController()
-	leader := c.leader("")
-	c.step(leader, "h", m)
-	c.run(200 * eventloop.Millisecond)
-	return c.hosts[leader].groups[clusterstate.Group].group.MemberSet()
-}
-
-// follower is a store that doesn't lead.
-func (c *testCluster) follower() string {
-	for _, id := range nodeIDs {
-		if id != c.leader("") {
-			return id
-		}
-	}
-	return ""
-}
-
 func TestPromotionRequiresCaughtUpLearner(t *testing.T) {
-	Convey("A learner gets a vote when it has caught up, and not before", t, func() {
+	Convey("A learner becomes a voter when it has caught up, and not before", t, func() {
 		c := newTestCluster()
 		So(c.changeMembers(&schema.ChangeMembers{AddLearner: "d"}).Learners, ShouldResemble, []string{"d"})
-		// It answers, but holds nothing yet.
+		// It answers without having any entry.
 		leader := c.leader("")
-		term := c.hosts[leader].groups[clusterstate.Group].group.Term()
+		term := c.clusterStateGroup(leader).Term()
 		c.step(leader, "d", &schema.HeartbeatBatch{Responses: []*schema.HeartbeatResponse{{Group: clusterstate.Group, Term: term}}})
 		So(c.changeMembers(&schema.ChangeMembers{Promote: "d"}).Voters, ShouldResemble, nodeIDs)
 		c.addEmptyNode("d")
@@ -56,11 +30,11 @@
 }
 
 func TestMemberChangesKeepFaultTolerance(t *testing.T) {
-	Convey("Of three that all answer none is dropped, whatever the controller believes", t, func() {
+	Convey("None of three voters that all answer is removed, whatever the controller requests", t, func() {
 		c := newTestCluster()
 		lost := c.follower()
 		So(c.changeMembers(&schema.ChangeMembers{Remove: lost}).Voters, ShouldResemble, nodeIDs)
-		Convey("one that has fallen silent is", func() {
+		Convey("one that no longer answers is", func() {
 			c.isDown[lost] = true
 			c.run(eventloop.Second)
 			So(c.changeMembers(&schema.ChangeMembers{Remove: lost}).Voters, ShouldHaveLength, 2)
@@ -71,7 +45,7 @@
 			So(c.changeMembers(&schema.ChangeMembers{Promote: "d"}).Voters, ShouldHaveLength, 4)
 			So(c.changeMembers(&schema.ChangeMembers{Remove: lost}).Voters, ShouldHaveLength, 3)
 		})
-		Convey("but never who leads", func() {
+		Convey("but never the leader", func() {
 			c.addEmptyNode("d")
 			c.changeMembers(&schema.ChangeMembers{AddLearner: "d"})
 			So(c.changeMembers(&schema.ChangeMembers{Promote: "d"}).Voters, ShouldHaveLength, 4)
@@ -81,9 +55,9 @@
 }
 
 func TestDrainingNodeStaysUntilReplaced(t *testing.T) {
-	Convey("Given a store that was told to leave", t, func() {
+	Convey("Given a draining node", t, func() {
 		c := newTestCluster()
-		// The age of the cluster is told by the lease, which is renewed.
+		// The cluster's age follows from the renewals of the controller's lease.
 		for range 20 {
 			c.claimController()
 			c.run(eventloop.Second)
@@ -98,18 +72,18 @@
 			c.step(draining, "", members)
 		}
 		c.step(draining, "", Drain{})
-		Convey("without another that has come it goes at once", func() {
+		Convey("it has nothing to hand over if no storage node has joined", func() {
 			updateMembers(&schema.Member{Id: "d", HasStorage: true, Incarnation: 2, Heartbeat: 4})
 			So(hasHandoverPending(), ShouldBeFalse)
 		})
-		Convey("with one it stays, also while no controller renews the lease", func() {
+		Convey("it stays if one has joined, even while no controller renews the lease", func() {
 			for heartbeat := range uint64(80) {
 				c.run(250 * eventloop.Millisecond)
 				updateMembers(&schema.Member{Id: "d", HasStorage: true, Incarnation: 1, Heartbeat: heartbeat})
 				So(hasHandoverPending(), ShouldBeTrue)
 			}
 		})
-		Convey("with one it stays until that has its vote", func() {
+		Convey("it stays until the one that has joined is a voter in its place", func() {
 			c.addEmptyNode("d")
 			updateMembers(&schema.Member{Id: "d", HasStorage: true, Incarnation: 1, Heartbeat: 4})
 			So(hasHandoverPending(), ShouldBeTrue)
@@ -123,7 +97,7 @@
 }
 
 func TestHeartbeatCreatesMissingReplica(t *testing.T) {
-	Convey("A heartbeat counts an empty store in as well: its leader sends no second Append unasked", t, func() {
+	Convey("A heartbeat creates the replica of an empty node as an append does, which may have been lost", t, func() {
 		c := newTestCluster()
 		c.addEmptyNode("d")
 		sendHeartbeat := func(group string) {
@@ -132,7 +106,7 @@
 		sendHeartbeat(clusterstate.Group)
 		So(c.hosts["d"].groups[clusterstate.Group], ShouldNotBeNil)
 		So(c.hosts["d"].identity.Joined, ShouldBeTrue)
-		Convey("but not into a queue that has ended", func() {
+		Convey("but not that of a deleted queue", func() {
 			c.hosts["d"].state.NextToken = 4
 			sendHeartbeat("l#3")
 			So(c.hosts["d"].groups["l#3"], ShouldBeNil)
@@ -141,3 +115,69 @@
 		})
 	})
 }
+
+func TestVoterPromotion(t *testing.T) {
+	Convey("A learner that has never answered isn't promoted, however short the log is", t, func() {
+		c := newTestCluster()
+		lease := c.claimController()
+		leader := c.leader("")
+		changeMembers := func(m *schema.ChangeMembers) []string {
+			m.Group, m.FencingToken = clusterstate.Group, lease
+			c.step(leader, "h", m)
+			c.run(50 * eventloop.Millisecond)
+			return c.clusterStateGroup(leader).MemberSet().Voters
+		}
+		changeMembers(&schema.ChangeMembers{AddLearner: "d"})
+		group := c.clusterStateGroup(leader)
+		So(group.MemberSet().Learners, ShouldResemble, []string{"d"})
+		So(group.LastIndex(), ShouldBeLessThan, uint64(raft.MaxLearnerLag))
+		So(changeMembers(&schema.ChangeMembers{Promote: "d"}), ShouldResemble, nodeIDs)
+		answer := func(match uint64) {
+			c.step(leader, "d", &schema.AppendResponse{Group: clusterstate.Group, Term: group.Term(), Match: match})
+		}
+		Convey("nor is one that answers without having any entry", func() {
+			answer(0)
+			So(changeMembers(&schema.ChangeMembers{Promote: "d"}), ShouldResemble, nodeIDs)
+		})
+		Convey("nor is one that answered too long ago", func() {
+			answer(group.LastIndex())
+			c.run(responseTimeout)
+			lease = c.claimController()
+			So(changeMembers(&schema.ChangeMembers{Promote: "d"}), ShouldResemble, nodeIDs)
+		})
+		Convey("one that has the log and answers is", func() {
+			answer(group.LastIndex())
+			So(changeMembers(&schema.ChangeMembers{Promote: "d"}), ShouldResemble, append(nodeIDs[:3:3], "d"))
+		})
+	})
+}
+
+func TestStaleClusterStateRejectsMemberChange(t *testing.T) {
+	Convey("A queue's leader with a stale copy of the cluster state changes no members", t, func() {
+		c := newTestCluster()
+		So(c.putConfiguration(queuesUpdate(1, "", "l")).Code, ShouldEqual, 200)
+		clusterStateLeader := c.leader("")
+		leader := removeID(nodeIDs, clusterStateLeader)[0]
+		c.placeQueue("l", leader)
+		c.run(eventloop.Second)
+		So(c.leader("l"), ShouldEqual, leader)
+		lease := c.claimController()
+		c.run(200 * eventloop.Millisecond)
+		group := c.queueGroup(leader, "l")
+		learners := func(id string) []string {
+			c.step(leader, "h", &schema.ChangeMembers{Group: group.Name(), AddLearner: id, FencingToken: lease})
+			c.run(100 * eventloop.Millisecond)
+			return group.MemberSet().Learners
+		}
+		So(learners("d"), ShouldResemble, []string{"d"})
+		// It still leads the queue with the third node, but receives no entries or
+		// heartbeats of the cluster state.
+		c.isPartitioned = func(from, to string) bool {
+			return from == clusterStateLeader && to == leader || from == leader && to == clusterStateLeader
+		}
+		c.run(timing.FromBounds(nil).MaxStateAge + 100*eventloop.Millisecond)
+		So(c.leader("l"), ShouldEqual, leader)
+		So(c.hosts[leader].clusterState.HoldsControllerLease(lease), ShouldBeTrue)
+		So(learners("e"), ShouldResemble, []string{"d"})
+	})
+}
--- /dev/null
+++ b/internal/replica/requests_test.go
@@ -0,0 +1,75 @@
+package replica
+
+import (
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"sparnotch/internal/clusterstate"
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/schema"
+)
+
+func TestUnreadableCommand(t *testing.T) {
+	Convey("A command that can't be decoded is rejected before it is in the log", t, func() {
+		c := newClusterWithQueue()
+		c.received["h"] = nil
+		leader := c.leader("")
+		before := c.clusterStateGroup(leader).LastIndex()
+		c.step(leader, "h", &schema.Request{Id: 1, Kind: "clusterstate", Group: clusterstate.Group, Body: []byte("\xff\xff\xff")})
+		c.run(50 * eventloop.Millisecond)
+		So(c.clusterStateGroup(leader).LastIndex(), ShouldEqual, before)
+		So(c.received["h"][len(c.received["h"])-1].(*schema.Response).Code, ShouldEqual, 400)
+	})
+}
+
+func TestRepliesMatchEntryTerm(t *testing.T) {
+	Convey("A command of a partitioned leader isn't answered with the result of the entry that replaced it", t, func() {
+		c := newTestCluster()
+		So(c.putConfiguration(queuesUpdate(1, "", "l")).Code, ShouldEqual, 200)
+		old := c.leader("")
+		group := c.clusterStateGroup(old)
+		c.isPartitioned = func(from, to string) bool { return from != "" && (from == old || to == old) }
+		c.run(10 * eventloop.Millisecond)
+		next := group.LastIndex() + 1
+		for id := uint64(71); id <= 74; id++ {
+			update := queuesUpdate(2, "cut off", "cut", "off")
+			command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: update}}}
+			c.step(old, "h", &schema.Request{Id: id, Kind: "clusterstate", Group: clusterstate.Group, Body: EncodeClusterStateCommand(command)})
+		}
+		So(group.LastIndex(), ShouldBeGreaterThanOrEqualTo, next+3)
+		c.run(3 * eventloop.Second)
+		c.isDown[old] = true // so that requests go to its successor
+		for version := uint64(2); version <= 5; version++ {
+			So(c.putConfiguration(queuesUpdate(version, "", "l")).Code, ShouldEqual, 200)
+		}
+		c.isPartitioned, c.isDown[old] = nil, false
+		c.received["h"] = nil
+		c.run(2 * eventloop.Second)
+		So(group.AppliedIndex(), ShouldBeGreaterThan, next+3)
+		So(c.hosts[old].state.Configuration.Version, ShouldEqual, 5)
+		for _, body := range c.received["h"] {
+			if reply, isReply := body.(*schema.Response); isReply {
+				So(reply.Id, ShouldBeLessThan, 71)
+			}
+		}
+	})
+}
+
+func TestStateReadRequiresQuorum(t *testing.T) {
+	Convey("A leader without a majority doesn't answer a gateway's read of the cluster state", t, func() {
+		c := newTestCluster()
+		So(c.putConfiguration(queuesUpdate(1, "", "l")).Code, ShouldEqual, 200)
+		So(c.request("state", nil).Code, ShouldEqual, 200)
+		leader := c.leader("")
+		for _, id := range nodeIDs {
+			c.isDown[id] = id != leader
+		}
+		// It is still the leader, and its copy counts as fresh.
+		So(c.hosts[leader].isClusterStateFresh(c.now), ShouldBeTrue)
+		c.received["h"] = nil
+		c.step(leader, "h", &schema.Request{Id: 1, Kind: "state", Group: clusterstate.Group})
+		c.run(3 * eventloop.Second)
+		So(c.received["h"], ShouldBeEmpty)
+	})
+}
--- a/internal/replica/scheduler_sync_test.go
+++ b/internal/replica/scheduler_sync_test.go
@@ -5,14 +5,12 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"sparnotch/internal/clusterstate"
 	"sparnotch/internal/eventloop"
-	"sparnotch/internal/membership"
 	"sparnotch/internal/schema"
 )
 
 func TestSchedulerResyncOnConfigurationChange(t *testing.T) {
-	Convey("The scheduler gets a queue's whole list anew when the plan has changed, not for each worker that comes", t, func() {
+	Convey("The scheduler gets a new snapshot of a queue when the configuration has changed, not for each worker that joins", t, func() {
 		c := newTestCluster()
 		snapshots := func() (count int) {
 			for _, body := range c.received["a/scheduler"] {
@@ -39,26 +37,3 @@
 		So(snapshots(), ShouldEqual, before+1)
 	})
 }
-
-func TestGroupStatusRecipients(t *testing.T) {
-	Convey("Of the sides only the controller is told how the groups stand", t, func() {
-		c := newTestCluster()
-		So(c.claimController(), ShouldBeGreaterThan, 0)
-		members := &membership.View{Members: map[string]membership.MemberStatus{
-			"h": {Member: &schema.Member{Id: "h", Role: schema.Role_ROLE_CONTROLLER}},
-			"s": {Member: &schema.Member{Id: "s", Role: schema.Role_ROLE_CONTROLLER}},
-			"f": {Member: &schema.Member{Id: "f", Role: schema.Role_ROLE_SERVER}},
-		}}
-		leader := c.leader("")
-		c.step(leader, "", members)
-		for id, getsStatus := range map[string]bool{"h": true, "s": false, "f": true, "unknown": true} {
-			c.received[id] = nil
-			c.step(leader, id, &schema.ClusterStateRequest{})
-			c.run(20 * eventloop.Millisecond)
-			So(c.received[id], ShouldHaveLength, 1)
-			update := c.received[id][0].(*schema.ClusterStateResponse)
-			So(update.Leaders[clusterstate.Group], ShouldEqual, leader)
-			So(len(update.QueueStatuses) > 0, ShouldEqual, getsStatus)
-		}
-	})
-}
