--- a/internal/queue/checkout.go
+++ b/internal/queue/checkout.go
@@ -1,62 +1,81 @@
 package queue
 
-// Checkout, launch and settle.
+// Checkout of tasks for workers, and the start of gangs.
 
 import (
 	"sparnotch/internal/schema"
 )
 
+// checkout checks out tasks for workers. Tasks that aren't ready stay as they are. Each
+// task of the command gets an event, so the scheduler learns which were checked out.
 func (m *Machine) checkout(c *schema.Checkout) {
-	type selection struct {
-		j    *job
-		s, t int
-		pick *schema.Placement
-	}
-	type gang struct {
-		j *job
-		s int
-	}
-	var selected []selection
-	isAvailable := map[*task]bool{}
-	available := map[gang]int{}
+	var chosen []chosenTask
+	available := map[*task]bool{}      // chosen tasks that are ready, each once
+	availableOf := map[stepOfJob]int{} // how many of them each step has
 	for _, pick := range c.Placements {
 		j, s, t := m.findTask(pick.Key)
 		if j == nil {
 			continue
 		}
-		selected = append(selected, selection{j, s, t, pick})
-		if task := &j.tasks[s][t]; j.status(s, t) == Ready && !isAvailable[task] {
-			isAvailable[task] = true
-			available[gang{j, s}]++
+		chosen = append(chosen, chosenTask{j, s, t, pick})
+		if task := &j.tasks[s][t]; j.status(s, t) == Ready && !available[task] {
+			available[task] = true
+			availableOf[stepOfJob{j, s}]++
 		}
 	}
-	attempts := map[gang]uint32{} // members of one start share their number
-	for _, chosen := range selected {
-		task, g := &chosen.j.tasks[chosen.s][chosen.t], gang{chosen.j, chosen.s}
-		// A group that must run together goes out whole in one command or
-		// not at all.
-		isGang := chosen.j.step(chosen.s).Gang
-		isComplete := !isGang || available[g] == len(chosen.j.tasks[chosen.s])
-		if isAvailable[task] && isComplete {
-			delete(isAvailable, task)
-			if isGang && attempts[g] == 0 {
-				for t := range chosen.j.tasks[chosen.s] {
-					attempts[g] = max(attempts[g], chosen.j.tasks[chosen.s][t].attempt+1)
-				}
+	gangAttempts := map[stepOfJob]uint32{}
+	for _, choice := range chosen {
+		j, s, t := choice.job, choice.s, choice.t
+		task, step := &j.tasks[s][t], stepOfJob{j, s}
+		// A gang is checked out as a whole by one command, or not at all.
+		isGang := j.step(s).Gang
+		isComplete := !isGang || availableOf[step] == len(j.tasks[s])
+		if available[task] && isComplete {
+			delete(available, task)
+			if isGang && gangAttempts[step] == 0 {
+				gangAttempts[step] = nextGangAttempt(j.tasks[s])
 			}
-			task.state, task.attempt = schema.TaskState_TASK_CHECKED_OUT, max(task.attempt+1, attempts[g])
-			task.worker, task.incarnation, task.checkoutSequence = chosen.pick.Worker, chosen.pick.Incarnation, 0
-			chosen.j.checkedOutTasks[chosen.s]++
-			chosen.j.checkedOut++
-			chosen.j.startedTasks++
+			j.checkOut(s, t, gangAttempts[step], choice.pick)
 		}
-		m.emitEvent(chosen.j, chosen.s, chosen.t)
+		m.emitEvent(j, s, t)
+	}
+}
+
+// chosenTask is a task that a command checks out.
+type chosenTask struct {
+	job  *job
+	s, t int
+	pick *schema.Placement
+}
+
+type stepOfJob struct {
+	job *job
+	s   int
+}
+
+// nextGangAttempt is the number of a gang's next attempt: all members have the same.
+func nextGangAttempt(members []task) uint32 {
+	attempt := uint32(0)
+	for t := range members {
+		attempt = max(attempt, members[t].attempt+1)
 	}
+	return attempt
 }
 
-// startGang decides that a group begins: whoever orders its workers from now on,
-// also a successor that never saw them held, has every member begin. It takes
-// hold of the whole group as it was checked out, or of nothing.
+// checkOut checks out one task. gangAttempt is its gang's attempt; 0: it is no member of
+// a gang.
+func (j *job) checkOut(s, t int, gangAttempt uint32, pick *schema.Placement) {
+	task := &j.tasks[s][t]
+	task.state, task.attempt = schema.TaskState_TASK_CHECKED_OUT, max(task.attempt+1, gangAttempt)
+	task.worker, task.incarnation, task.checkoutSequence = pick.Worker, pick.Incarnation, 0
+	j.checkedOutTasks[s]++
+	j.checkedOut++
+	j.startedTasks++
+}
+
+// startGang decides that a gang starts: from then on every scheduler of the queue has all
+// members start, even one that has never seen their reservations. It concerns the whole
+// gang as it was checked out, or nothing.
 func (m *Machine) startGang(c *schema.StartGang) {
 	j, s, _ := m.findTask(&schema.TaskKey{Job: c.Job, Step: c.Step})
 	if j == nil || !j.step(s).Gang || len(c.Attempts) != len(j.tasks[s]) {
@@ -72,93 +91,3 @@
 	}
 	m.emitStepEvents(j, s)
 }
-
-func (m *Machine) settle(c *schema.Settle) {
-	j, s, t := m.findTask(c.Key)
-	if j == nil {
-		return
-	}
-	task, step := &j.tasks[s][t], j.step(s)
-	if c.WholeGang && step.Gang {
-		// Nothing of the group has been checked out anew while one member is
-		// out, so this end is the end of that start, also where a member was
-		// taken for lost or told to stop meanwhile.
-		if j.checkedOutTasks[s] > 0 && task.attempt == c.Attempt {
-			m.settleGang(j, s)
-		}
-		return
-	}
-	// A report on another attempt than the one that is out changes nothing.
-	if task.state != schema.TaskState_TASK_CHECKED_OUT || task.attempt != c.Attempt {
-		return
-	}
-	if step.RunUntilCancelled {
-		j.accountingTask(s, t).progress = ""
-		if step.Gang && j.state == schema.JobState_JOB_RUNNING && !task.isGangStopping {
-			m.stopGang(j, s)
-		}
-	}
-	if step.RunUntilCancelled || task.isGangStopping {
-		m.makeWaiting(j, s, t)
-		return
-	}
-	task.state = schema.TaskState_TASK_DONE
-	m.countCheckedIn(j, s)
-	j.unfinishedTasks[s]--
-	if !step.Gang || j.unfinishedTasks[s] == 0 {
-		j.accountingTask(s, t).progress = ""
-	}
-	m.emitEvent(j, s, t)
-	m.advanceJob(j, s)
-}
-
-// settleGang: one member's end stands for all. Its members have ended
-// together, and their later reports find them done.
-func (m *Machine) settleGang(j *job, s int) {
-	isLasting := j.step(s).RunUntilCancelled
-	for t := range j.tasks[s] {
-		task := &j.tasks[s][t]
-		if task.state == schema.TaskState_TASK_CHECKED_OUT {
-			m.countCheckedIn(j, s)
-		}
-		task.state, task.isGangStopping, task.progress = schema.TaskState_TASK_DONE, false, ""
-		if isLasting {
-			task.reset()
-		}
-	}
-	if !isLasting {
-		j.unfinishedTasks[s] = 0
-	}
-	m.emitStepEvents(j, s)
-	m.advanceJob(j, s)
-}
-
-// advanceJob follows the end of tasks of a step: what waited for the whole step
-// opens, and a job with nothing unfinished ends.
-func (m *Machine) advanceJob(j *job, s int) {
-	if j.unfinishedTasks[s] == 0 {
-		j.unfinishedSteps--
-	}
-	if j.state == schema.JobState_JOB_STOPPING {
-		m.endIfIdle(j)
-		return
-	}
-	if j.unfinishedTasks[s] > 0 {
-		return
-	}
-	part := s % j.stepsPerRound()
-	for _, other := range j.dependents[part] {
-		if next := s - part + other; j.unfinishedTasks[next] > 0 && j.isStepOpen(next) {
-			m.emitStepEvents(j, next)
-		}
-	}
-	if j.unfinishedSteps == 0 {
-		m.endJob(j, schema.JobState_JOB_COMPLETE)
-	}
-}
-
-// countCheckedIn notes that a task is out no more.
-func (m *Machine) countCheckedIn(j *job, s int) {
-	j.checkedOutTasks[s]--
-	j.checkedOut--
-}
--- a/internal/queue/enqueue.go
+++ b/internal/queue/enqueue.go
@@ -1,37 +1,20 @@
 package queue
 
-// Enqueue: sessions, numbers, and names that stay one job.
+// Enqueue: admitting jobs in the order of their sessions, and keeping one name to one
+// job.
 
 import (
+	"net/http"
+
 	"sparnotch/internal/schema"
 )
 
-type sessionKey struct {
-	gateway     string
-	incarnation uint64
-	client      string
-}
-
-type gatewayKey struct {
-	gateway     string
-	incarnation uint64
-}
-
-type session struct {
-	next    uint64
-	pending map[uint64]*schema.PendingEnqueueSnapshot
-}
-
-func sessionKeyOf(s *schema.Session) sessionKey {
-	return sessionKey{s.GetGateway(), s.GetIncarnation(), s.GetClient()}
-}
-
 func (m *Machine) enqueue(index uint64, e *schema.Enqueue) {
 	key := sessionKeyOf(e.Session)
 	if _, isDown := m.downGateways[gatewayKey{key.gateway, key.incarnation}]; isDown {
-		// It was given up as dead, and its callers have long gone elsewhere:
-		// what it still has in hand may have run and been forgotten.
-		m.effects.Outcomes = append(m.effects.Outcomes, &schema.SubmitResult{Session: e.Session, Number: e.Number, Code: 410})
+		// Its callers have gone to other gateways. What it still sends may have been
+		// submitted there, run, and been forgotten since.
+		m.effects.Outcomes = append(m.effects.Outcomes, &schema.SubmitResult{Session: e.Session, Number: e.Number, Code: http.StatusGone})
 		return
 	}
 	s := m.sessions[key]
@@ -41,72 +24,54 @@
 	}
 	switch {
 	case e.Number < s.next:
-		m.addOutcome(e, m.resubmissionCode(e, 200))
-		return
+		m.addOutcome(e, m.resubmissionCode(e, http.StatusOK))
 	case e.Number > s.next:
-		if s.pending[e.Number] == nil {
-			s.pending[e.Number] = &schema.PendingEnqueueSnapshot{Index: index, Enqueue: e}
-			m.pendingEnqueues++
-		}
-		return
-	}
-	m.admitJob(index, e)
-	s.next++
-	for {
-		next := s.pending[s.next]
-		if next == nil {
-			return
-		}
-		delete(s.pending, s.next)
-		m.pendingEnqueues--
-		m.admitJob(next.Index, next.Enqueue)
+		m.hold(s, index, e)
+	default:
+		m.admitJob(index, e)
 		s.next++
+		m.admitPending(s)
 	}
 }
 
-func (m *Machine) closeSessions(c *schema.EndSessions) {
-	for _, session := range c.Sessions {
-		m.removeSession(sessionKeyOf(session))
-	}
-	for _, gateway := range c.Gateways {
-		m.downGateways[gatewayKey{gateway.Gateway, gateway.Incarnation}] = m.now
-		for key := range m.sessions {
-			// Held submissions were never confirmed, and nobody is left who
-			// could fill the gap below them.
-			if key.gateway == gateway.Gateway && key.incarnation == gateway.Incarnation {
-				m.removeSession(key)
-			}
-		}
+// hold keeps a submission until the numbers below it have been admitted.
+func (m *Machine) hold(s *session, index uint64, e *schema.Enqueue) {
+	if s.pending[e.Number] == nil {
+		s.pending[e.Number] = &schema.PendingEnqueueSnapshot{Index: index, Enqueue: e}
+		m.pendingEnqueues++
 	}
 }
 
-func (m *Machine) removeSession(key sessionKey) {
-	if s := m.sessions[key]; s != nil {
-		m.pendingEnqueues -= len(s.pending)
-		delete(m.sessions, key)
+// admitPending admits the held submissions up to the next gap.
+func (m *Machine) admitPending(s *session) {
+	for next := s.pending[s.next]; next != nil; next = s.pending[s.next] {
+		delete(s.pending, s.next)
+		m.pendingEnqueues--
+		m.admitJob(next.Index, next.Enqueue)
+		s.next++
 	}
 }
 
-// resubmissionCode is the code for a name that may already stand; `absent` is for
-// one that doesn't.
-func (m *Machine) resubmissionCode(e *schema.Enqueue, absent int32) int32 {
+// resubmissionCode is the HTTP status for a submission whose name may belong to a job
+// already: 200 for the same job, 409 for another one, unknownCode if there is none.
+func (m *Machine) resubmissionCode(e *schema.Enqueue, unknownCode int32) int32 {
 	var digest []byte
-	if running := m.jobsByName[e.Name]; running != nil {
-		digest = running.digest
+	if live := m.jobsByName[e.Name]; live != nil {
+		digest = live.digest
 	} else if ended := m.endedByName[e.Name]; ended != nil {
 		digest = ended.Digest
 	} else {
-		return absent
+		return unknownCode
 	}
 	if string(digest) == string(e.Digest) {
-		return 200
+		return http.StatusOK
 	}
-	return 409
+	return http.StatusConflict
 }
 
 func (m *Machine) addOutcome(e *schema.Enqueue, code int32) {
 	result := &schema.SubmitResult{Session: e.Session, Number: e.Number, Code: code}
-	if code == 409 {
+	if code == http.StatusConflict {
 		result.Error = &schema.Error{Code: "name_taken", Message: "this name stands for a job with other content", Field: "name"}
 	} else {
 		result.View, _ = m.JobView(e.Name)
@@ -114,8 +79,10 @@
 	m.effects.Outcomes = append(m.effects.Outcomes, result)
 }
 
+// admitJob adds a job, unless its name is taken. index is that of the entry with the
+// payload.
 func (m *Machine) admitJob(index uint64, e *schema.Enqueue) {
-	if code := m.resubmissionCode(e, 201); code != 201 {
+	if code := m.resubmissionCode(e, http.StatusCreated); code != http.StatusCreated {
 		m.addOutcome(e, code)
 		return
 	}
@@ -126,25 +93,24 @@
 		spec: e.Job,
 	}
 	if j.startUs == 0 {
-		j.startUs = m.now // its age and the later rounds are counted from it
+		j.startUs = m.now // the job's age and later rounds count from its admission
 	}
 	j.expandSteps()
 	m.jobs[j.id], m.jobsByName[j.name] = j, j
 	m.byIndex.ReplaceOrInsert(j)
 	j.state = schema.JobState_JOB_SCHEDULED
 	m.openDueRounds(j)
-	m.addOutcome(e, 201)
+	m.addOutcome(e, http.StatusCreated)
 }
 
-// openDueRounds opens every round that is due, never one before its time, and
-// sets the job down for the next.
+// openDueRounds opens every round that is due, and queues the job for the next one.
 func (m *Machine) openDueRounds(j *job) {
 	for j.openedRounds < j.rounds() && j.nextRoundUs() <= m.now {
 		j.state = schema.JobState_JOB_RUNNING
 		j.openRound()
-		for part := range j.spec.Steps {
-			if len(j.dependencies[part]) == 0 {
-				m.emitStepEvents(j, j.firstStep(j.openedRounds-1)+part)
+		for step := range j.spec.Steps {
+			if len(j.dependencies[step]) == 0 {
+				m.emitStepEvents(j, j.firstStep(j.openedRounds-1)+step)
 			}
 		}
 	}
@@ -153,6 +119,7 @@
 	}
 }
 
+// reenqueue moves a job's payload to this entry, so that the log below is released.
 func (m *Machine) reenqueue(index uint64, c *schema.Reenqueue) {
 	j := m.jobs[c.Job]
 	if j == nil {
--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -1,113 +1,129 @@
 package queue
 
-// A job's shape: its steps, rounds and tasks.
+// A live job: its rounds, steps and tasks.
 
 import (
 	"sparnotch/internal/schema"
 )
 
+// job is a live job. The steps of all its rounds stand one after another: step s is step
+// s%stepsPerRound of round s/stepsPerRound. The tasks of a round are made when it opens.
 type job struct {
-	id           uint64
+	id           uint64 // in the order of admission
 	name         string
-	digest       []byte
-	index        uint64 // of the record that holds the payload
-	startUs      int64
+	digest       []byte // of what was submitted
+	index        uint64 // of the log entry with the payload
+	startUs      int64  // of the first round, in queue time
 	state        schema.JobState
-	finalState   schema.JobState // what a stopping job ends as
-	reason       string
+	finalState   schema.JobState // of a stopping job: its state once nothing runs
+	reason       string          // why it stopped
 	spec         *schema.Job
-	isDehydrated bool // restored from a checkpoint, the text is gone
-	// Its steps are expanded: step e is part e%parts of round e/parts. A
-	// round's tasks are made when it opens.
-	tasks           [][]task
-	unfinishedTasks []int        // unfinished tasks of each step
-	checkedOutTasks []int        // tasks of each step that are out
-	failures        []uint32     // counted failures of each step
-	openedRounds    int          // rounds that have been due so far
-	unfinishedSteps int          // steps with unfinished tasks
-	checkedOut      int          // tasks that are out
-	startedTasks    uint64       // tasks checked out so far
-	dependencies    [][]int      // of each part: the parts it waits for
-	dependents      [][]int      // of each part: the parts that wait for it
-	remainingPaths  [][]PathStep // of each part: the longest way from it on
-	criticalPath    []PathStep   // the longest of these
+	isDehydrated bool // from a dehydrated snapshot: spec lacks the text
+
+	tasks           [][]task // by step
+	unfinishedTasks []int    // by step
+	checkedOutTasks []int    // by step
+	failures        []uint32 // by step, counted ones
+	openedRounds    int
+	unfinishedSteps int
+	checkedOut      int    // tasks of all steps
+	startedTasks    uint64 // checkouts so far
+
+	// Of the steps of a round, by step in round.
+	dependencies   [][]int
+	dependents     [][]int
+	remainingPaths [][]PathStep // the longest path from the step on, itself first
+	criticalPath   []PathStep   // the longest of them
 }
 
+// task is one task. The members of a gang have their failures, failedAttempt and
+// progress in common: they stand at the first member, see job.account.
 type task struct {
 	state            schema.TaskState
 	attempt          uint32
-	failures         uint32 // a group's stand at its first member
-	failedAttempt    uint32 // the latest attempt counted as failed, kept like failures
-	returns          uint32
-	worker           string
-	incarnation      uint64
-	checkoutSequence uint64
-	isGangStopping   bool     // out, and to be stopped because its group broke
-	isGangStarted    bool     // its group has been decided to begin
-	lostAttempts     []uint32 // attempts taken back unheard: they may yet turn out to have failed
-	progress         string   // progress that the next start carries; a group's stands at its first member
+	failures         uint32
+	failedAttempt    uint32 // the latest attempt that was counted as failed
+	returns          uint32 // that weren't failures
+	worker           string // that it is checked out for
+	incarnation      uint64 // of the worker
+	checkoutSequence uint64 // of the event that reported the checkout
+	isGangStopping   bool   // checked out, and to be stopped because a member of its gang ended
+	isGangStarted    bool
+	lostAttempts     []uint32 // returned as lost: a late report may still show that they failed
+	progress         string   // saved, for the next start
 }
 
 func (j *job) stepsPerRound() int { return len(j.spec.GetSteps()) }
 
 func (j *job) rounds() int { return max(1, int(j.spec.GetRounds())) }
 
+// firstStep is the index of a round's first step.
 func (j *job) firstStep(round int) int { return round * j.stepsPerRound() }
 
 func (j *job) step(s int) *schema.Step { return j.spec.Steps[s%j.stepsPerRound()] }
 
-// nextRoundUs is when the next round that hasn't opened is due, in queue time.
+// nextRoundUs is when the next round that isn't open is due, in µs of queue time.
 func (j *job) nextRoundUs() int64 {
 	return j.startUs + int64(j.openedRounds)*max(0, j.spec.GetPeriodUs())
 }
 
-// expandSteps counts out the steps of all rounds; none is open yet.
+// roundAgeUs is how long ago a round was due.
+func (j *job) roundAgeUs(round int, now int64) int64 {
+	return now - j.startUs - int64(round)*max(0, j.spec.GetPeriodUs())
+}
+
+// expandSteps sets up the steps of all rounds; no round is open yet.
 func (j *job) expandSteps() {
+	j.linkSteps()
+	steps := j.rounds() * j.stepsPerRound()
+	j.tasks, j.unfinishedTasks, j.checkedOutTasks, j.failures = make([][]task, steps), make([]int, steps), make([]int, steps), make([]uint32, steps)
+	for s := range j.unfinishedTasks {
+		j.unfinishedTasks[s] = int(j.step(s).Tasks)
+		if j.unfinishedTasks[s] > 0 {
+			j.unfinishedSteps++
+		}
+	}
+}
+
+// linkSteps works out the dependencies between the steps of a round, and its paths.
+func (j *job) linkSteps() {
 	perRound := j.stepsPerRound()
 	stepByName := map[string]int{}
-	for part, step := range j.spec.GetSteps() {
-		stepByName[step.Name] = part
+	for index, step := range j.spec.GetSteps() {
+		stepByName[step.Name] = index
 	}
 	j.dependencies, j.dependents = make([][]int, perRound), make([][]int, perRound)
-	for part, step := range j.spec.GetSteps() {
+	for index, step := range j.spec.GetSteps() {
 		for _, name := range step.Dependencies {
-			if other, found := stepByName[name]; found {
-				j.dependencies[part] = append(j.dependencies[part], other)
-				j.dependents[other] = append(j.dependents[other], part)
+			if dependency, found := stepByName[name]; found {
+				j.dependencies[index] = append(j.dependencies[index], dependency)
+				j.dependents[dependency] = append(j.dependents[dependency], index)
 			}
 		}
 	}
 	j.remainingPaths = make([][]PathStep, perRound)
-	for part := range j.spec.GetSteps() {
-		if path := j.longestPath(part, perRound); pathEstimateUs(path) > pathEstimateUs(j.criticalPath) {
+	for index := range j.spec.GetSteps() {
+		if path := j.longestPath(index, perRound); pathEstimateUs(path) > pathEstimateUs(j.criticalPath) {
 			j.criticalPath = path
 		}
 	}
-	steps := j.rounds() * perRound
-	j.tasks, j.unfinishedTasks, j.checkedOutTasks, j.failures = make([][]task, steps), make([]int, steps), make([]int, steps), make([]uint32, steps)
-	for s := range j.unfinishedTasks {
-		j.unfinishedTasks[s] = int(j.step(s).Tasks)
-		if j.unfinishedTasks[s] > 0 {
-			j.unfinishedSteps++
-		}
-	}
 }
 
-// longestPath is the longest way from a part on, through at most so
-// many parts.
-func (j *job) longestPath(part, maxDepth int) []PathStep {
-	if j.remainingPaths[part] != nil || maxDepth == 0 {
-		return j.remainingPaths[part]
+// longestPath is the longest path from a step on through maxDepth steps at most, which
+// ends the search where the dependencies have a cycle.
+func (j *job) longestPath(index, maxDepth int) []PathStep {
+	if j.remainingPaths[index] != nil || maxDepth == 0 {
+		return j.remainingPaths[index]
 	}
 	var longest []PathStep
-	for _, next := range j.dependents[part] {
+	for _, next := range j.dependents[index] {
 		if path := j.longestPath(next, maxDepth-1); pathEstimateUs(path) > pathEstimateUs(longest) {
 			longest = path
 		}
 	}
-	step := j.spec.Steps[part]
-	j.remainingPaths[part] = append([]PathStep{{step.EstimatedRunUs, step.CoresMilli * int64(step.Tasks)}}, longest...)
-	return j.remainingPaths[part]
+	step := j.spec.Steps[index]
+	j.remainingPaths[index] = append([]PathStep{{step.EstimatedRunUs, step.CoresMilli * int64(step.Tasks)}}, longest...)
+	return j.remainingPaths[index]
 }
 
 func pathEstimateUs(path []PathStep) (sum int64) {
@@ -117,27 +133,23 @@
 	return sum
 }
 
-// roundAgeUs is how long ago a round was due.
-func (j *job) roundAgeUs(round int, now int64) int64 {
-	return now - j.startUs - int64(round)*max(0, j.spec.GetPeriodUs())
-}
-
 // openRound makes the tasks of the next round.
 func (j *job) openRound() {
-	for part, step := range j.spec.GetSteps() {
-		j.tasks[j.firstStep(j.openedRounds)+part] = make([]task, step.Tasks)
+	for index, step := range j.spec.GetSteps() {
+		j.tasks[j.firstStep(j.openedRounds)+index] = make([]task, step.Tasks)
 	}
 	j.openedRounds++
 }
 
+// isStepOpen tells whether a step's round is open and its dependencies are done.
 func (j *job) isStepOpen(s int) bool {
-	part := s % j.stepsPerRound()
-	first := s - part
+	index := s % j.stepsPerRound()
+	first := s - index
 	if first >= j.firstStep(j.openedRounds) {
 		return false
 	}
-	for _, other := range j.dependencies[part] {
-		if j.unfinishedTasks[first+other] > 0 {
+	for _, dependency := range j.dependencies[index] {
+		if j.unfinishedTasks[first+dependency] > 0 {
 			return false
 		}
 	}
@@ -155,20 +167,27 @@
 	case task.state == schema.TaskState_TASK_DONE || j.state != schema.JobState_JOB_RUNNING || !j.isStepOpen(s):
 		return Inactive
 	case j.step(s).Gang && j.checkedOutTasks[s] > 0:
-		return Inactive // a broken group is whole again only when none of it runs
+		return Inactive // members of a gang are ready again when all have stopped
 	}
 	return Ready
 }
 
-// accountingTask is the task that failures and progress are kept at: a group has one
-// account for all its members.
-func (j *job) accountingTask(s, t int) *task {
+// account is the task that has the failures and progress of a task: itself, or the
+// first member of its gang.
+func (j *job) account(s, t int) *task {
 	if j.step(s).Gang {
 		return &j.tasks[s][0]
 	}
 	return &j.tasks[s][t]
 }
 
+// countCheckedIn counts a task of a step as no longer checked out.
+func (j *job) countCheckedIn(s int) {
+	j.checkedOutTasks[s]--
+	j.checkedOut--
+}
+
+// reset makes a task wait for its next checkout.
 func (t *task) reset() {
 	t.state, t.worker, t.incarnation, t.checkoutSequence = schema.TaskState_TASK_WAITING, "", 0, 0
 	t.isGangStopping, t.isGangStarted = false, false
--- a/internal/queue/machine.go
+++ b/internal/queue/machine.go
@@ -1,131 +1,160 @@
-// Package queue is the pure state machine of one job queue: commands in, state and
-// effects out. No clock, no I/O, no random numbers, no order of map iteration:
-// every replica that applies the same records holds the same state.
+// Package queue is the state machine of one job queue: commands in, state and effects
+// out. Machine owns the state; it has no clock, no I/O, no random numbers and depends on
+// no order of map iteration, so all replicas that apply the same log have the same state.
+//
+// It follows "Quorum Queues Implementation Notes" (RabbitMQ), with jobs of many tasks in
+// place of messages:
+//
+//   - enqueue: submissions are numbered per session and admitted in the order of their
+//     numbers; those that arrive early are held (sections "Session Implementation" and
+//     "Enqueuers").
+//   - checkout, settle, return: the scheduler checks out tasks for workers; a task that
+//     is done is settled, one that isn't is returned and becomes ready again.
+//   - events: what the scheduler must know is numbered without gaps, and a read-only
+//     query fills a gap (section "Consumers").
+//   - down: the sessions of a gateway that is gone are removed (section "Session State
+//     Clean Up").
+//   - release cursor: dehydrated snapshots are cached, and the log is released up to the
+//     latest one below all live jobs (section "Snapshotting").
+//
+// Throughout the package s is the index of a step and t that of a task within it. A job
+// of several rounds has the steps of all its rounds one after another.
 package queue
 
 import (
+	"sort"
+
 	"github.com/google/btree"
 	"google.golang.org/protobuf/proto"
 
 	"sparnotch/internal/schema"
 )
 
-// Defaults of what the plan may set.
+// Defaults of the settings that the configuration may change.
 const (
-	DefaultRetentionUs      = 150_000_000
-	DefaultSnapshotInterval = 64
-	DefaultMaxReturns       = 40
-	maxCachedSnapshots      = 16
-	maxProgressBytes        = 256 // bytes of a saved text; a longer one is no text of a worker
-	downGatewayRetentionUs  = 24 * 3600 * 1_000_000
+	DefaultRetentionUs      = 150_000_000 // how long an ended job is retained
+	DefaultSnapshotInterval = 64          // enqueues between two cached snapshots
+	DefaultMaxReturns       = 40          // returns of a task that aren't its failures, before its job fails
 )
 
-type cachedSnapshot struct {
-	index    uint64
-	snapshot []byte
-}
+const (
+	maxCachedSnapshots     = 16
+	maxProgressBytes       = 256 // of a task's saved progress; a longer text isn't from a worker
+	downGatewayRetentionUs = 24 * 3600 * 1_000_000
+	treeDegree             = 16
+)
 
-// Status is a task as the scheduler sees it.
+// Status is a task's status as the scheduler sees it.
 type Status int
 
 const (
-	// Inactive is a task that isn't known, or has ended.
+	// Inactive is a task that isn't open yet, or is done.
 	Inactive Status = iota
-	// Ready is a task that waits for a worker.
+	// Ready is a task that may be checked out.
 	Ready
 	// CheckedOut is a task that was checked out for a worker.
 	CheckedOut
-	// Stopping is a task that is out and is to end.
+	// Stopping is a task that is checked out and is to be stopped.
 	Stopping
 )
 
-// ReleaseCursor lets the log go up to an index, with the state that stands for it.
+// ReleaseCursor allows the log to be compacted up to an index, with the dehydrated
+// snapshot that stands for it.
 type ReleaseCursor struct {
 	Index    uint64
 	Snapshot []byte
 }
 
-// Effects are performed by the leader alone, except Release, which concerns
-// each replica's own log.
+// Effects are the results of a command. The leader alone carries them out, except
+// ReleaseCursor, which concerns each replica's own log.
 type Effects struct {
-	Outcomes      []*schema.SubmitResult
-	Events        []*TaskEvent
-	ReleaseCursor *ReleaseCursor
-	CancelCode    int32 // of a cancel
-	CancelView    *schema.JobView
+	Outcomes      []*schema.SubmitResult // of submissions, for their gateways
+	Events        []*TaskEvent           // for the scheduler
+	ReleaseCursor *ReleaseCursor         // nil: none
+	CancelCode    int32                  // HTTP status of a cancel
+	CancelView    *schema.JobView        // the cancelled job; nil: unknown
 }
 
-// Machine is one queue's state.
+// Machine is the state of one queue.
 type Machine struct {
-	name               string
-	now                int64
-	lastJobID          uint64
-	lastSequence       uint64
-	reenqueues         uint64
-	enqueues           uint64
-	settings           *schema.ApplySettings
-	jobs               map[uint64]*job
-	byIndex            *btree.BTreeG[*job]
-	byStart            *btree.BTreeG[*job] // jobs with a round that isn't due yet
-	jobsByName         map[string]*job
-	endedByName        map[string]*schema.EndedJobSnapshot
-	endedInOrder       []*schema.EndedJobSnapshot // ended jobs, oldest first
-	sessions           map[sessionKey]*session
-	pendingEnqueues    int                  // submissions held in sessions
-	downGateways       map[gatewayKey]int64 // gateway given up, and when
-	snapshots          []cachedSnapshot
-	snapshotAtEnqueues uint64
-	index              uint64
-	effects            *Effects
-	// What the latest tick told of the time of day; for the leader to know
-	// whether it is to tell anew, so not part of the state at rest.
+	name         string
+	now          int64 // queue time, µs
+	lastJobID    uint64
+	lastSequence uint64
+	enqueues     uint64 // admitted or re-enqueued jobs
+	reenqueues   uint64
+	settings     *schema.ApplySettings
+
+	jobs       map[uint64]*job
+	jobsByName map[string]*job
+	byIndex    *btree.BTreeG[*job] // by the index of the entry with the payload
+	byStart    *btree.BTreeG[*job] // jobs with a round that isn't due yet, by its time
+
+	endedByName  map[string]*schema.EndedJobSnapshot
+	endedInOrder []*schema.EndedJobSnapshot // oldest first
+
+	sessions        map[sessionKey]*session
+	pendingEnqueues int                  // of all sessions
+	downGateways    map[gatewayKey]int64 // queue time at which they were declared down
+
+	snapshots          []cachedSnapshot // dehydrated, oldest first
+	snapshotAtEnqueues uint64           // value of enqueues at the latest of them
+
+	// wallOffset is what the latest tick said of the time of day. It only tells the
+	// leader whether another such tick is needed, so it isn't part of a snapshot.
 	wallOffset int64
+
+	effects *Effects // of the command that is being applied
 }
 
-// New makes an empty queue.
+// New returns an empty queue.
 func New(name string) *Machine {
 	return &Machine{
-		name: name, settings: &schema.ApplySettings{JobRetentionUs: DefaultRetentionUs, SnapshotInterval: DefaultSnapshotInterval, MaxRequeues: DefaultMaxReturns},
-		jobs:    map[uint64]*job{},
-		byIndex: btree.NewG(16, func(a, b *job) bool { return a.index < b.index || a.index == b.index && a.id < b.id }),
-		byStart: btree.NewG(16, func(a, b *job) bool {
+		name:       name,
+		settings:   &schema.ApplySettings{JobRetentionUs: DefaultRetentionUs, SnapshotInterval: DefaultSnapshotInterval, MaxRequeues: DefaultMaxReturns},
+		jobs:       map[uint64]*job{},
+		jobsByName: map[string]*job{},
+		byIndex:    btree.NewG(treeDegree, func(a, b *job) bool { return a.index < b.index || a.index == b.index && a.id < b.id }),
+		byStart: btree.NewG(treeDegree, func(a, b *job) bool {
 			return a.nextRoundUs() < b.nextRoundUs() || a.nextRoundUs() == b.nextRoundUs() && a.id < b.id
 		}),
-		jobsByName:   map[string]*job{},
 		endedByName:  map[string]*schema.EndedJobSnapshot{},
 		sessions:     map[sessionKey]*session{},
 		downGateways: map[gatewayKey]int64{},
 	}
 }
 
-// Now is queue time, in microseconds.
+// Now is queue time in µs. It stands still while the queue has no leader.
 func (m *Machine) Now() int64 { return m.now }
 
-// Sequence is the number of the last hand-over to the scheduler.
+// LastSequence is the sequence number of the last event.
 func (m *Machine) LastSequence() uint64 { return m.lastSequence }
 
-// LiveJobs is how many jobs haven't ended.
+// LiveJobs counts the jobs that haven't ended.
 func (m *Machine) LiveJobs() int { return len(m.jobs) }
 
-// EndedJobs is how many jobs have ended so far.
+// EndedJobs counts all jobs that have ended.
 func (m *Machine) EndedJobs() uint64 { return m.lastJobID - uint64(len(m.jobs)) }
 
-// RetainedJobs is how many ended jobs are still remembered.
+// RetainedJobs counts the ended jobs that can still be asked for.
 func (m *Machine) RetainedJobs() int { return len(m.endedInOrder) }
 
-// TimedJobs is how many jobs wait for their start time.
+// TimedJobs counts the jobs with a round that isn't due yet.
 func (m *Machine) TimedJobs() int { return m.byStart.Len() }
 
-// Reenqueues is how often a live job was appended anew, so that the log could be released.
+// Reenqueues counts how often a live job was appended to the log again.
 func (m *Machine) Reenqueues() uint64 { return m.reenqueues }
 
-// WallOffset is what is to be added to queue time for the time of day, in microseconds.
+// WallOffset is what the latest tick with an offset said is to be added to queue time
+// for the time of day, in µs; 0: none did since the machine was made.
 func (m *Machine) WallOffset() int64 { return m.wallOffset }
 
-// Settings are the settings that the queue goes by; not to be changed.
+// Settings are those of the configuration that the queue has applied. The caller must not
+// change them.
 func (m *Machine) Settings() *schema.ApplySettings { return m.settings }
 
-// OldestJob is the job whose payload stands lowest in the log.
+// OldestJob is the live job whose payload has the lowest index in the log; id 0: there is
+// none, or its payload isn't known.
 func (m *Machine) OldestJob() (id, index uint64, payload *schema.Job) {
 	if oldest, found := m.byIndex.Min(); found && !oldest.isDehydrated {
 		return oldest.id, oldest.index, oldest.spec
@@ -133,8 +162,7 @@
 	return 0, 0, nil
 }
 
-// NextStart is when the next round of a live job is due, in microseconds of
-// queue time.
+// NextStart is when the next round of a live job is due, in µs of queue time.
 func (m *Machine) NextStart() (int64, bool) {
 	next, found := m.byStart.Min()
 	if !found {
@@ -143,27 +171,34 @@
 	return next.nextRoundUs(), true
 }
 
-// Sessions lists the gateway that hold sessions here.
+// Sessions lists the sessions of gateways.
 func (m *Machine) Sessions() []*schema.Session {
 	var sessions []*schema.Session
 	for _, key := range m.sortedSessionKeys() {
-		sessions = append(sessions, &schema.Session{Gateway: key.gateway, Incarnation: key.incarnation, Client: key.client})
+		sessions = append(sessions, key.session())
 	}
 	return sessions
 }
 
-// Apply takes one record's command. `at` is the group's time in the record.
+// Apply applies the command of one log entry. at is the group's time in the entry, in µs.
+// An error means that the command can't be decoded; the state is unchanged then.
 func (m *Machine) Apply(index uint64, at int64, data []byte) (*Effects, error) {
 	command := &schema.QueueCommand{}
 	if err := proto.Unmarshal(data, command); err != nil {
 		return nil, err
 	}
 	m.effects = &Effects{}
-	m.index = index
-	if at > m.now {
-		m.now = at
-	}
+	m.now = max(m.now, at)
 	m.advanceTime()
+	m.execute(index, command)
+	m.cacheSnapshot(index)
+	m.advanceReleaseCursor()
+	effects := m.effects
+	m.effects = nil
+	return effects, nil
+}
+
+func (m *Machine) execute(index uint64, command *schema.QueueCommand) {
 	switch body := command.Body.(type) {
 	case *schema.QueueCommand_Enqueue:
 		m.enqueue(index, body.Enqueue)
@@ -189,13 +224,10 @@
 		m.settings = body.ApplySettings
 		m.advanceTime()
 	}
-	m.cacheSnapshot(index)
-	m.advanceReleaseCursor()
-	effects := m.effects
-	m.effects = nil
-	return effects, nil
 }
 
+// advanceTime does what is due at the present queue time: it opens rounds, and forgets
+// ended jobs and gateways whose retention is over.
 func (m *Machine) advanceTime() {
 	for {
 		next, found := m.byStart.Min()
@@ -206,8 +238,8 @@
 		m.openDueRounds(next)
 	}
 	for len(m.endedInOrder) > 0 && m.endedInOrder[0].EndedUs+m.settings.JobRetentionUs <= m.now {
-		// The name may stand for a later job by now only if this one was
-		// forgotten before, so it is ours to take away.
+		// A later job can have the name only after this one was forgotten, so the entry
+		// is this job's.
 		delete(m.endedByName, m.endedInOrder[0].Name)
 		m.endedInOrder = m.endedInOrder[1:]
 	}
@@ -218,9 +250,8 @@
 	}
 }
 
-// setWallOffset takes in how the time of day stands to queue time, which stands still
-// while nobody leads: rounds that are still to come keep to the time of day they
-// were asked for. What has opened stays open.
+// setWallOffset sets what is to be added to queue time for the time of day. Rounds that
+// aren't open yet keep to the time of day that was asked for; open ones stay open.
 func (m *Machine) setWallOffset(offset int64) {
 	m.wallOffset = offset
 	var moved []*job
@@ -238,6 +269,8 @@
 	m.advanceTime()
 }
 
+// findTask gives the job, step and task of a key; the job is nil if there is no such
+// task, or its round isn't open.
 func (m *Machine) findTask(key *schema.TaskKey) (*job, int, int) {
 	j := m.jobs[key.GetJob()]
 	if j == nil || int(key.Step) >= len(j.tasks) || int(key.Task) >= len(j.tasks[key.Step]) {
@@ -245,3 +278,13 @@
 	}
 	return j, int(key.Step), int(key.Task)
 }
+
+// jobsInOrder lists the live jobs in the order of their admission.
+func (m *Machine) jobsInOrder() []*job {
+	jobs := make([]*job, 0, len(m.jobs))
+	for _, j := range m.jobs {
+		jobs = append(jobs, j)
+	}
+	sort.Slice(jobs, func(a, b int) bool { return jobs[a].id < jobs[b].id })
+	return jobs
+}
--- a/internal/queue/views.go
+++ b/internal/queue/views.go
@@ -1,51 +1,49 @@
 package queue
 
-// What operators and callers are shown.
+// What callers and operators are shown.
 
 import (
-	"sort"
+	"maps"
+	"slices"
 
 	"sparnotch/internal/schema"
 )
 
-func stateName(state schema.JobState) string {
-	return map[schema.JobState]string{
-		schema.JobState_JOB_SCHEDULED: "timed", schema.JobState_JOB_RUNNING: "running", schema.JobState_JOB_STOPPING: "stopping",
-		schema.JobState_JOB_COMPLETE: "complete", schema.JobState_JOB_FAILED: "failed", schema.JobState_JOB_CANCELLED: "cancelled",
-	}[state]
+// States of a step.
+const (
+	stepWaiting = "waiting"
+	stepOpen    = "open"
+	stepDone    = "done"
+)
+
+// stateNames are the states of jobs as the HTTP interface names them.
+var stateNames = map[schema.JobState]string{
+	schema.JobState_JOB_SCHEDULED: "timed",
+	schema.JobState_JOB_RUNNING:   "running",
+	schema.JobState_JOB_STOPPING:  "stopping",
+	schema.JobState_JOB_COMPLETE:  "complete",
+	schema.JobState_JOB_FAILED:    "failed",
+	schema.JobState_JOB_CANCELLED: "cancelled",
 }
 
-// CancelView is a job as callers see it.
+// JobView is a job as callers see it; false: it is unknown, or no longer retained.
 func (m *Machine) JobView(name string) (*schema.JobView, bool) {
 	if j := m.jobsByName[name]; j != nil {
 		return m.newJobView(j), true
 	}
 	if ended := m.endedByName[name]; ended != nil {
-		return &schema.JobView{Queue: m.name, Name: name, State: stateName(ended.State), Reason: ended.Reason, Tasks: ended.Tasks, Done: ended.Done}, true
+		return &schema.JobView{Queue: m.name, Name: name, State: stateNames[ended.State], Reason: ended.Reason, Tasks: ended.Tasks, Done: ended.Done}, true
 	}
 	return nil, false
 }
 
 func (m *Machine) newJobView(j *job) *schema.JobView {
-	view := &schema.JobView{Queue: m.name, Name: j.name, State: stateName(j.state), Reason: j.reason, StartedTasks: j.startedTasks}
+	view := &schema.JobView{Queue: m.name, Name: j.name, State: stateNames[j.state], Reason: j.reason, StartedTasks: j.startedTasks}
 	if j.state == schema.JobState_JOB_STOPPING {
-		view.PendingOutcome = stateName(j.finalState)
+		view.PendingOutcome = stateNames[j.finalState]
 	}
-	for part, step := range j.spec.Steps {
-		stepView := &schema.StepView{Name: step.Name, State: "done"}
-		for s := part; s < len(j.unfinishedTasks); s += j.stepsPerRound() {
-			stepView.Failures += j.failures[s]
-			stepView.Running += uint32(j.checkedOutTasks[s])
-			stepView.Waiting += uint32(j.unfinishedTasks[s] - j.checkedOutTasks[s])
-			stepView.Done += step.Tasks - uint32(j.unfinishedTasks[s])
-			switch {
-			case j.unfinishedTasks[s] == 0:
-			case j.state == schema.JobState_JOB_RUNNING && j.isStepOpen(s):
-				stepView.State = "open"
-			case stepView.State == "done":
-				stepView.State = "waiting"
-			}
-		}
+	for index, step := range j.spec.Steps {
+		stepView := j.stepView(index, step)
 		view.Tasks += uint32(j.rounds()) * step.Tasks
 		view.Done += stepView.Done
 		view.Steps = append(view.Steps, stepView)
@@ -53,8 +51,27 @@
 	return view
 }
 
-// Counts are what the queue holds: live jobs, tasks that could be checked out,
-// and tasks that are out.
+// stepView sums up a step over all rounds.
+func (j *job) stepView(index int, step *schema.Step) *schema.StepView {
+	view := &schema.StepView{Name: step.Name, State: stepDone}
+	for s := index; s < len(j.unfinishedTasks); s += j.stepsPerRound() {
+		view.Failures += j.failures[s]
+		view.Running += uint32(j.checkedOutTasks[s])
+		view.Waiting += uint32(j.unfinishedTasks[s] - j.checkedOutTasks[s])
+		view.Done += step.Tasks - uint32(j.unfinishedTasks[s])
+		switch {
+		case j.unfinishedTasks[s] == 0:
+		case j.state == schema.JobState_JOB_RUNNING && j.isStepOpen(s):
+			view.State = stepOpen
+		case view.State == stepDone:
+			view.State = stepWaiting
+		}
+	}
+	return view
+}
+
+// Counts counts live jobs, tasks that could be checked out, and tasks that are checked
+// out.
 func (m *Machine) Counts() *schema.QueueCounts {
 	counts := &schema.QueueCounts{Live: uint32(len(m.jobs))}
 	for _, j := range m.jobs {
@@ -71,20 +88,13 @@
 	return counts
 }
 
-// List pages over live and kept jobs in order of their names.
+// List is a page of at most limit live and retained jobs, in the order of their names,
+// after the given name.
 func (m *Machine) List(after string, limit int) *schema.JobList {
-	var names []string
-	for name := range m.jobsByName {
-		if name > after {
-			names = append(names, name)
-		}
-	}
-	for name := range m.endedByName {
-		if name > after {
-			names = append(names, name)
-		}
-	}
-	sort.Strings(names)
+	names := slices.Collect(maps.Keys(m.jobsByName))
+	names = slices.AppendSeq(names, maps.Keys(m.endedByName))
+	names = slices.DeleteFunc(names, func(name string) bool { return name <= after })
+	slices.Sort(names)
 	page := &schema.JobList{}
 	for k, name := range names {
 		if k == limit {
