--- /dev/null
+++ b/internal/queue/harness_test.go
@@ -0,0 +1,138 @@
+package queue
+
+import (
+	"bytes"
+	"fmt"
+
+	"google.golang.org/protobuf/proto"
+
+	"sparnotch/internal/schema"
+)
+
+// harness applies commands to one machine, and keeps the log and the last release cursor.
+type harness struct {
+	machine     *Machine
+	index       uint64
+	now         int64 // µs, the group's time of the next command
+	log         [][]byte
+	times       []int64 // of the log's entries
+	lastRelease *ReleaseCursor
+}
+
+func newHarness() *harness { return &harness{machine: New("l")} }
+
+func (h *harness) apply(command *schema.QueueCommand) *Effects {
+	data, err := proto.Marshal(command)
+	if err != nil {
+		panic(err)
+	}
+	h.index++
+	h.log, h.times = append(h.log, data), append(h.times, h.now)
+	effects, err := h.machine.Apply(h.index, h.now, data)
+	if err != nil {
+		panic(err)
+	}
+	if effects.ReleaseCursor != nil {
+		h.lastRelease = effects.ReleaseCursor
+	}
+	return effects
+}
+
+// sessionOf is a client's session with the first incarnation of the gateway "i".
+func sessionOf(client string) *schema.Session {
+	return &schema.Session{Gateway: "i", Incarnation: 1, Client: client}
+}
+
+// simpleJob is a job of one step whose tasks may fail once.
+func simpleJob(tasks uint32) *schema.Job {
+	return &schema.Job{Text: "text", Steps: []*schema.Step{{Name: "s", Tasks: tasks, CoresMilli: 1, AllowedFailures: 1}}}
+}
+
+func (h *harness) enqueue(client string, number uint64, name string, job *schema.Job) *Effects {
+	return h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Enqueue{Enqueue: &schema.Enqueue{
+		Session: sessionOf(client), Number: number, Name: name, Digest: []byte(job.Text), Job: job, StartUs: job.DelayUs,
+	}}})
+}
+
+func key(job uint64, step, task uint32) *schema.TaskKey {
+	return &schema.TaskKey{Job: job, Step: step, Task: task}
+}
+
+func (h *harness) startGang(job uint64, step uint32, attempts ...uint32) *Effects {
+	return h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_StartGang{StartGang: &schema.StartGang{Job: job, Step: step, Attempts: attempts}}})
+}
+
+func (h *harness) checkout(keys ...*schema.TaskKey) *Effects {
+	c := &schema.Checkout{}
+	for _, k := range keys {
+		c.Placements = append(c.Placements, &schema.Placement{Key: k, Worker: "w", Incarnation: 1})
+	}
+	return h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Checkout{Checkout: c}})
+}
+
+func (h *harness) settle(k *schema.TaskKey, attempt uint32) *Effects {
+	return h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Settle{Settle: &schema.Settle{Key: k, Attempt: attempt}}})
+}
+
+func (h *harness) settleGang(k *schema.TaskKey, attempt uint32) *Effects {
+	return h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Settle{Settle: &schema.Settle{Key: k, Attempt: attempt, WholeGang: true}}})
+}
+
+func (h *harness) returnTask(k *schema.TaskKey, attempt uint32, cause schema.ReturnCause) *Effects {
+	return h.returnWithProgress(k, attempt, cause, "")
+}
+
+func (h *harness) returnWithProgress(k *schema.TaskKey, attempt uint32, cause schema.ReturnCause, saved string) *Effects {
+	return h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Return{Return: &schema.Return{Key: k, Attempt: attempt, Cause: cause, Checkpoint: saved}}})
+}
+
+// restart replaces the machine by one restored from its full snapshot.
+func (h *harness) restart() {
+	m, err := Restore("l", h.index, h.machine.Snapshot(false))
+	if err != nil {
+		panic(err)
+	}
+	if !bytes.Equal(m.Snapshot(false), h.machine.Snapshot(false)) {
+		panic("restored to another state")
+	}
+	h.machine = m
+}
+
+// activeTasks lists the active tasks as "STEP ROUND.TASK-STATUS", without the status if
+// they are ready.
+func (h *harness) activeTasks() string {
+	events, _ := h.machine.ActiveTasks()
+	text := ""
+	for _, event := range events {
+		suffix := map[Status]string{CheckedOut: "-out", Stopping: "-stop"}[event.Status]
+		text += fmt.Sprint(event.Spec.Name, event.Round, ".", event.Key.Task, suffix, " ")
+	}
+	return text
+}
+
+func (h *harness) eventOf(k *schema.TaskKey) *TaskEvent {
+	events, _ := h.machine.ActiveTasks()
+	for _, event := range events {
+		if proto.Equal(&event.Key, k) {
+			return event
+		}
+	}
+	return nil
+}
+
+func (h *harness) cancel(name string) *Effects {
+	return h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Cancel{Cancel: &schema.Cancel{Name: name}}})
+}
+
+func (h *harness) tick() *Effects {
+	return h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Tick{Tick: &schema.Tick{}}})
+}
+
+// state is a job's state as callers see it.
+func (h *harness) state(name string) string {
+	view, found := h.machine.JobView(name)
+	if !found {
+		return "unknown"
+	}
+	return view.State
+}
