--- a/internal/queue/enqueue.go
+++ b/internal/queue/enqueue.go
@@ -24,7 +24,7 @@
 	}
 	switch {
 	case e.Number < s.next:
-		m.addOutcome(e, m.resubmissionCode(e, http.StatusOK))
+		m.addSubmitResult(e, m.resubmissionCode(e, http.StatusOK))
 	case e.Number > s.next:
 		m.hold(s, index, e)
 	default:
@@ -69,7 +69,7 @@
 	return http.StatusConflict
 }
 
-func (m *Machine) addOutcome(e *schema.Enqueue, code int32) {
+func (m *Machine) addSubmitResult(e *schema.Enqueue, code int32) {
 	result := &schema.SubmitResult{Session: e.Session, Number: e.Number, Code: code}
 	if code == http.StatusConflict {
 		result.Error = &schema.Error{Code: "name_taken", Message: "this name stands for a job with other content", Field: "name"}
@@ -83,7 +83,7 @@
 // payload.
 func (m *Machine) admitJob(index uint64, e *schema.Enqueue) {
 	if code := m.resubmissionCode(e, http.StatusCreated); code != http.StatusCreated {
-		m.addOutcome(e, code)
+		m.addSubmitResult(e, code)
 		return
 	}
 	m.lastJobID++
@@ -100,7 +100,7 @@
 	m.byIndex.ReplaceOrInsert(j)
 	j.state = schema.JobState_JOB_SCHEDULED
 	m.openDueRounds(j)
-	m.addOutcome(e, http.StatusCreated)
+	m.addSubmitResult(e, http.StatusCreated)
 }
 
 // openDueRounds opens every round that is due, and queues the job for the next one.
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -64,7 +64,7 @@
 		return
 	}
 	for _, outcome := range result.Outcomes {
-		h.addOutcome(r, outcome)
+		h.addSubmitResult(r, outcome)
 	}
 	if count := len(result.Events); count > 0 && r.notifiedTerm == r.group.Term() {
 		effects.Notify("scheduler", h.newTaskEvents(r, result.Events, result.Events[count-1].Sequence))
@@ -74,26 +74,26 @@
 	case caller.end != nil:
 		h.acknowledgeEnd(caller.from, caller.end, effects)
 	case caller.request != nil:
-		h.reply(*caller, result.CancelCode, jobViewOrFault(result.CancelView), effects)
+		h.reply(*caller, result.CancelCode, jobViewOrError(result.CancelView), effects)
 	}
 }
 
-// addOutcome collects the outcome of a submission, so that each gateway gets one message
+// addSubmitResult collects the result of a submission, so that each gateway gets one message
 // a step and queue.
-func (h *Host) addOutcome(r *replica, outcome *schema.SubmitResult) {
-	key := outcome.Session.Gateway + "/" + r.name
-	if h.applied[key] == nil {
-		h.applied[key] = &schema.SubmitResponse{Queue: r.name, Leader: h.id}
+func (h *Host) addSubmitResult(r *replica, result *schema.SubmitResult) {
+	key := result.Session.Gateway + "/" + r.name
+	if h.submitResponses[key] == nil {
+		h.submitResponses[key] = &schema.SubmitResponse{Queue: r.name, Leader: h.id}
 	}
-	h.applied[key].Results = append(h.applied[key].Results, outcome)
+	h.submitResponses[key].Results = append(h.submitResponses[key].Results, result)
 }
 
-// sendApplied sends the outcomes of this step to their gateways.
-func (h *Host) sendApplied(effects eventloop.Effects) {
-	for _, key := range slices.Sorted(maps.Keys(h.applied)) {
-		applied := h.applied[key]
-		delete(h.applied, key)
-		effects.Send(applied.Results[0].Session.Gateway, applied)
+// sendSubmitResponses sends the results of this step to their gateways.
+func (h *Host) sendSubmitResponses(effects eventloop.Effects) {
+	for _, key := range slices.Sorted(maps.Keys(h.submitResponses)) {
+		response := h.submitResponses[key]
+		delete(h.submitResponses, key)
+		effects.Send(response.Results[0].Session.Gateway, response)
 	}
 }
 
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -17,13 +17,13 @@
 	Convey("Fifty queues led by one node", b, func() {
 		c := newTestCluster()
 		var queues []string
-		var places []*schema.QueuePlacement
+		var placements []*schema.QueuePlacement
 		for k := 0; k < 50; k++ {
 			queues = append(queues, fmt.Sprintf("l%02d", k))
-			places = append(places, &schema.QueuePlacement{Queue: queues[k], InitialVoters: nodeIDs, PreferredLeader: "a"})
+			placements = append(placements, &schema.QueuePlacement{Queue: queues[k], InitialVoters: nodeIDs, PreferredLeader: "a"})
 		}
 		So(c.putConfiguration(queuesUpdate(1, "", queues...)).Code, ShouldEqual, 200)
-		c.placeQueues(places...)
+		c.placeQueues(placements...)
 		c.run(eventloop.Second)
 		So(c.leader("l49"), ShouldEqual, "a")
 		for name, body := range map[string]any{"message": &membership.View{}, "tick": eventloop.Tick{}} {
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -54,25 +54,25 @@
 
 // bootstrapGroup creates the replica of a new group with its first voters.
 func (h *Host) bootstrapGroup(now eventloop.Micros, name string, voters []string) *replica {
-	image := &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: voters}}}
-	h.nextWrite.changes = append(h.nextWrite.changes, &schema.StoreChange{Group: name, Snapshot: image.Snapshot})
-	return h.openGroup(now, name, image)
+	state := &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: voters}}}
+	h.nextWrite.changes = append(h.nextWrite.changes, &schema.StoreChange{Group: name, Snapshot: state.Snapshot})
+	return h.openGroup(now, name, state)
 }
 
 // bootstrapQueue creates the replica of a queue that this node is a first voter of. The
 // preferred leader campaigns at once.
-func (h *Host) bootstrapQueue(now eventloop.Micros, place *schema.QueuePlacement) {
-	name := GroupName(place)
+func (h *Host) bootstrapQueue(now eventloop.Micros, placement *schema.QueuePlacement) {
+	name := GroupName(placement)
 	if r := h.groups[name]; r != nil {
 		// The queue's leader created it before this node's copy of the cluster state
 		// listed the queue.
 		if r.group.SnapshotIndex() == 0 {
-			r.group.Bootstrap(place.InitialVoters)
+			r.group.Bootstrap(placement.InitialVoters)
 		}
 		return
 	}
-	r := h.bootstrapGroup(now, name, place.InitialVoters)
-	if place.PreferredLeader == h.id && !h.isDraining {
+	r := h.bootstrapGroup(now, name, placement.InitialVoters)
+	if placement.PreferredLeader == h.id && !h.isDraining {
 		r.group.BootstrapCampaign(now)
 	}
 }
@@ -83,10 +83,10 @@
 		return
 	}
 	listed := map[string]bool{clusterstate.Group: true}
-	for _, place := range h.state.Queues {
-		listed[GroupName(place)] = true
-		if slices.Contains(place.InitialVoters, h.id) {
-			h.bootstrapQueue(now, place)
+	for _, placement := range h.state.Queues {
+		listed[GroupName(placement)] = true
+		if slices.Contains(placement.InitialVoters, h.id) {
+			h.bootstrapQueue(now, placement)
 		}
 	}
 	for _, name := range h.groupNames() {
--- a/internal/replica/bootstrap_test.go
+++ b/internal/replica/bootstrap_test.go
@@ -14,12 +14,12 @@
 		c := newTestCluster()
 		So(c.leader(""), ShouldNotEqual, "")
 		So(c.putConfiguration(queuesUpdate(1, "", "l", "m", "n")).Code, ShouldEqual, 200)
-		var places []*schema.QueuePlacement
+		var placements []*schema.QueuePlacement
 		for k, queue := range []string{"l", "m", "n"} {
-			places = append(places, &schema.QueuePlacement{Queue: queue, InitialVoters: nodeIDs, PreferredLeader: nodeIDs[k]})
+			placements = append(placements, &schema.QueuePlacement{Queue: queue, InitialVoters: nodeIDs, PreferredLeader: nodeIDs[k]})
 		}
 		began := c.now
-		c.placeQueues(places...)
+		c.placeQueues(placements...)
 		for k, queue := range []string{"l", "m", "n"} {
 			for c.leader(queue) == "" && c.now < began+eventloop.Second {
 				c.run(eventloop.Millisecond)
@@ -39,11 +39,11 @@
 	})
 	Convey("An initial voter that the queue's leader reached before the cluster state did becomes a voter", t, func() {
 		c := newTestCluster()
-		place := &schema.QueuePlacement{Queue: "l", Generation: 1, InitialVoters: nodeIDs, PreferredLeader: "a"}
+		placement := &schema.QueuePlacement{Queue: "l", Generation: 1, InitialVoters: nodeIDs, PreferredLeader: "a"}
 		c.step("b", "a", &schema.AppendRequest{Group: "l#1", Term: 1, Entries: []*schema.Entry{{Index: 1, Term: 1, Kind: schema.EntryKind_ENTRY_NO_OP}}})
 		host := c.hosts["b"]
 		So(host.groups["l#1"].group.MemberSet().Voters, ShouldBeEmpty)
-		host.state.Queues = []*schema.QueuePlacement{place}
+		host.state.Queues = []*schema.QueuePlacement{placement}
 		c.step("b", "", eventloop.Tick{})
 		So(host.groups["l#1"].group.MemberSet().Voters, ShouldResemble, nodeIDs)
 		So(host.groups["l#1"].group.LastIndex(), ShouldEqual, 1)
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -282,8 +282,8 @@
 	c.placeQueues(&schema.QueuePlacement{Queue: queue, InitialVoters: nodeIDs, PreferredLeader: leader})
 }
 
-func (c *testCluster) placeQueues(places ...*schema.QueuePlacement) {
-	command := &schema.PlaceQueues{FencingToken: c.claimController(), Queues: places}
+func (c *testCluster) placeQueues(placements ...*schema.QueuePlacement) {
+	command := &schema.PlaceQueues{FencingToken: c.claimController(), Queues: placements}
 	So(c.request("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: command}}).Code, ShouldEqual, 200)
 }
 
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -42,14 +42,14 @@
 }
 
 // openGroup adds the replica of a group with its durable state.
-func (h *Host) openGroup(now eventloop.Micros, name string, image *storage.GroupState) *replica {
+func (h *Host) openGroup(now eventloop.Micros, name string, state *storage.GroupState) *replica {
 	r := &replica{
-		group:           raft.New(name, h.id, image, h.raftTimes, h.electionJitter, now),
+		group:           raft.New(name, h.id, state, h.raftTimes, h.electionJitter, now),
 		pendingCommands: map[uint64]pendingReply{}, pendingReads: map[uint64]pendingReply{},
 	}
 	r.group.SetWritable(!h.isReadOnly())
 	h.groups[name], h.sortedNames = r, nil
-	h.restoreGroup(r, image.Snapshot)
+	h.restoreGroup(r, state.Snapshot)
 	return r
 }
 
@@ -58,13 +58,13 @@
 	delete(h.groups, name)
 	h.sortedNames = nil
 	h.nextWrite.changes = append(h.nextWrite.changes, &schema.StoreChange{Group: name, Removed: true})
-	delete(h.nextWrite.marks, name)
+	delete(h.nextWrite.syncPoints, name)
 }
 
 // restoreGroup replaces a group's state machine by the state of a snapshot.
-func (h *Host) restoreGroup(r *replica, point *schema.Snapshot) {
+func (h *Host) restoreGroup(r *replica, snapshot *schema.Snapshot) {
 	if r.group.Name() == clusterstate.Group {
-		machine, err := clusterstate.Restore(point.Data)
+		machine, err := clusterstate.Restore(snapshot.Data)
 		if err != nil {
 			panic(Unreadable.Wrap(err, "snapshot of %s", r.group.Name()))
 		}
@@ -73,7 +73,7 @@
 		return
 	}
 	r.name = QueueName(r.group.Name())
-	machine, err := queue.Restore(r.name, point.Index, point.Data)
+	machine, err := queue.Restore(r.name, snapshot.Index, snapshot.Data)
 	if err != nil {
 		panic(Unreadable.Wrap(err, "snapshot of %s", r.group.Name()))
 	}
@@ -107,16 +107,16 @@
 // groupOfQueue is this node's replica of a queue that the cluster state lists; nil:
 // there is none.
 func (h *Host) groupOfQueue(name string) *replica {
-	if place := clusterstate.FindQueue(h.state, name); place != nil {
-		return h.groups[GroupName(place)]
+	if placement := clusterstate.FindQueue(h.state, name); placement != nil {
+		return h.groups[GroupName(placement)]
 	}
 	return nil
 }
 
 // GroupName names the Raft group of a queue. The generation is part of it, so a queue
 // that is created again under an old name is another group.
-func GroupName(place *schema.QueuePlacement) string {
-	return place.Queue + "#" + strconv.FormatUint(place.Generation, 10)
+func GroupName(placement *schema.QueuePlacement) string {
+	return placement.Queue + "#" + strconv.FormatUint(placement.Generation, 10)
 }
 
 // QueueName is the queue's name in a group's name, empty for the cluster state's group.
@@ -131,8 +131,8 @@
 // isObsolete tells whether the cluster state lists a newer queue of the same name, or
 // has deleted this one.
 func (h *Host) isObsolete(group string) bool {
-	if place := clusterstate.FindQueue(h.state, QueueName(group)); place != nil {
-		return GroupName(place) != group
+	if placement := clusterstate.FindQueue(h.state, QueueName(group)); placement != nil {
+		return GroupName(placement) != group
 	}
 	return h.isDeleted(group)
 }
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -75,25 +75,25 @@
 	disk           diskCapacity
 
 	lastReadID         uint64
-	applied            map[string]*schema.SubmitResponse // outcomes of this step, by gateway and queue
+	submitResponses    map[string]*schema.SubmitResponse // of this step, by gateway and queue
 	configurationsSent map[string]configurationSent      // by process
 }
 
 // New returns the host of the replicas in a storage node's durable state. wallClock
 // gives the time of day in µs since 1970. seed and the node's ID determine the random
 // part of its election timeouts. It panics with Unreadable if a snapshot can't be decoded.
-func New(id string, content *storage.State, wallClock func() int64, times raft.Timeouts, seed uint64, now eventloop.Micros) *Host {
+func New(id string, state *storage.State, wallClock func() int64, times raft.Timeouts, seed uint64, now eventloop.Micros) *Host {
 	hash := fnv.New64a()
 	hash.Write([]byte(id))
 	h := &Host{
-		id: id, identity: content.Identity, toleratedLosses: 1, timeouts: timing.FromBounds(nil), wallClock: wallClock, raftTimes: times,
+		id: id, identity: state.Identity, toleratedLosses: 1, timeouts: timing.FromBounds(nil), wallClock: wallClock, raftTimes: times,
 		electionJitter: newElectionJitter(rand.New(rand.NewPCG(seed, hash.Sum64()))),
 		groups:         map[string]*replica{}, clusterState: clusterstate.New(), nextWrite: newPendingWrite(),
-		applied: map[string]*schema.SubmitResponse{}, configurationsSent: map[string]configurationSent{},
+		submitResponses: map[string]*schema.SubmitResponse{}, configurationsSent: map[string]configurationSent{},
 	}
 	h.setState(h.clusterState.SharedState())
-	for name, image := range content.Groups {
-		h.openGroup(now, name, image)
+	for name, state := range state.Groups {
+		h.openGroup(now, name, state)
 	}
 	return h
 }
--- a/internal/replica/persistence.go
+++ b/internal/replica/persistence.go
@@ -17,7 +17,7 @@
 type pendingWrite struct {
 	changes    []*schema.StoreChange
 	messages   []raft.Message
-	marks      map[string]raft.SyncPoint // by group
+	syncPoints map[string]raft.SyncPoint // by group
 	identities []*schema.StoreIdentity   // reported to the membership
 
 	bytes          int // of changes
@@ -25,7 +25,7 @@
 }
 
 func newPendingWrite() pendingWrite {
-	return pendingWrite{marks: map[string]raft.SyncPoint{}}
+	return pendingWrite{syncPoints: map[string]raft.SyncPoint{}}
 }
 
 func (w *pendingWrite) isEmpty() bool {
@@ -44,7 +44,7 @@
 		}
 	}
 	heartbeats.send(effects)
-	h.sendApplied(effects)
+	h.sendSubmitResponses(effects)
 	h.notifyScheduler(now, effects)
 	h.boundPending(now)
 	h.startWrite(now, effects)
@@ -55,7 +55,7 @@
 func (h *Host) flushGroup(now eventloop.Micros, name string, heartbeats heartbeatBatches, effects eventloop.Effects) bool {
 	r := h.groups[name]
 	r.group.FlushReads(now)
-	ready, mark := r.group.Ready()
+	ready, syncPoint := r.group.Ready()
 	if len(ready.Messages)+len(ready.Changes)+len(ready.CommittedEntries)+len(ready.ReadRequests) == 0 && ready.Snapshot == nil {
 		return false
 	}
@@ -69,7 +69,7 @@
 	if len(ready.Changes) > 0 {
 		h.nextWrite.changes = append(h.nextWrite.changes, ready.Changes...)
 		h.nextWrite.bytes += changesSize(ready.Changes)
-		h.nextWrite.marks[name] = mark
+		h.nextWrite.syncPoints[name] = syncPoint
 	}
 	if ready.Snapshot != nil {
 		h.restoreGroup(r, ready.Snapshot)
@@ -122,9 +122,9 @@
 	for _, identity := range write.identities {
 		effects.Notify("membership", membership.IdentityPersisted{Identity: identity})
 	}
-	for _, name := range slices.Sorted(maps.Keys(write.marks)) {
+	for _, name := range slices.Sorted(maps.Keys(write.syncPoints)) {
 		if r := h.groups[name]; r != nil {
-			r.group.MarkSynced(now, write.marks[name])
+			r.group.MarkSynced(now, write.syncPoints[name])
 		}
 	}
 }
--- a/internal/replica/requests.go
+++ b/internal/replica/requests.go
@@ -15,7 +15,7 @@
 	"sparnotch/internal/schema"
 )
 
-// Kinds of schema.Request.
+// Kinds of requests.
 const (
 	requestJobStatus     = "status"
 	requestJobList       = "list"
@@ -27,12 +27,12 @@
 	requestCommand       = "clusterstate" // changes the cluster state
 )
 
-// Codes of schema.Fault.
+// Error codes of replies.
 const (
-	faultNotReady   = "not_ready"
-	faultBadRequest = "bad_request"
-	faultUnknownJob = "unknown_job"
-	faultInternal   = "internal"
+	codeNotReady   = "not_ready"
+	codeBadRequest = "bad_request"
+	codeUnknownJob = "unknown_job"
+	codeInternal   = "internal"
 )
 
 const unknownJobMessage = "no job of this name is known in the queue"
@@ -55,7 +55,7 @@
 	}
 	pending := pendingReply{term: r.group.Term(), from: from, request: m}
 	if (m.Kind == requestCancel || m.Kind == requestCommand) && !h.canCommit(now, r) {
-		h.reply(pending, http.StatusServiceUnavailable, faultJSON(faultNotReady, "too many stores take no writes at the moment"), effects)
+		h.reply(pending, http.StatusServiceUnavailable, errorJSON(codeNotReady, "too many stores take no writes at the moment"), effects)
 		return
 	}
 	switch m.Kind {
@@ -77,14 +77,14 @@
 		// A command that can't be decoded must not get into the log: no replica could
 		// apply it.
 		if _, err := clusterstate.DecodeCommand(m.Body); err != nil {
-			h.reply(pending, http.StatusBadRequest, faultJSON(faultBadRequest, "the command can't be read"), effects)
+			h.reply(pending, http.StatusBadRequest, errorJSON(codeBadRequest, "the command can't be read"), effects)
 			return
 		}
 		if index, _, err := r.group.Propose(now, m.Body); err == nil {
 			r.pendingCommands[index] = pending
 		}
 	default:
-		h.reply(pending, http.StatusBadRequest, faultJSON(faultBadRequest, "no such request: "+m.Kind), effects)
+		h.reply(pending, http.StatusBadRequest, errorJSON(codeBadRequest, "no such request: "+m.Kind), effects)
 	}
 }
 
@@ -107,7 +107,7 @@
 	case requestJobStatus:
 		view, found := r.queue.JobView(m.Name)
 		if !found {
-			h.reply(pending, http.StatusNotFound, faultJSON(faultUnknownJob, unknownJobMessage), effects)
+			h.reply(pending, http.StatusNotFound, errorJSON(codeUnknownJob, unknownJobMessage), effects)
 			return
 		}
 		h.reply(pending, http.StatusOK, mustMarshalJSON(view), effects)
@@ -163,19 +163,19 @@
 func configurationJSON(configuration *schema.Configuration) []byte {
 	data, err := protojson.MarshalOptions{EmitUnpopulated: true}.Marshal(configuration)
 	if err != nil {
-		return faultJSON(faultInternal, err.Error())
+		return errorJSON(codeInternal, err.Error())
 	}
 	return data
 }
 
-func jobViewOrFault(view *schema.JobView) []byte {
+func jobViewOrError(view *schema.JobView) []byte {
 	if view == nil {
-		return faultJSON(faultUnknownJob, unknownJobMessage)
+		return errorJSON(codeUnknownJob, unknownJobMessage)
 	}
 	return mustMarshalJSON(view)
 }
 
-func faultJSON(code, message string) []byte {
+func errorJSON(code, message string) []byte {
 	return mustMarshalJSON(&schema.Error{Code: code, Message: message})
 }
 
--- a/internal/replica/submissions.go
+++ b/internal/replica/submissions.go
@@ -15,7 +15,7 @@
 // rejected.
 const maxUnapplied = 8192
 
-// Outcomes of schema.End.
+// Outcomes of task reports.
 const (
 	outcomeDone   = "done"
 	outcomeFailed = "failed"
@@ -43,11 +43,11 @@
 // handleSubmit proposes the submissions of a gateway. Those that are rejected are
 // dropped: the gateway has numbered them and sends them again.
 func (h *Host) handleSubmit(now eventloop.Micros, from string, m *schema.SubmitRequest, effects eventloop.Effects) {
-	place := clusterstate.FindQueue(h.state, m.Queue)
-	if place == nil {
+	placement := clusterstate.FindQueue(h.state, m.Queue)
+	if placement == nil {
 		return
 	}
-	r := h.groups[GroupName(place)]
+	r := h.groups[GroupName(placement)]
 	if r == nil || !r.group.IsLeader() || r.group.Transferee() != "" {
 		effects.Send(from, &schema.SubmitResponse{Queue: m.Queue, Leader: currentLeader(r)})
 		return
@@ -106,8 +106,8 @@
 // handleTaskEnd proposes a worker's report; from is empty if the scheduler of this node
 // passes it on. What isn't acknowledged is reported again.
 func (h *Host) handleTaskEnd(now eventloop.Micros, from string, m *schema.TaskEndReport, effects eventloop.Effects) {
-	place := clusterstate.FindQueue(h.state, m.Queue)
-	if place == nil {
+	placement := clusterstate.FindQueue(h.state, m.Queue)
+	if placement == nil {
 		// Nobody needs the report of a deleted queue's task. A stale copy of the cluster
 		// state doesn't show that the queue is deleted.
 		if h.isClusterStateFresh(now) {
@@ -115,7 +115,7 @@
 		}
 		return
 	}
-	r := h.groups[GroupName(place)]
+	r := h.groups[GroupName(placement)]
 	if r == nil || !r.group.IsLeader() {
 		if r != nil && from == "" && r.group.Leader() != "" {
 			effects.Send(r.group.Leader(), m)
@@ -148,10 +148,10 @@
 
 // acknowledgeEnd answers a report; from is empty for the scheduler of this node.
 func (h *Host) acknowledgeEnd(from string, m *schema.TaskEndReport, effects eventloop.Effects) {
-	reply := &schema.TaskEndAck{Queue: m.Queue, Key: m.Key, Attempt: m.Attempt, Worker: m.Worker}
+	ack := &schema.TaskEndAck{Queue: m.Queue, Key: m.Key, Attempt: m.Attempt, Worker: m.Worker}
 	if from == "" {
-		effects.Notify("scheduler", reply)
+		effects.Notify("scheduler", ack)
 	} else {
-		effects.Send(from, reply)
+		effects.Send(from, ack)
 	}
 }
