--- a/internal/queue/enqueue.go
+++ b/internal/queue/enqueue.go
@@ -11,7 +11,7 @@
 
 func (m *Machine) enqueue(index uint64, e *schema.Enqueue) {
 	key := sessionKeyOf(e.Session)
-	if _, isDown := m.downGateways[gatewayKey{key.gateway, key.incarnation}]; isDown {
+	if _, isExpired := m.expiredGateways[gatewayKey{key.gateway, key.incarnation}]; isExpired {
 		// Its callers have gone to other gateways. What it still sends may have been
 		// submitted there, run, and been forgotten since.
 		m.effects.Outcomes = append(m.effects.Outcomes, &schema.SubmitResult{Session: e.Session, Number: e.Number, Code: http.StatusGone})
--- a/internal/queue/enqueue_test.go
+++ b/internal/queue/enqueue_test.go
@@ -31,7 +31,7 @@
 			So(h.enqueue("d", 2, "two", simpleJob(1)).Outcomes[0].Code, ShouldEqual, 200)
 			So(h.machine.LiveJobs(), ShouldEqual, 3)
 		})
-		Convey("a gateway that was declared down can't submit again what was forgotten", func() {
+		Convey("an expired gateway can't submit again what was forgotten", func() {
 			h.enqueue("c", 9, "late", simpleJob(1))
 			h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_EndSessions{EndSessions: &schema.EndSessions{Gateways: []*schema.ExpiredGateway{{Gateway: "i", Incarnation: 1}}}}})
 			So(h.enqueue("c", 4, "four", simpleJob(1)).Outcomes[0].Code, ShouldEqual, 410)
--- a/internal/queue/gang_test.go
+++ b/internal/queue/gang_test.go
@@ -174,8 +174,8 @@
 			h.checkout(all...)
 		}
 		So(h.state("j"), ShouldEqual, "running")
-		So(h.machine.jobs[1].tasks[0][2].returns, ShouldEqual, 5)
-		So(h.machine.jobs[1].tasks[0][0].returns, ShouldEqual, 0)
+		So(h.machine.jobs[1].tasks[0][2].requeues, ShouldEqual, 5)
+		So(h.machine.jobs[1].tasks[0][0].requeues, ShouldEqual, 0)
 		for _, k := range all {
 			So(h.eventOf(k).Attempt, ShouldEqual, 6)
 		}
@@ -186,17 +186,17 @@
 		h.checkout(all[0], all[0], all[1])
 		So(h.activeTasks(), ShouldEqual, "g0.0 g0.1 g0.2 ")
 	})
-	Convey("All members start with the latest progress that any of them saved", t, func() {
+	Convey("All members start with the latest checkpoint of any of them", t, func() {
 		h := begin(gang(3))
-		h.returnWithProgress(all[0], 1, schema.ReturnCause_RETURN_CAUSE_WORKER_LOST, "early")
-		h.returnWithProgress(all[1], 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "late")
-		h.returnWithProgress(all[2], 1, schema.ReturnCause_RETURN_CAUSE_FAILED, "")
+		h.returnWithCheckpoint(all[0], 1, schema.ReturnCause_RETURN_CAUSE_WORKER_LOST, "early")
+		h.returnWithCheckpoint(all[1], 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "late")
+		h.returnWithCheckpoint(all[2], 1, schema.ReturnCause_RETURN_CAUSE_FAILED, "")
 		h.restart()
 		h.checkout(all...)
 		for _, k := range all {
 			So(h.eventOf(k).Progress, ShouldEqual, "late")
 		}
 		h.settleGang(all[2], 2)
-		So(h.machine.jobs[1].tasks[0][0].progress, ShouldEqual, "")
+		So(h.machine.jobs[1].tasks[0][0].checkpoint, ShouldEqual, "")
 	})
 }
--- a/internal/queue/harness_test.go
+++ b/internal/queue/harness_test.go
@@ -79,10 +79,10 @@
 }
 
 func (h *harness) returnTask(k *schema.TaskKey, attempt uint32, cause schema.ReturnCause) *Effects {
-	return h.returnWithProgress(k, attempt, cause, "")
+	return h.returnWithCheckpoint(k, attempt, cause, "")
 }
 
-func (h *harness) returnWithProgress(k *schema.TaskKey, attempt uint32, cause schema.ReturnCause, saved string) *Effects {
+func (h *harness) returnWithCheckpoint(k *schema.TaskKey, attempt uint32, cause schema.ReturnCause, saved string) *Effects {
 	return h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Return{Return: &schema.Return{Key: k, Attempt: attempt, Cause: cause, Checkpoint: saved}}})
 }
 
--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -37,20 +37,20 @@
 }
 
 // task is one task. The members of a gang have their failures, failedAttempt and
-// progress in common: they stand at the first member, see job.account.
+// checkpoint in common: they stand at the first member, see job.account.
 type task struct {
 	state            schema.TaskState
 	attempt          uint32
 	failures         uint32
 	failedAttempt    uint32 // the latest attempt that was counted as failed
-	returns          uint32 // that weren't failures
+	requeues         uint32 // returns that weren\'t failures
 	worker           string // that it is checked out for
 	incarnation      uint64 // of the worker
 	checkoutSequence uint64 // of the event that reported the checkout
 	isGangStopping   bool   // checked out, and to be stopped because a member of its gang ended
 	isGangStarted    bool
 	lostAttempts     []uint32 // returned as lost: a late report may still show that they failed
-	progress         string   // saved, for the next start
+	checkpoint       string   // the latest one, for the next start
 }
 
 func (j *job) stepsPerRound() int { return len(j.spec.GetSteps()) }
@@ -172,7 +172,7 @@
 	return Ready
 }
 
-// account is the task that has the failures and progress of a task: itself, or the
+// account is the task that has the failures and checkpoint of a task: itself, or the
 // first member of its gang.
 func (j *job) account(s, t int) *task {
 	if j.step(s).Gang {
--- a/internal/queue/machine.go
+++ b/internal/queue/machine.go
@@ -12,8 +12,8 @@
 //     is done is settled, one that isn't is returned and becomes ready again.
 //   - events: what the scheduler must know is numbered without gaps, and a read-only
 //     query fills a gap (section "Consumers").
-//   - down: the sessions of a gateway that is gone are removed (section "Session State
-//     Clean Up").
+//   - end of sessions: those of a gateway that is gone are removed, and what it still
+//     sends is rejected (section "Session State Clean Up").
 //   - release cursor: dehydrated snapshots are cached, and the log is released up to the
 //     latest one below all live jobs (section "Snapshotting").
 //
@@ -38,10 +38,10 @@
 )
 
 const (
-	maxCachedSnapshots     = 16
-	maxProgressBytes       = 256 // of a task's saved progress; a longer text isn't from a worker
-	downGatewayRetentionUs = 24 * 3600 * 1_000_000
-	treeDegree             = 16
+	maxCachedSnapshots        = 16
+	maxCheckpointBytes        = 256 // a longer one isn't from a worker
+	expiredGatewayRetentionUs = 24 * 3600 * 1_000_000
+	treeDegree                = 16
 )
 
 // Status is a task's status as the scheduler sees it.
@@ -95,7 +95,7 @@
 
 	sessions        map[sessionKey]*session
 	pendingEnqueues int                  // of all sessions
-	downGateways    map[gatewayKey]int64 // queue time at which they were declared down
+	expiredGateways map[gatewayKey]int64 // queue time at which they expired
 
 	snapshots          []cachedSnapshot // dehydrated, oldest first
 	snapshotAtEnqueues uint64           // value of enqueues at the latest of them
@@ -118,9 +118,9 @@
 		byStart: btree.NewG(treeDegree, func(a, b *job) bool {
 			return a.nextRoundUs() < b.nextRoundUs() || a.nextRoundUs() == b.nextRoundUs() && a.id < b.id
 		}),
-		endedByName:  map[string]*schema.EndedJobSnapshot{},
-		sessions:     map[sessionKey]*session{},
-		downGateways: map[gatewayKey]int64{},
+		endedByName:     map[string]*schema.EndedJobSnapshot{},
+		sessions:        map[sessionKey]*session{},
+		expiredGateways: map[gatewayKey]int64{},
 	}
 }
 
@@ -213,7 +213,7 @@
 	case *schema.QueueCommand_Cancel:
 		m.cancel(body.Cancel.Name)
 	case *schema.QueueCommand_EndSessions:
-		m.closeSessions(body.EndSessions)
+		m.endSessions(body.EndSessions)
 	case *schema.QueueCommand_Reenqueue:
 		m.reenqueue(index, body.Reenqueue)
 	case *schema.QueueCommand_Tick:
@@ -243,9 +243,9 @@
 		delete(m.endedByName, m.endedInOrder[0].Name)
 		m.endedInOrder = m.endedInOrder[1:]
 	}
-	for key, at := range m.downGateways {
-		if at+downGatewayRetentionUs <= m.now {
-			delete(m.downGateways, key)
+	for key, at := range m.expiredGateways {
+		if at+expiredGatewayRetentionUs <= m.now {
+			delete(m.expiredGateways, key)
 		}
 	}
 }
--- a/internal/queue/replay_test.go
+++ b/internal/queue/replay_test.go
@@ -151,11 +151,11 @@
 		r.h.settle(k, r.attempt(k))
 	case 10:
 		k := r.task()
-		progress := ""
+		checkpoint := ""
 		if r.rng.IntN(2) == 0 {
-			progress = fmt.Sprint("at ", r.h.index)
+			checkpoint = fmt.Sprint("at ", r.h.index)
 		}
-		r.h.returnWithProgress(k, r.attempt(k), schema.ReturnCause(1+r.rng.IntN(3)), progress)
+		r.h.returnWithCheckpoint(k, r.attempt(k), schema.ReturnCause(1+r.rng.IntN(3)), checkpoint)
 	case 11:
 		r.h.cancel(fmt.Sprint("j", r.rng.IntN(200)))
 	case 12:
--- a/internal/queue/return.go
+++ b/internal/queue/return.go
@@ -22,23 +22,23 @@
 	}
 	isRunning := j.state == schema.JobState_JOB_RUNNING
 	account := j.account(s, t)
-	// A report without progress doesn't undo what an earlier one saved.
-	if step.Checkpoints && c.Checkpoint != "" && len(c.Checkpoint) <= maxProgressBytes {
-		account.progress = c.Checkpoint
+	// A report without a checkpoint leaves the one before.
+	if step.Checkpoints && c.Checkpoint != "" && len(c.Checkpoint) <= maxCheckpointBytes {
+		account.checkpoint = c.Checkpoint
 	}
 	if c.Cause == schema.ReturnCause_RETURN_CAUSE_WORKER_LOST && !step.RunUntilCancelled && account.failedAttempt != c.Attempt {
 		task.lostAttempts = append(task.lostAttempts, task.attempt)
 	}
 	// A failure counts even if the task was being stopped. Other returns don't count for
-	// members that are stopped because of another one, and nothing counts for lasting
-	// steps, which start again however they end.
+	// members that are stopped because of another one, and nothing counts for steps that
+	// run until their job is cancelled: they start again however they end.
 	switch {
 	case step.RunUntilCancelled || !isRunning:
 	case c.Cause == schema.ReturnCause_RETURN_CAUSE_FAILED:
 		m.countFailure(j, s, t, c.Attempt)
 	case !task.isGangStopping:
-		task.returns++
-		if task.returns > m.settings.MaxRequeues {
+		task.requeues++
+		if task.requeues > m.settings.MaxRequeues {
 			m.stopJob(j, schema.JobState_JOB_FAILED, "step "+step.Name+": a task was taken back too often")
 		}
 	}
--- a/internal/queue/return_test.go
+++ b/internal/queue/return_test.go
@@ -89,8 +89,8 @@
 	})
 }
 
-func TestLastingSteps(t *testing.T) {
-	Convey("A lasting step is ready again however it ends, without limit, until its job is cancelled", t, func() {
+func TestRunUntilCancelled(t *testing.T) {
+	Convey("A step that runs until its job is cancelled is ready again however it ends, without limit", t, func() {
 		h := newHarness()
 		h.machine.settings = &schema.ApplySettings{JobRetentionUs: DefaultRetentionUs, SnapshotInterval: 64, MaxRequeues: 3}
 		h.enqueue("c", 1, "j", &schema.Job{Text: "x", Steps: []*schema.Step{{Name: "s", Tasks: 1, RunUntilCancelled: true, Checkpoints: true}}})
@@ -104,7 +104,7 @@
 				if cause == schema.ReturnCause_RETURN_CAUSE_NONE {
 					h.settle(k, attempt)
 				} else {
-					h.returnWithProgress(k, attempt, cause, "so far")
+					h.returnWithCheckpoint(k, attempt, cause, "so far")
 				}
 				So(h.activeTasks(), ShouldEqual, "s0.0 ")
 			}
@@ -117,7 +117,7 @@
 		h.settle(k, attempt+1)
 		So(h.state("j"), ShouldEqual, "cancelled")
 	})
-	Convey("A lasting gang starts again as a whole", t, func() {
+	Convey("So is a gang, as a whole", t, func() {
 		for _, isWhole := range []bool{true, false} {
 			h := newHarness()
 			h.enqueue("c", 1, "j", &schema.Job{Text: "x", Steps: []*schema.Step{{Name: "g", Tasks: 2, Gang: true, RunUntilCancelled: true}}})
@@ -139,38 +139,38 @@
 	})
 }
 
-func TestProgress(t *testing.T) {
-	Convey("Saved progress goes with the next start, whatever ended the last one", t, func() {
+func TestCheckpoints(t *testing.T) {
+	Convey("The latest checkpoint goes with the next start, whatever ended the last one", t, func() {
 		h := newHarness()
 		job := simpleJob(1)
 		job.Steps[0].Checkpoints = true
 		job.Steps = append(job.Steps, &schema.Step{Name: "plain", Tasks: 1, CoresMilli: 1})
 		h.enqueue("c", 1, "j", job)
 		k := key(1, 0, 0)
-		progress := func() string { return h.eventOf(k).Progress }
+		checkpoint := func() string { return h.eventOf(k).Progress }
 		checkoutAndReturn := func(attempt uint32, cause schema.ReturnCause, text string) {
 			h.checkout(k)
-			h.returnWithProgress(k, attempt, cause, text)
+			h.returnWithCheckpoint(k, attempt, cause, text)
 			h.restart()
 		}
 		checkoutAndReturn(1, schema.ReturnCause_RETURN_CAUSE_WORKER_LOST, "one")
-		So(progress(), ShouldEqual, "one")
+		So(checkpoint(), ShouldEqual, "one")
 		checkoutAndReturn(2, schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "two")
-		So(progress(), ShouldEqual, "two")
+		So(checkpoint(), ShouldEqual, "two")
 		checkoutAndReturn(3, schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "")
-		So(progress(), ShouldEqual, "two")
+		So(checkpoint(), ShouldEqual, "two")
 		checkoutAndReturn(4, schema.ReturnCause_RETURN_CAUSE_FAILED, strings.Repeat("x", 257))
-		So(progress(), ShouldEqual, "two")
-		h.returnWithProgress(k, 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "stale")
-		So(progress(), ShouldEqual, "two")
+		So(checkpoint(), ShouldEqual, "two")
+		h.returnWithCheckpoint(k, 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "stale")
+		So(checkpoint(), ShouldEqual, "two")
 		h.checkout(k)
-		So(progress(), ShouldEqual, "two")
+		So(checkpoint(), ShouldEqual, "two")
 		h.settle(k, 5)
-		So(h.machine.jobs[1].tasks[0][0].progress, ShouldEqual, "")
-		Convey("and a step that saves none gets none", func() {
+		So(h.machine.jobs[1].tasks[0][0].checkpoint, ShouldEqual, "")
+		Convey("and a step without checkpoints gets none", func() {
 			k := key(1, 1, 0)
 			h.checkout(k)
-			h.returnWithProgress(k, 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "text")
+			h.returnWithCheckpoint(k, 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "text")
 			So(h.eventOf(k).Progress, ShouldEqual, "")
 		})
 	})
--- a/internal/queue/session.go
+++ b/internal/queue/session.go
@@ -62,14 +62,14 @@
 	return keys
 }
 
-// closeSessions removes single sessions at their gateway's request, and all those of
-// gateways that are down for good.
-func (m *Machine) closeSessions(c *schema.EndSessions) {
+// endSessions removes single sessions at their gateway's request, and all those of
+// gateways that have expired.
+func (m *Machine) endSessions(c *schema.EndSessions) {
 	for _, session := range c.Sessions {
 		m.removeSession(sessionKeyOf(session))
 	}
 	for _, gateway := range c.Gateways {
-		m.downGateways[gatewayKey{gateway.Gateway, gateway.Incarnation}] = m.now
+		m.expiredGateways[gatewayKey{gateway.Gateway, gateway.Incarnation}] = m.now
 		for key := range m.sessions {
 			// Held submissions were never confirmed, and nobody is left to fill the gap
 			// below them.
--- a/internal/queue/settle.go
+++ b/internal/queue/settle.go
@@ -26,7 +26,7 @@
 		return
 	}
 	if step.RunUntilCancelled {
-		j.account(s, t).progress = ""
+		j.account(s, t).checkpoint = ""
 		if step.Gang && j.state == schema.JobState_JOB_RUNNING && !task.isGangStopping {
 			m.stopGang(j, s)
 		}
@@ -39,7 +39,7 @@
 	j.countCheckedIn(s)
 	j.unfinishedTasks[s]--
 	if !step.Gang || j.unfinishedTasks[s] == 0 {
-		j.account(s, t).progress = ""
+		j.account(s, t).checkpoint = ""
 	}
 	m.emitEvent(j, s, t)
 	m.advanceJob(j, s)
@@ -48,18 +48,18 @@
 // settleGang settles all members of a gang: they end together. Their later reports find
 // them done.
 func (m *Machine) settleGang(j *job, s int) {
-	isLasting := j.step(s).RunUntilCancelled
+	runsUntilCancelled := j.step(s).RunUntilCancelled
 	for t := range j.tasks[s] {
 		task := &j.tasks[s][t]
 		if task.state == schema.TaskState_TASK_CHECKED_OUT {
 			j.countCheckedIn(s)
 		}
-		task.state, task.isGangStopping, task.progress = schema.TaskState_TASK_DONE, false, ""
-		if isLasting {
+		task.state, task.isGangStopping, task.checkpoint = schema.TaskState_TASK_DONE, false, ""
+		if runsUntilCancelled {
 			task.reset()
 		}
 	}
-	if !isLasting {
+	if !runsUntilCancelled {
 		j.unfinishedTasks[s] = 0
 	}
 	m.emitStepEvents(j, s)
--- a/internal/queue/snapshot.go
+++ b/internal/queue/snapshot.go
@@ -106,7 +106,7 @@
 func (m *Machine) Snapshot(isDehydrated bool) []byte {
 	snapshot := &schema.QueueSnapshot{
 		NowUs: m.now, NextJob: m.lastJobID, Handover: m.lastSequence, Settings: m.settings, Reenqueues: m.reenqueues, Enqueues: m.enqueues,
-		Ended: m.endedInOrder, ExpiredGateways: m.downGatewaysInOrder(),
+		Ended: m.endedInOrder, ExpiredGateways: m.expiredGatewaysInOrder(),
 	}
 	for _, j := range m.jobsInOrder() {
 		jobSnapshot := j.snapshot()
@@ -135,9 +135,9 @@
 	return data
 }
 
-func (m *Machine) downGatewaysInOrder() []*schema.ExpiredGateway {
+func (m *Machine) expiredGatewaysInOrder() []*schema.ExpiredGateway {
 	var gateways []*schema.ExpiredGateway
-	for key, at := range m.downGateways {
+	for key, at := range m.expiredGateways {
 		gateways = append(gateways, &schema.ExpiredGateway{Gateway: key.gateway, Incarnation: key.incarnation, AtUs: at})
 	}
 	sort.Slice(gateways, func(a, b int) bool {
@@ -162,10 +162,10 @@
 
 func (t *task) snapshot() *schema.TaskSnapshot {
 	return &schema.TaskSnapshot{
-		State: t.state, Attempt: t.attempt, Failures: t.failures, Requeues: t.returns,
+		State: t.state, Attempt: t.attempt, Failures: t.failures, Requeues: t.requeues,
 		Worker: t.worker, Incarnation: t.incarnation, Handover: t.checkoutSequence,
 		Aborting: t.isGangStopping, Started: t.isGangStarted, LostAttempts: t.lostAttempts,
-		Checkpoint: t.progress, FailedAttempt: t.failedAttempt,
+		Checkpoint: t.checkpoint, FailedAttempt: t.failedAttempt,
 	}
 }
 
@@ -205,7 +205,7 @@
 		m.endedInOrder = append(m.endedInOrder, ended)
 	}
 	for _, gateway := range snapshot.ExpiredGateways {
-		m.downGateways[gatewayKey{gateway.Gateway, gateway.Incarnation}] = gateway.AtUs
+		m.expiredGateways[gatewayKey{gateway.Gateway, gateway.Incarnation}] = gateway.AtUs
 	}
 	for _, sessionSnapshot := range snapshot.Sessions {
 		m.restoreSession(sessionSnapshot)
@@ -254,10 +254,10 @@
 
 func restoreTask(snapshot *schema.TaskSnapshot) task {
 	return task{
-		state: snapshot.State, attempt: snapshot.Attempt, failures: snapshot.Failures, returns: snapshot.Requeues,
+		state: snapshot.State, attempt: snapshot.Attempt, failures: snapshot.Failures, requeues: snapshot.Requeues,
 		worker: snapshot.Worker, incarnation: snapshot.Incarnation, checkoutSequence: snapshot.Handover,
 		isGangStopping: snapshot.Aborting, isGangStarted: snapshot.Started, lostAttempts: snapshot.LostAttempts,
-		progress: snapshot.Checkpoint, failedAttempt: snapshot.FailedAttempt,
+		checkpoint: snapshot.Checkpoint, failedAttempt: snapshot.FailedAttempt,
 	}
 }
 
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -155,7 +155,7 @@
 	case *schema.SubmitRequest:
 		h.handleSubmit(now, message.From, body, effects)
 	case *schema.EndSessionsRequest:
-		h.handleSessionsDown(now, body)
+		h.handleEndSessions(now, body)
 	case *schema.Request:
 		h.handleRequest(now, message.From, body, effects)
 	case *schema.TaskEndReport:
--- a/internal/replica/submissions.go
+++ b/internal/replica/submissions.go
@@ -86,8 +86,8 @@
 	return 0
 }
 
-// handleSessionsDown proposes to remove sessions, or all those of gateways that are gone.
-func (h *Host) handleSessionsDown(now eventloop.Micros, m *schema.EndSessionsRequest) {
+// handleEndSessions proposes to remove sessions, or all those of gateways that are gone.
+func (h *Host) handleEndSessions(now eventloop.Micros, m *schema.EndSessionsRequest) {
 	if r := h.groupOfQueue(m.Queue); r != nil && r.group.HoldsLeaderLease(now) {
 		h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_EndSessions{EndSessions: &schema.EndSessions{Sessions: m.Sessions, Gateways: m.Gateways}}})
 	}
--- a/internal/replica/submissions_test.go
+++ b/internal/replica/submissions_test.go
@@ -19,7 +19,7 @@
 		wanted := &schema.Settle{Key: key, Attempt: 4, WholeGang: true}
 		So(proto.Equal(end("done").GetSettle(), wanted), ShouldBeTrue)
 	})
-	Convey("Every other outcome returns the task with its progress, and only failures count", t, func() {
+	Convey("Every other outcome returns the task with its checkpoint, and only failures count", t, func() {
 		for outcome, cause := range map[string]schema.ReturnCause{
 			"failed": schema.ReturnCause_RETURN_CAUSE_FAILED, "lost": schema.ReturnCause_RETURN_CAUSE_WORKER_LOST, "stopped": schema.ReturnCause_RETURN_CAUSE_PREEMPTED,
 			"lapsed": schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "broken": schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "alone": schema.ReturnCause_RETURN_CAUSE_PREEMPTED,
