--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -141,7 +141,7 @@
 	j.openedRounds++
 }
 
-// isStepOpen tells whether a step's round is open and its dependencies are done.
+// isStepOpen reports whether a step's round is open and its dependencies are done.
 func (j *job) isStepOpen(s int) bool {
 	index := s % j.stepsPerRound()
 	first := s - index
--- a/internal/queue/machine.go
+++ b/internal/queue/machine.go
@@ -100,7 +100,7 @@
 	snapshots          []cachedSnapshot // dehydrated, oldest first
 	snapshotAtEnqueues uint64           // value of enqueues at the latest of them
 
-	// wallOffset is what the latest tick said of the time of day. It only tells the
+	// wallOffset is what the latest tick said of the time of day. It only shows the
 	// leader whether another such tick is needed, so it isn't part of a snapshot.
 	wallOffset int64
 
--- a/internal/queue/rounds_test.go
+++ b/internal/queue/rounds_test.go
@@ -216,7 +216,7 @@
 }
 
 func TestCriticalPathAndRoundAge(t *testing.T) {
-	Convey("Events tell a round's age and the longest paths through it", t, func() {
+	Convey("Events have a round's age and the longest paths through it", t, func() {
 		h := newHarness()
 		h.now = 5_000_000
 		h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Tick{Tick: &schema.Tick{}}})
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -71,8 +71,8 @@
 	}
 	switch {
 	case caller == nil:
-	case caller.end != nil:
-		h.acknowledgeEnd(caller.from, caller.end, effects)
+	case caller.report != nil:
+		h.acknowledgeEnd(caller.from, caller.report, effects)
 	case caller.request != nil:
 		h.reply(*caller, result.CancelCode, jobViewOrError(result.CancelView), effects)
 	}
@@ -81,9 +81,9 @@
 // addSubmitResult collects the result of a submission, so that each gateway gets one message
 // a step and queue.
 func (h *Host) addSubmitResult(r *replica, result *schema.SubmitResult) {
-	key := result.Session.Gateway + "/" + r.name
+	key := result.Session.Gateway + "/" + r.queueName
 	if h.submitResponses[key] == nil {
-		h.submitResponses[key] = &schema.SubmitResponse{Queue: r.name, Leader: h.id}
+		h.submitResponses[key] = &schema.SubmitResponse{Queue: r.queueName, Leader: h.id}
 	}
 	h.submitResponses[key].Results = append(h.submitResponses[key].Results, result)
 }
@@ -99,9 +99,9 @@
 
 func (h *Host) newTaskEvents(r *replica, events []*queue.TaskEvent, lastSequence uint64) TaskEvents {
 	return TaskEvents{
-		Queue: r.name, Group: r.group.Name(), Term: r.group.Term(), LastSequence: lastSequence, Events: events,
-		Urgency: h.values.Number("queue", r.name, "urgency"),
-		Running: h.values.Number("queue", r.name, "running"),
+		Queue: r.queueName, Group: r.group.Name(), Term: r.group.Term(), LastSequence: lastSequence, Events: events,
+		Urgency: h.values.Number("queue", r.queueName, "urgency"),
+		Running: h.values.Number("queue", r.queueName, "running"),
 	}
 }
 
@@ -113,7 +113,7 @@
 }
 
 // notifyScheduler sends the scheduler a snapshot of each queue that this node has come
-// to lead, and tells it of those it no longer leads.
+// to lead, and reports those it no longer leads.
 func (h *Host) notifyScheduler(now eventloop.Micros, effects eventloop.Effects) {
 	for _, name := range h.groupNames() {
 		r := h.groups[name]
@@ -136,7 +136,7 @@
 func (h *Host) endLeadership(r *replica, effects eventloop.Effects) {
 	if r.notifiedTerm != 0 {
 		r.notifiedTerm = 0
-		effects.Notify("scheduler", LeadershipLost{Queue: r.name})
+		effects.Notify("scheduler", LeadershipLost{Queue: r.queueName})
 	}
 	if len(r.pendingCommands) > 0 {
 		r.pendingCommands = map[uint64]pendingReply{}
@@ -194,7 +194,7 @@
 	}
 }
 
-// anyLeaseMoved tells whether a worker's lease has gone from one scheduler to another.
+// anyLeaseMoved reports whether a worker's lease has gone from one scheduler to another.
 func anyLeaseMoved(before, after []*schema.WorkerLease) bool {
 	schedulers := map[string]string{}
 	for _, lease := range before {
--- a/internal/replica/cluster_state_updates.go
+++ b/internal/replica/cluster_state_updates.go
@@ -59,12 +59,12 @@
 func (h *Host) leaders() map[string]string {
 	leaders := map[string]string{}
 	for _, r := range h.groups {
-		leaders[cmp.Or(r.name, clusterstate.Group)] = r.group.Leader()
+		leaders[cmp.Or(r.queueName, clusterstate.Group)] = r.group.Leader()
 	}
 	return leaders
 }
 
-// isAgentNode tells whether a process is known to be an agent node.
+// isAgentNode reports whether a process is known to be an agent node.
 func (h *Host) isAgentNode(id string) bool {
 	return h.membership != nil && h.membership.Members[id].Member.GetRole() == schema.Role_ROLE_CONTROLLER
 }
@@ -86,7 +86,7 @@
 	g := r.group
 	members := g.MemberSet()
 	status := &schema.QueueStatus{
-		Group: g.Name(), Queue: r.name, Leader: h.id, Voters: members.Voters, Learners: members.Learners,
+		Group: g.Name(), Queue: r.queueName, Leader: h.id, Voters: members.Voters, Learners: members.Learners,
 		ReplicaLag: map[string]uint64{}, StorageExhausted: h.disk.isLow,
 	}
 	for _, list := range [][]string{members.Voters, members.Learners} {
--- a/internal/replica/cluster_state_updates_test.go
+++ b/internal/replica/cluster_state_updates_test.go
@@ -15,7 +15,7 @@
 func TestStaleClusterStateIsNotServed(t *testing.T) {
 	Convey("A node whose copy of the cluster state may be stale sends it to nobody, and its scheduler may not act on it", t, func() {
 		c := newTestCluster()
-		// Whether the scheduler was last told that the copy is fresh, and whether a query
+		// Whether the scheduler's last status said that the copy is fresh, and whether a query
 		// is answered.
 		statusOf := func(id string) (isFresh, isServed bool) {
 			c.received["h"] = nil
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -206,7 +206,7 @@
 func (c *testCluster) leader(queue string) string {
 	for _, id := range nodeIDs {
 		for _, r := range c.hosts[id].groups {
-			if r.name == queue && r.group.IsLeader() && !c.isDown[id] {
+			if r.queueName == queue && r.group.IsLeader() && !c.isDown[id] {
 				return id
 			}
 		}
--- a/internal/replica/configuration_rows.go
+++ b/internal/replica/configuration_rows.go
@@ -15,7 +15,7 @@
 	inFlightUntil eventloop.Micros // the rows may arrive until then
 }
 
-// suppressResend tells whether a configuration's packed rows may still be in flight to
+// suppressResend reports whether a configuration's packed rows may still be in flight to
 // a process. If they aren't, it records that they are sent now. Without it a process
 // that asks often over a slow link would be sent the same rows again and again.
 func (h *Host) suppressResend(now eventloop.Micros, to string, configuration *schema.Configuration) bool {
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -18,9 +18,9 @@
 
 // replica is this node's replica of one Raft group.
 type replica struct {
-	group *raft.Group
-	name  string         // of the queue; empty for the cluster state
-	queue *queue.Machine // nil for the cluster state
+	group     *raft.Group
+	queueName string         // empty for the cluster state
+	queue     *queue.Machine // nil for the cluster state
 
 	pendingCommands map[uint64]pendingReply // by log index
 	pendingReads    map[uint64]pendingReply // by read ID
@@ -72,8 +72,8 @@
 		h.setState(machine.SharedState())
 		return
 	}
-	r.name = QueueName(r.group.Name())
-	machine, err := queue.Restore(r.name, snapshot.Index, snapshot.Data)
+	r.queueName = QueueName(r.group.Name())
+	machine, err := queue.Restore(r.queueName, snapshot.Index, snapshot.Data)
 	if err != nil {
 		panic(Unreadable.Wrap(err, "snapshot of %s", r.group.Name()))
 	}
@@ -128,7 +128,7 @@
 	return queue
 }
 
-// isObsolete tells whether the cluster state lists a newer queue of the same name, or
+// isObsolete reports whether the cluster state lists a newer queue of the same name, or
 // has deleted this one.
 func (h *Host) isObsolete(group string) bool {
 	if placement := clusterstate.FindQueue(h.state, QueueName(group)); placement != nil {
@@ -137,7 +137,7 @@
 	return h.isDeleted(group)
 }
 
-// isDeleted tells whether a queue that the cluster state doesn't list was deleted.
+// isDeleted reports whether a queue that the cluster state doesn't list was deleted.
 // Generations come from one counter: a queue whose generation was already assigned is
 // in the cluster state or was deleted, a later one is only unknown here so far.
 func (h *Host) isDeleted(group string) bool {
--- a/internal/replica/leadership.go
+++ b/internal/replica/leadership.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// mayTransfer tells whether enough time has passed since the last handover of a group.
+// mayTransfer reports whether enough time has passed since the last handover of a group.
 func (h *Host) mayTransfer(now eventloop.Micros, r *replica, preferred string) bool {
 	isNewlyReadOnly := h.isReadOnly() && h.readOnly.since > r.transferredAt
 	if r.transferredAt == 0 || isNewlyReadOnly {
@@ -94,10 +94,10 @@
 	if r.queue == nil {
 		return ""
 	}
-	return clusterstate.FindQueue(h.state, r.name).GetPreferredLeader()
+	return clusterstate.FindQueue(h.state, r.queueName).GetPreferredLeader()
 }
 
-// canTakeOver tells whether a voter is alive and lacks few enough entries to take over
+// canTakeOver reports whether a voter is alive and lacks few enough entries to take over
 // a group.
 func (h *Host) canTakeOver(now eventloop.Micros, r *replica, id string) bool {
 	match, lastHeard := r.group.PeerProgress(id)
--- a/internal/replica/maintenance.go
+++ b/internal/replica/maintenance.go
@@ -59,7 +59,7 @@
 	return status
 }
 
-// isClusterStateFresh tells whether this node's copy of the cluster state contained, a
+// isClusterStateFresh reports whether this node's copy of the cluster state contained, a
 // moment ago, all that was committed.
 func (h *Host) isClusterStateFresh(now eventloop.Micros) bool {
 	r := h.groups[clusterstate.Group]
--- a/internal/replica/member_changes.go
+++ b/internal/replica/member_changes.go
@@ -69,7 +69,7 @@
 	return memberSet
 }
 
-// canPromote tells whether a learner may become a voter: it has caught up and answers.
+// canPromote reports whether a learner may become a voter: it has caught up and answers.
 // Otherwise four voters, of which one is lost and one doesn't answer, would have no
 // majority.
 func canPromote(now eventloop.Micros, group *raft.Group, id string) bool {
@@ -87,7 +87,7 @@
 	return kept
 }
 
-// takeMembershipChange tells, once each, of a committed change of members and of a
+// takeMembershipChange reports, once each, a committed change of members and a
 // learner that has caught up.
 func (r *replica) takeMembershipChange() bool {
 	g, changed := r.group, false
@@ -102,7 +102,7 @@
 	return changed
 }
 
-// hasHandoverPending tells whether this node must not end yet: it leads a group that
+// hasHandoverPending reports whether this node must not end yet: it leads a group that
 // another voter could lead or, while it is draining, its vote is being replaced.
 func (h *Host) hasHandoverPending(now eventloop.Micros) bool {
 	age := h.clusterAge(now)
@@ -117,7 +117,7 @@
 	return false
 }
 
-// isBeingReplaced tells whether this node's vote in a group goes to another node: a
+// isBeingReplaced reports whether this node's vote in a group goes to another node: a
 // change of members is in progress, or a storage node that joined lately is to get it.
 func (h *Host) isBeingReplaced(now eventloop.Micros, g *raft.Group, age eventloop.Micros) bool {
 	members := g.MemberSet()
--- a/internal/replica/persistence.go
+++ b/internal/replica/persistence.go
@@ -50,7 +50,7 @@
 	h.startWrite(now, effects)
 }
 
-// flushGroup carries out what one group has produced; it tells whether that was
+// flushGroup carries out what one group has produced; it reports whether that was
 // anything.
 func (h *Host) flushGroup(now eventloop.Micros, name string, heartbeats heartbeatBatches, effects eventloop.Effects) bool {
 	r := h.groups[name]
--- a/internal/replica/read_only.go
+++ b/internal/replica/read_only.go
@@ -26,7 +26,7 @@
 	maxPendingMessages = 4096                        // that wait for a stalled storage
 )
 
-// isReadOnly tells whether the last write failed.
+// isReadOnly reports whether the last write failed.
 func (h *Host) isReadOnly() bool { return h.readOnly.since > 0 }
 
 // readOnlyReason is why the storage takes no writes; empty: it does.
@@ -66,12 +66,12 @@
 	}
 }
 
-// isStalled tells whether the storage takes no writes, or hasn't finished one in time.
+// isStalled reports whether the storage takes no writes, or hasn't finished one in time.
 func (h *Host) isStalled(now eventloop.Micros) bool {
 	return h.isReadOnly() || h.currentWrite != nil && now-h.writeStartedAt > stallTimeout
 }
 
-// isNodeReadOnly tells whether a storage node is known to take no writes.
+// isNodeReadOnly reports whether a storage node is known to take no writes.
 func (h *Host) isNodeReadOnly(id string) bool {
 	if id == h.id {
 		return h.isReadOnly()
@@ -79,13 +79,13 @@
 	return h.membership != nil && h.membership.RefusesWrites(id)
 }
 
-// canCommit tells whether a majority of a group's voters take writes, as far as this
+// canCommit reports whether a majority of a group's voters take writes, as far as this
 // node knows.
 func (h *Host) canCommit(now eventloop.Micros, r *replica) bool {
 	return h.membership == nil || h.membership.HasWritableQuorum(now, r.group.MemberSet().Voters, h.isNodeReadOnly)
 }
 
-// canElectAnother tells whether the other voters are a majority without this node,
+// canElectAnother reports whether the other voters are a majority without this node,
 // whose own vote can't become durable. If they aren't, a handover would leave the group
 // without a leader and with it without reads.
 func (h *Host) canElectAnother(now eventloop.Micros, r *replica) bool {
--- a/internal/replica/requests.go
+++ b/internal/replica/requests.go
@@ -42,7 +42,7 @@
 	term    uint64 // of the leadership that took it
 	from    string // process to answer; empty: a component of this one
 	request *schema.Request
-	end     *schema.TaskEndReport
+	report  *schema.TaskEndReport
 }
 
 // handleRequest answers a caller's request, or proposes its command, if this node leads
--- a/internal/replica/state_view.go
+++ b/internal/replica/state_view.go
@@ -12,7 +12,7 @@
 )
 
 // NodeStateView is this node's view of the cluster, as GET /v1/belief shows it. It may
-// be stale; IsClusterStateFresh tells how far it can be relied on.
+// be stale; IsClusterStateFresh shows how far it can be relied on.
 type NodeStateView struct {
 	Node                  string                   `json:"node"`
 	ClusterStateVersion   uint64                   `json:"cluster_state_version"`
--- a/internal/replica/submissions.go
+++ b/internal/replica/submissions.go
@@ -35,7 +35,7 @@
 	return index
 }
 
-// isBacklogFull tells whether a group has more to apply than it should accept.
+// isBacklogFull reports whether a group has more to apply than it should accept.
 func (h *Host) isBacklogFull(r *replica) bool {
 	return r.group.LastIndex()-r.group.AppliedIndex() > maxUnapplied
 }
@@ -126,7 +126,7 @@
 		return
 	}
 	if index := h.proposeQueue(now, r, commandForEnd(m)); index > 0 {
-		r.pendingCommands[index] = pendingReply{term: r.group.Term(), from: from, end: m}
+		r.pendingCommands[index] = pendingReply{term: r.group.Term(), from: from, report: m}
 	}
 }
 
