--- a/internal/sim/called_test.go
+++ b/internal/sim/called_test.go
@@ -12,24 +12,24 @@
 	"sparnotch/internal/eventloop"
 )
 
-// alwaysRunWithCalledWorkers are the scenarios that run with called workers each time; sparnotch-bench simulate
-// plays all of them, with any seed.
+// alwaysRunWithCalledWorkers are the scenarios that are run with called workers each time;
+// sparnotch-bench simulate runs all of them, with any seed.
 var alwaysRunWithCalledWorkers = map[string]bool{
 	"calm": true, "rough net": true, "leader killed": true, "operators race": true, "clocks jump": true, "core split each way": true,
 }
 
-// seenBy counts what a run has shown of what the rules speak of.
+// countEvents counts what a run has shown of what the rules are about.
 func countEvents(f *Fleet) map[string]int {
 	count := map[string]int{}
 	for _, e := range f.History {
 		switch {
 		case e.Kind == checker.TaskStart:
-			count["begun"]++
+			count["started"]++
 			if e.Attempt > 1 {
-				count["begun again"]++
+				count["started again"]++
 			}
 			if e.Checkpoint != "" {
-				count["from progress"]++
+				count["from a checkpoint"]++
 			}
 			if e.IsLate {
 				count["late"]++
@@ -47,23 +47,20 @@
 	return count
 }
 
-// maxSeeds is how many seeds may be played for a scenario to show all it is there for.
+// maxSeeds is how many seeds may be played until a scenario has shown all it is there for.
 const maxSeeds = 4
 
 func TestCalledScenarios(t *testing.T) {
 	shows := map[string][]string{
-		"calm": {"begun again", "failed", "broken", "shown complete", "shown failed", "shown cancelled"},
-		"called workers crash, vanish, leave at once, fail, stand still": {"gone", "from progress", "failed", checker.WorkerDraining},
+		"calm": {"started again", "failed", "broken", "shown complete", "shown failed", "shown cancelled"},
+		"called workers crash, vanish, leave at once, fail, stand still": {"gone", "from a checkpoint", "failed", checker.WorkerDraining},
 		"orders are left unanswered and carried out late":                {"late"},
-		"side machines killed, frozen, cut":                              {"lapsed", "begun again"},
-		"urgent work while called workers are full":                      {"stopped", "from progress"},
+		"side machines killed, frozen, cut":                              {"lapsed", "started again"},
+		"urgent work while called workers are full":                      {"stopped", "from a checkpoint"},
 	}
 	for _, s := range ScenariosFor(SmallCalledFleet) {
-		isNew := false
-		for _, each := range CalledScenarios {
-			isNew = isNew || each.Name == s.Name
-		}
-		if *onlyScenario != "" && s.Name != *onlyScenario || *onlyScenario == "" && !isNew && !alwaysRunWithCalledWorkers[s.Name] {
+		isForCalled := slices.ContainsFunc(CalledScenarios, func(called Scenario) bool { return called.Name == s.Name })
+		if *onlyScenario != "" && s.Name != *onlyScenario || *onlyScenario == "" && !isForCalled && !alwaysRunWithCalledWorkers[s.Name] {
 			continue
 		}
 		for k := 0; k < *seeds; k++ {
@@ -72,14 +69,14 @@
 				t.Parallel()
 				count := countEvents(runOn(t, s, SmallCalledFleet, seed))
 				// A run in which nothing happened proves nothing.
-				for _, what := range []string{"begun", "done", checker.EndAcknowledged, checker.ConfigurationReply} {
+				for _, what := range []string{"started", "done", checker.EndAcknowledged, checker.ConfigurationReply} {
 					if count[what] == 0 {
 						t.Errorf("no event of the kind %q", what)
 					}
 				}
-				// What is told above is of the seed that always runs. Any change of what
-				// processes say to each other draws its faults anew, so where a kind
-				// happens not to come up the next seeds are judged as well, until it does.
+				// What a scenario shows is checked with the seed that always runs. Any change of
+				// what processes send each other draws the faults anew, so where something doesn't
+				// come up the next seeds are played as well, until it does.
 				isMissing := func(what string) bool { return count[what] == 0 }
 				for next := seed + 1; seed == 1 && slices.ContainsFunc(shows[s.Name], isMissing); next++ {
 					if next > maxSeeds {
@@ -94,19 +91,19 @@
 	}
 }
 
-// TestCalledDeployments: the two as their users have them.
+// TestCalledDeployments: the deployments as their users have them, with called workers.
 func TestCalledDeployments(t *testing.T) {
-	for _, size := range FleetSpecs() {
-		if size.Bounds == nil || size.Name == SmallCalledFleet.Name {
+	for _, spec := range FleetSpecs() {
+		if !spec.HasCalledWorkers() || spec.Name == SmallCalledFleet.Name {
 			continue
 		}
-		for _, s := range ScenariosFor(size) {
+		for _, s := range ScenariosFor(spec) {
 			if s.Name != "leader killed" && s.Name != "called workers crash, vanish, leave at once, fail, stand still" {
 				continue
 			}
-			t.Run(size.Name+"/"+s.Name, func(t *testing.T) {
+			t.Run(spec.Name+"/"+s.Name, func(t *testing.T) {
 				t.Parallel()
-				runOn(t, s, size, 1)
+				runOn(t, s, spec, 1)
 			})
 		}
 	}
--- a/internal/sim/components.go
+++ b/internal/sim/components.go
@@ -30,7 +30,7 @@
 		if h.run != run {
 			return
 		}
-		// Like a time.Ticker, this drops ticks that nobody has taken yet.
+		// Like a time.Ticker, this drops a tick while the one before it is pending.
 		if !h.tickPending[component] {
 			h.tickPending[component] = true
 			h.runOnCPU(run, func() {
--- a/internal/sim/disk_test.go
+++ b/internal/sim/disk_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestDisksThatRefuse: full disks, failing syncs, at any store and at a start.
+// TestDisksThatRefuse: full disks and failing syncs, of any storage node and at a start.
 func TestDisksThatRefuse(t *testing.T) {
 	for _, s := range DiskScenarios {
 		if *onlyScenario != "" && s.Name != *onlyScenario {
--- a/internal/sim/fault_actions.go
+++ b/internal/sim/fault_actions.go
@@ -17,9 +17,9 @@
 	targetStorage                    // a storage node
 	targetGateway                    // a gateway without a disk
 	targetAgent                      // an agent node, or the one whose controller holds the lease
-	targetZone                       //
+	targetZone                       // all machines of a zone
 	targetWorker                     // a worker of either kind
-	targetCalledWorker               //
+	targetCalledWorker               // a called worker
 	targetVersions                   // the configuration, where operators number its versions
 	targetAll                        // no machine in particular
 )
@@ -33,7 +33,7 @@
 	wholeFleet     = []target{targetAll}
 )
 
-// injection injects a fault into what bears a name.
+// injection injects a fault into the target of a name, for a duration in µs.
 type injection func(f *Fleet, name string, duration eventloop.Micros)
 
 // faultAction is a kind of fault.
--- /dev/null
+++ b/internal/sim/helpers_test.go
@@ -0,0 +1,40 @@
+package sim
+
+import (
+	"fmt"
+
+	"sparnotch/internal/clusterstate"
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/replica"
+	"sparnotch/internal/schema"
+)
+
+// addTestHosts adds three storage nodes and two gateways without a disk, and agent nodes,
+// over three zones.
+func addTestHosts(s *Simulation, serverName, agentName string, agents int) {
+	for k := range 5 {
+		s.AddHost(fmt.Sprint(serverName, k+1), zoneOf(k), schema.Role_ROLE_SERVER, k < storageNodes)
+	}
+	for k := range agents {
+		s.AddHost(fmt.Sprint(agentName, k+1), zoneOf(k), schema.Role_ROLE_CONTROLLER, false)
+	}
+}
+
+// startWithin starts all hosts within 300 ms.
+func startWithin(s *Simulation, drawDelay func(limit int64) int64) {
+	for _, h := range s.Hosts {
+		s.After(eventloop.Micros(drawDelay(int64(300*eventloop.Millisecond))), h.Start)
+	}
+}
+
+// clusterStateReplica is a host's replica of the cluster state; nil: it has none.
+func clusterStateReplica(h *Host) *replica.GroupStateView {
+	if view := h.StateView(); view != nil {
+		for _, group := range view.Groups {
+			if group.Group == clusterstate.Group {
+				return group
+			}
+		}
+	}
+	return nil
+}
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -33,7 +33,7 @@
 	Customize func(config *process.Config, slots []process.ComponentSlot) []process.ComponentSlot
 	Route     func(body any) []string
 
-	Disk       *Disk            // nil: it stores nothing
+	Disk       *Disk            // nil: none
 	SyncDelay  eventloop.Micros // of a write, in µs
 	StallUntil eventloop.Micros // no write ends earlier
 	writer     diskWriter
@@ -70,8 +70,8 @@
 // now is the process's own monotonic clock: a young process has small times.
 func (h *Host) now() eventloop.Micros { return h.sim.Now - h.startedAt }
 
-// machineName is the machine's name; a machine that replaced another bears its name and
-// an apostrophe more.
+// machineName is the machine's name; a machine that replaced another has its name with
+// an apostrophe added.
 func (h *Host) machineName() string { return strings.TrimRight(h.Name, "'") }
 
 // Start starts the host's process.
--- a/internal/sim/linearizability_test.go
+++ b/internal/sim/linearizability_test.go
@@ -14,44 +14,33 @@
 
 var replaceSeeds = flag.Int("replace-seeds", 1, "how many seeds to run each history of operators with")
 
-// --- troubles ---
+// --- faults ---
 
-// clusterStateLeader is the store that leads the system's group.
+// clusterStateLeader is the storage node that leads the cluster state; the first one if
+// none does.
 func (o *operators) clusterStateLeader() *Host {
 	for _, h := range o.StorageNodes() {
-		view := h.StateView()
-		if view == nil || h.isFrozen {
-			continue
-		}
-		for _, group := range view.Groups {
-			if group.Group == clusterstate.Group && group.Role == "leader" {
-				return h
-			}
+		if leads(h.StateView(), clusterstate.Group) && !h.isFrozen {
+			return h
 		}
 	}
 	return o.StorageNodes()[0]
 }
 
-// hasAllVoters tells whether all voters are up and none of an old life.
+// hasAllVoters reports whether the cluster state has three voters, all of them up.
 func (o *operators) hasAllVoters() bool {
-	view := o.clusterStateLeader().StateView()
-	if view == nil {
+	group := clusterStateReplica(o.clusterStateLeader())
+	if group == nil {
 		return false
 	}
 	up := map[string]bool{}
 	for _, h := range o.StorageNodes() {
 		up[h.ID] = h.IsUp && !h.isFrozen
 	}
-	for _, group := range view.Groups {
-		if group.Group != clusterstate.Group {
-			continue
-		}
-		isUp := func(id string) bool { return up[id] }
-		return len(group.Voters) == 3 && !slices.ContainsFunc(group.Voters, func(id string) bool { return !isUp(id) })
-	}
-	return false
+	return len(group.Voters) == storageNodes && !slices.ContainsFunc(group.Voters, func(id string) bool { return !up[id] })
 }
 
+// randomDelay draws a delay between two bounds.
 func (o *operators) randomDelay(shortest, longest eventloop.Micros) eventloop.Micros {
 	return shortest + eventloop.Micros(o.rng.Int64N(int64(longest-shortest)))
 }
@@ -61,37 +50,39 @@
 	o.After(back, h.Start)
 }
 
-// replaceFaults are what befalls the nodes while operators work, by name.
-var replaceFaults = []struct {
-	name  string
-	every eventloop.Micros
-	net   NetworkProfile
-	sync  eventloop.Micros
-	call  func(o *operators)
-}{
-	{"answers are lost", 0, LossyNetwork, 500, nil},
+// operatorFault is a fault that is injected at intervals while operators work.
+type operatorFault struct {
+	name     string
+	interval eventloop.Micros
+	network  NetworkProfile
+	sync     eventloop.Micros // of the disks
+	inject   func(o *operators)
+}
+
+var operatorFaults = []operatorFault{
+	{"answers are lost", 0, LossyNetwork, fastSync, nil},
 	{"the leader is killed", 5 * eventloop.Second, ReliableNetwork, 12 * eventloop.Millisecond, func(o *operators) {
 		o.kill(o.clusterStateLeader(), o.randomDelay(200*eventloop.Millisecond, 3*eventloop.Second))
 	}},
-	{"the leader is cut off, whole or one way", 6 * eventloop.Second, ReliableNetwork, 500, func(o *operators) {
-		leader, way := o.clusterStateLeader(), o.rng.IntN(3)
-		cut := func(blocked bool) {
+	{"the leader is partitioned, both ways or one way", 6 * eventloop.Second, ReliableNetwork, fastSync, func(o *operators) {
+		leader, direction := o.clusterStateLeader(), o.rng.IntN(3)
+		partition := func(blocked bool) {
 			for _, other := range o.Hosts {
-				if other != leader && way != 1 {
+				if other != leader && direction != 1 {
 					o.BlockLink(leader, other, blocked)
 				}
-				if other != leader && way != 2 {
+				if other != leader && direction != 2 {
 					o.BlockLink(other, leader, blocked)
 				}
 			}
 		}
-		cut(true)
-		o.After(o.randomDelay(300*eventloop.Millisecond, 4*eventloop.Second), func() { cut(false) })
+		partition(true)
+		o.After(o.randomDelay(300*eventloop.Millisecond, 4*eventloop.Second), func() { partition(false) })
 	}},
-	{"the leader is frozen", 6 * eventloop.Second, ReliableNetwork, 5 * eventloop.Millisecond, func(o *operators) {
+	{"the leader is frozen", 6 * eventloop.Second, ReliableNetwork, slowSync, func(o *operators) {
 		o.clusterStateLeader().Freeze(o.randomDelay(300*eventloop.Millisecond, 4*eventloop.Second))
 	}},
-	{"the leader leaves in order", 6 * eventloop.Second, ReliableNetwork, 500, func(o *operators) {
+	{"the leader drains", 6 * eventloop.Second, ReliableNetwork, fastSync, func(o *operators) {
 		leader := o.clusterStateLeader()
 		if !leader.IsUp {
 			return
@@ -107,16 +98,16 @@
 		}
 		o.After(300*eventloop.Millisecond, back)
 	}},
-	{"a disk is lost", 10 * eventloop.Second, ReliableNetwork, 500, func(o *operators) {
+	{"a disk is lost", 10 * eventloop.Second, ReliableNetwork, fastSync, func(o *operators) {
 		if !o.hasAllVoters() {
 			return
 		}
-		stores := o.StorageNodes()
-		h := stores[o.rng.IntN(len(stores))]
+		nodes := o.StorageNodes()
+		h := nodes[o.rng.IntN(len(nodes))]
 		h.Wipe()
 		o.After(o.randomDelay(200*eventloop.Millisecond, 2*eventloop.Second), h.Start)
 	}},
-	{"all are killed", 8 * eventloop.Second, ReliableNetwork, 5 * eventloop.Millisecond, func(o *operators) {
+	{"all are killed", 8 * eventloop.Second, ReliableNetwork, slowSync, func(o *operators) {
 		for _, h := range o.Hosts {
 			if h.IsUp {
 				o.kill(h, o.randomDelay(300*eventloop.Millisecond, 700*eventloop.Millisecond))
@@ -128,40 +119,33 @@
 // faultPeriod is how long operators work in one history.
 const faultPeriod = 20 * eventloop.Second
 
-// newOperators starts three stores, two fronts without a disk and two
-// controllers, which are ready for operators three seconds later.
-func newOperators(seed uint64, net NetworkProfile, sync eventloop.Micros) *operators {
-	o := &operators{Simulation: NewSimulation(seed, net, sync), rng: rand.New(rand.NewPCG(seed, 0x0bda))}
-	for k := range 5 {
-		o.AddHost(fmt.Sprint("server", k+1), fmt.Sprint("c", k%3+1), schema.Role_ROLE_SERVER, k < 3)
-	}
-	for k := range 2 {
-		o.AddHost(fmt.Sprint("controller", k+1), fmt.Sprint("c", k%3+1), schema.Role_ROLE_CONTROLLER, false)
-	}
-	for _, h := range o.Hosts {
-		o.After(eventloop.Micros(o.rng.Int64N(int64(300*eventloop.Millisecond))), h.Start)
-	}
+// newOperators starts three storage nodes, two gateways without a disk and two agent
+// nodes, which are ready for operators three seconds later.
+func newOperators(seed uint64, profile NetworkProfile, sync eventloop.Micros) *operators {
+	o := &operators{Simulation: NewSimulation(seed, profile, sync), rng: rand.New(rand.NewPCG(seed, 0x0bda))}
+	addTestHosts(o.Simulation, "server", "controller", 2)
+	startWithin(o.Simulation, o.rng.Int64N)
 	return o
 }
 
-// runReplaces has eight operators work through troubles, then lets all be well
-// and has every order sent once more.
-func runReplaces(seed uint64, net NetworkProfile, sync eventloop.Micros, troubles ...func(o *operators)) *operators {
-	o := newOperators(seed, net, sync)
+// runReplaces has eight operators work while faults are injected, then lets all recover and
+// has every update sent once more.
+func runReplaces(seed uint64, profile NetworkProfile, sync eventloop.Micros, faults ...func(o *operators)) *operators {
+	o := newOperators(seed, profile, sync)
 	o.lossRate = 0.15
 	began := o.Now + 3*eventloop.Second
 	o.until = began + faultPeriod
 	for operator := range 8 {
 		o.At(began, func() { o.work(operator) })
 	}
-	for _, trouble := range troubles {
-		trouble(o)
+	for _, inject := range faults {
+		inject(o)
 	}
 	o.Run(o.until + 10*eventloop.Second)
 	o.lossRate = 0
-	for k, each := range o.orders {
-		if each.code != 0 {
-			o.After(eventloop.Micros(k)*2*eventloop.Millisecond, func() { o.sendOnce(each, func() {}) })
+	for k, update := range o.updates {
+		if update.code != 0 {
+			o.After(eventloop.Micros(k)*2*eventloop.Millisecond, func() { o.sendOnce(update, func() {}) })
 		}
 	}
 	o.read(0, func(current *schema.Configuration) {
@@ -176,58 +160,58 @@
 }
 
 func TestReplaceIsLinearizable(t *testing.T) {
-	play := func(name string, seed uint64, net NetworkProfile, sync eventloop.Micros, troubles ...func(o *operators)) {
+	test := func(name string, seed uint64, profile NetworkProfile, sync eventloop.Micros, faults ...func(o *operators)) {
 		t.Run(fmt.Sprint(name, "/", seed), func(t *testing.T) {
 			t.Parallel()
-			o := runReplaces(seed, net, sync, troubles...)
-			for _, problems := range o.check() {
-				t.Error(problems)
+			o := runReplaces(seed, profile, sync, faults...)
+			for _, problem := range o.check() {
+				t.Error(problem)
 			}
-			taken, refused := 0, 0
-			for _, each := range o.orders {
-				if each.code == 200 {
-					taken++
+			accepted, refused := 0, 0
+			for _, update := range o.updates {
+				if update.code == 200 {
+					accepted++
 				}
-				if each.code == 412 {
+				if update.code == 412 {
 					refused++
 				}
 			}
-			t.Logf("%d orders, %d taken, %d refused, %d answered again, %d reads", len(o.orders), taken, refused, o.repeatedAnswers, len(o.history)-len(o.orders))
+			t.Logf("%d updates, %d accepted, %d refused, %d answered again, %d reads", len(o.updates), accepted, refused, o.repeatedAnswers, len(o.history)-len(o.updates))
 			// A run in which nothing happened proves nothing.
-			if taken < 50 || refused < 50 || o.repeatedAnswers < 100 {
-				t.Errorf("only %d orders taken, %d refused and %d answered again", taken, refused, o.repeatedAnswers)
+			if accepted < 50 || refused < 50 || o.repeatedAnswers < 100 {
+				t.Errorf("only %d updates accepted, %d refused and %d answered again", accepted, refused, o.repeatedAnswers)
 			}
 		})
 	}
-	repeat := func(every eventloop.Micros, call func(o *operators)) func(o *operators) {
+	repeat := func(interval eventloop.Micros, inject func(o *operators)) func(o *operators) {
 		return func(o *operators) {
-			if call == nil {
+			if inject == nil {
 				return
 			}
-			for at := every / 2; at < faultPeriod; at += every {
-				o.After(3*eventloop.Second+at, func() { call(o) })
+			for at := interval / 2; at < faultPeriod; at += interval {
+				o.After(3*eventloop.Second+at, func() { inject(o) })
 			}
 		}
 	}
 	for k := range *replaceSeeds {
 		seed := *firstSeed + uint64(k)
 		var all []func(o *operators)
-		for _, each := range replaceFaults {
-			play(each.name, seed, each.net, each.sync, repeat(each.every, each.call))
-			all = append(all, repeat(3*each.every, each.call))
+		for _, fault := range operatorFaults {
+			test(fault.name, seed, fault.network, fault.sync, repeat(fault.interval, fault.inject))
+			all = append(all, repeat(3*fault.interval, fault.inject))
 		}
-		play("all of these", seed, LossyNetwork, 500, all...)
+		test("all of these", seed, LossyNetwork, fastSync, all...)
 	}
 }
 
-// TestReadsOfANewLeader: the leader is killed on its word, before the others
+// TestReadsOfANewLeader: the leader is killed when it has answered, before the others
 // know that it has committed, and everybody reads at once.
 func TestReadsOfANewLeader(t *testing.T) {
 	o := newOperators(1, ReliableNetwork, 12*eventloop.Millisecond)
 	o.Run(o.Now + 3*eventloop.Second)
 	o.until = o.Now + 60*eventloop.Second
 	for range 8 {
-		o.send(o.order(0, o.confirmed), func() {
+		o.send(o.newUpdate(0, o.confirmed), func() {
 			o.kill(o.clusterStateLeader(), 2*eventloop.Second)
 			for k := range 300 {
 				o.After(eventloop.Micros(k)*5*eventloop.Millisecond, func() { o.read(1, func(*schema.Configuration) {}) })
@@ -235,18 +219,18 @@
 		})
 		o.Run(o.Now + 6*eventloop.Second)
 	}
-	for _, problems := range o.problems {
-		t.Error(problems)
+	for _, problem := range o.problems {
+		t.Error(problem)
 	}
 	if o.confirmed < 8 || len(o.history) < 1000 {
-		t.Errorf("only %d reads, and edition %d", len(o.history), o.confirmed)
+		t.Errorf("only %d reads, and version %d", len(o.history), o.confirmed)
 	}
 }
 
-// TestAnswersOfADeposedLeader: orders that lie in the log of a leader that is
-// cut off are replaced there by others, whose answers aren't theirs.
+// TestAnswersOfADeposedLeader: updates in the log of a leader that is partitioned are
+// overwritten there by others, whose answers aren't theirs.
 func TestAnswersOfADeposedLeader(t *testing.T) {
-	o := newOperators(1, ReliableNetwork, 500)
+	o := newOperators(1, ReliableNetwork, fastSync)
 	o.Run(o.Now + 3*eventloop.Second)
 	o.until = o.Now + 120*eventloop.Second
 	lost := 0
@@ -255,31 +239,31 @@
 		o.Isolate(leader, true)
 		for k := range 6 {
 			o.After(eventloop.Micros(k)*10*eventloop.Millisecond, func() {
-				o.sendOnceTo(leader, 4500*eventloop.Millisecond, o.order(0, base), func() {})
+				o.sendOnceTo(leader, 4500*eventloop.Millisecond, o.newUpdate(0, base), func() {})
 			})
 		}
 		for k := range 6 {
-			o.After(1500*eventloop.Millisecond+eventloop.Micros(k)*50*eventloop.Millisecond, func() { o.send(o.order(1, o.confirmed), func() {}) })
+			o.After(1500*eventloop.Millisecond+eventloop.Micros(k)*50*eventloop.Millisecond, func() { o.send(o.newUpdate(1, o.confirmed), func() {}) })
 		}
 		o.After(eventloop.Micros(3000+37*round)*eventloop.Millisecond, func() { o.Isolate(leader, false) })
 		o.Run(o.Now + 8*eventloop.Second)
 		if o.confirmed == base {
-			t.Fatalf("round %d: nothing was taken", round)
+			t.Fatalf("round %d: nothing was accepted", round)
 		}
 	}
-	for _, each := range o.orders {
-		o.After(1, func() { o.send(each, func() {}) })
+	for _, update := range o.updates {
+		o.After(1, func() { o.send(update, func() {}) })
 	}
 	o.Run(o.Now + 10*eventloop.Second)
-	for _, problems := range o.check() {
-		t.Error(problems)
+	for _, problem := range o.check() {
+		t.Error(problem)
 	}
-	for _, each := range o.orders {
-		if each.operator == 0 && each.code == 412 {
+	for _, update := range o.updates {
+		if update.operator == 0 && update.code == 412 {
 			lost++
 		}
 	}
 	if lost < 20 {
-		t.Errorf("only %d orders of the leaders that were cut off have lost", lost)
+		t.Errorf("only %d updates to partitioned leaders were refused", lost)
 	}
 }
--- a/internal/sim/overlapping_faults_test.go
+++ b/internal/sim/overlapping_faults_test.go
@@ -15,15 +15,15 @@
 // closes the day right after an acknowledgement. With -seeds so many of them,
 // also on whole deployments; sparnotch-bench simulate -overlap plays any number.
 func TestOverlappingFaults(t *testing.T) {
-	for _, size := range FleetSpecs() {
-		if size.Bounds == nil || size.Name != SmallCalledFleet.Name && *seeds == 1 {
+	for _, spec := range FleetSpecs() {
+		if !spec.HasCalledWorkers() || spec.Name != SmallCalledFleet.Name && *seeds == 1 {
 			continue
 		}
 		for seed := *firstSeed; seed <= *firstSeed+uint64(*seeds); seed++ {
-			schedule := OverlappingSchedule(seed, size)
-			t.Run(fmt.Sprint(size.Name, "/", seed), func(t *testing.T) {
+			schedule := OverlappingSchedule(seed, spec)
+			t.Run(fmt.Sprint(spec.Name, "/", seed), func(t *testing.T) {
 				t.Parallel()
-				runOn(t, schedule.Scenario(), size, seed)
+				runOn(t, schedule.Scenario(), spec, seed)
 			})
 		}
 	}
@@ -38,8 +38,8 @@
 			So(err, ShouldBeNil)
 			So(retry, ShouldResemble, schedule)
 			So(schedule[len(schedule)-1].Kind, ShouldStartWith, "close")
-			for _, each := range schedule {
-				drawn[each.Kind] = true
+			for _, fault := range schedule {
+				drawn[fault.Kind] = true
 			}
 		}
 		for _, name := range FaultNames() {
@@ -53,8 +53,8 @@
 func faultsAndAcknowledgements(f *Fleet) (faults []string, waits []eventloop.Micros) {
 	last := eventloop.Micros(0)
 	for _, e := range f.History {
-		isHandIn := e.Kind == checker.SubmitReply && (e.Code == 200 || e.Code == 201)
-		if isHandIn || e.Kind == checker.ConfigurationReply && e.Code == 200 {
+		isSubmission := e.Kind == checker.SubmitReply && (e.Code == 200 || e.Code == 201)
+		if isSubmission || e.Kind == checker.ConfigurationReply && e.Code == 200 {
 			last = e.At
 		}
 		if e.Kind == checker.Fault {
@@ -80,7 +80,7 @@
 }
 
 func TestLostAnswers(t *testing.T) {
-	Convey("Acknowledgements that are lost are sent for again and none is refused", t, func() {
+	Convey("What wasn't acknowledged is sent again and none of it is refused", t, func() {
 		schedule, err := ParseSchedule("ackloss/all:6s@3s,race/all:1s@3500ms,crowd/all:1s@5s", SmallCalledFleet)
 		So(err, ShouldBeNil)
 		f, violations, _ := RunScenario(schedule.Scenario(), SmallCalledFleet, 2)
--- a/internal/sim/partition_controller_test.go
+++ b/internal/sim/partition_controller_test.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	supersededTimeout = 6 * eventloop.Second // a controller that is cut off has a successor by then
-	servedTimeout     = 6 * eventloop.Second // and its machine's worker has work again, after the cut
+	supersededTimeout = 6 * eventloop.Second // a partitioned controller has a successor by then
+	servedTimeout     = 6 * eventloop.Second // and the worker on its machine has work again, after the healing
 )
 
-// partitionController plays one cut of the controller's machine, where a worker's agent runs as
-// well, while the fleet is at work; the judge looks at everything that ran.
-func partitionController(seed uint64, kind int) (problems []string) {
-	size := SmallCalledFleet
+// partitionController plays one partition of the controller's machine, where a worker's
+// agent runs as well, while the fleet is at work. The checker looks at everything that ran.
+func partitionController(seed uint64, kindIndex int) (problems []string) {
+	kind := partitionKinds[kindIndex]
+	spec := SmallCalledFleet
 	// A light load, with work for either pool's workers.
-	kinds := size.JobKinds
-	size.JobKinds = slices.DeleteFunc(slices.Clone(kinds), func(k JobKind) bool {
+	kinds := spec.JobKinds
+	spec.JobKinds = slices.DeleteFunc(slices.Clone(kinds), func(k JobKind) bool {
 		at := slices.IndexFunc(kinds, func(each JobKind) bool { return each.Name == k.Name && each.Queue == k.Queue })
 		return at >= 4 && k.Queue != "far"
 	})
-	f := NewFleet(seed, size, ReliableNetwork, 500, 30*eventloop.Second)
-	f.BuffersWhilePartitioned = (uint64(kind)+seed)%2 == 0
+	f := NewFleet(seed, spec, ReliableNetwork, fastSync, 30*eventloop.Second)
+	f.BuffersWhilePartitioned = (uint64(kindIndex)+seed)%2 == 0
 	f.Run(f.LoadStart + 3*eventloop.Second)
 	r := &partitionRun{Simulation: f.Simulation, host: f.controllerHost()}
 	side := []*Host{r.host, f.disklessGateways[0], r.voter("follower")}
@@ -35,9 +36,9 @@
 	}
 	worker := f.calledWorkers[r.host.machineName()]
 	old := r.host.ID
-	f.RecordFault("%s cut off, %s", r.host.Name, partitionKinds[kind].name)
-	partitionKinds[kind].apply(r, side, true)
-	if partitionKinds[kind].restarts {
+	f.RecordFault("%s cut off, %s", r.host.Name, kind.name)
+	kind.apply(r, side, true)
+	if kind.restarts {
 		f.After(3*eventloop.Second, r.host.Kill)
 		f.After(3500*eventloop.Millisecond, r.host.Start)
 	}
@@ -46,29 +47,29 @@
 		problems = append(problems, "its lease was given to nobody else")
 	}
 	f.Run(f.Now + partitionPeriod - supersededTimeout)
-	partitionKinds[kind].apply(r, side, false)
-	mended := f.Now
-	for _, breach := range f.Finish() {
-		problems = append(problems, fmt.Sprint(breach))
+	kind.apply(r, side, false)
+	healedAt := f.Now
+	for _, violation := range f.Finish() {
+		problems = append(problems, violation.String())
 	}
-	isBegun := slices.ContainsFunc(f.History, func(e checker.Event) bool {
-		return e.Kind == checker.TaskStart && e.Actor == worker.Name() && e.At > mended && e.At < mended+servedTimeout
+	isServed := slices.ContainsFunc(f.History, func(e checker.Event) bool {
+		return e.Kind == checker.TaskStart && e.Actor == worker.Name() && e.At > healedAt && e.At < healedAt+servedTimeout
 	})
-	if !isBegun {
-		problems = append(problems, "its worker got no work after the cut")
+	if !isServed {
+		problems = append(problems, "its worker got no work after the healing")
 	}
 	return problems
 }
 
 func TestPartitionedController(t *testing.T) {
-	for kind := range partitionKinds {
+	for kindIndex, kind := range partitionKinds {
 		for k := range *seeds {
 			seed := *firstSeed + uint64(k)
-			t.Run(fmt.Sprintf("%s/%d", partitionKinds[kind].name, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/%d", kind.name, seed), func(t *testing.T) {
 				t.Parallel()
-				problems := partitionController(seed, kind)
-				for _, each := range problems[:min(len(problems), 12)] {
-					t.Error(each)
+				problems := partitionController(seed, kindIndex)
+				for _, problem := range problems[:min(len(problems), 12)] {
+					t.Error(problem)
 				}
 			})
 		}
--- /dev/null
+++ b/internal/sim/partition_probes_test.go
@@ -0,0 +1,329 @@
+package sim
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"slices"
+
+	"google.golang.org/protobuf/encoding/protojson"
+
+	"sparnotch/internal/eventloop"
+	"sparnotch/internal/gateway"
+	"sparnotch/internal/schema"
+)
+
+const (
+	inForceTimeout   = 2 * eventloop.Second         // an acknowledged configuration is in force everywhere
+	maxDeliveryDelay = 10 * eventloop.Millisecond   // no message is on its way for longer
+	immediateAnswer  = 25 * eventloop.Millisecond   // of which six are the client's delay
+	maxYoungAnswer   = 1100 * eventloop.Millisecond // of a process that never had the cluster state
+	publishInterval  = 1500 * eventloop.Millisecond // between two configurations
+	probeInterval    = 510 * eventloop.Millisecond  // between two rounds of probes
+	announceTimeout  = 1200 * eventloop.Millisecond // of a worker's heartbeat
+	callTimeout      = 3 * eventloop.Second         // of a client's request
+)
+
+// partitionRun is a fleet one host of which is partitioned. Meanwhile an operator goes on
+// replacing the configuration, each time with a new queue in place of the one before, and
+// clients send every kind of request to that host and to another one.
+type partitionRun struct {
+	*Simulation
+	host, other      *Host
+	unreachableSince eventloop.Micros // 0: not yet
+	healedAt         eventloop.Micros // 0: not yet
+	acknowledged     []acknowledgedVersion
+	heartbeats       uint64
+	startedInside    bool // the host's process was started inside the partition
+	downAt           eventloop.Micros
+	downUntil        eventloop.Micros
+	readyAt          eventloop.Micros         // first time after the healing
+	codes            map[string]map[int32]int // answers of the host, by kind of request
+	problems         []string
+}
+
+type acknowledgedVersion struct {
+	version        uint64
+	acknowledgedAt eventloop.Micros
+}
+
+// partitionConfiguration is a version of the configuration: a queue that stays, and one of
+// its own.
+func partitionConfiguration(version uint64, base uint64) *schema.ConfigurationUpdate {
+	return &schema.ConfigurationUpdate{Version: version, BaseVersion: base, Document: []byte(fmt.Sprint("edition ", version)), Rows: []*schema.ConfigurationRow{
+		{Kind: "queue", Name: "quick", Key: "urgency", Value: "60"},
+		{Kind: "queue", Name: partitionQueue(version), Key: "urgency", Value: "10"},
+	}}
+}
+
+func partitionQueue(version uint64) string { return fmt.Sprint("queue", version) }
+
+// call sends a request to a gateway and gives when it was sent, with its response.
+func (r *partitionRun) call(h *Host, request newRequest, back func(sentAt eventloop.Micros, response gateway.Response)) {
+	sentAt := r.Now
+	r.Request(h, callTimeout, request, func(answer any) { back(sentAt, responseOf(answer)) })
+}
+
+// publish has the operator send a version, to the partitioned host first, and elsewhere
+// while the answer is unclear.
+func (r *partitionRun) publish(version uint64, at *Host) {
+	if at == nil {
+		at = r.host
+	}
+	if at == nil || !at.IsUp {
+		at = r.Hosts[4]
+	}
+	r.call(at, leaderRequest(updateRequest(partitionConfiguration(version, version-1))), func(sentAt eventloop.Micros, response gateway.Response) {
+		switch {
+		case response.Code == 200:
+			r.acknowledged = append(r.acknowledged, acknowledgedVersion{version, r.Now})
+			r.check(at, "replace", sentAt, response)
+			r.After(publishInterval, func() { r.publish(version+1, nil) })
+		case isUnclear(response):
+			r.check(at, "replace", sentAt, response)
+			next := cmp.Or(r.other, r.Hosts[3])
+			if at == next {
+				next = r.Hosts[r.Rng.IntN(5)]
+			}
+			r.After(100*eventloop.Millisecond, func() { r.publish(version, next) })
+		default:
+			r.fail(at, "replace", sentAt, response, "the only operator's configuration was refused")
+		}
+	})
+}
+
+// newestAcknowledged is the newest version that was acknowledged before a moment.
+func (r *partitionRun) newestAcknowledged(at eventloop.Micros) uint64 {
+	version := uint64(0)
+	for _, each := range r.acknowledged {
+		if each.acknowledgedAt < at {
+			version = max(version, each.version)
+		}
+	}
+	return version
+}
+
+func (r *partitionRun) sinceAcknowledged() eventloop.Micros {
+	return r.Now - r.acknowledged[len(r.acknowledged)-1].acknowledgedAt
+}
+
+// isPublishing reports whether the version after the newest may be in force already: the
+// operator is always about to send it.
+func (r *partitionRun) isPublishing(version uint64) bool {
+	return version == r.newestAcknowledged(r.Now)+1 && r.sinceAcknowledged() > publishInterval
+}
+
+func (r *partitionRun) fail(h *Host, what string, sentAt eventloop.Micros, response gateway.Response, why string) {
+	r.problems = append(r.problems, fmt.Sprintf("%s at %s, sent at %d, answered at %d (unreachable since %d, healed at %d): %d %s: %s",
+		what, h.Name, sentAt, r.Now, r.unreachableSince, r.healedAt, response.Code, response.Body, why))
+}
+
+// isUnreachable reports whether since a moment no message can have reached the host.
+func (r *partitionRun) isUnreachable(since eventloop.Micros) bool {
+	return r.unreachableSince > 0 && since >= r.unreachableSince+maxDeliveryDelay && (r.healedAt == 0 || r.Now < r.healedAt)
+}
+
+// check checks what holds of every response of the partitioned host: it says nothing that
+// rests on state unless a majority can have confirmed that since the request was sent; and
+// where it can't know, it says so at once, with when to retry.
+func (r *partitionRun) check(h *Host, what string, sentAt eventloop.Micros, response gateway.Response) {
+	if r.codes[what] == nil {
+		r.codes[what] = map[int32]int{}
+	}
+	if h != r.host {
+		return
+	}
+	r.codes[what][response.Code]++
+	took := r.Now - sentAt
+	isDown := r.downAt > 0 && sentAt <= r.downUntil+maxDeliveryDelay && r.Now >= r.downAt
+	switch {
+	case response.Code == 0 && !isDown:
+		r.fail(h, what, sentAt, response, "no answer")
+	case response.Code != 0 && isUnclear(response) && response.RetryAfter == 0:
+		r.fail(h, what, sentAt, response, "it doesn't say when to retry")
+	case r.isUnreachable(sentAt) && !isUnclear(response):
+		r.fail(h, what, sentAt, response, "nobody can have confirmed that")
+	case r.isUnreachable(sentAt) && !r.startedInside && sentAt > r.unreachableSince+inForceTimeout && took > immediateAnswer:
+		r.fail(h, what, sentAt, response, fmt.Sprintf("took %d us", took))
+	case r.isUnreachable(sentAt) && r.startedInside && sentAt > r.downUntil && took > maxYoungAnswer:
+		r.fail(h, what, sentAt, response, fmt.Sprintf("took %d us in a young process", took))
+	case r.isUnreachable(sentAt) && took > inForceTimeout+200*eventloop.Millisecond:
+		r.fail(h, what, sentAt, response, fmt.Sprintf("took %d us", took))
+	}
+}
+
+// responseCheck says what is wrong with a response; empty: nothing.
+type responseCheck func(response gateway.Response) string
+
+// probeWith sends one request and checks its response in general and in particular.
+func (r *partitionRun) probeWith(h *Host, what string, request newRequest, check responseCheck) {
+	r.call(h, request, func(sentAt eventloop.Micros, response gateway.Response) {
+		r.check(h, what, sentAt, response)
+		if why := check(response); why != "" {
+			r.fail(h, what, sentAt, response, why)
+		}
+	})
+}
+
+// isNot is a check that a response hasn't a code.
+func isNot(code int32, why string) responseCheck {
+	return func(response gateway.Response) string {
+		if response.Code == code {
+			return why
+		}
+		return ""
+	}
+}
+
+// probePeriodically probes both hosts at intervals until a moment.
+func (r *partitionRun) probePeriodically(until eventloop.Micros) {
+	if r.Now >= until {
+		return
+	}
+	for _, h := range []*Host{r.host, r.other} {
+		if h.IsUp {
+			r.probe(h)
+		}
+	}
+	r.After(probeInterval, func() { r.probePeriodically(until) })
+}
+
+// probe sends every kind of request to a gateway.
+func (r *partitionRun) probe(h *Host) {
+	newest := r.newestAcknowledged(r.Now)
+	r.probeConfiguration(h, newest)
+	r.probeQueues(h, newest)
+	r.probeJobs(h)
+	r.probeSubmissions(h, newest)
+	r.probeHeartbeat(h)
+	r.probeReadinessOf(h)
+}
+
+// versionOf is the version that a refusal names.
+func versionOf(response gateway.Response) uint64 {
+	refusal := &schema.Error{}
+	_ = json.Unmarshal(response.Body, refusal)
+	return refusal.Current
+}
+
+// probeConfiguration reads the configuration, and sends updates that are to be refused,
+// which only a node can that knows the newest one.
+func (r *partitionRun) probeConfiguration(h *Host, newest uint64) {
+	r.probeWith(h, "read", leaderRequest(configurationRequest()), func(response gateway.Response) string {
+		current := &schema.Configuration{}
+		if response.Code == 200 && (protojson.Unmarshal(response.Body, current) != nil || current.Version < newest) {
+			return fmt.Sprintf("version %d was acknowledged before", newest)
+		}
+		return ""
+	})
+	isRefused := func(codes ...int32) responseCheck {
+		return func(response gateway.Response) string {
+			if !isUnclear(response) && (!slices.Contains(codes, response.Code) || versionOf(response) < newest) {
+				return fmt.Sprintf("version %d was acknowledged before", newest)
+			}
+			return ""
+		}
+	}
+	low := partitionConfiguration(1, newest)
+	low.Document = []byte("another first edition")
+	r.probeWith(h, "low number", leaderRequest(updateRequest(low)), isRefused(412, 422))
+	r.probeWith(h, "old base", leaderRequest(updateRequest(partitionConfiguration(1<<40, 0))), isRefused(412))
+	r.probeWith(h, "accepted before", leaderRequest(updateRequest(partitionConfiguration(newest, newest-1))), func(response gateway.Response) string {
+		if response.Code != 200 && !isUnclear(response) {
+			return "it was accepted"
+		}
+		return ""
+	})
+}
+
+func (r *partitionRun) probeQueues(h *Host, newest uint64) {
+	counts := func(queue string) newRequest {
+		return leaderRequest(gateway.LeaderRequest{Kind: "counts", Group: queue})
+	}
+	r.probeWith(h, "new queue", counts(partitionQueue(newest)), func(response gateway.Response) string {
+		// One that was dropped while the request was under way may be unknown.
+		if response.Code == 404 && r.newestAcknowledged(r.Now) == newest && !r.isPublishing(newest+1) {
+			return "the queue is there"
+		}
+		return ""
+	})
+	r.probeWith(h, "no such queue", counts("none"), isNot(200, "there is none"))
+}
+
+func (r *partitionRun) probeJobs(h *Host) {
+	about := func(kind, name string) newRequest {
+		return leaderRequest(gateway.LeaderRequest{Kind: kind, Group: "quick", Name: name})
+	}
+	r.probeWith(h, "job", about("status", "known"), isNot(404, "the job is there"))
+	r.probeWith(h, "no such job", about("status", "none"), isNot(200, "there is none"))
+	r.probeWith(h, "cancel", about("cancel", "none"), isNot(200, "there is none"))
+}
+
+// probeSubmissions submits a new job, the known one, another one of its name, and one to
+// the queue that was dropped last.
+func (r *partitionRun) probeSubmissions(h *Host, newest uint64) {
+	sentAt := r.Now
+	submit := func(what, queue, name, text string, check responseCheck) {
+		job := newJob(text, &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1})
+		r.probeWith(h, what, submitRequest(queue, "c", name, job), check)
+	}
+	submit("submission", "quick", fmt.Sprint("j", sentAt), "a job", func(gateway.Response) string { return "" })
+	submit("known job", "quick", "known", "the known job", func(response gateway.Response) string {
+		if response.Code == 409 || response.Code == 404 {
+			return "it was accepted"
+		}
+		return ""
+	})
+	submit("other content", "quick", "known", "other content", func(response gateway.Response) string {
+		if isConfirmed(response) {
+			return "the name is taken"
+		}
+		return ""
+	})
+	if newest < 2 {
+		return
+	}
+	droppedAt := eventloop.Micros(0)
+	for _, each := range r.acknowledged {
+		if each.version == newest {
+			droppedAt = each.acknowledgedAt
+		}
+	}
+	submit("dropped queue", partitionQueue(newest-1), fmt.Sprint("j", sentAt), "a job", func(response gateway.Response) string {
+		if isConfirmed(response) && sentAt > droppedAt+inForceTimeout {
+			return "the queue was dropped"
+		}
+		return ""
+	})
+}
+
+// probeHeartbeat sends a worker's heartbeat. A scheduler answers under its lease, so only
+// what was sent some time after the partition began counts.
+func (r *partitionRun) probeHeartbeat(h *Host) {
+	r.heartbeats++
+	heartbeat := &schema.WorkerHeartbeat{Incarnation: 1, Seq: r.heartbeats, CoresMilli: 1, MemoryMb: 1}
+	sentAt := r.Now
+	r.Request(h, announceTimeout, func(id uint64, deadline eventloop.Micros) any {
+		return gateway.ForwardAnnouncement{RequestID: id, Worker: "w-" + h.Name, Announce: heartbeat, Deadline: deadline}
+	}, func(answer any) {
+		if response := responseOf(answer); response.Code != 0 && sentAt > r.unreachableSince+inForceTimeout {
+			r.check(h, "heartbeat", sentAt, response)
+		}
+	})
+}
+
+// probeReadinessOf checks that the partitioned host isn't ready, and notes when it is again.
+func (r *partitionRun) probeReadinessOf(h *Host) {
+	r.Request(h, callTimeout, func(id uint64, _ eventloop.Micros) any { return gateway.CheckReadiness{RequestID: id} }, func(answer any) {
+		response := responseOf(answer)
+		if response.Code != 200 || h != r.host {
+			return
+		}
+		if r.unreachableSince > 0 && r.healedAt == 0 && r.Now > r.unreachableSince+inForceTimeout {
+			r.fail(h, "readiness", r.Now, response, "it is partitioned")
+		}
+		if r.healedAt > 0 && r.readyAt == 0 {
+			r.readyAt = r.Now
+		}
+	})
+}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -16,16 +16,17 @@
 var firstSeed = flag.Uint64("seed", 1, "the first seed")
 var onlyScenario = flag.String("scenario", "", "run only this scenario")
 
-// runSmall runs a scenario and reports what it breaks.
+// runSmall runs a scenario on the small fleet and reports what it breaks.
 func runSmall(t *testing.T, s Scenario, seed uint64) *Fleet { return runOn(t, s, SmallFleet, seed) }
 
-func runOn(t *testing.T, s Scenario, size FleetSpec, seed uint64) *Fleet {
-	f, violations, problems := RunScenario(s, size, seed)
-	for _, b := range violations[:min(len(violations), 12)] {
-		t.Error(b)
+// runOn runs a scenario on a fleet and reports what it breaks.
+func runOn(t *testing.T, s Scenario, spec FleetSpec, seed uint64) *Fleet {
+	f, violations, problems := RunScenario(s, spec, seed)
+	for _, violation := range violations[:min(len(violations), 12)] {
+		t.Error(violation)
 	}
-	for _, each := range problems {
-		t.Error(each)
+	for _, problem := range problems {
+		t.Error(problem)
 	}
 	return f
 }
@@ -40,53 +41,53 @@
 			t.Run(fmt.Sprintf("%s/%d", s.Name, seed), func(t *testing.T) {
 				t.Parallel()
 				f := runSmall(t, s, seed)
-				accepted, begun := 0, 0
+				accepted, started := 0, 0
 				for _, e := range f.History {
 					if e.Kind == checker.SubmitReply && e.Code == 201 {
 						accepted++
 					}
 					if e.Kind == checker.TaskStart {
-						begun++
+						started++
 					}
 				}
 				// A run in which nothing happened proves nothing.
-				if accepted < 50 || begun < 100 {
-					t.Errorf("only %d jobs accepted and %d tasks begun", accepted, begun)
+				if accepted < 50 || started < 100 {
+					t.Errorf("only %d jobs accepted and %d tasks started", accepted, started)
 				}
 			})
 		}
 	}
 }
 
-// TestDeployments: the two as they stand, with faults one by one and schedules
-// of several; more of these are run by hand.
+// TestDeployments: the deployments as they stand, with faults one by one and schedules of
+// several; more of these are run by hand.
 func TestDeployments(t *testing.T) {
-	for _, size := range FleetSpecs()[1:] {
-		if size.Bounds != nil {
+	for _, spec := range FleetSpecs()[1:] {
+		if spec.HasCalledWorkers() {
 			continue
 		}
 		for _, s := range Scenarios {
 			if s.Name != "leader killed" && s.Name != "core split each way" && s.Name != "disk machine replaced" {
 				continue
 			}
-			t.Run(size.Name+"/"+s.Name, func(t *testing.T) {
+			t.Run(spec.Name+"/"+s.Name, func(t *testing.T) {
 				t.Parallel()
-				runOn(t, s, size, 1)
+				runOn(t, s, spec, 1)
 			})
 		}
-		schedules := map[uint64]Schedule{1: RandomSchedule(1, size), 2: RandomSchedule(2, size)}
-		if size.Name == "skema" {
-			// Broke rule 5: a failure that was told late didn't count.
-			found, err := ParseSchedule("warn/server6:3s@2.5s,freeze/controller:3.5s@9.5s,flood/all:6s@12.5s,slow/server1:2.5s@13s,power/all:500ms@21s,rush/all:5s@27.5s,split/c1:5s@34s", size)
+		schedules := map[uint64]Schedule{1: RandomSchedule(1, spec), 2: RandomSchedule(2, spec)}
+		if spec.Name == "skema" {
+			// Broke rule 5: a failure that was reported late didn't count.
+			found, err := ParseSchedule("warn/server6:3s@2.5s,freeze/controller:3.5s@9.5s,flood/all:6s@12.5s,slow/server1:2.5s@13s,power/all:500ms@21s,rush/all:5s@27.5s,split/c1:5s@34s", spec)
 			if err != nil {
 				t.Fatal(err)
 			}
 			schedules[1066] = found
 		}
 		for seed, schedule := range schedules {
-			t.Run(fmt.Sprint(size.Name, "/schedule ", seed), func(t *testing.T) {
+			t.Run(fmt.Sprint(spec.Name, "/schedule ", seed), func(t *testing.T) {
 				t.Parallel()
-				runOn(t, schedule.Scenario(), size, seed)
+				runOn(t, schedule.Scenario(), spec, seed)
 			})
 		}
 	}
@@ -96,11 +97,11 @@
 func TestDay(t *testing.T) {
 	t.Parallel()
 	_, samples, violations, problems := Day(SmallFleet, 1, 4, 5*60*eventloop.Second, 0.3)
-	for _, b := range violations[:min(len(violations), 12)] {
-		t.Error(b)
+	for _, violation := range violations[:min(len(violations), 12)] {
+		t.Error(violation)
 	}
-	for _, each := range problems {
-		t.Error(each)
+	for _, problem := range problems {
+		t.Error(problem)
 	}
 	if len(samples) < 12 {
 		t.Errorf("only %d samples", len(samples))
@@ -108,7 +109,7 @@
 }
 
 func TestSchedules(t *testing.T) {
-	Convey("A schedule is read as it is written; what can't be is told with its field", t, func() {
+	Convey("A schedule is read as it is written; an error names the field", t, func() {
 		for seed := uint64(1); seed < 200; seed++ {
 			schedule := RandomSchedule(seed, SmallFleet)
 			retry, err := ParseSchedule(schedule.String(), SmallFleet)
@@ -131,8 +132,8 @@
 	})
 }
 
-// pinnedSeeds are seeds that once broke a rule; what they found is told in the
-// commits that mended it.
+// pinnedSeeds are seeds that once broke a rule; the commits that fixed that say what they
+// found.
 var pinnedSeeds = map[string][]uint64{
 	"all killed at once":                {105, 107, 116},
 	"side machines swapped out":         {1007},
--- a/internal/sim/transport_test.go
+++ b/internal/sim/transport_test.go
@@ -13,7 +13,7 @@
 	"sparnotch/internal/transport"
 )
 
-// testNetwork is what tables are given to reach other processes with.
+// testNetwork is a network between two ends, each a process.
 type testNetwork interface {
 	// dial sends from one of two ends to an address.
 	dial(from int, address string, body any)
@@ -21,11 +21,11 @@
 	send(from int, id, address string, body any)
 	address(end int) string
 	// next is what arrives at an end; false when nothing does any more.
-	next(end int) (from string, body any, isThere bool)
-	setPartitioned(isCut bool) // both ways
+	next(end int) (from string, body any, found bool)
+	setPartitioned(partitioned bool) // both ways
 }
 
-// transportContract: whoever writes another network runs this over it.
+// transportContract is what every network keeps to.
 func transportContract(t testNetwork) {
 	for number := uint64(1); number <= 50; number++ {
 		t.dial(0, t.address(1), &schema.TimeoutNow{Group: "g", Term: number})
@@ -36,32 +36,32 @@
 		So(from, ShouldEqual, "end0")
 		So(body.(*schema.TimeoutNow).Term, ShouldEqual, number)
 	}
-	// Answers find their way, and both directions are their own.
+	// Both directions are independent.
 	t.dial(1, t.address(0), &schema.SubmitResponse{Queue: "l", Results: []*schema.SubmitResult{{Number: 3, View: &schema.JobView{Name: "j"}}}})
 	from, body, found := t.next(0)
 	So(found, ShouldBeTrue)
 	So(from, ShouldEqual, "end1")
 	So(body.(*schema.SubmitResponse).Results[0].View.Name, ShouldEqual, "j")
-	// Nowhere is no trouble.
+	// A message to nowhere is dropped.
 	t.dial(0, "", &schema.TimeoutNow{Group: "nowhere"})
 	t.dial(0, "127.0.0.1:1", &schema.TimeoutNow{Group: "nobody"})
-	// What is for a process that is there no more goes to no other.
+	// What is for a process that is gone goes to no other at its address.
 	t.send(0, "former", t.address(1), &schema.TimeoutNow{Group: "strayed"})
 	t.send(0, "end1", t.address(1), &schema.TimeoutNow{Group: "meant"})
 	_, body, found = t.next(1)
 	So(found, ShouldBeTrue)
 	So(body.(*schema.TimeoutNow).Group, ShouldEqual, "meant")
-	// What is sent while cut is lost, what is sent after arrives.
+	// What is sent while partitioned is lost, what is sent after the healing arrives.
 	t.setPartitioned(true)
-	t.dial(0, t.address(1), &schema.TimeoutNow{Group: "cut"})
+	t.dial(0, t.address(1), &schema.TimeoutNow{Group: "partitioned"})
 	t.setPartitioned(false)
-	t.dial(0, t.address(1), &schema.TimeoutNow{Group: "whole"})
+	t.dial(0, t.address(1), &schema.TimeoutNow{Group: "healed"})
 	_, body, found = t.next(1)
 	So(found, ShouldBeTrue)
-	So(body.(*schema.TimeoutNow).Group, ShouldEqual, "whole")
+	So(body.(*schema.TimeoutNow).Group, ShouldEqual, "healed")
 }
 
-// --- the real one ---
+// --- the real network ---
 
 type realTransport struct {
 	ends          [2]*transport.Transport
@@ -88,27 +88,27 @@
 func (r *realTransport) address(end int) string { return r.ends[end].Address() }
 func (r *realTransport) next(end int) (string, any, bool) {
 	select {
-	case mail := <-r.mailboxes[end]:
-		return mail.From, mail.Body, true
+	case message := <-r.mailboxes[end]:
+		return message.From, message.Body, true
 	case <-time.After(30 * time.Second):
 		return "", nil, false
 	}
 }
-func (r *realTransport) setPartitioned(blocked bool) {
-	// Before it is mended the wire takes what it was given; by now that is what
-	// was for nobody, and what was cut.
-	for !blocked && r.ends[0].Counts().Lost < 2 {
+func (r *realTransport) setPartitioned(partitioned bool) {
+	// Before the healing all that was given to the network must have left: by now two
+	// messages were dropped, one for nobody and one in the partition.
+	for !partitioned && r.ends[0].Counts().Lost < 2 {
 		runtime.Gosched()
 	}
-	r.isPartitioned.Store(blocked)
+	r.isPartitioned.Store(partitioned)
 }
 
-// --- the simulated one ---
+// --- the simulated network ---
 
 type messageRecorder struct{ messages []eventloop.Message }
 
-func (c *messageRecorder) Step(_ eventloop.Micros, mail eventloop.Message, _ eventloop.Effects) {
-	c.messages = append(c.messages, mail)
+func (r *messageRecorder) Step(_ eventloop.Micros, message eventloop.Message, _ eventloop.Effects) {
+	r.messages = append(r.messages, message)
 }
 
 type simTransport struct {
@@ -138,16 +138,16 @@
 func (s *simTransport) address(end int) string { return s.ends[end].Address }
 func (s *simTransport) next(end int) (string, any, bool) {
 	s.sim.Run(s.sim.Now + eventloop.Second)
-	box := s.recorders[end]
-	if len(box.messages) == 0 {
+	recorder := s.recorders[end]
+	if len(recorder.messages) == 0 {
 		return "", nil, false
 	}
-	mail := box.messages[0]
-	box.messages = box.messages[1:]
-	return mail.From, mail.Body, true
+	message := recorder.messages[0]
+	recorder.messages = recorder.messages[1:]
+	return message.From, message.Body, true
 }
-func (s *simTransport) setPartitioned(blocked bool) {
-	s.sim.Partition(blocked, func(h *Host) bool { return h == s.ends[0] })
+func (s *simTransport) setPartitioned(partitioned bool) {
+	s.sim.Partition(partitioned, func(h *Host) bool { return h == s.ends[0] })
 }
 
 func TestEveryTransport(t *testing.T) {
--- a/internal/sim/zones_test.go
+++ b/internal/sim/zones_test.go
@@ -8,9 +8,9 @@
 	"sparnotch/internal/membership"
 )
 
-// TestZonesMayBeLost: with 3, 4 and 6 zones in 1, 2 and 3 regions the whole of each zone,
-// or region where that is asked for, is lost in turn, after a machine was replaced; the
-// rest serves, or the deployment has said that it can't bear it.
+// TestZonesMayBeLost: with 3, 4 and 6 zones in 1, 2 and 3 regions each zone, or region where
+// that is asked for, is lost in turn, after a machine was replaced. The rest serves, or the
+// deployment has said that it can't tolerate that.
 func TestZonesMayBeLost(t *testing.T) {
 	for _, zones := range []int{3, 4, 6} {
 		for _, regions := range []int{1, 2, 3} {
@@ -31,18 +31,19 @@
 	}
 }
 
+// loseFailureDomains loses each zone or region in turn.
 func loseFailureDomains(t *testing.T, seed uint64, zones []string, tolerance membership.FaultTolerance) {
-	c := newStorageFleet(seed, zones, tolerance.Machines, 500, false)
+	c := newStorageFleet(seed, zones, tolerance.Machines, fastSync, false)
 	c.tolerance = tolerance
 	c.Run(c.LoadStart + 5*eventloop.Second)
-	bears := c.voters()[0].StateView().FaultTolerance
-	canBear := tolerance.Regions == 0 || len(zones) >= 3 && tolerance.TopologyShortfall() == ""
-	if recorded := bears.Shortfall == ""; recorded != canBear {
-		t.Fatalf("it says %q", bears.Shortfall)
+	shortfall := c.voters()[0].StateView().FaultTolerance.Shortfall
+	isTolerable := tolerance.Regions == 0 || len(zones) >= 3 && tolerance.TopologyShortfall() == ""
+	if (shortfall == "") != isTolerable {
+		t.Fatalf("it says %q", shortfall)
 	}
 	// A machine is replaced in another zone first, so that the repair has to keep the spread.
 	c.voters()[1].Wipe()
-	c.addStore("late", zones[0], false).Start()
+	c.addStorageNode("late", zones[0], false).Start()
 	c.Run(c.Now + 12*eventloop.Second)
 	for _, h := range c.StorageNodes() {
 		if !h.IsUp && h.ID != "" {
@@ -50,28 +51,28 @@
 		}
 	}
 	c.Run(c.Now + catchUp)
-	if !canBear {
+	if !isTolerable {
 		return
 	}
-	place := func(zone string) string { return zone }
+	domain := func(zone string) string { return zone }
 	if tolerance.Regions > 0 {
-		place = func(zone string) string { return tolerance.RegionByZone[zone] }
+		domain = func(zone string) string { return tolerance.RegionByZone[zone] }
 	}
 	done := map[string]bool{}
 	for _, zone := range zones {
-		if done[place(zone)] {
+		if done[domain(zone)] {
 			continue
 		}
-		done[place(zone)] = true
+		done[domain(zone)] = true
 		var lost []*Host
 		for _, h := range c.Hosts {
-			if place(h.Zone) == place(zone) && h.IsUp {
+			if domain(h.Zone) == domain(zone) && h.IsUp {
 				lost = append(lost, h)
 				h.Kill()
 			}
 		}
 		if took, served := c.timeUntilServed(8 * eventloop.Second); !served {
-			t.Errorf("without %s nothing is served for %.1f s: %s", place(zone), float64(took)/1e6, c.why)
+			t.Errorf("without %s nothing is served for %.1f s: %s", domain(zone), float64(took)/1e6, c.why)
 		}
 		for _, h := range lost {
 			h.Start()
