--- a/cmd/sparnotch-bench/simulate.go
+++ b/cmd/sparnotch-bench/simulate.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"os"
@@ -75,46 +76,66 @@
 		fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
 		return 2
 	}
-	if c.random < 0 || c.random > 0 && c.faults+c.scenario != "" || c.faults != "" && c.scenario != "" {
-		fmt.Fprintln(os.Stderr, "sparnotch-bench: scenario, faults and random: give one of them; random must not be negative")
-		return 2
-	}
-	if c.day != 0 && (c.day < 4 || c.day > 48 || c.share <= 0 || c.share > 4) {
-		fmt.Fprintln(os.Stderr, "sparnotch-bench: day and share: 4 to 48 hours, a share above 0 and up to 4")
+	if err := c.checkFlags(); err != nil {
+		fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
 		return 2
 	}
-	if c.day > 0 {
+	switch {
+	case c.day > 0:
 		return c.playDay(size)
-	}
-	if c.random > 0 {
+	case c.random > 0:
 		return c.playRandom(size, c.random, sim.RandomSchedule)
-	}
-	if c.overlap > 0 {
+	case c.overlap > 0:
 		return c.playRandom(size, c.overlap, sim.OverlappingSchedule)
-	}
-	if c.faults != "" {
-		schedule, err := sim.ParseSchedule(c.faults, size)
-		if err != nil {
-			fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
-			return 2
-		}
-		return c.play(schedule.Scenario(), size)
-	}
-	for _, s := range slices.Concat(sim.ScenariosFor(size), sim.LossScenarios) {
-		if c.scenario == "" {
+	case c.faults != "":
+		return c.playFaults(size)
+	case c.scenario == "":
+		for _, s := range allScenarios(size) {
 			fmt.Println(s.Name)
-		} else if s.Name == c.scenario {
-			if c.seeds > 1 {
-				return c.playSeeds(s, size)
-			}
-			return c.play(s, size)
 		}
-	}
-	if c.scenario == "" {
 		return 0
 	}
-	fmt.Fprintf(os.Stderr, "sparnotch-bench: scenario: there is none called %q\n", c.scenario)
-	return 2
+	return c.playScenario(size)
+}
+
+// checkFlags returns the first thing that is wrong with the flags, the size aside.
+func (c *simulateCommand) checkFlags() error {
+	if c.random < 0 || c.random > 0 && c.faults+c.scenario != "" || c.faults != "" && c.scenario != "" {
+		return errors.New("scenario, faults and random: give one of them; random must not be negative")
+	}
+	if c.day != 0 && (c.day < 4 || c.day > 48 || c.share <= 0 || c.share > 4) {
+		return errors.New("day and share: 4 to 48 hours, a share above 0 and up to 4")
+	}
+	return nil
+}
+
+// allScenarios lists the scenarios that can be run by name.
+func allScenarios(size sim.FleetSpec) []sim.Scenario {
+	return slices.Concat(sim.ScenariosFor(size), sim.LossScenarios)
+}
+
+// playFaults runs the schedule that the flags give.
+func (c *simulateCommand) playFaults(size sim.FleetSpec) subcommands.ExitStatus {
+	schedule, err := sim.ParseSchedule(c.faults, size)
+	if err != nil {
+		fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
+		return 2
+	}
+	return c.play(schedule.Scenario(), size)
+}
+
+// playScenario runs the scenario that the flags name, with one seed or with many.
+func (c *simulateCommand) playScenario(size sim.FleetSpec) subcommands.ExitStatus {
+	scenarios := allScenarios(size)
+	at := slices.IndexFunc(scenarios, func(s sim.Scenario) bool { return s.Name == c.scenario })
+	if at < 0 {
+		fmt.Fprintf(os.Stderr, "sparnotch-bench: scenario: there is none called %q\n", c.scenario)
+		return 2
+	}
+	if c.seeds > 1 {
+		return c.playSeeds(scenarios[at], size)
+	}
+	return c.play(scenarios[at], size)
 }
 
 // findSize returns the fleet of a name. The error lists the names.
--- a/internal/gateway/validate.go
+++ b/internal/gateway/validate.go
@@ -142,36 +142,50 @@
 			}
 		}
 	}
-	const (
-		unvisited = iota
-		visiting
-		done
-	)
-	states := make([]int, len(job.Steps))
-	var visit func(k int) *schema.Error
-	visit = func(k int) *schema.Error {
-		states[k] = visiting
-		for a, name := range job.Steps[k].Dependencies {
-			dependency := indexByName[name]
-			switch states[dependency] {
-			case visiting:
-				return badJob(fmt.Sprintf("steps[%d].after[%d]", k, a), "steps %q and %q wait for each other", job.Steps[k].Name, name)
-			case unvisited:
-				if fault := visit(dependency); fault != nil {
-					return fault
-				}
-			}
+	search := cycleSearch{job: job, indexByName: indexByName, states: make([]visitState, len(job.Steps))}
+	for k := range job.Steps {
+		if fault := search.visit(k); fault != nil {
+			return fault
 		}
-		states[k] = done
+	}
+	return nil
+}
+
+// cycleSearch is a depth-first search for a cycle in the dependencies of a job's steps,
+// all of which exist.
+type cycleSearch struct {
+	job         *schema.Job
+	indexByName map[string]int
+	states      []visitState
+}
+
+// visitState is how far a search has come with a step.
+type visitState int
+
+const (
+	unvisited visitState = iota
+	visiting
+	visited
+)
+
+// visit returns the dependency that closes a cycle among what a step waits for; nil:
+// there is none.
+func (s *cycleSearch) visit(k int) *schema.Error {
+	if s.states[k] == visited {
 		return nil
 	}
-	for k := range job.Steps {
-		if states[k] == unvisited {
-			if fault := visit(k); fault != nil {
-				return fault
-			}
+	s.states[k] = visiting
+	step := s.job.Steps[k]
+	for a, name := range step.Dependencies {
+		dependency := s.indexByName[name]
+		if s.states[dependency] == visiting {
+			return badJob(fmt.Sprintf("steps[%d].after[%d]", k, a), "steps %q and %q wait for each other", step.Name, name)
+		}
+		if fault := s.visit(dependency); fault != nil {
+			return fault
 		}
 	}
+	s.states[k] = visited
 	return nil
 }
 
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/limits.go
@@ -26,35 +26,42 @@
 // come together.
 func (s *Scheduler) enforceLimits(now eventloop.Micros, w *worker) {
 	for key, status := range w.running {
-		t := w.taskOf(key)
-		if t == nil || t.evictOutcome != "" {
-			continue
-		}
-		if status.State == runRunning && s.exceedsLimits(now, w, t, status) {
-			s.evict(t, outcomeFailed)
-		}
-		if !t.isActive() {
-			continue
-		}
-		if s.isStuck(now, w, t, status) {
-			s.evictStuck(now, w, t)
-		} else if s.mustCheckpoint(now, w, t) {
-			s.evictWithGang(t, outcomeStopped)
+		if t := w.taskOf(key); t != nil && t.evictOutcome == "" {
+			s.enforceRunLimits(now, w, t, status)
 		}
 	}
 	for _, t := range w.tasks {
 		s.watchStop(now, w, t)
-		if !t.spec.Gang {
-			continue
-		}
-		if w.hasBarrier {
-			s.breakUpGang(now, t)
-		} else if t.exceedsHold(now) {
-			s.evict(t, outcomeStopped)
+		if t.spec.Gang {
+			s.enforceGangLimits(now, w, t)
 		}
 	}
 }
 
+// enforceRunLimits evicts a task that its worker has, by what is reported of its run.
+func (s *Scheduler) enforceRunLimits(now eventloop.Micros, w *worker, t *task, status *schema.TaskStatus) {
+	if status.State == runRunning && s.exceedsLimits(now, w, t, status) {
+		s.evict(t, outcomeFailed)
+	}
+	if !t.isActive() {
+		return
+	}
+	if s.isStuck(now, w, t, status) {
+		s.evictStuck(now, w, t)
+	} else if s.mustCheckpoint(now, w, t) {
+		s.evictWithGang(t, outcomeStopped)
+	}
+}
+
+// enforceGangLimits evicts a member of a gang that doesn't come together.
+func (s *Scheduler) enforceGangLimits(now eventloop.Micros, w *worker, t *task) {
+	if w.hasBarrier {
+		s.breakUpGang(now, t)
+	} else if t.exceedsHold(now) {
+		s.evict(t, outcomeStopped)
+	}
+}
+
 // exceedsLimits reports whether a run is over the time limit, or over the limit on
 // time without progress, of its step or else of its queue.
 func (s *Scheduler) exceedsLimits(now eventloop.Micros, w *worker, t *task, status *schema.TaskStatus) bool {
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -36,20 +36,14 @@
 		case t.isStopping() || w.isDraining && !t.staysWhileDraining(now, w, status):
 			orders = append(orders, newOrder(actionStop, q, t))
 		case !s.mayActFor(now, q):
+		case status == nil && s.poolOf(q) != w.pool:
+			// The configuration has moved the queue to another pool since.
+			orders = append(orders, newOrder(actionStop, q, t))
 		case status == nil:
-			// The configuration may have moved the queue to another pool since.
-			if s.poolOf(q) != w.pool {
-				orders = append(orders, newOrder(actionStop, q, t))
-				continue
-			}
 			// What the worker reports free decides, whatever was reckoned here.
 			if need := resourcesOf(t.spec); left.covers(need) && !unknownUsage && (!w.hasBarrier || s.canStartGang(t)) {
 				left.sub(need)
-				action := actionStart
-				if t.spec.Gang && !t.isGangStarted && !w.hasBarrier {
-					action = actionHold
-				}
-				orders = append(orders, newOrder(action, q, t))
+				orders = append(orders, newOrder(firstAction(w, t), q, t))
 			}
 		case status.State == runHeld && t.isGangStarted:
 			orders = append(orders, newOrder(actionStart, q, t))
@@ -58,6 +52,15 @@
 	return append(orders, s.stopOrphans(now, w)...)
 }
 
+// firstAction is the order by which a task begins on a worker: where the worker doesn't
+// start a gang's members together by itself, a member is held until all have capacity.
+func firstAction(w *worker, t *task) string {
+	if t.spec.Gang && !t.isGangStarted && !w.hasBarrier {
+		return actionHold
+	}
+	return actionStart
+}
+
 // reportedFree is what is free on a worker by its own report alone.
 func (s *Scheduler) reportedFree(w *worker) resources {
 	free := w.total()
