--- a/cmd/sparnotch-bench/daemon.go
+++ b/cmd/sparnotch-bench/daemon.go
@@ -46,12 +46,19 @@
 	if err := d.command.Start(); err != nil {
 		return err
 	}
-	d.exited = make(chan struct{})
-	go func(command *exec.Cmd, exited chan struct{}) {
+	d.exited = watchExit(d.command)
+	return nil
+}
+
+// watchExit waits for a started command in the background; the channel is closed once
+// it has exited.
+func watchExit(command *exec.Cmd) chan struct{} {
+	exited := make(chan struct{})
+	go func() {
 		_ = command.Wait()
 		close(exited)
-	}(d.command, d.exited)
-	return nil
+	}()
+	return exited
 }
 
 func (d *daemon) signal(signal syscall.Signal) {
--- a/cmd/sparnotch-bench/hollow_child.go
+++ b/cmd/sparnotch-bench/hollow_child.go
@@ -55,11 +55,7 @@
 	if err := p.command.Start(); err != nil {
 		return err
 	}
-	p.exited = make(chan struct{})
-	go func(command *exec.Cmd, exited chan struct{}) {
-		_ = command.Wait()
-		close(exited)
-	}(p.command, p.exited)
+	p.exited = watchExit(p.command)
 	return nil
 }
 
--- a/cmd/sparnotch-bench/hollow_nodes.go
+++ b/cmd/sparnotch-bench/hollow_nodes.go
@@ -117,7 +117,6 @@
 		},
 		OnEnd: func() {
 			p.running.Add(-1)
-			p.ended.Add(1)
 		},
 		OnConfig: func(_ eventloop.Micros, revision uint64) { p.recordConfig(revision) },
 	}
--- a/cmd/sparnotch-bench/hollow_process.go
+++ b/cmd/sparnotch-bench/hollow_process.go
@@ -49,7 +49,6 @@
 	Syncs         uint64
 	LostMessages  uint64
 	Started       uint64 // tasks
-	Ended         uint64
 	Running       int64
 	Accepted      uint64 // jobs
 	Refused       uint64
@@ -75,7 +74,6 @@
 	loops     []*eventloop.Process
 
 	started  atomic.Uint64
-	ended    atomic.Uint64
 	running  atomic.Int64
 	accepted atomic.Uint64
 	refused  atomic.Uint64
@@ -187,7 +185,7 @@
 	for _, loop := range p.loops {
 		r.addLost(loop.Dropped())
 	}
-	r.Started, r.Ended, r.Running = p.started.Load(), p.ended.Load(), p.running.Load()
+	r.Started, r.Running = p.started.Load(), p.running.Load()
 	r.Accepted, r.Refused = p.accepted.Load(), p.refused.Load()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cmd/sparnotchctl/client.go
+++ b/cmd/sparnotchctl/client.go
@@ -101,6 +101,16 @@
 	return nil, exitFailed
 }
 
+// printAnswer calls the nodes and prints the final answer as it came, unless it is a
+// rejection.
+func (n *nodeClient) printAnswer(method, path string, body []byte) subcommands.ExitStatus {
+	data, status := n.call(method, path, body)
+	if status == subcommands.ExitSuccess {
+		os.Stdout.Write(data)
+	}
+	return status
+}
+
 // printRejection prints why a request was rejected.
 func printRejection(code int, data []byte) {
 	fault := &schema.Error{}
--- a/cmd/sparnotchctl/config.go
+++ b/cmd/sparnotchctl/config.go
@@ -45,12 +45,17 @@
 	if status != subcommands.ExitSuccess {
 		return nil, status
 	}
+	return parseConfig(data)
+}
+
+// parseConfig decodes a configuration that a node has sent; it prints the error.
+func parseConfig(data []byte) (*schema.Configuration, subcommands.ExitStatus) {
 	config := &schema.Configuration{}
 	if err := protojson.Unmarshal(data, config); err != nil {
 		printError("%v", err)
 		return nil, exitFailed
 	}
-	return config, status
+	return config, subcommands.ExitSuccess
 }
 
 // formatVersions prints a configuration's revision, and its author's version if it has one.
@@ -139,10 +144,9 @@
 	if status != subcommands.ExitSuccess {
 		return status
 	}
-	config := &schema.Configuration{}
-	if err := protojson.Unmarshal(data, config); err != nil {
-		printError("%v", err)
-		return exitFailed
+	config, status := parseConfig(data)
+	if status != subcommands.ExitSuccess {
+		return status
 	}
 	fmt.Printf("applied: %s, %d rows\n", formatVersions(config), len(config.Rows))
 	return status
@@ -224,10 +228,9 @@
 	}
 	previous := &schema.Configuration{}
 	for k, revision := range revisions {
-		config := &schema.Configuration{}
-		if err := protojson.Unmarshal(revision, config); err != nil {
-			printError("%v", err)
-			return exitFailed
+		config, status := parseConfig(revision)
+		if status != subcommands.ExitSuccess {
+			return status
 		}
 		fmt.Printf("%s, %d rows\n", formatVersions(config), len(config.Rows))
 		if k > 0 {
--- a/cmd/sparnotchctl/jobs.go
+++ b/cmd/sparnotchctl/jobs.go
@@ -37,11 +37,7 @@
 		printError("%v", err)
 		return exitUsage
 	}
-	data, status := c.call("PUT", jobPath(c.queue, c.name), body)
-	if status == subcommands.ExitSuccess {
-		os.Stdout.Write(data)
-	}
-	return status
+	return c.printAnswer("PUT", jobPath(c.queue, c.name), body)
 }
 
 // jobPath is the path of a job in the interface.
@@ -80,11 +76,7 @@
 	if c.verb == "cancel" {
 		method, path = "POST", path+"/cancel"
 	}
-	data, status := c.call(method, path, nil)
-	if status == subcommands.ExitSuccess {
-		os.Stdout.Write(data)
-	}
-	return status
+	return c.printAnswer(method, path, nil)
 }
 
 // listJobsCommand lists a queue's jobs.
@@ -110,11 +102,7 @@
 		printError("queue is needed")
 		return exitUsage
 	}
-	data, status := c.call("GET", fmt.Sprintf("/v1/queues/%s/jobs?most=%d&after=%s", url.PathEscape(c.queue), c.limit, url.QueryEscape(c.after)), nil)
-	if status == subcommands.ExitSuccess {
-		os.Stdout.Write(data)
-	}
-	return status
+	return c.printAnswer("GET", fmt.Sprintf("/v1/queues/%s/jobs?most=%d&after=%s", url.PathEscape(c.queue), c.limit, url.QueryEscape(c.after)), nil)
 }
 
 // readFile reads a file, or standard input for "-".
--- a/cmd/sparnotchctl/nodes.go
+++ b/cmd/sparnotchctl/nodes.go
@@ -6,7 +6,6 @@
 	"flag"
 	"fmt"
 	"maps"
-	"os"
 	"slices"
 	"strings"
 	"time"
@@ -30,11 +29,7 @@
 }
 func (c *showCommand) SetFlags(set *flag.FlagSet) { c.register(set) }
 func (c *showCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	data, status := c.call("GET", c.path, nil)
-	if status == subcommands.ExitSuccess {
-		os.Stdout.Write(data)
-	}
-	return status
+	return c.printAnswer("GET", c.path, nil)
 }
 
 // compareCommand compares the states of two nodes.
--- a/internal/clusterstate/queues.go
+++ b/internal/clusterstate/queues.go
@@ -2,8 +2,8 @@
 
 import (
 	"slices"
-	"sort"
 	"strconv"
+	"strings"
 
 	"sparnotch/internal/schema"
 )
@@ -11,14 +11,15 @@
 // FindQueue returns a queue's placement, or nil. A state lists them sorted by queue.
 func FindQueue(state *schema.ClusterState, queue string) *schema.QueuePlacement {
 	placements := state.GetQueues()
-	if at := searchQueue(placements, queue); at < len(placements) && placements[at].Queue == queue {
+	if at, found := searchQueue(placements, queue); found {
 		return placements[at]
 	}
 	return nil
 }
 
-func searchQueue(placements []*schema.QueuePlacement, queue string) int {
-	return sort.Search(len(placements), func(k int) bool { return placements[k].Queue >= queue })
+// searchQueue returns where a queue's placement stands, or belongs if it isn't there.
+func searchQueue(placements []*schema.QueuePlacement, queue string) (at int, found bool) {
+	return slices.BinarySearchFunc(placements, queue, func(p *schema.QueuePlacement, name string) int { return strings.Compare(p.Queue, name) })
 }
 
 // placeQueues removes and places queues as the controller decided.
@@ -66,7 +67,8 @@
 		return
 	}
 	m.changed = true
-	m.state.Queues = slices.Insert(m.state.Queues, searchQueue(m.state.Queues, wanted.Queue), &schema.QueuePlacement{
+	at, _ := searchQueue(m.state.Queues, wanted.Queue)
+	m.state.Queues = slices.Insert(m.state.Queues, at, &schema.QueuePlacement{
 		Queue: wanted.Queue, Generation: m.nextToken(), InitialVoters: wanted.InitialVoters, PreferredLeader: wanted.PreferredLeader,
 	})
 }
--- a/internal/clusterstate/workers.go
+++ b/internal/clusterstate/workers.go
@@ -2,7 +2,7 @@
 
 import (
 	"slices"
-	"sort"
+	"strings"
 
 	"sparnotch/internal/schema"
 )
@@ -10,14 +10,15 @@
 // FindWorkerLease returns a worker's lease, or nil. A state lists them sorted by worker.
 func FindWorkerLease(state *schema.ClusterState, worker string) *schema.WorkerLease {
 	leases := state.GetWorkerLeases()
-	if at := searchWorkerLease(leases, worker); at < len(leases) && leases[at].Worker == worker {
+	if at, found := searchWorkerLease(leases, worker); found {
 		return leases[at]
 	}
 	return nil
 }
 
-func searchWorkerLease(leases []*schema.WorkerLease, worker string) int {
-	return sort.Search(len(leases), func(k int) bool { return leases[k].Worker >= worker })
+// searchWorkerLease returns where a worker's lease stands, or belongs if it isn't there.
+func searchWorkerLease(leases []*schema.WorkerLease, worker string) (at int, found bool) {
+	return slices.BinarySearchFunc(leases, worker, func(l *schema.WorkerLease, name string) int { return strings.Compare(l.Worker, name) })
 }
 
 // assignWorkers gives worker leases to schedulers as the controller decided. Each move gets
@@ -60,5 +61,6 @@
 func (m *StateMachine) insertWorkerLease(worker, scheduler string) {
 	m.changed = true
 	lease := &schema.WorkerLease{Worker: worker, Scheduler: scheduler, FencingToken: m.nextToken()}
-	m.state.WorkerLeases = slices.Insert(m.state.WorkerLeases, searchWorkerLease(m.state.WorkerLeases, worker), lease)
+	at, _ := searchWorkerLease(m.state.WorkerLeases, worker)
+	m.state.WorkerLeases = slices.Insert(m.state.WorkerLeases, at, lease)
 }
--- a/internal/fakeworker/called_worker.go
+++ b/internal/fakeworker/called_worker.go
@@ -201,37 +201,6 @@
 	}
 }
 
-// NextEventAt is when Step has something to do. What other members of a gang do may
-// make it sooner.
-func (w *CalledWorker) NextEventAt() eventloop.Micros {
-	next := eventloop.Micros(1) << 62
-	consider := func(at eventloop.Micros) {
-		if at > 0 {
-			next = min(next, at)
-		}
-	}
-	for _, action := range w.delayed {
-		consider(action.dueAt)
-	}
-	for _, inspection := range w.inspections {
-		consider(inspection.deadline)
-	}
-	for _, r := range w.runs {
-		consider(r.stopAt)
-		switch g := r.gang; {
-		case g == nil || r.willFail:
-			consider(r.endsAt)
-		case g.completeAt > 0:
-			consider(g.endsAt)
-		case w.config.Bounds.GatherUs > 0:
-			consider(r.acceptedAt + eventloop.Micros(w.config.Bounds.GatherUs))
-		}
-		consider(w.startedAt + eventloop.Micros(float64(w.holdUntil-eventloop.Second)/w.config.ClockDrift) + 1)
-	}
-	consider(w.drainDeadline)
-	return next
-}
-
 func (w *CalledWorker) sortedIDs() []RunID { return slices.SortedFunc(maps.Keys(w.runs), compareIDs) }
 
 func (w *CalledWorker) emit(now eventloop.Micros, kind string, run RunID, state string) {
--- a/internal/scheduler/filter_test.go
+++ b/internal/scheduler/filter_test.go
@@ -12,13 +12,12 @@
 func TestPlacementConstraints(t *testing.T) {
 	plain := func(a *schema.WorkerHeartbeat) {}
 	for _, test := range []struct {
-		what   string
-		rows   []*schema.ConfigurationRow
-		step   *schema.Step
-		v, w   func(*schema.WorkerHeartbeat)
-		tasks  int
-		want   map[string]int
-		bounds *schema.Bounds
+		what  string
+		rows  []*schema.ConfigurationRow
+		step  *schema.Step
+		v, w  func(*schema.WorkerHeartbeat)
+		tasks int
+		want  map[string]int
 	}{
 		{what: "only in its queue's pool", rows: []*schema.ConfigurationRow{queueRow("l", "pool", "p")}, step: &schema.Step{CoresMilli: 100}, v: plain,
 			w: func(a *schema.WorkerHeartbeat) { a.Pool = "p" }, tasks: 1, want: map[string]int{"w": 1}},
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -50,11 +50,9 @@
 
 // Arrival is a received request.
 type Arrival struct {
-	Number     int // from 1, in the order of the headers
-	Connection int // from 1, in the order of accepting
-	Path       string
-	Header     http.Header
-	Body       []byte // as far as it was read
+	Number int // from 1, in the order of the headers
+	Header http.Header
+	Body   []byte // as far as it was read
 }
 
 // Server is a scripted HTTP server. Its methods may be called concurrently.
@@ -138,13 +136,12 @@
 		}
 		s.mu.Lock()
 		s.connections++
-		number := s.connections
 		s.open[conn] = true
 		s.mu.Unlock()
 		s.goroutines.Add(1)
 		go func() {
 			defer s.goroutines.Done()
-			s.serve(conn, number)
+			s.serve(conn)
 			conn.Close()
 			s.mu.Lock()
 			delete(s.open, conn)
@@ -153,14 +150,14 @@
 	}
 }
 
-func (s *Server) serve(conn net.Conn, connection int) {
+func (s *Server) serve(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	for {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		arrival := s.recordHeader(Arrival{Connection: connection, Path: request.URL.Path, Header: request.Header})
+		arrival := s.recordHeader(Arrival{Header: request.Header})
 		behaviour := s.script(arrival.Number)
 		arrival.Body = readBody(request, behaviour)
 		s.recordBody(arrival)
