--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -303,6 +303,16 @@
 	}
 }
 
+// faultWhile loses every request while the flag is set.
+func faultWhile(isUnresponsive *bool) func(eventloop.Micros, agent.Call) fakeworker.Fault {
+	return func(eventloop.Micros, agent.Call) fakeworker.Fault {
+		if *isUnresponsive {
+			return fakeworker.FaultRequestLost
+		}
+		return fakeworker.NoFault
+	}
+}
+
 func faultOn(action agent.Action, fault fakeworker.Fault) func(eventloop.Micros, agent.Call) fakeworker.Fault {
 	return func(_ eventloop.Micros, call agent.Call) fakeworker.Fault {
 		if call.Action == action {
--- a/internal/agent/incarnation_test.go
+++ b/internal/agent/incarnation_test.go
@@ -49,12 +49,7 @@
 	})
 	Convey("An unresponsive worker isn't reported until it replies again", t, func() {
 		unresponsive := false
-		h, s := newDefaultHarness(fakeworker.Config{Fault: func(eventloop.Micros, agent.Call) fakeworker.Fault {
-			if unresponsive {
-				return fakeworker.FaultRequestLost
-			}
-			return fakeworker.NoFault
-		}}, nil)
+		h, s := newDefaultHarness(fakeworker.Config{Fault: faultWhile(&unresponsive)}, nil)
 		s.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		h.run(2 * eventloop.Second)
 		unresponsive = true
@@ -77,12 +72,7 @@
 	})
 	Convey("A worker that was unresponsive for a while has its hold renewed in time when it replies again", t, func() {
 		unresponsive := false
-		h, s := newDefaultHarness(fakeworker.Config{Fault: func(eventloop.Micros, agent.Call) fakeworker.Fault {
-			if unresponsive {
-				return fakeworker.FaultRequestLost
-			}
-			return fakeworker.NoFault
-		}}, nil)
+		h, s := newDefaultHarness(fakeworker.Config{Fault: faultWhile(&unresponsive)}, nil)
 		s.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		for k := eventloop.Micros(0); k < 10; k++ {
 			unresponsive = false
--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -118,19 +118,24 @@
 				r.rng.Shuffle(len(messages), func(i, j int) { messages[i], messages[j] = messages[j], messages[i] })
 			}
 			for _, m := range messages {
-				if _, ok := m.body.(*schema.AppendRequest); ok {
-					r.appendCount++
-				}
-				if r.groups[m.to] == nil || r.down[m.to] || r.down[m.from] || r.blocked(m.from, m.to) || r.rng.Float64() < r.lossRate {
-					continue
-				}
-				r.groups[m.to].Step(r.now, m.from, m.body)
-				r.processReady(m.to)
+				r.deliver(m)
 			}
 		}
 	}
 }
 
+// deliver hands a message to its receiver, unless it is lost.
+func (r *cluster) deliver(m envelope) {
+	if _, isAppend := m.body.(*schema.AppendRequest); isAppend {
+		r.appendCount++
+	}
+	if r.groups[m.to] == nil || r.down[m.to] || r.down[m.from] || r.blocked(m.from, m.to) || r.rng.Float64() < r.lossRate {
+		return
+	}
+	r.groups[m.to].Step(r.now, m.from, m.body)
+	r.processReady(m.to)
+}
+
 func sortedIDs(groups map[string]*Group) []string {
 	var list []string
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -16,6 +16,7 @@
 	notified  []any
 	replies   []*schema.WorkerPollResponse
 	polls     uint64
+	lastJob   uint64 // that finishTask has used
 }
 
 func (h *harness) Send(_ string, body any) {
@@ -41,7 +42,7 @@
 func (h *harness) lastReply() *schema.WorkerPollResponse { return h.replies[len(h.replies)-1] }
 
 func newHarness(workers ...string) *harness {
-	h := &harness{scheduler: New("me"), now: 100 * eventloop.Second}
+	h := &harness{scheduler: New("me"), now: 100 * eventloop.Second, lastJob: 100}
 	state := &schema.ClusterState{Version: 1, Configuration: &schema.Configuration{}}
 	for k, w := range workers {
 		state.WorkerLeases = append(state.WorkerLeases, &schema.WorkerLease{Worker: w, Scheduler: "me", FencingToken: uint64(k + 1)})
@@ -170,3 +171,34 @@
 	s.RoundAgeUs, s.CriticalPath, s.RemainingPath = int64(age), legs, legs
 	return s
 }
+
+// deliverNext delivers events of a queue one by one, each with the next sequence number.
+func (h *harness) deliverNext(list ...*queue.TaskEvent) {
+	for _, event := range list {
+		event.Sequence = h.scheduler.queues["l"].lastSequence + 1
+		h.deliverEvents(false, event.Sequence, event)
+	}
+}
+
+// finishTask has a worker report one task of a new job as done after such a run.
+func (h *harness) finishTask(worker string, step *schema.Step, run eventloop.Micros) {
+	h.lastJob++
+	h.deliverNext(newEvent(0, h.lastJob, 0, queue.CheckedOut, worker, step))
+	h.sendHeartbeat(worker, withEnded(&schema.TaskStatus{Name: fmt.Sprint("j", h.lastJob), Attempt: 1, State: "done", RunUs: int64(run)}))
+	h.deliverNext(newEvent(0, h.lastJob, 0, queue.Inactive, "", step))
+}
+
+// newQualityHarness is a harness with three workers, of which b and c have each finished
+// so many tasks of a step, in a second each.
+func newQualityHarness(finished int, step *schema.Step) *harness {
+	h := newHarness("a", "b", "c")
+	h.deliverEvents(true, 0)
+	for _, id := range []string{"a", "b", "c"} {
+		h.sendHeartbeat(id, withNames(nil))
+	}
+	for range finished {
+		h.finishTask("b", step, eventloop.Second)
+		h.finishTask("c", step, eventloop.Second)
+	}
+	return h
+}
--- a/internal/scheduler/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -13,33 +13,10 @@
 
 func TestProgressRate(t *testing.T) {
 	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimatedRunUs: 1_000_000}
-	job := uint64(100)
-	shifts := func(h *harness, list ...*queue.TaskEvent) {
-		for _, event := range list {
-			event.Sequence = h.scheduler.queues["l"].lastSequence + 1
-			h.deliverEvents(false, event.Sequence, event)
-		}
-	}
-	finish := func(h *harness, worker string) {
-		job++
-		shifts(h, newEvent(0, job, 0, queue.CheckedOut, worker, step))
-		h.sendHeartbeat(worker, withNames(func(a *schema.WorkerHeartbeat) {
-			a.Ended = []*schema.TaskStatus{{Name: fmt.Sprint("j", job), Attempt: 1, State: "done", RunUs: int64(eventloop.Second)}}
-		}))
-		shifts(h, newEvent(0, job, 0, queue.Inactive, "", step))
-	}
 	setUp := func() *harness {
-		h := newHarness("a", "b", "c")
-		h.deliverEvents(true, 0)
-		for _, id := range []string{"a", "b", "c"} {
-			h.sendHeartbeat(id, withNames(nil))
-		}
-		for k := 0; k < 10; k++ {
-			finish(h, "b")
-			finish(h, "c")
-		}
+		h := newQualityHarness(10, step)
 		for k := uint64(1); k <= 3; k++ {
-			shifts(h, newEvent(0, k, 0, queue.CheckedOut, "a", step))
+			h.deliverNext(newEvent(0, k, 0, queue.CheckedOut, "a", step))
 		}
 		return h
 	}
--- a/internal/scheduler/quality_test.go
+++ b/internal/scheduler/quality_test.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"fmt"
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
@@ -13,41 +12,17 @@
 
 func TestWorkerEjection(t *testing.T) {
 	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimatedRunUs: 1_000_000}
-	// finish has a worker report one task as done after such a run.
-	job := uint64(100)
-	finish := func(h *harness, worker string, run eventloop.Micros) {
-		job++
-		sequence := h.scheduler.queues["l"].lastSequence
-		h.deliverEvents(false, sequence+1, newEvent(sequence+1, job, 0, queue.CheckedOut, worker, step))
-		h.sendHeartbeat(worker, withNames(func(a *schema.WorkerHeartbeat) {
-			a.Ended = []*schema.TaskStatus{{Name: fmt.Sprint("j", job), Attempt: 1, State: "done", RunUs: int64(run)}}
-		}))
-		h.deliverEvents(false, sequence+2, newEvent(sequence+2, job, 0, queue.Inactive, "", step))
-	}
 	ready := func(h *harness, step *schema.Step) string {
-		job++
+		h.lastJob++
 		h.notified = nil
-		sequence := h.scheduler.queues["l"].lastSequence
-		h.deliverEvents(false, sequence+1, newEvent(sequence+1, job, 0, queue.Ready, "", step))
+		h.deliverNext(newEvent(0, h.lastJob, 0, queue.Ready, "", step))
 		So(len(h.placements()), ShouldEqual, 1)
 		return h.placements()[0].Worker
 	}
-	setUp := func() *harness {
-		h := newHarness("a", "b", "c")
-		h.deliverEvents(true, 0)
-		for _, id := range []string{"a", "b", "c"} {
-			h.sendHeartbeat(id, withNames(nil))
-		}
-		for k := 0; k < 4; k++ {
-			finish(h, "b", eventloop.Second)
-			finish(h, "c", eventloop.Second)
-		}
-		return h
-	}
 	Convey("A worker whose runs take longer than elsewhere is used last", t, func() {
-		h := setUp()
+		h := newQualityHarness(4, step)
 		for k := 0; k < 4; k++ {
-			finish(h, "a", 4*eventloop.Second)
+			h.finishTask("a", step, 4*eventloop.Second)
 		}
 		h.sendHeartbeat("b", withRunning(&schema.TaskStatus{Queue: "x", Name: "z", Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}))
 		h.sendHeartbeat("c", withRunning(&schema.TaskStatus{Queue: "x", Name: "z", Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}))
@@ -57,17 +32,16 @@
 		})
 	})
 	Convey("A task that is stuck while other workers finish similar ones is stopped, and its worker is ejected", t, func() {
-		h := setUp()
-		sequence := h.scheduler.queues["l"].lastSequence
-		h.deliverEvents(false, sequence+1, newEvent(sequence+1, 7, 0, queue.CheckedOut, "a", step))
+		h := newQualityHarness(4, step)
+		h.deliverNext(newEvent(0, 7, 0, queue.CheckedOut, "a", step))
 		began := h.now
 		percent := int64(0)
 		simulate := func(span eventloop.Micros, moves int64) {
 			for end := h.now + span; h.now < end; {
 				percent += moves
 				h.sendHeartbeat("a", withRunning(&schema.TaskStatus{Name: "j7", Attempt: 1, State: "running", Percent: percent}))
-				finish(h, "b", eventloop.Second)
-				finish(h, "c", eventloop.Second)
+				h.finishTask("b", step, eventloop.Second)
+				h.finishTask("c", step, eventloop.Second)
 				h.advance(100 * eventloop.Millisecond)
 			}
 		}
@@ -98,7 +72,7 @@
 		}
 	}
 	Convey("A worker that fails a few tasks in a row where others don't is ejected, for longer each time", t, func() {
-		h := setUp()
+		h := newQualityHarness(4, step)
 		fail(h, "a", 1, 2)
 		So(ready(h, step), ShouldNotEqual, "a")
 		So(h.scheduler.workers["a"].ejectedUntil-h.now, ShouldEqual, baseEjectionPeriod)
@@ -109,10 +83,9 @@
 		So(ready(h, step), ShouldNotEqual, "a")
 		So(h.scheduler.workers["a"].ejectedUntil-h.now, ShouldEqual, 2*baseEjectionPeriod)
 		Convey("and is still used when nothing else has capacity for long", func() {
-			sequence := h.scheduler.queues["l"].lastSequence
 			only := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Labels: []string{"x"}}
 			h.notified = nil
-			h.deliverEvents(false, sequence+1, newEvent(sequence+1, 900, 0, queue.Ready, "", only))
+			h.deliverNext(newEvent(0, 900, 0, queue.Ready, "", only))
 			h.advance(2 * eventloop.Second)
 			has := withNames(func(a *schema.WorkerHeartbeat) { a.Labels = []string{"x"} })
 			h.sendHeartbeat("a", has)
@@ -144,10 +117,10 @@
 		Convey("and few failures are no evidence where all workers have some", func() {
 			for _, id := range []string{"a", "b", "c"} {
 				for k := uint64(1); k <= 4; k++ {
-					finish(h, id, eventloop.Second)
+					h.finishTask(id, step, eventloop.Second)
 				}
 				fail(h, id, 1)
-				finish(h, id, eventloop.Second)
+				h.finishTask(id, step, eventloop.Second)
 			}
 			fail(h, "a", 2, 3)
 			ready(h, step)
@@ -155,22 +128,20 @@
 		})
 	})
 	Convey("A worker on probation gets one task at a time, and what has waited long besides", t, func() {
-		h := setUp()
+		h := newQualityHarness(4, step)
 		fail(h, "a", 1, 2)
 		ready(h, step)
-		sequence := h.scheduler.queues["l"].lastSequence
-		h.deliverEvents(false, sequence+1, newEvent(sequence+1, job, 0, queue.Inactive, "", step))
+		h.deliverNext(newEvent(0, h.lastJob, 0, queue.Inactive, "", step))
 		h.advance(baseEjectionPeriod)
 		has := func(statuses ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
 			return withNames(func(a *schema.WorkerHeartbeat) { a.Labels, a.Running = []string{"x"}, statuses })
 		}
 		only := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Labels: []string{"x"}}
-		sequence = h.scheduler.queues["l"].lastSequence
 		h.notified = nil
-		h.deliverEvents(false, sequence+1, newEvent(sequence+1, 900, 0, queue.CheckedOut, "a", only))
+		h.deliverNext(newEvent(0, 900, 0, queue.CheckedOut, "a", only))
 		runs := &schema.TaskStatus{Name: "j900", Attempt: 1, State: "running"}
 		h.sendHeartbeat("a", has(runs))
-		h.deliverEvents(false, sequence+2, newEvent(sequence+2, 901, 0, queue.Ready, "", only))
+		h.deliverNext(newEvent(0, 901, 0, queue.Ready, "", only))
 		h.sendHeartbeat("a", has(runs))
 		So(h.scheduler.workers["a"].isOnProbation, ShouldBeTrue)
 		So(h.placements(), ShouldBeEmpty)
@@ -181,10 +152,10 @@
 		So(len(h.placements()), ShouldEqual, 1)
 	})
 	Convey("Where a queue's tasks often fail by their own fault, a few failures in a row are no evidence against a worker", t, func() {
-		h := setUp()
+		h := newQualityHarness(4, step)
 		for k := uint64(1); k <= 65; k++ {
 			for _, id := range []string{"a", "b", "c"} {
-				finish(h, id, eventloop.Second)
+				h.finishTask(id, step, eventloop.Second)
 				if k%10 == 0 {
 					fail(h, id, 1000+k)
 				}
@@ -200,7 +171,7 @@
 		})
 	})
 	Convey("One task that fails again and again is no evidence against its worker", t, func() {
-		h := setUp()
+		h := newQualityHarness(4, step)
 		for k := uint32(1); k < 4; k++ {
 			h.sendHeartbeat("a", func(a *schema.WorkerHeartbeat) {
 				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: k, State: "failed"}}
--- a/internal/storage/repair_test.go
+++ b/internal/storage/repair_test.go
@@ -29,6 +29,8 @@
 	return group.Entries[len(group.Entries)-1].Index
 }
 
+const faultyRunLogLimit = 2000 // bytes
+
 // faultyRun is a run in which chosen disk operations fail, each commit is retried until
 // it succeeds, and power is lost at the end.
 type faultyRun struct {
@@ -38,9 +40,31 @@
 	failures     int
 }
 
-func (f *faultyRun) commit(k uint64) error {
+// newFaultyRun begins a run on an empty disk without faults.
+func newFaultyRun(t *testing.T) *faultyRun {
+	t.Helper()
+	run := &faultyRun{disk: sim.NewDisk()}
+	run.restart(t)
+	return run
+}
+
+// restart opens the store anew, with what the page cache holds.
+func (f *faultyRun) restart(t *testing.T) {
+	t.Helper()
+	store, err := storage.OpenWithLogLimit(f.disk, faultyRunLogLimit)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.store = store
+}
+
+// commit retries the k-th commit until it succeeds.
+func (f *faultyRun) commit(k uint64) error { return f.commitChanges(k, testBatch(k)) }
+
+// commitChanges retries a commit of these changes as the k-th until it succeeds.
+func (f *faultyRun) commitChanges(k uint64, changes []*schema.StoreChange) error {
 	for range 12 {
-		if err := f.store.Commit(testBatch(k)); err == nil {
+		if err := f.store.Commit(changes); err == nil {
 			f.acknowledged = k
 			return nil
 		}
@@ -53,7 +77,7 @@
 func (f *faultyRun) reopen(rng *rand.Rand, requested uint64) error {
 	f.disk.Fault = sim.DiskFault{}
 	f.disk.PowerCut(rng)
-	store, err := storage.OpenWithLogLimit(f.disk, 2000)
+	store, err := storage.OpenWithLogLimit(f.disk, faultyRunLogLimit)
 	if err != nil {
 		return err
 	}
@@ -70,12 +94,8 @@
 	failures := 0
 	for at := 1; at < 150; at++ {
 		for gap := range 6 {
-			disk := sim.NewDisk()
-			store, err := storage.OpenWithLogLimit(disk, 2000)
-			if err != nil {
-				t.Fatal(err)
-			}
-			run := &faultyRun{disk: disk, store: store}
+			run := newFaultyRun(t)
+			disk := run.disk
 			disk.Fault.FailAt = at
 			requested := uint64(0)
 			for k := uint64(1); k <= 40; k++ {
@@ -108,12 +128,8 @@
 func TestSyncAfterFailedSync(t *testing.T) {
 	for seed := uint64(0); seed < 40; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		disk := sim.NewDisk()
-		store, err := storage.OpenWithLogLimit(disk, 2000)
-		if err != nil {
-			t.Fatal(err)
-		}
-		run := &faultyRun{disk: disk, store: store}
+		run := newFaultyRun(t)
+		disk := run.disk
 		for k := uint64(1); k <= seed%9+1; k++ {
 			if err := run.commit(k); err != nil {
 				t.Fatal(err)
@@ -122,7 +138,7 @@
 		next := run.acknowledged + 1
 		disk.Fault.SyncFails = true
 		for range 3 {
-			if store.Commit(testBatch(next)) == nil {
+			if run.store.Commit(testBatch(next)) == nil {
 				t.Fatal("a batch was acknowledged though every sync fails")
 			}
 		}
@@ -130,9 +146,7 @@
 		// In this process, or in the next one, which reads from the page cache what the
 		// disk doesn't hold.
 		if seed%2 == 1 {
-			if run.store, err = storage.OpenWithLogLimit(disk, 2000); err != nil {
-				t.Fatal(err)
-			}
+			run.restart(t)
 			run.acknowledged = max(run.acknowledged, lastIndex(run.store))
 			next = run.acknowledged + 1
 		}
@@ -149,12 +163,8 @@
 // read, and once there is space the same commit is made, and only once.
 func TestFullDisk(t *testing.T) {
 	for seed := uint64(0); seed < 40; seed++ {
-		disk := sim.NewDisk()
-		store, err := storage.OpenWithLogLimit(disk, 2000)
-		if err != nil {
-			t.Fatal(err)
-		}
-		run := &faultyRun{disk: disk, store: store}
+		run := newFaultyRun(t)
+		disk := run.disk
 		for k := uint64(1); k <= seed+1; k++ {
 			if err := run.commit(k); err != nil {
 				t.Fatal(err)
@@ -162,22 +172,20 @@
 		}
 		disk.Fault.IsFull = true
 		for range 5 {
-			if store.Commit(testBatch(seed+2)) == nil {
+			if run.store.Commit(testBatch(seed+2)) == nil {
 				t.Fatal("a commit succeeded on a full disk")
 			}
-			if lastIndex(store) != seed+1 {
-				t.Fatalf("%d of %d durable entries can be read", lastIndex(store), seed+1)
+			if lastIndex(run.store) != seed+1 {
+				t.Fatalf("%d of %d durable entries can be read", lastIndex(run.store), seed+1)
 			}
 		}
 		if seed%3 == 0 {
 			// Restarted meanwhile: a store is opened only once its disk takes writes.
-			if _, err := storage.OpenWithLogLimit(disk, 2000); err == nil {
+			if _, err := storage.OpenWithLogLimit(disk, faultyRunLogLimit); err == nil {
 				t.Fatal("a store was opened on a disk that takes no writes")
 			}
 			disk.Fault.IsFull = false
-			if run.store, err = storage.OpenWithLogLimit(disk, 2000); err != nil {
-				t.Fatal(err)
-			}
+			run.restart(t)
 		}
 		disk.Fault.IsFull = false
 		for k := seed + 2; k < seed+6; k++ {
@@ -199,12 +207,8 @@
 // after a loss of power, all that followed in the old log would be lost.
 func TestFailedSlotSwitch(t *testing.T) {
 	for seed := uint64(0); seed < 40; seed++ {
-		disk := sim.NewDisk()
-		store, err := storage.OpenWithLogLimit(disk, 2000)
-		if err != nil {
-			t.Fatal(err)
-		}
-		run := &faultyRun{disk: disk, store: store}
+		run := newFaultyRun(t)
+		disk := run.disk
 		disk.Fault = sim.DiskFault{SyncFails: seed%2 == 0, IsFull: seed%2 == 1, Prefix: "slot-"}
 		requested := uint64(0)
 		for k := uint64(1); k <= 30+seed; k++ {
@@ -265,42 +269,28 @@
 // is kept until the next slot needs its space.
 func TestSpaceReservedForNextSlot(t *testing.T) {
 	for seed := uint64(0); seed < 20; seed++ {
-		disk := sim.NewDisk()
-		store, err := storage.OpenWithLogLimit(disk, 2000)
-		if err != nil {
-			t.Fatal(err)
-		}
-		run := &faultyRun{disk: disk, store: store}
+		run := newFaultyRun(t)
+		disk := run.disk
 		steady := func(k uint64) {
-			run.mustCommit(t, []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(k, 60)}, Snapshot: &schema.Snapshot{Index: max(k, 4) - 4}}})
-			run.acknowledged = k
+			changes := []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(k, 60)}, Snapshot: &schema.Snapshot{Index: max(k, 4) - 4}}}
+			if err := run.commitChanges(k, changes); err != nil {
+				t.Fatal(err)
+			}
 		}
 		k := uint64(1)
 		for ; k < 90+seed; k++ {
 			steady(k)
 		}
 		disk.Fault.Capacity = disk.Used()
-		slots := store.Stats().Slots
+		slots := run.store.Stats().Slots
 		for ; k < 400; k++ {
 			steady(k)
 		}
-		if store.Stats().Slots < slots+3 {
-			t.Fatalf("%d slots were written on a full disk", store.Stats().Slots-slots)
+		if run.store.Stats().Slots < slots+3 {
+			t.Fatalf("%d slots were written on a full disk", run.store.Stats().Slots-slots)
 		}
 		if err := run.reopen(rand.New(rand.NewPCG(seed, 4)), k); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
 }
-
-// mustCommit retries a commit until it succeeds.
-func (f *faultyRun) mustCommit(t *testing.T, changes []*schema.StoreChange) {
-	t.Helper()
-	for range 12 {
-		if f.store.Commit(changes) == nil {
-			return
-		}
-		f.failures++
-	}
-	t.Fatal("a commit never succeeded")
-}
