--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -11,6 +11,7 @@
 package controller
 
 import (
+	"maps"
 	"slices"
 
 	"sparnotch/internal/clusterstate"
@@ -162,12 +163,7 @@
 	if c.view == nil {
 		return nil
 	}
-	ids := make([]string, 0, len(c.view.Members))
-	for id := range c.view.Members {
-		ids = append(ids, id)
-	}
-	slices.Sort(ids)
-	return ids
+	return slices.Sorted(maps.Keys(c.view.Members))
 }
 
 // liveStorageNodes returns the ids of the live storage nodes, sorted.
--- a/internal/fakeworker/worker.go
+++ b/internal/fakeworker/worker.go
@@ -9,8 +9,10 @@
 package fakeworker
 
 import (
+	"cmp"
+	"maps"
 	"math/rand/v2"
-	"sort"
+	"slices"
 
 	"sparnotch/internal/checker"
 	"sparnotch/internal/eventloop"
@@ -126,28 +128,14 @@
 }
 
 func (w *Worker) sortedRuns() []*run {
-	list := make([]*run, 0, len(w.runs))
-	for _, r := range w.runs {
-		list = append(list, r)
-	}
-	sort.Slice(list, func(a, b int) bool { return lessKey(list[a].key, list[b].key) })
-	return list
+	return slices.SortedFunc(maps.Values(w.runs), func(a, b *run) int { return compareKeys(a.key, b.key) })
 }
 
-func lessKey(a, b runKey) bool {
-	if a.queue != b.queue {
-		return a.queue < b.queue
-	}
-	if a.job != b.job {
-		return a.job < b.job
-	}
-	if a.step != b.step {
-		return a.step < b.step
-	}
-	if a.task != b.task {
-		return a.task < b.task
-	}
-	return a.attempt < b.attempt
+func compareKeys(a, b runKey) int {
+	return cmp.Or(
+		cmp.Compare(a.queue, b.queue), cmp.Compare(a.job, b.job), cmp.Compare(a.step, b.step),
+		cmp.Compare(a.task, b.task), cmp.Compare(a.attempt, b.attempt),
+	)
 }
 
 // Tick ends the runs whose time is over, and all of them when the lease is over.
@@ -241,12 +229,7 @@
 }
 
 func sortedKeys[V any](set map[runKey]V) []runKey {
-	keys := make([]runKey, 0, len(set))
-	for k := range set {
-		keys = append(keys, k)
-	}
-	sort.Slice(keys, func(a, b int) bool { return lessKey(keys[a], keys[b]) })
-	return keys
+	return slices.SortedFunc(maps.Keys(set), compareKeys)
 }
 
 // HandleUnanswered takes the failure of a heartbeat: the next goes soon, to another
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -288,7 +288,3 @@
 		effects.Respond(m.RequestID, Response{Code: http.StatusOK, Body: []byte(`{"ready":true}`)})
 	}
 }
-
-func sortedKeys(keys map[string]bool) []string {
-	return slices.Sorted(maps.Keys(keys))
-}
--- a/internal/gateway/sessions.go
+++ b/internal/gateway/sessions.go
@@ -4,6 +4,8 @@
 // that the queue can tell resends from new ones.
 
 import (
+	"maps"
+	"slices"
 	"sort"
 	"strconv"
 
@@ -81,7 +83,7 @@
 			}
 		}
 	}
-	for _, queue := range sortedKeys(queues) {
+	for _, queue := range slices.Sorted(maps.Keys(queues)) {
 		effects.Send(g.target(now, queue), &schema.EndSessionsRequest{
 			Queue: queue, Gateways: []*schema.ExpiredGateway{{Gateway: g.id, Incarnation: g.incarnation}},
 		})
@@ -106,7 +108,7 @@
 			queues[queue] = true
 		}
 	}
-	for _, queue := range sortedKeys(queues) {
+	for _, queue := range slices.Sorted(maps.Keys(queues)) {
 		sessions := g.endedSessions[queue]
 		delete(g.endedSessions, queue)
 		sort.Slice(sessions, func(a, b int) bool { return sessions[a].Client < sessions[b].Client })
--- a/internal/gateway/submissions.go
+++ b/internal/gateway/submissions.go
@@ -4,7 +4,9 @@
 
 import (
 	"encoding/json"
+	"maps"
 	"net/http"
+	"slices"
 	"sort"
 	"strconv"
 
@@ -143,7 +145,7 @@
 
 // sendDueRedirects sends queues' submissions to leaders that became known since.
 func (g *Gateway) sendDueRedirects(now eventloop.Micros, effects eventloop.Effects) {
-	for _, queue := range sortedKeys(g.redirectDue) {
+	for _, queue := range slices.Sorted(maps.Keys(g.redirectDue)) {
 		delete(g.redirectDue, queue)
 		g.redirectedAt[queue] = now
 		if submissions := g.misrouted(queue); len(submissions) > 0 {
@@ -162,7 +164,7 @@
 		}
 	}
 	isOverdue := func(pending *submission) bool { return now-pending.sentAt >= resendInterval }
-	for _, queue := range sortedKeys(queues) {
+	for _, queue := range slices.Sorted(maps.Keys(queues)) {
 		if submissions := g.selectUnconfirmed(queue, isOverdue); len(submissions) > 0 {
 			g.clearLeader(now, queue)
 			g.sendSubmissions(now, queue, submissions, effects)
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -31,12 +31,17 @@
 func slotName(epoch uint64) string { return fmt.Sprint(slotPrefix, epoch%2) }
 func logName(epoch uint64) string  { return fmt.Sprint(logPrefix, epoch%2) }
 
-func encodeBlock(payload []byte, magic uint32) []byte {
+// encodeBlock encodes a message as the payload of a block.
+func encodeBlock(message proto.Message, magic uint32) ([]byte, error) {
+	payload, err := proto.Marshal(message)
+	if err != nil {
+		return nil, err
+	}
 	data := make([]byte, headerBytes, headerBytes+len(payload))
 	binary.BigEndian.PutUint32(data[0:], magic)
 	binary.BigEndian.PutUint32(data[4:], uint32(len(payload)))
 	binary.BigEndian.PutUint32(data[8:], crc32.Checksum(payload, crcTable))
-	return append(data, payload...)
+	return append(data, payload...), nil
 }
 
 // decodeBlock reads the block at the start of data; used are its bytes with the header.
@@ -55,14 +60,6 @@
 	return payload, headerBytes + int(length), true
 }
 
-func encodeFrame(frame *schema.LogFrame) ([]byte, error) {
-	payload, err := proto.Marshal(frame)
-	if err != nil {
-		return nil, err
-	}
-	return encodeBlock(payload, frameMagic), nil
-}
-
 // parseFrame reads the frame at the start of data; used are its bytes.
 func parseFrame(data []byte) (frame *schema.LogFrame, used int, ok bool) {
 	payload, used, ok := decodeBlock(data, frameMagic)
@@ -76,14 +73,6 @@
 	return frame, used, true
 }
 
-func encodeSlot(slot *schema.SnapshotSlot) ([]byte, error) {
-	payload, err := proto.Marshal(slot)
-	if err != nil {
-		return nil, err
-	}
-	return encodeBlock(payload, slotMagic), nil
-}
-
 // readFile returns nil for a file that doesn't exist.
 func readFile(disk Disk, name string) ([]byte, error) {
 	data, err := disk.Read(name)
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -157,7 +157,7 @@
 
 // appendFrame writes a frame to the log without syncing it.
 func (s *Store) appendFrame(changes []*schema.StoreChange) error {
-	data, err := encodeFrame(&schema.LogFrame{Epoch: s.epoch, Seq: s.lastSeq + 1, Synced: s.syncedSeq, Changes: changes})
+	data, err := encodeBlock(&schema.LogFrame{Epoch: s.epoch, Seq: s.lastSeq + 1, Synced: s.syncedSeq, Changes: changes}, frameMagic)
 	if err != nil {
 		return err
 	}
@@ -173,7 +173,7 @@
 // switchSlot writes the whole state into the other slot and starts its log.
 func (s *Store) switchSlot() error {
 	next := s.epoch + 1
-	data, err := encodeSlot(&schema.SnapshotSlot{Epoch: next, Changes: s.state.asChanges()})
+	data, err := encodeBlock(&schema.SnapshotSlot{Epoch: next, Changes: s.state.asChanges()}, slotMagic)
 	if err != nil {
 		return err
 	}
