--- a/cmd/sparnotch-bench/fleet_test.go
+++ b/cmd/sparnotch-bench/fleet_test.go
@@ -111,6 +111,20 @@
 	})
 }
 
+// callUntilAnswered calls a gateway node until the answer is final or the context ends.
+func callUntilAnswered(ctx context.Context, f *fleet, method, path, body string) (int32, *schema.Error) {
+	for ctx.Err() == nil {
+		code, data, err := f.balancer.call(ctx, 10*time.Second, method, f.gateways[4].httpAddress, path, []byte(body), "")
+		if err == nil && code != http.StatusServiceUnavailable && code != http.StatusGatewayTimeout {
+			failure := &schema.Error{}
+			_ = json.Unmarshal(data, failure)
+			return code, failure
+		}
+		sleep(ctx, 50*time.Millisecond)
+	}
+	return 0, &schema.Error{}
+}
+
 // TestBadInput checks what clients and operators get for invalid requests.
 func TestBadInput(t *testing.T) {
 	bin := buildPrograms(t)
@@ -123,20 +137,8 @@
 		defer cancel()
 		Reset(func() { So(f.stop(), ShouldBeTrue) })
 		So(f.start(ctx), ShouldBeNil)
-		gateway := f.gateways[4].httpAddress
 		call := func(method, path, body string) (int32, *schema.Error) {
-			for {
-				code, data, err := f.balancer.call(ctx, 10*time.Second, method, gateway, path, []byte(body), "")
-				if err == nil && code != http.StatusServiceUnavailable && code != http.StatusGatewayTimeout {
-					failure := &schema.Error{}
-					_ = json.Unmarshal(data, failure)
-					return code, failure
-				}
-				if ctx.Err() != nil {
-					return 0, &schema.Error{}
-				}
-				sleep(ctx, 50*time.Millisecond)
-			}
+			return callUntilAnswered(ctx, f, method, path, body)
 		}
 		// The configuration reaches the gateway nodes after a moment.
 		for ctx.Err() == nil {
--- a/internal/clusterstate/replace_model_test.go
+++ b/internal/clusterstate/replace_model_test.go
@@ -146,6 +146,14 @@
 	}
 }
 
+// drawSent draws an update that was sent before; without one the action is skipped.
+func (o *replaceModel) drawSent(t *rapid.T) *schema.ConfigurationUpdate {
+	if len(o.sent) == 0 {
+		t.Skip()
+	}
+	return rapid.SampledFrom(o.sent).Draw(t, "update")
+}
+
 // TestReplaceIsCompareAndSet: for any sequence of updates, with retries and restarts from
 // snapshots, the machine answers like a compare-and-set that remembers every update, or says
 // that it doesn't remember.
@@ -168,10 +176,7 @@
 				o.apply(t, &schema.ConfigurationUpdate{Version: max(1, base+draw(0, 3)), BaseVersion: base, Document: o.newDocument(), Rows: o.newRows()})
 			},
 			"the same version with other content": func(t *rapid.T) {
-				if len(o.sent) == 0 {
-					t.Skip()
-				}
-				other := proto.Clone(rapid.SampledFrom(o.sent).Draw(t, "update")).(*schema.ConfigurationUpdate)
+				other := proto.Clone(o.drawSent(t)).(*schema.ConfigurationUpdate)
 				if other.Version == 0 {
 					t.Skip()
 				}
@@ -188,10 +193,7 @@
 				o.apply(t, &schema.ConfigurationUpdate{Version: o.version + 1, BaseVersion: draw(o.version-min(o.version, 1), o.version+1), Document: o.newDocument(), Rows: []*schema.ConfigurationRow{row("queue", "x", "pool", "none")}})
 			},
 			"retried": func(t *rapid.T) {
-				if len(o.sent) == 0 {
-					t.Skip()
-				}
-				o.apply(t, rapid.SampledFrom(o.sent).Draw(t, "update"))
+				o.apply(t, o.drawSent(t))
 			},
 			"restart from the snapshot": func(t *rapid.T) {
 				restored, err := Restore(o.machine.Snapshot())
--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -11,6 +11,14 @@
 	"sparnotch/internal/schema"
 )
 
+// runningMembers are members that have sent a heartbeat at each tick since they started.
+type runningMembers map[string]membership.MemberStatus
+
+func (m runningMembers) add(id string, incarnation uint64, startedAt, lastHeard eventloop.Micros) {
+	heartbeat := uint64((lastHeard - startedAt) / membership.TickInterval)
+	m[id] = membership.MemberStatus{Member: &schema.Member{Id: id, Incarnation: incarnation, Heartbeat: heartbeat, HasStorage: true, Role: schema.Role_ROLE_SERVER}, LastHeard: lastHeard}
+}
+
 func TestLostStorageNodes(t *testing.T) {
 	// replaceDelay returns how long after "c" becomes unresponsive "d", which starts so long after
 	// that in its given incarnation (0: never), becomes a learner; 0: it doesn't.
@@ -26,20 +34,16 @@
 		}
 		for f.now < failedAt+10*eventloop.Second && len(f.memberChanges) == 0 {
 			f.now += TickInterval
-			view := &membership.View{Members: map[string]membership.MemberStatus{}}
-			add := func(id string, incarnation uint64, startedAt, lastHeard eventloop.Micros) {
-				heartbeat := uint64((lastHeard - startedAt) / membership.TickInterval)
-				view.Members[id] = membership.MemberStatus{Member: &schema.Member{Id: id, Incarnation: incarnation, Heartbeat: heartbeat, HasStorage: true, Role: schema.Role_ROLE_SERVER}, LastHeard: lastHeard}
-			}
-			add("a", 1, startedAt, f.now)
-			add("b", 1, startedAt, f.now)
+			members := runningMembers{}
+			members.add("a", 1, startedAt, f.now)
+			members.add("b", 1, startedAt, f.now)
 			if !isForgotten || f.now <= failedAt {
-				add("c", 1, startedAt, min(failedAt, f.now))
+				members.add("c", 1, startedAt, min(failedAt, f.now))
 			}
 			if incarnation > 0 && f.now > failedAt+startDelay {
-				add("d", incarnation, failedAt+startDelay, f.now)
+				members.add("d", incarnation, failedAt+startDelay, f.now)
 			}
-			f.controller.Step(f.now, eventloop.Message{Body: view}, f)
+			f.controller.Step(f.now, eventloop.Message{Body: &membership.View{Members: members}}, f)
 			// Until it gets the replies to its claims it isn't the controller.
 			if isController || f.now > failedAt+2*eventloop.Second {
 				for _, reply := range f.replies {
--- a/internal/httpcall/client_test.go
+++ b/internal/httpcall/client_test.go
@@ -68,6 +68,26 @@
 	So(arrivalCount(server, text), ShouldEqual, 1)
 }
 
+// checkSentOnce sends a request whose connection ends before the response is complete; on
+// a reused connection another request came before.
+func checkSentOnce(failure standin.Behaviour, isReused bool) {
+	var before []standin.Behaviour
+	if isReused {
+		before = append(before, standin.Respond)
+	}
+	server := serve(scripted(append(before, failure)...))
+	client := New(testLimits)
+	Reset(func() { client.Close(); server.Close() })
+	if isReused {
+		mustRespond(client, server, "request before")
+	}
+	_, err := client.Do(context.Background(), post(server, "request that fails"))
+	So(errorx.IsOfType(err, Unanswered), ShouldBeTrue)
+	mustRespond(client, server, "request after")
+	So(len(server.Arrivals()), ShouldEqual, len(before)+2)
+	So(server.Connections(), ShouldEqual, 2)
+}
+
 func TestRequestIsSentOnce(t *testing.T) {
 	for _, each := range []struct {
 		name      string
@@ -80,21 +100,7 @@
 		for _, isReused := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, on a used connection: %v", each.name, isReused), func(t *testing.T) {
 				Convey("The request arrives once and gets no response, and the next one is on another connection", t, func() {
-					var before []standin.Behaviour
-					if isReused {
-						before = append(before, standin.Respond)
-					}
-					server := serve(scripted(append(before, each.behaviour)...))
-					client := New(testLimits)
-					Reset(func() { client.Close(); server.Close() })
-					if isReused {
-						mustRespond(client, server, "request before")
-					}
-					_, err := client.Do(context.Background(), post(server, "request that fails"))
-					So(errorx.IsOfType(err, Unanswered), ShouldBeTrue)
-					mustRespond(client, server, "request after")
-					So(len(server.Arrivals()), ShouldEqual, len(before)+2)
-					So(server.Connections(), ShouldEqual, 2)
+					checkSentOnce(each.behaviour, isReused)
 				})
 			})
 		}
--- a/internal/membership/bootstrap_test.go
+++ b/internal/membership/bootstrap_test.go
@@ -10,22 +10,81 @@
 	"sparnotch/internal/schema"
 )
 
+// never is the deadline of a cluster that mustn't be bootstrapped.
+const never eventloop.Micros = -1
+
+// bootstrapCase is a cluster that starts for the first time.
+type bootstrapCase struct {
+	name            string
+	shape           string
+	bootstrap       bool
+	machineFailures uint32
+	loss            float64          // of messages in the first 4 s
+	maxDelay        eventloop.Micros // of a message
+	startWithin     eventloop.Micros // all start in this period
+	lastStartDelay  eventloop.Micros // the last storage node starts so much later
+	restarts        int              // of any process in the first 3 s
+	voters          int              // 0: depends on the seed
+	deadline        eventloop.Micros // bootstrapped so long after the start; never: not at all
+}
+
+// run starts the cluster and runs it until some time after the bootstrap.
+func (c *bootstrapCase) run(seed uint64) *network {
+	n := newNetwork(seed)
+	n.loss, n.lossEnd, n.maxDelay = c.loss, 5*eventloop.Second, c.maxDelay
+	n.addHosts(c.shape, c.bootstrap, c.machineFailures)
+	var storageNodes []*host
+	for _, h := range n.hosts {
+		if h.hasDisk {
+			storageNodes = append(storageNodes, h)
+		}
+	}
+	storageNodes[len(storageNodes)-1].startDelay = c.lastStartDelay
+	n.startAll(c.startWithin)
+	for range c.restarts {
+		n.restartAnyHost()
+	}
+	// Messages still in flight after the bootstrap could do harm, so it runs on for a while.
+	for end := eventloop.Second + max(c.deadline, 8*eventloop.Second); n.now < end && (n.bootstrappedAt == 0 || !n.isBootstrapped() || n.now < n.bootstrappedAt+3*eventloop.Second); {
+		n.runTo(n.now + 250*eventloop.Millisecond)
+	}
+	return n
+}
+
+// violation says what is wrong after a run; empty: nothing is.
+func (c *bootstrapCase) violation(n *network) string {
+	if c.deadline == never {
+		if len(n.votes) != 0 {
+			return fmt.Sprintf("votes %v", n.votes)
+		}
+		return ""
+	}
+	succeeded := len(n.votes) == 1 && n.isBootstrapped() && (c.voters == 0 || n.voterCount() == c.voters)
+	if !succeeded || n.bootstrappedAt-eventloop.Second > c.deadline {
+		return fmt.Sprintf("votes %v, bootstrapped %v after %d us", n.votes, n.bootstrapped, n.bootstrappedAt-eventloop.Second)
+	}
+	return ""
+}
+
+// restartAnyHost stops a host within 3 s and starts it again within 500 ms.
+func (n *network) restartAnyHost() {
+	h := n.hosts[n.rng.IntN(len(n.hosts))]
+	n.after(n.randomDelay(3*eventloop.Second), func() {
+		if h.incarnation == 0 {
+			return
+		}
+		h.stop()
+		n.after(n.randomDelay(500*eventloop.Millisecond), func() {
+			if h.incarnation == 0 {
+				h.start()
+			}
+		})
+	})
+}
+
 func TestBootstrap(t *testing.T) {
 	const rounds = 40
-	never := eventloop.Micros(-1)
-	for _, test := range []struct {
-		name            string
-		shape           string
-		bootstrap       bool
-		machineFailures uint32
-		loss            float64          // of messages in the first 4 s
-		maxDelay        eventloop.Micros // of a message
-		startWithin     eventloop.Micros // all start in this period
-		lastStartDelay  eventloop.Micros // the last storage node starts so much later
-		restarts        int              // of any process in the first 3 s
-		voters          int              // 0: depends on the seed
-		deadline        eventloop.Micros // bootstrapped so long after the start; never: not at all
-	}{
+	for _, test := range []bootstrapCase{
 		{name: "three storage nodes, each other's seeds, implicit", shape: "sssfhh", maxDelay: 20 * eventloop.Millisecond, startWithin: 100 * eventloop.Millisecond, voters: 3, deadline: 2 * eventloop.Second},
 		{name: "a spare storage node beside them", shape: "sssSfhh", maxDelay: 20 * eventloop.Millisecond, startWithin: 100 * eventloop.Millisecond, voters: 3, deadline: 2 * eventloop.Second},
 		{name: "two seeds, implicit", shape: "ssfh", maxDelay: 20 * eventloop.Millisecond, startWithin: 100 * eventloop.Millisecond, voters: 2, deadline: 2 * eventloop.Second},
@@ -47,45 +106,11 @@
 		Convey(test.name, t, func() {
 			var slowest eventloop.Micros
 			for seed := range uint64(rounds) {
-				n := newNetwork(seed)
-				n.loss, n.lossEnd, n.maxDelay = test.loss, 5*eventloop.Second, test.maxDelay
-				n.addHosts(test.shape, test.bootstrap, test.machineFailures)
-				var storageNodes []*host
-				for _, h := range n.hosts {
-					if h.hasDisk {
-						storageNodes = append(storageNodes, h)
-					}
-				}
-				storageNodes[len(storageNodes)-1].startDelay = test.lastStartDelay
-				n.startAll(test.startWithin)
-				for range test.restarts {
-					h := n.hosts[n.rng.IntN(len(n.hosts))]
-					n.after(n.randomDelay(3*eventloop.Second), func() {
-						if h.incarnation > 0 {
-							h.stop()
-							n.after(n.randomDelay(500*eventloop.Millisecond), func() {
-								if h.incarnation == 0 {
-									h.start()
-								}
-							})
-						}
-					})
-				}
-				// Messages still in flight after the bootstrap could do harm, so it runs on for a while.
-				for end := eventloop.Second + max(test.deadline, 8*eventloop.Second); n.now < end && (n.bootstrappedAt == 0 || !n.isBootstrapped() || n.now < n.bootstrappedAt+3*eventloop.Second); {
-					n.runTo(n.now + 250*eventloop.Millisecond)
-				}
-				if test.deadline == never {
-					if len(n.votes) != 0 {
-						So(fmt.Sprintf("seed %d: votes %v", seed, n.votes), ShouldEqual, "")
-					}
-					continue
+				n := test.run(seed)
+				if violation := test.violation(n); violation != "" {
+					So(fmt.Sprintf("seed %d: %s", seed, violation), ShouldEqual, "")
 				}
 				slowest = max(slowest, n.bootstrappedAt-eventloop.Second)
-				succeeded := len(n.votes) == 1 && n.isBootstrapped() && (test.voters == 0 || n.voterCount() == test.voters)
-				if !succeeded || n.bootstrappedAt-eventloop.Second > test.deadline {
-					So(fmt.Sprintf("seed %d: votes %v, bootstrapped %v after %d us", seed, n.votes, n.bootstrapped, n.bootstrappedAt-eventloop.Second), ShouldEqual, "")
-				}
 			}
 			t.Logf("%s: bootstrapped after %d ms at the latest", test.name, slowest/eventloop.Millisecond)
 		})
--- a/internal/membership/seeds_test.go
+++ b/internal/membership/seeds_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/rand/v2"
+	"slices"
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
@@ -36,11 +37,7 @@
 			seeds := n.hosts[0].config.Seeds
 			var currentSeeds []string // of settings that are written now
 			for _, h := range n.hosts {
-				isSeed := false
-				for _, address := range seeds {
-					isSeed = isSeed || h.address == address
-				}
-				if isSeed {
+				if slices.Contains(seeds, h.address) {
 					h.stop()
 				} else if h.hasDisk {
 					currentSeeds = append(currentSeeds, h.address)
--- a/internal/membership/topology_test.go
+++ b/internal/membership/topology_test.go
@@ -20,6 +20,27 @@
 	return zoneByID, regionByZone
 }
 
+// checkSelectedVoters selects voters from storage nodes, given by zone, which tolerate the
+// wanted failures just if that is possible.
+func checkSelectedVoters(tolerance FaultTolerance, zoneByID map[string]string, isTolerable bool) {
+	var all, chosen []string
+	for _, zone := range zoneByID {
+		all = append(all, zone)
+	}
+	for _, id := range tolerance.SelectVoters(zoneByID, tolerance.Voters()) {
+		chosen = append(chosen, zoneByID[id])
+	}
+	So(chosen, ShouldHaveLength, tolerance.Voters())
+	So(tolerance.ExcessVoters(chosen) == 0, ShouldEqual, isTolerable)
+	So(tolerance.Shortfall(all) == "", ShouldEqual, isTolerable)
+	machines, inZones, inRegions := tolerance.TolerableFailures(chosen, chosen)
+	So(machines, ShouldBeGreaterThanOrEqualTo, tolerance.Machines)
+	if isTolerable {
+		So(inZones, ShouldBeGreaterThanOrEqualTo, tolerance.Zones)
+		So(inRegions, ShouldBeGreaterThanOrEqualTo, tolerance.Regions)
+	}
+}
+
 func TestVoterSpread(t *testing.T) {
 	for _, zones := range []int{3, 4, 6} {
 		for _, regions := range []int{1, 2, 3} {
@@ -30,23 +51,8 @@
 					{Machines: 1, Regions: 1}, {Machines: 2, Zones: 1, Regions: 1},
 				} {
 					tolerance.RegionByZone = regionByZone
-					var all, chosen []string
-					for _, zone := range zoneByID {
-						all = append(all, zone)
-					}
-					for _, id := range tolerance.SelectVoters(zoneByID, tolerance.Voters()) {
-						chosen = append(chosen, zoneByID[id])
-					}
-					So(chosen, ShouldHaveLength, tolerance.Voters())
 					isTolerable := zones > 2*tolerance.Zones && (tolerance.Regions == 0 || regions > 2*tolerance.Regions)
-					So(tolerance.ExcessVoters(chosen) == 0, ShouldEqual, isTolerable)
-					So(tolerance.Shortfall(all) == "", ShouldEqual, isTolerable)
-					machines, inZones, inRegions := tolerance.TolerableFailures(chosen, chosen)
-					So(machines, ShouldBeGreaterThanOrEqualTo, tolerance.Machines)
-					if isTolerable {
-						So(inZones, ShouldBeGreaterThanOrEqualTo, tolerance.Zones)
-						So(inRegions, ShouldBeGreaterThanOrEqualTo, tolerance.Regions)
-					}
+					checkSelectedVoters(tolerance, zoneByID, isTolerable)
 				}
 			})
 		}
--- a/internal/raft/replication_test.go
+++ b/internal/raft/replication_test.go
@@ -86,6 +86,50 @@
 	})
 }
 
+// changeFaults draws what happens next: a crash, the restart of all that are down, a
+// one-way partition, the end of the partition, or nothing.
+func (r *cluster) changeFaults() {
+	switch r.rng.IntN(6) {
+	case 0:
+		id := ids[r.rng.IntN(3)]
+		r.down[id] = true
+	case 1, 2:
+		r.startStopped()
+	case 3:
+		a, b := ids[r.rng.IntN(3)], ids[r.rng.IntN(3)]
+		r.blocked = func(from, to string) bool { return from == a && to == b }
+	case 4:
+		r.heal()
+	}
+}
+
+// startStopped starts the replicas that are down.
+func (r *cluster) startStopped() {
+	for _, id := range ids {
+		if r.down[id] {
+			r.start(id)
+		}
+	}
+}
+
+// longestApplied returns the longest sequence that was ever applied; before is that so
+// far. The error says which replica has applied another one.
+func (r *cluster) longestApplied(before []string) ([]string, error) {
+	longest := before
+	for _, id := range ids {
+		got := r.applied[id]
+		for i := 0; i < min(len(got), len(longest)); i++ {
+			if got[i] != longest[i] {
+				return nil, fmt.Errorf("%s applied %q at %d, where %q had been applied", id, got[i], i, longest[i])
+			}
+		}
+		if len(got) > len(longest) {
+			longest = append([]string{}, got...)
+		}
+	}
+	return longest, nil
+}
+
 // TestRandomHistories: under crashes, partitions and loss all replicas apply the same
 // sequence, and none loses what it applied.
 func TestRandomHistories(t *testing.T) {
@@ -95,42 +139,16 @@
 		longest := []string{}
 		for k := 0; k < 60; k++ {
 			r.propose(fmt.Sprint(k))
-			switch r.rng.IntN(6) {
-			case 0:
-				id := ids[r.rng.IntN(3)]
-				r.down[id] = true
-			case 1, 2:
-				for _, id := range ids {
-					if r.down[id] {
-						r.start(id)
-					}
-				}
-			case 3:
-				a, b := ids[r.rng.IntN(3)], ids[r.rng.IntN(3)]
-				r.blocked = func(from, to string) bool { return from == a && to == b }
-			case 4:
-				r.heal()
-			}
+			r.changeFaults()
 			r.run(eventloop.Micros(r.rng.Int64N(int64(eventloop.Second))))
-			for _, id := range ids {
-				got := r.applied[id]
-				for i := 0; i < min(len(got), len(longest)); i++ {
-					if got[i] != longest[i] {
-						t.Fatalf("seed %d: %s applied %q at %d, where %q had been applied", seed, id, got[i], i, longest[i])
-					}
-				}
-				if len(got) > len(longest) {
-					longest = append([]string{}, got...)
-				}
+			var err error
+			if longest, err = r.longestApplied(longest); err != nil {
+				t.Fatalf("seed %d: %v", seed, err)
 			}
 		}
 		r.heal()
 		r.lossRate = 0
-		for _, id := range ids {
-			if r.down[id] {
-				r.start(id)
-			}
-		}
+		r.startStopped()
 		r.run(8 * eventloop.Second)
 		if len(longest) == 0 {
 			t.Fatalf("seed %d: nothing was applied", seed)
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -10,81 +10,106 @@
 	"sparnotch/internal/schema"
 )
 
+// startBenchmark drives a scheduler whose workers are full, in steps of 1 ms.
+type startBenchmark struct {
+	*harness
+	workers        []string
+	shapes         int // of the tasks, that differ in their memory
+	specs          int // made so far
+	sequence       uint64
+	running, ended map[string][]*schema.TaskStatus // by worker
+}
+
+func newStartBenchmark(workers, shapes, queues int) *startBenchmark {
+	s := &startBenchmark{shapes: shapes, running: map[string][]*schema.TaskStatus{}, ended: map[string][]*schema.TaskStatus{}}
+	for k := range workers {
+		s.workers = append(s.workers, fmt.Sprintf("w%02d", k))
+	}
+	s.harness = newHarness(s.workers...)
+	s.lastJob = 0
+	for _, worker := range s.workers {
+		s.reportRuns(worker)
+		s.reportRuns(worker)
+	}
+	s.deliverEvents(true, 0)
+	for k := 1; k < queues; k++ {
+		s.deliver(replica.TaskEvents{Queue: fmt.Sprint("idle", k), Group: fmt.Sprint("idle", k, "#1"), Term: 1, IsSnapshot: true})
+	}
+	return s
+}
+
+func (s *startBenchmark) reportRuns(worker string) {
+	s.sendHeartbeat(worker, func(a *schema.WorkerHeartbeat) {
+		a.TasksByName, a.Running, a.Ended = true, s.running[worker], s.ended[worker]
+	})
+}
+
+func (s *startBenchmark) deliverEvent(job uint64, status queue.Status, worker string) {
+	s.specs++
+	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, MemoryMb: int64(10 + s.specs%s.shapes)}
+	s.sequence++
+	s.deliverEvents(false, s.sequence, newEvent(s.sequence, job, 0, status, worker, step))
+}
+
+func (s *startBenchmark) addReadyTask() {
+	s.lastJob++
+	s.deliverEvent(s.lastJob, queue.Ready, "")
+}
+
+// commit plays the queue's leader: it commits what the scheduler has proposed or reported.
+func (s *startBenchmark) commit(notified any) {
+	switch m := notified.(type) {
+	case replica.Propose:
+		for _, placement := range m.Command.GetCheckout().GetPlacements() {
+			s.deliverEvent(placement.Key.Job, queue.CheckedOut, placement.Worker)
+			s.running[placement.Worker] = append(s.running[placement.Worker], &schema.TaskStatus{Name: fmt.Sprint("j", placement.Key.Job), Attempt: 1, State: "running"})
+			s.reportRuns(placement.Worker)
+		}
+	case replica.TaskEnded:
+		s.deliverEvent(m.End.Key.Job, queue.Inactive, "")
+		s.deliver(&schema.TaskEndAck{Queue: "l", Key: m.End.Key, Attempt: m.End.Attempt, Worker: m.End.Worker})
+		s.ended[m.End.Worker] = nil
+		s.reportRuns(m.End.Worker)
+	}
+}
+
+// step adds one task, commits what that leads to, and ends a task of the k-th worker.
+func (s *startBenchmark) step(k int) {
+	s.addReadyTask()
+	notified := s.notified
+	s.notified = nil
+	for _, body := range notified {
+		s.commit(body)
+	}
+	s.replies = s.replies[:0]
+	worker := s.workers[k%len(s.workers)]
+	if list := s.running[worker]; len(list) > 0 {
+		s.running[worker], s.ended[worker] = list[1:], append(s.ended[worker], list[0])
+	}
+	s.ended[worker] = s.ended[worker][:len(s.ended[worker]):len(s.ended[worker])]
+	s.reportRuns(worker)
+	s.now += eventloop.Millisecond
+	if k%20 == 0 {
+		s.confirmLeadership(true)
+		s.deliver(eventloop.Tick{})
+	}
+}
+
 // BenchmarkStart measures one task from its event to its acknowledged end, on 40
 // full workers and with a backlog.
 func BenchmarkStart(b *testing.B) {
 	for _, size := range []struct{ backlog, shapes, queues int }{{0, 1, 1}, {0, 1, 50}, {2000, 1, 1}, {4000, 400, 1}} {
-		backlog, shapes := size.backlog, size.shapes
-		b.Run(fmt.Sprint("backlog ", backlog, " of ", shapes, " queues ", size.queues), func(b *testing.B) {
-			var ids []string
-			for k := 0; k < 40; k++ {
-				ids = append(ids, fmt.Sprintf("w%02d", k))
-			}
-			h := newHarness(ids...)
-			made := 0
-			spec := func() *schema.Step {
-				made++
-				return &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, MemoryMb: int64(10 + made%shapes)}
-			}
-			running := map[string][]*schema.TaskStatus{}
-			ended := map[string][]*schema.TaskStatus{}
-			sendHeartbeats := func(id string) {
-				h.sendHeartbeat(id, func(a *schema.WorkerHeartbeat) { a.TasksByName, a.Running, a.Ended = true, running[id], ended[id] })
-			}
-			for _, id := range ids {
-				sendHeartbeats(id)
-				sendHeartbeats(id)
-			}
-			h.deliverEvents(true, 0)
-			for k := 1; k < size.queues; k++ {
-				h.deliver(replica.TaskEvents{Queue: fmt.Sprint("idle", k), Group: fmt.Sprint("idle", k, "#1"), Term: 1, IsSnapshot: true})
-			}
-			sequence, job := uint64(0), uint64(0)
-			ready := func() {
-				job++
-				sequence++
-				h.deliverEvents(false, sequence, newEvent(sequence, job, 0, queue.Ready, "", spec()))
-			}
-			for k := 0; k < 300+backlog; k++ {
-				ready()
+		b.Run(fmt.Sprint("backlog ", size.backlog, " of ", size.shapes, " queues ", size.queues), func(b *testing.B) {
+			s := newStartBenchmark(40, size.shapes, size.queues)
+			for k := 0; k < 300+size.backlog; k++ {
+				s.addReadyTask()
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for k := 0; k < b.N; k++ {
-				ready()
-				tells := h.notified
-				h.notified = nil
-				for _, tell := range tells {
-					switch m := tell.(type) {
-					case replica.Propose:
-						for _, placement := range m.Command.GetCheckout().GetPlacements() {
-							sequence++
-							h.deliverEvents(false, sequence, newEvent(sequence, placement.Key.Job, 0, queue.CheckedOut, placement.Worker, spec()))
-							running[placement.Worker] = append(running[placement.Worker], &schema.TaskStatus{Name: fmt.Sprint("j", placement.Key.Job), Attempt: 1, State: "running"})
-							sendHeartbeats(placement.Worker)
-						}
-					case replica.TaskEnded:
-						sequence++
-						h.deliverEvents(false, sequence, newEvent(sequence, m.End.Key.Job, 0, queue.Inactive, "", spec()))
-						h.deliver(&schema.TaskEndAck{Queue: "l", Key: m.End.Key, Attempt: m.End.Attempt, Worker: m.End.Worker})
-						ended[m.End.Worker] = nil
-						sendHeartbeats(m.End.Worker)
-					}
-				}
-				h.replies = h.replies[:0]
-				id := ids[k%len(ids)]
-				if list := running[id]; len(list) > 0 {
-					running[id], ended[id] = list[1:], append(ended[id], list[0])
-				}
-				ended[id] = ended[id][:len(ended[id]):len(ended[id])]
-				sendHeartbeats(id)
-				h.now += eventloop.Millisecond
-				if k%20 == 0 {
-					h.confirmLeadership(true)
-					h.deliver(eventloop.Tick{})
-				}
+				s.step(k)
 			}
-			b.ReportMetric(float64(h.scheduler.counts.Starts)/float64(b.N), "starts/op")
+			b.ReportMetric(float64(s.scheduler.counts.Starts)/float64(b.N), "starts/op")
 		})
 	}
 }
