--- a/cmd/sparnotch-bench/simulate.go
+++ b/cmd/sparnotch-bench/simulate.go
@@ -111,7 +111,7 @@
 
 // allScenarios lists the scenarios that can be run by name.
 func allScenarios(size sim.FleetSpec) []sim.Scenario {
-	return slices.Concat(sim.ScenariosFor(size), sim.LossScenarios)
+	return slices.Concat(sim.ScenariosFor(size), sim.GangScenarios)
 }
 
 // playFaults runs the schedule that the flags give.
--- a/cmd/sparnotchctl/datadir.go
+++ b/cmd/sparnotchctl/datadir.go
@@ -227,7 +227,7 @@
 	if e := command.GetEnqueue(); e != nil && c.isShown(e.Name) {
 		lines = append(lines, fmt.Sprintf("  %s, number %d of %s", e.Name, e.Number, e.Session.GetClient()))
 	}
-	for _, outcome := range effects.Outcomes {
+	for _, outcome := range effects.SubmitResults {
 		if view := outcome.View; view != nil && c.isShown(view.Name) {
 			lines = append(lines, fmt.Sprintf("  %s answered %d, %s", view.Name, outcome.Code, view.State))
 		}
--- a/internal/mutation/replace_mutants.go
+++ b/internal/mutation/replace_mutants.go
@@ -25,7 +25,7 @@
 	{Guard: "the configuration is read through its leader", Rule: 11, Test: "internal/sim TestReplaceIsLinearizable", Edits: []Edit{{"internal/replica",
 		"	if r == nil || !r.group.IsLeader() || r.group.Transferee() != \"\" {\n		effects.Send(from, &schema.Response{Id: m.Id, Group: m.Group, Leader: currentLeader(r)})",
 		"	if r != nil && m.Kind == \"plan\" {\n		h.reply(pendingReply{from: from, request: m}, 200, configurationJSON(h.clusterState.Configuration()), effects)\n		return\n	}\n	if r == nil || !r.group.IsLeader() || r.group.Transferee() != \"\" {\n		effects.Send(from, &schema.Response{Id: m.Id, Group: m.Group, Leader: currentLeader(r)})"}}},
-	{Guard: "a new leader reads when it has committed in its own term", Rule: 11, Test: "internal/sim TestReadsOfANewLeader", Edits: []Edit{{"internal/raft",
+	{Guard: "a new leader reads when it has committed in its own term", Rule: 11, Test: "internal/sim TestReadsOfNewLeader", Edits: []Edit{{"internal/raft",
 		"	if g.role != leader || g.commit < g.noOpIndex {\n		return g.notLeader()", "	if g.role != leader {\n		return g.notLeader()"}}},
 	{Guard: "no two incarnations share a request ID", Rule: 11, Test: "internal/process TestRequestIDsAcrossIncarnations", Edits: []Edit{{"internal/process",
 		"	n.lastRequestID.Store(n.Member.Incarnation << incarnationShift)\n", ""}}},
--- a/internal/queue/enqueue.go
+++ b/internal/queue/enqueue.go
@@ -14,7 +14,7 @@
 	if _, isExpired := m.expiredGateways[gatewayKey{key.gateway, key.incarnation}]; isExpired {
 		// Its callers have gone to other gateways. What it still sends may have been
 		// submitted there, run, and been forgotten since.
-		m.effects.Outcomes = append(m.effects.Outcomes, &schema.SubmitResult{Session: e.Session, Number: e.Number, Code: http.StatusGone})
+		m.effects.SubmitResults = append(m.effects.SubmitResults, &schema.SubmitResult{Session: e.Session, Number: e.Number, Code: http.StatusGone})
 		return
 	}
 	s := m.sessions[key]
@@ -76,7 +76,7 @@
 	} else {
 		result.View, _ = m.JobView(e.Name)
 	}
-	m.effects.Outcomes = append(m.effects.Outcomes, result)
+	m.effects.SubmitResults = append(m.effects.SubmitResults, result)
 }
 
 // admitJob adds a job, unless its name is taken. index is that of the entry with the
--- a/internal/queue/enqueue_test.go
+++ b/internal/queue/enqueue_test.go
@@ -11,30 +11,30 @@
 func TestSessions(t *testing.T) {
 	Convey("Numbers above the next one are held until the gap is filled, and admitted in order", t, func() {
 		h := newHarness()
-		So(len(h.enqueue("c", 3, "three", simpleJob(1)).Outcomes), ShouldEqual, 0)
-		So(len(h.enqueue("c", 2, "two", simpleJob(1)).Outcomes), ShouldEqual, 0)
+		So(len(h.enqueue("c", 3, "three", simpleJob(1)).SubmitResults), ShouldEqual, 0)
+		So(len(h.enqueue("c", 2, "two", simpleJob(1)).SubmitResults), ShouldEqual, 0)
 		effects := h.enqueue("c", 1, "one", simpleJob(1))
-		So(len(effects.Outcomes), ShouldEqual, 3)
-		for k, outcome := range effects.Outcomes {
+		So(len(effects.SubmitResults), ShouldEqual, 3)
+		for k, outcome := range effects.SubmitResults {
 			So(outcome.Number, ShouldEqual, uint64(k+1))
 			So(outcome.Code, ShouldEqual, 201)
 		}
 		Convey("a number that is sent again is answered again and runs nothing twice", func() {
 			effects := h.enqueue("c", 2, "two", simpleJob(1))
-			So(effects.Outcomes[0].Code, ShouldEqual, 200)
+			So(effects.SubmitResults[0].Code, ShouldEqual, 200)
 			So(h.machine.LiveJobs(), ShouldEqual, 3)
 		})
 		Convey("the same name with other content is rejected, from any session", func() {
 			other := simpleJob(1)
 			other.Text = "other"
-			So(h.enqueue("d", 1, "two", other).Outcomes[0].Code, ShouldEqual, 409)
-			So(h.enqueue("d", 2, "two", simpleJob(1)).Outcomes[0].Code, ShouldEqual, 200)
+			So(h.enqueue("d", 1, "two", other).SubmitResults[0].Code, ShouldEqual, 409)
+			So(h.enqueue("d", 2, "two", simpleJob(1)).SubmitResults[0].Code, ShouldEqual, 200)
 			So(h.machine.LiveJobs(), ShouldEqual, 3)
 		})
 		Convey("an expired gateway can't submit again what was forgotten", func() {
 			h.enqueue("c", 9, "late", simpleJob(1))
 			h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_EndSessions{EndSessions: &schema.EndSessions{Gateways: []*schema.ExpiredGateway{{Gateway: "i", Incarnation: 1}}}}})
-			So(h.enqueue("c", 4, "four", simpleJob(1)).Outcomes[0].Code, ShouldEqual, 410)
+			So(h.enqueue("c", 4, "four", simpleJob(1)).SubmitResults[0].Code, ShouldEqual, 410)
 			So(h.state("four"), ShouldEqual, "unknown")
 			So(h.state("late"), ShouldEqual, "unknown")
 		})
@@ -50,7 +50,7 @@
 		h.settle(key(1, 0, 0), 1)
 		So(h.state("one"), ShouldEqual, "complete")
 		h.now += DefaultRetentionUs - 1
-		So(h.enqueue("c", 2, "one", simpleJob(1)).Outcomes[0].Code, ShouldEqual, 200)
+		So(h.enqueue("c", 2, "one", simpleJob(1)).SubmitResults[0].Code, ShouldEqual, 200)
 		So(h.machine.LiveJobs(), ShouldEqual, 0)
 		h.now++
 		h.tick()
--- a/internal/queue/events.go
+++ b/internal/queue/events.go
@@ -21,7 +21,7 @@
 	StepInRound   uint32
 	Spec          *schema.Step
 	Text          string // of the job
-	Progress      string // the latest checkpoint, for the next start
+	Checkpoint    string // the latest checkpoint, for the next start
 	Failures      uint32 // counted so far, of the task or its whole gang
 	IsGangStarted bool
 	RoundAgeUs    int64      // since the round was due
@@ -56,7 +56,7 @@
 		Sequence: sequence, Key: schema.TaskKey{Job: j.id, Step: uint32(s), Task: uint32(t)}, Status: j.status(s, t),
 		Attempt: task.attempt, Worker: task.worker, Incarnation: task.incarnation,
 		Name: j.name, JobOrder: j.id, Round: uint32(s / perRound), StepInRound: uint32(s % perRound), Spec: j.step(s), Text: j.spec.Text,
-		Progress: account.checkpoint, Failures: account.failures, IsGangStarted: task.isGangStarted,
+		Checkpoint: account.checkpoint, Failures: account.failures, IsGangStarted: task.isGangStarted,
 		RoundAgeUs: j.roundAgeUs(s/perRound, m.now), CriticalPath: j.criticalPath, RemainingPath: j.remainingPaths[s%perRound],
 	}
 }
--- a/internal/queue/gang_test.go
+++ b/internal/queue/gang_test.go
@@ -194,7 +194,7 @@
 		h.restart()
 		h.checkout(all...)
 		for _, k := range all {
-			So(h.eventOf(k).Progress, ShouldEqual, "late")
+			So(h.eventOf(k).Checkpoint, ShouldEqual, "late")
 		}
 		h.settleGang(all[2], 2)
 		So(h.machine.jobs[1].tasks[0][0].checkpoint, ShouldEqual, "")
--- a/internal/queue/machine.go
+++ b/internal/queue/machine.go
@@ -34,7 +34,7 @@
 const (
 	DefaultRetentionUs      = 150_000_000 // how long an ended job is retained
 	DefaultSnapshotInterval = 64          // enqueues between two cached snapshots
-	DefaultMaxReturns       = 40          // returns of a task that aren't its failures, before its job fails
+	DefaultMaxRequeues      = 40          // returns of a task that aren't its failures, before its job fails
 )
 
 const (
@@ -68,7 +68,7 @@
 // Effects are the results of a command. The leader alone carries them out, except
 // ReleaseCursor, which concerns each replica's own log.
 type Effects struct {
-	Outcomes      []*schema.SubmitResult // of submissions, for their gateways
+	SubmitResults []*schema.SubmitResult // of submissions, for their gateways
 	Events        []*TaskEvent           // for the scheduler
 	ReleaseCursor *ReleaseCursor         // nil: none
 	CancelCode    int32                  // HTTP status of a cancel
@@ -111,7 +111,7 @@
 func New(name string) *Machine {
 	return &Machine{
 		name:       name,
-		settings:   &schema.ApplySettings{JobRetentionUs: DefaultRetentionUs, SnapshotInterval: DefaultSnapshotInterval, MaxRequeues: DefaultMaxReturns},
+		settings:   &schema.ApplySettings{JobRetentionUs: DefaultRetentionUs, SnapshotInterval: DefaultSnapshotInterval, MaxRequeues: DefaultMaxRequeues},
 		jobs:       map[uint64]*job{},
 		jobsByName: map[string]*job{},
 		byIndex:    btree.NewG(treeDegree, func(a, b *job) bool { return a.index < b.index || a.index == b.index && a.id < b.id }),
--- a/internal/queue/return_test.go
+++ b/internal/queue/return_test.go
@@ -80,7 +80,7 @@
 	Convey("A task that is returned too often fails its job", t, func() {
 		h := newHarness()
 		h.enqueue("c", 1, "j", simpleJob(1))
-		for attempt := uint32(1); attempt <= DefaultMaxReturns+1; attempt++ {
+		for attempt := uint32(1); attempt <= DefaultMaxRequeues+1; attempt++ {
 			So(h.state("j"), ShouldEqual, "running")
 			h.checkout(key(1, 0, 0))
 			h.returnTask(key(1, 0, 0), attempt, schema.ReturnCause_RETURN_CAUSE_PREEMPTED)
@@ -111,7 +111,7 @@
 		}
 		So(h.machine.jobs[1].tasks[0][0].lostAttempts, ShouldBeEmpty)
 		So(h.eventOf(k).Failures, ShouldEqual, 0)
-		So(h.eventOf(k).Progress, ShouldEqual, "so far")
+		So(h.eventOf(k).Checkpoint, ShouldEqual, "so far")
 		h.checkout(k)
 		So(h.cancel("j").CancelView.PendingOutcome, ShouldEqual, "cancelled")
 		h.settle(k, attempt+1)
@@ -147,7 +147,7 @@
 		job.Steps = append(job.Steps, &schema.Step{Name: "plain", Tasks: 1, CoresMilli: 1})
 		h.enqueue("c", 1, "j", job)
 		k := key(1, 0, 0)
-		checkpoint := func() string { return h.eventOf(k).Progress }
+		checkpoint := func() string { return h.eventOf(k).Checkpoint }
 		checkoutAndReturn := func(attempt uint32, cause schema.ReturnCause, text string) {
 			h.checkout(k)
 			h.returnWithCheckpoint(k, attempt, cause, text)
@@ -171,7 +171,7 @@
 			k := key(1, 1, 0)
 			h.checkout(k)
 			h.returnWithCheckpoint(k, 1, schema.ReturnCause_RETURN_CAUSE_PREEMPTED, "text")
-			So(h.eventOf(k).Progress, ShouldEqual, "")
+			So(h.eventOf(k).Checkpoint, ShouldEqual, "")
 		})
 	})
 }
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -63,7 +63,7 @@
 	if !r.group.IsLeader() {
 		return
 	}
-	for _, outcome := range result.Outcomes {
+	for _, outcome := range result.SubmitResults {
 		h.addSubmitResult(r, outcome)
 	}
 	if count := len(result.Events); count > 0 && r.notifiedTerm == r.group.Term() {
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -103,7 +103,7 @@
 	t := &task{
 		key: key, state: event.Status, attempt: event.Attempt, worker: event.Worker, incarnation: event.Incarnation,
 		sequence: event.Sequence, jobName: event.Name, spec: event.Spec, text: event.Text, since: now, isGangStarted: event.IsGangStarted,
-		round: event.Round, stepInRound: event.StepInRound, initialCheckpoint: event.Progress, failures: event.Failures,
+		round: event.Round, stepInRound: event.StepInRound, initialCheckpoint: event.Checkpoint, failures: event.Failures,
 		roundDueAt: now - eventloop.Micros(event.RoundAgeUs), criticalPath: criticalPath{event.CriticalPath, event.RemainingPath},
 	}
 	if old != nil {
--- a/internal/scheduler/resolve_test.go
+++ b/internal/scheduler/resolve_test.go
@@ -13,7 +13,7 @@
 	rows := []*schema.ConfigurationRow{queueRow("l", "urgency", "10"), queueRow("m", "urgency", "10")}
 	out := func() *queue.TaskEvent {
 		s := newEvent(1, 7, 3, queue.CheckedOut, "w", &schema.Step{Name: "s", Tasks: 4, CoresMilli: 600, Checkpoints: true})
-		s.Key.Step, s.Round, s.StepInRound, s.Progress = 5, 2, 1, "before"
+		s.Key.Step, s.Round, s.StepInRound, s.Checkpoint = 5, 2, 1, "before"
 		return s
 	}
 	status := func(state string) *schema.TaskStatus {
--- a/internal/sim/called_test.go
+++ b/internal/sim/called_test.go
@@ -126,7 +126,7 @@
 	})
 }
 
-func TestAllowedByTheQueue(t *testing.T) {
+func TestFailuresAllowedByQueue(t *testing.T) {
 	Convey("What a queue's row allows stands where a step says nothing", t, func() {
 		kind := CalledJobKinds()[0]
 		So(kind.withAllowedFailures().Steps[0].AllowedFailures, ShouldEqual, 3)
--- a/internal/sim/disk_test.go
+++ b/internal/sim/disk_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestDisksThatRefuse: full disks and failing syncs, of any storage node and at a start.
-func TestDisksThatRefuse(t *testing.T) {
+// TestDiskScenarios: full disks and failing syncs, of any storage node and at a start.
+func TestDiskScenarios(t *testing.T) {
 	for _, s := range DiskScenarios {
 		if *onlyScenario != "" && s.Name != *onlyScenario {
 			continue
--- a/internal/sim/linearizability_test.go
+++ b/internal/sim/linearizability_test.go
@@ -204,9 +204,9 @@
 	}
 }
 
-// TestReadsOfANewLeader: the leader is killed when it has answered, before the others
+// TestReadsOfNewLeader: the leader is killed when it has answered, before the others
 // know that it has committed, and everybody reads at once.
-func TestReadsOfANewLeader(t *testing.T) {
+func TestReadsOfNewLeader(t *testing.T) {
 	o := newOperators(1, ReliableNetwork, 12*eventloop.Millisecond)
 	o.Run(o.Now + 3*eventloop.Second)
 	o.until = o.Now + 60*eventloop.Second
@@ -227,9 +227,9 @@
 	}
 }
 
-// TestAnswersOfADeposedLeader: updates in the log of a leader that is partitioned are
+// TestAnswersOfDeposedLeader: updates in the log of a leader that is partitioned are
 // overwritten there by others, whose answers aren't theirs.
-func TestAnswersOfADeposedLeader(t *testing.T) {
+func TestAnswersOfDeposedLeader(t *testing.T) {
 	o := newOperators(1, ReliableNetwork, fastSync)
 	o.Run(o.Now + 3*eventloop.Second)
 	o.until = o.Now + 120*eventloop.Second
--- a/internal/sim/overlapping_faults_test.go
+++ b/internal/sim/overlapping_faults_test.go
@@ -64,7 +64,7 @@
 	return faults, waits
 }
 
-func TestRightAfterAnAcknowledgement(t *testing.T) {
+func TestFaultsAfterAcknowledgements(t *testing.T) {
 	Convey("A fault that waits for an acknowledgement strikes within 4 ms of it, and no rule breaks", t, func() {
 		schedule, err := ParseSchedule("ackwipe/all:1s@3s,closepower/all:700ms@20s", SmallCalledFleet)
 		So(err, ShouldBeNil)
@@ -96,8 +96,8 @@
 	})
 }
 
-func TestLossesAtTheMomentThatCounts(t *testing.T) {
-	for _, s := range LossScenarios {
+func TestLossesBetweenGangStarts(t *testing.T) {
+	for _, s := range GangScenarios {
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
 			runSmall(t, s, 1)
--- a/internal/sim/scenarios_gang.go
+++ b/internal/sim/scenarios_gang.go
@@ -2,8 +2,8 @@
 
 import "sparnotch/internal/eventloop"
 
-// LossScenarios are losses of the leader between the starts of a gang's members.
-var LossScenarios = []Scenario{
+// GangScenarios are losses of the leader between the starts of a gang's members.
+var GangScenarios = []Scenario{
 	{Name: "leader killed between a group's starts", Network: ReliableNetwork, SyncDelay: fastSync, Duration: 30 * eventloop.Second, Inject: func(f *Fleet) {
 		for k := range eventloop.Micros(2) {
 			f.afterGangStart((3+13*k)*eventloop.Second, func() { f.kill(f.leaderOrFirst(), 4*eventloop.Second) })
