--- a/cmd/sparnotch-bench/hollow_nodes.go
+++ b/cmd/sparnotch-bench/hollow_nodes.go
@@ -29,11 +29,11 @@
 func (p *hollowProcess) startNodes(hasStorage bool) error {
 	for k := p.first; k < p.first+p.count; k++ {
 		settings := &schema.Settings{
-			Cell: p.config.zone(k), Inner: p.config.address(k, internalPort), Outer: p.config.address(k, httpPort),
-			Seeds: p.config.seeds(), WarnUs: shutdownTimeoutUs,
+			Zone: p.config.zone(k), InternalAddress: p.config.address(k, internalPort), HttpAddress: p.config.address(k, httpPort),
+			Seeds: p.config.seeds(), ShutdownTimeoutUs: shutdownTimeoutUs,
 		}
 		if hasStorage {
-			settings.Data, settings.TestSyncUs, settings.First = fmt.Sprintf("%s/store%d", p.config.Folder, k), p.config.SyncUs, true
+			settings.DataDir, settings.TestSyncUs, settings.InitialBootstrap = fmt.Sprintf("%s/store%d", p.config.Folder, k), p.config.SyncUs, true
 		}
 		node, err := process.Start(settings, schema.Role_ROLE_SERVER, zap.NewNop())
 		if err != nil {
--- a/internal/agent/chaos_test.go
+++ b/internal/agent/chaos_test.go
@@ -30,7 +30,7 @@
 			return eventloop.Micros(rng.Int64N(int64(800 * eventloop.Millisecond)))
 		},
 	}
-	bounds := &schema.Bounds{StopUs: int64(800 * eventloop.Millisecond), HoldMostUs: int64(3 * eventloop.Second)}
+	bounds := &schema.Bounds{StopTimeoutUs: int64(800 * eventloop.Millisecond), MaxWorkerLeaseUs: int64(3 * eventloop.Second)}
 	h := newHarness(config, bounds)
 	h.messageDelay = func(any) eventloop.Micros {
 		if faultsOver || rng.IntN(8) > 0 {
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -59,7 +59,7 @@
 // holdDuration is how long the worker holds its runs after a call.
 func (a *Agent) holdDuration(w *workerState) eventloop.Micros {
 	duration := min(w.leaseDuration, maxHoldDuration)
-	if limit := eventloop.Micros(a.bounds.HoldMostUs); limit > 0 {
+	if limit := eventloop.Micros(a.bounds.MaxWorkerLeaseUs); limit > 0 {
 		return min(duration, limit)
 	}
 	return duration
--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -46,7 +46,7 @@
 		So(h.worker.UnacknowledgedCount(), ShouldEqual, 0)
 	})
 	Convey("A hold that the worker shortens is renewed in time", t, func() {
-		h, s := newDefaultHarness(fakeworker.Config{}, &schema.Bounds{HoldMostUs: int64(1500 * eventloop.Millisecond)})
+		h, s := newDefaultHarness(fakeworker.Config{}, &schema.Bounds{MaxWorkerLeaseUs: int64(1500 * eventloop.Millisecond)})
 		s.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		h.run(10 * eventloop.Second)
 		So(h.worker.RunningCount(), ShouldEqual, 1)
--- a/internal/agent/tasks.go
+++ b/internal/agent/tasks.go
@@ -163,8 +163,8 @@
 
 // maxStopDuration is how long a stop takes at most.
 func (a *Agent) maxStopDuration() eventloop.Micros {
-	if a.bounds.StopUs > 0 {
-		return eventloop.Micros(a.bounds.StopUs)
+	if a.bounds.StopTimeoutUs > 0 {
+		return eventloop.Micros(a.bounds.StopTimeoutUs)
 	}
 	return defaultStopTimeout
 }
--- a/internal/agent/tasks_test.go
+++ b/internal/agent/tasks_test.go
@@ -38,7 +38,7 @@
 		h, s := newDefaultHarness(fakeworker.Config{
 			Fault:        faultOn(agent.Start, fakeworker.FaultReplyLost),
 			StopDuration: func(agent.TaskName, uint32) eventloop.Micros { return 700 * eventloop.Millisecond },
-		}, &schema.Bounds{StopUs: int64(eventloop.Second)})
+		}, &schema.Bounds{StopTimeoutUs: int64(eventloop.Second)})
 		long(s)
 		h.run(1300 * eventloop.Millisecond)
 		So(h.count(agent.Stop), ShouldEqual, 1)
@@ -112,7 +112,7 @@
 }
 
 func TestStops(t *testing.T) {
-	bounds := &schema.Bounds{StopUs: int64(2 * eventloop.Second), SaveUs: int64(eventloop.Second)}
+	bounds := &schema.Bounds{StopTimeoutUs: int64(2 * eventloop.Second), CheckpointIntervalUs: int64(eventloop.Second)}
 	Convey("A stopped run is reported when the worker lists its end, with its checkpoint", t, func() {
 		h, s := newDefaultHarness(fakeworker.Config{StopDuration: func(agent.TaskName, uint32) eventloop.Micros { return 600 * eventloop.Millisecond }}, bounds)
 		s.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000 saves=1")}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -49,17 +49,17 @@
 	set.StringVar(&f.file, "options", "", "JSON file with the settings; flags override it")
 	set.StringVar(&f.seeds, "seeds", "", "one to three internal addresses, separated by commas; our own may be among them")
 	f.apply["seeds"] = func(s *schema.Settings) { s.Seeds = strings.Split(f.seeds, ",") }
-	set.StringVar(setting(f, "cell", func(s *schema.Settings) *string { return &s.Cell }),
+	set.StringVar(setting(f, "cell", func(s *schema.Settings) *string { return &s.Zone }),
 		"cell", "", "cell (zone) of this machine")
-	set.StringVar(setting(f, "inner", func(s *schema.Settings) *string { return &s.Inner }),
+	set.StringVar(setting(f, "inner", func(s *schema.Settings) *string { return &s.InternalAddress }),
 		"inner", "", "IP:port for the cluster's own processes")
-	set.StringVar(setting(f, "outer", func(s *schema.Settings) *string { return &s.Outer }),
+	set.StringVar(setting(f, "outer", func(s *schema.Settings) *string { return &s.HttpAddress }),
 		"outer", "", "IP:port for HTTP")
-	set.StringVar(setting(f, "trace", func(s *schema.Settings) *string { return &s.Trace }),
+	set.StringVar(setting(f, "trace", func(s *schema.Settings) *string { return &s.TraceFile }),
 		"trace", "", "file that the log is written to after an error (default: standard error)")
-	set.Int64Var(setting(f, "warn_us", func(s *schema.Settings) *int64 { return &s.WarnUs }),
+	set.Int64Var(setting(f, "warn_us", func(s *schema.Settings) *int64 { return &s.ShutdownTimeoutUs }),
 		"warn_us", 0, "timeout of a graceful shutdown, in microseconds (default 10000000)")
-	set.StringVar(setting(f, "test_cuts", func(s *schema.Settings) *string { return &s.TestCuts }),
+	set.StringVar(setting(f, "test_cuts", func(s *schema.Settings) *string { return &s.TestPartitions }),
 		"test_cuts", "", "for tests: file of internal addresses that nothing is sent to")
 	if hasStorage {
 		f.registerStorage(set)
@@ -67,12 +67,12 @@
 }
 
 func (f *Flags) registerStorage(set *flag.FlagSet) {
-	set.StringVar(setting(f, "data", func(s *schema.Settings) *string { return &s.Data }),
+	set.StringVar(setting(f, "data", func(s *schema.Settings) *string { return &s.DataDir }),
 		"data", "", "data directory; without one nothing durable is stored here")
-	set.BoolVar(setting(f, "first", func(s *schema.Settings) *bool { return &s.First }),
+	set.BoolVar(setting(f, "first", func(s *schema.Settings) *bool { return &s.InitialBootstrap }),
 		"first", false, "the whole system starts for the first time: this node may bootstrap it")
 	set.UintVar(&f.losses, "losses", 0, "failures of storage nodes at once that must be tolerated (default one)")
-	f.apply["losses"] = func(s *schema.Settings) { s.Losses = uint32(min(f.losses, math.MaxUint32)) }
+	f.apply["losses"] = func(s *schema.Settings) { s.MachineFailures = uint32(min(f.losses, math.MaxUint32)) }
 	set.Int64Var(setting(f, "test_sync_us", func(s *schema.Settings) *int64 { return &s.TestSyncUs }),
 		"test_sync_us", 0, "for tests: minimum duration of a sync, in microseconds")
 }
@@ -107,8 +107,8 @@
 			apply(options)
 		}
 	})
-	if options.WarnUs == 0 {
-		options.WarnUs = defaultShutdownTimeoutUs
+	if options.ShutdownTimeoutUs == 0 {
+		options.ShutdownTimeoutUs = defaultShutdownTimeoutUs
 	}
 	return options, Validate(options)
 }
@@ -117,13 +117,13 @@
 
 // Validate checks settings. Errors: Invalid, for the first setting that isn't valid.
 func Validate(options *schema.Settings) error {
-	if !cellPattern.MatchString(options.Cell) {
-		return Invalid.New("cell: %q is no name of a cell", options.Cell)
+	if !cellPattern.MatchString(options.Zone) {
+		return Invalid.New("cell: %q is no name of a cell", options.Zone)
 	}
 	if err := validateAddresses(options); err != nil {
 		return err
 	}
-	if options.WarnUs < minShutdownTimeoutUs || options.WarnUs > maxShutdownTimeoutUs {
+	if options.ShutdownTimeoutUs < minShutdownTimeoutUs || options.ShutdownTimeoutUs > maxShutdownTimeoutUs {
 		return Invalid.New("warn_us: must lie between %d and %d", minShutdownTimeoutUs, maxShutdownTimeoutUs)
 	}
 	if options.TestSyncUs < 0 || options.TestSyncUs > maxTestSyncUs {
@@ -136,7 +136,7 @@
 		field string
 		value uint32
 	}{
-		{"losses", options.Losses}, {"zone_losses", options.ZoneLosses}, {"region_losses", options.RegionLosses},
+		{"losses", options.MachineFailures}, {"zone_losses", options.ZoneFailures}, {"region_losses", options.RegionFailures},
 	} {
 		if tolerated.value > maxLosses {
 			return Invalid.New("%s: must be at most %d", tolerated.field, maxLosses)
@@ -146,13 +146,13 @@
 }
 
 func validateAddresses(options *schema.Settings) error {
-	for _, each := range []struct{ field, value string }{{"inner", options.Inner}, {"outer", options.Outer}} {
+	for _, each := range []struct{ field, value string }{{"inner", options.InternalAddress}, {"outer", options.HttpAddress}} {
 		if why := addressProblem(each.value); why != "" {
 			return Invalid.New("%s: %s", each.field, why)
 		}
 	}
-	if options.Inner == options.Outer {
-		return Invalid.New("outer: is the same as inner (%s)", options.Inner)
+	if options.InternalAddress == options.HttpAddress {
+		return Invalid.New("outer: is the same as inner (%s)", options.InternalAddress)
 	}
 	if len(options.Seeds) < 1 || len(options.Seeds) > maxSeeds {
 		return Invalid.New("seeds: one to three addresses are needed, %d are given", len(options.Seeds))
@@ -177,7 +177,7 @@
 	for k := range fields.Len() {
 		field := fields.Get(k)
 		if value := reflected.Get(field).Int(); value < 0 {
-			return Invalid.New("bounds.%s: %d is negative", field.Name(), value)
+			return Invalid.New("bounds.%s: %d is negative", field.JSONName(), value)
 		}
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,14 +27,14 @@
 		So(os.WriteFile(file, []byte(`{"first":true,"losses":2,"bounds":{"gatherUs":"5000","beat_us":7}}`), 0o600), ShouldBeNil)
 		loaded, err := load(append(good, "-options", file)...)
 		So(err, ShouldBeNil)
-		So(loaded.First, ShouldBeTrue)
-		So(loaded.Losses, ShouldEqual, 2)
-		So(loaded.Bounds.GatherUs, ShouldEqual, 5000)
-		So(loaded.Bounds.BeatUs, ShouldEqual, 7)
+		So(loaded.InitialBootstrap, ShouldBeTrue)
+		So(loaded.MachineFailures, ShouldEqual, 2)
+		So(loaded.Bounds.GangTimeoutUs, ShouldEqual, 5000)
+		So(loaded.Bounds.HeartbeatIntervalUs, ShouldEqual, 7)
 		loaded, err = load(append(good, "-options", file, "-first=false", "-losses", "1")...)
 		So(err, ShouldBeNil)
-		So(loaded.First, ShouldBeFalse)
-		So(loaded.Losses, ShouldEqual, 1)
+		So(loaded.InitialBootstrap, ShouldBeFalse)
+		So(loaded.MachineFailures, ShouldEqual, 1)
 	})
 	Convey("An invalid setting is named", t, func() {
 		base, err := load(good...)
@@ -50,12 +50,12 @@
 			{func(o *schema.Settings) { o.Seeds = append(o.Seeds, "127.0.0.4:7001") }, "seeds: one to three"},
 			{func(o *schema.Settings) { o.Seeds = []string{"127.0.0.1:7001", "nowhere"} }, "seeds[1]"},
 			{func(o *schema.Settings) { o.Seeds = []string{"127.0.0.1:7001", "127.0.0.1:7001"} }, "seeds[1]"},
-			{func(o *schema.Settings) { o.Losses = 9 }, ""},
-			{func(o *schema.Settings) { o.Losses = 10 }, "losses"},
+			{func(o *schema.Settings) { o.MachineFailures = 9 }, ""},
+			{func(o *schema.Settings) { o.MachineFailures = 10 }, "losses"},
 			{func(o *schema.Settings) { o.Bounds = &schema.Bounds{} }, ""},
-			{func(o *schema.Settings) { o.Bounds = &schema.Bounds{HoldMostUs: 1, DrainUs: 2} }, ""},
-			{func(o *schema.Settings) { o.Bounds = &schema.Bounds{HoldMostUs: -1} }, "bounds.hold_most_us"},
-			{func(o *schema.Settings) { o.Bounds = &schema.Bounds{DrainUs: -1} }, "bounds.drain_us"},
+			{func(o *schema.Settings) { o.Bounds = &schema.Bounds{MaxWorkerLeaseUs: 1, DrainTimeoutUs: 2} }, ""},
+			{func(o *schema.Settings) { o.Bounds = &schema.Bounds{MaxWorkerLeaseUs: -1} }, "bounds.hold_most_us"},
+			{func(o *schema.Settings) { o.Bounds = &schema.Bounds{DrainTimeoutUs: -1} }, "bounds.drain_us"},
 		} {
 			o := proto.Clone(base).(*schema.Settings)
 			test.change(o)
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.Role == schema.Role_ROLE_CONTROLLER && options.Data != "" {
+	if c.Role == schema.Role_ROLE_CONTROLLER && options.DataDir != "" {
 		return nil, config.Invalid.New("data: a %s holds nothing durable", c.Command.Name)
 	}
 	return options, nil
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -71,7 +71,7 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	// The reader of our output may end before we do.
 	signal.Ignore(syscall.SIGPIPE)
-	log, ring := logring.New(options.Trace)
+	log, ring := logring.New(options.TraceFile)
 	// A logged error writes the ring out, so a crash is logged before the process ends.
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -159,7 +159,7 @@
 // shutDown drains the node, waits for requests in progress, and stops, all within the
 // shutdown timeout of the settings. A second signal ends the waiting.
 func (d *daemon) shutDown(node *process.Node, server Server) {
-	timeout := time.Duration(d.options.WarnUs) * time.Microsecond
+	timeout := time.Duration(d.options.ShutdownTimeoutUs) * time.Microsecond
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	go d.cancelOnSignal(ctx, cancel)
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -31,7 +31,7 @@
 	never := func(*process.Node, *zap.Logger) (Server, error) { panic("it has started") }
 	logFile := filepath.Join(t.TempDir(), "log")
 	options := func(data string) *schema.Settings {
-		return &schema.Settings{Cell: "c", Inner: "127.0.0.1:0", Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}, Trace: logFile}
+		return &schema.Settings{Zone: "c", InternalAddress: "127.0.0.1:0", HttpAddress: "127.0.0.1:1", DataDir: data, Seeds: []string{"127.0.0.1:1"}, TraceFile: logFile}
 	}
 	log := func() string {
 		text, err := os.ReadFile(logFile)
@@ -72,7 +72,7 @@
 		So(err, ShouldBeNil)
 		Reset(func() { taken.Close() })
 		settings := options("")
-		settings.Inner = taken.Addr().String()
+		settings.InternalAddress = taken.Addr().String()
 		So(Serve("x", settings, schema.Role_ROLE_SERVER, never), ShouldEqual, ExitOptions)
 		So(log(), ShouldContainSubstring, "inner")
 	})
@@ -94,7 +94,7 @@
 		obstacle := filepath.Join(data, "slot-0")
 		So(os.Mkdir(obstacle, 0o700), ShouldBeNil)
 		log, ring := logring.New("")
-		options := &schema.Settings{Cell: "c", Inner: "127.0.0.1:0", Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}, WarnUs: 2_000_000}
+		options := &schema.Settings{Zone: "c", InternalAddress: "127.0.0.1:0", HttpAddress: "127.0.0.1:1", DataDir: data, Seeds: []string{"127.0.0.1:1"}, ShutdownTimeoutUs: 2_000_000}
 		shutdowns, started, ended := make(chan bool, 4), make(chan bool, 4), make(chan error, 1)
 		newServer := func(node *process.Node, _ *zap.Logger) (Server, error) {
 			started <- node.Member.HasStorage
--- a/internal/deployments/deployments.go
+++ b/internal/deployments/deployments.go
@@ -54,8 +54,8 @@
 // restore delay in milliseconds.
 func newBounds(lease, stop, checkpoint, restore int64) *schema.Bounds {
 	return &schema.Bounds{
-		HoldMostUs: lease * 1000, StopUs: stop * 1000, GatherUs: 3_000_000, StatusUs: 120_000_000, ApplyUs: 2_000_000, AwayMilli: 1500,
-		SaveUs: checkpoint * 1000, RestoreUs: restore * 1000, BeatUs: 1_500_000, DrainUs: 2_000_000,
+		MaxWorkerLeaseUs: lease * 1000, StopTimeoutUs: stop * 1000, GangTimeoutUs: 3_000_000, JobRetentionUs: 120_000_000, ConfigApplyUs: 2_000_000, RemoteSlowdownMilli: 1500,
+		CheckpointIntervalUs: checkpoint * 1000, RestoreDelayUs: restore * 1000, HeartbeatIntervalUs: 1_500_000, DrainTimeoutUs: 2_000_000,
 	}
 }
 
--- a/internal/fakeworker/called_calls.go
+++ b/internal/fakeworker/called_calls.go
@@ -107,7 +107,7 @@
 	if until <= 0 {
 		return
 	}
-	if limit := eventloop.Micros(w.config.Bounds.HoldMostUs); limit > 0 {
+	if limit := eventloop.Micros(w.config.Bounds.MaxWorkerLeaseUs); limit > 0 {
 		until = min(until, w.Clock(now)+limit)
 	}
 	w.holdUntil = max(w.holdUntil, until)
--- a/internal/fakeworker/called_runs.go
+++ b/internal/fakeworker/called_runs.go
@@ -73,7 +73,7 @@
 
 // remoteFactor is how much longer work takes outside its data's or its gang's rack.
 func (w *CalledWorker) remoteFactor() float64 {
-	if milli := w.config.Bounds.AwayMilli; milli > 0 {
+	if milli := w.config.Bounds.RemoteSlowdownMilli; milli > 0 {
 		return float64(milli) / 1000
 	}
 	return 1
@@ -83,7 +83,7 @@
 func (w *CalledWorker) startWork(now eventloop.Micros, r *calledRun) {
 	r.startedAt = now
 	if r.priorWork > 0 {
-		r.startedAt += eventloop.Micros(w.config.Bounds.RestoreUs)
+		r.startedAt += eventloop.Micros(w.config.Bounds.RestoreDelayUs)
 	}
 	if r.requirements.Work > 0 {
 		r.endsAt = r.startedAt + eventloop.Micros(float64(r.requirements.Work-r.priorWork)*r.slowdown)
@@ -112,7 +112,7 @@
 	if r.stopAt > 0 {
 		return
 	}
-	duration := eventloop.Micros(w.config.Bounds.StopUs / 4)
+	duration := eventloop.Micros(w.config.Bounds.StopTimeoutUs / 4)
 	if w.config.StopDuration != nil {
 		duration = w.config.StopDuration(key.Task, key.Attempt)
 	}
@@ -134,7 +134,7 @@
 		return ""
 	}
 	done := w.workDone(now, r)
-	if interval := eventloop.Micros(w.config.Bounds.SaveUs); !all && interval > 0 {
+	if interval := eventloop.Micros(w.config.Bounds.CheckpointIntervalUs); !all && interval > 0 {
 		done = max(r.priorWork, done-done%interval)
 	}
 	if done == 0 {
--- a/internal/fakeworker/called_worker.go
+++ b/internal/fakeworker/called_worker.go
@@ -173,7 +173,7 @@
 	case g != nil && g.isBroken:
 		return stateBroken
 	case g != nil && g.completeAt == 0:
-		if timeout := eventloop.Micros(w.config.Bounds.GatherUs); timeout > 0 && now-r.acceptedAt >= timeout {
+		if timeout := eventloop.Micros(w.config.Bounds.GangTimeoutUs); timeout > 0 && now-r.acceptedAt >= timeout {
 			return stateAlone
 		}
 	case r.willFail && now >= r.endsAt:
--- a/internal/fakeworker/called_worker_test.go
+++ b/internal/fakeworker/called_worker_test.go
@@ -11,8 +11,8 @@
 )
 
 var calledBounds = &schema.Bounds{
-	HoldMostUs: int64(5 * eventloop.Second), StopUs: int64(400 * eventloop.Millisecond), GatherUs: int64(2 * eventloop.Second), AwayMilli: 1500,
-	SaveUs: int64(eventloop.Second), RestoreUs: int64(100 * eventloop.Millisecond),
+	MaxWorkerLeaseUs: int64(5 * eventloop.Second), StopTimeoutUs: int64(400 * eventloop.Millisecond), GangTimeoutUs: int64(2 * eventloop.Second), RemoteSlowdownMilli: 1500,
+	CheckpointIntervalUs: int64(eventloop.Second), RestoreDelayUs: int64(100 * eventloop.Millisecond),
 }
 
 // calledWorkerTest is a worker with the replies it gave.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -139,7 +139,7 @@
 // WithBounds sets the deadline by which a new configuration must be in force; without
 // one the default stays. It returns the gateway itself.
 func (g *Gateway) WithBounds(bounds *schema.Bounds) *Gateway {
-	if apply := eventloop.Micros(bounds.GetApplyUs()); apply > 0 {
+	if apply := eventloop.Micros(bounds.GetConfigApplyUs()); apply > 0 {
 		g.lease.applyBound = apply
 	}
 	return g
--- a/internal/gateway/state_lease_test.go
+++ b/internal/gateway/state_lease_test.go
@@ -54,7 +54,7 @@
 	})
 	Convey("The lease's duration follows from the bound for applying a configuration", t, func() {
 		h := newHarness()
-		h.gateway.WithBounds(&schema.Bounds{ApplyUs: int64(800 * eventloop.Millisecond)})
+		h.gateway.WithBounds(&schema.Bounds{ConfigApplyUs: int64(800 * eventloop.Millisecond)})
 		So(h.gateway.lease.duration(), ShouldEqual, 600*eventloop.Millisecond)
 		So(h.gateway.stateQueryInterval(h.now), ShouldEqual, 100*eventloop.Millisecond)
 		So(New("me", 1, false, nil).WithBounds(nil).lease.duration(), ShouldEqual, 1500*eventloop.Millisecond)
--- a/internal/httpapi/connections_test.go
+++ b/internal/httpapi/connections_test.go
@@ -25,12 +25,12 @@
 
 func TestPipelinedRequests(t *testing.T) {
 	Convey("Given a node of a cluster without a configuration", t, func() {
-		options := &schema.Settings{Cell: "c", Inner: freeAddress(), Outer: freeAddress(), Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
+		options := &schema.Settings{Zone: "c", InternalAddress: freeAddress(), HttpAddress: freeAddress(), Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
 		node, err := process.Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 		So(err, ShouldBeNil)
 		server, err := Serve(node, zap.NewNop())
 		So(err, ShouldBeNil)
-		client, err := net.Dial("tcp", options.Outer)
+		client, err := net.Dial("tcp", options.HttpAddress)
 		So(err, ShouldBeNil)
 		reader := bufio.NewReader(client)
 		Reset(func() { client.Close(); server.httpServer.Close(); node.Stop() })
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -54,7 +54,7 @@
 	if err := app.Build(); err != nil {
 		return nil, err
 	}
-	listener, err := net.Listen("tcp", node.Options.Outer)
+	listener, err := net.Listen("tcp", node.Options.HttpAddress)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/process/identity_test.go
+++ b/internal/process/identity_test.go
@@ -15,7 +15,7 @@
 	Convey("A storage node keeps its identity with its disk, and gets a new one without", t, func() {
 		folder, inner := t.TempDir(), freePort(t)
 		identity := func() string {
-			options := &schema.Settings{Cell: "c", Inner: inner, Outer: "127.0.0.1:1", Data: folder, Seeds: []string{"127.0.0.1:1"}}
+			options := &schema.Settings{Zone: "c", InternalAddress: inner, HttpAddress: "127.0.0.1:1", DataDir: folder, Seeds: []string{"127.0.0.1:1"}}
 			node, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 			So(err, ShouldBeNil)
 			defer node.Stop()
--- a/internal/process/late_replies_test.go
+++ b/internal/process/late_replies_test.go
@@ -36,7 +36,7 @@
 	Convey("A response to a request of a former incarnation completes none of the present one", t, func() {
 		data := t.TempDir()
 		startNode := func() *Node {
-			options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
+			options := &schema.Settings{Zone: "c", InternalAddress: freePort(t), HttpAddress: "127.0.0.1:1", DataDir: data, Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
 			node, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 			So(err, ShouldBeNil)
 			return node
@@ -51,7 +51,7 @@
 		Reset(func() { giveUp(); other.Close(); present.Stop() })
 		So(present.Member.Id, ShouldEqual, id)
 		reply := func(number uint64, body string) {
-			other.SendTo(id, present.Options.Inner, &schema.Response{Id: number, Code: 200, Body: []byte(body), Group: clusterstate.Group})
+			other.SendTo(id, present.Options.InternalAddress, &schema.Response{Id: number, Code: 200, Body: []byte(body), Group: clusterstate.Group})
 		}
 		// The late responses come first each time. The gateway may not have the request
 		// yet, so all are sent until it is completed. The duplicate is one to the request
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -85,7 +85,7 @@
 // node owns the store, also after an error.
 func StartWithStore(opened *OpenedStore, options *schema.Settings, role schema.Role, log *zap.Logger, callers ...agent.WorkerClient) (*Node, error) {
 	n := newNode(options, role, log)
-	if options.Data != "" {
+	if options.DataDir != "" {
 		if err := n.attachStore(opened, openTimeout); err != nil {
 			return nil, err
 		}
@@ -105,7 +105,7 @@
 	n.run()
 	log.Info("node started",
 		zap.String("id", n.Member.Id), zap.Uint64("incarnation", n.Member.Incarnation),
-		zap.String("internal_address", options.Inner), zap.String("http_address", options.Outer))
+		zap.String("internal_address", options.InternalAddress), zap.String("http_address", options.HttpAddress))
 	return n, nil
 }
 
@@ -113,8 +113,8 @@
 	n := &Node{
 		Options: options, Clock: eventloop.RealClock(), Failed: make(chan error, 4), Reopened: make(chan *OpenedStore),
 		Member: &schema.Member{
-			Id: newID(), Incarnation: 1, Role: role, Zone: options.Cell,
-			InternalAddress: options.Inner, HttpAddress: options.Outer,
+			Id: newID(), Incarnation: 1, Role: role, Zone: options.Zone,
+			InternalAddress: options.InternalAddress, HttpAddress: options.HttpAddress,
 		},
 		log: log, addresses: &membership.AddressBook{}, waiters: map[uint64]chan any{},
 		batches: eventloop.NewQueue[replica.Batch](maxPendingBatches),
@@ -134,8 +134,8 @@
 	cfg := &Config{
 		Member: n.Member, Seeds: options.Seeds, AddressBook: n.addresses,
 		WallClock: n.Clock.Wall, RandomSeed: randomSeed(), Now: n.Clock.Now(),
-		Bootstrap: options.First, MachineFailures: options.Losses, ZoneFailures: options.ZoneLosses,
-		RegionFailures: options.RegionLosses, RegionByZone: options.Regions,
+		Bootstrap: options.InitialBootstrap, MachineFailures: options.MachineFailures, ZoneFailures: options.ZoneFailures,
+		RegionFailures: options.RegionFailures, RegionByZone: options.Regions,
 		Bounds: options.Bounds, DiskBytes: options.DiskBytes, CallsWorker: callsWorker,
 	}
 	if n.store != nil {
@@ -154,7 +154,7 @@
 	}
 	slots, err := buildComponents(role, cfg)
 	if err != nil {
-		return storage.DirRejected.Wrap(err, "data folder %s", n.Options.Data)
+		return storage.DirRejected.Wrap(err, "data folder %s", n.Options.DataDir)
 	}
 	for _, slot := range slots {
 		n.components.Add(slot.Name, slot.Component, slot.TickInterval)
@@ -188,12 +188,12 @@
 
 func (n *Node) listen() error {
 	self := transport.Identity{ID: n.Member.Id, Boot: n.Member.Incarnation}
-	listening, err := transport.Listen(self, n.Options.Inner, n.deliver)
+	listening, err := transport.Listen(self, n.Options.InternalAddress, n.deliver)
 	if err != nil {
 		return config.Invalid.Wrap(err, "inner")
 	}
 	n.transport = listening
-	if n.Options.TestCuts != "" {
+	if n.Options.TestPartitions != "" {
 		listening.IsPartitioned = n.testPartition()
 	}
 	return nil
@@ -233,7 +233,7 @@
 		if time.Since(readAt) > partitionReadInterval {
 			readAt = time.Now()
 			unreachable = map[string]bool{}
-			if data, err := os.ReadFile(n.Options.TestCuts); err == nil {
+			if data, err := os.ReadFile(n.Options.TestPartitions); err == nil {
 				for _, listed := range strings.Fields(string(data)) {
 					unreachable[listed] = true
 				}
--- a/internal/process/node_test.go
+++ b/internal/process/node_test.go
@@ -40,7 +40,7 @@
 			}
 		}()
 		for k := 0; k < 15; k++ {
-			options := &schema.Settings{Cell: "c", Inner: inner, Outer: "127.0.0.1:1", Data: t.TempDir(), Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
+			options := &schema.Settings{Zone: "c", InternalAddress: inner, HttpAddress: "127.0.0.1:1", DataDir: t.TempDir(), Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
 			node, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 			So(err, ShouldBeNil)
 			for node.Counts().Transport.Received < 50 {
--- a/internal/process/request_ids_test.go
+++ b/internal/process/request_ids_test.go
@@ -16,7 +16,7 @@
 	Convey("An incarnation uses none of the request ids of an earlier one, whose responses may still come", t, func() {
 		data, inner := t.TempDir(), freePort(t)
 		number := func() uint64 {
-			options := &schema.Settings{Cell: "c", Inner: inner, Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
+			options := &schema.Settings{Zone: "c", InternalAddress: inner, HttpAddress: "127.0.0.1:1", DataDir: data, Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
 			node, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 			So(err, ShouldBeNil)
 			defer node.Stop()
--- a/internal/process/store_test.go
+++ b/internal/process/store_test.go
@@ -21,7 +21,7 @@
 		// What can't be read as a file simulates a disk that fails.
 		obstacle := filepath.Join(data, "slot-0")
 		So(os.Mkdir(obstacle, 0o700), ShouldBeNil)
-		options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}}
+		options := &schema.Settings{Zone: "c", InternalAddress: freePort(t), HttpAddress: "127.0.0.1:1", DataDir: data, Seeds: []string{"127.0.0.1:1"}}
 		first, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 		So(err, ShouldBeNil)
 		So(first.Member.HasStorage, ShouldBeFalse)
@@ -45,7 +45,7 @@
 		// Reading a pipe that nobody writes to simulates a disk that hangs.
 		pipe := filepath.Join(data, "slot-0")
 		So(syscall.Mkfifo(pipe, 0o600), ShouldBeNil)
-		options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}}
+		options := &schema.Settings{Zone: "c", InternalAddress: freePort(t), HttpAddress: "127.0.0.1:1", DataDir: data, Seeds: []string{"127.0.0.1:1"}}
 		first := &Node{Options: options, Member: &schema.Member{}, log: zap.NewNop(), Reopened: make(chan *OpenedStore)}
 		So(first.attachStore(nil, time.Millisecond), ShouldBeNil)
 		So(first.Member.HasStorage, ShouldBeFalse)
@@ -65,7 +65,7 @@
 	Convey("A data directory that isn't ours fails the start, and nothing is written there", t, func() {
 		data := t.TempDir()
 		So(os.WriteFile(filepath.Join(data, "family.jpg"), []byte("x"), 0o600), ShouldBeNil)
-		options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Data: data, Seeds: []string{"127.0.0.1:1"}}
+		options := &schema.Settings{Zone: "c", InternalAddress: freePort(t), HttpAddress: "127.0.0.1:1", DataDir: data, Seeds: []string{"127.0.0.1:1"}}
 		_, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 		So(storage.IsDirRejected(err), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "family.jpg")
--- a/internal/process/worker_caller_test.go
+++ b/internal/process/worker_caller_test.go
@@ -53,7 +53,7 @@
 		So(seen, ShouldHaveLength, maxConcurrentCalls+maxConcurrentInspections)
 	})
 	Convey("An agent node has an agent only with a worker client", t, func() {
-		options := &schema.Settings{Cell: "c", Inner: freePort(t), Outer: "127.0.0.1:1", Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
+		options := &schema.Settings{Zone: "c", InternalAddress: freePort(t), HttpAddress: "127.0.0.1:1", Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
 		without, err := Start(options, schema.Role_ROLE_CONTROLLER, zap.NewNop())
 		So(err, ShouldBeNil)
 		So(without.ReportHeartbeat(agent.Heartbeat{Worker: "w", Number: 1}), ShouldBeFalse)
--- a/internal/scheduler/barrier.go
+++ b/internal/scheduler/barrier.go
@@ -15,8 +15,8 @@
 // barrierTimeout is how long a member may take to begin. It is shorter than the
 // workers have the other members wait.
 func (s *Scheduler) barrierTimeout() eventloop.Micros {
-	if s.bounds.GetGatherUs() > 0 {
-		return eventloop.Micros(s.bounds.GatherUs) * 3 / 4
+	if s.bounds.GetGangTimeoutUs() > 0 {
+		return eventloop.Micros(s.bounds.GangTimeoutUs) * 3 / 4
 	}
 	return defaultBarrierTimeout
 }
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -83,5 +83,5 @@
 // they could be stopped.
 func (s *Scheduler) isShort(q *queueView, t *task) bool {
 	duration := s.estimateDuration(q.name, t.nextLeg(), 0)
-	return !t.spec.RunUntilCancelled && duration <= max(shortStopFactor*eventloop.Micros(s.bounds.GetStopUs()), minShortRun)
+	return !t.spec.RunUntilCancelled && duration <= max(shortStopFactor*eventloop.Micros(s.bounds.GetStopTimeoutUs()), minShortRun)
 }
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/limits.go
@@ -111,7 +111,7 @@
 
 // stopTimeout is how long preemption waits for a stop.
 func (s *Scheduler) stopTimeout() eventloop.Micros {
-	return max(2*eventloop.Micros(s.bounds.GetStopUs()), minStopTimeout)
+	return max(2*eventloop.Micros(s.bounds.GetStopTimeoutUs()), minStopTimeout)
 }
 
 // exceedsHold reports whether a member of a gang has been held for too long. Once
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -245,7 +245,7 @@
 			v.loss += lostWork(p.now, member)
 		}
 		// What ends about as soon as it would stop frees its resources anyway.
-		if s.remainingRuntime(p.now, w, t) < eventloop.Micros(s.bounds.GetStopUs())/2 && t.startedAt > 0 {
+		if s.remainingRuntime(p.now, w, t) < eventloop.Micros(s.bounds.GetStopTimeoutUs())/2 && t.startedAt > 0 {
 			continue
 		}
 		victims = append(victims, v)
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -50,7 +50,7 @@
 	}
 	key, _ := runtimeKeyOf(t)
 	model := s.runtimeModels[key]
-	return model != nil && model.count >= minComparableRuns && (t.initialCheckpoint == "" || now-t.startedAt > 2*eventloop.Micros(s.bounds.GetRestoreUs()))
+	return model != nil && model.count >= minComparableRuns && (t.initialCheckpoint == "" || now-t.startedAt > 2*eventloop.Micros(s.bounds.GetRestoreDelayUs()))
 }
 
 // measureProgress takes in the progress that a heartbeat reports, and ejects
@@ -135,7 +135,7 @@
 		}
 		expected := float64(s.expectedRuntime(w, t))
 		remainingHere := expected * float64(100-t.percent) / 100 / ratio
-		runtimeElsewhere := expected + float64(s.bounds.GetStopUs())
+		runtimeElsewhere := expected + float64(s.bounds.GetStopTimeoutUs())
 		if remainingHere > runtimeElsewhere && lostWork(now, t) <= maxLossFactor*coresOf(t.spec)*expected {
 			s.evict(t, outcomeStopped)
 		}
--- a/internal/scheduler/runtime.go
+++ b/internal/scheduler/runtime.go
@@ -148,7 +148,7 @@
 // their data is in another rack.
 func (s *Scheduler) remoteDataFactor(w *worker, spec *schema.Step) float64 {
 	if spec.DataRack != "" && spec.DataRack != w.rack {
-		return float64(cmp.Or(s.bounds.GetAwayMilli(), defaultRemoteFactor)) / 1000
+		return float64(cmp.Or(s.bounds.GetRemoteSlowdownMilli(), defaultRemoteFactor)) / 1000
 	}
 	return 1
 }
--- a/internal/scheduler/stuck.go
+++ b/internal/scheduler/stuck.go
@@ -38,7 +38,7 @@
 	}
 	// Each strike doubles the patience: some tasks just are long.
 	patience := eventloop.Micros(1) << min(t.strikes, maxStrikes)
-	allowance := max(w.warmUpUntil-t.startedAt, 0) + eventloop.Micros(s.bounds.GetRestoreUs())
+	allowance := max(w.warmUpUntil-t.startedAt, 0) + eventloop.Micros(s.bounds.GetRestoreDelayUs())
 	run := now - t.startedAt - allowance
 	isOverdue := run > stuckFactor*expected*patience && run > minStuckRun
 	if !w.usesNames {
--- a/internal/sim/called_fleet.go
+++ b/internal/sim/called_fleet.go
@@ -25,9 +25,9 @@
 	Name: "small-called", Gateways: 5, AgentNodes: 6, Workers: 6, WorkersPerRack: 2, Cores: 8000, Memory: 16000,
 	JobKinds: CalledJobKinds(), ConfigurationRows: CalledConfigurationRows,
 	Bounds: &schema.Bounds{
-		HoldMostUs: int64(6 * eventloop.Second), StopUs: int64(400 * eventloop.Millisecond), GatherUs: int64(3 * eventloop.Second), StatusUs: int64(120 * eventloop.Second),
-		ApplyUs: int64(2 * eventloop.Second), AwayMilli: 1500, SaveUs: int64(300 * eventloop.Millisecond), RestoreUs: int64(50 * eventloop.Millisecond),
-		BeatUs: int64(1500 * eventloop.Millisecond), DrainUs: int64(2 * eventloop.Second),
+		MaxWorkerLeaseUs: int64(6 * eventloop.Second), StopTimeoutUs: int64(400 * eventloop.Millisecond), GangTimeoutUs: int64(3 * eventloop.Second), JobRetentionUs: int64(120 * eventloop.Second),
+		ConfigApplyUs: int64(2 * eventloop.Second), RemoteSlowdownMilli: 1500, CheckpointIntervalUs: int64(300 * eventloop.Millisecond), RestoreDelayUs: int64(50 * eventloop.Millisecond),
+		HeartbeatIntervalUs: int64(1500 * eventloop.Millisecond), DrainTimeoutUs: int64(2 * eventloop.Second),
 	},
 }
 
--- a/internal/sim/called_runs.go
+++ b/internal/sim/called_runs.go
@@ -93,7 +93,7 @@
 }
 
 func (w *CalledWorker) drawStopDelay(agent.TaskName, uint32) eventloop.Micros {
-	return eventloop.Micros(w.rng.Int64N(max(w.sim.bounds.StopUs, 1)))
+	return eventloop.Micros(w.rng.Int64N(max(w.sim.bounds.StopTimeoutUs, 1)))
 }
 
 // --- what the history has of a run ---
--- a/internal/sim/called_test.go
+++ b/internal/sim/called_test.go
@@ -133,6 +133,6 @@
 		So(kind.Job.Steps[0].AllowedFailures, ShouldEqual, 0)
 		kind.Job.Steps[0].AllowedFailures = 1
 		So(kind.withAllowedFailures().Steps[0].AllowedFailures, ShouldEqual, 1)
-		So(eventloop.Micros(SmallCalledFleet.Bounds.HoldMostUs), ShouldEqual, 6*eventloop.Second)
+		So(eventloop.Micros(SmallCalledFleet.Bounds.MaxWorkerLeaseUs), ShouldEqual, 6*eventloop.Second)
 	})
 }
--- a/internal/sim/called_worker.go
+++ b/internal/sim/called_worker.go
@@ -211,7 +211,7 @@
 func (w *CalledWorker) sendHeartbeat(h *Host) {
 	now := w.sim.Now
 	interval := defaultHeartbeatInterval
-	if us := eventloop.Micros(w.sim.bounds.BeatUs); us > 0 {
+	if us := eventloop.Micros(w.sim.bounds.HeartbeatIntervalUs); us > 0 {
 		interval = us
 	}
 	w.nextHeartbeat = now + interval*9/10 + eventloop.Micros(w.rng.Int64N(int64(interval)/5))
@@ -228,7 +228,7 @@
 	if w.isDraining && !w.isDrainRecorded {
 		w.isDrainRecorded = true
 		if w.isGraceful {
-			w.worker.Drain(now, eventloop.Micros(w.sim.bounds.DrainUs)+drainGrace)
+			w.worker.Drain(now, eventloop.Micros(w.sim.bounds.DrainTimeoutUs)+drainGrace)
 		}
 		w.sim.Record(checker.Event{Kind: checker.WorkerDraining, Actor: w.Name()})
 	}
--- a/internal/sim/replacement_test.go
+++ b/internal/sim/replacement_test.go
@@ -394,7 +394,7 @@
 
 // TestToleranceReturnsWithin: where the deployment's catch-up is shorter, repairs are sooner.
 func TestToleranceReturnsWithin(t *testing.T) {
-	bounds := &schema.Bounds{ContactUs: int64(2 * eventloop.Second), CatchUpUs: int64(3 * eventloop.Second)}
+	bounds := &schema.Bounds{ContactTimeoutUs: int64(2 * eventloop.Second), CatchUpUs: int64(3 * eventloop.Second)}
 	for _, test := range replacementCases {
 		if test.name != "successor at the loss" && test.name != "successor 1 s after the loss" {
 			continue
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -52,7 +52,7 @@
 // FromBounds derives the timeouts. Bounds that are nil or 0 have their defaults; bounds
 // wider than these change nothing, since being sooner than asked does no harm.
 func FromBounds(bounds *schema.Bounds) Timeouts {
-	contact := orDefault(bounds.GetContactUs(), defaultContact)
+	contact := orDefault(bounds.GetContactTimeoutUs(), defaultContact)
 	catchUp := orDefault(bounds.GetCatchUpUs(), defaultCatchUp)
 	timeouts := Timeouts{
 		SuspectTimeout: min(maxSuspectTimeout, contact/2),
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -16,7 +16,7 @@
 		MaxStateAge: eventloop.Second, FormerLeaseTimeout: 1250 * eventloop.Millisecond,
 	}
 	bounds := func(contact, catchUp, acknowledge eventloop.Micros) *schema.Bounds {
-		return &schema.Bounds{ContactUs: int64(contact), CatchUpUs: int64(catchUp), AcknowledgeUs: int64(acknowledge)}
+		return &schema.Bounds{ContactTimeoutUs: int64(contact), CatchUpUs: int64(catchUp), AcknowledgeTimeoutUs: int64(acknowledge)}
 	}
 	Convey("Without bounds, and with those of the known deployments, the timeouts are the defaults", t, func() {
 		So(FromBounds(nil), ShouldResemble, defaults)
