--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -148,12 +148,15 @@
 
 // publishClusterState passes a new version of the cluster state to the components of
 // this process and, where this node leads it, to those that should have it at once.
+// An installed snapshot has already replaced the copy when this is called.
 func (h *Host) publishClusterState(now eventloop.Micros, effects eventloop.Effects) {
-	if h.clusterState.Version() == h.state.Version && h.state.Version != 0 {
+	if h.clusterState.Version() != h.state.Version || h.state.Version == 0 {
+		h.setState(h.clusterState.SharedState())
+	} else if h.published.Version == h.state.Version {
 		return
 	}
-	old := h.state
-	h.setState(h.clusterState.SharedState())
+	old := h.published
+	h.published = h.state
 	for _, component := range []string{"gateway", "scheduler"} {
 		effects.Notify(component, &schema.ClusterStateResponse{State: h.state, Version: h.state.Version})
 	}
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -59,6 +59,7 @@
 	clusterState  *clusterstate.StateMachine
 	values        *clusterstate.Values
 	state         *schema.ClusterState  // copy of clusterState that other components may hold
+	published     *schema.ClusterState  // the copy that they were notified of last
 	queueSettings *schema.ApplySettings // from the configuration, for every queue
 
 	controllerLeaseUntil  int64            // as last seen, µs of the cluster state's time
@@ -95,6 +96,7 @@
 	for name, state := range state.Groups {
 		h.openGroup(now, name, state)
 	}
+	h.published = h.state
 	return h
 }
 
--- a/internal/replica/large_updates_test.go
+++ b/internal/replica/large_updates_test.go
@@ -165,3 +165,38 @@
 		So(host.state.Configuration.Revision, ShouldEqual, acknowledged)
 	})
 }
+
+// TestInstalledClusterStateIsPublished: what reaches a node in a snapshot alone reaches its
+// components as well.
+func TestInstalledClusterStateIsPublished(t *testing.T) {
+	Convey("A node that was down gets the cluster state by a snapshot, and notifies its components", t, func() {
+		c := newTestCluster()
+		down := c.follower()
+		c.isDown[down] = true
+		leader := c.leader("")
+		group := c.clusterStateGroup(leader)
+		for version := uint64(1); group.SnapshotIndex() != group.LastIndex(); version++ {
+			So(version, ShouldBeLessThan, 60)
+			So(c.putLargeConfiguration(largeUpdate(version)), ShouldEqual, 200)
+			c.run(50 * eventloop.Millisecond)
+		}
+		want := c.hosts[leader].state.Version
+		c.isDown[down] = false
+		c.received[down+"/scheduler"] = nil
+		c.run(6 * eventloop.Second)
+		So(c.hosts[down].state.Version, ShouldEqual, want)
+		So(lastNotifiedVersion(c.received[down+"/scheduler"]), ShouldEqual, want)
+		So(lastNotifiedVersion(c.received[down+"/gateway"]), ShouldEqual, want)
+	})
+}
+
+// lastNotifiedVersion is the version of the last whole cluster state among messages.
+func lastNotifiedVersion(messages []any) uint64 {
+	var version uint64
+	for _, body := range messages {
+		if response, isState := body.(*schema.ClusterStateResponse); isState && response.State != nil {
+			version = response.Version
+		}
+	}
+	return version
+}
