--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -93,10 +93,10 @@
 		submitResponses: map[string]*schema.SubmitResponse{}, configurationsSent: map[string]configurationSent{},
 	}
 	h.setState(h.clusterState.SharedState())
+	h.published = h.state
 	for name, state := range state.Groups {
 		h.openGroup(now, name, state)
 	}
-	h.published = h.state
 	return h
 }
 
