--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -19,46 +19,62 @@
 	m[id] = membership.MemberStatus{Member: &schema.Member{Id: id, Incarnation: incarnation, Heartbeat: heartbeat, HasStorage: true, Role: schema.Role_ROLE_SERVER}, LastHeard: lastHeard}
 }
 
+// storageNodeLoss is a storage node "c" that becomes unresponsive beside "a" and "b".
+type storageNodeLoss struct {
+	incarnation  uint64           // of a node "d" when it starts; 0: never
+	startDelay   eventloop.Micros // of "d" after the loss
+	isController bool             // the controller has the lease from the start, not since the loss
+	isForgotten  bool             // "c" leaves the view
+}
+
+// members are the members that have been seen.
+func (l storageNodeLoss) members(now, startedAt, failedAt eventloop.Micros) runningMembers {
+	members := runningMembers{}
+	members.add("a", 1, startedAt, now)
+	members.add("b", 1, startedAt, now)
+	if !l.isForgotten || now <= failedAt {
+		members.add("c", 1, startedAt, min(failedAt, now))
+	}
+	if l.incarnation > 0 && now > failedAt+l.startDelay {
+		members.add("d", l.incarnation, failedAt+l.startDelay, now)
+	}
+	return members
+}
+
+// replaceDelay returns how long after the loss "d" becomes a learner; 0: it doesn't.
+func (l storageNodeLoss) replaceDelay() eventloop.Micros {
+	f := newControllerFixture()
+	if !l.isController {
+		f = &controllerFixture{controller: New("h", 0), now: 100 * eventloop.Second, state: &schema.ClusterState{Version: 1, Configuration: &schema.Configuration{}}}
+	}
+	startedAt, failedAt := f.now, f.now+12*eventloop.Second
+	if l.isController {
+		f.clusterStart = startedAt
+	}
+	for f.now < failedAt+10*eventloop.Second && len(f.memberChanges) == 0 {
+		f.now += TickInterval
+		f.controller.Step(f.now, eventloop.Message{Body: &membership.View{Members: l.members(f.now, startedAt, failedAt)}}, f)
+		// Until it gets the replies to its claims it isn't the controller.
+		if l.isController || f.now > failedAt+2*eventloop.Second {
+			for _, reply := range f.replies {
+				f.controller.Step(f.now, eventloop.Message{From: "a", Body: reply}, f)
+			}
+			f.replies = nil
+		}
+		f.controller.Step(f.now, eventloop.Message{Body: eventloop.Tick{}}, f)
+		f.sendUpdate()
+	}
+	if len(f.memberChanges) == 0 {
+		return 0
+	}
+	So(f.memberChanges[0].AddLearner, ShouldEqual, "d")
+	return f.now - failedAt
+}
+
 func TestLostStorageNodes(t *testing.T) {
-	// replaceDelay returns how long after "c" becomes unresponsive "d", which starts so long after
-	// that in its given incarnation (0: never), becomes a learner; 0: it doesn't.
 	isForgotten := false // "c" leaves the view
 	replaceDelay := func(incarnation uint64, startDelay eventloop.Micros, isController bool) eventloop.Micros {
-		f := newControllerFixture()
-		if !isController {
-			f = &controllerFixture{controller: New("h", 0), now: 100 * eventloop.Second, state: &schema.ClusterState{Version: 1, Configuration: &schema.Configuration{}}}
-		}
-		startedAt, failedAt := f.now, f.now+12*eventloop.Second
-		if isController {
-			f.clusterStart = startedAt
-		}
-		for f.now < failedAt+10*eventloop.Second && len(f.memberChanges) == 0 {
-			f.now += TickInterval
-			members := runningMembers{}
-			members.add("a", 1, startedAt, f.now)
-			members.add("b", 1, startedAt, f.now)
-			if !isForgotten || f.now <= failedAt {
-				members.add("c", 1, startedAt, min(failedAt, f.now))
-			}
-			if incarnation > 0 && f.now > failedAt+startDelay {
-				members.add("d", incarnation, failedAt+startDelay, f.now)
-			}
-			f.controller.Step(f.now, eventloop.Message{Body: &membership.View{Members: members}}, f)
-			// Until it gets the replies to its claims it isn't the controller.
-			if isController || f.now > failedAt+2*eventloop.Second {
-				for _, reply := range f.replies {
-					f.controller.Step(f.now, eventloop.Message{From: "a", Body: reply}, f)
-				}
-				f.replies = nil
-			}
-			f.controller.Step(f.now, eventloop.Message{Body: eventloop.Tick{}}, f)
-			f.sendUpdate()
-		}
-		if len(f.memberChanges) == 0 {
-			return 0
-		}
-		So(f.memberChanges[0].AddLearner, ShouldEqual, "d")
-		return f.now - failedAt
+		return storageNodeLoss{incarnation, startDelay, isController, isForgotten}.replaceDelay()
 	}
 	Convey("The votes of an unresponsive storage node are given to another after 6 s", t, func() {
 		isForgotten = false
--- a/internal/gateway/backpressure_test.go
+++ b/internal/gateway/backpressure_test.go
@@ -67,6 +67,36 @@
 	})
 }
 
+// submitTimes submits a job so many times as one client.
+func (h *harness) submitTimes(count int, name string) {
+	for range count {
+		h.submit("c", name)
+	}
+}
+
+// rejectedRetryAfters submits a job so many times, which is rejected each time, and returns
+// the times after which to retry.
+func (h *harness) rejectedRetryAfters(count int, name string) []int {
+	var seconds []int
+	for range count {
+		response := h.responses[h.submit("c", name)]
+		So(response.Code, ShouldEqual, 429)
+		seconds = append(seconds, response.RetryAfter)
+	}
+	return seconds
+}
+
+// polledNodes are the nodes to which queries of the cluster state were sent.
+func (h *harness) polledNodes() map[string]bool {
+	nodes := map[string]bool{}
+	for _, each := range h.sent {
+		if _, isQuery := each.body.(*schema.ClusterStateRequest); isQuery {
+			nodes[each.to] = true
+		}
+	}
+	return nodes
+}
+
 func TestRetryAfter(t *testing.T) {
 	window := &schema.ConfigurationRow{Kind: "fleet", Key: "window", Value: "8"}
 	Convey("Each rejected client is given a retry time of its own, at the queue's throughput", t, func() {
@@ -80,15 +110,8 @@
 			h.step(eventloop.Tick{})
 			h.step(&schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{"l": "a"}})
 		}
-		for k := 0; k < 8; k++ {
-			h.submit("c", "held")
-		}
-		var retryAfters []int
-		for k := 0; k < 12; k++ {
-			response := h.responses[h.submit("c", "more")]
-			So(response.Code, ShouldEqual, 429)
-			retryAfters = append(retryAfters, response.RetryAfter)
-		}
+		h.submitTimes(8, "held")
+		retryAfters := h.rejectedRetryAfters(12, "more")
 		So(retryAfters[0], ShouldEqual, 1)
 		So(retryAfters[11], ShouldBeBetweenOrEqual, 3, 4)
 		// Retry times that have passed are given again.
@@ -98,13 +121,9 @@
 	})
 	Convey("Without throughput the retry time grows up to a bound", t, func() {
 		h := newHarness(window)
-		for k := 0; k < 8; k++ {
-			h.submit("c", "held")
-		}
+		h.submitTimes(8, "held")
 		So(h.responses[h.submit("c", "more")].RetryAfter, ShouldEqual, 5)
-		for k := 0; k < 20; k++ {
-			h.submit("c", "more")
-		}
+		h.submitTimes(20, "more")
 		So(h.responses[h.submit("c", "more")].RetryAfter, ShouldEqual, maxRetryAfterSeconds)
 	})
 	Convey("For a full queue the retry time follows from the rate of ended jobs", t, func() {
@@ -113,13 +132,7 @@
 			h.step(&schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{"l": "a"}, QueueStatuses: []*schema.QueueStatus{{Queue: "l", LiveJobs: 100, EndedJobs: 2 * k}}})
 			h.now += eventloop.Second
 		}
-		retryAfters := 0
-		for k := 0; k < 10; k++ {
-			response := h.responses[h.submit("c", "n")]
-			So(response.Code, ShouldEqual, 429)
-			retryAfters = response.RetryAfter
-		}
-		So(retryAfters, ShouldBeBetweenOrEqual, 5, 6)
+		So(h.rejectedRetryAfters(10, "n")[9], ShouldBeBetweenOrEqual, 5, 6)
 	})
 	Convey("A gateway with an ended lease rejects requests, and keeps pending ones for a while", t, func() {
 		h := newHarness()
@@ -154,25 +167,16 @@
 		}
 		h.step(&membership.View{Members: known})
 		h.step(&schema.ClusterStateResponse{Version: h.gateway.state.Version, Leaders: map[string]string{"l": "a"}})
-		polled := func() map[string]bool {
-			to := map[string]bool{}
-			for _, each := range h.sent {
-				if _, isQuery := each.body.(*schema.ClusterStateRequest); isQuery {
-					to[each.to] = true
-				}
-			}
-			return to
-		}
 		h.sent = nil
 		h.now += maxStateQueryInterval
 		h.step(eventloop.Tick{})
-		So(polled(), ShouldResemble, map[string]bool{"me": true})
+		So(h.polledNodes(), ShouldResemble, map[string]bool{"me": true})
 		h.sent = nil
 		for k := 0; k < 20; k++ {
 			h.now += TickInterval
 			h.step(eventloop.Tick{})
 		}
-		So(polled()["a"] || polled()["b"], ShouldBeTrue)
+		So(h.polledNodes()["a"] || h.polledNodes()["b"], ShouldBeTrue)
 	})
 	Convey("A gateway with an expired lease answers pending and new requests at once, with a time to retry", t, func() {
 		h := newHarness()
--- a/internal/gateway/leaders_test.go
+++ b/internal/gateway/leaders_test.go
@@ -10,6 +10,16 @@
 	"sparnotch/internal/schema"
 )
 
+// setQueues delivers a cluster state with just these queues, which have no leaders.
+func (h *harness) setQueues(version uint64, queues ...string) {
+	state := &schema.ClusterState{Version: version, Configuration: &schema.Configuration{Revision: version}}
+	for _, queue := range queues {
+		state.Configuration.Rows = append(state.Configuration.Rows, &schema.ConfigurationRow{Kind: "queue", Name: queue, Key: "urgency", Value: "1"})
+		state.Queues = append(state.Queues, &schema.QueuePlacement{Queue: queue, Generation: version})
+	}
+	h.step(&schema.ClusterStateResponse{Version: version, State: state, Leaders: map[string]string{"clusterstate": "a"}})
+}
+
 func TestLeaderlessQueues(t *testing.T) {
 	Convey("Submissions to a leaderless queue are rejected before they have a number", t, func() {
 		h := newHarness()
@@ -93,22 +103,14 @@
 	})
 	Convey("A new queue has the grace period to elect a leader, and a removed one is forgotten", t, func() {
 		h := newHarness()
-		queues := func(version uint64, queues ...string) {
-			state := &schema.ClusterState{Version: version, Configuration: &schema.Configuration{Revision: version}}
-			for _, queue := range queues {
-				state.Configuration.Rows = append(state.Configuration.Rows, &schema.ConfigurationRow{Kind: "queue", Name: queue, Key: "urgency", Value: "1"})
-				state.Queues = append(state.Queues, &schema.QueuePlacement{Queue: queue, Generation: version})
-			}
-			h.step(&schema.ClusterStateResponse{Version: version, State: state, Leaders: map[string]string{"clusterstate": "a"}})
-		}
-		queues(2, "l", "new")
+		h.setQueues(2, "l", "new")
 		job := &schema.Job{Steps: []*schema.Step{{Name: "s", Tasks: 1, CoresMilli: 1}}}
 		h.step(SubmitJob{RequestID: 1, Queue: "new", Client: "c", Name: "j", Job: job})
 		h.now += leaderlessGracePeriod + eventloop.Millisecond
 		h.step(SubmitJob{RequestID: 2, Queue: "new", Client: "c", Name: "j", Job: job})
 		So(h.responses, ShouldNotContainKey, uint64(1))
 		So(h.responses[2].Code, ShouldEqual, 503)
-		queues(3, "l")
+		h.setQueues(3, "l")
 		So(h.gateway.leaderlessSince, ShouldBeEmpty)
 	})
 }
--- a/internal/membership/gossip_test.go
+++ b/internal/membership/gossip_test.go
@@ -14,35 +14,62 @@
 	"sparnotch/internal/schema"
 )
 
+// conveyInClusters runs a test in running clusters of several seeds.
+func conveyInClusters(t *testing.T, name string, test func(n *network)) {
+	Convey(name, t, func() {
+		for seed := range uint64(10) {
+			test(newRunningCluster(seed))
+		}
+	})
+}
+
+// controllerCandidates returns the candidates for controller by what a host knows.
+func (h *host) controllerCandidates() []string {
+	zones := map[string]string{}
+	for id, status := range h.view.Members {
+		if status.Member.Role == schema.Role_ROLE_CONTROLLER && h.view.IsAlive(id, h.net.now, storageNodeTimeout) {
+			zones[id] = status.Member.Zone
+		}
+	}
+	return SpreadOverZones(zones, MaxControllerCandidates)
+}
+
+// agreedCandidates returns the candidates for controller by what a storage node knows; each
+// agent node must know the same of itself.
+func (n *network) agreedCandidates() []string {
+	want := n.hosts[1].controllerCandidates()
+	So(len(want), ShouldEqual, MaxControllerCandidates)
+	for _, by := range n.hosts {
+		if by.incarnation > 0 && by.config.IsAgentNode {
+			got := by.controllerCandidates()
+			So(slices.Contains(got, by.id), ShouldEqual, slices.Contains(want, by.id))
+		}
+	}
+	return want
+}
+
 func TestGossip(t *testing.T) {
 	// Storage nodes hear of all processes, the others not of all agent nodes.
 	isExpected := func(by, of *host) bool { return by.hasDisk || !of.config.IsAgentNode }
 	isStorageNode := func(_, of *host) bool { return of.hasDisk }
-	inRunningCluster := func(name string, test func(n *network)) {
-		Convey(name, t, func() {
-			for seed := range uint64(10) {
-				test(newRunningCluster(seed))
-			}
-		})
-	}
-	inRunningCluster("In a cluster of eighteen all processes hear of the storage and gateway nodes regularly, and the storage nodes of all processes", func(n *network) {
+	conveyInClusters(t, "In a cluster of eighteen all processes hear of the storage and gateway nodes regularly, and the storage nodes of all processes", func(n *network) {
 		So(n.isBootstrapped(), ShouldBeTrue)
 		So(n.maxSilence(20*eventloop.Second, isStorageNode), ShouldBeLessThan, 1000*eventloop.Millisecond)
 		So(n.maxSilence(20*eventloop.Second, isExpected), ShouldBeLessThan, 1500*eventloop.Millisecond)
 	})
-	inRunningCluster("also if one message in ten is lost", func(n *network) {
+	conveyInClusters(t, "also if one message in ten is lost", func(n *network) {
 		n.loss, n.lossEnd = 0.1, n.now+eventloop.Second*60
 		byAgentNode := func(by, of *host) bool { return by.config.IsAgentNode && of.hasDisk }
 		So(n.maxSilence(20*eventloop.Second, byAgentNode), ShouldBeLessThan, 1500*eventloop.Millisecond)
 	})
-	inRunningCluster("also if an agent node is partitioned from a storage node", func(n *network) {
+	conveyInClusters(t, "also if an agent node is partitioned from a storage node", func(n *network) {
 		storageNode, agentNode := n.hosts[1], n.hosts[12]
 		n.isPartitioned = func(from, to *host) bool {
 			return from == storageNode && to == agentNode || from == agentNode && to == storageNode
 		}
 		So(n.maxSilence(20*eventloop.Second, isStorageNode), ShouldBeLessThan, 1500*eventloop.Millisecond)
 	})
-	inRunningCluster("A storage node that is partitioned from the other storage nodes is heard of indirectly", func(n *network) {
+	conveyInClusters(t, "A storage node that is partitioned from the other storage nodes is heard of indirectly", func(n *network) {
 		storageNode := n.hosts[4]
 		n.isPartitioned = func(from, to *host) bool {
 			return from == storageNode && to.hasDisk || from.hasDisk && to == storageNode
@@ -50,7 +77,16 @@
 		n.runTo(n.now + 5*eventloop.Second)
 		So(n.maxSilence(20*eventloop.Second, func(by, of *host) bool { return of == storageNode && by.config.IsAgentNode }), ShouldBeLessThan, 2500*eventloop.Millisecond)
 	})
-	inRunningCluster("A storage node that crashed soon isn't heard of any more, and the others are", func(n *network) {
+	conveyInClusters(t, "A gateway node that reaches no storage node is heard of indirectly", func(n *network) {
+		gateway := n.hosts[8]
+		n.isPartitioned = func(from, to *host) bool { return from == gateway && to.hasDisk || from.hasDisk && to == gateway }
+		n.runTo(n.now + 5*eventloop.Second)
+		So(n.maxSilence(20*eventloop.Second, func(by, of *host) bool { return of == gateway && by.hasDisk }), ShouldBeLessThan, 4*eventloop.Second)
+	})
+}
+
+func TestGossipOfChanges(t *testing.T) {
+	conveyInClusters(t, "A storage node that crashed soon isn't heard of any more, and the others are", func(n *network) {
 		storageNode := n.hosts[5]
 		storageNode.stop()
 		crashedAt := n.now
@@ -62,7 +98,7 @@
 		}
 		So(n.maxSilence(20*eventloop.Second, func(_, of *host) bool { return of.hasDisk && of != storageNode }), ShouldBeLessThan, 1500*eventloop.Millisecond)
 	})
-	inRunningCluster("A process that starts is soon known everywhere, and so is one that drains", func(n *network) {
+	conveyInClusters(t, "A process that starts is soon known everywhere, and so is one that drains", func(n *network) {
 		gateway := n.hosts[8]
 		gateway.stop()
 		gateway.start()
@@ -81,42 +117,22 @@
 			}
 		}
 	})
-	inRunningCluster("A gateway node that reaches no storage node is heard of indirectly", func(n *network) {
-		gateway := n.hosts[8]
-		n.isPartitioned = func(from, to *host) bool { return from == gateway && to.hasDisk || from.hasDisk && to == gateway }
-		n.runTo(n.now + 5*eventloop.Second)
-		So(n.maxSilence(20*eventloop.Second, func(by, of *host) bool { return of == gateway && by.hasDisk }), ShouldBeLessThan, 4*eventloop.Second)
-	})
-	inRunningCluster("All agree on the candidates for controller, and one that crashes is soon replaced", func(n *network) {
-		candidates := func(by *host) []string {
-			zones := map[string]string{}
-			for id, status := range by.view.Members {
-				if status.Member.Role == schema.Role_ROLE_CONTROLLER && by.view.IsAlive(id, n.now, storageNodeTimeout) {
-					zones[id] = status.Member.Zone
-				}
-			}
-			return SpreadOverZones(zones, MaxControllerCandidates)
-		}
-		agreed := func() []string {
-			want := candidates(n.hosts[1])
-			So(len(want), ShouldEqual, MaxControllerCandidates)
-			for _, by := range n.hosts {
-				if by.incarnation > 0 && by.config.IsAgentNode {
-					got := candidates(by)
-					So(slices.Contains(got, by.id), ShouldEqual, slices.Contains(want, by.id))
-				}
-			}
-			return want
-		}
-		first := agreed()
+}
+
+func TestControllerCandidates(t *testing.T) {
+	conveyInClusters(t, "All agree on the candidates for controller, and one that crashes is soon replaced", func(n *network) {
+		first := n.agreedCandidates()
 		for _, h := range n.hosts {
 			if h.id == first[0] {
 				h.stop()
 			}
 		}
 		n.runTo(n.now + 5*eventloop.Second)
-		So(agreed(), ShouldNotContain, first[0])
+		So(n.agreedCandidates(), ShouldNotContain, first[0])
 	})
+}
+
+func TestGossipTraffic(t *testing.T) {
 	Convey("In a cluster of 80 agent and gateway nodes are sent few members", t, func() {
 		n := newNetwork(2)
 		n.maxDelay = 2 * eventloop.Millisecond
--- a/internal/membership/seeds_test.go
+++ b/internal/membership/seeds_test.go
@@ -28,21 +28,27 @@
 	}
 }
 
+// stopSeeds stops all seeds, and returns the addresses of the remaining storage nodes.
+func (n *network) stopSeeds() []string {
+	seeds := n.hosts[0].config.Seeds
+	var storageNodes []string
+	for _, h := range n.hosts {
+		if slices.Contains(seeds, h.address) {
+			h.stop()
+		} else if h.hasDisk {
+			storageNodes = append(storageNodes, h.address)
+		}
+	}
+	return storageNodes
+}
+
 // TestReplacedSeeds: processes outlive their seeds, as when all storage nodes are replaced, one
 // after the other, by nodes at other addresses.
 func TestReplacedSeeds(t *testing.T) {
 	Convey("When no seed is left, processes that have run since the first start learn of a new storage node", t, func() {
 		for seed := range uint64(10) {
 			n := newRunningCluster(seed)
-			seeds := n.hosts[0].config.Seeds
-			var currentSeeds []string // of settings that are written now
-			for _, h := range n.hosts {
-				if slices.Contains(seeds, h.address) {
-					h.stop()
-				} else if h.hasDisk {
-					currentSeeds = append(currentSeeds, h.address)
-				}
-			}
+			currentSeeds := n.stopSeeds() // of settings that are written now
 			n.runTo(n.now + 5*eventloop.Second)
 			joining := &host{net: n, address: "10.0.1.1:1", zone: "c0", hasDisk: true, config: Config{Seeds: currentSeeds, MachineFailures: 1}}
 			n.hosts = append(n.hosts, joining)
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -51,9 +51,8 @@
 		Convey("all at once when the gang start is applied", func() {
 			h.deliverEvents(false, 6, one, two)
 			So(len(h.replies), ShouldEqual, count+2)
-			for _, reply := range h.replies[count:] {
-				So(reply.Orders.Orders[0].Action, ShouldEqual, "start")
-			}
+			So(h.replies[count].Orders.Orders[0].Action, ShouldEqual, "start")
+			So(h.replies[count+1].Orders.Orders[0].Action, ShouldEqual, "start")
 		})
 		Convey("and by another scheduler, which never saw them held, when this one is gone", func() {
 			h = newHarness("v", "w")
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -189,9 +189,9 @@
 }
 
 // newQualityHarness is a harness with three workers, of which b and c have each finished
-// so many tasks of a step, in a second each.
-func newQualityHarness(finished int, step *schema.Step) *harness {
-	h := newHarness("a", "b", "c")
+// so many tasks of a step, in a second each, and with others that never reported.
+func newQualityHarness(finished int, step *schema.Step, unresponsive ...string) *harness {
+	h := newHarness(append([]string{"a", "b", "c"}, unresponsive...)...)
 	h.deliverEvents(true, 0)
 	for _, id := range []string{"a", "b", "c"} {
 		h.sendHeartbeat(id, withNames(nil))
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -11,6 +11,19 @@
 	"sparnotch/internal/schema"
 )
 
+// evictedTasks counts the tasks that are to be stopped, by job.
+func (h *harness) evictedTasks() map[uint64]int {
+	counts := map[uint64]int{}
+	for _, q := range h.scheduler.queues {
+		for _, t := range q.tasks {
+			if t.evictOutcome != "" {
+				counts[t.key.job]++
+			}
+		}
+	}
+	return counts
+}
+
 func TestPreemption(t *testing.T) {
 	big := &schema.Step{Name: "b", Tasks: 1, CoresMilli: 800}
 	mid := &schema.Step{Name: "m", Tasks: 1, CoresMilli: 400}
@@ -20,17 +33,6 @@
 	run := func(job uint64, task uint32, run eventloop.Micros) *schema.TaskStatus {
 		return &schema.TaskStatus{Queue: "l", Job: job, Task: task, Attempt: 1, State: "running", RunUs: int64(run), CoresMilli: 400}
 	}
-	stops := func(h *harness) map[uint64]int {
-		got := map[uint64]int{}
-		for _, v := range h.scheduler.queues {
-			for _, each := range v.tasks {
-				if each.evictOutcome != "" {
-					got[each.key.job]++
-				}
-			}
-		}
-		return got
-	}
 	for _, each := range []struct {
 		what         string
 		less         []*queue.TaskEvent
@@ -80,11 +82,11 @@
 			sendHeartbeats()
 			h.syncQueue("m", 50, each.urgent...)
 			h.advance(preemptionDelay - TickInterval)
-			So(stops(h), ShouldBeEmpty) // not before preemptionDelay
+			So(h.evictedTasks(), ShouldBeEmpty) // not before preemptionDelay
 			h.advance(60 * eventloop.Millisecond)
 			sendHeartbeats()
 			h.advance(100 * eventloop.Millisecond)
-			So(stops(h), ShouldResemble, each.want)
+			So(h.evictedTasks(), ShouldResemble, each.want)
 		})
 	}
 	Convey("Freed capacity goes to the task that preempted for it", t, func() {
@@ -94,7 +96,7 @@
 		h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) { a.Running = both })
 		h.syncQueue("m", 50, newEvent(1, 9, 0, queue.Ready, "", &schema.Step{Name: "x", Tasks: 1, CoresMilli: 1000}))
 		h.advance(preemptionDelay + 2*TickInterval)
-		So(stops(h), ShouldResemble, map[uint64]int{1: 1, 2: 1})
+		So(h.evictedTasks(), ShouldResemble, map[uint64]int{1: 1, 2: 1})
 		h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) {
 			a.Running, a.Ended = both[1:], []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: 1, State: "stopped"}}
 		})
--- a/internal/scheduler/quality_test.go
+++ b/internal/scheduler/quality_test.go
@@ -4,29 +4,69 @@
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
+	"google.golang.org/protobuf/proto"
 
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/queue"
 	"sparnotch/internal/schema"
 )
 
+// failTasks has a worker report the tasks of these jobs as failed, one by one.
+func (h *harness) failTasks(worker string, jobs ...uint64) {
+	for _, failed := range jobs {
+		h.sendHeartbeat(worker, func(a *schema.WorkerHeartbeat) {
+			a.Ended = []*schema.TaskStatus{{Queue: "l", Job: failed, Attempt: 1, State: "failed"}}
+		})
+	}
+}
+
+// finishTasks has a worker report so many tasks of new jobs as done, one by one.
+func (h *harness) finishTasks(count int, worker string, step *schema.Step, run eventloop.Micros) {
+	for range count {
+		h.finishTask(worker, step, run)
+	}
+}
+
+// countOnProbation returns how many workers get one task at a time.
+func (h *harness) countOnProbation() int {
+	count := 0
+	for _, w := range h.scheduler.workers {
+		if w.isOnProbation {
+			count++
+		}
+	}
+	return count
+}
+
+// placeNewTask returns the worker on which the one task of a new job is placed.
+func (h *harness) placeNewTask(step *schema.Step) string {
+	h.lastJob++
+	h.notified = nil
+	h.deliverNext(newEvent(0, h.lastJob, 0, queue.Ready, "", step))
+	So(len(h.placements()), ShouldEqual, 1)
+	return h.placements()[0].Worker
+}
+
+// runBesideOthers lets worker a run a task, with so much progress per 100 ms, while the
+// others finish tasks of a step.
+func (h *harness) runBesideOthers(span eventloop.Micros, run *schema.TaskStatus, progress int64, step *schema.Step) {
+	for end := h.now + span; h.now < end; {
+		run.Percent += progress
+		h.sendHeartbeat("a", withRunning(proto.Clone(run).(*schema.TaskStatus)))
+		h.finishTask("b", step, eventloop.Second)
+		h.finishTask("c", step, eventloop.Second)
+		h.advance(100 * eventloop.Millisecond)
+	}
+}
+
 func TestWorkerEjection(t *testing.T) {
 	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimatedRunUs: 1_000_000}
-	ready := func(h *harness, step *schema.Step) string {
-		h.lastJob++
-		h.notified = nil
-		h.deliverNext(newEvent(0, h.lastJob, 0, queue.Ready, "", step))
-		So(len(h.placements()), ShouldEqual, 1)
-		return h.placements()[0].Worker
-	}
 	Convey("A worker whose runs take longer than elsewhere is used last", t, func() {
 		h := newQualityHarness(4, step)
-		for k := 0; k < 4; k++ {
-			h.finishTask("a", step, 4*eventloop.Second)
-		}
+		h.finishTasks(4, "a", step, 4*eventloop.Second)
 		h.sendHeartbeat("b", withRunning(&schema.TaskStatus{Queue: "x", Name: "z", Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}))
 		h.sendHeartbeat("c", withRunning(&schema.TaskStatus{Queue: "x", Name: "z", Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}))
-		So(ready(h, step), ShouldNotEqual, "a")
+		So(h.placeNewTask(step), ShouldNotEqual, "a")
 		Convey("but the others don't count as fast", func() {
 			So(h.scheduler.workers["b"].slowdown, ShouldBeBetween, -0.1, 0.1)
 		})
@@ -35,16 +75,8 @@
 		h := newQualityHarness(4, step)
 		h.deliverNext(newEvent(0, 7, 0, queue.CheckedOut, "a", step))
 		began := h.now
-		percent := int64(0)
-		simulate := func(span eventloop.Micros, moves int64) {
-			for end := h.now + span; h.now < end; {
-				percent += moves
-				h.sendHeartbeat("a", withRunning(&schema.TaskStatus{Name: "j7", Attempt: 1, State: "running", Percent: percent}))
-				h.finishTask("b", step, eventloop.Second)
-				h.finishTask("c", step, eventloop.Second)
-				h.advance(100 * eventloop.Millisecond)
-			}
-		}
+		run := &schema.TaskStatus{Name: "j7", Attempt: 1, State: "running"}
+		simulate := func(span eventloop.Micros, moves int64) { h.runBesideOthers(span, run, moves, step) }
 		isStopped := func() bool { return len(h.ordersOf(0, "stop")) > 0 }
 		Convey("if it makes no progress", func() {
 			simulate(3900*eventloop.Millisecond, 0)
@@ -55,7 +87,7 @@
 			h.sendHeartbeat("a", withEnded(&schema.TaskStatus{Name: "j7", Attempt: 1, State: "stopped"}))
 			So(h.endReports()[0].Outcome, ShouldEqual, "stopped")
 			for k := 0; k < 3; k++ {
-				So(ready(h, step), ShouldNotEqual, "a")
+				So(h.placeNewTask(step), ShouldNotEqual, "a")
 			}
 		})
 		Convey("but not if it is just long", func() {
@@ -64,23 +96,16 @@
 			So(h.now-began, ShouldBeGreaterThan, 7*eventloop.Second)
 		})
 	})
-	fail := func(h *harness, worker string, jobs ...uint64) {
-		for _, failed := range jobs {
-			h.sendHeartbeat(worker, func(a *schema.WorkerHeartbeat) {
-				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: failed, Attempt: 1, State: "failed"}}
-			})
-		}
-	}
 	Convey("A worker that fails a few tasks in a row where others don't is ejected, for longer each time", t, func() {
 		h := newQualityHarness(4, step)
-		fail(h, "a", 1, 2)
-		So(ready(h, step), ShouldNotEqual, "a")
+		h.failTasks("a", 1, 2)
+		So(h.placeNewTask(step), ShouldNotEqual, "a")
 		So(h.scheduler.workers["a"].ejectedUntil-h.now, ShouldEqual, baseEjectionPeriod)
 		h.advance(baseEjectionPeriod)
-		fail(h, "a", 3)
+		h.failTasks("a", 3)
 		h.sendHeartbeat("b", withNames(nil))
 		h.sendHeartbeat("c", withNames(nil))
-		So(ready(h, step), ShouldNotEqual, "a")
+		So(h.placeNewTask(step), ShouldNotEqual, "a")
 		So(h.scheduler.workers["a"].ejectedUntil-h.now, ShouldEqual, 2*baseEjectionPeriod)
 		Convey("and is still used when nothing else has capacity for long", func() {
 			only := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Labels: []string{"x"}}
@@ -95,42 +120,10 @@
 			So(len(h.placements()), ShouldEqual, 1)
 		})
 	})
-	Convey("Unresponsive workers don't count among the peers of a suspicious one", t, func() {
-		h := newHarness("a", "b", "c", "gone1", "gone2", "gone3", "gone4", "gone5")
-		h.deliverEvents(true, 0)
-		for _, id := range []string{"a", "b", "c"} {
-			h.sendHeartbeat(id, withNames(nil))
-		}
-		Convey("so never half of the others are ejected", func() {
-			fail(h, "a", 1, 2)
-			ready(h, step)
-			fail(h, "b", 3, 4)
-			ready(h, step)
-			onProbation := 0
-			for _, id := range []string{"a", "b", "c"} {
-				if h.scheduler.workers[id].isOnProbation {
-					onProbation++
-				}
-			}
-			So(onProbation, ShouldEqual, 1)
-		})
-		Convey("and few failures are no evidence where all workers have some", func() {
-			for _, id := range []string{"a", "b", "c"} {
-				for k := uint64(1); k <= 4; k++ {
-					h.finishTask(id, step, eventloop.Second)
-				}
-				fail(h, id, 1)
-				h.finishTask(id, step, eventloop.Second)
-			}
-			fail(h, "a", 2, 3)
-			ready(h, step)
-			So(h.scheduler.workers["a"].isOnProbation, ShouldBeFalse)
-		})
-	})
 	Convey("A worker on probation gets one task at a time, and what has waited long besides", t, func() {
 		h := newQualityHarness(4, step)
-		fail(h, "a", 1, 2)
-		ready(h, step)
+		h.failTasks("a", 1, 2)
+		h.placeNewTask(step)
 		h.deliverNext(newEvent(0, h.lastJob, 0, queue.Inactive, "", step))
 		h.advance(baseEjectionPeriod)
 		has := func(statuses ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
@@ -151,22 +144,46 @@
 		}
 		So(len(h.placements()), ShouldEqual, 1)
 	})
+}
+
+func TestEjectionEvidence(t *testing.T) {
+	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimatedRunUs: 1_000_000}
+	Convey("Unresponsive workers don't count among the peers of a suspicious one", t, func() {
+		h := newQualityHarness(0, step, "gone1", "gone2", "gone3", "gone4", "gone5")
+		Convey("so never half of the others are ejected", func() {
+			h.failTasks("a", 1, 2)
+			h.placeNewTask(step)
+			h.failTasks("b", 3, 4)
+			h.placeNewTask(step)
+			So(h.countOnProbation(), ShouldEqual, 1)
+		})
+		Convey("and few failures are no evidence where all workers have some", func() {
+			for _, id := range []string{"a", "b", "c"} {
+				h.finishTasks(4, id, step, eventloop.Second)
+				h.failTasks(id, 1)
+				h.finishTask(id, step, eventloop.Second)
+			}
+			h.failTasks("a", 2, 3)
+			h.placeNewTask(step)
+			So(h.scheduler.workers["a"].isOnProbation, ShouldBeFalse)
+		})
+	})
 	Convey("Where a queue's tasks often fail by their own fault, a few failures in a row are no evidence against a worker", t, func() {
 		h := newQualityHarness(4, step)
 		for k := uint64(1); k <= 65; k++ {
 			for _, id := range []string{"a", "b", "c"} {
 				h.finishTask(id, step, eventloop.Second)
 				if k%10 == 0 {
-					fail(h, id, 1000+k)
+					h.failTasks(id, 1000+k)
 				}
 			}
 		}
-		fail(h, "a", 1, 2, 3)
-		ready(h, step)
+		h.failTasks("a", 1, 2, 3)
+		h.placeNewTask(step)
 		So(h.scheduler.workers["a"].isOnProbation, ShouldBeFalse)
 		Convey("but many are", func() {
-			fail(h, "a", 4, 5, 6, 7)
-			ready(h, step)
+			h.failTasks("a", 4, 5, 6, 7)
+			h.placeNewTask(step)
 			So(h.scheduler.workers["a"].isOnProbation, ShouldBeTrue)
 		})
 	})
