--- a/cmd/sparnotch-bench/fleet_command.go
+++ b/cmd/sparnotch-bench/fleet_command.go
@@ -142,7 +142,7 @@
 
 // run starts the fleet, loads it, injects the faults, stops it, and reports whether no
 // rule was broken and all nodes exited cleanly.
-func (c *fleetCommand) run(ctx context.Context, f *fleet, faults []plannedFault, bounds checker.Bounds) (passed bool) {
+func (c *fleetCommand) run(ctx context.Context, f *fleet, faults []plannedFault, bounds checker.Tolerances) (passed bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer func() { passed = f.stop() && passed }()
--- a/cmd/sparnotch-bench/hollow_nodes.go
+++ b/cmd/sparnotch-bench/hollow_nodes.go
@@ -51,13 +51,13 @@
 type hollowEffects struct {
 	network *transport.Transport
 	members *membership.AddressBook
-	loop    *eventloop.Process
+	loop    *eventloop.Loop
 }
 
-func (e *hollowEffects) Send(to string, body any)          { e.network.SendTo(to, e.members.Address(to), body) }
-func (e *hollowEffects) Dial(address string, body any)     { e.network.Send(address, body) }
-func (e *hollowEffects) Notify(component string, body any) { e.loop.Notify(component, body) }
-func (e *hollowEffects) Respond(request uint64, body any)  {}
+func (e *hollowEffects) Send(to string, body any)               { e.network.SendTo(to, e.members.Address(to), body) }
+func (e *hollowEffects) SendToAddress(address string, body any) { e.network.Send(address, body) }
+func (e *hollowEffects) Notify(component string, body any)      { e.loop.Notify(component, body) }
+func (e *hollowEffects) Respond(request uint64, body any)       {}
 
 func (e *hollowEffects) deliver(from string, body any) {
 	for _, component := range hollow.ComponentsFor(body) {
@@ -86,10 +86,10 @@
 	}
 	members := &membership.AddressBook{}
 	config := &process.Config{Member: member, Seeds: p.config.seeds(), AddressBook: members, WallClock: clock.Wall, RandomSeed: seed, Now: clock.Now()}
-	loop := eventloop.NewProcess(clock)
+	loop := eventloop.NewLoop(clock)
 	effects := &hollowEffects{members: members, loop: loop}
 	loop.Outbound = effects
-	for _, slot := range process.ControllerComponents(config) {
+	for _, slot := range process.AgentNodeComponents(config) {
 		// A node that is no controller candidate has only its agent and the membership.
 		if slot.Name == controllerName && p.config.Controllers > 0 && k >= p.config.Controllers {
 			loop.Add(slot.Name, &hollow.StatePoller{}, hollow.StatePollInterval)
--- a/cmd/sparnotch-bench/hollow_process.go
+++ b/cmd/sparnotch-bench/hollow_process.go
@@ -71,7 +71,7 @@
 	count     int // of nodes
 	processes []*process.Node
 	networks  []*transport.Transport
-	loops     []*eventloop.Process
+	loops     []*eventloop.Loop
 
 	started  atomic.Uint64
 	running  atomic.Int64
@@ -176,7 +176,7 @@
 		r.StorageBytes, r.Syncs = r.StorageBytes+counts.Storage.Bytes, r.Syncs+counts.Storage.Syncs
 		r.addLost(counts.LostMessages)
 		if node.Member.HasStorage {
-			r.State, _ = node.Call(ctx, "replica", stateTimeout, func(id uint64, _ eventloop.Micros) any { return replica.GetStateView{Request: id} }).(*replica.NodeStateView)
+			r.State, _ = node.Call(ctx, "replica", stateTimeout, func(id uint64, _ eventloop.Micros) any { return replica.StateViewRequest{Request: id} }).(*replica.NodeStateView)
 		}
 	}
 	for _, network := range p.networks {
--- a/cmd/sparnotch-bench/report.go
+++ b/cmd/sparnotch-bench/report.go
@@ -89,7 +89,7 @@
 
 // report writes the history, prints what a fleet's run has shown, and reports whether
 // no rule was broken and all accepted jobs have ended.
-func report(f *fleet, result loadResult, folder string, bounds checker.Bounds) bool {
+func report(f *fleet, result loadResult, folder string, bounds checker.Tolerances) bool {
 	events := f.history.sorted()
 	if err := f.history.write(filepath.Join(folder, "history.jsonl")); err != nil {
 		fmt.Fprintln(os.Stderr, "sparnotch-bench: writing the history:", err)
--- a/cmd/sparnotch-bench/standalone.go
+++ b/cmd/sparnotch-bench/standalone.go
@@ -51,7 +51,7 @@
 	h := &history{clock: eventloop.RealClock()}
 	// An incarnation must be higher than those before it.
 	incarnation := uint64(time.Now().UnixMicro())
-	w := fakeworker.New(h.now(), c.name, c.rack, c.cores, c.memory, incarnation, rand.New(rand.NewPCG(incarnation, 1)), h.add)
+	w := fakeworker.NewPollingWorker(h.now(), c.name, c.rack, c.cores, c.memory, incarnation, rand.New(rand.NewPCG(incarnation, 1)), h.add)
 	w.Behaviour = fakeworker.Behaviour{FailureRate: c.fail, Slowdown: c.slow}
 	runner := &workerRunner{balancer: newLoadBalancer(endpoints), history: h, worker: w}
 	go runner.balancer.discover(ctx)
--- a/cmd/sparnotch-bench/worker_runner.go
+++ b/cmd/sparnotch-bench/worker_runner.go
@@ -24,7 +24,7 @@
 	history        *history
 	zone           string
 	mu             sync.Mutex // guards the rest, and the worker's state
-	worker         *fakeworker.Worker
+	worker         *fakeworker.PollingWorker
 	gateway        string // address that heartbeats go to
 	isDisconnected bool   // reaches no gateway node
 }
--- a/cmd/sparnotch-platform/main.go
+++ b/cmd/sparnotch-platform/main.go
@@ -55,7 +55,7 @@
 	}
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "sparnotch-platform: %v\n", err)
-		return daemon.ExitOptions
+		return daemon.ExitInvalidSettings
 	}
 	if c.role == schema.Role_ROLE_NONE {
 		fmt.Println("settings are good")
@@ -72,5 +72,5 @@
 	if c.role == schema.Role_ROLE_CONTROLLER {
 		workerClients = append(workerClients, platform.NewWorkerClient(settings.WorkerAddress))
 	}
-	return daemon.Serve("sparnotch-platform", settings.Options, c.role, platform.Open(settings), workerClients...)
+	return daemon.Serve("sparnotch-platform", settings.NodeSettings, c.role, platform.Open(settings), workerClients...)
 }
--- a/cmd/sparnotchctl/datadir.go
+++ b/cmd/sparnotchctl/datadir.go
@@ -89,7 +89,7 @@
 	if term > groupContent.HardState.GetTerm() {
 		return fmt.Errorf("entry %d is of term %d, and the hard state of %d", index, term, groupContent.HardState.GetTerm())
 	}
-	if group == clusterstate.Group {
+	if group == clusterstate.GroupName {
 		machine, err := clusterstate.Restore(groupContent.Snapshot.GetData())
 		for k := 0; err == nil && k < len(groupContent.Entries); k++ {
 			if entry := groupContent.Entries[k]; entry.Kind == schema.EntryKind_ENTRY_COMMAND {
--- a/cmd/sparnotchctl/recorded_test.go
+++ b/cmd/sparnotchctl/recorded_test.go
@@ -51,7 +51,7 @@
 			store, err := storage.OpenReadOnly(copyRecorded(t, name))
 			So(err, ShouldBeNil)
 			So(store.State().Identity.Joined, ShouldBeTrue)
-			group := store.State().Groups[clusterstate.Group]
+			group := store.State().Groups[clusterstate.GroupName]
 			machine, err := clusterstate.Restore(group.Snapshot.GetData())
 			So(err, ShouldBeNil)
 			for _, entry := range group.Entries {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -81,7 +81,7 @@
 	}
 	a.register(now, w, effects)
 	if w.departedAt == 0 {
-		a.expireHold(now, w)
+		a.endLapsedRuns(now, w)
 		a.inspectWorker(now, w, effects)
 		a.sendDueOrders(now, w, effects)
 	}
@@ -90,7 +90,7 @@
 
 // handleClusterState takes over a newer cluster state, and with it the worker's lease.
 func (a *Agent) handleClusterState(now eventloop.Micros, m *schema.ClusterStateResponse) {
-	if leader := m.Leaders[clusterstate.Group]; leader != "" {
+	if leader := m.Leaders[clusterstate.GroupName]; leader != "" {
 		a.leader = leader
 	}
 	if m.State == nil || m.State.Version <= a.clusterState.Version {
@@ -109,5 +109,5 @@
 	}
 	w.registeredAt = now
 	command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_RegisterWorker{RegisterWorker: &schema.RegisterWorker{Worker: w.id}}}
-	effects.Send(a.leader, &schema.Request{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(command)})
+	effects.Send(a.leader, &schema.Request{Kind: "clusterstate", Group: clusterstate.GroupName, Body: replica.EncodeClusterStateCommand(command)})
 }
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -66,9 +66,9 @@
 	Attempt    uint32
 	Text       string
 	Checkpoint string
-	// HoldUntil is when the worker kills all that runs, by its own clock; 0 leaves
+	// RunDeadline is when the worker kills all that runs, by its own clock; 0 leaves
 	// the hold as it is.
-	HoldUntil    eventloop.Micros
+	RunDeadline  eventloop.Micros
 	FencingToken uint64
 	// AcknowledgedThrough is the number up to which the worker may forget ended tasks.
 	AcknowledgedThrough uint64
@@ -105,7 +105,7 @@
 	StaleToken
 	// AttemptOver means that the attempt has ended or was stopped there, or that a later one was seen.
 	AttemptOver
-	// DeadlinePassed means that the call's HoldUntil was over.
+	// DeadlinePassed means that the call's RunDeadline was over.
 	DeadlinePassed
 	// NoCapacity means that the worker's free capacity is too small for the task.
 	NoCapacity
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -39,9 +39,9 @@
 	a.callSequence++
 	call.Number, call.Worker, call.Address, call.FencingToken = a.callSequence, w.id, w.heartbeat.Address, w.fencingToken
 	p := &pendingCall{action: call.Action, key: attemptKey{call.Task, call.Attempt}, sentAt: now, fencingToken: w.fencingToken, wait: call.Wait}
-	if call.HoldUntil > 0 {
+	if call.RunDeadline > 0 {
 		p.holdUntil = a.maxHoldDeadline(now, w)
-		w.extendMaxHold(call.HoldUntil)
+		w.extendMaxHold(call.RunDeadline)
 	}
 	// A lost call or reply costs as long as it is waited for, and a second call of
 	// the same does no harm.
@@ -112,6 +112,6 @@
 		w.confirmedHoldUntil = max(w.confirmedHoldUntil, p.holdUntil)
 	}
 	if m.Outcome == Rejected && m.Reason == StaleToken && p.fencingToken == w.fencingToken {
-		w.fencedUntil = now + fencedDelay
+		w.callsBlockedUntil = now + fencedDelay
 	}
 }
--- a/internal/agent/ends.go
+++ b/internal/agent/ends.go
@@ -15,7 +15,7 @@
 	e := &endedAttempt{number: m.Number, status: w.taskStatus(key, m.State, m.Checkpoint)}
 	w.listedEnds[m.Number] = e
 	w.highestEnd = max(w.highestEnd, m.Number)
-	if former := w.unacknowledged[key]; former != nil && former.number != 0 {
+	if known := w.unacknowledged[key]; known != nil && known.number != 0 {
 		e.isAcknowledged = true
 		w.advanceAcknowledged()
 		return true
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -134,7 +134,7 @@
 
 func (h *harness) publishClusterState() {
 	h.after(messageDelay, func() {
-		h.deliver("", &schema.ClusterStateResponse{State: h.clusterState, Version: h.clusterState.Version, Leaders: map[string]string{clusterstate.Group: "p1"}})
+		h.deliver("", &schema.ClusterStateResponse{State: h.clusterState, Version: h.clusterState.Version, Leaders: map[string]string{clusterstate.GroupName: "p1"}})
 	})
 }
 
@@ -186,8 +186,8 @@
 	}
 }
 
-func (h *harness) Dial(string, any)    {}
-func (h *harness) Respond(uint64, any) {}
+func (h *harness) SendToAddress(string, any) {}
+func (h *harness) Respond(uint64, any)       {}
 
 func (h *harness) Notify(component string, body any) {
 	call := body.(agent.Call)
--- a/internal/agent/inspection.go
+++ b/internal/agent/inspection.go
@@ -18,7 +18,7 @@
 // inspectWorker keeps one long inspection open, whose reply reports ends at once and
 // renews the hold, and sends a short one when the worker's reply is needed now.
 func (a *Agent) inspectWorker(now eventloop.Micros, w *workerState, effects eventloop.Effects) {
-	if now < w.fencedUntil || w.fencingToken == 0 {
+	if now < w.callsBlockedUntil || w.fencingToken == 0 {
 		return
 	}
 	uninspected := w.inspectedToken != w.fencingToken
@@ -37,14 +37,14 @@
 }
 
 func (a *Agent) sendInspection(now eventloop.Micros, w *workerState, wait eventloop.Micros, effects eventloop.Effects) uint64 {
-	return a.sendCall(now, w, Call{Action: Inspect, HoldUntil: a.holdDeadline(now, w), AcknowledgedThrough: w.acknowledgedThrough, Wait: wait}, effects)
+	return a.sendCall(now, w, Call{Action: Inspect, RunDeadline: a.holdDeadline(now, w), AcknowledgedThrough: w.acknowledgedThrough, Wait: wait}, effects)
 }
 
 // isHoldExpiring reports whether the worker's confirmed hold ends soon though a call
 // could extend it. The long inspection that is open may have been sent with a lease
 // about to end.
 func (a *Agent) isHoldExpiring(now eventloop.Micros, w *workerState) bool {
-	duration := a.holdDuration(w)
+	duration := a.runExtension(w)
 	minRemaining := duration / 5
 	if pending := w.pendingCalls[w.longInspection]; pending != nil && pending.wait > inspectWait {
 		// It was sent to wait long, when nothing ran there yet.
@@ -56,12 +56,12 @@
 // longInspectionWait is how long the next long inspection waits for an end. The hold
 // is renewed long before its end, with time for a retry.
 func (a *Agent) longInspectionWait(now eventloop.Micros, w *workerState) eventloop.Micros {
-	wait := min(inspectWait, a.holdDuration(w)/3)
+	wait := min(inspectWait, a.runExtension(w)/3)
 	if w.lastCallLostAt > 0 && now-w.lastCallLostAt < callLossPeriod {
 		wait = min(wait, lossyInspectWait)
 	}
 	if len(w.runs) == 0 {
-		wait = min(idleInspectWait, w.leaseDuration/2)
+		wait = min(idleInspectWait, w.runLeaseDuration/2)
 	}
 	return max(wait-wait%eventloop.Millisecond, minBackoff)
 }
@@ -98,7 +98,7 @@
 		a.reconcileRuns(now, w, m, p)
 	}
 	if p.fencingToken == w.fencingToken && w.inspectedToken != w.fencingToken && m.Number > w.inspectAfterCall {
-		w.inspectedToken, w.hasChanges, w.isHoldExpired = w.fencingToken, true, false
+		w.inspectedToken, w.hasChanges, w.hasLapsed = w.fencingToken, true, false
 	}
 	if changed {
 		w.backoff = minBackoff
@@ -173,17 +173,17 @@
 	case e != nil:
 		// It was given up, and runs all the same: it must be stopped.
 		delete(w.unacknowledged, key)
-		r = &run{key: key, state: stopping, startedAt: now}
+		r = &run{key: key, state: stopping, firstSeenAt: now}
 		w.runs[key] = r
 	case r == nil:
-		r = &run{key: key, state: running, startedAt: now}
+		r = &run{key: key, state: running, firstSeenAt: now}
 		w.runs[key], w.hasChanges = r, true
 	}
 	r.checkpoint, r.percent, r.usesCapacity, r.isConfirmed = task.Checkpoint, task.Percent, true, true
 	switch {
 	case r.state == starting:
 		r.state, r.openCall = running, 0
-	case r.state == unresolved && !r.isStopped:
+	case r.state == unresolved && !r.isStopConfirmed:
 		r.state = running
 	case r.state == unresolved && now-r.stoppedAt > a.maxStopDuration()+eventloop.Second:
 		r.state, r.retryAt = stopping, now
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// defaultLeaseDuration is that of a worker lease until a scheduler has given one.
-	defaultLeaseDuration = 4 * eventloop.Second
+	// defaultRunLeaseDuration is that of a worker lease until a scheduler has given one.
+	defaultRunLeaseDuration = 4 * eventloop.Second
 	// maxHoldDuration is how long the worker holds its runs after a call. When the
 	// worker stops answering, its tasks can be given to others after that time.
 	maxHoldDuration = 3 * eventloop.Second
@@ -35,7 +35,7 @@
 // first; after that no order under an older lease can be carried out any more.
 func (w *workerState) raiseToken(token uint64) {
 	if token > w.fencingToken {
-		w.fencingToken, w.fencedUntil, w.pendingPoll, w.hasChanges, w.nextShortInspection = token, 0, nil, true, 0
+		w.fencingToken, w.callsBlockedUntil, w.pendingPoll, w.hasChanges, w.nextShortInspection = token, 0, nil, true, 0
 	}
 }
 
@@ -56,9 +56,9 @@
 	return w.sampledClock + (now-w.clockSampledAt)*clockRateNumerator/clockRateDenominator
 }
 
-// holdDuration is how long the worker holds its runs after a call.
-func (a *Agent) holdDuration(w *workerState) eventloop.Micros {
-	duration := min(w.leaseDuration, maxHoldDuration)
+// runExtension is how long the worker holds its runs after a call.
+func (a *Agent) runExtension(w *workerState) eventloop.Micros {
+	duration := min(w.runLeaseDuration, maxHoldDuration)
 	if limit := eventloop.Micros(a.bounds.MaxWorkerLeaseUs); limit > 0 {
 		return min(duration, limit)
 	}
@@ -68,15 +68,15 @@
 // maxHoldDeadline is until when a call that is sent now may hold the worker's runs,
 // by the agent's clock.
 func (a *Agent) maxHoldDeadline(now eventloop.Micros, w *workerState) eventloop.Micros {
-	return min(w.leaseExpiresAt, now+a.holdDuration(w))
+	return min(w.runLeaseExpiresAt, now+a.runExtension(w))
 }
 
-// holdDeadline is the HoldUntil of a call, by the worker's clock: never later than
+// holdDeadline is the RunDeadline of a call, by the worker's clock: never later than
 // the end of the lease, except for what that clock may run slow from here on. It is
 // 0 when a call mustn't extend the hold.
 func (a *Agent) holdDeadline(now eventloop.Micros, w *workerState) eventloop.Micros {
 	// An unresponsive worker's hold isn't extended, so that its end is known.
-	if w.clockSampledAt == 0 || now >= w.leaseExpiresAt || w.missedInspections > 0 {
+	if w.clockSampledAt == 0 || now >= w.runLeaseExpiresAt || w.missedInspections > 0 {
 		return 0
 	}
 	return w.minClockAt(now) + a.maxHoldDeadline(now, w) - now
@@ -88,15 +88,15 @@
 	w.maxHoldUntil = max(w.maxHoldUntil, w.clockSampledAt+(until-w.sampledClock)*clockRateDenominator/clockRateNumerator+holdMargin)
 }
 
-// expireHold gives up the runs of an unresponsive worker once its hold is over by
+// endLapsedRuns gives up the runs of an unresponsive worker once its hold is over by
 // its own clock: the worker has killed them, and rejects starts that are still in
 // flight as too late.
-func (a *Agent) expireHold(now eventloop.Micros, w *workerState) {
+func (a *Agent) endLapsedRuns(now eventloop.Micros, w *workerState) {
 	if w.inspectedToken == w.fencingToken || w.missedInspections < 2 || now <= w.maxHoldUntil || len(w.runs) == 0 {
 		return
 	}
 	for _, key := range sortedKeys(w.runs) {
 		a.markEnded(w, w.runs[key], "lapsed")
 	}
-	w.isHoldExpired = true
+	w.hasLapsed = true
 }
--- a/internal/agent/poll.go
+++ b/internal/agent/poll.go
@@ -36,11 +36,11 @@
 // sendPoll keeps one poll open at the scheduler that holds the worker lease, and
 // sends a new one at once when something has changed.
 func (a *Agent) sendPoll(now eventloop.Micros, w *workerState, effects eventloop.Effects) {
-	if w.scheduler == "" || w.fencingToken == 0 || w.inspectedToken != w.fencingToken && w.departedAt == 0 && !w.isHoldExpired {
+	if w.scheduler == "" || w.fencingToken == 0 || w.inspectedToken != w.fencingToken && w.departedAt == 0 && !w.hasLapsed {
 		return
 	}
 	// Of a departed or unresponsive worker only ended tasks are reported.
-	if w.departedAt > 0 && now-w.departedAt > departedReportPeriod || (w.departedAt > 0 || w.isHoldExpired) && len(w.unacknowledged) == 0 {
+	if w.departedAt > 0 && now-w.departedAt > departedReportPeriod || (w.departedAt > 0 || w.hasLapsed) && len(w.unacknowledged) == 0 {
 		return
 	}
 	due := w.pendingPoll == nil && now >= w.nextPollAt || w.pendingPoll != nil && now-w.pendingPoll.sentAt >= pollTimeout
@@ -66,11 +66,11 @@
 		WarmUpUs: int64(max(0, w.heartbeat.WarmUpRemaining-(now-w.lastHeard))),
 	}
 	heartbeat.Unanswered = now-w.unansweredSince > unansweredTimeout
-	if w.isHoldExpired {
+	if w.hasLapsed {
 		// An unresponsive worker gets no new tasks.
 		heartbeat.CoresMilli, heartbeat.MemoryMb, heartbeat.Accelerators = 0, 0, 0
 	}
-	if w.leaseExpiresAt-now < w.leaseDuration/2 {
+	if w.runLeaseExpiresAt-now < w.runLeaseDuration/2 {
 		// The lease must be renewed soon, so the answer mustn't be held back.
 		heartbeat.MaxWaitUs = 0
 	}
@@ -83,7 +83,7 @@
 			continue
 		}
 		status := w.taskStatus(key, "running", r.checkpoint)
-		status.RunUs = int64(now - r.startedAt)
+		status.RunUs = int64(now - r.firstSeenAt)
 		heartbeat.Running = append(heartbeat.Running, status)
 	}
 	for _, key := range sortedKeys(w.unacknowledged) {
@@ -129,7 +129,7 @@
 		}
 	}
 	if duration := eventloop.Micros(orders.LeaseUs); duration > 0 {
-		w.leaseExpiresAt, w.leaseDuration = max(w.leaseExpiresAt, p.sentAt+duration), duration
+		w.runLeaseExpiresAt, w.runLeaseDuration = max(w.runLeaseExpiresAt, p.sentAt+duration), duration
 	}
 	changed := w.handleAcknowledgements(now, orders.Acknowledged)
 	for _, order := range orders.Orders {
@@ -150,18 +150,18 @@
 	}
 	switch order.Action {
 	case actionStart:
-		return w.orderStart(now, key, order)
+		return w.handleStartOrder(now, key, order)
 	case actionStop:
-		return a.orderStop(now, w, key)
+		return a.handleStopOrder(now, w, key)
 	}
 	return false
 }
 
-func (w *workerState) orderStart(now eventloop.Micros, key attemptKey, order *schema.TaskOrder) bool {
+func (w *workerState) handleStartOrder(now eventloop.Micros, key attemptKey, order *schema.TaskOrder) bool {
 	if w.runs[key] != nil {
 		return false
 	}
-	if _, abandoned := w.abandoned[key]; abandoned {
+	if _, abandoned := w.declaredEnded[key]; abandoned {
 		// The scheduler doesn't know yet that the attempt is over; the task may have
 		// been given to another worker by now.
 		w.unacknowledged[key] = &endedAttempt{status: w.taskStatus(key, "stopped", order.Checkpoint)}
@@ -170,23 +170,23 @@
 	}
 	w.runs[key] = &run{
 		key: key, state: starting, text: order.Text, checkpoint: order.Checkpoint, cores: order.CoresMilli, memory: order.MemoryMb,
-		startedAt: now, usesCapacity: true,
+		firstSeenAt: now, usesCapacity: true,
 	}
 	return true
 }
 
-func (a *Agent) orderStop(now eventloop.Micros, w *workerState, key attemptKey) bool {
+func (a *Agent) handleStopOrder(now eventloop.Micros, w *workerState, key attemptKey) bool {
 	r := w.runs[key]
 	if r == nil {
 		// Unknown here; the worker must still promise that it never starts.
-		w.runs[key] = &run{key: key, state: stopping, startedAt: now, retryAt: now}
+		w.runs[key] = &run{key: key, state: stopping, firstSeenAt: now, retryAt: now}
 		return true
 	}
 	if r.state == starting && r.callAttempts == 0 && now-a.startedAt >= predecessorCallPeriod {
 		a.markStopped(w, r)
 		return true
 	}
-	if r.state == starting || r.state == running || r.state == unresolved && !r.isStopped {
+	if r.state == starting || r.state == running || r.state == unresolved && !r.isStopConfirmed {
 		// A start that is still in flight doesn't matter: after the stop the worker
 		// rejects it.
 		r.state, r.openCall, r.callAttempts, r.retryAt = stopping, 0, 0, now
--- a/internal/agent/tasks.go
+++ b/internal/agent/tasks.go
@@ -22,7 +22,7 @@
 
 // sendDueOrders sends the starts and stops that are due.
 func (a *Agent) sendDueOrders(now eventloop.Micros, w *workerState, effects eventloop.Effects) {
-	if now < w.fencedUntil || w.fencingToken == 0 {
+	if now < w.callsBlockedUntil || w.fencingToken == 0 {
 		return
 	}
 	for _, key := range sortedKeys(w.runs) {
@@ -49,7 +49,7 @@
 		return
 	}
 	timedOut := r.callAttempts > 0 && now-r.firstCallAt >= startTimeout
-	if timedOut || w.isDraining || now+minLeaseForStart >= w.leaseExpiresAt || w.clockSampledAt == 0 {
+	if timedOut || w.isDraining || now+minLeaseForStart >= w.runLeaseExpiresAt || w.clockSampledAt == 0 {
 		a.abandonAttempt(now, w, r)
 		if r.state == stopping {
 			a.sendStop(now, w, r, effects)
@@ -62,7 +62,7 @@
 	r.callAttempts++
 	r.fencingToken = w.fencingToken
 	r.openCall = a.sendCall(now, w, Call{
-		Action: Start, Task: r.key.task, Attempt: r.key.attempt, Text: r.text, Checkpoint: r.checkpoint, HoldUntil: a.holdDeadline(now, w),
+		Action: Start, Task: r.key.task, Attempt: r.key.attempt, Text: r.text, Checkpoint: r.checkpoint, RunDeadline: a.holdDeadline(now, w),
 	}, effects)
 	r.lastCall = r.openCall
 }
@@ -117,7 +117,7 @@
 	switch {
 	case m.Outcome == Succeeded, m.Outcome == Rejected && m.Reason == AttemptOver:
 		// The capacity is free once the worker lists the end.
-		r.isStopped, r.stoppedAt, r.callAttempts = true, now, 0
+		r.isStopConfirmed, r.stoppedAt, r.callAttempts = true, now, 0
 		a.markUnresolved(w, r)
 	case m.Outcome == Busy:
 		r.retryAt = busyRetryAt(now, m.Number)
@@ -155,10 +155,10 @@
 	w.unacknowledged[r.key] = &endedAttempt{status: w.taskStatus(r.key, state, r.checkpoint)}
 	delete(w.runs, r.key)
 	w.hasChanges = true
-	if len(w.abandoned) >= maxAbandoned {
-		maps.DeleteFunc(w.abandoned, func(_ attemptKey, at eventloop.Micros) bool { return a.lastStepAt-at > abandonedRetention })
+	if len(w.declaredEnded) >= maxAbandoned {
+		maps.DeleteFunc(w.declaredEnded, func(_ attemptKey, at eventloop.Micros) bool { return a.lastStepAt-at > abandonedRetention })
 	}
-	w.abandoned[r.key] = a.lastStepAt
+	w.declaredEnded[r.key] = a.lastStepAt
 }
 
 // maxStopDuration is how long a stop takes at most.
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -38,25 +38,25 @@
 
 // run is an attempt that is to run, or may be running, at the worker.
 type run struct {
-	key           attemptKey
-	state         runState
-	text          string
-	checkpoint    string // as the order carries it, then as the worker reports it
-	percent       int64
-	cores         int64            // thousandths of a core
-	memory        int64            // MB
-	startedAt     eventloop.Micros // when the agent first had it
-	fencingToken  uint64           // of the newest start call; 0: none was sent
-	firstCallAt   eventloop.Micros // first start call
-	openCall      uint64           // number of the pending call about it; 0: none
-	callAttempts  int              // start or stop calls in this state
-	retryAt       eventloop.Micros
-	lastCall      uint64 // number of the last call, or reply, about it
-	stoppedAt     eventloop.Micros
-	usesCapacity  bool // is reported as running
-	isConfirmed   bool // the worker has confirmed that it runs
-	mayStillStart bool // a start call timed out and may yet be carried out
-	isStopped     bool // the worker has confirmed the stop
+	key             attemptKey
+	state           runState
+	text            string
+	checkpoint      string // as the order carries it, then as the worker reports it
+	percent         int64
+	cores           int64            // thousandths of a core
+	memory          int64            // MB
+	firstSeenAt     eventloop.Micros // when the agent first had it
+	fencingToken    uint64           // of the newest start call; 0: none was sent
+	firstCallAt     eventloop.Micros // first start call
+	openCall        uint64           // number of the pending call about it; 0: none
+	callAttempts    int              // start or stop calls in this state
+	retryAt         eventloop.Micros
+	lastCall        uint64 // number of the last call, or reply, about it
+	stoppedAt       eventloop.Micros
+	usesCapacity    bool // is reported as running
+	isConfirmed     bool // the worker has confirmed that it runs
+	mayStillStart   bool // a start call timed out and may yet be carried out
+	isStopConfirmed bool // the worker has confirmed the stop
 }
 
 // endedAttempt is an ended run that the scheduler hasn't acknowledged.
@@ -84,13 +84,13 @@
 	fencingToken       uint64           // newest of the worker lease
 	inspectedToken     uint64           // that of the inspection behind what is reported; 0: one is due
 	inspectAfterCall   uint64           // an inspection counts only if its number is above this
-	fencedUntil        eventloop.Micros // no calls until then: the worker has seen a higher token
+	callsBlockedUntil  eventloop.Micros // no calls until then: the worker has seen a higher token
 	registeredAt       eventloop.Micros
-	leaseExpiresAt     eventloop.Micros // by the agent's clock
-	leaseDuration      eventloop.Micros
+	runLeaseExpiresAt  eventloop.Micros // by the agent's clock
+	runLeaseDuration   eventloop.Micros
 	confirmedHoldUntil eventloop.Micros // until when the worker has confirmed that it holds its runs
 	maxHoldUntil       eventloop.Micros // by then every hold that was ever sent is over
-	isHoldExpired      bool             // it was unresponsive until then, so nothing runs there
+	hasLapsed          bool             // it was unresponsive until then, so nothing runs there
 	slowestReply       eventloop.Micros // decaying maximum of reply times
 	missedInspections  int              // in a row
 	lastCallLostAt     eventloop.Micros // when a call last timed out
@@ -100,7 +100,7 @@
 	listedEnds          map[uint64]*endedAttempt     // numbers above acknowledgedThrough
 	acknowledgedThrough uint64
 	highestEnd          uint64                          // number in listedEnds
-	abandoned           map[attemptKey]eventloop.Micros // reported as ended by the agent alone, and when
+	declaredEnded       map[attemptKey]eventloop.Micros // reported as ended by the agent alone, and when
 
 	pendingCalls        map[uint64]*pendingCall
 	longInspection      uint64 // number of the one that waits for an end; 0: none is open
@@ -120,18 +120,18 @@
 }
 
 // newWorkerState starts from nothing: what an earlier run of this process may have
-// sent can hold the worker's runs for a default lease from startedAt on.
+// sent can hold the worker's runs for a default lease from firstSeenAt on.
 func newWorkerState(id string, startedAt eventloop.Micros) *workerState {
 	return &workerState{
-		id:             id,
-		leaseDuration:  defaultLeaseDuration,
-		maxHoldUntil:   startedAt + defaultLeaseDuration,
-		backoff:        minBackoff,
-		runs:           map[attemptKey]*run{},
-		unacknowledged: map[attemptKey]*endedAttempt{},
-		listedEnds:     map[uint64]*endedAttempt{},
-		abandoned:      map[attemptKey]eventloop.Micros{},
-		pendingCalls:   map[uint64]*pendingCall{},
+		id:               id,
+		runLeaseDuration: defaultRunLeaseDuration,
+		maxHoldUntil:     startedAt + defaultRunLeaseDuration,
+		backoff:          minBackoff,
+		runs:             map[attemptKey]*run{},
+		unacknowledged:   map[attemptKey]*endedAttempt{},
+		listedEnds:       map[uint64]*endedAttempt{},
+		declaredEnded:    map[attemptKey]eventloop.Micros{},
+		pendingCalls:     map[uint64]*pendingCall{},
 	}
 }
 
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -42,8 +42,8 @@
 	return fmt.Sprintf("rule %d at %d us: %s", v.Rule, v.At, v.Message)
 }
 
-// Bounds are the delays, in µs, that the rules allow.
-type Bounds struct {
+// Tolerances are the delays, in µs, that the rules allow.
+type Tolerances struct {
 	Retention     eventloop.Micros // an ended job is known at least this long
 	EarlyStart    eventloop.Micros // a timed job may start at most this early
 	Drain         eventloop.Micros // work reaches a draining worker at most this late
@@ -58,14 +58,14 @@
 }
 
 // DefaultBounds are the bounds of a deployment whose workers poll for their orders.
-var DefaultBounds = Bounds{
+var DefaultBounds = Tolerances{
 	Retention: 120 * eventloop.Second, EarlyStart: 100 * eventloop.Millisecond, Drain: 2 * eventloop.Second,
 	Cancel: 3 * eventloop.Second, Stop: eventloop.Second, Propagation: 2 * eventloop.Second, Recovery: 12 * eventloop.Second,
 	GangStart: 5 * eventloop.Second, LossDetection: eventloop.Second, GatewayReady: 5 * eventloop.Second,
 }
 
 // CalledWorkerBounds are the bounds of a deployment whose workers are called by agents.
-var CalledWorkerBounds = Bounds{
+var CalledWorkerBounds = Tolerances{
 	Retention: 120 * eventloop.Second, EarlyStart: 250 * eventloop.Millisecond, Drain: 2 * eventloop.Second,
 	Cancel: 3 * eventloop.Second, Stop: eventloop.Second, Propagation: 2 * eventloop.Second, Recovery: 12 * eventloop.Second,
 	GangStart: 5 * eventloop.Second, LossDetection: eventloop.Second, GatewayReady: 5 * eventloop.Second,
@@ -74,7 +74,7 @@
 
 // analysis is one history under examination.
 type analysis struct {
-	bounds   Bounds
+	bounds   Tolerances
 	history  []Event
 	closedAt eventloop.Micros // the last event's time
 
@@ -91,7 +91,7 @@
 
 // Check returns every violation in a history, whose events must be in order of time.
 // The violations are in order of time, then of rule. The history isn't changed.
-func Check(history []Event, bounds Bounds) []Violation {
+func Check(history []Event, bounds Tolerances) []Violation {
 	a := &analysis{
 		bounds: bounds, history: history,
 		jobs: map[jobKey]*jobRecord{}, jobOfTask: map[taskID]*jobRecord{}, workerFaults: map[string][]eventloop.Micros{},
--- a/internal/checker/configuration_effects.go
+++ b/internal/checker/configuration_effects.go
@@ -61,10 +61,10 @@
 	sort.SliceStable(c.accepted, func(i, j int) bool { return c.accepted[i].Version < c.accepted[j].Version })
 }
 
-// inForce reports whether something holds in every configuration that may be in force in an
+// holdsInEveryConfiguration reports whether something holds in every configuration that may be in force in an
 // interval: those of the last propagation, and the newest before it. A configuration whose
 // answer was late may be in force since it was sent.
-func (c *effectsCheck) inForce(from, to eventloop.Micros, condition func(rows []*schema.ConfigurationRow) bool) bool {
+func (c *effectsCheck) holdsInEveryConfiguration(from, to eventloop.Micros, condition func(rows []*schema.ConfigurationRow) bool) bool {
 	found := false
 	for k, accepted := range c.accepted {
 		isSuperseded := k+1 < len(c.accepted) && c.accepted[k+1].At+c.bounds.Propagation <= from
@@ -88,10 +88,10 @@
 	}
 	has := func(rows []*schema.ConfigurationRow) bool { return hasQueue(rows, e.Queue) }
 	hasNot := func(rows []*schema.ConfigurationRow) bool { return !hasQueue(rows, e.Queue) }
-	if e.Code == 404 && c.inForce(e.sentAt(), e.At, has) {
+	if e.Code == 404 && c.holdsInEveryConfiguration(e.sentAt(), e.At, has) {
 		c.report(ruleConfiguration, e.At, "%s doesn't know the queue %s, which the configuration has", e.Gateway, e.Queue)
 	}
-	if e.Code == 201 && c.inForce(e.sentAt(), e.At, hasNot) {
+	if e.Code == 201 && c.holdsInEveryConfiguration(e.sentAt(), e.At, hasNot) {
 		c.report(ruleConfiguration, e.At, "%s takes a job for the queue %s, which the configuration doesn't have", e.Gateway, e.Queue)
 	}
 }
@@ -102,10 +102,10 @@
 	rack, pool := c.racks[e.Actor], c.pools[e.Actor]
 	isDrained := func(rows []*schema.ConfigurationRow) bool { return rowValue(rows, "rack", rack, "weight") == "0" }
 	isOtherPool := func(rows []*schema.ConfigurationRow) bool { return rowValue(rows, "queue", e.Queue, "pool") != pool }
-	if c.inForce(e.At, e.At, isDrained) {
+	if c.holdsInEveryConfiguration(e.At, e.At, isDrained) {
 		c.report(ruleConfiguration, e.At, "work starts on %s in rack %s, whose weight is 0", e.Actor, rack)
 	}
-	if e.IsCalled && c.inForce(e.At, e.At, isOtherPool) {
+	if e.IsCalled && c.holdsInEveryConfiguration(e.At, e.At, isOtherPool) {
 		c.report(ruleConfiguration, e.At, "work of the queue %s starts on %s, whose pool is %q", e.Queue, e.Actor, pool)
 	}
 }
@@ -121,7 +121,7 @@
 		limit, err := strconv.Atoi(rowValue(rows, "queue", e.Queue, "running"))
 		return err == nil && count > limit
 	}
-	if c.inForce(e.At, e.At, isOverLimit) {
+	if c.holdsInEveryConfiguration(e.At, e.At, isOverLimit) {
 		c.report(ruleConfiguration, e.At, "%d tasks of the queue %s run, more than the configuration allows", count, e.Queue)
 	}
 }
--- a/internal/clusterstate/clusterstate.go
+++ b/internal/clusterstate/clusterstate.go
@@ -19,8 +19,8 @@
 	"sparnotch/internal/schema"
 )
 
-// Group is the name of the cluster's own Raft group.
-const Group = "clusterstate"
+// GroupName is the name of the cluster's own Raft group.
+const GroupName = "clusterstate"
 
 // Result is the outcome of a command, with HTTP's status codes.
 type Result struct {
--- a/internal/clusterstate/controller_lease.go
+++ b/internal/clusterstate/controller_lease.go
@@ -42,8 +42,8 @@
 	return &Result{Code: http.StatusOK, FencingToken: token}
 }
 
-// leaseExpired rejects a command whose fencing token isn't that of the current lease.
-func leaseExpired() *Result {
+// staleTokenResult rejects a command whose fencing token isn't that of the current lease.
+func staleTokenResult() *Result {
 	return &Result{Code: http.StatusForbidden, Error: &schema.Error{
 		Code: "lease_over", Message: "the controller lease is not the current one",
 	}}
--- a/internal/clusterstate/queues.go
+++ b/internal/clusterstate/queues.go
@@ -25,7 +25,7 @@
 // placeQueues removes and places queues as the controller decided.
 func (m *StateMachine) placeQueues(command *schema.PlaceQueues) *Result {
 	if !m.HoldsControllerLease(command.FencingToken) {
-		return leaseExpired()
+		return staleTokenResult()
 	}
 	for _, name := range command.Removed {
 		m.removeQueue(name)
--- a/internal/clusterstate/replace.go
+++ b/internal/clusterstate/replace.go
@@ -56,17 +56,17 @@
 		}}
 	}
 	given, digest := update.GetBaseRevision(), revisionDigest(update)
-	if m.isApplied(0, digest) {
+	if m.isAccepted(0, digest) {
 		return &Result{Code: http.StatusOK, Configuration: current}
 	}
 	if given < current.Revision {
-		return conflict("generation", given, current.Revision, given >= m.oldestRememberedRevision())
+		return baseSuperseded("generation", given, current.Revision, given >= m.oldestRememberedRevision())
 	}
 	if invalid := validateUpdate(update); invalid != nil {
 		return &Result{Code: http.StatusUnprocessableEntity, Error: invalid}
 	}
 	if given > current.Revision {
-		return baseNotApplied("generation", given, current.Revision)
+		return baseNotAccepted("generation", given, current.Revision)
 	}
 	// The version and its document stay: the edit is made on top of them.
 	document := update.Document
@@ -80,12 +80,12 @@
 func (m *StateMachine) replaceByVersion(update *schema.ConfigurationUpdate) *Result {
 	current := m.state.Configuration
 	digest := versionDigest(update)
-	if m.isApplied(update.Version, digest) {
+	if m.isAccepted(update.Version, digest) {
 		// A retry after a timeout; others may have been accepted since.
 		return &Result{Code: http.StatusOK, Configuration: current}
 	}
 	if update.BaseVersion < current.Version {
-		return conflict("base_edition", update.BaseVersion, current.Version, m.remembersVersionsFrom(update.BaseVersion))
+		return baseSuperseded("base_edition", update.BaseVersion, current.Version, m.remembersVersionsAbove(update.BaseVersion))
 	}
 	if update.Version <= update.BaseVersion {
 		return &Result{Code: http.StatusUnprocessableEntity, Error: &schema.Error{
@@ -97,13 +97,13 @@
 		return &Result{Code: http.StatusUnprocessableEntity, Error: invalid}
 	}
 	if update.BaseVersion > current.Version {
-		return baseNotApplied("base_edition", update.BaseVersion, current.Version)
+		return baseNotAccepted("base_edition", update.BaseVersion, current.Version)
 	}
 	return m.applyUpdate(update, update.Version, update.Document, &schema.AcceptedVersion{Version: update.Version, Digest: digest})
 }
 
-// conflict answers an update whose base has been replaced by another update.
-func conflict(field string, given, current uint64, remembered bool) *Result {
+// baseSuperseded answers an update whose base has been replaced by another update.
+func baseSuperseded(field string, given, current uint64, remembered bool) *Result {
 	if !remembered {
 		return &Result{Code: http.StatusGatewayTimeout, Error: &schema.Error{
 			Code: "unknown", Message: "so much has followed that whether this took effect is not known any more: get the plan and see",
@@ -116,9 +116,9 @@
 	}}
 }
 
-// baseNotApplied answers an update whose base hasn't been accepted yet. That is no final
+// baseNotAccepted answers an update whose base hasn't been accepted yet. That is no final
 // rejection: a copy of it that is still in flight may be applied after its base.
-func baseNotApplied(field string, given, current uint64) *Result {
+func baseNotAccepted(field string, given, current uint64) *Result {
 	return &Result{Code: http.StatusServiceUnavailable, Error: &schema.Error{
 		Code: "base_ahead", Message: "what this sheet was built on has not been taken yet: send it again as it is",
 		Field: field, Given: given, Current: current,
@@ -162,11 +162,11 @@
 	return history
 }
 
-// isApplied reports whether an update is among the remembered ones; edits without a version
+// isAccepted reports whether an update is among the remembered ones; edits without a version
 // have version 0.
-func (m *StateMachine) isApplied(version uint64, digest []byte) bool {
-	for _, applied := range m.state.AcceptedVersions {
-		if applied.Version == version && bytes.Equal(applied.Digest, digest) {
+func (m *StateMachine) isAccepted(version uint64, digest []byte) bool {
+	for _, accepted := range m.state.AcceptedVersions {
+		if accepted.Version == version && bytes.Equal(accepted.Digest, digest) {
 			return true
 		}
 	}
@@ -179,8 +179,8 @@
 	return m.state.Configuration.Revision - min(uint64(len(m.state.AcceptedVersions)), m.state.Configuration.Revision)
 }
 
-// remembersVersionsFrom reports whether every accepted version above a base is remembered.
-func (m *StateMachine) remembersVersionsFrom(base uint64) bool {
+// remembersVersionsAbove reports whether every accepted version above a base is remembered.
+func (m *StateMachine) remembersVersionsAbove(base uint64) bool {
 	if m.oldestRememberedRevision() == 0 {
 		return true
 	}
--- a/internal/clusterstate/validate.go
+++ b/internal/clusterstate/validate.go
@@ -67,7 +67,7 @@
 		if !IsValidName(row.Name) {
 			return rowError(at, "name", "%q is no name: lower-case letters, digits, '.', '_' and '-', at most 63", row.Name)
 		}
-		if row.Kind == "queue" && row.Name == Group {
+		if row.Kind == "queue" && row.Name == GroupName {
 			return rowError(at, "name", "%q is the system's own group", row.Name)
 		}
 	case "pool":
--- a/internal/clusterstate/values.go
+++ b/internal/clusterstate/values.go
@@ -45,9 +45,9 @@
 	return v
 }
 
-// Refresh returns the values of a configuration: these ones if they are of the same
+// ForConfiguration returns the values of a configuration: these ones if they are of the same
 // revision, for the cluster state changes more often than the configuration in it.
-func (v *Values) Refresh(configuration *schema.Configuration) *Values {
+func (v *Values) ForConfiguration(configuration *schema.Configuration) *Values {
 	if v.revision > 0 && v.revision == configuration.GetRevision() {
 		return v
 	}
--- a/internal/clusterstate/workers.go
+++ b/internal/clusterstate/workers.go
@@ -25,7 +25,7 @@
 // a new fencing token.
 func (m *StateMachine) assignWorkers(command *schema.AssignWorkers) *Result {
 	if !m.HoldsControllerLease(command.FencingToken) {
-		return leaseExpired()
+		return staleTokenResult()
 	}
 	for _, wanted := range command.WorkerLeases {
 		lease := FindWorkerLease(m.state, wanted.Worker)
--- a/internal/controller/cluster_state.go
+++ b/internal/controller/cluster_state.go
@@ -42,7 +42,7 @@
 	}
 	changed := state != nil && state.Version > c.state.Version
 	if state != nil && state.Version >= c.state.Version {
-		c.state, c.values = state, c.values.Refresh(state.Configuration)
+		c.state, c.values = state, c.values.ForConfiguration(state.Configuration)
 		effects.Notify("membership", membership.ClusterStateObserved{Version: state.Version})
 	}
 	if update.ControllerLeaseExpiresUs > c.leaseExpiryUs {
@@ -128,13 +128,13 @@
 // sendCommand sends a command to the leader of the cluster state's group. It returns the
 // request's id, or 0 if no leader is known.
 func (c *Controller) sendCommand(now eventloop.Micros, command *schema.ClusterStateCommand, effects eventloop.Effects) uint64 {
-	to := c.leaderOf(now, clusterstate.Group)
+	to := c.leaderOf(now, clusterstate.GroupName)
 	if to == "" {
 		return 0
 	}
 	c.lastRequestID++
 	effects.Send(to, &schema.Request{
-		Id: c.lastRequestID, Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(command),
+		Id: c.lastRequestID, Kind: "clusterstate", Group: clusterstate.GroupName, Body: replica.EncodeClusterStateCommand(command),
 	})
 	return c.lastRequestID
 }
--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -30,7 +30,7 @@
 		delete(c.missingSince, id)
 		return false
 	}
-	missing := c.missingFor(now, id)
+	missing := c.trackMissing(now, id)
 	if found {
 		// It is first missed when it has been unresponsive for this timeout.
 		missing += c.timeouts.SuspectTimeout
@@ -39,8 +39,8 @@
 		missing > c.timeouts.ReplaceByNewTimeout && c.hasNewlyJoined(now)
 }
 
-// missingFor returns how long something has been missed, from the first call on.
-func (c *Controller) missingFor(now eventloop.Micros, key string) eventloop.Micros {
+// trackMissing returns how long something has been missed, from the first call on.
+func (c *Controller) trackMissing(now eventloop.Micros, key string) eventloop.Micros {
 	since, found := c.missingSince[key]
 	if !found {
 		c.missingSince[key] = now
--- a/internal/controller/fixture_test.go
+++ b/internal/controller/fixture_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func (f *controllerFixture) Dial(string, any) {}
+func (f *controllerFixture) SendToAddress(string, any) {}
 
 func (f *controllerFixture) Notify(string, any) {}
 
@@ -89,13 +89,13 @@
 
 // sendUpdate sends the response of the cluster state's leader to a poll.
 func (f *controllerFixture) sendUpdate(statuses ...*schema.QueueStatus) {
-	statuses = append(statuses, &schema.QueueStatus{Group: clusterstate.Group, Leader: "a", Voters: []string{"a", "b", "c"}})
+	statuses = append(statuses, &schema.QueueStatus{Group: clusterstate.GroupName, Leader: "a", Voters: []string{"a", "b", "c"}})
 	expiresUs := int64(0)
 	if f.clusterStart > 0 {
 		expiresUs = int64(f.now-f.clusterStart) + clusterstate.ControllerLeaseUs
 	}
 	f.controller.Step(f.now, eventloop.Message{From: "a", Body: &schema.ClusterStateResponse{
-		State: proto.Clone(f.state).(*schema.ClusterState), Version: f.state.Version, Leaders: map[string]string{clusterstate.Group: "a"}, QueueStatuses: statuses, ControllerLeaseExpiresUs: expiresUs,
+		State: proto.Clone(f.state).(*schema.ClusterState), Version: f.state.Version, Leaders: map[string]string{clusterstate.GroupName: "a"}, QueueStatuses: statuses, ControllerLeaseExpiresUs: expiresUs,
 	}}, f)
 }
 
--- a/internal/controller/group_fixture_test.go
+++ b/internal/controller/group_fixture_test.go
@@ -24,7 +24,7 @@
 func newGroupFixture(machineFailures uint32, voters ...string) *groupFixture {
 	g := &groupFixture{
 		controller: New("h", machineFailures), now: 100 * eventloop.Second, members: map[string]*schema.Member{}, silentSince: map[string]eventloop.Micros{},
-		status: &schema.QueueStatus{Group: clusterstate.Group, Leader: voters[0], Voters: voters, ReplicaLag: map[string]uint64{}}, minQuorumMargin: len(voters),
+		status: &schema.QueueStatus{Group: clusterstate.GroupName, Leader: voters[0], Voters: voters, ReplicaLag: map[string]uint64{}}, minQuorumMargin: len(voters),
 	}
 	for _, id := range voters {
 		g.add(id, "10.0.0."+id, "")
--- a/internal/controller/group_members.go
+++ b/internal/controller/group_members.go
@@ -16,12 +16,12 @@
 // catches up and is promoted.
 func (c *Controller) reconcileMembers(now eventloop.Micros, effects eventloop.Effects) {
 	statuses := c.groupStatuses(now)
-	root := statuses[clusterstate.Group]
-	if root == nil {
+	clusterStateStatus := statuses[clusterstate.GroupName]
+	if clusterStateStatus == nil {
 		return
 	}
 	for _, group := range slices.Sorted(maps.Keys(statuses)) {
-		change := c.nextMembershipChange(now, statuses[group], root)
+		change := c.nextMembershipChange(now, statuses[group], clusterStateStatus)
 		if change == nil {
 			continue
 		}
@@ -36,9 +36,9 @@
 
 // voterCondition is what is wrong with a group's voters.
 type voterCondition struct {
-	lost      []string
-	replaced  string // one of the lost that has a successor
-	departing string // one that is to hand its vote over
+	lost          []string
+	withSuccessor string // one of the lost that has a successor
+	departing     string // one that is to hand its vote over
 }
 
 func (v *voterCondition) isHealthy() bool { return len(v.lost) == 0 && v.departing == "" }
@@ -51,7 +51,7 @@
 		}
 		condition.lost = append(condition.lost, id)
 		if c.hasSuccessor(now, id) {
-			condition.replaced = id
+			condition.withSuccessor = id
 		}
 	}
 	condition.departing = c.departingVoter(now, status)
@@ -67,26 +67,26 @@
 // successor won't come back, so it is removed as soon as the replacement has caught up: then the
 // group tolerates its failures again from the promotion on. Never are two removed before a
 // promotion.
-func (c *Controller) nextMembershipChange(now eventloop.Micros, status, root *schema.QueueStatus) *schema.ChangeMembers {
+func (c *Controller) nextMembershipChange(now eventloop.Micros, status, clusterStateStatus *schema.QueueStatus) *schema.ChangeMembers {
 	condition := c.voterCondition(now, status)
 	switch {
 	case len(status.Learners) > 0:
-		return c.completeLearner(now, status, condition)
+		return c.nextLearnerChange(now, status, condition)
 	case len(status.Voters) > c.votersPerGroup:
-		return c.removeVoter(status, root, condition)
+		return c.nextVoterRemoval(status, clusterStateStatus, condition)
 	case len(status.Voters) == c.votersPerGroup && condition.isHealthy():
 		return nil
 	}
-	leaving := cmp.Or(condition.replaced, firstOrEmpty(condition.lost), condition.departing)
-	if id := c.selectLearner(now, status, root, leaving); id != "" {
+	leaving := cmp.Or(condition.withSuccessor, firstOrEmpty(condition.lost), condition.departing)
+	if id := c.selectLearner(now, status, clusterStateStatus, leaving); id != "" {
 		return &schema.ChangeMembers{AddLearner: id}
 	}
 	return nil
 }
 
-// completeLearner removes a learner that isn't needed any more, or promotes it once it has
+// nextLearnerChange removes a learner that isn't needed any more, or promotes it once it has
 // caught up.
-func (c *Controller) completeLearner(now eventloop.Micros, status *schema.QueueStatus, condition *voterCondition) *schema.ChangeMembers {
+func (c *Controller) nextLearnerChange(now eventloop.Micros, status *schema.QueueStatus, condition *voterCondition) *schema.ChangeMembers {
 	id := status.Learners[0]
 	hasAllVoters := len(status.Voters) >= c.votersPerGroup
 	switch {
@@ -96,18 +96,18 @@
 		return &schema.ChangeMembers{Remove: id} // the voter that it was to replace is back
 	case status.ReplicaLag[id] > raft.MaxLearnerLag:
 		return nil
-	case condition.replaced != "" && hasAllVoters:
-		return &schema.ChangeMembers{Remove: condition.replaced}
+	case condition.withSuccessor != "" && hasAllVoters:
+		return &schema.ChangeMembers{Remove: condition.withSuccessor}
 	}
 	return &schema.ChangeMembers{Promote: id}
 }
 
-// removeVoter removes one of too many voters. If all of them are live one is surplus: a group
+// nextVoterRemoval removes one of too many voters. If all of them are live one is surplus: a group
 // with an even number tolerates no more failures than with one less.
-func (c *Controller) removeVoter(status, root *schema.QueueStatus, condition *voterCondition) *schema.ChangeMembers {
-	id := cmp.Or(condition.replaced, firstOrEmpty(condition.lost), condition.departing)
+func (c *Controller) nextVoterRemoval(status, clusterStateStatus *schema.QueueStatus, condition *voterCondition) *schema.ChangeMembers {
+	id := cmp.Or(condition.withSuccessor, firstOrEmpty(condition.lost), condition.departing)
 	if id == "" {
-		id = c.surplusVoter(status, root)
+		id = c.surplusVoter(status, clusterStateStatus)
 	}
 	if id == "" {
 		return nil
@@ -142,9 +142,9 @@
 // selectLearner returns the storage node to add next, to replace a leaving voter if there is
 // one; empty if there is none. Queues prefer the voters of the cluster state, so that few
 // machines have all groups; those are spread over the zones.
-func (c *Controller) selectLearner(now eventloop.Micros, status, root *schema.QueueStatus, leaving string) string {
+func (c *Controller) selectLearner(now eventloop.Micros, status, clusterStateStatus *schema.QueueStatus, leaving string) string {
 	canJoin := func(id string) bool { return c.canLearn(now, status, id) && c.canReplace(status, leaving, id) }
-	for _, id := range root.Voters {
+	for _, id := range clusterStateStatus.Voters {
 		if canJoin(id) {
 			return id
 		}
@@ -167,17 +167,17 @@
 // surplusVoter returns the voter to do without, never the leader: one whose removal leaves the
 // others best spread, then one that isn't a voter of the cluster state, then one of the zone
 // with the most voters.
-func (c *Controller) surplusVoter(status, root *schema.QueueStatus) string {
+func (c *Controller) surplusVoter(status, clusterStateStatus *schema.QueueStatus) string {
 	votersByZone := map[string]int{}
 	for _, id := range status.Voters {
 		votersByZone[c.zoneOf(id)]++
 	}
 	cost := func(id string) []int {
-		isRootVoter := 0
-		if slices.Contains(root.Voters, id) {
-			isRootVoter = 1
+		isClusterStateVoter := 0
+		if slices.Contains(clusterStateStatus.Voters, id) {
+			isClusterStateVoter = 1
 		}
-		return []int{c.excessVoters(status, id, ""), isRootVoter, -votersByZone[c.zoneOf(id)]}
+		return []int{c.excessVoters(status, id, ""), isClusterStateVoter, -votersByZone[c.zoneOf(id)]}
 	}
 	best := ""
 	for _, id := range status.Voters {
--- a/internal/controller/leaders.go
+++ b/internal/controller/leaders.go
@@ -99,13 +99,13 @@
 // a fresh report is partitioned from the cluster state: it could neither lead nor use worker
 // leases.
 func (c *Controller) leaderCandidates(now eventloop.Micros) []leaderCandidate {
-	root := c.groupStatuses(now)[clusterstate.Group]
-	if root == nil {
+	clusterStateStatus := c.groupStatuses(now)[clusterstate.GroupName]
+	if clusterStateStatus == nil {
 		return nil
 	}
 	assigned, leads := c.countAssignments(now)
 	var candidates []leaderCandidate
-	for _, id := range root.Voters {
+	for _, id := range clusterStateStatus.Voters {
 		if _, fresh := c.freshReport(now, id); !fresh || !c.isAlive(now, id) || c.isDeposed(now, id) {
 			continue
 		}
--- a/internal/controller/leaders_test.go
+++ b/internal/controller/leaders_test.go
@@ -20,13 +20,13 @@
 		report := func(from string, leaders map[string]string) {
 			var statuses []*schema.QueueStatus
 			if from == "a" {
-				statuses = append(statuses, &schema.QueueStatus{Group: clusterstate.Group, Leader: "a", Voters: []string{"a", "b", "c"}})
+				statuses = append(statuses, &schema.QueueStatus{Group: clusterstate.GroupName, Leader: "a", Voters: []string{"a", "b", "c"}})
 			}
 			f.controller.Step(f.now, eventloop.Message{From: from, Body: &schema.ClusterStateResponse{
 				State: proto.Clone(f.state).(*schema.ClusterState), Version: f.state.Version, Leaders: leaders, QueueStatuses: statuses,
 			}}, f)
 		}
-		before := map[string]string{clusterstate.Group: "a", "l": "c"}
+		before := map[string]string{clusterstate.GroupName: "a", "l": "c"}
 		for _, id := range []string{"a", "b", "c"} {
 			report(id, before)
 		}
@@ -38,7 +38,7 @@
 				f.tick()
 				after := before
 				if f.now-lastReport > 500*eventloop.Millisecond {
-					after = map[string]string{clusterstate.Group: "a", "l": "b"}
+					after = map[string]string{clusterstate.GroupName: "a", "l": "b"}
 				}
 				report("a", after)
 				report("b", after)
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -53,15 +53,15 @@
 	if len(c.reports) == 0 || now-c.claimedAt < leaseRetryInterval {
 		return
 	}
-	if rank, isCandidate := c.candidateRank(now); isCandidate && c.isLeaseFree(now, rank) {
+	if rank, isCandidate := c.candidateRank(now); isCandidate && c.shouldClaimLease(now, rank) {
 		c.claimLease(now, effects)
 	}
 }
 
-// isLeaseFree reports whether it is worth claiming the lease. Candidates wait by rank, so that
+// shouldClaimLease reports whether it is worth claiming the lease. Candidates wait by rank, so that
 // seldom two claim at once. The last holder doesn't wait: while the cluster state's group had no
 // leader, nobody could renew.
-func (c *Controller) isLeaseFree(now eventloop.Micros, rank int) bool {
+func (c *Controller) shouldClaimLease(now eventloop.Micros, rank int) bool {
 	if c.state.ControllerLease.GetHolder() == c.id {
 		return true
 	}
--- a/internal/controller/lease_test.go
+++ b/internal/controller/lease_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func (s *sendCounter) Dial(string, any) {}
+func (s *sendCounter) SendToAddress(string, any) {}
 
 func (s *sendCounter) Notify(string, any) {}
 
@@ -92,7 +92,7 @@
 				view.Members[agentNode(k).Id] = membership.MemberStatus{Member: agentNode(k), LastHeard: lastHeard}
 			}
 			c.Step(now, eventloop.Message{Body: view}, sent)
-			c.Step(now, eventloop.Message{From: "a", Body: &schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{clusterstate.Group: "a"}}}, sent)
+			c.Step(now, eventloop.Message{From: "a", Body: &schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{clusterstate.GroupName: "a"}}}, sent)
 			c.Step(now, eventloop.Message{Body: eventloop.Tick{}}, sent)
 		}
 		return sent
--- a/internal/controller/queues.go
+++ b/internal/controller/queues.go
@@ -12,32 +12,32 @@
 // reconcileQueues places the queues that are configured and removes those that aren't any more.
 func (c *Controller) reconcileQueues(now eventloop.Micros, effects eventloop.Effects) {
 	statuses := c.groupStatuses(now)
-	root := statuses[clusterstate.Group]
-	if root == nil {
+	clusterStateStatus := statuses[clusterstate.GroupName]
+	if clusterStateStatus == nil {
 		return
 	}
 	command := &schema.PlaceQueues{
 		FencingToken: c.fencingToken,
-		Queues:       c.missingQueues(now, root),
+		Queues:       c.missingQueues(now, clusterStateStatus),
 		Removed:      c.endedQueues(statuses),
 	}
 	if len(command.Queues)+len(command.Removed) == 0 {
 		return
 	}
 	// Only the same placement waits until its effect can be visible.
-	action := describePlacement(command)
+	action := placementKey(command)
 	if action != c.lastQueueAction {
 		delete(c.lastActions, "queues")
 	}
 	// Without a leader to send it to, it is tried again at the next tick.
-	if c.leaderOf(now, clusterstate.Group) != "" && c.allowAction(now, "queues", actionInterval) {
+	if c.leaderOf(now, clusterstate.GroupName) != "" && c.allowAction(now, "queues", actionInterval) {
 		c.lastQueueAction = action
 		c.sendCommand(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: command}}, effects)
 	}
 }
 
 // missingQueues returns placements for the configured queues that have none.
-func (c *Controller) missingQueues(now eventloop.Micros, root *schema.QueueStatus) []*schema.QueuePlacement {
+func (c *Controller) missingQueues(now eventloop.Micros, clusterStateStatus *schema.QueueStatus) []*schema.QueuePlacement {
 	var missing []*schema.QueuePlacement
 	leader := ""
 	for _, name := range c.values.Queues() {
@@ -47,7 +47,7 @@
 		if len(missing) == 0 {
 			leader = c.mostSuitable(now)
 		}
-		missing = append(missing, &schema.QueuePlacement{Queue: name, InitialVoters: root.Voters, PreferredLeader: leader})
+		missing = append(missing, &schema.QueuePlacement{Queue: name, InitialVoters: clusterStateStatus.Voters, PreferredLeader: leader})
 	}
 	return missing
 }
@@ -66,7 +66,7 @@
 	return ended
 }
 
-func describePlacement(command *schema.PlaceQueues) string {
+func placementKey(command *schema.PlaceQueues) string {
 	var names []string
 	for _, placement := range command.Queues {
 		names = append(names, placement.Queue)
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -41,5 +41,5 @@
 		delete(c.missingSince, key)
 		return false
 	}
-	return c.missingFor(now, key) > timeout
+	return c.trackMissing(now, key) > timeout
 }
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -73,7 +73,7 @@
 	options, err := c.load(set)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", c.program, err)
-		return ExitOptions
+		return ExitInvalidSettings
 	}
 	if c.isCheck {
 		fmt.Println("settings are good")
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -28,8 +28,8 @@
 
 // Exit codes of the daemons.
 const (
-	ExitFailed  = subcommands.ExitStatus(1)
-	ExitOptions = subcommands.ExitStatus(2) // the settings or the data directory can't be used
+	ExitFailed          = subcommands.ExitStatus(1)
+	ExitInvalidSettings = subcommands.ExitStatus(2) // the settings or the data directory can't be used
 )
 
 const (
@@ -54,13 +54,13 @@
 
 // daemon is what serve needs to run a node, and to restart it with another store.
 type daemon struct {
-	options   *schema.Settings
-	role      schema.Role
-	signals   <-chan os.Signal
-	log       *zap.Logger
-	ring      *logring.Ring
-	newServer ServerFactory
-	callers   []agent.WorkerClient
+	settings      *schema.Settings
+	role          schema.Role
+	signals       <-chan os.Signal
+	log           *zap.Logger
+	ring          *logring.Ring
+	newServer     ServerFactory
+	workerClients []agent.WorkerClient
 }
 
 // Serve runs a node until it fails or has shut down after a signal, and returns the exit
@@ -80,7 +80,7 @@
 		}
 	}()
 	d := &daemon{
-		options: options, role: role, signals: signals, log: log, ring: ring, newServer: newServer, callers: callers,
+		settings: options, role: role, signals: signals, log: log, ring: ring, newServer: newServer, workerClients: callers,
 	}
 	err := d.serve()
 	if err == nil {
@@ -89,7 +89,7 @@
 	log.Error("failed", zap.Error(err))
 	fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 	if storage.IsDirRejected(err) || errorx.IsOfType(err, config.Invalid) {
-		return ExitOptions
+		return ExitInvalidSettings
 	}
 	return ExitFailed
 }
@@ -110,7 +110,7 @@
 // serveOnce runs a node until the process is to end, or returns the store to restart it
 // with.
 func (d *daemon) serveOnce(opened *process.OpenedStore) (*process.OpenedStore, error) {
-	node, err := process.StartWithStore(opened, d.options, d.role, d.log, d.callers...)
+	node, err := process.StartWithStore(opened, d.settings, d.role, d.log, d.workerClients...)
 	if err != nil {
 		return nil, err
 	}
@@ -123,7 +123,7 @@
 		select {
 		case err := <-node.Failed:
 			return nil, err
-		case reopened := <-node.Reopened:
+		case reopened := <-node.StoreOpened:
 			d.log.Warn("the store could be opened: restarting the node with it")
 			ctx, cancel := context.WithTimeout(context.Background(), restartDrainTimeout)
 			d.stop(ctx, node, server)
@@ -159,7 +159,7 @@
 // shutDown drains the node, waits for requests in progress, and stops, all within the
 // shutdown timeout of the settings. A second signal ends the waiting.
 func (d *daemon) shutDown(node *process.Node, server Server) {
-	timeout := time.Duration(d.options.ShutdownTimeoutUs) * time.Microsecond
+	timeout := time.Duration(d.settings.ShutdownTimeoutUs) * time.Microsecond
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	go d.cancelOnSignal(ctx, cancel)
@@ -167,7 +167,7 @@
 	server.StartDraining()
 	ticker := time.NewTicker(drainCheckInterval)
 	defer ticker.Stop()
-	for node.MustStay(ctx) && ctx.Err() == nil {
+	for node.HasHandoverPending(ctx) && ctx.Err() == nil {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -41,14 +41,14 @@
 	Convey("A data directory with foreign files: exit code 2, the file is named, nothing is written", t, func() {
 		data := t.TempDir()
 		So(os.WriteFile(filepath.Join(data, "family.jpg"), []byte("x"), 0o600), ShouldBeNil)
-		So(Serve("x", options(data), schema.Role_ROLE_SERVER, never), ShouldEqual, ExitOptions)
+		So(Serve("x", options(data), schema.Role_ROLE_SERVER, never), ShouldEqual, ExitInvalidSettings)
 		So(fileNames(data), ShouldResemble, []string{"family.jpg"})
 		So(log(), ShouldContainSubstring, "family.jpg")
 	})
 	Convey("A data directory that is none: exit code 2, it is named and unchanged", t, func() {
 		data := filepath.Join(t.TempDir(), "file")
 		So(os.WriteFile(data, []byte("x"), 0o600), ShouldBeNil)
-		So(Serve("x", options(data), schema.Role_ROLE_SERVER, never), ShouldEqual, ExitOptions)
+		So(Serve("x", options(data), schema.Role_ROLE_SERVER, never), ShouldEqual, ExitInvalidSettings)
 		text, err := os.ReadFile(data)
 		So(err, ShouldBeNil)
 		So(string(text), ShouldEqual, "x")
@@ -63,7 +63,7 @@
 		point := &schema.Snapshot{Index: 7, Term: 1, Data: []byte("\xff\xff\xff of another system")}
 		So(store.Commit([]*schema.StoreChange{{Group: "mail#4", Snapshot: point}}), ShouldBeNil)
 		folder.Close()
-		So(Serve("x", options(data), schema.Role_ROLE_SERVER, never), ShouldEqual, ExitOptions)
+		So(Serve("x", options(data), schema.Role_ROLE_SERVER, never), ShouldEqual, ExitInvalidSettings)
 		So(log(), ShouldContainSubstring, data)
 		So(log(), ShouldContainSubstring, "mail#4")
 	})
@@ -73,7 +73,7 @@
 		Reset(func() { taken.Close() })
 		settings := options("")
 		settings.InternalAddress = taken.Addr().String()
-		So(Serve("x", settings, schema.Role_ROLE_SERVER, never), ShouldEqual, ExitOptions)
+		So(Serve("x", settings, schema.Role_ROLE_SERVER, never), ShouldEqual, ExitInvalidSettings)
 		So(log(), ShouldContainSubstring, "inner")
 	})
 }
@@ -101,7 +101,7 @@
 			return recordingServer{shutdowns}, nil
 		}
 		signals := make(chan os.Signal, 1)
-		d := &daemon{options: options, role: schema.Role_ROLE_SERVER, signals: signals, log: log, ring: ring, newServer: newServer}
+		d := &daemon{settings: options, role: schema.Role_ROLE_SERVER, signals: signals, log: log, ring: ring, newServer: newServer}
 		go func() { ended <- d.serve() }()
 		So(<-started, ShouldBeFalse)
 		So(os.Remove(obstacle), ShouldBeNil)
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -20,7 +20,7 @@
 	// Send sends a message to a process by its id.
 	Send(to string, body any)
 	// Dial sends a message to whichever process listens at an internal address.
-	Dial(address string, body any)
+	SendToAddress(address string, body any)
 	// Notify sends a message to another component of this process by its name.
 	Notify(component string, body any)
 	// Respond answers a pending request of a client by its number.
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -21,13 +21,13 @@
 type recordedEffects struct{ responses chan any }
 
 func (recordedEffects) Send(string, any)             {}
-func (recordedEffects) Dial(string, any)             {}
+func (recordedEffects) SendToAddress(string, any)    {}
 func (recordedEffects) Notify(string, any)           {}
 func (c recordedEffects) Respond(_ uint64, body any) { c.responses <- body }
 
 func TestProcess(t *testing.T) {
 	Convey("Messages reach their component in order, and a panic is reported", t, func() {
-		p := NewProcess(RealClock())
+		p := NewLoop(RealClock())
 		effects := recordedEffects{make(chan any, 16)}
 		panicked := make(chan string, 1)
 		p.Outbound, p.OnPanic = effects, func(component string, cause any, stack []byte) { panicked <- component }
--- a/internal/eventloop/process.go
+++ b/internal/eventloop/process.go
@@ -10,9 +10,9 @@
 // mailboxSize is how many messages wait for a component before further ones are dropped.
 const mailboxSize = 4096
 
-// Process runs a set of components, each on its own goroutine. The fields are set before
+// Loop runs a set of components, each on its own goroutine. The fields are set before
 // Run.
-type Process struct {
+type Loop struct {
 	Clock Clock
 	// Outbound takes what leaves the process: Send, Dial and Respond. Notify stays here.
 	Outbound Effects
@@ -34,19 +34,19 @@
 	tickInterval Micros
 }
 
-// NewProcess makes a process without components.
-func NewProcess(clock Clock) *Process {
-	return &Process{Clock: clock, components: map[string]*hosted{}}
+// NewLoop makes a process without components.
+func NewLoop(clock Clock) *Loop {
+	return &Loop{Clock: clock, components: map[string]*hosted{}}
 }
 
 // Add adds a component under a name before Run. With a tick interval of 0 it gets no
 // Tick.
-func (p *Process) Add(name string, component Component, tickInterval Micros) {
+func (p *Loop) Add(name string, component Component, tickInterval Micros) {
 	p.components[name] = &hosted{name, component, NewQueue[Message](mailboxSize), tickInterval}
 }
 
 // Run starts the components and returns; they stop when the context ends.
-func (p *Process) Run(ctx context.Context) {
+func (p *Loop) Run(ctx context.Context) {
 	p.ctx = ctx
 	for _, h := range p.components {
 		p.running.Add(1)
@@ -55,9 +55,9 @@
 }
 
 // Wait returns when all components have stopped.
-func (p *Process) Wait() { p.running.Wait() }
+func (p *Loop) Wait() { p.running.Wait() }
 
-func (p *Process) run(ctx context.Context, h *hosted) {
+func (p *Loop) run(ctx context.Context, h *hosted) {
 	defer p.running.Done()
 	defer p.recoverPanic(h.name)
 	var lastTick Micros
@@ -73,7 +73,7 @@
 }
 
 // recoverPanic is deferred by a component's goroutine.
-func (p *Process) recoverPanic(name string) {
+func (p *Loop) recoverPanic(name string) {
 	cause := recover()
 	if cause == nil {
 		return
@@ -86,18 +86,18 @@
 
 // recordTickLatency keeps the worst lateness, which decays so that it is forgotten some
 // seconds later.
-func (p *Process) recordTickLatency(late Micros) {
+func (p *Loop) recordTickLatency(late Micros) {
 	recent := Micros(p.tickLatency.Load())
 	p.tickLatency.Store(int64(max(0, late, recent-recent/32)))
 }
 
 // TickLatency is by how many µs the latest recent tick came late. A process that is
 // short of CPU time or was suspended shows it here, and shouldn't lead.
-func (p *Process) TickLatency() Micros { return Micros(p.tickLatency.Load()) }
+func (p *Loop) TickLatency() Micros { return Micros(p.tickLatency.Load()) }
 
 // Post puts a message into a component's mailbox. It returns false if the mailbox is
 // full, or there is no such component; the message is dropped then.
-func (p *Process) Post(component string, message Message) bool {
+func (p *Loop) Post(component string, message Message) bool {
 	h := p.components[component]
 	return h != nil && h.mailbox.TryPut(message)
 }
@@ -105,13 +105,13 @@
 // PostWait is Post for messages that must not be dropped: it waits while the mailbox is
 // full, and returns false if Run's context ends before. It must be called after Run, and
 // not from a component.
-func (p *Process) PostWait(component string, message Message) bool {
+func (p *Loop) PostWait(component string, message Message) bool {
 	h := p.components[component]
 	return h != nil && h.mailbox.Put(p.ctx, message)
 }
 
 // Dropped counts, by component, the messages that were dropped at a full mailbox.
-func (p *Process) Dropped() map[string]uint64 {
+func (p *Loop) Dropped() map[string]uint64 {
 	counts := map[string]uint64{}
 	for name, h := range p.components {
 		counts[name] = h.mailbox.Dropped()
@@ -120,13 +120,13 @@
 }
 
 // Notify implements Effects.
-func (p *Process) Notify(component string, body any) { p.Post(component, Message{Body: body}) }
+func (p *Loop) Notify(component string, body any) { p.Post(component, Message{Body: body}) }
 
 // Send implements Effects.
-func (p *Process) Send(to string, body any) { p.Outbound.Send(to, body) }
+func (p *Loop) Send(to string, body any) { p.Outbound.Send(to, body) }
 
-// Dial implements Effects.
-func (p *Process) Dial(address string, body any) { p.Outbound.Dial(address, body) }
+// SendToAddress implements Effects.
+func (p *Loop) SendToAddress(address string, body any) { p.Outbound.SendToAddress(address, body) }
 
 // Respond implements Effects.
-func (p *Process) Respond(request uint64, body any) { p.Outbound.Respond(request, body) }
+func (p *Loop) Respond(request uint64, body any) { p.Outbound.Respond(request, body) }
--- a/internal/fakeworker/called_calls.go
+++ b/internal/fakeworker/called_calls.go
@@ -81,7 +81,7 @@
 		return
 	}
 	w.fencingToken = call.FencingToken
-	w.extendHold(now, call.HoldUntil)
+	w.extendHold(now, call.RunDeadline)
 	switch call.Action {
 	case agent.Start:
 		if reason := w.startRun(now, call); reason != agent.NotRejected {
--- a/internal/fakeworker/called_runs.go
+++ b/internal/fakeworker/called_runs.go
@@ -33,7 +33,7 @@
 	if over, found := w.overAttempts[call.Task]; found && call.Attempt <= over || call.Attempt <= w.startedAttempts[call.Task] {
 		return agent.AttemptOver
 	}
-	if w.Clock(now) >= w.holdUntil || call.HoldUntil > 0 && w.Clock(now) >= call.HoldUntil {
+	if w.Clock(now) >= w.holdUntil || call.RunDeadline > 0 && w.Clock(now) >= call.RunDeadline {
 		return agent.DeadlinePassed
 	}
 	requirements := w.config.ParseTask(call.Task, call.Text)
--- a/internal/fakeworker/called_worker_test.go
+++ b/internal/fakeworker/called_worker_test.go
@@ -44,7 +44,7 @@
 }
 
 func startCall(task, attempt uint32, until eventloop.Micros, text string) agent.Call {
-	return agent.Call{Action: agent.Start, Task: agent.TaskName{Job: "j", Task: task}, Attempt: attempt, Text: text, HoldUntil: until, FencingToken: 3}
+	return agent.Call{Action: agent.Start, Task: agent.TaskName{Job: "j", Task: task}, Attempt: attempt, Text: text, RunDeadline: until, FencingToken: 3}
 }
 
 func stopCall(task, attempt uint32) agent.Call {
--- a/internal/fakeworker/worker.go
+++ b/internal/fakeworker/worker.go
@@ -67,37 +67,37 @@
 	StallRate   float64 // share of tasks that stall
 }
 
-// Worker is a fake of a worker that polls its scheduler. Behaviour may be changed
+// PollingWorker is a fake of a worker that polls its scheduler. Behaviour may be changed
 // between calls.
-type Worker struct {
-	Name               string
-	Incarnation        uint64
-	Behaviour          Behaviour
-	rack               string
-	cores              int64
-	memory             int64
-	rng                *rand.Rand
-	emit               func(checker.Event)
-	heartbeatSequence  uint64
-	lastReplySequence  uint64 // of the heartbeat with the newest answer taken
-	fencingToken       uint64
-	leaseExpiresAt     eventloop.Micros
-	isDraining         bool
-	runs               map[runKey]*run
-	unacknowledged     map[runKey]*schema.TaskStatus // by the scheduler
-	unreportedFailures map[runKey]uint64             // by the first heartbeat that reports each; 0: none yet
-	endedRuns          map[runKey]endedRun
-	lastHeartbeatAt    eventloop.Micros
-	heartbeatSoon      bool
-	lastContactEvent   eventloop.Micros
+type PollingWorker struct {
+	Name                string
+	Incarnation         uint64
+	Behaviour           Behaviour
+	rack                string
+	cores               int64
+	memory              int64
+	rng                 *rand.Rand
+	emit                func(checker.Event)
+	heartbeatSequence   uint64
+	lastReplySequence   uint64 // of the heartbeat with the newest answer taken
+	fencingToken        uint64
+	leaseExpiresAt      eventloop.Micros
+	isDraining          bool
+	runs                map[runKey]*run
+	unacknowledged      map[runKey]*schema.TaskStatus // by the scheduler
+	unconfirmedFailures map[runKey]uint64             // by the first heartbeat that reports each; 0: none yet
+	endedRuns           map[runKey]endedRun
+	lastHeartbeatAt     eventloop.Micros
+	heartbeatSoon       bool
+	lastContactEvent    eventloop.Micros
 }
 
-// New makes a worker with so many thousandths of a core and MB of memory. Its events
+// NewPollingWorker makes a worker with so many thousandths of a core and MB of memory. Its events
 // go to emit; the first, at once, says that it is up.
-func New(now eventloop.Micros, name, rack string, cores, memory int64, incarnation uint64, rng *rand.Rand, emit func(checker.Event)) *Worker {
-	w := &Worker{
+func NewPollingWorker(now eventloop.Micros, name, rack string, cores, memory int64, incarnation uint64, rng *rand.Rand, emit func(checker.Event)) *PollingWorker {
+	w := &PollingWorker{
 		Name: name, Incarnation: incarnation, rack: rack, cores: cores, memory: memory, rng: rng, emit: emit,
-		runs: map[runKey]*run{}, unacknowledged: map[runKey]*schema.TaskStatus{}, endedRuns: map[runKey]endedRun{}, unreportedFailures: map[runKey]uint64{},
+		runs: map[runKey]*run{}, unacknowledged: map[runKey]*schema.TaskStatus{}, endedRuns: map[runKey]endedRun{}, unconfirmedFailures: map[runKey]uint64{},
 		heartbeatSoon: true, lastHeartbeatAt: -heartbeatInterval,
 	}
 	emit(checker.Event{At: now, Kind: checker.WorkerUp, Actor: name, Cores: cores, Memory: memory, Rack: rack, Incarnation: incarnation})
@@ -105,7 +105,7 @@
 }
 
 // Drain makes the worker report that it is draining: it starts nothing more.
-func (w *Worker) Drain(now eventloop.Micros) {
+func (w *PollingWorker) Drain(now eventloop.Micros) {
 	if !w.isDraining {
 		w.isDraining, w.heartbeatSoon = true, true
 		w.emit(checker.Event{At: now, Kind: checker.WorkerDraining, Actor: w.Name})
@@ -113,21 +113,21 @@
 }
 
 // IsIdle reports whether nothing runs and nothing is left to report.
-func (w *Worker) IsIdle() bool { return len(w.runs)+len(w.unacknowledged) == 0 }
+func (w *PollingWorker) IsIdle() bool { return len(w.runs)+len(w.unacknowledged) == 0 }
 
 // Crash emits the event that the worker is gone, with all its runs.
-func (w *Worker) Crash(now eventloop.Micros) {
+func (w *PollingWorker) Crash(now eventloop.Micros) {
 	w.emit(checker.Event{At: now, Kind: checker.WorkerGone, Actor: w.Name, Incarnation: w.Incarnation})
 }
 
-func (w *Worker) emitRunEvent(now eventloop.Micros, kind string, r *run, state string) {
+func (w *PollingWorker) emitRunEvent(now eventloop.Micros, kind string, r *run, state string) {
 	w.emit(checker.Event{
 		At: now, Kind: kind, Actor: w.Name, Queue: r.key.queue, Name: r.name, Job: r.key.job, Step: r.key.step, Task: r.key.task,
 		Attempt: r.key.attempt, State: state, Cores: r.cores, Memory: r.memory, Incarnation: w.Incarnation,
 	})
 }
 
-func (w *Worker) sortedRuns() []*run {
+func (w *PollingWorker) sortedRuns() []*run {
 	return slices.SortedFunc(maps.Values(w.runs), func(a, b *run) int { return compareKeys(a.key, b.key) })
 }
 
@@ -139,7 +139,7 @@
 }
 
 // Tick ends the runs whose time is over, and all of them when the lease is over.
-func (w *Worker) Tick(now eventloop.Micros) {
+func (w *PollingWorker) Tick(now eventloop.Micros) {
 	leaseExpired := now >= w.leaseExpiresAt
 	for _, r := range w.sortedRuns() {
 		switch {
@@ -159,7 +159,7 @@
 }
 
 // NextEventAt is when the next heartbeat or end is due.
-func (w *Worker) NextEventAt() eventloop.Micros {
+func (w *PollingWorker) NextEventAt() eventloop.Micros {
 	next := w.nextHeartbeatAt()
 	for _, r := range w.runs {
 		if !r.isReserved && !r.isStalled && r.endsAt < next {
@@ -169,7 +169,7 @@
 	return next
 }
 
-func (w *Worker) nextHeartbeatAt() eventloop.Micros {
+func (w *PollingWorker) nextHeartbeatAt() eventloop.Micros {
 	if w.heartbeatSoon {
 		return w.lastHeartbeatAt + minHeartbeatInterval
 	}
@@ -177,9 +177,9 @@
 }
 
 // IsHeartbeatDue reports whether a heartbeat is due.
-func (w *Worker) IsHeartbeatDue(now eventloop.Micros) bool { return now >= w.nextHeartbeatAt() }
+func (w *PollingWorker) IsHeartbeatDue(now eventloop.Micros) bool { return now >= w.nextHeartbeatAt() }
 
-func (w *Worker) endRun(now eventloop.Micros, r *run, outcome string) {
+func (w *PollingWorker) endRun(now eventloop.Micros, r *run, outcome string) {
 	delete(w.runs, r.key)
 	if !r.isReserved {
 		w.emitRunEvent(now, checker.TaskEnd, r, outcome)
@@ -188,18 +188,18 @@
 	}
 	w.endedRuns[r.key] = endedRun{now, outcome}
 	if outcome == "failed" {
-		w.unreportedFailures[r.key] = 0
+		w.unconfirmedFailures[r.key] = 0
 	}
 	w.reportEnd(r.key, outcome)
 }
 
-func (w *Worker) reportEnd(k runKey, outcome string) {
+func (w *PollingWorker) reportEnd(k runKey, outcome string) {
 	w.unacknowledged[k] = &schema.TaskStatus{Queue: k.queue, Job: k.job, Step: k.step, Task: k.task, Attempt: k.attempt, State: outcome}
 	w.heartbeatSoon = true
 }
 
 // NewHeartbeat makes the next heartbeat: the capacity, and the running and ended tasks.
-func (w *Worker) NewHeartbeat(now eventloop.Micros) *schema.WorkerHeartbeat {
+func (w *PollingWorker) NewHeartbeat(now eventloop.Micros) *schema.WorkerHeartbeat {
 	w.heartbeatSequence++
 	w.lastHeartbeatAt, w.heartbeatSoon = now, false
 	heartbeat := &schema.WorkerHeartbeat{
@@ -221,8 +221,8 @@
 	}
 	for _, k := range sortedKeys(w.unacknowledged) {
 		heartbeat.Ended = append(heartbeat.Ended, w.unacknowledged[k])
-		if sequence, unreported := w.unreportedFailures[k]; unreported && sequence == 0 {
-			w.unreportedFailures[k] = w.heartbeatSequence
+		if sequence, unreported := w.unconfirmedFailures[k]; unreported && sequence == 0 {
+			w.unconfirmedFailures[k] = w.heartbeatSequence
 		}
 	}
 	return heartbeat
@@ -234,7 +234,7 @@
 
 // HandleUnanswered takes the failure of a heartbeat: the next goes soon, to another
 // gateway node.
-func (w *Worker) HandleUnanswered(now eventloop.Micros) {
+func (w *PollingWorker) HandleUnanswered(now eventloop.Micros) {
 	if w.lastHeartbeatAt+unansweredDelay < now {
 		w.heartbeatSoon = true
 	} else {
@@ -244,7 +244,7 @@
 
 // HandleOrders carries out the answer to the heartbeat of this sequence number, which
 // was sent at sentAt: the lease counts from then.
-func (w *Worker) HandleOrders(now, sentAt eventloop.Micros, sequence uint64, orders *schema.WorkerOrders) {
+func (w *PollingWorker) HandleOrders(now, sentAt eventloop.Micros, sequence uint64, orders *schema.WorkerOrders) {
 	// An older answer may order what is over by now; a lower token is of a lease that
 	// has been given to another.
 	if sequence <= w.lastReplySequence || orders.FencingToken < w.fencingToken {
@@ -256,9 +256,9 @@
 		w.emit(checker.Event{At: now, Kind: checker.WorkerAnswered, Actor: w.Name, Incarnation: w.Incarnation})
 	}
 	w.leaseExpiresAt = max(w.leaseExpiresAt, sentAt+eventloop.Micros(orders.LeaseUs))
-	for _, k := range sortedKeys(w.unreportedFailures) {
-		if first := w.unreportedFailures[k]; first > 0 && first <= sequence {
-			delete(w.unreportedFailures, k)
+	for _, k := range sortedKeys(w.unconfirmedFailures) {
+		if first := w.unconfirmedFailures[k]; first > 0 && first <= sequence {
+			delete(w.unconfirmedFailures, k)
 			w.emitRunEvent(now, checker.FailureReported, &run{key: k}, "failed")
 		}
 	}
@@ -274,7 +274,7 @@
 }
 
 // applyOrder carries out one order.
-func (w *Worker) applyOrder(now eventloop.Micros, order *schema.TaskOrder) {
+func (w *PollingWorker) applyOrder(now eventloop.Micros, order *schema.TaskOrder) {
 	k := runKey{order.Queue, order.Job, order.Step, order.Task, order.Attempt}
 	r := w.runs[k]
 	ordered := &run{key: k, name: order.Name, cores: order.CoresMilli, memory: order.MemoryMb}
@@ -301,13 +301,13 @@
 }
 
 // rejectRun reports an attempt as stopped that hasn't started.
-func (w *Worker) rejectRun(now eventloop.Micros, ordered *run) {
+func (w *PollingWorker) rejectRun(now eventloop.Micros, ordered *run) {
 	ordered.isReserved = true
 	w.endRun(now, ordered, "stopped")
 }
 
 // reserve reserves the capacity for an attempt, if it is free.
-func (w *Worker) reserve(now eventloop.Micros, r, ordered *run) {
+func (w *PollingWorker) reserve(now eventloop.Micros, r, ordered *run) {
 	switch {
 	case r != nil:
 	case w.hasCapacity(ordered):
@@ -319,7 +319,7 @@
 }
 
 // orderStart starts an attempt, reserved before or not, unless it runs already.
-func (w *Worker) orderStart(now eventloop.Micros, r, ordered *run, text string) {
+func (w *PollingWorker) orderStart(now eventloop.Micros, r, ordered *run, text string) {
 	if r != nil && !r.isReserved {
 		return
 	}
@@ -335,7 +335,7 @@
 }
 
 // hasOtherAttempt reports whether another attempt of the same task is here.
-func (w *Worker) hasOtherAttempt(k runKey) bool {
+func (w *PollingWorker) hasOtherAttempt(k runKey) bool {
 	for other := range w.runs {
 		if other.queue == k.queue && other.job == k.job && other.step == k.step && other.task == k.task {
 			return true
@@ -345,7 +345,7 @@
 }
 
 // hasCapacity reports whether the free capacity suffices for a run.
-func (w *Worker) hasCapacity(ordered *run) bool {
+func (w *PollingWorker) hasCapacity(ordered *run) bool {
 	cores, memory := w.cores-ordered.cores, w.memory-ordered.memory
 	for _, r := range w.runs {
 		cores -= r.cores
@@ -356,7 +356,7 @@
 
 // startRun starts a run. The task's text says how long it takes ("run_us=30000") and
 // how often it fails ("fail=0.1").
-func (w *Worker) startRun(now eventloop.Micros, r *run, text string) {
+func (w *PollingWorker) startRun(now eventloop.Micros, r *run, text string) {
 	r.isReserved, r.startedAt, r.outcome = false, now, "done"
 	duration := eventloop.Micros(textParameter(text, "run_us", defaultRunUs))
 	if w.Behaviour.Slowdown > 0 {
--- a/internal/fakeworker/worker_test.go
+++ b/internal/fakeworker/worker_test.go
@@ -15,9 +15,9 @@
 	start := func(task uint32) []*schema.TaskOrder {
 		return []*schema.TaskOrder{{Action: "start", Queue: "l", Job: 1, Task: task, Attempt: 1, CoresMilli: 10, Text: "run_us=60000000"}}
 	}
-	newWorker := func() (*Worker, map[string]int) {
+	newWorker := func() (*PollingWorker, map[string]int) {
 		seen := map[string]int{}
-		w := New(eventloop.Second, "w", "r", 1000, 1000, 1, rand.New(rand.NewPCG(1, 1)), func(e checker.Event) { seen[e.Kind+e.State]++ })
+		w := NewPollingWorker(eventloop.Second, "w", "r", 1000, 1000, 1, rand.New(rand.NewPCG(1, 1)), func(e checker.Event) { seen[e.Kind+e.State]++ })
 		return w, seen
 	}
 	lease := int64(4 * eventloop.Second)
--- a/internal/gateway/backpressure_test.go
+++ b/internal/gateway/backpressure_test.go
@@ -147,8 +147,8 @@
 		So(h.responses[901].Code, ShouldEqual, 503)
 		_, isAnswered := h.responses[id]
 		So(isAnswered, ShouldBeFalse)
-		for id, kind := range map[uint64]string{902: KindConfiguration, 904: KindClusterState} {
-			h.step(LeaderRequest{RequestID: id, Kind: kind, Group: clusterstate.Group, Deadline: h.now + 60*eventloop.Second})
+		for id, kind := range map[uint64]string{902: KindConfiguration, 904: KindProposeClusterState} {
+			h.step(LeaderRequest{RequestID: id, Kind: kind, Group: clusterstate.GroupName, Deadline: h.now + 60*eventloop.Second})
 			So(h.responses[id].Code, ShouldEqual, 503)
 			So(h.responses[id].RetryAfter, ShouldBeGreaterThan, 0)
 		}
--- a/internal/gateway/cluster_state.go
+++ b/internal/gateway/cluster_state.go
@@ -47,7 +47,7 @@
 		return 2 * TickInterval
 	}
 	for _, since := range g.leaderlessSince {
-		if now-since < leaderLossPeriod {
+		if now-since < fastPollPeriod {
 			return TickInterval
 		}
 	}
@@ -74,8 +74,8 @@
 	}
 	var selected []string
 	for range min(storageNodesPerQuery, len(storageNodes)) {
-		selected = append(selected, storageNodes[g.nextStorageNode%len(storageNodes)])
-		g.nextStorageNode++
+		selected = append(selected, storageNodes[g.storageNodeCursor%len(storageNodes)])
+		g.storageNodeCursor++
 	}
 	return selected
 }
@@ -87,7 +87,7 @@
 		return // the next poll repeats it, and the lease isn't renewed until then
 	}
 	if state != nil && state.Version >= g.state.Version {
-		g.state, g.values = state, g.values.Refresh(state.Configuration)
+		g.state, g.values = state, g.values.ForConfiguration(state.Configuration)
 		g.updateLeaderless(now)
 		g.endRemovedQueues(now, effects)
 	}
--- a/internal/gateway/confirmation.go
+++ b/internal/gateway/confirmation.go
@@ -76,7 +76,7 @@
 	c.lastNumber++
 	c.requestID, c.sentAt, c.inFlight, c.queued = firstConfirmationID+c.lastNumber, now, c.queued, nil
 	pending := &request{message: LeaderRequest{
-		RequestID: c.requestID, Kind: KindState, Group: clusterstate.Group, Body: marshal(g.newStateQuery()), Deadline: now + confirmationTimeout,
+		RequestID: c.requestID, Kind: KindReadClusterState, Group: clusterstate.GroupName, Body: marshal(g.newStateQuery()), Deadline: now + confirmationTimeout,
 	}}
 	g.requests[c.requestID] = pending
 	g.sendRequest(now, pending, effects)
@@ -140,11 +140,11 @@
 		g.rejectUnavailable(call.id(), "there is no plan yet, or the queue is being made", effects)
 	case queue == "":
 		effects.Respond(call.id(), Response{
-			Code: http.StatusNotFound, Body: FaultBody(codeUnknownQueue, "the plan has no queue for this host and path", "path"),
+			Code: http.StatusNotFound, Body: ErrorBody(codeUnknownQueue, "the plan has no queue for this host and path", "path"),
 		})
 	default:
 		effects.Respond(call.id(), Response{
-			Code: http.StatusNotFound, Body: FaultBody(codeUnknownQueue, "the plan has no queue "+strconv.Quote(queue), "queue"),
+			Code: http.StatusNotFound, Body: ErrorBody(codeUnknownQueue, "the plan has no queue "+strconv.Quote(queue), "queue"),
 		})
 	}
 }
--- a/internal/gateway/confirmation_test.go
+++ b/internal/gateway/confirmation_test.go
@@ -37,7 +37,7 @@
 		Convey("not there: 404, but only by the leader's response to this confirmation", func() {
 			for _, from := range []string{"b", "a"} {
 				h.deliver(from, &schema.ClusterStateResponse{State: state("l"), Version: version, Leaders: map[string]string{"clusterstate": "a"}})
-				h.deliver(from, &schema.Response{Id: h.gateway.confirmation.requestID, Group: clusterstate.Group, Leader: from})
+				h.deliver(from, &schema.Response{Id: h.gateway.confirmation.requestID, Group: clusterstate.GroupName, Leader: from})
 			}
 			So(h.responses, ShouldNotContainKey, uint64(5))
 			h.confirmState(state("l"))
--- a/internal/gateway/faults.go
+++ b/internal/gateway/faults.go
@@ -35,9 +35,9 @@
 	maxNotReadyRetryAfter = 10 // seconds
 )
 
-// FaultBody is the JSON body of an error response; field names the part of the request
+// ErrorBody is the JSON body of an error response; field names the part of the request
 // that is at fault, if one is.
-func FaultBody(code, message, field string) []byte {
+func ErrorBody(code, message, field string) []byte {
 	data, err := json.Marshal(&schema.Error{Code: code, Message: message, Field: field})
 	if err != nil {
 		return nil
@@ -49,7 +49,7 @@
 // RetryAfter is given in seconds.
 func Overloaded(retryAfter int) Response {
 	return Response{
-		Code: http.StatusTooManyRequests, Body: FaultBody(codeGatewayFull, gatewayFullMessage, ""), RetryAfter: retryAfter,
+		Code: http.StatusTooManyRequests, Body: ErrorBody(codeGatewayFull, gatewayFullMessage, ""), RetryAfter: retryAfter,
 	}
 }
 
@@ -62,12 +62,12 @@
 // outcomeUnknown is the response where a command may or may not have taken effect.
 func outcomeUnknown() Response {
 	return Response{
-		Code: http.StatusGatewayTimeout, Body: FaultBody(codeUnknown, "whether this took effect is not known: send it again under the same name", ""), RetryAfter: 1,
+		Code: http.StatusGatewayTimeout, Body: ErrorBody(codeUnknown, "whether this took effect is not known: send it again under the same name", ""), RetryAfter: 1,
 	}
 }
 
 func (g *Gateway) reject(requestID uint64, status int32, code, message string, retryAfter int, effects eventloop.Effects) {
-	effects.Respond(requestID, Response{Code: status, Body: FaultBody(code, message, ""), RetryAfter: retryAfter})
+	effects.Respond(requestID, Response{Code: status, Body: ErrorBody(code, message, ""), RetryAfter: retryAfter})
 }
 
 // rejectUnavailable rejects a request that may succeed in a second.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -38,7 +38,7 @@
 	maxStateQueryInterval = 250 * eventloop.Millisecond
 	storageNodeTimeout    = 1200 * eventloop.Millisecond // since the last gossip, until others are preferred
 	storageNodesPerQuery  = 2                            // polled at once while the read lease needs renewal
-	leaderLossPeriod      = 2 * eventloop.Second         // of faster polling after a queue lost its leader
+	fastPollPeriod        = 2 * eventloop.Second         // of faster polling after a queue lost its leader
 	leaderlessGracePeriod = 300 * eventloop.Millisecond  // until submissions to a leaderless queue are rejected
 
 	// Sessions.
@@ -66,13 +66,13 @@
 	isDraining  bool
 
 	// The copy of the cluster state.
-	state           *schema.ClusterState
-	values          *clusterstate.Values // parsed from the configuration in state
-	lease           stateLease           // on state
-	hasLocalReplica bool                 // this node stores a replica of the cluster state
-	stateQueriedAt  eventloop.Micros
-	nextStorageNode int  // round-robin position among the storage nodes
-	wasInContact    bool // the lease hadn't expired at the last tick
+	state             *schema.ClusterState
+	values            *clusterstate.Values // parsed from the configuration in state
+	lease             stateLease           // on state
+	hasLocalReplica   bool                 // this node stores a replica of the cluster state
+	stateQueriedAt    eventloop.Micros
+	storageNodeCursor int  // round-robin position among the storage nodes
+	wasInContact      bool // the lease hadn't expired at the last tick
 
 	// What is known of nodes and queues.
 	membership         *membership.View // nil until the first one came
@@ -96,7 +96,7 @@
 	// Requests of other kinds.
 	requests           map[uint64]*request
 	confirmation       confirmation
-	announcements      map[uint64]ForwardAnnouncement
+	pendingHeartbeats  map[uint64]ForwardHeartbeat
 	registrationSentAt map[string]eventloop.Micros // by worker
 }
 
@@ -131,7 +131,7 @@
 		unconfirmedByQueue:   map[string]int{},
 
 		requests:           map[uint64]*request{},
-		announcements:      map[uint64]ForwardAnnouncement{},
+		pendingHeartbeats:  map[uint64]ForwardHeartbeat{},
 		registrationSentAt: map[string]eventloop.Micros{},
 	}
 }
@@ -140,7 +140,7 @@
 // one the default stays. It returns the gateway itself.
 func (g *Gateway) WithBounds(bounds *schema.Bounds) *Gateway {
 	if apply := eventloop.Micros(bounds.GetConfigApplyUs()); apply > 0 {
-		g.lease.applyBound = apply
+		g.lease.maxStaleness = apply
 	}
 	return g
 }
@@ -154,8 +154,8 @@
 		g.handleSubmit(now, body, false, effects)
 	case LeaderRequest:
 		g.handleRequest(now, body, false, effects)
-	case ForwardAnnouncement:
-		g.handleAnnouncement(now, body, effects)
+	case ForwardHeartbeat:
+		g.handleHeartbeat(now, body, effects)
 	case CheckReadiness:
 		g.checkReadiness(now, body, effects)
 	case ListGateways:
@@ -165,11 +165,11 @@
 	case StartDraining:
 		g.isDraining = true
 	case *schema.SubmitResponse:
-		g.handleApplied(now, message.From, body, effects)
+		g.handleSubmitResponse(now, message.From, body, effects)
 	case *schema.Response:
-		g.handleReply(now, body, effects)
+		g.handleResponse(now, body, effects)
 	case *schema.WorkerPollResponse:
-		g.handlePollReply(body, effects)
+		g.handlePollResponse(body, effects)
 	case *schema.ClusterStateResponse:
 		g.handleClusterState(now, body, effects)
 	case *membership.View:
@@ -199,7 +199,7 @@
 
 // checkContact fails what is pending once the read lease expires.
 func (g *Gateway) checkContact(now eventloop.Micros, effects eventloop.Effects) {
-	isInContact := !g.lease.isExpired(now)
+	isInContact := !g.lease.isGracePeriodOver(now)
 	if g.wasInContact && !isInContact {
 		g.failPending(now, effects)
 	}
@@ -216,13 +216,13 @@
 		effects.Respond(id, outcomeUnknown())
 	}
 	g.failConfirmation(now, effects)
-	for _, id := range slices.Sorted(maps.Keys(g.announcements)) {
+	for _, id := range slices.Sorted(maps.Keys(g.pendingHeartbeats)) {
 		g.rejectNotReady(now, id, effects)
-		delete(g.announcements, id)
+		delete(g.pendingHeartbeats, id)
 	}
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
 		switch g.requests[id].message.Kind {
-		case KindCancel, KindClusterState:
+		case KindCancel, KindProposeClusterState:
 			effects.Respond(id, outcomeUnknown())
 		default:
 			g.rejectNotReady(now, id, effects)
@@ -234,7 +234,7 @@
 // dropExpired removes announcements past their deadline, and what is remembered for a
 // while only. The process answers clients whose deadline has passed by itself.
 func (g *Gateway) dropExpired(now eventloop.Micros) {
-	maps.DeleteFunc(g.announcements, func(_ uint64, announcement ForwardAnnouncement) bool {
+	maps.DeleteFunc(g.pendingHeartbeats, func(_ uint64, announcement ForwardHeartbeat) bool {
 		return now > announcement.Deadline
 	})
 	maps.DeleteFunc(g.leadershipDeniedAt, func(_ queueNode, at eventloop.Micros) bool {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -28,7 +28,7 @@
 
 func (h *harness) Send(to string, body any) { h.sent = append(h.sent, sentMessage{to, body}) }
 
-func (h *harness) Dial(string, any) {}
+func (h *harness) SendToAddress(string, any) {}
 
 func (h *harness) Notify(string, any) {}
 
@@ -58,14 +58,14 @@
 	}
 	body, err := proto.Marshal(update)
 	So(err, ShouldBeNil)
-	h.deliver("a", &schema.Response{Id: h.gateway.confirmation.requestID, Code: 200, Group: clusterstate.Group, Leader: "a", Body: body})
+	h.deliver("a", &schema.Response{Id: h.gateway.confirmation.requestID, Code: 200, Group: clusterstate.GroupName, Leader: "a", Body: body})
 }
 
 func newHarness(rows ...*schema.ConfigurationRow) *harness {
 	h := newDisconnectedHarness()
 	rows = append(rows, &schema.ConfigurationRow{Kind: "queue", Name: "l", Key: "urgency", Value: "1"})
 	h.step(&schema.ClusterStateResponse{
-		Version: 1, Leaders: map[string]string{"l": "a", clusterstate.Group: "a"},
+		Version: 1, Leaders: map[string]string{"l": "a", clusterstate.GroupName: "a"},
 		State: &schema.ClusterState{Version: 1, Configuration: &schema.Configuration{Revision: 1, Rows: rows}, Queues: []*schema.QueuePlacement{{Queue: "l", Generation: 1}}},
 	})
 	return h
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -20,10 +20,10 @@
 	// KindConfiguration reads the configuration, KindHistory its former revisions.
 	KindConfiguration = "plan"
 	KindHistory       = "history"
-	// KindState reads the whole cluster state, KindClusterState proposes a command to
+	// KindReadClusterState reads the whole cluster state, KindProposeClusterState proposes a command to
 	// it.
-	KindState        = "state"
-	KindClusterState = "clusterstate"
+	KindReadClusterState    = "state"
+	KindProposeClusterState = "clusterstate"
 )
 
 // SubmitJob submits a job for a client. Where Queue is empty, host and path are matched
@@ -52,16 +52,16 @@
 	Name      string // of a job
 	After     string // the last job of the page before; for KindList
 	Limit     uint32 // jobs on a page; for KindList
-	Body      []byte // a marshalled command; for KindClusterState
+	Body      []byte // a marshalled command; for KindProposeClusterState
 	Deadline  eventloop.Micros
 }
 
-// ForwardAnnouncement passes a worker's heartbeat on to the scheduler that holds the
+// ForwardHeartbeat passes a worker's heartbeat on to the scheduler that holds the
 // worker's lease. The response's body holds the scheduler's orders.
-type ForwardAnnouncement struct {
+type ForwardHeartbeat struct {
 	RequestID uint64
 	Worker    string
-	Announce  *schema.WorkerHeartbeat
+	Heartbeat *schema.WorkerHeartbeat
 	Deadline  eventloop.Micros
 }
 
--- a/internal/gateway/removed_queues.go
+++ b/internal/gateway/removed_queues.go
@@ -24,7 +24,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
 		message := g.requests[id].message
-		if message.Group == clusterstate.Group || clusterstate.FindQueue(g.state, message.Group) != nil {
+		if message.Group == clusterstate.GroupName || clusterstate.FindQueue(g.state, message.Group) != nil {
 			continue
 		}
 		delete(g.requests, id)
--- a/internal/gateway/replies_test.go
+++ b/internal/gateway/replies_test.go
@@ -33,10 +33,10 @@
 
 func TestLateReplies(t *testing.T) {
 	handle := func(h *harness, number uint64) {
-		h.step(LeaderRequest{RequestID: number, Kind: KindConfiguration, Group: clusterstate.Group, Deadline: h.now + eventloop.Second})
+		h.step(LeaderRequest{RequestID: number, Kind: KindConfiguration, Group: clusterstate.GroupName, Deadline: h.now + eventloop.Second})
 	}
 	reply := func(h *harness, number uint64, body string) {
-		h.step(&schema.Response{Id: number, Code: 200, Body: []byte(body), Group: clusterstate.Group, Leader: "a"})
+		h.step(&schema.Response{Id: number, Code: 200, Body: []byte(body), Group: clusterstate.GroupName, Leader: "a"})
 	}
 	Convey("Given two requests", t, func() {
 		h := newHarness()
@@ -72,7 +72,7 @@
 	Convey("What an unresponsive leader is sent again keeps its number, and ends with the response", t, func() {
 		h := newHarness()
 		document := []byte("a configuration")
-		h.step(LeaderRequest{RequestID: 900, Kind: KindClusterState, Group: clusterstate.Group, Body: document, Deadline: h.now + eventloop.Second})
+		h.step(LeaderRequest{RequestID: 900, Kind: KindProposeClusterState, Group: clusterstate.GroupName, Body: document, Deadline: h.now + eventloop.Second})
 		submitted := h.submit("c", "one")
 		// arrivals counts what was sent since its last call, by number.
 		arrivals := func() (requests, submissions map[uint64]int) {
@@ -105,7 +105,7 @@
 		So(requests[900], ShouldBeGreaterThan, 1)
 		So(submissions, ShouldHaveLength, 1)
 		So(submissions[1], ShouldBeGreaterThan, 1)
-		h.step(&schema.Response{Id: 900, Code: 200, Group: clusterstate.Group, Leader: "a"})
+		h.step(&schema.Response{Id: 900, Code: 200, Group: clusterstate.GroupName, Leader: "a"})
 		So(h.responses[900].Code, ShouldEqual, 200)
 		h.step(&schema.SubmitResponse{Queue: "l", Leader: "a", Results: []*schema.SubmitResult{{
 			Session: &schema.Session{Gateway: "me", Incarnation: 1, Client: "c~1"}, Number: 1, Code: 201, View: &schema.JobView{Name: "one"}}}})
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -37,7 +37,7 @@
 	}
 	if !g.lease.isValid(now) {
 		// While the cluster is being bootstrapped, operators' requests wait a moment.
-		if g.lease.confirmedAt > 0 || m.Group != clusterstate.Group {
+		if g.lease.confirmedAt > 0 || m.Group != clusterstate.GroupName {
 			g.rejectNotReady(now, m.RequestID, effects)
 			return
 		}
@@ -47,7 +47,7 @@
 	if m.Group == "" {
 		m.Group, m.Name, _ = g.values.MatchRoute(m.Host, m.Path)
 	}
-	if m.Group != clusterstate.Group && clusterstate.FindQueue(g.state, m.Group) == nil {
+	if m.Group != clusterstate.GroupName && clusterstate.FindQueue(g.state, m.Group) == nil {
 		g.handleUnknownQueue(now, m.Group, unrouted, isConfirmed, effects)
 		return
 	}
@@ -67,9 +67,9 @@
 	})
 }
 
-// handleReply takes a response; one without a code is a redirect to the leader that it
+// handleResponse takes a response; one without a code is a redirect to the leader that it
 // names.
-func (g *Gateway) handleReply(now eventloop.Micros, m *schema.Response, effects eventloop.Effects) {
+func (g *Gateway) handleResponse(now eventloop.Micros, m *schema.Response, effects eventloop.Effects) {
 	pending := g.requests[m.Id]
 	switch {
 	case pending == nil:
@@ -116,7 +116,7 @@
 
 func (g *Gateway) forgetRequest(id uint64) {
 	delete(g.requests, id)
-	delete(g.announcements, id)
+	delete(g.pendingHeartbeats, id)
 	if pending := g.submissionsByRequest[id]; pending != nil {
 		// The submission itself is numbered and goes on being resent: a gap would
 		// hold up all later ones of its session.
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -12,10 +12,10 @@
 func TestRequestsBeforeFirstState(t *testing.T) {
 	Convey("Before its first lease a gateway forwards requests to the cluster state, and reports an unknown outcome after a moment", t, func() {
 		h := newDisconnectedHarness()
-		h.step(LeaderRequest{RequestID: 1, Kind: KindConfiguration, Group: clusterstate.Group, Deadline: h.now + 60*eventloop.Second})
-		h.step(LeaderRequest{RequestID: 2, Kind: KindClusterState, Group: clusterstate.Group, Deadline: h.now + 60*eventloop.Second})
+		h.step(LeaderRequest{RequestID: 1, Kind: KindConfiguration, Group: clusterstate.GroupName, Deadline: h.now + 60*eventloop.Second})
+		h.step(LeaderRequest{RequestID: 2, Kind: KindProposeClusterState, Group: clusterstate.GroupName, Deadline: h.now + 60*eventloop.Second})
 		h.step(LeaderRequest{RequestID: 3, Kind: KindStatus, Group: "l", Deadline: h.now + 60*eventloop.Second})
-		h.step(ForwardAnnouncement{RequestID: 4, Worker: "w", Deadline: h.now + 60*eventloop.Second})
+		h.step(ForwardHeartbeat{RequestID: 4, Worker: "w", Deadline: h.now + 60*eventloop.Second})
 		So(h.responses, ShouldHaveLength, 2)
 		So([]int32{h.responses[3].Code, h.responses[4].Code}, ShouldResemble, []int32{503, 503})
 		for range 20 {
@@ -31,7 +31,7 @@
 	Convey("A request isn't retried while it may be in transit on the slowest link", t, func() {
 		h := newHarness()
 		h.gateway.leaders["clusterstate"] = "a"
-		h.step(LeaderRequest{RequestID: 1, Kind: KindClusterState, Group: "clusterstate", Body: make([]byte, 250_000), Deadline: h.now + 4*eventloop.Second})
+		h.step(LeaderRequest{RequestID: 1, Kind: KindProposeClusterState, Group: "clusterstate", Body: make([]byte, 250_000), Deadline: h.now + 4*eventloop.Second})
 		began := h.now
 		// A retry clears the leader, which may be gone.
 		for h.gateway.requests[1].sentAt == began && h.now < began+3*eventloop.Second {
--- a/internal/gateway/state_lease.go
+++ b/internal/gateway/state_lease.go
@@ -18,10 +18,10 @@
 // was sent, less the age that the response states, so a response that was delayed, in
 // a buffer of ours or by the network, is worth no more than it was.
 type stateLease struct {
-	applyBound  eventloop.Micros // after a configuration is committed, until it must be in force
-	confirmedAt eventloop.Micros // the copy held all that was committed by then; 0: never
-	lastQueryID uint64
-	queries     []stateQuery // the newest last
+	maxStaleness eventloop.Micros // after a configuration is committed, until it must be in force
+	confirmedAt  eventloop.Micros // the copy held all that was committed by then; 0: never
+	lastQueryID  uint64
+	queries      []stateQuery // the newest last
 }
 
 type stateQuery struct {
@@ -31,11 +31,11 @@
 
 // newStateLease numbers queries above those of the process's former incarnations.
 func newStateLease(incarnation uint64) stateLease {
-	return stateLease{applyBound: defaultApplyBound, lastQueryID: incarnation << 32}
+	return stateLease{maxStaleness: defaultApplyBound, lastQueryID: incarnation << 32}
 }
 
 func (l *stateLease) duration() eventloop.Micros {
-	return l.applyBound * leaseNumerator / leaseDenominator
+	return l.maxStaleness * leaseNumerator / leaseDenominator
 }
 
 // isValid says whether the copy may be served.
@@ -49,10 +49,10 @@
 	return l.confirmedAt == 0 || now-l.confirmedAt > l.duration()/2
 }
 
-// isExpired says whether pending requests are to be failed: a while after the lease has
+// isGracePeriodOver says whether pending requests are to be failed: a while after the lease has
 // ended, so that a late response doesn't cost them.
-func (l *stateLease) isExpired(now eventloop.Micros) bool {
-	return l.confirmedAt == 0 || now-l.confirmedAt > l.applyBound
+func (l *stateLease) isGracePeriodOver(now eventloop.Micros) bool {
+	return l.confirmedAt == 0 || now-l.confirmedAt > l.maxStaleness
 }
 
 // newQuery returns the number of a query that is sent now.
--- a/internal/gateway/submissions.go
+++ b/internal/gateway/submissions.go
@@ -203,9 +203,9 @@
 	return selected
 }
 
-// handleApplied takes the outcomes of submissions from a queue's leader. A response
+// handleSubmitResponse takes the outcomes of submissions from a queue's leader. A response
 // without outcomes is a redirect to the leader that it names, if it names one.
-func (g *Gateway) handleApplied(now eventloop.Micros, from string, m *schema.SubmitResponse, effects eventloop.Effects) {
+func (g *Gateway) handleSubmitResponse(now eventloop.Micros, from string, m *schema.SubmitResponse, effects eventloop.Effects) {
 	if len(m.Results) == 0 {
 		g.redirectSubmissions(now, from, m, effects)
 		return
@@ -214,7 +214,7 @@
 	incarnation := g.incarnation
 	var lost []*submission
 	for _, outcome := range m.Results {
-		lost = append(lost, g.handleOutcome(now, m.Queue, outcome, effects)...)
+		lost = append(lost, g.handleSubmitResult(now, m.Queue, outcome, effects)...)
 	}
 	// An outcome may have ended all sessions: their submissions were answered then.
 	if len(lost) > 0 && g.incarnation == incarnation {
@@ -243,8 +243,8 @@
 	}
 }
 
-// handleOutcome confirms one submission, and returns those of its session to be resent.
-func (g *Gateway) handleOutcome(now eventloop.Micros, queue string, outcome *schema.SubmitResult, effects eventloop.Effects) []*submission {
+// handleSubmitResult confirms one submission, and returns those of its session to be resent.
+func (g *Gateway) handleSubmitResult(now eventloop.Micros, queue string, outcome *schema.SubmitResult, effects eventloop.Effects) []*submission {
 	// Sessions and numbers of other gateways may be equal to ours.
 	if outcome.Session == nil || outcome.Session.Gateway != g.id || outcome.Session.Incarnation != g.incarnation {
 		return nil
--- a/internal/gateway/announcements.go
+++ b/internal/gateway/worker_polls.go
@@ -11,7 +11,7 @@
 	"sparnotch/internal/schema"
 )
 
-func (g *Gateway) handleAnnouncement(now eventloop.Micros, m ForwardAnnouncement, effects eventloop.Effects) {
+func (g *Gateway) handleHeartbeat(now eventloop.Micros, m ForwardHeartbeat, effects eventloop.Effects) {
 	if !g.lease.isValid(now) {
 		g.rejectNotReady(now, m.RequestID, effects)
 		return
@@ -20,12 +20,12 @@
 	if lease == nil {
 		g.registerWorker(now, m.Worker, effects)
 	}
-	if lease == nil || lease.Scheduler == "" || len(g.announcements) >= maxPending {
+	if lease == nil || lease.Scheduler == "" || len(g.pendingHeartbeats) >= maxPending {
 		g.reject(m.RequestID, http.StatusServiceUnavailable, codeNoLease, "nobody wards this worker yet", 1, effects)
 		return
 	}
-	g.announcements[m.RequestID] = m
-	effects.Send(lease.Scheduler, &schema.WorkerPollRequest{Id: m.RequestID, Worker: m.Worker, Heartbeat: m.Announce})
+	g.pendingHeartbeats[m.RequestID] = m
+	effects.Send(lease.Scheduler, &schema.WorkerPollRequest{Id: m.RequestID, Worker: m.Worker, Heartbeat: m.Heartbeat})
 }
 
 // registerWorker has a worker that has no lease yet added to the cluster state. Nobody
@@ -35,21 +35,21 @@
 		return
 	}
 	g.registrationSentAt[worker] = now
-	to := g.target(now, clusterstate.Group)
+	to := g.target(now, clusterstate.GroupName)
 	if to == "" {
 		return
 	}
 	command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_RegisterWorker{
 		RegisterWorker: &schema.RegisterWorker{Worker: worker},
 	}}
-	effects.Send(to, &schema.Request{Kind: KindClusterState, Group: clusterstate.Group, Body: marshal(command)})
+	effects.Send(to, &schema.Request{Kind: KindProposeClusterState, Group: clusterstate.GroupName, Body: marshal(command)})
 }
 
-func (g *Gateway) handlePollReply(m *schema.WorkerPollResponse, effects eventloop.Effects) {
-	if _, found := g.announcements[m.Id]; !found {
+func (g *Gateway) handlePollResponse(m *schema.WorkerPollResponse, effects eventloop.Effects) {
+	if _, found := g.pendingHeartbeats[m.Id]; !found {
 		return
 	}
-	delete(g.announcements, m.Id)
+	delete(g.pendingHeartbeats, m.Id)
 	if m.Orders == nil {
 		g.reject(m.Id, http.StatusServiceUnavailable, codeNoLease, "the ward is elsewhere or not sure of itself", 1, effects)
 		return
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -43,7 +43,7 @@
 // the worker.
 type Agent struct {
 	hooks        Hooks
-	worker       *fakeworker.Worker
+	worker       *fakeworker.PollingWorker
 	state        *schema.ClusterState
 	leader       string
 	lastPoll     uint64
@@ -64,7 +64,7 @@
 // start of it.
 func New(now eventloop.Micros, name, rack string, capacity Resources, incarnation uint64, rng *rand.Rand, hooks Hooks) *Agent {
 	a := &Agent{hooks: hooks, openPolls: map[uint64]openPoll{}}
-	a.worker = fakeworker.New(now, name, rack, capacity.Cores, capacity.Memory, incarnation, rng, func(e checker.Event) {
+	a.worker = fakeworker.NewPollingWorker(now, name, rack, capacity.Cores, capacity.Memory, incarnation, rng, func(e checker.Event) {
 		switch {
 		case e.Kind == checker.TaskStart && hooks.OnStart != nil:
 			hooks.OnStart(e.At, e.Name, e.Step, e.Task)
@@ -110,7 +110,7 @@
 		}
 		a.state = m.State
 	}
-	if leader := m.Leaders[clusterstate.Group]; leader != "" {
+	if leader := m.Leaders[clusterstate.GroupName]; leader != "" {
 		a.leader = leader
 	}
 }
@@ -139,7 +139,7 @@
 	}
 	a.registeredAt = now
 	command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_RegisterWorker{RegisterWorker: &schema.RegisterWorker{Worker: a.worker.Name}}}
-	effects.Send(a.leader, &schema.Request{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(command)})
+	effects.Send(a.leader, &schema.Request{Kind: "clusterstate", Group: clusterstate.GroupName, Body: replica.EncodeClusterStateCommand(command)})
 }
 
 // ComponentsFor names the components of a hollow node that a message is for.
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -20,10 +20,10 @@
 // recordedEffects records what a step sends.
 type recordedEffects struct{ sent []sentMessage }
 
-func (o *recordedEffects) Send(to string, body any)          { o.sent = append(o.sent, sentMessage{to, body}) }
-func (o *recordedEffects) Dial(address string, body any)     {}
-func (o *recordedEffects) Notify(component string, body any) {}
-func (o *recordedEffects) Respond(request uint64, body any)  {}
+func (o *recordedEffects) Send(to string, body any)               { o.sent = append(o.sent, sentMessage{to, body}) }
+func (o *recordedEffects) SendToAddress(address string, body any) {}
+func (o *recordedEffects) Notify(component string, body any)      {}
+func (o *recordedEffects) Respond(request uint64, body any)       {}
 
 func TestAgent(t *testing.T) {
 	Convey("An agent registers its worker, polls its lease's scheduler, and starts what is ordered", t, func() {
--- a/internal/httpapi/encoding.go
+++ b/internal/httpapi/encoding.go
@@ -31,23 +31,23 @@
 func writeJSON(ctx iris.Context, value any) {
 	data, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
-		writeFault(ctx, http.StatusInternalServerError, "internal", err.Error(), "")
+		writeError(ctx, http.StatusInternalServerError, "internal", err.Error(), "")
 		return
 	}
 	writeResponse(ctx, gateway.Response{Code: http.StatusOK, Body: data})
 }
 
-func writeFault(ctx iris.Context, status int32, code, message, field string) {
-	writeResponse(ctx, gateway.Response{Code: status, Body: gateway.FaultBody(code, message, field)})
+func writeError(ctx iris.Context, status int32, code, message, field string) {
+	writeResponse(ctx, gateway.Response{Code: status, Body: gateway.ErrorBody(code, message, field)})
 }
 
-// writeRoutingFault writes the error of a request that no route matched.
-func writeRoutingFault(ctx iris.Context) {
+// writeRoutingError writes the error of a request that no route matched.
+func writeRoutingError(ctx iris.Context) {
 	status, code := ctx.GetStatusCode(), "no_such_path"
 	if status == http.StatusMethodNotAllowed {
 		code = "no_such_method"
 	}
-	writeFault(ctx, int32(status), code, http.StatusText(status), "")
+	writeError(ctx, int32(status), code, http.StatusText(status), "")
 }
 
 // readBody reads a body of limited size. False: it can't be read, and an error was
@@ -59,9 +59,9 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		writeFault(ctx, http.StatusRequestEntityTooLarge, "too_large", "the body may have at most "+strconv.FormatInt(maxBytes, 10)+" bytes", "")
+		writeError(ctx, http.StatusRequestEntityTooLarge, "too_large", "the body may have at most "+strconv.FormatInt(maxBytes, 10)+" bytes", "")
 	} else {
-		writeFault(ctx, http.StatusBadRequest, "unreadable", "the body could not be read", "")
+		writeError(ctx, http.StatusBadRequest, "unreadable", "the body could not be read", "")
 	}
 	return nil, false
 }
@@ -76,7 +76,7 @@
 		if _, err = decoder.Token(); errors.Is(err, io.EOF) {
 			return true
 		}
-		writeFault(ctx, http.StatusBadRequest, "bad_json", "there is more after the JSON value", "")
+		writeError(ctx, http.StatusBadRequest, "bad_json", "there is more after the JSON value", "")
 		return false
 	}
 	var wrongType *json.UnmarshalTypeError
@@ -86,7 +86,7 @@
 		if strings.HasPrefix(wrongType.Value, "number ") {
 			status = http.StatusUnprocessableEntity
 		}
-		writeFault(ctx, status, "bad_value", wrongType.Value+" is no "+wrongType.Type.Kind().String(), wrongType.Field)
+		writeError(ctx, status, "bad_value", wrongType.Value+" is no "+wrongType.Type.Kind().String(), wrongType.Field)
 		return false
 	}
 	if field, isUnknown := strings.CutPrefix(err.Error(), "json: unknown field "); isUnknown {
@@ -94,7 +94,7 @@
 		writeUnknownField(ctx, name)
 		return false
 	}
-	writeFault(ctx, http.StatusBadRequest, "bad_json", err.Error(), "")
+	writeError(ctx, http.StatusBadRequest, "bad_json", err.Error(), "")
 	return false
 }
 
@@ -113,10 +113,10 @@
 		writeUnknownField(ctx, found[1])
 		return false
 	}
-	writeFault(ctx, http.StatusBadRequest, "bad_json", message, "")
+	writeError(ctx, http.StatusBadRequest, "bad_json", message, "")
 	return false
 }
 
 func writeUnknownField(ctx iris.Context, name string) {
-	writeFault(ctx, http.StatusBadRequest, "unknown_field", "there is no such field", name)
+	writeError(ctx, http.StatusBadRequest, "unknown_field", "there is no such field", name)
 }
--- a/internal/httpapi/handlers.go
+++ b/internal/httpapi/handlers.go
@@ -18,13 +18,13 @@
 
 const (
 	maxJobBytes           = 256 << 10
-	maxAnnouncementBytes  = 4 << 20
+	maxHeartbeatBytes     = 4 << 20
 	maxConfigurationBytes = 4 << 20
 
 	submitTimeout        = 10 * eventloop.Second
 	readTimeout          = 5 * eventloop.Second
 	configurationTimeout = 8 * eventloop.Second
-	announceTimeout      = 1200 * eventloop.Millisecond
+	heartbeatTimeout     = 1200 * eventloop.Millisecond
 	probeTimeout         = eventloop.Second
 
 	defaultPageSize = 100
@@ -45,7 +45,7 @@
 	if !responded {
 		response = gateway.Response{
 			Code: http.StatusGatewayTimeout, RetryAfter: 1,
-			Body: gateway.FaultBody("unknown", "no answer in time: whether this took effect is not known; send it again", ""),
+			Body: gateway.ErrorBody("unknown", "no answer in time: whether this took effect is not known; send it again", ""),
 		}
 	}
 	writeResponse(ctx, response)
@@ -63,7 +63,7 @@
 func (s *Server) writeStateView(ctx iris.Context, component string, newMessage messageFactory) {
 	view := s.node.Call(ctx.Request().Context(), component, readTimeout, newMessage)
 	if _, isRejected := view.(gateway.Response); view == nil || isRejected {
-		writeFault(ctx, http.StatusNotFound, "nothing_here", "this process holds no replicas", "")
+		writeError(ctx, http.StatusNotFound, "nothing_here", "this process holds no replicas", "")
 		return
 	}
 	writeJSON(ctx, view)
@@ -81,7 +81,7 @@
 		return strings.ReplaceAll(host, ":", "."), true
 	}
 	if !gateway.IsValidName(name) {
-		writeFault(ctx, http.StatusBadRequest, "bad_client", gateway.NameRule, clientHeader)
+		writeError(ctx, http.StatusBadRequest, "bad_client", gateway.NameRule, clientHeader)
 		return "", false
 	}
 	return name, true
@@ -90,7 +90,7 @@
 func (s *Server) submitJob(ctx iris.Context) {
 	queue, name := ctx.Params().Get("queue"), ctx.Params().Get("name")
 	if !gateway.IsValidName(name) {
-		writeFault(ctx, http.StatusUnprocessableEntity, "bad_name", gateway.NameRule, "name")
+		writeError(ctx, http.StatusUnprocessableEntity, "bad_name", gateway.NameRule, "name")
 		return
 	}
 	client, isValid := clientName(ctx)
@@ -127,7 +127,7 @@
 	if given := ctx.URLParam("most"); given != "" {
 		number, err := strconv.Atoi(given)
 		if err != nil || number < 1 || number > maxPageSize {
-			writeFault(ctx, http.StatusBadRequest, "bad_value", "must lie between 1 and "+strconv.Itoa(maxPageSize), "most")
+			writeError(ctx, http.StatusBadRequest, "bad_value", "must lie between 1 and "+strconv.Itoa(maxPageSize), "most")
 			return
 		}
 		limit = number
@@ -154,36 +154,36 @@
 		UpdateConfiguration: &schema.UpdateConfiguration{Update: update},
 	}}
 	s.requestLeader(ctx, configurationTimeout, gateway.LeaderRequest{
-		Kind: gateway.KindClusterState, Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(command),
+		Kind: gateway.KindProposeClusterState, Group: clusterstate.GroupName, Body: replica.EncodeClusterStateCommand(command),
 	})
 }
 
-func (s *Server) announceWorker(ctx iris.Context) {
+func (s *Server) forwardHeartbeat(ctx iris.Context) {
 	worker := ctx.Params().Get("worker")
 	if !clusterstate.IsValidName(worker) {
-		writeFault(ctx, http.StatusUnprocessableEntity, "bad_name", workerNameRule, "worker")
+		writeError(ctx, http.StatusUnprocessableEntity, "bad_name", workerNameRule, "worker")
 		return
 	}
-	data, isRead := readBody(ctx, maxAnnouncementBytes)
+	data, isRead := readBody(ctx, maxHeartbeatBytes)
 	if !isRead {
 		return
 	}
-	announce := &schema.WorkerHeartbeat{}
-	if !decodeJSON(ctx, data, announce) {
+	heartbeat := &schema.WorkerHeartbeat{}
+	if !decodeJSON(ctx, data, heartbeat) {
 		return
 	}
-	if invalid := validateAnnouncement(announce); invalid != nil {
-		writeFault(ctx, http.StatusUnprocessableEntity, invalid.Code, invalid.Message, invalid.Field)
+	if invalid := validateHeartbeat(heartbeat); invalid != nil {
+		writeError(ctx, http.StatusUnprocessableEntity, invalid.Code, invalid.Message, invalid.Field)
 		return
 	}
-	s.callGateway(ctx, announceTimeout, func(id uint64, deadline eventloop.Micros) any {
-		return gateway.ForwardAnnouncement{RequestID: id, Worker: worker, Announce: announce, Deadline: deadline}
+	s.callGateway(ctx, heartbeatTimeout, func(id uint64, deadline eventloop.Micros) any {
+		return gateway.ForwardHeartbeat{RequestID: id, Worker: worker, Heartbeat: heartbeat, Deadline: deadline}
 	})
 }
 
-// validateAnnouncement returns the first thing that is wrong with a worker's heartbeat;
+// validateHeartbeat returns the first thing that is wrong with a worker's heartbeat;
 // nil: nothing is.
-func validateAnnouncement(announce *schema.WorkerHeartbeat) *schema.Error {
+func validateHeartbeat(announce *schema.WorkerHeartbeat) *schema.Error {
 	badValue := func(field, message string) *schema.Error {
 		return &schema.Error{Code: "bad_value", Message: message, Field: field}
 	}
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -54,7 +54,7 @@
 	if err := app.Build(); err != nil {
 		return nil, err
 	}
-	listener, err := net.Listen("tcp", node.Options.HttpAddress)
+	listener, err := net.Listen("tcp", node.Settings.HttpAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -85,7 +85,7 @@
 func (s *Server) Shutdown(ctx context.Context) error { return s.httpServer.Shutdown(ctx) }
 
 func (s *Server) routes(app *iris.Application) {
-	app.OnAnyErrorCode(writeRoutingFault)
+	app.OnAnyErrorCode(writeRoutingError)
 	app.Get("/livez", func(ctx iris.Context) {
 		writeResponse(ctx, gateway.Response{Code: http.StatusOK, Body: []byte(`{"alive":true}`)})
 	})
@@ -96,7 +96,7 @@
 	}
 	s.clientRoutes(app)
 	s.operatorRoutes(app)
-	app.Post("/v1/workers/{worker}/announce", s.announceWorker)
+	app.Post("/v1/workers/{worker}/announce", s.forwardHeartbeat)
 }
 
 func (s *Server) agentNodeRoutes(app *iris.Application) {
@@ -130,7 +130,7 @@
 func (s *Server) operatorRoutes(app *iris.Application) {
 	app.Get("/v1/belief", func(ctx iris.Context) {
 		s.writeStateView(ctx, process.ReplicaComponent, func(id uint64, _ eventloop.Micros) any {
-			return replica.GetStateView{Request: id}
+			return replica.StateViewRequest{Request: id}
 		})
 	})
 	app.Get("/v1/placements", func(ctx iris.Context) {
@@ -139,10 +139,10 @@
 		})
 	})
 	app.Get("/v1/plan", func(ctx iris.Context) {
-		s.requestLeader(ctx, configurationTimeout, gateway.LeaderRequest{Kind: gateway.KindConfiguration, Group: clusterstate.Group})
+		s.requestLeader(ctx, configurationTimeout, gateway.LeaderRequest{Kind: gateway.KindConfiguration, Group: clusterstate.GroupName})
 	})
 	app.Get("/v1/plan/history", func(ctx iris.Context) {
-		s.requestLeader(ctx, configurationTimeout, gateway.LeaderRequest{Kind: gateway.KindHistory, Group: clusterstate.Group})
+		s.requestLeader(ctx, configurationTimeout, gateway.LeaderRequest{Kind: gateway.KindHistory, Group: clusterstate.GroupName})
 	})
 	app.Put("/v1/plan", s.putConfiguration)
 }
--- a/internal/membership/gossip_message.go
+++ b/internal/membership/gossip_message.go
@@ -104,7 +104,7 @@
 func (m *Membership) omitAgentNodes(now eventloop.Micros, gossip *schema.Gossip) {
 	zones := map[string]string{}
 	for id, status := range m.members {
-		if status.Member.Role == schema.Role_ROLE_CONTROLLER && now-status.LastHeard < storageNodeTimeout {
+		if status.Member.Role == schema.Role_ROLE_CONTROLLER && now-status.LastHeard < livenessTimeout {
 			zones[id] = status.Member.Zone
 		}
 	}
--- a/internal/membership/gossip_receive.go
+++ b/internal/membership/gossip_receive.go
@@ -40,8 +40,8 @@
 	}
 	// A bootstrap shouldn't wait for the next tick when a storage node is discovered.
 	discovered := len(m.seenStorageNodes) != seenBefore || m.clusterExists != clusterExisted
-	if discovered && now-m.outOfTurnAt >= minGossipInterval {
-		m.outOfTurnAt = now
+	if discovered && now-m.lastExtraGossipAt >= minGossipInterval {
+		m.lastExtraGossipAt = now
 		m.sendGossip(now, effects)
 	}
 	if len(m.members) > knownBefore {
@@ -90,7 +90,7 @@
 		m.hasUnsentChanges = m.hasUnsentChanges || m.clusterExists
 		m.requesters[request.Self.Id] = now
 	}
-	effects.Dial(request.Self.InternalAddress, m.newGossipReply(now, detail, request))
+	effects.SendToAddress(request.Self.InternalAddress, m.newGossipReply(now, detail, request))
 }
 
 // requestUnknownMember requests full members from the sender of an unknown member's
@@ -101,7 +101,7 @@
 		return
 	}
 	m.fullSyncAt = now
-	effects.Dial(address, m.newGossipToStorageNode(now, fullMembers))
+	effects.SendToAddress(address, m.newGossipToStorageNode(now, fullMembers))
 }
 
 // isOlder reports whether one status of a member is older than another.
--- a/internal/membership/gossip_send.go
+++ b/internal/membership/gossip_send.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	storageNodeTimeout = 2 * eventloop.Second // a storage node that isn't heard from for so long is only contacted for want of others
-	fullSyncInterval   = 4 * eventloop.Second // between two requests for full members
-	startupTicks       = 40                   // ticks after the start in which all seeds are contacted
+	livenessTimeout  = 2 * eventloop.Second // a storage node that isn't heard from for so long is only contacted for want of others
+	fullSyncInterval = 4 * eventloop.Second // between two requests for full members
+	startupTicks     = 40                   // ticks after the start in which all seeds are contacted
 )
 
 // sendGossip counts up the heartbeat and sends gossip to the processes whose turn it is.
@@ -35,7 +35,7 @@
 	for _, address := range addresses {
 		if !contacted[address] {
 			contacted[address] = true
-			effects.Dial(address, gossip)
+			effects.SendToAddress(address, gossip)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 func (m *Membership) discover(now eventloop.Micros, effects eventloop.Effects) {
 	if m.identity == nil && !m.isSeed() {
 		if seed := m.randomSeed(); seed != "" {
-			effects.Dial(seed, m.newGossip(now, fullMembers))
+			effects.SendToAddress(seed, m.newGossip(now, fullMembers))
 		}
 		return
 	}
@@ -74,8 +74,8 @@
 	if m.ticks < startupTicks {
 		m.contactSeeds(now, effects)
 	}
-	hasStorage, isSecondTick := m.identity != nil, m.ticks%2 == 0
-	if !isSecondTick && !hasStorage && !m.config.IsAgentNode && !m.awaitingResponse && !m.hasUnsentChanges {
+	hasStorage, isEvenTick := m.identity != nil, m.ticks%2 == 0
+	if !isEvenTick && !hasStorage && !m.config.IsAgentNode && !m.awaitingResponse && !m.hasUnsentChanges {
 		return
 	}
 	isolated := m.awaitingResponse || len(storageNodes) == 0
@@ -85,7 +85,7 @@
 	switch {
 	case hasStorage:
 		detail := selfOnly
-		if isSecondTick {
+		if isEvenTick {
 			detail = heartbeatsOnly
 		}
 		m.broadcast(now, detail, effects)
@@ -95,7 +95,7 @@
 			detail = heartbeatsOnly
 		}
 		m.pollTurn++
-		effects.Dial(storageNodes[m.pollTurn%uint64(len(storageNodes))], m.newGossipToStorageNode(now, detail))
+		effects.SendToAddress(storageNodes[m.pollTurn%uint64(len(storageNodes))], m.newGossipToStorageNode(now, detail))
 	}
 	m.awaitingResponse, m.hasUnsentChanges = true, false
 }
@@ -110,12 +110,12 @@
 		if !m.mayBeStorageNode(seed) {
 			m.omitAgentNodes(now, gossip)
 		}
-		effects.Dial(seed, gossip)
+		effects.SendToAddress(seed, gossip)
 	}
 	// All seeds may have been replaced while this process ran on, and heartbeats alone don't
 	// say who a new member is, so a live storage node is asked as well.
 	if len(storageNodes) > 0 && !m.isAliveAt(now, seed) {
-		effects.Dial(storageNodes[m.rng.IntN(len(storageNodes))], m.newGossipToStorageNode(now, fullMembers))
+		effects.SendToAddress(storageNodes[m.rng.IntN(len(storageNodes))], m.newGossipToStorageNode(now, fullMembers))
 	}
 }
 
@@ -125,7 +125,7 @@
 func (m *Membership) contactSeeds(now eventloop.Micros, effects eventloop.Effects) {
 	contacted := map[string]bool{m.self.InternalAddress: true}
 	for _, status := range m.members {
-		if now-status.LastHeard < storageNodeTimeout {
+		if now-status.LastHeard < livenessTimeout {
 			contacted[status.Member.InternalAddress] = true
 		}
 	}
@@ -135,14 +135,14 @@
 func (m *Membership) pollRandomMember(now eventloop.Micros, effects eventloop.Effects) {
 	ids := m.memberIDs()
 	address := m.members[ids[m.rng.IntN(len(ids))]].Member.InternalAddress
-	effects.Dial(address, m.newGossip(now, heartbeatsOnly))
+	effects.SendToAddress(address, m.newGossip(now, heartbeatsOnly))
 }
 
 // broadcast sends to all live storage nodes without requesting replies.
 func (m *Membership) broadcast(now eventloop.Micros, detail gossipDetail, effects eventloop.Effects) {
 	gossip := m.newUnsolicitedGossip(now, detail)
 	for _, address := range m.liveStorageNodes(now) {
-		effects.Dial(address, gossip)
+		effects.SendToAddress(address, gossip)
 	}
 }
 
@@ -162,7 +162,7 @@
 func (m *Membership) liveStorageNodes(now eventloop.Micros) []string {
 	var addresses []string
 	for _, id := range m.memberIDs() {
-		if status := m.members[id]; status.Member.HasStorage && now-status.LastHeard < storageNodeTimeout {
+		if status := m.members[id]; status.Member.HasStorage && now-status.LastHeard < livenessTimeout {
 			addresses = append(addresses, status.Member.InternalAddress)
 		}
 	}
@@ -188,7 +188,7 @@
 // isAliveAt reports whether a live member listens at an address.
 func (m *Membership) isAliveAt(now eventloop.Micros, address string) bool {
 	for _, status := range m.members {
-		if status.Member.InternalAddress == address && now-status.LastHeard < storageNodeTimeout {
+		if status.Member.InternalAddress == address && now-status.LastHeard < livenessTimeout {
 			return true
 		}
 	}
--- a/internal/membership/gossip_test.go
+++ b/internal/membership/gossip_test.go
@@ -27,7 +27,7 @@
 func (h *host) controllerCandidates() []string {
 	zones := map[string]string{}
 	for id, status := range h.view.Members {
-		if status.Member.Role == schema.Role_ROLE_CONTROLLER && h.view.IsAlive(id, h.net.now, storageNodeTimeout) {
+		if status.Member.Role == schema.Role_ROLE_CONTROLLER && h.view.IsAlive(id, h.net.now, livenessTimeout) {
 			zones[id] = status.Member.Zone
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -52,16 +52,16 @@
 	knownAddresses     []string // peers persisted by the previous incarnation
 	peersPersistedAt   eventloop.Micros
 
-	ticks            uint64
-	lastTick         eventloop.Micros
-	pollTurn         uint64           // selects the storage node to poll next
-	awaitingResponse bool             // nobody has replied since the last poll
-	hasUnsentChanges bool             // the storage nodes may not know yet what is known here
-	hasUnknownMember bool             // a heartbeat was received of a member that isn't known otherwise
-	fullSyncAt       eventloop.Micros // when full members were last requested
-	outOfTurnAt      eventloop.Micros // when gossip was last sent between two ticks
-	agreementKey     string           // what all storage nodes and seeds agree on; empty: they don't
-	agreedSince      eventloop.Micros
+	ticks             uint64
+	lastTick          eventloop.Micros
+	pollTurn          uint64           // selects the storage node to poll next
+	awaitingResponse  bool             // nobody has replied since the last poll
+	hasUnsentChanges  bool             // the storage nodes may not know yet what is known here
+	hasUnknownMember  bool             // a heartbeat was received of a member that isn't known otherwise
+	fullSyncAt        eventloop.Micros // when full members were last requested
+	lastExtraGossipAt eventloop.Micros // when gossip was last sent between two ticks
+	agreementKey      string           // what all storage nodes and seeds agree on; empty: they don't
+	agreedSince       eventloop.Micros
 }
 
 // New returns the component of a process. The identity is nil without a data folder. The
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -140,7 +140,7 @@
 
 func (h *host) Respond(uint64, any) {}
 
-func (h *host) Dial(address string, body any) {
+func (h *host) SendToAddress(address string, body any) {
 	n := h.net
 	n.messages++
 	if n.onGossip != nil {
--- a/internal/membership/seeds_test.go
+++ b/internal/membership/seeds_test.go
@@ -19,7 +19,7 @@
 func (c *fullGossipCounter) Send(string, any)    {}
 func (c *fullGossipCounter) Notify(string, any)  {}
 func (c *fullGossipCounter) Respond(uint64, any) {}
-func (c *fullGossipCounter) Dial(address string, body any) {
+func (c *fullGossipCounter) SendToAddress(address string, body any) {
 	for _, member := range body.(*schema.Gossip).Members {
 		if member.InternalAddress != "" {
 			c.fullGossips[address]++
--- a/internal/membership/stale_gossip_test.go
+++ b/internal/membership/stale_gossip_test.go
@@ -13,10 +13,10 @@
 // dialCounter counts the messages that a component dials, by address.
 type dialCounter map[string]int
 
-func (c dialCounter) Send(string, any)           {}
-func (c dialCounter) Dial(address string, _ any) { c[address]++ }
-func (c dialCounter) Notify(string, any)         {}
-func (c dialCounter) Respond(uint64, any)        {}
+func (c dialCounter) Send(string, any)                    {}
+func (c dialCounter) SendToAddress(address string, _ any) { c[address]++ }
+func (c dialCounter) Notify(string, any)                  {}
+func (c dialCounter) Respond(uint64, any)                 {}
 
 func TestStaleGossip(t *testing.T) {
 	Convey("Given a storage node in its second incarnation", t, func() {
--- a/internal/modelcheck/disk.go
+++ b/internal/modelcheck/disk.go
@@ -9,7 +9,7 @@
 )
 
 // groupName is the one group that is modelled, that of the cluster state.
-const groupName = clusterstate.Group
+const groupName = clusterstate.GroupName
 
 // disk is a machine's disk.
 type disk interface {
--- a/internal/modelcheck/host.go
+++ b/internal/modelcheck/host.go
@@ -15,7 +15,7 @@
 	for m.group != nil {
 		m.group.FlushReads(m.clock)
 		effects, syncPoint := m.group.Ready()
-		isIdle := len(effects.Messages)+len(effects.Changes)+len(effects.CommittedEntries)+len(effects.ReadRequests) == 0 && effects.Snapshot == nil
+		isIdle := len(effects.Messages)+len(effects.Changes)+len(effects.CommittedEntries)+len(effects.ConfirmedReads) == 0 && effects.Snapshot == nil
 		if isIdle {
 			if !w.startWrite(m) {
 				break
@@ -57,7 +57,7 @@
 	for _, entry := range effects.CommittedEntries {
 		w.applyEntry(m, entry)
 	}
-	for _, readID := range effects.ReadRequests {
+	for _, readID := range effects.ConfirmedReads {
 		if operation, found := m.pendingReads[readID]; found {
 			delete(m.pendingReads, readID)
 			w.completeRead(operation, m.state.Configuration())
--- a/internal/mutation/partition_mutants.go
+++ b/internal/mutation/partition_mutants.go
@@ -9,13 +9,13 @@
 			{"internal/replica", "	if margin < h.toleratedLosses && margin", "	if false && margin"},
 			{"internal/raft", "if !slices.Contains(old.Learners, id) || !g.IsCaughtUp(id) {", "if !slices.Contains(old.Learners, id) {"}}},
 		{Guard: "a controller is fenced by an up-to-date cluster state", Test: "internal/replica TestStaleClusterStateRejectsMemberChange", Edits: []Edit{{"internal/replica",
-			"!h.isClusterStateFresh(now) || !h.clusterState.HoldsControllerLease(m.FencingToken)", "!h.clusterState.HoldsControllerLease(m.FencingToken)"}}},
+			"!h.isClusterStateFresh(now) || !h.stateMachine.HoldsControllerLease(m.FencingToken)", "!h.stateMachine.HoldsControllerLease(m.FencingToken)"}}},
 		{Guard: "a majority is asked before a read", Rule: 11, Test: "internal/sim TestPartitionedLeader", Edits: []Edit{{"internal/replica",
 			"			return\n		}\n		r.pendingReads[h.lastReadID] = pending\n",
 			"		}\n		r.pendingReads[h.lastReadID] = pending\n		h.completeRead(now, r, h.lastReadID, effects)\n"}}},
 		{Guard: "a majority is asked before a refusal", Rule: 11, Test: "internal/sim TestPartitionedLeader", Edits: []Edit{{"internal/replica",
 			"		if index, _, err := r.group.Propose(now, m.Body); err == nil {\n",
-			"		preview, _ := clusterstate.Restore(h.clusterState.Snapshot())\n" +
+			"		preview, _ := clusterstate.Restore(h.stateMachine.Snapshot())\n" +
 				"		if result, err := preview.Apply(0, m.Body); err == nil && result.Error != nil {\n" +
 				"			h.replyClusterStateResult(pending, result, effects)\n" +
 				"			return\n" +
--- a/internal/mutation/replication_mutants.go
+++ b/internal/mutation/replication_mutants.go
@@ -26,7 +26,7 @@
 		{Guard: "a committed entry is identified by its term too", Test: "internal/raft TestRestartInIdleGroup",
 			Edits: []Edit{{"internal/raft", " && g.termAt(m.Commit) == m.CommitTerm {", " {"}}},
 		{Guard: "an installed cluster state is published", Test: "internal/replica TestInstalledClusterStateIsPublished",
-			Edits: []Edit{{"internal/replica", "	} else if h.published.Version == h.state.Version {\n", "	} else {\n"}}},
+			Edits: []Edit{{"internal/replica", "	} else if h.published.Version == h.sharedState.Version {\n", "	} else {\n"}}},
 		{Guard: "the log is compacted by its size", Test: "internal/replica TestLargeUpdatesKeepLogBounded",
 			Edits: []Edit{{"internal/replica", "entry.Index-g.SnapshotIndex() <= maxStateLogEntries && r.logBytes <= max(maxStateLogBytes, g.SnapshotBytes())", "entry.Index-g.SnapshotIndex() <= maxStateLogEntries"}}},
 		{Guard: "a lagging replica serves no cluster state", Test: "internal/replica TestLaggingReplicaServesNoClusterState",
--- a/internal/process/calls.go
+++ b/internal/process/calls.go
@@ -27,7 +27,7 @@
 		delete(n.waiters, requestID)
 		n.mu.Unlock()
 	}()
-	if !n.components.Post(component, eventloop.Message{Body: newMessage(requestID, n.Clock.Now()+timeout)}) {
+	if !n.loop.Post(component, eventloop.Message{Body: newMessage(requestID, n.Clock.Now()+timeout)}) {
 		return gateway.Overloaded(1)
 	}
 	timer := time.NewTimer(timeout.Duration())
@@ -38,25 +38,25 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	n.components.Post(component, eventloop.Message{Body: gateway.ForgetRequest{RequestID: requestID}})
+	n.loop.Post(component, eventloop.Message{Body: gateway.ForgetRequest{RequestID: requestID}})
 	return nil
 }
 
 // ReportHeartbeat passes a worker's heartbeat to the agent. It returns false where there
 // is no agent or its mailbox is full.
 func (n *Node) ReportHeartbeat(heartbeat agent.Heartbeat) bool {
-	return n.components.Post(AgentComponent, eventloop.Message{Body: heartbeat})
+	return n.loop.Post(AgentComponent, eventloop.Message{Body: heartbeat})
 }
 
 // ReportDeparture tells the agent that a worker has ended. It returns false where there
 // is no agent or its mailbox is full.
 func (n *Node) ReportDeparture(departed agent.Departed) bool {
-	return n.components.Post(AgentComponent, eventloop.Message{Body: departed})
+	return n.loop.Post(AgentComponent, eventloop.Message{Body: departed})
 }
 
 // deliver takes a message from another process.
 func (n *Node) deliver(from string, body any) {
-	n.components.Post(ComponentFor(n.Member.Role, body), eventloop.Message{From: from, Body: body})
+	n.loop.Post(ComponentFor(n.Member.Role, body), eventloop.Message{From: from, Body: body})
 }
 
 // nodeEffects implements eventloop.Effects for a Node's components.
@@ -72,11 +72,11 @@
 	n.transport.SendTo(to, n.addresses.Address(to), body)
 }
 
-// Dial sends a message to whichever process is at an internal address.
-func (e *nodeEffects) Dial(address string, body any) { e.transport.Send(address, body) }
+// SendToAddress sends a message to whichever process is at an internal address.
+func (e *nodeEffects) SendToAddress(address string, body any) { e.transport.Send(address, body) }
 
 // Notify sends a message to a component of this process.
-func (e *nodeEffects) Notify(component string, body any) { e.components.Notify(component, body) }
+func (e *nodeEffects) Notify(component string, body any) { e.loop.Notify(component, body) }
 
 // Respond completes a Call; nobody may wait for it any more.
 func (e *nodeEffects) Respond(requestID uint64, body any) {
--- a/internal/process/commit.go
+++ b/internal/process/commit.go
@@ -59,12 +59,12 @@
 	}
 	stats := n.store.Stats()
 	n.storageStats.Store(&stats)
-	n.components.PostWait(ReplicaComponent, eventloop.Message{Body: replica.Written{Number: batch.Number}})
+	n.loop.PostWait(ReplicaComponent, eventloop.Message{Body: replica.Written{Number: batch.Number}})
 }
 
 // delayForTest makes a sync take the time that a test wants.
 func (n *Node) delayForTest(startedAt eventloop.Micros) {
-	wanted := time.Duration(n.Options.TestSyncUs) * time.Microsecond
+	wanted := time.Duration(n.Settings.TestSyncUs) * time.Microsecond
 	if elapsed := (n.Clock.Now() - startedAt).Duration(); wanted > 0 && elapsed < wanted {
 		<-time.After(wanted - elapsed)
 	}
@@ -74,7 +74,7 @@
 func (n *Node) reportRefusedWrite(batch replica.Batch, err error) {
 	n.log.Error("the store refuses writes: leadership is handed over, and nothing is acknowledged or voted for", zap.Error(err))
 	n.storeRefuses.Store(true)
-	n.components.PostWait(ReplicaComponent, eventloop.Message{Body: replica.WriteFailed{Number: batch.Number, Reason: err.Error()}})
+	n.loop.PostWait(ReplicaComponent, eventloop.Message{Body: replica.WriteFailed{Number: batch.Number, Reason: err.Error()}})
 	n.reportLatency()
 }
 
@@ -101,7 +101,7 @@
 // reportLatency tells the membership the worst recent latency of this process, by which
 // leaders are placed.
 func (n *Node) reportLatency() {
-	worst := max(n.components.TickLatency(), eventloop.Micros(n.worstSync.Load()))
+	worst := max(n.loop.TickLatency(), eventloop.Micros(n.worstSync.Load()))
 	// A write in progress counts with the time that it has taken so far.
 	if startedAt := n.syncStartedAt.Load(); startedAt > 0 {
 		worst = max(worst, n.Clock.Now()-eventloop.Micros(startedAt))
@@ -109,5 +109,5 @@
 	if n.storeRefuses.Load() || n.isDiskHung() {
 		worst = membership.WritesRefusedLatency
 	}
-	n.components.Post(MembershipComponent, eventloop.Message{Body: membership.LatencyReport{Max: worst}})
+	n.loop.Post(MembershipComponent, eventloop.Message{Body: membership.LatencyReport{Max: worst}})
 }
--- a/internal/process/commit_test.go
+++ b/internal/process/commit_test.go
@@ -45,14 +45,14 @@
 		disk := &failingDisk{directory, make(chan bool, 1)}
 		store, err := storage.Open(disk)
 		So(err, ShouldBeNil)
-		n := &Node{Options: &schema.Settings{}, Clock: eventloop.RealClock(), log: zap.NewNop(), store: store, Failed: make(chan error, 1)}
-		n.components = eventloop.NewProcess(n.Clock)
+		n := &Node{Settings: &schema.Settings{}, Clock: eventloop.RealClock(), log: zap.NewNop(), store: store, Failed: make(chan error, 1)}
+		n.loop = eventloop.NewLoop(n.Clock)
 		replicas, members := make(recorder, 8), make(recorder, 8)
-		n.components.Add(ReplicaComponent, replicas, 0)
-		n.components.Add(MembershipComponent, members, 0)
+		n.loop.Add(ReplicaComponent, replicas, 0)
+		n.loop.Add(MembershipComponent, members, 0)
 		ctx, cancel := context.WithCancel(context.Background())
 		Reset(cancel)
-		n.components.Run(ctx)
+		n.loop.Run(ctx)
 
 		disk.failing <- true
 		done := make(chan bool)
--- a/internal/process/components.go
+++ b/internal/process/components.go
@@ -3,8 +3,8 @@
 //
 // There are two kinds of nodes, by their role: ROLE_SERVER is a gateway node, and with a
 // data directory a storage node too; ROLE_CONTROLLER is an agent node, which runs beside
-// a worker and competes for the controller's duties. ServerComponents and
-// ControllerComponents make their components; the simulator runs these on a simulated
+// a worker and competes for the controller's duties. GatewayNodeComponents and
+// AgentNodeComponents make their components; the simulator runs these on a simulated
 // clock, network and disk.
 //
 // Node runs them in a real process. It owns the process's transport, its store and the
@@ -92,10 +92,10 @@
 	return ComponentSlot{MembershipComponent, component, membership.TickInterval}
 }
 
-// ServerComponents makes the components of a gateway node, and with Storage those of a
+// GatewayNodeComponents makes the components of a gateway node, and with Storage those of a
 // storage node. It panics with replica.Unreadable where the storage holds what can't be
 // decoded.
-func ServerComponents(cfg *Config) []ComponentSlot {
+func GatewayNodeComponents(cfg *Config) []ComponentSlot {
 	hasStorage := cfg.Storage != nil
 	var identity *schema.StoreIdentity
 	readers := []string{GatewayComponent}
@@ -122,8 +122,8 @@
 	)
 }
 
-// ControllerComponents makes the components of an agent node.
-func ControllerComponents(cfg *Config) []ComponentSlot {
+// AgentNodeComponents makes the components of an agent node.
+func AgentNodeComponents(cfg *Config) []ComponentSlot {
 	var readers []string // of the controller's updates
 	if cfg.CallsWorker {
 		readers = []string{AgentComponent}
--- a/internal/process/late_replies_test.go
+++ b/internal/process/late_replies_test.go
@@ -26,7 +26,7 @@
 	go func() {
 		response <- node.Call(ctx, GatewayComponent, 30*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
 			numbers <- request
-			return gateway.LeaderRequest{RequestID: request, Kind: gateway.KindConfiguration, Group: clusterstate.Group, Deadline: deadline}
+			return gateway.LeaderRequest{RequestID: request, Kind: gateway.KindConfiguration, Group: clusterstate.GroupName, Deadline: deadline}
 		})
 	}()
 	return pendingCall{<-numbers, response}
@@ -51,7 +51,7 @@
 		Reset(func() { giveUp(); other.Close(); present.Stop() })
 		So(present.Member.Id, ShouldEqual, id)
 		reply := func(number uint64, body string) {
-			other.SendTo(id, present.Options.InternalAddress, &schema.Response{Id: number, Code: 200, Body: []byte(body), Group: clusterstate.Group})
+			other.SendTo(id, present.Settings.InternalAddress, &schema.Response{Id: number, Code: 200, Body: []byte(body), Group: clusterstate.GroupName})
 		}
 		// The late responses come first each time. The gateway may not have the request
 		// yet, so all are sent until it is completed. The duplicate is one to the request
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -43,17 +43,17 @@
 // Node is a running process: its components on goroutines, its transport and its store.
 // Its methods may be called concurrently.
 type Node struct {
-	Options *schema.Settings
-	Member  *schema.Member
-	Clock   eventloop.Clock
+	Settings *schema.Settings
+	Member   *schema.Member
+	Clock    eventloop.Clock
 	// Failed gets errors after which the process must end.
 	Failed chan error
 	// Reopened gets the store of a node that had to start without it. The receiver
 	// owns it, and is to stop this node and start a new one with the store.
-	Reopened chan *OpenedStore
+	StoreOpened chan *OpenedStore
 
 	log        *zap.Logger
-	components *eventloop.Process
+	loop       *eventloop.Loop
 	transport  *transport.Transport
 	addresses  *membership.AddressBook
 	cancel     context.CancelFunc
@@ -77,8 +77,8 @@
 // client calls the worker with it. Errors: storage.DirRejected where the data directory
 // isn't ours or can't be decoded, config.Invalid where the internal address can't be
 // listened on.
-func Start(options *schema.Settings, role schema.Role, log *zap.Logger, callers ...agent.WorkerClient) (*Node, error) {
-	return StartWithStore(nil, options, role, log, callers...)
+func Start(options *schema.Settings, role schema.Role, log *zap.Logger, workerClients ...agent.WorkerClient) (*Node, error) {
+	return StartWithStore(nil, options, role, log, workerClients...)
 }
 
 // StartWithStore is Start with a store that is open already; nil: it is opened here. The
@@ -111,7 +111,7 @@
 
 func newNode(options *schema.Settings, role schema.Role, log *zap.Logger) *Node {
 	n := &Node{
-		Options: options, Clock: eventloop.RealClock(), Failed: make(chan error, 4), Reopened: make(chan *OpenedStore),
+		Settings: options, Clock: eventloop.RealClock(), Failed: make(chan error, 4), StoreOpened: make(chan *OpenedStore),
 		Member: &schema.Member{
 			Id: newID(), Incarnation: 1, Role: role, Zone: options.Zone,
 			InternalAddress: options.InternalAddress, HttpAddress: options.HttpAddress,
@@ -119,9 +119,9 @@
 		log: log, addresses: &membership.AddressBook{}, waiters: map[uint64]chan any{},
 		batches: eventloop.NewQueue[replica.Batch](maxPendingBatches),
 	}
-	n.components = eventloop.NewProcess(n.Clock)
-	n.components.Outbound = (*nodeEffects)(n)
-	n.components.OnPanic = func(component string, cause any, stack []byte) {
+	n.loop = eventloop.NewLoop(n.Clock)
+	n.loop.Outbound = (*nodeEffects)(n)
+	n.loop.OnPanic = func(component string, cause any, stack []byte) {
 		log.Error("panic", zap.String("component", component), zap.Any("cause", cause), zap.ByteString("stack", stack))
 		n.Failed <- fmt.Errorf("component %s: %v", component, cause)
 	}
@@ -130,7 +130,7 @@
 
 // config is what the node's components start with.
 func (n *Node) config(callsWorker bool) *Config {
-	options := n.Options
+	options := n.Settings
 	cfg := &Config{
 		Member: n.Member, Seeds: options.Seeds, AddressBook: n.addresses,
 		WallClock: n.Clock.Wall, RandomSeed: randomSeed(), Now: n.Clock.Now(),
@@ -154,15 +154,15 @@
 	}
 	slots, err := buildComponents(role, cfg)
 	if err != nil {
-		return storage.DirRejected.Wrap(err, "data folder %s", n.Options.DataDir)
+		return storage.DirRejected.Wrap(err, "data folder %s", n.Settings.DataDir)
 	}
 	for _, slot := range slots {
-		n.components.Add(slot.Name, slot.Component, slot.TickInterval)
+		n.loop.Add(slot.Name, slot.Component, slot.TickInterval)
 	}
-	n.components.Add(StorageComponent, (*storageWriter)(n), 0)
+	n.loop.Add(StorageComponent, (*storageWriter)(n), 0)
 	if cfg.CallsWorker {
-		n.components.Add(WorkerCallerComponent, newWorkerCaller(callers[0], func(reply agent.Reply) {
-			n.components.PostWait(AgentComponent, eventloop.Message{Body: reply})
+		n.loop.Add(WorkerCallerComponent, newWorkerCaller(callers[0], func(reply agent.Reply) {
+			n.loop.PostWait(AgentComponent, eventloop.Message{Body: reply})
 		}), 0)
 	}
 	return nil
@@ -181,19 +181,19 @@
 		}
 	}()
 	if role == schema.Role_ROLE_SERVER {
-		return ServerComponents(cfg), nil
+		return GatewayNodeComponents(cfg), nil
 	}
-	return ControllerComponents(cfg), nil
+	return AgentNodeComponents(cfg), nil
 }
 
 func (n *Node) listen() error {
 	self := transport.Identity{ID: n.Member.Id, Boot: n.Member.Incarnation}
-	listening, err := transport.Listen(self, n.Options.InternalAddress, n.deliver)
+	listening, err := transport.Listen(self, n.Settings.InternalAddress, n.deliver)
 	if err != nil {
 		return config.Invalid.Wrap(err, "inner")
 	}
 	n.transport = listening
-	if n.Options.TestPartitions != "" {
+	if n.Settings.TestPartitions != "" {
 		listening.IsPartitioned = n.testPartition()
 	}
 	return nil
@@ -203,9 +203,9 @@
 func (n *Node) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
-	n.components.Run(ctx)
+	n.loop.Run(ctx)
 	// Discovery of the other nodes needn't wait for the first tick.
-	n.components.Post(MembershipComponent, eventloop.Message{Body: eventloop.Tick{}})
+	n.loop.Post(MembershipComponent, eventloop.Message{Body: eventloop.Tick{}})
 	n.runInBackground(func() { n.writeBatches(ctx) })
 	n.runInBackground(func() { n.watchDisk(ctx) })
 	if n.pendingOpen != nil {
@@ -233,7 +233,7 @@
 		if time.Since(readAt) > partitionReadInterval {
 			readAt = time.Now()
 			unreachable = map[string]bool{}
-			if data, err := os.ReadFile(n.Options.TestPartitions); err == nil {
+			if data, err := os.ReadFile(n.Settings.TestPartitions); err == nil {
 				for _, listed := range strings.Fields(string(data)) {
 					unreachable[listed] = true
 				}
@@ -253,7 +253,7 @@
 
 // Counts returns the current counts.
 func (n *Node) Counts() Counts {
-	counts := Counts{Transport: n.transport.Counts(), LostMessages: n.components.Dropped()}
+	counts := Counts{Transport: n.transport.Counts(), LostMessages: n.loop.Dropped()}
 	if latest := n.storageStats.Load(); latest != nil {
 		counts.Storage = *latest
 	}
@@ -263,18 +263,18 @@
 // StartDraining makes the components hand over what they lead and hold, so that the
 // process can end. They go on working until Stop.
 func (n *Node) StartDraining() {
-	n.components.Post(GatewayComponent, eventloop.Message{Body: gateway.StartDraining{}})
-	n.components.Post(MembershipComponent, eventloop.Message{Body: membership.Draining{}})
-	n.components.Post(ReplicaComponent, eventloop.Message{Body: replica.Drain{}})
+	n.loop.Post(GatewayComponent, eventloop.Message{Body: gateway.StartDraining{}})
+	n.loop.Post(MembershipComponent, eventloop.Message{Body: membership.Draining{}})
+	n.loop.Post(ReplicaComponent, eventloop.Message{Body: replica.Drain{}})
 }
 
-// MustStay says whether a draining node still has something to hand over.
-func (n *Node) MustStay(ctx context.Context) bool {
+// HasHandoverPending says whether a draining node still has something to hand over.
+func (n *Node) HasHandoverPending(ctx context.Context) bool {
 	if n.store == nil {
 		return false
 	}
 	response := n.Call(ctx, ReplicaComponent, eventloop.Second, func(requestID uint64, _ eventloop.Micros) any {
-		return replica.GetStateView{Request: requestID}
+		return replica.StateViewRequest{Request: requestID}
 	})
 	view, isView := response.(*replica.NodeStateView)
 	return isView && view.HasHandoverPending
@@ -283,7 +283,7 @@
 // Stop ends the node's goroutines and closes its store, unless the disk doesn't respond.
 func (n *Node) Stop() {
 	n.cancel()
-	n.components.Wait()
+	n.loop.Wait()
 	done := make(chan struct{})
 	go func() {
 		n.background.Wait()
--- a/internal/process/store.go
+++ b/internal/process/store.go
@@ -101,7 +101,7 @@
 // returns storage.DirRejected where the directory isn't ours.
 func (n *Node) attachStore(opened *OpenedStore, timeout time.Duration) error {
 	if opened == nil {
-		attempt := startOpenAttempt(n.Options.DataDir, n.log)
+		attempt := startOpenAttempt(n.Settings.DataDir, n.log)
 		select {
 		case result := <-attempt:
 			if storage.IsDirRejected(result.err) {
@@ -109,7 +109,7 @@
 			}
 			if result.err != nil {
 				n.log.Error("the store can't be opened: starting without storage", zap.Error(result.err))
-				n.pendingOpen = startOpenAttempt(n.Options.DataDir, n.log)
+				n.pendingOpen = startOpenAttempt(n.Settings.DataDir, n.log)
 				return nil
 			}
 			opened = result.opened
@@ -140,14 +140,14 @@
 		if !sleep(ctx, delay) {
 			return
 		}
-		attempt = startOpenAttempt(n.Options.DataDir, n.log)
+		attempt = startOpenAttempt(n.Settings.DataDir, n.log)
 	}
 }
 
 // publishStore passes a store on to the receiver of Reopened.
 func (n *Node) publishStore(ctx context.Context, opened *OpenedStore) {
 	select {
-	case n.Reopened <- opened:
+	case n.StoreOpened <- opened:
 	case <-ctx.Done():
 		opened.Close()
 	}
--- a/internal/process/store_test.go
+++ b/internal/process/store_test.go
@@ -26,7 +26,7 @@
 		So(err, ShouldBeNil)
 		So(first.Member.HasStorage, ShouldBeFalse)
 		So(os.Remove(obstacle), ShouldBeNil)
-		opened := <-first.Reopened
+		opened := <-first.StoreOpened
 		first.Stop()
 		second, err := StartWithStore(opened, options, schema.Role_ROLE_SERVER, zap.NewNop())
 		So(err, ShouldBeNil)
@@ -46,7 +46,7 @@
 		pipe := filepath.Join(data, "slot-0")
 		So(syscall.Mkfifo(pipe, 0o600), ShouldBeNil)
 		options := &schema.Settings{Zone: "c", InternalAddress: freePort(t), HttpAddress: "127.0.0.1:1", DataDir: data, Seeds: []string{"127.0.0.1:1"}}
-		first := &Node{Options: options, Member: &schema.Member{}, log: zap.NewNop(), Reopened: make(chan *OpenedStore)}
+		first := &Node{Settings: options, Member: &schema.Member{}, log: zap.NewNop(), StoreOpened: make(chan *OpenedStore)}
 		So(first.attachStore(nil, time.Millisecond), ShouldBeNil)
 		So(first.Member.HasStorage, ShouldBeFalse)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -56,7 +56,7 @@
 		So(err, ShouldBeNil)
 		So(os.Remove(pipe), ShouldBeNil)
 		So(writer.Close(), ShouldBeNil)
-		opened := <-first.Reopened
+		opened := <-first.StoreOpened
 		second, err := StartWithStore(opened, options, schema.Role_ROLE_SERVER, zap.NewNop())
 		So(err, ShouldBeNil)
 		So(second.Member.HasStorage, ShouldBeTrue)
--- a/internal/queue/checkout.go
+++ b/internal/queue/checkout.go
@@ -35,7 +35,7 @@
 			if isGang && gangAttempts[step] == 0 {
 				gangAttempts[step] = nextGangAttempt(j.tasks[s])
 			}
-			j.checkOut(s, t, gangAttempts[step], choice.pick)
+			j.checkOutTask(s, t, gangAttempts[step], choice.placement)
 		}
 		m.emitEvent(j, s, t)
 	}
@@ -43,9 +43,9 @@
 
 // chosenTask is a task that a command checks out.
 type chosenTask struct {
-	job  *job
-	s, t int
-	pick *schema.Placement
+	job       *job
+	s, t      int
+	placement *schema.Placement
 }
 
 type stepOfJob struct {
@@ -62,9 +62,9 @@
 	return attempt
 }
 
-// checkOut checks out one task. gangAttempt is its gang's attempt; 0: it is no member of
+// checkOutTask checks out one task. gangAttempt is its gang's attempt; 0: it is no member of
 // a gang.
-func (j *job) checkOut(s, t int, gangAttempt uint32, pick *schema.Placement) {
+func (j *job) checkOutTask(s, t int, gangAttempt uint32, pick *schema.Placement) {
 	task := &j.tasks[s][t]
 	task.state, task.attempt = schema.TaskState_TASK_CHECKED_OUT, max(task.attempt+1, gangAttempt)
 	task.worker, task.incarnation, task.checkoutSequence = pick.Worker, pick.Incarnation, 0
--- a/internal/queue/enqueue.go
+++ b/internal/queue/enqueue.go
@@ -17,25 +17,25 @@
 		m.effects.SubmitResults = append(m.effects.SubmitResults, &schema.SubmitResult{Session: e.Session, Number: e.Number, Code: http.StatusGone})
 		return
 	}
-	s := m.sessions[key]
-	if s == nil {
-		s = &session{next: max(e.LowestUnconfirmed, 1), pending: map[uint64]*schema.PendingEnqueueSnapshot{}}
-		m.sessions[key] = s
+	sess := m.sessions[key]
+	if sess == nil {
+		sess = &session{next: max(e.LowestUnconfirmed, 1), pending: map[uint64]*schema.PendingEnqueueSnapshot{}}
+		m.sessions[key] = sess
 	}
 	switch {
-	case e.Number < s.next:
+	case e.Number < sess.next:
 		m.addSubmitResult(e, m.resubmissionCode(e, http.StatusOK))
-	case e.Number > s.next:
-		m.hold(s, index, e)
+	case e.Number > sess.next:
+		m.holdPending(sess, index, e)
 	default:
 		m.admitJob(index, e)
-		s.next++
-		m.admitPending(s)
+		sess.next++
+		m.admitPending(sess)
 	}
 }
 
-// hold keeps a submission until the numbers below it have been admitted.
-func (m *Machine) hold(s *session, index uint64, e *schema.Enqueue) {
+// holdPending keeps a submission until the numbers below it have been admitted.
+func (m *Machine) holdPending(s *session, index uint64, e *schema.Enqueue) {
 	if s.pending[e.Number] == nil {
 		s.pending[e.Number] = &schema.PendingEnqueueSnapshot{Index: index, Enqueue: e}
 		m.pendingEnqueues++
--- a/internal/queue/events.go
+++ b/internal/queue/events.go
@@ -51,7 +51,7 @@
 }
 
 func (m *Machine) newEvent(j *job, s, t int, sequence uint64) *TaskEvent {
-	task, account, perRound := &j.tasks[s][t], j.account(s, t), j.stepsPerRound()
+	task, account, perRound := &j.tasks[s][t], j.sharedTask(s, t), j.stepsPerRound()
 	return &TaskEvent{
 		Sequence: sequence, Key: schema.TaskKey{Job: j.id, Step: uint32(s), Task: uint32(t)}, Status: j.status(s, t),
 		Attempt: task.attempt, Worker: task.worker, Incarnation: task.incarnation,
--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -172,17 +172,17 @@
 	return Ready
 }
 
-// account is the task that has the failures and checkpoint of a task: itself, or the
+// sharedTask is the task that has the failures and checkpoint of a task: itself, or the
 // first member of its gang.
-func (j *job) account(s, t int) *task {
+func (j *job) sharedTask(s, t int) *task {
 	if j.step(s).Gang {
 		return &j.tasks[s][0]
 	}
 	return &j.tasks[s][t]
 }
 
-// countCheckedIn counts a task of a step as no longer checked out.
-func (j *job) countCheckedIn(s int) {
+// uncountCheckout counts a task of a step as no longer checked out.
+func (j *job) uncountCheckout(s int) {
 	j.checkedOutTasks[s]--
 	j.checkedOut--
 }
--- a/internal/queue/return.go
+++ b/internal/queue/return.go
@@ -21,7 +21,7 @@
 		return
 	}
 	isRunning := j.state == schema.JobState_JOB_RUNNING
-	account := j.account(s, t)
+	account := j.sharedTask(s, t)
 	// A report without a checkpoint leaves the one before.
 	if step.Checkpoints && c.Checkpoint != "" && len(c.Checkpoint) <= maxCheckpointBytes {
 		account.checkpoint = c.Checkpoint
@@ -65,7 +65,7 @@
 // unless the task has been done since. A gang fails once an attempt, however many of its
 // members fail.
 func (m *Machine) countFailure(j *job, s, t int, attempt uint32) {
-	step, account := j.step(s), j.account(s, t)
+	step, account := j.step(s), j.sharedTask(s, t)
 	members, isFinished := j.tasks[s][t:t+1], j.tasks[s][t].state == schema.TaskState_TASK_DONE
 	if step.Gang {
 		members, isFinished = j.tasks[s], j.unfinishedTasks[s] == 0
@@ -109,7 +109,7 @@
 // makeWaiting makes a checked-out task wait again.
 func (m *Machine) makeWaiting(j *job, s, t int) {
 	j.tasks[s][t].reset()
-	j.countCheckedIn(s)
+	j.uncountCheckout(s)
 	m.emitEvent(j, s, t)
 	if j.state == schema.JobState_JOB_STOPPING {
 		m.endIfIdle(j)
--- a/internal/queue/settle.go
+++ b/internal/queue/settle.go
@@ -26,7 +26,7 @@
 		return
 	}
 	if step.RunUntilCancelled {
-		j.account(s, t).checkpoint = ""
+		j.sharedTask(s, t).checkpoint = ""
 		if step.Gang && j.state == schema.JobState_JOB_RUNNING && !task.isGangStopping {
 			m.stopGang(j, s)
 		}
@@ -36,10 +36,10 @@
 		return
 	}
 	task.state = schema.TaskState_TASK_DONE
-	j.countCheckedIn(s)
+	j.uncountCheckout(s)
 	j.unfinishedTasks[s]--
 	if !step.Gang || j.unfinishedTasks[s] == 0 {
-		j.account(s, t).checkpoint = ""
+		j.sharedTask(s, t).checkpoint = ""
 	}
 	m.emitEvent(j, s, t)
 	m.advanceJob(j, s)
@@ -52,7 +52,7 @@
 	for t := range j.tasks[s] {
 		task := &j.tasks[s][t]
 		if task.state == schema.TaskState_TASK_CHECKED_OUT {
-			j.countCheckedIn(s)
+			j.uncountCheckout(s)
 		}
 		task.state, task.isGangStopping, task.checkpoint = schema.TaskState_TASK_DONE, false, ""
 		if runsUntilCancelled {
--- a/internal/raft/chunks.go
+++ b/internal/raft/chunks.go
@@ -38,9 +38,9 @@
 	if err != nil {
 		panic("raft: a message can't be encoded: " + err.Error())
 	}
-	g.chunkedSends++
+	g.lastChunkedSend++
 	_, isSnapshot := body.(*schema.InstallSnapshot)
-	p.chunked = &chunkedSend{number: g.chunkedSends, payload: payload, isSnapshot: isSnapshot, lastIndex: last}
+	p.chunked = &chunkedSend{number: g.lastChunkedSend, payload: payload, isSnapshot: isSnapshot, lastIndex: last}
 	g.sendChunk(now, id, p)
 }
 
--- a/internal/raft/clone.go
+++ b/internal/raft/clone.go
@@ -26,7 +26,7 @@
 	c.ready.Messages = slices.Clone(g.ready.Messages)
 	c.ready.Changes = slices.Clone(g.ready.Changes)
 	c.ready.CommittedEntries = slices.Clone(g.ready.CommittedEntries)
-	c.ready.ReadRequests = slices.Clone(g.ready.ReadRequests)
+	c.ready.ConfirmedReads = slices.Clone(g.ready.ConfirmedReads)
 	return &c
 }
 
--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -81,7 +81,7 @@
 			r.applied[id] = append(r.applied[id], string(entry.Data))
 		}
 	}
-	r.reads[id] = append(r.reads[id], ready.ReadRequests...)
+	r.reads[id] = append(r.reads[id], ready.ConfirmedReads...)
 	r.changes[id] = append(r.changes[id], ready.Changes...)
 	if r.stalledDisks[id] {
 		return
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -124,7 +124,7 @@
 	g.peers = map[string]*progress{}
 	g.roundSentAt = map[uint64]eventloop.Micros{}
 	g.pendingReads = nil
-	g.quorumAckedAt = now
+	g.quorumRoundSentAt = now
 	g.groupTimeBase, g.groupTimeStart, g.clockJumpAt = g.lastEntryTime(), now, 0
 	g.updatePeers(now, g.LastIndex()+1)
 	g.noOpIndex = g.LastIndex() + 1
--- a/internal/raft/fingerprint.go
+++ b/internal/raft/fingerprint.go
@@ -14,7 +14,7 @@
 // left out, since no decision of the consensus depends on them.
 func (g *Group) Fingerprint(now eventloop.Micros, to []byte) []byte {
 	f := &fingerprint{data: to, now: now, maxOffset: g.timeouts.ElectionMax + 1}
-	f.numbers(g.chunkedSends, g.term, uint64(g.role), g.snapshot.Index, g.snapshot.Term, g.stable, g.commit, g.applied,
+	f.numbers(g.lastChunkedSend, g.term, uint64(g.role), g.snapshot.Index, g.snapshot.Term, g.stable, g.commit, g.applied,
 		g.memberSetIndex, g.hardStateSeq-g.syncedHardStateSeq, g.matchIndex, g.round, g.noOpIndex, uint64(g.bootstrapRoundsLeft))
 	f.text(g.vote)
 	f.text(g.lead)
@@ -72,7 +72,7 @@
 
 // leader adds what only a leader's behaviour depends on.
 func (f *fingerprint) leader(g *Group) {
-	f.time(g.quorumAckedAt)
+	f.time(g.quorumRoundSentAt)
 	f.time(g.nextHeartbeat)
 	f.time(g.transferDeadline)
 	for _, id := range slices.Sorted(maps.Keys(g.peers)) {
@@ -84,7 +84,7 @@
 		f.time(g.roundSentAt[round])
 	}
 	for _, read := range g.pendingReads {
-		f.numbers(read.request, read.index, read.round)
+		f.numbers(read.id, read.index, read.round)
 	}
 }
 
--- a/internal/raft/grouptime.go
+++ b/internal/raft/grouptime.go
@@ -85,8 +85,8 @@
 func (g *Group) voterWallClocks(now eventloop.Micros, own int64) []int64 {
 	walls := append(make([]int64, 0, len(g.memberSet.Voters)+1), own)
 	for _, id := range g.memberSet.Voters {
-		if p := g.peers[id]; p != nil && id != g.self && p.wallOffset != 0 {
-			walls = append(walls, p.wallOffset+int64(now))
+		if p := g.peers[id]; p != nil && id != g.self && p.clockOffset != 0 {
+			walls = append(walls, p.clockOffset+int64(now))
 		}
 	}
 	slices.Sort(walls)
--- a/internal/raft/grouptime_test.go
+++ b/internal/raft/grouptime_test.go
@@ -12,7 +12,7 @@
 	const right, jump = int64(1_800_000_000_000_000), int64(3600 * eventloop.Second)
 	clock := func(g *Group, walls map[string]int64) {
 		for id, wall := range walls {
-			g.peers[id].wallOffset = wall
+			g.peers[id].clockOffset = wall
 		}
 	}
 	Convey("The median of three clocks counts", t, func() {
@@ -85,7 +85,7 @@
 		next := r.leader()
 		So(next.self, ShouldNotEqual, g.self)
 		for _, id := range next.otherMembers() {
-			next.peers[id].wallOffset = 0
+			next.peers[id].clockOffset = 0
 		}
 		running := others[0]
 		if running == next.self {
@@ -95,7 +95,7 @@
 		for _, each := range []struct{ own, other, want int64 }{
 			{later, later + jump, later}, {later + jump, later, later}, {later, later - jump, later}, {later - jump, later, later},
 		} {
-			next.peers[running].wallOffset = each.other - int64(now)
+			next.peers[running].clockOffset = each.other - int64(now)
 			So(next.WallTime(now, each.own), ShouldEqual, each.want)
 		}
 	})
--- a/internal/raft/heartbeat.go
+++ b/internal/raft/heartbeat.go
@@ -23,7 +23,7 @@
 // was suspended finds its lease expired when it resumes, before it learns of its
 // successor.
 func (g *Group) HoldsLeaderLease(now eventloop.Micros) bool {
-	return g.role == leader && g.applied >= g.noOpIndex && now-g.quorumAckedAt <= g.timeouts.leaderLease()
+	return g.role == leader && g.applied >= g.noOpIndex && now-g.quorumRoundSentAt <= g.timeouts.leaderLease()
 }
 
 // FreshAsOf is a time at which this replica's applied state held all that was
@@ -34,7 +34,7 @@
 		if g.applied < g.noOpIndex {
 			return 0
 		}
-		return g.quorumAckedAt
+		return g.quorumRoundSentAt
 	}
 	return g.freshAsOf
 }
@@ -103,7 +103,7 @@
 	if sent, open := g.roundSentAt[m.Round]; open && (p.minRoundTrip == 0 || now-sent < p.minRoundTrip) {
 		p.minRoundTrip = max(now-sent, 1)
 	}
-	p.wallOffset = m.WallUs - int64(now)
+	p.clockOffset = m.WallUs - int64(now)
 	g.advanceMatch(now, from, p, m.Match)
 	g.retransmitIfStalled(now, from, p)
 	g.confirmRounds(now)
@@ -119,7 +119,7 @@
 		return g.peers[id].round
 	})
 	if sent, open := g.roundSentAt[round]; open {
-		g.quorumAckedAt = max(g.quorumAckedAt, sent)
+		g.quorumRoundSentAt = max(g.quorumRoundSentAt, sent)
 		for former := range g.roundSentAt {
 			if former < round {
 				delete(g.roundSentAt, former)
--- a/internal/raft/progress.go
+++ b/internal/raft/progress.go
@@ -15,7 +15,7 @@
 	snapshotPending bool             // a snapshot was sent and isn't acknowledged
 	probing         bool             // where the logs agree isn't known: one Append at a time until one is accepted
 	probeSent       bool             // that Append is in flight
-	wallOffset      int64            // the peer's wall clock less this node's monotonic one, in µs; 0: unknown
+	clockOffset     int64            // the peer's wall clock less this node's monotonic one, in µs; 0: unknown
 
 	// Flow control.
 	chunked      *chunkedSend     // a large message in flight; nothing else is sent meanwhile
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -94,7 +94,7 @@
 	Changes          []*schema.StoreChange
 	Snapshot         *schema.Snapshot // a leader's snapshot to restore; nil if none was installed
 	CommittedEntries []*schema.Entry
-	ReadRequests     []uint64 // ids of ReadIndex requests that may now be served
+	ConfirmedReads   []uint64 // ids of ReadIndex requests that may now be served
 }
 
 // Group is this process's replica of one Raft group.
@@ -139,22 +139,22 @@
 	heartbeatResponses []heartbeatResponse // heartbeats acknowledged in this term, the latest last
 
 	// Leader.
-	peers            map[string]*progress
-	noOpIndex        uint64                      // the no-op entry that began this leader's term
-	round            uint64                      // last round of heartbeats sent
-	roundSentAt      map[uint64]eventloop.Micros // rounds that no quorum has acknowledged yet
-	quorumAckedAt    eventloop.Micros            // when the last round that a quorum acknowledged was sent
-	nextHeartbeat    eventloop.Micros
-	pendingReads     []readRequest
-	transferee       string // target of the leadership transfer in progress
-	transferDeadline eventloop.Micros
-	chunkedSends     uint64 // chunked sends begun so far
+	peers             map[string]*progress
+	noOpIndex         uint64                      // the no-op entry that began this leader's term
+	round             uint64                      // last round of heartbeats sent
+	roundSentAt       map[uint64]eventloop.Micros // rounds that no quorum has acknowledged yet
+	quorumRoundSentAt eventloop.Micros            // when the last round that a quorum acknowledged was sent
+	nextHeartbeat     eventloop.Micros
+	pendingReads      []readRequest
+	transferee        string // target of the leadership transfer in progress
+	transferDeadline  eventloop.Micros
+	lastChunkedSend   uint64 // chunked sends begun so far
 
 	// Group time.
 	groupTimeBase  int64            // µs of group time at groupTimeStart
 	groupTimeStart eventloop.Micros // when this replica became leader
 	wallOffset     int64            // wall time less group time in µs; 0: never agreed on
-	wallOffsetTerm uint64           // term in which this replica, as leader, set wallOffset
+	wallOffsetTerm uint64           // term in which this replica, as leader, set clockOffset
 	clockJumpAt    eventloop.Micros // since when the median wall clock has been off; 0: it isn't
 }
 
@@ -242,7 +242,7 @@
 func (g *Group) tickLeader(now eventloop.Micros) {
 	// Check quorum: a leader without one can commit nothing, and callers that see it
 	// step down look for its successor.
-	if now-g.quorumAckedAt > g.timeouts.ElectionMin {
+	if now-g.quorumRoundSentAt > g.timeouts.ElectionMin {
 		g.becomeFollower(now, g.term, "")
 		return
 	}
--- a/internal/raft/readindex.go
+++ b/internal/raft/readindex.go
@@ -8,20 +8,20 @@
 
 // readRequest is a read that waits for a quorum to confirm this leader.
 type readRequest struct {
-	request uint64 // the caller's id
-	index   uint64 // commit index when it was asked
-	round   uint64 // round of heartbeats that confirms it
+	id    uint64 // the caller's id
+	index uint64 // commit index when it was asked
+	round uint64 // round of heartbeats that confirms it
 }
 
 // ReadIndex asks for a read of a state no older than now. Its id is in a Ready's
-// ReadRequests once a quorum has acknowledged a round sent after this call; if
+// ConfirmedReads once a quorum has acknowledged a round sent after this call; if
 // leadership is lost before, it never is. It returns NotLeader for a replica that
 // doesn't lead or hasn't committed an entry of its term.
-func (g *Group) ReadIndex(now eventloop.Micros, request uint64) error {
+func (g *Group) ReadIndex(now eventloop.Micros, id uint64) error {
 	if g.role != leader || g.commit < g.noOpIndex {
 		return g.notLeader()
 	}
-	g.pendingReads = append(g.pendingReads, readRequest{request: request, index: g.commit, round: g.round + 1})
+	g.pendingReads = append(g.pendingReads, readRequest{id: id, index: g.commit, round: g.round + 1})
 	return nil
 }
 
@@ -33,7 +33,7 @@
 	}
 	// While a round is in flight the next waits for its acknowledgement; if that is
 	// lost, for the next regular heartbeat.
-	if _, open := g.roundSentAt[g.round]; open && g.quorumAckedAt < g.roundSentAt[g.round] {
+	if _, open := g.roundSentAt[g.round]; open && g.quorumRoundSentAt < g.roundSentAt[g.round] {
 		return
 	}
 	g.broadcastHeartbeat(now)
@@ -43,7 +43,7 @@
 func (g *Group) serveReads(round uint64) {
 	k := 0
 	for ; k < len(g.pendingReads) && g.pendingReads[k].round <= round; k++ {
-		g.ready.ReadRequests = append(g.ready.ReadRequests, g.pendingReads[k].request)
+		g.ready.ConfirmedReads = append(g.ready.ConfirmedReads, g.pendingReads[k].id)
 	}
 	g.pendingReads = g.pendingReads[k:]
 }
--- a/internal/raft/slowcluster_test.go
+++ b/internal/raft/slowcluster_test.go
@@ -67,7 +67,7 @@
 		if lead := s.leader(); lead == nil || !lead.HoldsLeaderLease(s.now) {
 			s.stepsWithoutLease++
 		} else {
-			s.maxQuorumSilence = max(s.maxQuorumSilence, s.now-lead.quorumAckedAt)
+			s.maxQuorumSilence = max(s.maxQuorumSilence, s.now-lead.quorumRoundSentAt)
 		}
 		if observe != nil {
 			observe()
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -39,7 +39,7 @@
 // applyClusterStateCommand applies a command of the cluster state; caller is nil if
 // nobody waits for it here.
 func (h *Host) applyClusterStateCommand(now eventloop.Micros, r *replica, entry *schema.Entry, caller *pendingReply, effects eventloop.Effects) {
-	result, err := h.clusterState.Apply(entry.TimeUs, entry.Data)
+	result, err := h.stateMachine.Apply(entry.TimeUs, entry.Data)
 	if err != nil {
 		panic(Unreadable.Wrap(err, "entry of %s", r.group.Name()))
 	}
@@ -150,25 +150,25 @@
 // this process and, where this node leads it, to those that should have it at once.
 // An installed snapshot has already replaced the copy when this is called.
 func (h *Host) publishClusterState(now eventloop.Micros, effects eventloop.Effects) {
-	if h.clusterState.Version() != h.state.Version || h.state.Version == 0 {
-		h.setState(h.clusterState.SharedState())
-	} else if h.published.Version == h.state.Version {
+	if h.stateMachine.Version() != h.sharedState.Version || h.sharedState.Version == 0 {
+		h.setState(h.stateMachine.SharedState())
+	} else if h.published.Version == h.sharedState.Version {
 		return
 	}
 	old := h.published
-	h.published = h.state
+	h.published = h.sharedState
 	for _, component := range []string{"gateway", "scheduler"} {
-		effects.Notify(component, &schema.ClusterStateResponse{State: h.state, Version: h.state.Version})
+		effects.Notify(component, &schema.ClusterStateResponse{State: h.sharedState, Version: h.sharedState.Version})
 	}
-	effects.Notify("membership", membership.ClusterStateObserved{Version: h.state.Version})
-	if old.Configuration != h.state.Configuration {
+	effects.Notify("membership", membership.ClusterStateObserved{Version: h.sharedState.Version})
+	if old.Configuration != h.sharedState.Configuration {
 		// A queue's urgency and limit may have changed. They are sent with its snapshot,
 		// which is long while many tasks wait, so other changes don't cause one.
 		for _, r := range h.groups {
 			r.notifiedTerm = 0
 		}
 	}
-	if r := h.groups[clusterstate.Group]; r.group.IsLeader() {
+	if r := h.groups[clusterstate.GroupName]; r.group.IsLeader() {
 		h.pushClusterState(now, r, old, effects)
 	}
 }
@@ -176,13 +176,13 @@
 // pushClusterState sends a new version at once where waiting for the next query would
 // delay work.
 func (h *Host) pushClusterState(now eventloop.Micros, r *replica, old *schema.ClusterState, effects eventloop.Effects) {
-	if len(old.Queues) != len(h.state.Queues) {
+	if len(old.Queues) != len(h.sharedState.Queues) {
 		// The initial voters of a new queue create its replicas once they know of it,
 		// so they learn the commit index without waiting for the next heartbeat.
 		r.group.BroadcastCommit(now)
 	}
 	known := &schema.ClusterStateRequest{Version: old.Version}
-	if h.membership != nil && anyLeaseMoved(old.WorkerLeases, h.state.WorkerLeases) {
+	if h.membership != nil && anyLeaseMoved(old.WorkerLeases, h.sharedState.WorkerLeases) {
 		// A worker whose lease has moved gets no orders until its agent knows the new
 		// scheduler.
 		for _, id := range slices.Sorted(maps.Keys(h.membership.Members)) {
@@ -192,7 +192,7 @@
 		}
 		return
 	}
-	if controller := h.state.ControllerLease.GetHolder(); controller != "" && old.Configuration != h.state.Configuration {
+	if controller := h.sharedState.ControllerLease.GetHolder(); controller != "" && old.Configuration != h.sharedState.Configuration {
 		h.sendClusterState(now, controller, known, effects)
 	}
 }
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -24,8 +24,8 @@
 		m.Identity.Joined = true
 	}
 	h.persistIdentity(m.Identity)
-	if len(m.BootstrapVoters) > 0 && h.groups[clusterstate.Group] == nil {
-		h.bootstrapGroup(now, clusterstate.Group, m.BootstrapVoters)
+	if len(m.BootstrapVoters) > 0 && h.groups[clusterstate.GroupName] == nil {
+		h.bootstrapGroup(now, clusterstate.GroupName, m.BootstrapVoters)
 	}
 }
 
@@ -39,7 +39,7 @@
 // It doesn't campaign before it has received its member set. The result is nil for a
 // queue that was deleted.
 func (h *Host) joinGroup(now eventloop.Micros, name string) *replica {
-	if name != clusterstate.Group && (QueueName(name) == "" || h.isObsolete(name)) {
+	if name != clusterstate.GroupName && (QueueName(name) == "" || h.isObsolete(name)) {
 		return nil
 	}
 	r := h.openGroup(now, name, &storage.GroupState{HardState: &schema.HardState{}, Snapshot: &schema.Snapshot{}})
@@ -79,11 +79,11 @@
 
 // reconcileQueues creates and removes replicas as the cluster state lists the queues.
 func (h *Host) reconcileQueues(now eventloop.Micros, effects eventloop.Effects) {
-	if h.groups[clusterstate.Group] == nil {
+	if h.groups[clusterstate.GroupName] == nil {
 		return
 	}
-	listed := map[string]bool{clusterstate.Group: true}
-	for _, placement := range h.state.Queues {
+	listed := map[string]bool{clusterstate.GroupName: true}
+	for _, placement := range h.sharedState.Queues {
 		listed[GroupName(placement)] = true
 		if slices.Contains(placement.InitialVoters, h.id) {
 			h.bootstrapQueue(now, placement)
--- a/internal/replica/bootstrap_test.go
+++ b/internal/replica/bootstrap_test.go
@@ -43,7 +43,7 @@
 		c.step("b", "a", &schema.AppendRequest{Group: "l#1", Term: 1, Entries: []*schema.Entry{{Index: 1, Term: 1, Kind: schema.EntryKind_ENTRY_NO_OP}}})
 		host := c.hosts["b"]
 		So(host.groups["l#1"].group.MemberSet().Voters, ShouldBeEmpty)
-		host.state.Queues = []*schema.QueuePlacement{placement}
+		host.sharedState.Queues = []*schema.QueuePlacement{placement}
 		c.step("b", "", eventloop.Tick{})
 		So(host.groups["l#1"].group.MemberSet().Voters, ShouldResemble, nodeIDs)
 		So(host.groups["l#1"].group.LastIndex(), ShouldEqual, 1)
--- a/internal/replica/cluster_state_updates.go
+++ b/internal/replica/cluster_state_updates.go
@@ -20,11 +20,11 @@
 		return
 	}
 	update := &schema.ClusterStateResponse{
-		Sequence: m.Sequence, AgeUs: int64(now - h.groups[clusterstate.Group].group.FreshAsOf()), Version: h.state.Version,
-		Leaders: h.leaders(), ControllerLeaseExpiresUs: h.clusterState.ControllerLeaseExpiry(),
+		Sequence: m.Sequence, AgeUs: int64(now - h.groups[clusterstate.GroupName].group.FreshAsOf()), Version: h.sharedState.Version,
+		Leaders: h.leaders(), ControllerLeaseExpiresUs: h.stateMachine.ControllerLeaseExpiry(),
 	}
-	if h.state.Version > m.Version {
-		update.State, update.ConfigurationOmitted = h.clusterState.EncodeUpdate(h.state, m.HeldRevision)
+	if h.sharedState.Version > m.Version {
+		update.State, update.ConfigurationOmitted = h.stateMachine.EncodeUpdate(h.sharedState, m.HeldRevision)
 		if !update.ConfigurationOmitted && h.suppressResend(now, to, update.State.Configuration) {
 			// An agent node can use the leaders and the controller's lease alone. A
 			// gateway node is ready only with the whole state, so it waits for that.
@@ -35,7 +35,7 @@
 	}
 	// Agent nodes ask often and there is a status for every queue; of them only the
 	// controller's node reads it.
-	if to == h.state.ControllerLease.GetHolder() || !h.isAgentNode(to) {
+	if to == h.sharedState.ControllerLease.GetHolder() || !h.isAgentNode(to) {
 		update.QueueStatuses = h.groupStatuses()
 	}
 	effects.Send(to, update)
@@ -45,9 +45,9 @@
 // caller has an older version, else the version alone. A configuration that is still
 // in flight to the caller isn't sent again.
 func (h *Host) encodeClusterState(now eventloop.Micros, pending pendingReply) []byte {
-	known, update := &schema.ClusterStateRequest{}, &schema.ClusterStateResponse{Version: h.state.Version, Leaders: h.leaders()}
-	if proto.Unmarshal(pending.request.Body, known) != nil || known.Version < h.state.Version {
-		update.State, update.ConfigurationOmitted = h.clusterState.EncodeUpdate(h.state, known.HeldRevision)
+	known, update := &schema.ClusterStateRequest{}, &schema.ClusterStateResponse{Version: h.sharedState.Version, Leaders: h.leaders()}
+	if proto.Unmarshal(pending.request.Body, known) != nil || known.Version < h.sharedState.Version {
+		update.State, update.ConfigurationOmitted = h.stateMachine.EncodeUpdate(h.sharedState, known.HeldRevision)
 		if !update.ConfigurationOmitted && h.suppressResend(now, pending.from, update.State.Configuration) {
 			update.State = nil
 		}
@@ -59,7 +59,7 @@
 func (h *Host) leaders() map[string]string {
 	leaders := map[string]string{}
 	for _, r := range h.groups {
-		leaders[cmp.Or(r.queueName, clusterstate.Group)] = r.group.Leader()
+		leaders[cmp.Or(r.queueName, clusterstate.GroupName)] = r.group.Leader()
 	}
 	return leaders
 }
--- a/internal/replica/cluster_state_updates_test.go
+++ b/internal/replica/cluster_state_updates_test.go
@@ -63,7 +63,7 @@
 			c.run(20 * eventloop.Millisecond)
 			So(c.received[id], ShouldHaveLength, 1)
 			update := c.received[id][0].(*schema.ClusterStateResponse)
-			So(update.Leaders[clusterstate.Group], ShouldEqual, leader)
+			So(update.Leaders[clusterstate.GroupName], ShouldEqual, leader)
 			So(len(update.QueueStatuses) > 0, ShouldEqual, getsStatus)
 		}
 	})
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -57,7 +57,7 @@
 	e.cluster.deliverLater(networkDelay, e.id, to, body)
 }
 
-func (e clusterEffects) Dial(string, any) {}
+func (e clusterEffects) SendToAddress(string, any) {}
 
 func (e clusterEffects) Respond(uint64, any) {}
 
@@ -226,7 +226,7 @@
 
 // clusterStateGroup is a node's replica of the cluster state.
 func (c *testCluster) clusterStateGroup(id string) *raft.Group {
-	return c.hosts[id].groups[clusterstate.Group].group
+	return c.hosts[id].groups[clusterstate.GroupName].group
 }
 
 // queueGroup is a node's replica of a queue.
@@ -235,13 +235,13 @@
 }
 
 func (c *testCluster) queueGroupName(queue string) string {
-	return queue + "#" + strconv.FormatUint(clusterstate.FindQueue(c.hosts["c"].state, queue).GetGeneration(), 10)
+	return queue + "#" + strconv.FormatUint(clusterstate.FindQueue(c.hosts["c"].sharedState, queue).GetGeneration(), 10)
 }
 
 // request sends the cluster state's leader a request of the process "h" and gives the
 // reply; nil: there was none.
 func (c *testCluster) request(kind string, command *schema.ClusterStateCommand) *schema.Response {
-	request := &schema.Request{Id: 1, Kind: kind, Group: clusterstate.Group}
+	request := &schema.Request{Id: 1, Kind: kind, Group: clusterstate.GroupName}
 	if command != nil {
 		request.Body = EncodeClusterStateCommand(command)
 	}
@@ -290,7 +290,7 @@
 // changeMembers has the controller request a change of the cluster state's members and
 // gives what they are afterwards.
 func (c *testCluster) changeMembers(m *schema.ChangeMembers) *schema.MemberSet {
-	m.Group, m.FencingToken = clusterstate.Group, c.claimController()
+	m.Group, m.FencingToken = clusterstate.GroupName, c.claimController()
 	leader := c.leader("")
 	c.step(leader, "h", m)
 	c.run(200 * eventloop.Millisecond)
--- a/internal/replica/fault_tolerance.go
+++ b/internal/replica/fault_tolerance.go
@@ -9,10 +9,10 @@
 	"sparnotch/internal/eventloop"
 )
 
-// FaultTolerance is how many machines, zones or regions may fail at this moment with a
+// FaultToleranceView is how many machines, zones or regions may fail at this moment with a
 // majority of the cluster state's voters left, and how many the deployment wants to
 // tolerate.
-type FaultTolerance struct {
+type FaultToleranceView struct {
 	Machines       int    `json:"machines"`
 	Zones          int    `json:"zones"`
 	Regions        int    `json:"regions"`
@@ -24,11 +24,11 @@
 
 // faultTolerance is the fault tolerance as far as this node knows: the result is as old
 // as its member set and its view of the membership.
-func (h *Host) faultTolerance(now eventloop.Micros) *FaultTolerance {
-	tolerance := &FaultTolerance{
+func (h *Host) faultTolerance(now eventloop.Micros) *FaultToleranceView {
+	tolerance := &FaultToleranceView{
 		WantedMachines: max(1, h.tolerance.Machines), WantedZones: h.tolerance.Zones, WantedRegions: h.tolerance.Regions,
 	}
-	group := h.groups[clusterstate.Group]
+	group := h.groups[clusterstate.GroupName]
 	if group == nil || h.membership == nil {
 		return tolerance
 	}
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -50,8 +50,8 @@
 	r.group.SetWritable(!h.isReadOnly())
 	h.groups[name], h.sortedNames = r, nil
 	h.restoreGroup(r, state.Snapshot)
-	if name == clusterstate.Group {
-		h.published = h.state // only an installed snapshot is published
+	if name == clusterstate.GroupName {
+		h.published = h.sharedState // only an installed snapshot is published
 	}
 	return r
 }
@@ -66,12 +66,12 @@
 
 // restoreGroup replaces a group's state machine by the state of a snapshot.
 func (h *Host) restoreGroup(r *replica, snapshot *schema.Snapshot) {
-	if r.group.Name() == clusterstate.Group {
+	if r.group.Name() == clusterstate.GroupName {
 		machine, err := clusterstate.Restore(snapshot.Data)
 		if err != nil {
 			panic(Unreadable.Wrap(err, "snapshot of %s", r.group.Name()))
 		}
-		h.clusterState, r.logBytes = machine, 0
+		h.stateMachine, r.logBytes = machine, 0
 		h.setState(machine.SharedState())
 		return
 	}
@@ -107,10 +107,10 @@
 	return h.sortedNames
 }
 
-// groupOfQueue is this node's replica of a queue that the cluster state lists; nil:
+// queueReplica is this node's replica of a queue that the cluster state lists; nil:
 // there is none.
-func (h *Host) groupOfQueue(name string) *replica {
-	if placement := clusterstate.FindQueue(h.state, name); placement != nil {
+func (h *Host) queueReplica(name string) *replica {
+	if placement := clusterstate.FindQueue(h.sharedState, name); placement != nil {
 		return h.groups[GroupName(placement)]
 	}
 	return nil
@@ -134,7 +134,7 @@
 // isObsolete reports whether the cluster state lists a newer queue of the same name, or
 // has deleted this one.
 func (h *Host) isObsolete(group string) bool {
-	if placement := clusterstate.FindQueue(h.state, QueueName(group)); placement != nil {
+	if placement := clusterstate.FindQueue(h.sharedState, QueueName(group)); placement != nil {
 		return GroupName(placement) != group
 	}
 	return h.isDeleted(group)
@@ -145,5 +145,5 @@
 // in the cluster state or was deleted, a later one is only unknown here so far.
 func (h *Host) isDeleted(group string) bool {
 	generation, err := strconv.ParseUint(group[len(QueueName(group))+1:], 10, 64)
-	return err == nil && generation < h.state.NextToken
+	return err == nil && generation < h.sharedState.NextToken
 }
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -56,9 +56,9 @@
 	groups      map[string]*replica // by group name
 	sortedNames []string            // cached keys of groups; nil after a change
 
-	clusterState  *clusterstate.StateMachine
+	stateMachine  *clusterstate.StateMachine
 	values        *clusterstate.Values
-	state         *schema.ClusterState  // copy of clusterState that other components may hold
+	sharedState   *schema.ClusterState  // copy of stateMachine that other components may hold
 	published     *schema.ClusterState  // the copy that they were notified of last
 	queueSettings *schema.ApplySettings // from the configuration, for every queue
 
@@ -89,11 +89,11 @@
 	h := &Host{
 		id: id, identity: state.Identity, toleratedLosses: 1, timeouts: timing.FromBounds(nil), wallClock: wallClock, raftTimes: times,
 		electionJitter: newElectionJitter(rand.New(rand.NewPCG(seed, hash.Sum64()))),
-		groups:         map[string]*replica{}, clusterState: clusterstate.New(), nextWrite: newPendingWrite(),
+		groups:         map[string]*replica{}, stateMachine: clusterstate.New(), nextWrite: newPendingWrite(),
 		submitResponses: map[string]*schema.SubmitResponse{}, configurationsSent: map[string]configurationSent{},
 	}
-	h.setState(h.clusterState.SharedState())
-	h.published = h.state
+	h.setState(h.stateMachine.SharedState())
+	h.published = h.sharedState
 	for name, state := range state.Groups {
 		h.openGroup(now, name, state)
 	}
@@ -115,7 +115,7 @@
 
 // setState replaces the copy of the cluster state, and what is derived from it.
 func (h *Host) setState(state *schema.ClusterState) {
-	h.state, h.values = state, h.clusterState.Values()
+	h.sharedState, h.values = state, h.stateMachine.Values()
 	h.queueSettings = &schema.ApplySettings{
 		JobRetentionUs:   h.values.Fleet("status_s") * 1_000_000,
 		SnapshotInterval: uint32(h.values.Fleet("cache_every")),
@@ -172,7 +172,7 @@
 		h.handleChangeMembers(now, body)
 	case *schema.ClusterStateRequest:
 		h.sendClusterState(now, message.From, body, effects)
-	case GetStateView:
+	case StateViewRequest:
 		effects.Respond(body.Request, h.stateView(now))
 	case Drain:
 		h.isDraining = true
--- a/internal/replica/large_updates_test.go
+++ b/internal/replica/large_updates_test.go
@@ -89,17 +89,17 @@
 				So(store.Commit(batch.Changes), ShouldBeNil)
 			}
 		}
-		So(store.Commit([]*schema.StoreChange{{Identity: &schema.StoreIdentity{Id: "a"}}, {Group: clusterstate.Group, Snapshot: &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: nodeIDs}}}}), ShouldBeNil)
+		So(store.Commit([]*schema.StoreChange{{Identity: &schema.StoreIdentity{Id: "a"}}, {Group: clusterstate.GroupName, Snapshot: &schema.Snapshot{MemberSet: &schema.MemberSet{Voters: nodeIDs}}}}), ShouldBeNil)
 		const count = 24
 		maxLogBytes := 0
 		for version := uint64(1); version <= count; version++ {
 			So(c.putLargeConfiguration(largeUpdate(version)), ShouldEqual, 200)
 			c.run(20 * eventloop.Millisecond)
 			for _, id := range nodeIDs {
-				maxLogBytes = max(maxLogBytes, c.hosts[id].groups[clusterstate.Group].logBytes)
+				maxLogBytes = max(maxLogBytes, c.hosts[id].groups[clusterstate.GroupName].logBytes)
 			}
 		}
-		r := c.hosts["a"].groups[clusterstate.Group]
+		r := c.hosts["a"].groups[clusterstate.GroupName]
 		So(maxLogBytes, ShouldBeLessThanOrEqualTo, max(maxStateLogBytes, r.group.SnapshotBytes()))
 		So(r.group.SnapshotIndex(), ShouldBeGreaterThan, 0)
 		t.Logf("base %d bytes, log %d, disk %d", r.group.SnapshotBytes(), maxLogBytes, disk.peak)
@@ -108,9 +108,9 @@
 			reopened, err := storage.Open(disk)
 			So(err, ShouldBeNil)
 			host := New("a", reopened.State(), func() int64 { return 0 }, raft.DefaultTimeouts, 1, c.now)
-			state := reopened.State().Groups[clusterstate.Group]
+			state := reopened.State().Groups[clusterstate.GroupName]
 			So(state.Snapshot.Index, ShouldEqual, r.group.SnapshotIndex())
-			So(host.state.Configuration.Revision, ShouldBeGreaterThan, count-20)
+			So(host.sharedState.Configuration.Revision, ShouldBeGreaterThan, count-20)
 			So(host.isClusterStateFresh(c.now), ShouldBeFalse)
 		})
 	})
@@ -152,17 +152,17 @@
 				if update, isUpdate := body.(*schema.ClusterStateResponse); isUpdate {
 					isCaughtUp = true
 					So(c.now, ShouldBeGreaterThanOrEqualTo, until)
-					So(update.Version, ShouldEqual, c.hosts[c.leader("")].state.Version)
+					So(update.Version, ShouldEqual, c.hosts[c.leader("")].sharedState.Version)
 				}
 			}
 			for _, body := range c.received[lagging+"/scheduler"] {
 				if status, isStatus := body.(LeadershipStatus); isStatus && status.IsClusterStateFresh {
-					So(host.state.Configuration.Revision, ShouldEqual, acknowledged)
+					So(host.sharedState.Configuration.Revision, ShouldEqual, acknowledged)
 				}
 			}
 		}
 		So(isCaughtUp, ShouldBeTrue)
-		So(host.state.Configuration.Revision, ShouldEqual, acknowledged)
+		So(host.sharedState.Configuration.Revision, ShouldEqual, acknowledged)
 	})
 }
 
@@ -180,11 +180,11 @@
 			So(c.putLargeConfiguration(largeUpdate(version)), ShouldEqual, 200)
 			c.run(50 * eventloop.Millisecond)
 		}
-		want := c.hosts[leader].state.Version
+		want := c.hosts[leader].sharedState.Version
 		c.isDown[down] = false
 		c.received[down+"/scheduler"] = nil
 		c.run(6 * eventloop.Second)
-		So(c.hosts[down].state.Version, ShouldEqual, want)
+		So(c.hosts[down].sharedState.Version, ShouldEqual, want)
 		So(lastNotifiedVersion(c.received[down+"/scheduler"]), ShouldEqual, want)
 		So(lastNotifiedVersion(c.received[down+"/gateway"]), ShouldEqual, want)
 	})
--- a/internal/replica/leadership.go
+++ b/internal/replica/leadership.go
@@ -94,7 +94,7 @@
 	if r.queue == nil {
 		return ""
 	}
-	return clusterstate.FindQueue(h.state, r.queueName).GetPreferredLeader()
+	return clusterstate.FindQueue(h.sharedState, r.queueName).GetPreferredLeader()
 }
 
 // canTakeOver reports whether a voter is alive and lacks few enough entries to take over
--- a/internal/replica/maintenance.go
+++ b/internal/replica/maintenance.go
@@ -34,10 +34,10 @@
 			hasChanged = r.takeMembershipChange() || hasChanged
 		}
 	}
-	if controller := h.state.ControllerLease.GetHolder(); hasChanged && controller != "" {
+	if controller := h.sharedState.ControllerLease.GetHolder(); hasChanged && controller != "" {
 		// Each step of a repair waits for this report, which would come later with the
 		// controller's next query.
-		h.sendClusterState(now, controller, &schema.ClusterStateRequest{Version: h.state.Version}, effects)
+		h.sendClusterState(now, controller, &schema.ClusterStateRequest{Version: h.sharedState.Version}, effects)
 	}
 	if hasCampaigned {
 		// Two nodes with the same jitter must not campaign at the same time again.
@@ -62,7 +62,7 @@
 // isClusterStateFresh reports whether this node's copy of the cluster state contained, a
 // moment ago, all that was committed.
 func (h *Host) isClusterStateFresh(now eventloop.Micros) bool {
-	r := h.groups[clusterstate.Group]
+	r := h.groups[clusterstate.GroupName]
 	return r != nil && r.group.FreshAsOf() > 0 && now-r.group.FreshAsOf() < h.timeouts.MaxStateAge
 }
 
@@ -149,6 +149,6 @@
 	if entry.Index-g.SnapshotIndex() <= maxStateLogEntries && r.logBytes <= max(maxStateLogBytes, g.SnapshotBytes()) {
 		return
 	}
-	g.Compact(entry.Index, clusterstate.Compress(h.clusterState.Snapshot()))
+	g.Compact(entry.Index, clusterstate.Compress(h.stateMachine.Snapshot()))
 	r.logBytes = 0
 }
--- a/internal/replica/member_changes.go
+++ b/internal/replica/member_changes.go
@@ -23,7 +23,7 @@
 	r := h.groups[m.Group]
 	// A stale copy of the cluster state can't tell whether the controller's lease has
 	// gone to another.
-	if r == nil || !r.group.IsLeader() || !h.isClusterStateFresh(now) || !h.clusterState.HoldsControllerLease(m.FencingToken) {
+	if r == nil || !r.group.IsLeader() || !h.isClusterStateFresh(now) || !h.stateMachine.HoldsControllerLease(m.FencingToken) {
 		return
 	}
 	memberSet := h.changedMemberSet(now, r.group, m)
@@ -130,7 +130,7 @@
 
 // recordControllerLease notes when the controller's lease was last seen renewed.
 func (h *Host) recordControllerLease(now eventloop.Micros) {
-	if until := h.clusterState.ControllerLeaseExpiry(); until != h.controllerLeaseUntil {
+	if until := h.stateMachine.ControllerLeaseExpiry(); until != h.controllerLeaseUntil {
 		h.controllerLeaseUntil, h.controllerLeaseSeenAt = until, now
 	}
 }
