--- a/internal/replica/member_changes_test.go
+++ b/internal/replica/member_changes_test.go
@@ -21,7 +21,7 @@
 		// It answers without having any entry.
 		leader := c.leader("")
 		term := c.clusterStateGroup(leader).Term()
-		c.step(leader, "d", &schema.HeartbeatBatch{Responses: []*schema.HeartbeatResponse{{Group: clusterstate.Group, Term: term}}})
+		c.step(leader, "d", &schema.HeartbeatBatch{Responses: []*schema.HeartbeatResponse{{Group: clusterstate.GroupName, Term: term}}})
 		So(c.changeMembers(&schema.ChangeMembers{Promote: "d"}).Voters, ShouldResemble, nodeIDs)
 		c.addEmptyNode("d")
 		c.run(eventloop.Second)
@@ -103,11 +103,11 @@
 		sendHeartbeat := func(group string) {
 			c.step("d", "a", &schema.HeartbeatBatch{Heartbeats: []*schema.Heartbeat{{Group: group, Term: 1, Round: 1}}})
 		}
-		sendHeartbeat(clusterstate.Group)
-		So(c.hosts["d"].groups[clusterstate.Group], ShouldNotBeNil)
+		sendHeartbeat(clusterstate.GroupName)
+		So(c.hosts["d"].groups[clusterstate.GroupName], ShouldNotBeNil)
 		So(c.hosts["d"].identity.Joined, ShouldBeTrue)
 		Convey("but not that of a deleted queue", func() {
-			c.hosts["d"].state.NextToken = 4
+			c.hosts["d"].sharedState.NextToken = 4
 			sendHeartbeat("l#3")
 			So(c.hosts["d"].groups["l#3"], ShouldBeNil)
 			sendHeartbeat("l#4")
@@ -122,7 +122,7 @@
 		lease := c.claimController()
 		leader := c.leader("")
 		changeMembers := func(m *schema.ChangeMembers) []string {
-			m.Group, m.FencingToken = clusterstate.Group, lease
+			m.Group, m.FencingToken = clusterstate.GroupName, lease
 			c.step(leader, "h", m)
 			c.run(50 * eventloop.Millisecond)
 			return c.clusterStateGroup(leader).MemberSet().Voters
@@ -133,7 +133,7 @@
 		So(group.LastIndex(), ShouldBeLessThan, uint64(raft.MaxLearnerLag))
 		So(changeMembers(&schema.ChangeMembers{Promote: "d"}), ShouldResemble, nodeIDs)
 		answer := func(match uint64) {
-			c.step(leader, "d", &schema.AppendResponse{Group: clusterstate.Group, Term: group.Term(), Match: match})
+			c.step(leader, "d", &schema.AppendResponse{Group: clusterstate.GroupName, Term: group.Term(), Match: match})
 		}
 		Convey("nor is one that answers without having any entry", func() {
 			answer(0)
@@ -177,7 +177,7 @@
 		}
 		c.run(timing.FromBounds(nil).MaxStateAge + 100*eventloop.Millisecond)
 		So(c.leader("l"), ShouldEqual, leader)
-		So(c.hosts[leader].clusterState.HoldsControllerLease(lease), ShouldBeTrue)
+		So(c.hosts[leader].stateMachine.HoldsControllerLease(lease), ShouldBeTrue)
 		So(learners("e"), ShouldResemble, []string{"d"})
 	})
 }
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -70,5 +70,5 @@
 // over none.
 type Drain struct{}
 
-// GetStateView asks for a *NodeStateView, which answers the request of this number.
-type GetStateView struct{ Request uint64 }
+// StateViewRequest asks for a *NodeStateView, which answers the request of this number.
+type StateViewRequest struct{ Request uint64 }
--- a/internal/replica/persistence.go
+++ b/internal/replica/persistence.go
@@ -38,7 +38,7 @@
 	for hasMore := true; hasMore; {
 		hasMore = false
 		for _, name := range h.groupNames() {
-			if h.flushGroup(now, name, heartbeats, effects) {
+			if h.processReady(now, name, heartbeats, effects) {
 				hasMore = true
 			}
 		}
@@ -50,13 +50,13 @@
 	h.startWrite(now, effects)
 }
 
-// flushGroup carries out what one group has produced; it reports whether that was
+// processReady carries out what one group has produced; it reports whether that was
 // anything.
-func (h *Host) flushGroup(now eventloop.Micros, name string, heartbeats heartbeatBatches, effects eventloop.Effects) bool {
+func (h *Host) processReady(now eventloop.Micros, name string, heartbeats heartbeatBatches, effects eventloop.Effects) bool {
 	r := h.groups[name]
 	r.group.FlushReads(now)
 	ready, syncPoint := r.group.Ready()
-	if len(ready.Messages)+len(ready.Changes)+len(ready.CommittedEntries)+len(ready.ReadRequests) == 0 && ready.Snapshot == nil {
+	if len(ready.Messages)+len(ready.Changes)+len(ready.CommittedEntries)+len(ready.ConfirmedReads) == 0 && ready.Snapshot == nil {
 		return false
 	}
 	for _, message := range ready.Messages {
@@ -81,7 +81,7 @@
 	for _, entry := range ready.CommittedEntries {
 		h.applyEntry(now, r, entry, effects)
 	}
-	for _, readID := range ready.ReadRequests {
+	for _, readID := range ready.ConfirmedReads {
 		h.completeRead(now, r, readID, effects)
 	}
 	return true
--- a/internal/replica/read_only_test.go
+++ b/internal/replica/read_only_test.go
@@ -99,7 +99,7 @@
 		// A real leader sends no more than a window beyond what the node has synced. Here
 		// it gets everything.
 		c.isDown["a"], c.isDown["b"] = true, true
-		group := host.groups[clusterstate.Group].group
+		group := host.groups[clusterstate.GroupName].group
 		prev, prevTerm, term := group.LastIndex(), group.Term(), group.Term()+1
 		for range 700 {
 			version++
@@ -107,11 +107,11 @@
 			entry := &schema.Entry{Index: prev + 1, Term: term, TimeUs: int64(c.now), Data: EncodeClusterStateCommand(
 				&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: update}}})}
 			c.step("c", "a", &schema.AppendRequest{
-				Group: clusterstate.Group, Term: term, PrevIndex: prev, PrevTerm: prevTerm, Commit: prev + 1, Entries: []*schema.Entry{entry},
+				Group: clusterstate.GroupName, Term: term, PrevIndex: prev, PrevTerm: prevTerm, Commit: prev + 1, Entries: []*schema.Entry{entry},
 			})
 			prev, prevTerm = prev+1, term
 			c.runWithMembership(20 * eventloop.Millisecond)
-			So(host.state.Configuration.Version, ShouldEqual, version)
+			So(host.sharedState.Configuration.Version, ShouldEqual, version)
 			waiting := c.hosts["c"].nextWrite
 			maxPending = max(maxPending, waiting.bytes)
 			maxContent = max(maxContent, int(host.contentBytes()))
@@ -141,7 +141,7 @@
 		c.runWithMembership(2 * eventloop.Second)
 		So(group.StableIndex(), ShouldEqual, group.LastIndex())
 		So(group.LastIndex(), ShouldEqual, prev)
-		So(host.state.Configuration.Version, ShouldEqual, version)
+		So(host.sharedState.Configuration.Version, ShouldEqual, version)
 	})
 }
 
--- a/internal/replica/requests.go
+++ b/internal/replica/requests.go
@@ -48,7 +48,7 @@
 // handleRequest answers a caller's request, or proposes its command, if this node leads
 // the group. If it doesn't, the reply names the leader.
 func (h *Host) handleRequest(now eventloop.Micros, from string, m *schema.Request, effects eventloop.Effects) {
-	r := h.groupFor(m)
+	r := h.replicaFor(m)
 	if r == nil || !r.group.IsLeader() || r.group.Transferee() != "" {
 		effects.Send(from, &schema.Response{Id: m.Id, Group: m.Group, Leader: currentLeader(r)})
 		return
@@ -88,12 +88,12 @@
 	}
 }
 
-// groupFor is the replica that a request is for; nil: this node has none.
-func (h *Host) groupFor(m *schema.Request) *replica {
-	if m.Group == clusterstate.Group {
-		return h.groups[clusterstate.Group]
+// replicaFor is the replica that a request is for; nil: this node has none.
+func (h *Host) replicaFor(m *schema.Request) *replica {
+	if m.Group == clusterstate.GroupName {
+		return h.groups[clusterstate.GroupName]
 	}
-	return h.groupOfQueue(m.Group)
+	return h.queueReplica(m.Group)
 }
 
 // completeRead answers a read whose index is confirmed and applied.
@@ -116,7 +116,7 @@
 	case requestQueueCounts:
 		h.reply(pending, http.StatusOK, mustMarshalJSON(r.queue.Counts()), effects)
 	case requestConfiguration:
-		h.reply(pending, http.StatusOK, clusterstate.Compress(configurationJSON(h.clusterState.Configuration())), effects)
+		h.reply(pending, http.StatusOK, clusterstate.Compress(configurationJSON(h.stateMachine.Configuration())), effects)
 	case requestClusterState:
 		h.reply(pending, http.StatusOK, h.encodeClusterState(now, pending), effects)
 	case requestHistory:
@@ -151,12 +151,12 @@
 // historyJSON lists the previous configurations and the current one, all without their
 // documents.
 func (h *Host) historyJSON() []byte {
-	history := h.clusterState.History()
+	history := h.stateMachine.History()
 	parts := make([]json.RawMessage, 0, len(history)+1)
 	for _, configuration := range history {
 		parts = append(parts, configurationJSON(configuration))
 	}
-	parts = append(parts, configurationJSON(clusterstate.WithoutDocument(h.clusterState.Configuration())))
+	parts = append(parts, configurationJSON(clusterstate.WithoutDocument(h.stateMachine.Configuration())))
 	return mustMarshalJSON(parts)
 }
 
--- a/internal/replica/requests_test.go
+++ b/internal/replica/requests_test.go
@@ -16,7 +16,7 @@
 		c.received["h"] = nil
 		leader := c.leader("")
 		before := c.clusterStateGroup(leader).LastIndex()
-		c.step(leader, "h", &schema.Request{Id: 1, Kind: "clusterstate", Group: clusterstate.Group, Body: []byte("\xff\xff\xff")})
+		c.step(leader, "h", &schema.Request{Id: 1, Kind: "clusterstate", Group: clusterstate.GroupName, Body: []byte("\xff\xff\xff")})
 		c.run(50 * eventloop.Millisecond)
 		So(c.clusterStateGroup(leader).LastIndex(), ShouldEqual, before)
 		So(c.received["h"][len(c.received["h"])-1].(*schema.Response).Code, ShouldEqual, 400)
@@ -35,7 +35,7 @@
 		for id := uint64(71); id <= 74; id++ {
 			update := queuesUpdate(2, "cut off", "cut", "off")
 			command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: update}}}
-			c.step(old, "h", &schema.Request{Id: id, Kind: "clusterstate", Group: clusterstate.Group, Body: EncodeClusterStateCommand(command)})
+			c.step(old, "h", &schema.Request{Id: id, Kind: "clusterstate", Group: clusterstate.GroupName, Body: EncodeClusterStateCommand(command)})
 		}
 		So(group.LastIndex(), ShouldBeGreaterThanOrEqualTo, next+3)
 		c.run(3 * eventloop.Second)
@@ -47,7 +47,7 @@
 		c.received["h"] = nil
 		c.run(2 * eventloop.Second)
 		So(group.AppliedIndex(), ShouldBeGreaterThan, next+3)
-		So(c.hosts[old].state.Configuration.Version, ShouldEqual, 5)
+		So(c.hosts[old].sharedState.Configuration.Version, ShouldEqual, 5)
 		for _, body := range c.received["h"] {
 			if reply, isReply := body.(*schema.Response); isReply {
 				So(reply.Id, ShouldBeLessThan, 71)
@@ -68,7 +68,7 @@
 		// It is still the leader, and its copy counts as fresh.
 		So(c.hosts[leader].isClusterStateFresh(c.now), ShouldBeTrue)
 		c.received["h"] = nil
-		c.step(leader, "h", &schema.Request{Id: 1, Kind: "state", Group: clusterstate.Group})
+		c.step(leader, "h", &schema.Request{Id: 1, Kind: "state", Group: clusterstate.GroupName})
 		c.run(3 * eventloop.Second)
 		So(c.received["h"], ShouldBeEmpty)
 	})
--- a/internal/replica/state_view.go
+++ b/internal/replica/state_view.go
@@ -25,7 +25,7 @@
 	WorkerLeases          []*schema.WorkerLease    `json:"wards"`
 	Queues                []*schema.QueuePlacement `json:"queues"`
 	Members               []*schema.Member         `json:"members"`
-	FaultTolerance        *FaultTolerance          `json:"bears"`
+	FaultTolerance        *FaultToleranceView      `json:"bears"`
 	HasHandoverPending    bool                     `json:"needed"` // leadership or a vote is to be handed over before it may leave
 }
 
@@ -52,9 +52,9 @@
 // stateView takes a view of the present state.
 func (h *Host) stateView(now eventloop.Micros) *NodeStateView {
 	view := &NodeStateView{
-		Node: h.id, ClusterStateVersion: h.state.Version, ConfigurationRevision: h.state.Configuration.GetRevision(),
-		IsClusterStateFresh: h.isClusterStateFresh(now), WorkerLeases: h.state.WorkerLeases, Queues: h.state.Queues,
-		Controller: h.state.ControllerLease.GetHolder(), ControllerLease: h.state.ControllerLease.GetFencingToken(),
+		Node: h.id, ClusterStateVersion: h.sharedState.Version, ConfigurationRevision: h.sharedState.Configuration.GetRevision(),
+		IsClusterStateFresh: h.isClusterStateFresh(now), WorkerLeases: h.sharedState.WorkerLeases, Queues: h.sharedState.Queues,
+		Controller: h.sharedState.ControllerLease.GetHolder(), ControllerLease: h.sharedState.ControllerLease.GetFencingToken(),
 		HasHandoverPending: h.hasHandoverPending(now), FaultTolerance: h.faultTolerance(now), ReadOnlyReason: h.readOnlyReason(now),
 	}
 	for _, name := range h.groupNames() {
@@ -76,7 +76,7 @@
 		Last: g.LastIndex(), Stable: g.StableIndex(), Released: g.SnapshotIndex(), Voters: g.MemberSet().Voters, Learners: g.MemberSet().Learners,
 	}
 	if r.queue == nil {
-		view.Digest = Digest(h.clusterState.Snapshot())
+		view.Digest = Digest(h.stateMachine.Snapshot())
 		return view
 	}
 	view.LiveJobs, view.RetainedJobs = r.queue.LiveJobs(), r.queue.RetainedJobs()
--- a/internal/replica/state_view_test.go
+++ b/internal/replica/state_view_test.go
@@ -23,7 +23,7 @@
 			Members: []*schema.Member{{
 				Id: "a", Incarnation: 16, Role: schema.Role_ROLE_SERVER, Zone: "z", InternalAddress: "i", HttpAddress: "o", HasStorage: true, Draining: true, Heartbeat: 17, LatencyUs: 18,
 			}},
-			FaultTolerance: &FaultTolerance{
+			FaultTolerance: &FaultToleranceView{
 				Machines: 1, Zones: 2, Regions: 3, WantedMachines: 4, WantedZones: 5, WantedRegions: 6, Shortfall: "s",
 			},
 		})
--- a/internal/replica/submissions.go
+++ b/internal/replica/submissions.go
@@ -11,9 +11,9 @@
 	"sparnotch/internal/schema"
 )
 
-// maxUnapplied is how many entries of a group may wait to be applied before more are
+// maxUncommitted is how many entries of a group may wait to be applied before more are
 // rejected.
-const maxUnapplied = 8192
+const maxUncommitted = 8192
 
 // Outcomes of task reports.
 const (
@@ -37,13 +37,13 @@
 
 // isBacklogFull reports whether a group has more to apply than it should accept.
 func (h *Host) isBacklogFull(r *replica) bool {
-	return r.group.LastIndex()-r.group.AppliedIndex() > maxUnapplied
+	return r.group.LastIndex()-r.group.AppliedIndex() > maxUncommitted
 }
 
 // handleSubmit proposes the submissions of a gateway. Those that are rejected are
 // dropped: the gateway has numbered them and sends them again.
 func (h *Host) handleSubmit(now eventloop.Micros, from string, m *schema.SubmitRequest, effects eventloop.Effects) {
-	placement := clusterstate.FindQueue(h.state, m.Queue)
+	placement := clusterstate.FindQueue(h.sharedState, m.Queue)
 	if placement == nil {
 		return
 	}
@@ -88,7 +88,7 @@
 
 // handleEndSessions proposes to remove sessions, or all those of gateways that are gone.
 func (h *Host) handleEndSessions(now eventloop.Micros, m *schema.EndSessionsRequest) {
-	if r := h.groupOfQueue(m.Queue); r != nil && r.group.HoldsLeaderLease(now) {
+	if r := h.queueReplica(m.Queue); r != nil && r.group.HoldsLeaderLease(now) {
 		h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_EndSessions{EndSessions: &schema.EndSessions{Sessions: m.Sessions, Gateways: m.Gateways}}})
 	}
 }
@@ -106,7 +106,7 @@
 // handleTaskEnd proposes a worker's report; from is empty if the scheduler of this node
 // passes it on. What isn't acknowledged is reported again.
 func (h *Host) handleTaskEnd(now eventloop.Micros, from string, m *schema.TaskEndReport, effects eventloop.Effects) {
-	placement := clusterstate.FindQueue(h.state, m.Queue)
+	placement := clusterstate.FindQueue(h.sharedState, m.Queue)
 	if placement == nil {
 		// Nobody needs the report of a deleted queue's task. A stale copy of the cluster
 		// state doesn't show that the queue is deleted.
--- a/internal/scheduler/candidate.go
+++ b/internal/scheduler/candidate.go
@@ -9,27 +9,27 @@
 
 // candidate is a worker that a pass may place tasks on, with what it has left.
 type candidate struct {
-	worker         *worker
-	free           resources // now
-	freeAfterStops resources // once all stops under way are done, less what is reserved of that
-	maxTasks       int       // on probation: how many more it gets of work that can wait
-	rackWeight     int64     // percent
-	isEjected      bool      // only for work that has waited long
-	isClaimed      bool      // kept free for a wide step
-	victims        []*victim // what may be preempted on it, once hasVictims
-	hasVictims     bool
+	worker                  *worker
+	free                    resources // now
+	freeAfterStops          resources // once all stops under way are done, less what is reserved of that
+	remainingProbationTasks int       // on probation: how many more it gets of work that can wait
+	rackWeight              int64     // percent
+	isEjected               bool      // only for work that has waited long
+	isClaimed               bool      // kept free for a wide step
+	victims                 []*victim // what may be preempted on it, once hasVictims
+	hasVictims              bool
 }
 
 func (c *candidate) allocate(need resources) {
 	c.free.sub(need)
 	c.freeAfterStops.sub(need)
-	c.maxTasks--
+	c.remainingProbationTasks--
 }
 
 func (c *candidate) release(need resources) {
 	c.free.add(need)
 	c.freeAfterStops.add(need)
-	c.maxTasks++
+	c.remainingProbationTasks++
 }
 
 // candidates lists the workers that may be given work, for one pass.
@@ -49,7 +49,7 @@
 			continue
 		}
 		c := reuseNext(candidates)
-		*c = candidate{worker: w, free: w.total(), maxTasks: math.MaxInt32, rackWeight: weight}
+		*c = candidate{worker: w, free: w.total(), remainingProbationTasks: math.MaxInt32, rackWeight: weight}
 		c.free.sub(w.used)
 		c.freeAfterStops = c.free
 		c.freeAfterStops.add(w.releasing)
@@ -58,7 +58,7 @@
 		}
 		c.isEjected = now < w.ejectedUntil
 		if w.isOnProbation {
-			c.maxTasks = max(0, w.probationTasks-w.taskCount)
+			c.remainingProbationTasks = max(0, w.probationTasks-w.taskCount)
 		}
 		candidates = append(candidates, c)
 		cores += w.cores
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -123,7 +123,7 @@
 		q.addReady(t)
 		return
 	}
-	q.tasksOut++
+	q.checkedOutCount++
 	q.usage.add(resourcesOf(t.spec))
 	q.countOnWorker(t, t.worker, 1)
 	s.tasksOn(t.worker)[t.key] = t
@@ -152,7 +152,7 @@
 		q.removeReady(t)
 		return
 	}
-	q.tasksOut--
+	q.checkedOutCount--
 	q.usage.sub(resourcesOf(t.spec))
 	q.countOnWorker(t, t.worker, -1)
 	delete(q.pendingGangs, key)
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -18,7 +18,7 @@
 // isWithinProbation reports whether a candidate on probation gets one more task.
 // What has waited long needn't wait for the end of the probation as well.
 func (req *placementRequest) isWithinProbation(c *candidate) bool {
-	return c.maxTasks > 0 || req.mayUseEjected && !c.isEjected
+	return c.remainingProbationTasks > 0 || req.mayUseEjected && !c.isEjected
 }
 
 // isEligible reports whether the candidate is healthy enough for the step, isn't
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func (h *harness) Dial(string, any) {}
+func (h *harness) SendToAddress(string, any) {}
 
 func (h *harness) Respond(uint64, any) {}
 
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -48,7 +48,7 @@
 	lease := eventloop.Micros(s.fleetSetting("lease_ms")+s.fleetSetting("margin_ms")) * eventloop.Millisecond
 	// The former holder of the worker lease may have granted something a little
 	// longer than this scheduler knows.
-	last := max(w.lastResponse, w.leaseSince+timing.FromBounds(s.bounds).FormerLeaseTimeout)
+	last := max(w.runLeaseGrantedAt, w.leaseSince+timing.FromBounds(s.bounds).FormerLeaseTimeout)
 	// While the cluster state isn't current the worker lease may have a new holder,
 	// to which the worker responds.
 	if now-w.lastHeard > unresponsiveTimeout && now-last > lease && s.isClusterStateCurrent(now) {
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -27,9 +27,9 @@
 	preemptionFailed  bool                // something that may preempt found no victim
 }
 
-// pass goes over the ready tasks of all queues, most urgent queue first, and
+// runPass goes over the ready tasks of all queues, most urgent queue first, and
 // proposes the checkout of those that find a worker.
-func (s *Scheduler) pass(now eventloop.Micros, effects eventloop.Effects) {
+func (s *Scheduler) runPass(now eventloop.Micros, effects eventloop.Effects) {
 	queues := s.queuesToServe(now)
 	if len(queues) == 0 {
 		return
@@ -82,7 +82,7 @@
 		pass.byPool[c.worker.pool] = append(pass.byPool[c.worker.pool], c)
 	}
 	for _, q := range s.queues {
-		if q.tasksOut > 0 {
+		if q.checkedOutCount > 0 {
 			pass.minRunningUrgency = min(pass.minRunningUrgency, q.urgency)
 		}
 	}
@@ -92,15 +92,15 @@
 // queuePass is one queue's turn in a pass, for steps of one feasibility class.
 type queuePass struct {
 	*passState
-	scheduler  *Scheduler
-	now        eventloop.Micros
-	queue      *queueView
-	class      deadlineFeasibility
-	candidates []*candidate // of the queue's pool
-	headroom   resources    // that tasks which aren't short may still take
-	slots      int          // tasks that may still go out by the queue's limit
-	budget     int          // milli cores that steps of this class may still take
-	placements []*schema.Placement
+	scheduler      *Scheduler
+	now            eventloop.Micros
+	queue          *queueView
+	class          deadlineFeasibility
+	candidates     []*candidate // of the queue's pool
+	headroom       resources    // that tasks which aren't short may still take
+	slots          int          // tasks that may still go out by the queue's limit
+	remainingCores int          // milli cores that steps of this class may still take
+	placements     []*schema.Placement
 }
 
 // scheduleQueue places what it can of a queue's steps and proposes their checkout.
@@ -112,12 +112,12 @@
 	candidates := pass.byPool[s.poolOf(q)]
 	p := &queuePass{
 		passState: pass, scheduler: s, now: now, queue: q, class: class, candidates: candidates,
-		headroom: s.headroom(q, candidates),
-		slots:    int(q.maxRunning) - q.tasksOut - len(q.reserved),
-		budget:   math.MaxInt64,
+		headroom:       s.headroom(q, candidates),
+		slots:          int(q.maxRunning) - q.checkedOutCount - len(q.reserved),
+		remainingCores: math.MaxInt64,
 	}
 	if class == infeasible {
-		p.budget = infeasibleBudget(candidates)
+		p.remainingCores = infeasibleBudget(candidates)
 	}
 	for unplaced := 0; steps.Len() > 0 && p.mayPlace() && unplaced < pass.maxUnplaced; {
 		cursor, step := steps.next()
@@ -134,7 +134,7 @@
 
 // mayPlace reports whether the limits of the turn allow one more task.
 func (p *queuePass) mayPlace() bool {
-	return p.slots > 0 && len(p.placements) < maxPlacements && p.budget > 0
+	return p.slots > 0 && len(p.placements) < maxPlacements && p.remainingCores > 0
 }
 
 // place places the ready tasks of a step as far as the limits of the turn allow. It
@@ -173,7 +173,7 @@
 		p.scheduler.reserve(p.queue, t, w.id, p.now)
 		p.placements = append(p.placements, newPlacement(t, w))
 		p.slots--
-		p.budget -= int(req.need.cores)
+		p.remainingCores -= int(req.need.cores)
 		p.headroom.sub(req.need)
 	}
 	return true
--- a/internal/scheduler/polls.go
+++ b/internal/scheduler/polls.go
@@ -20,7 +20,7 @@
 func (s *Scheduler) handlePoll(now eventloop.Micros, gateway string, poll *schema.WorkerPollRequest, effects eventloop.Effects) {
 	w, heartbeat := s.workers[poll.Worker], poll.Heartbeat
 	if !s.acceptsHeartbeat(now, w, heartbeat) {
-		s.respondNothing(gateway, poll.Id, effects)
+		s.respondEmpty(gateway, poll.Id, effects)
 		return
 	}
 	if heartbeat.Incarnation > w.incarnation {
@@ -33,7 +33,7 @@
 	w.heartbeatState.update(now, heartbeat)
 	w.isUsageStale = true
 	s.updateRuns(now, w, heartbeat, effects)
-	s.returnAbandoned(now, w, effects)
+	s.returnTasksOfFormerIncarnations(now, w, effects)
 	s.markDead(now, heartbeat.ReplacedWorkers, poll.Worker, effects)
 	s.replacePoll(now, gateway, poll, w, effects)
 	s.updateGangsOn(now, w)
@@ -136,12 +136,12 @@
 // closePoll ends a worker's open poll, if any, without granting anything.
 func (s *Scheduler) closePoll(w *worker, effects eventloop.Effects) {
 	if w.poll != nil {
-		s.respondNothing(w.poll.gateway, w.poll.id, effects)
+		s.respondEmpty(w.poll.gateway, w.poll.id, effects)
 		w.poll = nil
 	}
 }
 
-// respondNothing ends a poll with a response that grants neither orders nor a lease.
-func (s *Scheduler) respondNothing(gateway string, poll uint64, effects eventloop.Effects) {
+// respondEmpty ends a poll with a response that grants neither orders nor a lease.
+func (s *Scheduler) respondEmpty(gateway string, poll uint64, effects eventloop.Effects) {
 	effects.Send(gateway, &schema.WorkerPollResponse{Id: poll, Scheduler: s.id})
 }
--- a/internal/scheduler/quality.go
+++ b/internal/scheduler/quality.go
@@ -150,7 +150,7 @@
 		w.ejectedUntil = max(w.ejectedUntil, now+first)
 		return
 	}
-	if s.isHalfOnProbation(now, w) {
+	if s.wouldExceedProbationLimit(now, w) {
 		return
 	}
 	w.ejectionPeriod = min(max(2*w.ejectionPeriod, first), maxEjectionPeriod)
@@ -158,9 +158,9 @@
 	w.probationTasks, w.probationSuccesses, w.suspicion = probationTasks, 0, 0
 }
 
-// isHalfOnProbation reports whether with this one over half of the responsive
+// wouldExceedProbationLimit reports whether with this one over half of the responsive
 // workers would be on probation: then the cause is none of the workers.
-func (s *Scheduler) isHalfOnProbation(now eventloop.Micros, w *worker) bool {
+func (s *Scheduler) wouldExceedProbationLimit(now eventloop.Micros, w *worker) bool {
 	onProbation, all := 1, 1
 	for _, other := range s.workers {
 		if other == w || !other.isResponsive(now) {
--- a/internal/scheduler/queue_view.go
+++ b/internal/scheduler/queue_view.go
@@ -9,13 +9,13 @@
 	maxRunning      int64  // tasks that may be out at a time
 	latencyTarget
 
-	tasks          map[taskKey]*task
-	tasksOut       int                        // checked out or stopping
-	usage          resources                  // by those
-	peak           decayingPeak               // of usage
-	tasksPerWorker map[stepKey]map[string]int // out or reserved, by worker id
-	reserved       map[taskKey]*task          // ready, with a checkout on the way
-	pendingGangs   map[taskKey]*task          // first members of the gangs that are out and whose start isn't committed
+	tasks           map[taskKey]*task
+	checkedOutCount int                        // checked out or stopping
+	usage           resources                  // by those
+	peak            decayingPeak               // of usage
+	tasksPerWorker  map[stepKey]map[string]int // out or reserved, by worker id
+	reserved        map[taskKey]*task          // ready, with a checkout on the way
+	pendingGangs    map[taskKey]*task          // first members of the gangs that are out and whose start isn't committed
 	readyIndex
 }
 
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -49,20 +49,20 @@
 		if report.isAcknowledged || now-report.sentAt < reportRetryInterval {
 			continue
 		}
-		if end := s.endOf(now, w, key, report); end != nil {
+		if end := s.newEndReport(now, w, key, report); end != nil {
 			report.sentAt = now
 			effects.Notify("replica", replica.TaskEnded{End: end})
 		}
 	}
 }
 
-// endOf is what to report of an end to its queue; nil: nothing, or not yet.
-func (s *Scheduler) endOf(now eventloop.Micros, w *worker, key attemptKey, report *endReport) *schema.TaskEndReport {
+// newEndReport is what to report of an end to its queue; nil: nothing, or not yet.
+func (s *Scheduler) newEndReport(now eventloop.Micros, w *worker, key attemptKey, report *endReport) *schema.TaskEndReport {
 	end := &schema.TaskEndReport{
 		Queue: key.queue, Key: key.toSchema(), Attempt: key.attempt, Worker: w.id,
 		Outcome: report.status.State, Checkpoint: report.status.Checkpoint, WholeGang: report.status.State == outcomeDone && w.hasBarrier,
 	}
-	if q := s.queues[key.queue]; q != nil && s.mayActFor(now, q) && !s.completeEnd(now, end, q.tasks[key.taskKey], report) {
+	if q := s.queues[key.queue]; q != nil && s.mayActFor(now, q) && !s.fillEndReport(now, end, q.tasks[key.taskKey], report) {
 		return nil
 	}
 	if end.Outcome == outcomeDone {
@@ -71,9 +71,9 @@
 	return end
 }
 
-// completeEnd adds to an end what the queue's view of the task says, nil if it has
+// fillEndReport adds to an end what the queue's view of the task says, nil if it has
 // none. It reports false where the end isn't to be reported, or not yet.
-func (s *Scheduler) completeEnd(now eventloop.Micros, end *schema.TaskEndReport, t *task, report *endReport) bool {
+func (s *Scheduler) fillEndReport(now eventloop.Micros, end *schema.TaskEndReport, t *task, report *endReport) bool {
 	// Where the task isn't out under that attempt any more, nothing is left to
 	// report but a failure, which counts. The view may be relied on only because
 	// this node may act for the queue.
@@ -113,8 +113,8 @@
 	return keys
 }
 
-// handleEndReply notes that a queue has committed an end.
-func (s *Scheduler) handleEndReply(m *schema.TaskEndAck) {
+// handleEndAck notes that a queue has committed an end.
+func (s *Scheduler) handleEndAck(m *schema.TaskEndAck) {
 	if m.Key == nil {
 		return
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -107,13 +107,13 @@
 	case *schema.WorkerPollRequest:
 		s.handlePoll(now, message.From, body, effects)
 	case *schema.TaskEndAck:
-		s.handleEndReply(body)
+		s.handleEndAck(body)
 	case StateViewRequest:
 		effects.Respond(body.Request, s.stateView(now))
 	}
 	if s.needsPass && now >= s.nextPassAt {
 		s.needsPass = false
-		s.pass(now, effects)
+		s.runPass(now, effects)
 		// A backlog loses nothing by a moment's delay, and a pass over it costs far
 		// more than the message that asks for it.
 		if s.hasBacklog() {
--- a/internal/scheduler/workers.go
+++ b/internal/scheduler/workers.go
@@ -20,11 +20,11 @@
 
 // worker is the state of a worker whose lease this scheduler holds.
 type worker struct {
-	id           string
-	fencingToken uint64           // of the lease
-	leaseSince   eventloop.Micros // when this scheduler learned of the lease
-	isDead       bool             // reported dead by the agent that took its place
-	lastResponse eventloop.Micros // when it was last granted its own lease to run tasks
+	id                string
+	fencingToken      uint64           // of the lease
+	leaseSince        eventloop.Micros // when this scheduler learned of the lease
+	isDead            bool             // reported dead by the agent that took its place
+	runLeaseGrantedAt eventloop.Micros // when it was last granted its own lease to run tasks
 
 	heartbeatState
 	poll          *openPoll // nil: none is waiting for a response
@@ -143,9 +143,9 @@
 	return w.running[attemptKey{t.key, t.attempt}]
 }
 
-// returnAbandoned returns the tasks of earlier incarnations of a worker, of which
+// returnTasksOfFormerIncarnations returns the tasks of earlier incarnations of a worker, of which
 // nothing runs any more.
-func (s *Scheduler) returnAbandoned(now eventloop.Micros, w *worker, effects eventloop.Effects) {
+func (s *Scheduler) returnTasksOfFormerIncarnations(now eventloop.Micros, w *worker, effects eventloop.Effects) {
 	for _, t := range w.sortedTasks() {
 		if t.incarnation < w.incarnation {
 			s.returnTask(now, t, effects)
--- a/internal/sim/availability.go
+++ b/internal/sim/availability.go
@@ -48,7 +48,7 @@
 		}
 		led := 0
 		for _, group := range view.Groups {
-			if group.Role == "leader" && !strings.HasPrefix(group.Group, clusterstate.Group) {
+			if group.Role == "leader" && !strings.HasPrefix(group.Group, clusterstate.GroupName) {
 				led++
 			}
 		}
--- a/internal/sim/clock.go
+++ b/internal/sim/clock.go
@@ -25,26 +25,26 @@
 	callsInSecond int
 }
 
-// scheduledCall is a call at a moment; of one moment the earlier scheduled come first.
-type scheduledCall struct {
+// timer is a call at a moment; of one moment the earlier scheduled come first.
+type timer struct {
 	at       eventloop.Micros
 	sequence uint64
 	call     func()
 }
 
 // callQueue is a heap, the next call first.
-type callQueue []scheduledCall
+type callQueue []timer
 
 func (q callQueue) Len() int { return len(q) }
 func (q callQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 func (q callQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *callQueue) Push(x any)   { *q = append(*q, x.(scheduledCall)) }
+func (q *callQueue) Push(x any)   { *q = append(*q, x.(timer)) }
 func (q *callQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
-	old[len(old)-1] = scheduledCall{}
+	old[len(old)-1] = timer{}
 	*q = old[:len(old)-1]
 	return last
 }
@@ -52,7 +52,7 @@
 // At schedules a call at a moment, or now if that is over.
 func (c *clock) At(at eventloop.Micros, call func()) {
 	c.lastSequence++
-	heap.Push(&c.calls, scheduledCall{max(at, c.Now), c.lastSequence, call})
+	heap.Push(&c.calls, timer{max(at, c.Now), c.lastSequence, call})
 }
 
 // After schedules a call some time from now.
@@ -62,7 +62,7 @@
 // messages that beget messages would else only show as a run that never ends.
 func (c *clock) Run(until eventloop.Micros) {
 	for len(c.calls) > 0 && c.calls[0].at <= until {
-		next := heap.Pop(&c.calls).(scheduledCall)
+		next := heap.Pop(&c.calls).(timer)
 		if second := next.at / eventloop.Second; second != c.currentSecond {
 			c.currentSecond, c.callsInSecond = second, 0
 		}
--- a/internal/sim/components.go
+++ b/internal/sim/components.go
@@ -94,8 +94,8 @@
 	h.sim.send(h, to, h.addresses.Address(to), body)
 }
 
-// Dial sends to whichever process is at an address.
-func (e *effects) Dial(address string, body any) { e.host.sim.send(e.host, "", address, body) }
+// SendToAddress sends to whichever process is at an address.
+func (e *effects) SendToAddress(address string, body any) { e.host.sim.send(e.host, "", address, body) }
 
 // Notify gives a message to another component of the process; writes and calls of workers
 // go to the simulated disk and machine.
@@ -129,7 +129,7 @@
 	}
 	var view *replica.NodeStateView
 	record := func(body any) { view, _ = body.(*replica.NodeStateView) }
-	component.Step(h.now(), eventloop.Message{Body: replica.GetStateView{Request: 1}}, &responseRecorder{effects{h}, record})
+	component.Step(h.now(), eventloop.Message{Body: replica.StateViewRequest{Request: 1}}, &responseRecorder{effects{h}, record})
 	return view
 }
 
--- a/internal/sim/configuration_changes_test.go
+++ b/internal/sim/configuration_changes_test.go
@@ -42,7 +42,7 @@
 	spec.JobKinds, spec.Workers = nil, 2
 	f := NewFleet(seed, spec, ReliableNetwork, fastSync, duration)
 	for _, h := range f.Hosts {
-		h.Link.BytesPerSecond = bytesPerSecond
+		h.Uplink.BytesPerSecond = bytesPerSecond
 	}
 	o := &changeOperator{
 		Fleet: f, changes: count, interval: duration / eventloop.Micros(count), largeEvery: 20, rng: rand.New(rand.NewPCG(seed, 7)),
@@ -125,7 +125,7 @@
 // applyTimeout is the timeout on this fleet's links: over a slow one the document comes to
 // the leader, its rows go out, and those that read it get it meanwhile.
 func (o *changeOperator) applyTimeout() eventloop.Micros {
-	if o.Hosts[0].Link.BytesPerSecond == 0 {
+	if o.Hosts[0].Uplink.BytesPerSecond == 0 {
 		return applyTimeout
 	}
 	return applyTimeout + 4*eventloop.LinkTime(256<<10)
@@ -258,7 +258,7 @@
 			zone := h.Zone
 			h.Disk = nil
 			successor := o.AddHost(h.Name+"'", zone, h.Role, true)
-			successor.Link.BytesPerSecond = h.Link.BytesPerSecond
+			successor.Uplink.BytesPerSecond = h.Uplink.BytesPerSecond
 			h = successor
 		}
 		if what != "killed" {
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -83,9 +83,9 @@
 	f.blockLinks(h, func() []*Host { return f.Hosts }, duration, isOutgoing, !isOutgoing)
 }
 
-// partitionFromCore blocks for a while what a storage node sends to the other ones, what
+// partitionFromStorageNodes blocks for a while what a storage node sends to the other ones, what
 // it receives of them, or both.
-func (f *Fleet) partitionFromCore(h *Host, duration eventloop.Micros, outgoing, incoming bool) {
+func (f *Fleet) partitionFromStorageNodes(h *Host, duration eventloop.Micros, outgoing, incoming bool) {
 	f.RecordFault("%s cut off from the other disk machines", h.Name)
 	f.blockLinks(h, f.StorageNodes, duration, outgoing, incoming)
 }
@@ -117,7 +117,7 @@
 // partitionSeeds partitions a storage node from the others, makes it the first seed, and
 // starts some processes that know nobody else but two gateways without a disk.
 func (f *Fleet) partitionSeeds(h *Host, duration eventloop.Micros) {
-	f.partitionFromCore(h, duration, true, true)
+	f.partitionFromStorageNodes(h, duration, true, true)
 	seeds := []string{h.Address}
 	for _, node := range f.disklessGateways {
 		seeds = append(seeds, node.Address)
--- a/internal/sim/helpers_test.go
+++ b/internal/sim/helpers_test.go
@@ -31,7 +31,7 @@
 func clusterStateReplica(h *Host) *replica.GroupStateView {
 	if view := h.StateView(); view != nil {
 		for _, group := range view.Groups {
-			if group.Group == clusterstate.Group {
+			if group.Group == clusterstate.GroupName {
 				return group
 			}
 		}
--- a/internal/sim/hollow.go
+++ b/internal/sim/hollow.go
@@ -195,7 +195,7 @@
 			continue
 		}
 		for _, group := range view.Groups {
-			if group.Role == "leader" && group.Group != clusterstate.Group {
+			if group.Role == "leader" && group.Group != clusterstate.GroupName {
 				queuesLed++
 			}
 		}
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -26,7 +26,7 @@
 	Zone            string
 	Role            schema.Role
 	Seeds           []string // addresses; nil: the first storage nodes
-	Link            Link
+	Uplink          Uplink
 	WallClockOffset int64 // µs that its wall clock is ahead
 	// Customize changes what its process is made of, and Route the components that its
 	// messages go to; nil: as in a real process.
@@ -121,9 +121,9 @@
 }
 
 func (h *Host) componentSlots(config *process.Config) []process.ComponentSlot {
-	slots := process.ControllerComponents(config)
+	slots := process.AgentNodeComponents(config)
 	if h.Role == schema.Role_ROLE_SERVER {
-		slots = process.ServerComponents(config)
+		slots = process.GatewayNodeComponents(config)
 	}
 	if h.Customize != nil {
 		slots = h.Customize(config, slots)
--- a/internal/sim/linearizability_test.go
+++ b/internal/sim/linearizability_test.go
@@ -20,7 +20,7 @@
 // none does.
 func (o *operators) clusterStateLeader() *Host {
 	for _, h := range o.StorageNodes() {
-		if leads(h.StateView(), clusterstate.Group) && !h.isFrozen {
+		if leads(h.StateView(), clusterstate.GroupName) && !h.isFrozen {
 			return h
 		}
 	}
--- a/internal/sim/link.go
+++ b/internal/sim/link.go
@@ -6,10 +6,10 @@
 	"sparnotch/internal/eventloop"
 )
 
-// Link is a host's connection to the network: what it sends and what is sent to it passes
+// Uplink is a host's connection to the network: what it sends and what is sent to it passes
 // in order, at a rate. A message that would wait for too long is dropped, as the transport
 // does.
-type Link struct {
+type Uplink struct {
 	BytesPerSecond                  int64            // each way; 0: no limit
 	sendBusyUntil, receiveBusyUntil eventloop.Micros // when what is on its way has passed
 }
@@ -21,7 +21,7 @@
 
 // transmit is when a message has passed that comes to the link now, in the direction that
 // is busy until then; false if it would wait for too long.
-func (l *Link) transmit(now eventloop.Micros, busyUntil *eventloop.Micros, bytes int64) (eventloop.Micros, bool) {
+func (l *Uplink) transmit(now eventloop.Micros, busyUntil *eventloop.Micros, bytes int64) (eventloop.Micros, bool) {
 	if l.BytesPerSecond == 0 {
 		return now, true
 	}
@@ -36,17 +36,17 @@
 // transferTime is how long a message takes to pass the links of both hosts, in µs; false
 // if it is dropped.
 func (s *Simulation) transferTime(from, to *Host, body any) (eventloop.Micros, bool) {
-	if from.Link.BytesPerSecond == 0 && (to == nil || to.Link.BytesPerSecond == 0) {
+	if from.Uplink.BytesPerSecond == 0 && (to == nil || to.Uplink.BytesPerSecond == 0) {
 		return 0, true
 	}
 	bytes := int64(messageOverheadBytes)
 	if message, ok := body.(proto.Message); ok {
 		bytes += int64(proto.Size(message))
 	}
-	sentAt, isSent := from.Link.transmit(s.Now, &from.Link.sendBusyUntil, bytes)
+	sentAt, isSent := from.Uplink.transmit(s.Now, &from.Uplink.sendBusyUntil, bytes)
 	if !isSent || to == nil {
 		return 0, isSent
 	}
-	receivedAt, isReceived := to.Link.transmit(sentAt, &to.Link.receiveBusyUntil, bytes)
+	receivedAt, isReceived := to.Uplink.transmit(sentAt, &to.Uplink.receiveBusyUntil, bytes)
 	return receivedAt - s.Now, isReceived
 }
--- a/internal/sim/partition_probes_test.go
+++ b/internal/sim/partition_probes_test.go
@@ -304,7 +304,7 @@
 	heartbeat := &schema.WorkerHeartbeat{Incarnation: 1, Seq: r.heartbeats, CoresMilli: 1, MemoryMb: 1}
 	sentAt := r.Now
 	r.Request(h, announceTimeout, func(id uint64, deadline eventloop.Micros) any {
-		return gateway.ForwardAnnouncement{RequestID: id, Worker: "w-" + h.Name, Announce: heartbeat, Deadline: deadline}
+		return gateway.ForwardHeartbeat{RequestID: id, Worker: "w-" + h.Name, Heartbeat: heartbeat, Deadline: deadline}
 	}, func(answer any) {
 		if response := responseOf(answer); response.Code != 0 && sentAt > r.unreachableSince+inForceTimeout {
 			r.check(h, "heartbeat", sentAt, response)
--- a/internal/sim/platform_faults.go
+++ b/internal/sim/platform_faults.go
@@ -21,9 +21,15 @@
 	"succeed": {anyStorageNode, true, onHost(func(f *Fleet, h *Host, _ eventloop.Micros) { f.replaceGracefully(h) })},
 
 	// A storage node is partitioned from the other two alone.
-	"corecut":  {anyStorageNode, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) { f.partitionFromCore(h, duration, true, true) })},
-	"coremute": {anyStorageNode, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) { f.partitionFromCore(h, duration, true, false) })},
-	"coredeaf": {anyStorageNode, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) { f.partitionFromCore(h, duration, false, true) })},
+	"corecut": {anyStorageNode, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) {
+		f.partitionFromStorageNodes(h, duration, true, true)
+	})},
+	"coremute": {anyStorageNode, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) {
+		f.partitionFromStorageNodes(h, duration, true, false)
+	})},
+	"coredeaf": {anyStorageNode, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) {
+		f.partitionFromStorageNodes(h, duration, false, true)
+	})},
 
 	"seedcut":  {anyStorageNode, true, onHost((*Fleet).partitionSeeds)},
 	"turnover": {wholeFleet, false, onFleet(func(f *Fleet, _ eventloop.Micros) { f.rotateSeeds() })},
--- a/internal/sim/polling_worker.go
+++ b/internal/sim/polling_worker.go
@@ -35,7 +35,7 @@
 	name, rack    string
 	zone          string
 	cores, memory int64
-	worker        *fakeworker.Worker
+	worker        *fakeworker.PollingWorker
 	gateway       *Host
 	incarnation   uint64
 	openPolls     int
@@ -70,7 +70,7 @@
 	w.run++
 	w.incarnation++
 	w.openPolls, w.isFrozen = 0, false
-	w.worker = fakeworker.New(sim.Now, w.name, w.rack, w.cores, w.memory, w.incarnation, rand.New(rand.NewPCG(sim.Rng.Uint64(), 1)), sim.Record)
+	w.worker = fakeworker.NewPollingWorker(sim.Now, w.name, w.rack, w.cores, w.memory, w.incarnation, rand.New(rand.NewPCG(sim.Rng.Uint64(), 1)), sim.Record)
 	w.gateway = sim.pickGateway(w.zone)
 	w.tick(w.run)
 }
@@ -153,7 +153,7 @@
 		return
 	}
 	sim.Request(w.gateway, pollTimeout, func(id uint64, deadline eventloop.Micros) any {
-		return gateway.ForwardAnnouncement{RequestID: id, Worker: w.name, Announce: heartbeat, Deadline: deadline}
+		return gateway.ForwardHeartbeat{RequestID: id, Worker: w.name, Heartbeat: heartbeat, Deadline: deadline}
 	}, func(answer any) {
 		if w.isPartitioned {
 			answer = nil
--- a/internal/sim/replacement_test.go
+++ b/internal/sim/replacement_test.go
@@ -76,9 +76,9 @@
 		config.Bootstrap, config.MachineFailures = isFirst && h.run == 1, uint32(c.losses)
 		config.ZoneFailures, config.RegionFailures, config.RegionByZone = uint32(c.tolerance.Zones), uint32(c.tolerance.Regions), c.tolerance.RegionByZone
 		if h.Role == schema.Role_ROLE_CONTROLLER {
-			return process.ControllerComponents(config)
+			return process.AgentNodeComponents(config)
 		}
-		return process.ServerComponents(config)
+		return process.GatewayNodeComponents(config)
 	}
 }
 
@@ -134,7 +134,7 @@
 
 // voters are the hosts that vote on the cluster state, its leader first.
 func (c *storageFleet) voters() []*Host {
-	list := c.hostedReplicas()[clusterstate.Group]
+	list := c.hostedReplicas()[clusterstate.GroupName]
 	leader := leaderOf(list)
 	if leader == nil {
 		return nil
--- a/internal/sim/requests.go
+++ b/internal/sim/requests.go
@@ -66,13 +66,13 @@
 
 // updateRequest sends a configuration.
 func updateRequest(update *schema.ConfigurationUpdate) gateway.LeaderRequest {
-	return gateway.LeaderRequest{Kind: "clusterstate", Group: clusterstate.Group, Body: replica.EncodeClusterStateCommand(
+	return gateway.LeaderRequest{Kind: "clusterstate", Group: clusterstate.GroupName, Body: replica.EncodeClusterStateCommand(
 		&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: update}}})}
 }
 
 // configurationRequest reads the configuration.
 func configurationRequest() gateway.LeaderRequest {
-	return gateway.LeaderRequest{Kind: "plan", Group: clusterstate.Group}
+	return gateway.LeaderRequest{Kind: "plan", Group: clusterstate.GroupName}
 }
 
 // response reads the answer of a request; its code is 0 where there is none.
--- a/internal/sim/scenarios_disk.go
+++ b/internal/sim/scenarios_disk.go
@@ -143,7 +143,7 @@
 	count := 0
 	for _, other := range f.StorageNodes() {
 		view := other.StateView()
-		if !leads(view, clusterstate.Group) {
+		if !leads(view, clusterstate.GroupName) {
 			continue
 		}
 		for _, lease := range view.WorkerLeases {
--- a/internal/sim/transport_test.go
+++ b/internal/sim/transport_test.go
@@ -130,7 +130,7 @@
 }
 
 func (s *simTransport) dial(from int, address string, body any) {
-	(&effects{s.ends[from]}).Dial(address, body)
+	(&effects{s.ends[from]}).SendToAddress(address, body)
 }
 func (s *simTransport) send(from int, id, address string, body any) {
 	s.sim.send(s.ends[from], id, address, body)
