--- a/internal/clusterstate/clusterstate.go
+++ b/internal/clusterstate/clusterstate.go
@@ -1,7 +1,7 @@
 // Package clusterstate is the replicated state machine of the cluster's own Raft group.
 // It holds the operators' configuration with its history, the placement of the queues,
-// the worker leases (which scheduler alone may command a worker) and the controller
-// lease (which controller alone may act).
+// the worker leases (which scheduler alone may command a worker; they don't expire, the
+// controller reassigns them) and the controller lease (which controller alone may act).
 //
 // A StateMachine applies the group's committed entries in log order and is deterministic:
 // its only clock is the time that the entries carry. Each replica of the group owns one;
--- a/internal/clusterstate/controller_lease.go
+++ b/internal/clusterstate/controller_lease.go
@@ -42,7 +42,8 @@
 	return &Result{Code: http.StatusOK, FencingToken: token}
 }
 
-// staleTokenResult rejects a command whose fencing token isn't that of the current lease.
+// staleTokenResult rejects a command whose fencing token isn't that of the current, unexpired
+// lease.
 func staleTokenResult() *Result {
 	return &Result{Code: http.StatusForbidden, Error: &schema.Error{
 		Code: "lease_over", Message: "the controller lease is not the current one",
--- a/internal/clusterstate/replace.go
+++ b/internal/clusterstate/replace.go
@@ -27,6 +27,9 @@
 //   - 503: its base hasn't been accepted yet, as when updates are sent one after the other
 //     without waiting; once it has, this one may be;
 //   - 504: its base is older than what is remembered, so it may have been accepted.
+//
+// In the API's fields and messages the version is called edition, the revision generation,
+// and the configuration plan or, in an update, sheet.
 
 // The state has a bounded size, for each snapshot contains the whole of it: previous
 // configurations are kept without their documents, accepted updates as digests.
@@ -102,7 +105,8 @@
 	return m.applyUpdate(update, update.Version, update.Document, &schema.AcceptedVersion{Version: update.Version, Digest: digest})
 }
 
-// baseSuperseded answers an update whose base has been replaced by another update.
+// baseSuperseded rejects an update whose base has been replaced: 412, or 504 if it isn't
+// remembered whether by this very update.
 func baseSuperseded(field string, given, current uint64, remembered bool) *Result {
 	if !remembered {
 		return &Result{Code: http.StatusGatewayTimeout, Error: &schema.Error{
--- a/internal/clusterstate/values.go
+++ b/internal/clusterstate/values.go
@@ -45,8 +45,9 @@
 	return v
 }
 
-// ForConfiguration returns the values of a configuration: these ones if they are of the same
-// revision, for the cluster state changes more often than the configuration in it.
+// ForConfiguration returns the values of a configuration: v itself if the revision is the
+// same, else newly parsed ones. The cluster state changes more often than the configuration
+// in it.
 func (v *Values) ForConfiguration(configuration *schema.Configuration) *Values {
 	if v.revision > 0 && v.revision == configuration.GetRevision() {
 		return v
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -4,7 +4,9 @@
 // and ends the sessions of gateway nodes that are gone.
 //
 // Each agent node runs a Controller, but only the holder of the controller lease acts. The
-// lease is granted by the cluster state, which also checks its fencing token on each command.
+// lease is granted by the cluster state, which checks its fencing token on the commands that
+// place queues and assign workers; leaders check it on membership changes. Requests to end
+// sessions carry no token.
 // A Controller owns no durable state: it works on copies of the cluster state that it polls
 // from the storage nodes. Without any controller the cluster goes on as the cluster state
 // last said.
--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -5,7 +5,8 @@
 	"sparnotch/internal/eventloop"
 )
 
-// deposedTimeout is how long a storage node doesn't answer polls until it can be deposed.
+// deposedTimeout is how long a storage node must have left polls unanswered before it can
+// count as deposed.
 const deposedTimeout = 600 * eventloop.Millisecond
 
 // observeStorageNodes keeps track of which storage nodes are missing and where they were, also
@@ -39,7 +40,8 @@
 		missing > c.timeouts.ReplaceByNewTimeout && c.hasNewlyJoined(now)
 }
 
-// trackMissing returns how long something has been missed, from the first call on.
+// trackMissing returns for how long a key has been missing, and starts the count at its first
+// call.
 func (c *Controller) trackMissing(now eventloop.Micros, key string) eventloop.Micros {
 	since, found := c.missingSince[key]
 	if !found {
--- a/internal/controller/group_members.go
+++ b/internal/controller/group_members.go
@@ -37,8 +37,8 @@
 // voterCondition is what is wrong with a group's voters.
 type voterCondition struct {
 	lost          []string
-	withSuccessor string // one of the lost that has a successor
-	departing     string // one that is to hand its vote over
+	withSuccessor string // a lost voter that has a successor, so won't come back
+	departing     string // a live voter whose vote another node should get
 }
 
 func (v *voterCondition) isHealthy() bool { return len(v.lost) == 0 && v.departing == "" }
--- a/internal/controller/leaders.go
+++ b/internal/controller/leaders.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	highLatencyUs       = int64(300 * eventloop.Millisecond) // a node above it only leads for want of others
+	highLatencyUs       = int64(300 * eventloop.Millisecond) // nodes below it are preferred, see mostSuitable
 	latencyMoveCooldown = 15 * eventloop.Second              // between two moves for latency alone
 	latencyMoveFactor   = 3                                  // latency alone moves nothing unless it is so many times higher
 )
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -58,15 +58,17 @@
 	}
 }
 
-// shouldClaimLease reports whether it is worth claiming the lease. Candidates wait by rank, so that
-// seldom two claim at once. The last holder doesn't wait: while the cluster state's group had no
-// leader, nobody could renew.
+// shouldClaimLease reports whether this candidate may claim the lease now. Candidates wait by
+// rank, so that seldom two claim at once. The last holder doesn't wait: while the cluster
+// state's group had no leader, nobody could renew.
 func (c *Controller) shouldClaimLease(now eventloop.Micros, rank int) bool {
 	if c.state.ControllerLease.GetHolder() == c.id {
 		return true
 	}
 	delay := eventloop.Micros(rank) * candidateDelay
 	if c.leaseExpiryUs == 0 {
+		// No lease was seen yet. The process's clock begins at its start (at a second, see
+		// eventloop.RealClock), so now stands for the time since then.
 		return now > delay
 	}
 	unrenewedFor := now - c.leaseExpirySeenAt
--- a/internal/membership/bootstrap.go
+++ b/internal/membership/bootstrap.go
@@ -65,8 +65,8 @@
 
 // isImplicitBootstrap reports whether the settings say neither that this is the first start
 // nor which failures to tolerate: then the storage nodes that are seeds bootstrap. If they
-// do say so they are taken at their word: a node that comes back empty at a seed's address
-// never bootstraps.
+// say either, only config.Bootstrap allows a bootstrap: without it a node that comes back
+// empty at a seed's address never bootstraps another cluster.
 func (m *Membership) isImplicitBootstrap() bool {
 	return !m.config.Bootstrap && m.config.MachineFailures == 0
 }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -7,7 +7,7 @@
 	MachineFailures uint32   // storage nodes that may be lost at once; 0: one
 	IsAgentNode     bool
 
-	ZoneFailures, RegionFailures uint32            // that may be lost at once
+	ZoneFailures, RegionFailures uint32            // zones and regions that may be lost at once
 	RegionByZone                 map[string]string // the region of each zone
 }
 
--- a/internal/membership/gossip_receive.go
+++ b/internal/membership/gossip_receive.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	minGossipInterval  = 20 * eventloop.Millisecond // between two gossip rounds out of turn
+	minGossipInterval  = 20 * eventloop.Millisecond // minimum time between two gossip rounds sent between ticks
 	addressReuseMinAge = eventloop.Second           // a member heard from within it isn't replaced by another at its address
 )
 
--- a/internal/membership/gossip_send.go
+++ b/internal/membership/gossip_send.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	livenessTimeout  = 2 * eventloop.Second // a storage node that isn't heard from for so long is only contacted for want of others
+	livenessTimeout  = 2 * eventloop.Second // a member not heard from for longer isn't considered live here
 	fullSyncInterval = 4 * eventloop.Second // between two requests for full members
 	startupTicks     = 40                   // ticks after the start in which all seeds are contacted
 )
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -41,8 +41,8 @@
 }
 
 // HasWritableQuorum reports whether enough of a group's voters accept writes, as far as is
-// known. Unresponsive voters alone are no reason to say no (a group without a quorum soon has
-// no leader); together with one that refuses writes they may leave too few.
+// known. It is always true if no voter refuses writes: unresponsive voters alone are handled
+// by leader election. Together with one that refuses writes they may leave too few.
 func (v *View) HasWritableQuorum(now eventloop.Micros, voters []string, refusesWrites func(id string) bool) bool {
 	refusing, writable := 0, 0
 	for _, id := range voters {
--- a/internal/raft/bootstrap.go
+++ b/internal/raft/bootstrap.go
@@ -12,9 +12,9 @@
 	maxBootstrapVoteRounds = 12
 )
 
-// Bootstrap sets the first voters of a replica that has none, because a message of
-// its leader made it before its node learnt the members. It is no error, and has no
-// effect, on a replica that has members.
+// Bootstrap sets the initial voters of a replica that was created by a leader's message
+// before its node knew them. It has no effect on a replica that has a snapshot or voters,
+// or if voters is empty.
 func (g *Group) Bootstrap(voters []string) {
 	if g.snapshot.Index > 0 || len(g.snapshot.MemberSet.GetVoters()) > 0 || len(voters) == 0 {
 		return
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -22,8 +22,8 @@
 // shortenElectionDeadline sets the first deadline after a restart. This replica has
 // acknowledged no leader since, so only a lease that it may have extended just
 // before the restart is waited for; a pre-vote harms no leader that is still there.
-// The one that led last, as its own vote tells, goes first: after a restart of all
-// the same node leads again what it led before.
+// A replica whose last vote was for itself, as the former leader's was, campaigns first,
+// so that a full restart keeps each group's leader.
 func (g *Group) shortenElectionDeadline(now eventloop.Micros) {
 	g.formerLeaseExpiry = now + g.timeouts.leaderLease()
 	g.electionDeadline = g.formerLeaseExpiry
--- a/internal/raft/flowcontrol.go
+++ b/internal/raft/flowcontrol.go
@@ -23,7 +23,7 @@
 type inflightAppend struct {
 	lastIndex uint64 // its last entry
 	bytes     int
-	sentAt    eventloop.Micros // 0: its round trip says nothing of the link
+	sentAt    eventloop.Micros // 0 for a probe, whose round trip isn't used to adapt the window
 }
 
 // maxHeartbeatDelay is how long a heartbeat may wait behind other messages: it and its
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -23,8 +23,8 @@
 	return g.log[index-g.snapshot.Index-1].Term
 }
 
-// entryTime is the group time of an entry in µs; the log or the snapshot's end must
-// hold it.
+// entryTime is the group time of an entry in µs; the index must be the snapshot's or in
+// the log.
 func (g *Group) entryTime(index uint64) int64 {
 	if index == g.snapshot.Index {
 		return g.snapshot.TimeUs
@@ -34,7 +34,7 @@
 
 func (g *Group) lastEntryTime() int64 { return g.entryTime(g.LastIndex()) }
 
-// entriesBetween are the entries after index low up to and with index high.
+// entriesBetween returns the entries with indexes in (low, high].
 func (g *Group) entriesBetween(low, high uint64) []*schema.Entry {
 	return g.log[low-g.snapshot.Index : high-g.snapshot.Index]
 }
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -14,7 +14,8 @@
 const MaxLearnerLag = 64
 
 // NotSingleServerChange means that a proposed member set differs from the current one
-// by more than one voter, or has no voters.
+// by more than one voter, or has no voters. The name in quotes is the one that error texts
+// print.
 var NotSingleServerChange = Errors.NewType("not_one_step")
 
 // MemberSet is the group's newest membership, committed or not; it must not be
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -74,7 +74,8 @@
 	leader
 )
 
-// The text of preCandidate is part of the operators' state view, and stays.
+// String implements fmt.Stringer. The state view's JSON calls a pre-candidate "asking"; that
+// name can't change.
 func (r role) String() string { return [...]string{"follower", "asking", "candidate", "leader"}[r] }
 
 // Message is a message for another replica of the group.
@@ -142,7 +143,7 @@
 	peers             map[string]*progress
 	noOpIndex         uint64                      // the no-op entry that began this leader's term
 	round             uint64                      // last round of heartbeats sent
-	roundSentAt       map[uint64]eventloop.Micros // rounds that no quorum has acknowledged yet
+	roundSentAt       map[uint64]eventloop.Micros // send times of the last round that a quorum acknowledged and of all later ones
 	quorumRoundSentAt eventloop.Micros            // when the last round that a quorum acknowledged was sent
 	nextHeartbeat     eventloop.Micros
 	pendingReads      []readRequest
@@ -194,7 +195,8 @@
 // CommitIndex is the index up to which entries are known to be committed.
 func (g *Group) CommitIndex() uint64 { return g.commit }
 
-// AppliedIndex is the index up to which committed entries were handed out by Ready.
+// AppliedIndex is the index up to which committed entries have been queued for Ready. It
+// always equals the commit index.
 func (g *Group) AppliedIndex() uint64 { return g.applied }
 
 // StableIndex is the index up to which this replica's log is synced.
--- a/internal/raft/readindex.go
+++ b/internal/raft/readindex.go
@@ -9,7 +9,7 @@
 // readRequest is a read that waits for a quorum to confirm this leader.
 type readRequest struct {
 	id    uint64 // the caller's id
-	index uint64 // commit index when it was asked
+	index uint64 // commit index when it was asked; see serveReads
 	round uint64 // round of heartbeats that confirms it
 }
 
@@ -39,7 +39,10 @@
 	g.broadcastHeartbeat(now)
 }
 
-// serveReads releases the reads that a round confirms.
+// serveReads releases the reads that a round confirms. It needn't compare their indexes: an
+// entry is queued for Ready when it is committed, and a read's index was committed when the
+// read was asked. So the entries up to it are handed out no later than the read, and the
+// caller must apply a Ready's entries before it serves the Ready's reads.
 func (g *Group) serveReads(round uint64) {
 	k := 0
 	for ; k < len(g.pendingReads) && g.pendingReads[k].round <= round; k++ {
--- a/internal/replica/fault_tolerance.go
+++ b/internal/replica/fault_tolerance.go
@@ -43,8 +43,8 @@
 			liveZones = append(liveZones, known.Member.Zone)
 		}
 	}
-	// The zones of all voters aren't known: the membership forgets a voter that is gone
-	// for long. Bears needs only their number.
+	// The zones of all voters aren't known, since the membership forgets long-gone ones.
+	// TolerableFailures needs only their number.
 	tolerance.Machines, tolerance.Zones, tolerance.Regions = h.tolerance.TolerableFailures(make([]string, len(voters)), liveZones)
 	tolerance.Shortfall = h.tolerance.Shortfall(zones)
 	return tolerance
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -107,8 +107,8 @@
 	return h.sortedNames
 }
 
-// queueReplica is this node's replica of a queue that the cluster state lists; nil:
-// there is none.
+// queueReplica returns this node's replica of a queue in the cluster state; nil if there
+// is none.
 func (h *Host) queueReplica(name string) *replica {
 	if placement := clusterstate.FindQueue(h.sharedState, name); placement != nil {
 		return h.groups[GroupName(placement)]
--- a/internal/replica/member_changes.go
+++ b/internal/replica/member_changes.go
@@ -135,9 +135,9 @@
 	}
 }
 
-// clusterAge is for how long the cluster has existed, at least: the cluster state's time
-// began with it, and a lease was renewed LeaseUs before it expires. 0: no lease was seen
-// yet.
+// clusterAge returns a lower bound of the cluster's age: the cluster state's time of the
+// last renewal of the controller lease, which is ControllerLeaseUs before its expiry, plus
+// the time since it was seen. It is 0 if no lease was seen yet.
 func (h *Host) clusterAge(now eventloop.Micros) eventloop.Micros {
 	if h.controllerLeaseUntil == 0 {
 		return 0
--- a/internal/replica/requests.go
+++ b/internal/replica/requests.go
@@ -37,7 +37,8 @@
 
 const unknownJobMessage = "no job of this name is known in the queue"
 
-// pendingReply is a request or task report that is answered once it is applied.
+// pendingReply is a request or task report that waits for its reply: until its command is
+// applied, or its read confirmed.
 type pendingReply struct {
 	term    uint64 // of the leadership that took it
 	from    string // process to answer; empty: a component of this one
@@ -128,7 +129,8 @@
 	effects.Send(pending.from, &schema.Response{Id: pending.request.Id, Code: code, Body: body, Leader: h.id, Group: pending.request.Group})
 }
 
-// leaseReply is the answer to a command of a controller: its lease's fencing token.
+// leaseReply is the body of a reply whose result has neither an error nor a configuration.
+// The token is 0 except after a claim of the controller lease.
 type leaseReply struct {
 	Lease uint64 `json:"lease"`
 }
--- a/internal/replica/state_view.go
+++ b/internal/replica/state_view.go
@@ -1,6 +1,6 @@
 package replica
 
-// The state view: what this node holds to be so, for operators.
+// The state view: this node's possibly stale view of the cluster, for operators.
 
 import (
 	"crypto/sha256"
--- a/internal/replica/submissions.go
+++ b/internal/replica/submissions.go
@@ -11,7 +11,7 @@
 	"sparnotch/internal/schema"
 )
 
-// maxUncommitted is how many entries of a group may wait to be applied before more are
+// maxUncommitted is how many entries of a group may be uncommitted before more are
 // rejected.
 const maxUncommitted = 8192
 
@@ -35,7 +35,8 @@
 	return index
 }
 
-// isBacklogFull reports whether a group has more to apply than it should accept.
+// isBacklogFull reports whether a group has too many uncommitted entries to accept
+// more.
 func (h *Host) isBacklogFull(r *replica) bool {
 	return r.group.LastIndex()-r.group.AppliedIndex() > maxUncommitted
 }
