--- a/internal/storage/dir.go
+++ b/internal/storage/dir.go
@@ -8,19 +8,19 @@
 	"syscall"
 )
 
-// lockName is the file that a process locks while it uses the folder.
+// lockName is the file that a process locks while it uses the directory.
 const lockName = "lock"
 
-// Dir is the Disk of a real data folder. It holds an exclusive lock on the folder until
-// it is closed.
+// Dir is the Disk of a real data directory. It holds an exclusive lock on the directory
+// until it is closed.
 type Dir struct {
 	path  string
 	files map[string]*os.File
 	lock  *os.File
 }
 
-// OpenDir makes the folder if need be and locks it. For one that holds something else
-// than a store, or is in use, the error is DirRejected and nothing is written there;
+// OpenDir creates the directory if it doesn't exist and locks it. If it contains something
+// other than a store, or is in use, the error is DirRejected and nothing is written to it;
 // other failures are IOFailed.
 func OpenDir(path string) (*Dir, error) {
 	if err := checkOwned(path); err != nil {
@@ -45,8 +45,8 @@
 // has in its root.
 var ownedPrefixes = []string{lockName, slotPrefix, logPrefix, "lost+found"}
 
-// checkOwned refuses what is no folder, can't be read, or holds files but none of a
-// store's.
+// checkOwned rejects a path that isn't a directory, can't be read, or contains files but
+// none of a store.
 func checkOwned(path string) error {
 	entries, err := os.ReadDir(path)
 	switch {
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -86,7 +86,7 @@
 }
 
 // readSlot returns nil for a slot that is absent or was being written at a crash: then
-// the other one is in force.
+// the other one is current.
 func readSlot(disk Disk, name string) (*schema.SnapshotSlot, error) {
 	data, err := readFile(disk, name)
 	if err != nil {
--- a/internal/storage/readonly.go
+++ b/internal/storage/readonly.go
@@ -6,15 +6,15 @@
 	"syscall"
 )
 
-// readOnlyDisk is the Disk of a data folder that isn't changed: what is written, as by
+// readOnlyDisk is the Disk of a data directory that isn't changed: what is written, as by
 // the truncation of a torn tail, stays in memory.
 type readOnlyDisk struct {
 	path    string
 	changed map[string][]byte // content of files that were written to
 }
 
-// OpenReadOnly reads the store in the data folder of a stopped process, and writes
-// nothing there. The error is Corrupted as for Open; it is IOFailed if the folder is in
+// OpenReadOnly reads the store in the data directory of a stopped process, and writes
+// nothing there. The error is Corrupted as for Open; it is IOFailed if the directory is in
 // use or holds no store.
 func OpenReadOnly(path string) (*Store, error) {
 	lock, err := os.Open(filepath.Join(path, lockName))
--- a/internal/storage/repair.go
+++ b/internal/storage/repair.go
@@ -9,8 +9,8 @@
 	// durably, before anything follows it.
 	tailTorn
 	// tailUncertain: a sync failed. The page cache may hold as clean what never reached
-	// the disk, so another sync proves nothing. Nothing more is written to this log; all
-	// that was acknowledged goes, as new writes, into the other slot.
+	// the disk, so another sync proves nothing. Nothing more is appended to this
+	// log; the acknowledged state is written anew to the other slot.
 	tailUncertain
 )
 
--- a/internal/storage/replay.go
+++ b/internal/storage/replay.go
@@ -18,7 +18,7 @@
 	return nil
 }
 
-// replay applies the log of the slot in force and truncates its torn tail.
+// replay applies the log of the current slot and truncates its torn tail.
 func (s *Store) replay() error {
 	name := logName(s.epoch)
 	data, err := readFile(s.disk, name)
@@ -73,7 +73,7 @@
 	}
 }
 
-// rewriteSlot is rewriteUnsynced for the slot in force. It isn't needed once its log
+// rewriteSlot is rewriteUnsynced for the current slot. It isn't needed once its log
 // has begun, which happens only after the slot was synced.
 func (s *Store) rewriteSlot() error {
 	name := slotName(s.epoch)
@@ -84,9 +84,9 @@
 	return s.rewriteUnsynced(name, data, 0)
 }
 
-// rewriteUnsynced writes again, and syncs, what was read and isn't known to be durable:
-// of a log what follows the last frame that a later one knew as synced. A sync that
-// failed before a restart may have left it in the page cache alone, marked as clean.
+// rewriteUnsynced rewrites and syncs data[from:], which was read but isn't known to be
+// durable (in a log, everything after the last frame that a later frame records as synced).
+// A sync that failed before a restart may have left it only in the page cache, marked clean.
 func (s *Store) rewriteUnsynced(name string, data []byte, from int) error {
 	if from < len(data) {
 		if err := s.disk.Write(name, int64(from), data[from:]); err != nil {
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -16,21 +16,22 @@
 )
 
 var (
-	// Errors is the namespace of this package's errors.
+	// Errors is the namespace of this package's errors. The names of its types, in quotes,
+	// are the ones that error texts print and the operators' pages use.
 	Errors = errorx.NewNamespace("storage")
 	// Corrupted means that acknowledged content can't be read back; the message names
 	// file and offset.
 	Corrupted = Errors.NewType("damaged")
 	// IOFailed means that an operation on files failed.
 	IOFailed = Errors.NewType("failed")
-	// DirRejected means that a data folder isn't this process's to use.
+	// DirRejected means that a data directory isn't this process's to use.
 	DirRejected = Errors.NewType("foreign")
 )
 
 // IsCorrupted tells whether an error of Open means that the store can't be trusted.
 func IsCorrupted(err error) bool { return err != nil && errorx.IsOfType(err, Corrupted) }
 
-// IsDirRejected tells whether an error of OpenDir means that the folder isn't this
+// IsDirRejected tells whether an error of OpenDir means that the directory isn't this
 // process's to use.
 func IsDirRejected(err error) bool { return err != nil && errorx.IsOfType(err, DirRejected) }
 
@@ -61,7 +62,7 @@
 	state *State
 	stats Stats
 
-	epoch     uint64 // of the slot in force
+	epoch     uint64 // of the current slot
 	lastSeq   uint64 // last frame of its log; 0: none
 	syncedSeq uint64 // last frame known to be synced
 	logSize   int64  // bytes of the log's frames
