--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -43,7 +43,8 @@
 	Start Action = iota + 1
 	// Stop ends a task.
 	Stop
-	// Inspect renews the hold on what runs, and lists what runs and what has ended.
+	// Inspect extends the deadline up to which the worker may run its tasks, and lists
+	// running and ended tasks.
 	Inspect
 )
 
@@ -126,7 +127,7 @@
 	Number     uint64 // from 1 in each incarnation, rising
 	Task       TaskName
 	Attempt    uint32
-	State      string // done, failed, stopped, lapsed, broken, alone
+	State      string // done, failed, stopped, lapsed (run deadline passed), broken (another gang member ended), alone (gang incomplete)
 	Checkpoint string
 }
 
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -12,8 +12,8 @@
 const (
 	// callTimeout is when a call whose Reply never came counts as timed out.
 	callTimeout = 3 * eventloop.Second
-	// A reply is waited for replyTimeoutFactor times as long as the slowest of late,
-	// and between these bounds in any case.
+	// The reply timeout is minReplyTimeout plus replyTimeoutFactor times the slowest recent
+	// reply, at most maxReplyTimeout.
 	minReplyTimeout    = 40 * eventloop.Millisecond
 	maxReplyTimeout    = 400 * eventloop.Millisecond
 	replyTimeoutFactor = 4
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -46,10 +46,10 @@
 	w.hasChanges = w.hasChanges || changed
 }
 
-// admitHeartbeat reports whether a heartbeat is to be taken: that of an incarnation that is
-// over. After a restart of the agent a delayed heartbeat of a former incarnation can
-// replace the live one; the live one takes its place back when the former has
-// never replied to a call.
+// admitHeartbeat reports whether a heartbeat is accepted. One of a former incarnation isn't,
+// with one exception: after a restart of the agent a delayed heartbeat of a former
+// incarnation can replace the live one; the live one takes its place back when the former
+// has never replied to a call.
 func (a *Agent) admitHeartbeat(m Heartbeat) bool {
 	k := a.formerIndex(m.Worker)
 	if k < 0 {
--- a/internal/agent/inspection.go
+++ b/internal/agent/inspection.go
@@ -171,7 +171,7 @@
 	case e != nil && e.number != 0:
 		return
 	case e != nil:
-		// It was given up, and runs all the same: it must be stopped.
+		// The agent reported it as ended, but the worker still runs it: stop it.
 		delete(w.unacknowledged, key)
 		r = &run{key: key, state: stopping, firstSeenAt: now}
 		w.runs[key] = r
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -6,10 +6,11 @@
 )
 
 const (
-	// defaultRunLeaseDuration is that of a worker lease until a scheduler has given one.
+	// defaultRunLeaseDuration is the assumed duration of the run lease until a scheduler has
+	// granted one.
 	defaultRunLeaseDuration = 4 * eventloop.Second
-	// maxHoldDuration is how long the worker holds its runs after a call. When the
-	// worker stops answering, its tasks can be given to others after that time.
+	// maxHoldDuration is how long the worker keeps its runs alive after a call that
+	// extends their deadline. When the worker stops answering, its tasks can be given to others after that time.
 	maxHoldDuration = 3 * eventloop.Second
 	// holdMargin covers rounding in the conversion between the two clocks.
 	holdMargin = 20 * eventloop.Millisecond
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -79,7 +79,8 @@
 	sampledClock    eventloop.Micros // the least that the worker's clock shows at clockSampledAt
 	clockSampledAt  eventloop.Micros
 
-	// The worker lease, and what the worker holds under it.
+	// The worker lease (which scheduler may give orders), and under it the run lease (until
+	// when the worker may run tasks).
 	scheduler          string           // holder of the worker lease
 	fencingToken       uint64           // newest of the worker lease
 	inspectedToken     uint64           // that of the inspection behind what is reported; 0: one is due
--- a/internal/fakeworker/called_runs.go
+++ b/internal/fakeworker/called_runs.go
@@ -71,7 +71,7 @@
 	return slowdown
 }
 
-// remoteFactor is how much longer work takes outside its data's or its gang's rack.
+// remoteFactor is the slowdown of a task whose data or gang is in another rack.
 func (w *CalledWorker) remoteFactor() float64 {
 	if milli := w.config.Bounds.RemoteSlowdownMilli; milli > 0 {
 		return float64(milli) / 1000
--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -43,7 +43,7 @@
 	attempt          uint32
 	failures         uint32
 	failedAttempt    uint32 // the latest attempt that was counted as failed
-	requeues         uint32 // returns that weren\'t failures
+	requeues         uint32 // returns that weren't failures
 	worker           string // that it is checked out for
 	incarnation      uint64 // of the worker
 	checkoutSequence uint64 // of the event that reported the checkout
@@ -172,8 +172,8 @@
 	return Ready
 }
 
-// sharedTask is the task that has the failures and checkpoint of a task: itself, or the
-// first member of its gang.
+// sharedTask returns the task that holds the shared failure count and checkpoint: the task
+// itself, or the first member of its gang.
 func (j *job) sharedTask(s, t int) *task {
 	if j.step(s).Gang {
 		return &j.tasks[s][0]
--- a/internal/queue/session.go
+++ b/internal/queue/session.go
@@ -22,7 +22,7 @@
 }
 
 type session struct {
-	next    uint64                                    // number that is admitted next
+	next    uint64                                    // next submission number to admit
 	pending map[uint64]*schema.PendingEnqueueSnapshot // higher numbers, held until the gap below is filled
 }
 
--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -50,7 +50,7 @@
 	return &schema.Placement{Key: t.key.toSchema(), Worker: w.id, Incarnation: w.incarnation}
 }
 
-// proposeCheckout proposes that the placed tasks go out to their workers.
+// proposeCheckout proposes a Checkout command for the placements.
 func (q *queueView) proposeCheckout(placements []*schema.Placement, effects eventloop.Effects) {
 	if len(placements) > 0 {
 		q.propose(&schema.QueueCommand{Body: &schema.QueueCommand_Checkout{Checkout: &schema.Checkout{Placements: placements}}}, effects)
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -19,7 +19,8 @@
 	// minPollRemaining is what a poll must have left for a start to reach it after
 	// the commit.
 	minPollRemaining = 50 * eventloop.Millisecond
-	// gangHoldTimeout is when a gang that isn't held by all its workers is let go.
+	// gangHoldTimeout is how long the members of a gang that hasn't started keep their
+	// reservations before they are evicted.
 	gangHoldTimeout = 3 * eventloop.Second
 )
 
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -15,7 +15,7 @@
 	peakReserveRatio    = 0.8                   // of a peak is kept free
 	maxHeadroomRatio    = 0.5                   // of all capacity is kept free at most
 	lowUtilizationRatio = 0.55                  // of the cores in use: below, capacity is plenty
-	shortStopFactor     = 2                     // times the duration of a stop, up to which runs are short
+	shortStopFactor     = 2                     // a run up to this many stop timeouts long counts as short
 	minShortRun         = eventloop.Second      // runs up to this are short in any case
 )
 
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -147,8 +147,8 @@
 			return true
 		}
 	}
-	// What has waited long while much is free isn't kept waiting for work that may
-	// come.
+	// Headroom is kept neither from short tasks nor from steps that have waited long while
+	// the pool is underutilized.
 	mayUseHeadroom := req.isShort || !req.isRecent && isUnderutilized(p.candidates)
 	if !mayUseHeadroom && p.headroom.multipleOf(req.need) < int64(members) {
 		return true
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -153,7 +153,8 @@
 	return best, victims
 }
 
-// take reckons with the end of a victim, on all workers that it has members on.
+// take marks a victim as taken and adds the resources of its members to freeAfterStops of
+// the candidates that run them.
 func (tx *preemptionTx) take(v *victim) {
 	v.isTaken = true
 	tx.victims = append(tx.victims, v)
@@ -244,7 +245,7 @@
 		for _, member := range v.members {
 			v.loss += lostWork(p.now, member)
 		}
-		// What ends about as soon as it would stop frees its resources anyway.
+		// A task that is expected to end within half the stop timeout isn't worth preempting.
 		if s.remainingRuntime(p.now, w, t) < eventloop.Micros(s.bounds.GetStopTimeoutUs())/2 && t.startedAt > 0 {
 			continue
 		}
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -12,7 +12,7 @@
 
 const (
 	progressDecayPeriod = 700 * eventloop.Millisecond  // in which observed progress decays to 1/e
-	minExpectedProgress = 2.0                          // tasks' worth that must be expected before a worker is judged
+	minExpectedProgress = 2.0                          // expected progress, in completed tasks, needed before a worker is judged
 	minComparableRuns   = 20                           // of similar tasks, that the expectation is made from
 	slowProgressRatio   = 0.35                         // of the expected progress: less is slow
 	minProgressRatio    = 0.05                         // that a worker is reckoned to make at least
--- a/internal/scheduler/queue_view.go
+++ b/internal/scheduler/queue_view.go
@@ -6,16 +6,16 @@
 	term            uint64 // in which this node leads it
 	lastSequence    uint64 // of the latest event applied
 	urgency         int64  // higher is served first
-	maxRunning      int64  // tasks that may be out at a time
+	maxRunning      int64  // maximum number of checked-out tasks
 	latencyTarget
 
 	tasks           map[taskKey]*task
 	checkedOutCount int                        // checked out or stopping
 	usage           resources                  // by those
 	peak            decayingPeak               // of usage
-	tasksPerWorker  map[stepKey]map[string]int // out or reserved, by worker id
+	tasksPerWorker  map[stepKey]map[string]int // checked out or reserved, by worker id
 	reserved        map[taskKey]*task          // ready, with a checkout on the way
-	pendingGangs    map[taskKey]*task          // first members of the gangs that are out and whose start isn't committed
+	pendingGangs    map[taskKey]*task          // checked-out gangs whose start isn't committed, by their first member
 	readyIndex
 }
 
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -40,7 +40,7 @@
 			// The configuration has moved the queue to another pool since.
 			orders = append(orders, newOrder(actionStop, q, t))
 		case status == nil:
-			// What the worker reports free decides, whatever was reckoned here.
+			// The worker's own report of free capacity decides, not this scheduler's estimate.
 			if need := resourcesOf(t.spec); left.covers(need) && !unknownUsage && (!w.hasBarrier || s.canStartGang(t)) {
 				left.sub(need)
 				orders = append(orders, newOrder(firstAction(w, t), q, t))
--- a/internal/scheduler/request.go
+++ b/internal/scheduler/request.go
@@ -26,7 +26,7 @@
 	feasibility    deadlineFeasibility
 	maxLoss        float64 // core-microseconds of work that may be lost to preemption for one task
 	isRecent       bool    // it hasn't waited long
-	isShort        bool    // its tasks end about as soon as they could be stopped
+	isShort        bool    // its tasks are expected to end soon, see Scheduler.isShort
 	mayUseEjected  bool    // it has waited long enough for ejected workers and those on probation
 }
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,5 +1,6 @@
 // Package scheduler places the tasks of the queues that this node leads on the
-// workers whose leases it holds.
+// workers whose leases it holds. The controller gives the leases of all workers, and the
+// preferred leadership of all queues, to one storage node (internal/controller/leaders.go).
 //
 // The central type is Scheduler, a component of the event loop: a step function
 // that owns its state, never blocks and reads no clock. The queues' state
@@ -36,7 +37,7 @@
 // called once it runs in an event loop.
 type Scheduler struct {
 	id           string
-	bounds       *schema.Bounds // what the deployment promises and demands
+	bounds       *schema.Bounds // limits of the deployment, as the stop timeout
 	clusterState *schema.ClusterState
 	config       *clusterstate.Values     // the settings of clusterState
 	leadership   replica.LeadershipStatus // which queues this node may act for
@@ -62,7 +63,8 @@
 }
 
 // Counts are totals since the process started. Its field names are part of the
-// JSON of /v1/placements.
+// JSON of /v1/placements. LostTasks counts reports of lost tasks, with those that are
+// repeated until the queue has returned the task.
 type Counts struct {
 	Starts, Stops, Holds, Preempted, LostTasks, Gaps uint64
 }
@@ -89,7 +91,7 @@
 	return s
 }
 
-// Step implements eventloop.Table.
+// Step implements eventloop.Component.
 func (s *Scheduler) Step(now eventloop.Micros, message eventloop.Message, effects eventloop.Effects) {
 	switch body := message.Body.(type) {
 	case eventloop.Tick:
--- a/internal/scheduler/state_view.go
+++ b/internal/scheduler/state_view.go
@@ -34,7 +34,7 @@
 	Leaving      bool   `json:"leaving"`
 	Dead         bool   `json:"over"`
 	TasksOut     int    `json:"tasks_out"`
-	TasksRunning int    `json:"tasks_running"`
+	TasksRunning int    `json:"tasks_running"` // that the worker lists, with those it holds for a gang's start
 	TasksUnknown int    `json:"tasks_unknown"`
 	FailureRate  string `json:"failure_rate"`
 	Slowdown     string `json:"times_slower"`
--- a/internal/scheduler/stuck.go
+++ b/internal/scheduler/stuck.go
@@ -11,8 +11,8 @@
 	minStuckRun       = 2 * eventloop.Second  // shorter runs aren't stuck
 	stuckFactor       = 4                     // times the expected runtime, that a stuck task has run
 	similarRunWindow  = 10 * eventloop.Second // in which another worker must have finished a similar task
-	minStillTime      = eventloop.Second      // without progress, that a stuck task has stood still
-	minStillTimeAgent = 3 * eventloop.Second  // the same behind an agent, which looks only now and then
+	minStillTime      = eventloop.Second      // minimum time without progress for a task to count as stuck
+	minStillTimeAgent = 3 * eventloop.Second  // the same for workers behind an agent, which samples progress only about once a second
 	minFrozenTime     = 4 * eventloop.Second  // without progress, that suffices for tasks which report it
 	maxStrikes        = 10                    // that count
 )
