--- a/cmd/sparnotch-bench/simulate.go
+++ b/cmd/sparnotch-bench/simulate.go
@@ -43,7 +43,7 @@
 sparnotch-bench simulate -overlap 100 [-size bank-called] [-seed 1]
 sparnotch-bench simulate -day 24 [-share 0.25] [-size bank] [-seed 1]
   Without -scenario it lists them. The same seed gives the same history.
-  -faults runs a schedule, each fault WHAT/WHOM:SPAN@TIME. -random draws so
+  -faults runs a schedule, each fault KIND/TARGET:DURATION@TIME. -random draws so
   many schedules from as many seeds, and shrinks each that breaks a rule to the
   shortest that still does, printed as the command that runs it.
   -overlap draws any three kinds at once, twice, and a last fault right after an
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -18,7 +18,7 @@
 // The numbers of the rules, as docs/proof.md lists them.
 const (
 	ruleJobsKept      = 1 // an accepted job ends, and is known until well after its end
-	ruleRunsOnce      = 2 // one job a name, one run of a task at a time
+	ruleRunsOnce      = 2 // one job per name, at most one concurrent run of a task
 	ruleRequested     = 3 // what runs is what was submitted
 	ruleOrder         = 4 // steps after their dependencies, timed jobs after their time
 	ruleFailures      = 5 // no retry after the last allowed failure
--- a/internal/checker/event.go
+++ b/internal/checker/event.go
@@ -38,7 +38,7 @@
 	Fault              = "fault"      // a major fault of the system
 	GatewayUnavailable = "front-away" // a gateway that reaches no quorum, or is down
 	GatewayAvailable   = "front-back" // and is up and reaches one
-	Clock              = "clock"      // a reading of a correct wall clock
+	Clock              = "clock"      // a reading of a correct wall clock, which ties virtual time to it
 	Close              = "close"      // end of the run; what isn't over by now is late
 )
 
@@ -64,7 +64,7 @@
 	outcomeAlone  = "alone"  // a gang's member whose peers never started
 	outcomeGone   = "gone"   // its worker's process ended
 	outcomePaused = "paused" // its worker is frozen
-	outcomeFrozen = "frozen" // its worker was frozen, and a further run goes on
+	outcomeFrozen = "frozen" // its worker was frozen and resumed: the run goes on as a further taskRun
 
 	orderStart   = "start"
 	orderStop    = "stop"
--- a/internal/checker/idle_rules.go
+++ b/internal/checker/idle_rules.go
@@ -65,9 +65,9 @@
 	isRackDrained   map[string]bool   // racks of weight 0
 }
 
-// checkIdleJobs: away from faults no job has nothing running for long though a task of it
-// is ready, there is capacity for that task twice over, and less than half of its pool's
-// capacity is in use.
+// checkIdleJobs: when no fault is near, no job stays without a running task for longer than
+// MaxIdle while one of its tasks is ready, there is capacity for that task twice over, and
+// less than half of its pool's capacity is in use.
 func (a *analysis) checkIdleJobs() {
 	if a.bounds.MaxIdle == 0 {
 		return
--- a/internal/checker/recovery_rules.go
+++ b/internal/checker/recovery_rules.go
@@ -102,7 +102,8 @@
 }
 
 // checkUndisturbedRequests: away from faults every request through a gateway that can serve
-// is served. Of several that weren't at once, the first is reported.
+// is served. Of several requests that fail in overlapping intervals only the first is
+// reported.
 func (a *analysis) checkUndisturbedRequests() {
 	gateways := a.gatewayAvailability()
 	lastReported := eventloop.Micros(0)
--- a/internal/sim/availability.go
+++ b/internal/sim/availability.go
@@ -59,9 +59,8 @@
 	return leader
 }
 
-// updateAvailability records of each gateway that it has come to reach a quorum, or not
-// to: it is up, and can exchange messages with two storage nodes that can so with each
-// other.
+// updateAvailability records when a gateway starts or stops being able to serve: it is up,
+// and can exchange messages with two storage nodes that can do so with each other.
 func (s *Simulation) updateAvailability() {
 	var nodes []*Host
 	for _, h := range s.StorageNodes() {
--- a/internal/sim/clock.go
+++ b/internal/sim/clock.go
@@ -59,7 +59,7 @@
 func (c *clock) After(delay eventloop.Micros, call func()) { c.At(c.Now+delay, call) }
 
 // Run lets time pass until a moment. It panics when a second has more calls than allowed:
-// messages that beget messages would else only show as a run that never ends.
+// otherwise a message loop would only show as a run that never ends.
 func (c *clock) Run(until eventloop.Micros) {
 	for len(c.calls) > 0 && c.calls[0].at <= until {
 		next := heap.Pop(&c.calls).(timer)
--- a/internal/sim/components.go
+++ b/internal/sim/components.go
@@ -13,7 +13,7 @@
 // docs/measurements.md for how it was found.
 const stepCost = 110
 
-// runOnCPU makes a call in the process when its processor gets to it.
+// runOnCPU runs a call in the process once its simulated CPU is free.
 func (h *Host) runOnCPU(run int, call func()) {
 	if h.CPUShare == 0 {
 		h.runAwake(run, call)
--- a/internal/sim/day.go
+++ b/internal/sim/day.go
@@ -35,7 +35,7 @@
 	return bytes
 }
 
-// sample looks at a fleet, outside of time.
+// sample takes a sample without advancing virtual time.
 func (f *Fleet) sample() Sample {
 	s := Sample{At: f.Now}
 	var leadership []string
--- a/internal/sim/fault_actions.go
+++ b/internal/sim/fault_actions.go
@@ -57,63 +57,90 @@
 
 // basicFaultActions are the kinds of faults that RandomSchedule draws from.
 var basicFaultActions = map[string]faultAction{
-	"kill":    {anyMachine, true, onHost((*Fleet).kill)},
-	"freeze":  {anyMachine, true, onHost((*Fleet).freeze)},
+	// A machine loses power for a while.
+	"kill": {anyMachine, true, onHost((*Fleet).kill)},
+	// A machine's process stops for a while, and goes on.
+	"freeze": {anyMachine, true, onHost((*Fleet).freeze)},
+	// A machine is partitioned from all others for a while.
 	"isolate": {anyMachine, true, onHost((*Fleet).isolate)},
-	"mute":    {anyMachine, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) { f.isolateOneWay(h, duration, true) })},
-	"deaf":    {anyMachine, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) { f.isolateOneWay(h, duration, false) })},
+	// What a machine sends is lost for a while.
+	"mute": {anyMachine, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) { f.isolateOneWay(h, duration, true) })},
+	// What a machine is sent is lost for a while.
+	"deaf": {anyMachine, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) { f.isolateOneWay(h, duration, false) })},
+	// A storage node is lost with its disk; an empty one comes up at a new address.
 	"replace": {anyStorageNode, true, onHost(func(f *Fleet, h *Host, _ eventloop.Micros) { f.replace(h) })},
-	"warn":    {anyServer, true, onHost(drainAndRestart)},
-	"stall":   {anyStorageNode, true, onHost(stallDisk)},
-	"slow":    {anyStorageNode, false, onHost(slowDisk)},
+	// A server is shut down gracefully, and started again later.
+	"warn": {anyServer, true, onHost(drainAndRestart)},
+	// A storage node's disk completes nothing for a while.
+	"stall": {anyStorageNode, true, onHost(stallDisk)},
+	// A storage node's disk takes 200 ms for each sync.
+	"slow": {anyStorageNode, false, onHost(slowDisk)},
+	// A storage node's wall clock is wrong by up to six hours.
 	"clock": {[]target{targetStorage}, false, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) {
 		f.setClock(h)
 		f.After(duration, func() { h.WallClockOffset = 0 })
 	})},
+	// A zone is partitioned from the others for a while.
 	"split": {[]target{targetZone}, true, (*Fleet).partitionZone},
+	// All machines lose power at once.
 	"power": {wholeFleet, true, onFleet(func(f *Fleet, duration eventloop.Micros) { f.powerCycleAll(min(duration, maxDowntime)) })},
 
+	// A worker crashes, and starts again.
 	"crash": {anyWorker, false, onWorker(func(f *Fleet, w Worker, duration eventloop.Micros) {
 		w.Crash()
 		f.After(duration, w.Start)
 	})},
+	// A worker is partitioned for a while, and runs on.
 	"cut": {anyWorker, false, onWorker(func(f *Fleet, w Worker, duration eventloop.Micros) {
 		w.SetPartitioned(true)
 		f.After(duration, func() { w.SetPartitioned(false) })
 	})},
+	// A worker and its tasks are frozen for a while.
 	"sleep": {anyWorker, false, onWorker(func(_ *Fleet, w Worker, duration eventloop.Micros) { w.Freeze(duration) })},
+	// A worker drains, and is started anew later.
 	"leave": {anyWorker, false, onWorker(func(f *Fleet, w Worker, duration eventloop.Micros) {
 		w.Drain()
 		f.After(duration, func() { w.Crash(); w.Start() })
 	})},
+	// A worker restarts with a quarter of its capacity.
 	"shrink": {anyWorker, false, onWorker(shrinkWorker)},
-	"fail":   {anyWorker, false, onWorker(failTasks)},
+	// Most tasks of a worker fail.
+	"fail": {anyWorker, false, onWorker(failTasks)},
 
-	"late":   {calledWorker, false, unhealthyFor(0, 0.4)},
+	// A called worker leaves 40 percent of its calls unanswered.
+	"late": {calledWorker, false, unhealthyFor(0, 0.4)},
+	// A called worker rejects half of its calls.
 	"refuse": {calledWorker, false, unhealthyFor(0.5, 0)},
+	// A share of the tasks of a called worker make no progress.
 	"still": {calledWorker, false, onCalledWorker(func(f *Fleet, w *CalledWorker, duration eventloop.Micros) {
 		w.recordUnhealthy()
 		w.behaviour.StallRate = 0.3
 		f.After(duration, func() { w.behaviour.StallRate = 0 })
 	})},
+	// A called worker runs its tasks six times slower.
 	"creep": {calledWorker, false, onCalledWorker(func(f *Fleet, w *CalledWorker, duration eventloop.Micros) {
 		w.recordUnhealthy()
 		w.behaviour.Slowdown = 6
 		f.After(duration, func() { w.behaviour.Slowdown = 0 })
 	})},
+	// A called worker drains at short notice: it ends 700 ms later in any case.
 	"hurry": {calledWorker, false, onCalledWorker(func(f *Fleet, w *CalledWorker, duration eventloop.Micros) {
 		w.drain(700*eventloop.Millisecond, false)
 		f.After(max(duration, eventloop.Second), w.Start)
 	})},
 
+	// An operator replaces the configuration.
 	"table": {wholeFleet, false, onFleet(func(f *Fleet, _ eventloop.Micros) {
 		f.PutConfiguration("one", f.ConfigurationRows(20+f.Rng.IntN(60)))
 	})},
+	// Two operators replace the configuration at once.
 	"race": {wholeFleet, false, onFleet(func(f *Fleet, _ eventloop.Micros) {
 		f.PutConfiguration("one", f.ConfigurationRows(20+f.Rng.IntN(30)))
 		f.PutConfiguration("two", f.ConfigurationRows(60+f.Rng.IntN(30)))
 	})},
-	"rush":  {wholeFleet, false, onFleet(rushOfJobs)},
+	// Many more of the fleet's jobs than usual are submitted.
+	"rush": {wholeFleet, false, onFleet(rushOfJobs)},
+	// Many jobs that fit no worker are submitted.
 	"flood": {wholeFleet, false, onFleet(floodOfHugeJobs)},
 }
 
@@ -198,7 +225,8 @@
 			kind.Interval *= 8
 		}
 		if kind.CancelDelay == 0 {
-			// Jobs that run until they are cancelled would else never end.
+			// Only jobs that run until they are cancelled are still cancelled; they would
+			// otherwise never end.
 			kind.CancelShare = 0
 		}
 		f.GenerateLoad(kind, f.Now+min(duration, 5*eventloop.Second))
--- a/internal/sim/fault_schedule.go
+++ b/internal/sim/fault_schedule.go
@@ -105,7 +105,7 @@
 		length, err1 := time.ParseDuration(duration)
 		moment, err2 := time.ParseDuration(at)
 		if !hasTarget || !hasDuration || !hasTime || err1 != nil || err2 != nil {
-			return nil, fmt.Errorf("faults[%d]: %q is not WHAT/WHOM:SPAN@AT, as kill/leader:3s@5s", k, part)
+			return nil, fmt.Errorf("faults[%d]: %q is not KIND/TARGET:DURATION@TIME, as kill/leader:3s@5s", k, part)
 		}
 		list = append(list, ScheduledFault{kind, target, eventloop.Micros(length.Microseconds()), eventloop.Micros(moment.Microseconds())})
 	}
--- a/internal/sim/platform_faults.go
+++ b/internal/sim/platform_faults.go
@@ -17,7 +17,9 @@
 		h.Abort()
 		f.After(min(duration, eventloop.Second), h.Start)
 	})},
-	"wipe":    {anyStorageNode, true, onHost((*Fleet).wipe)},
+	// A storage node loses power and its disk; it comes back empty at its address.
+	"wipe": {anyStorageNode, true, onHost((*Fleet).wipe)},
+	// A storage node is replaced as planned: the new one comes first.
 	"succeed": {anyStorageNode, true, onHost(func(f *Fleet, h *Host, _ eventloop.Micros) { f.replaceGracefully(h) })},
 
 	// A storage node is partitioned from the other two alone.
@@ -31,7 +33,9 @@
 		f.partitionFromStorageNodes(h, duration, false, true)
 	})},
 
-	"seedcut":  {anyStorageNode, true, onHost((*Fleet).partitionSeeds)},
+	// A storage node is partitioned from the others and made the first seed of processes that restart.
+	"seedcut": {anyStorageNode, true, onHost((*Fleet).partitionSeeds)},
+	// Three gateways become the seeds of every machine, and some processes restart.
 	"turnover": {wholeFleet, false, onFleet(func(f *Fleet, _ eventloop.Micros) { f.rotateSeeds() })},
 
 	// Losses right after the next acknowledgement: of the gateway that sent it, of the
@@ -48,6 +52,7 @@
 	"ackherd": {wholeFleet, true, onFleet(func(f *Fleet, duration eventloop.Micros) {
 		f.afterAcknowledgement(func(*Host) { f.powerCycleStorageNodes(min(duration, maxDowntime)) })
 	})},
+	// All storage nodes lose power at once.
 	"herd": {wholeFleet, true, onFleet(func(f *Fleet, duration eventloop.Micros) {
 		f.powerCycleStorageNodes(min(duration, maxDowntime))
 	})},
@@ -66,25 +71,33 @@
 		})
 	})},
 
+	// A storage node's disk is full.
 	"full": {anyStorageNode, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) {
 		f.refuseWrites(h, DiskFault{IsFull: true}, duration)
 	})},
+	// A storage node's disk fails to sync.
 	"nosync": {anyStorageNode, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) {
 		f.refuseWrites(h, DiskFault{SyncFails: true}, duration)
 	})},
 
+	// A machine gets a fraction of its CPU for a while.
 	"drag": {anyMachine, true, onHost((*Fleet).slowDown)},
+	// Half of a machine's connections break, twice.
 	"resets": {anyMachine, false, func(f *Fleet, name string, duration eventloop.Micros) {
 		f.resetConnections(f.host(name))
 		f.After(duration/2, func() { f.resetConnections(f.host(name)) })
 	}},
+	// The wall clocks of about a third of all machines are wrong by two seconds.
 	"clocks": {wholeFleet, false, onFleet((*Fleet).stepClocks)},
+	// 70 percent of the acknowledgements to clients are lost on their way.
 	"ackloss": {wholeFleet, false, onFleet(func(f *Fleet, duration eventloop.Micros) {
 		f.acknowledgementLossRate = 0.7
 		f.After(duration, func() { f.acknowledgementLossRate = 0 })
 	})},
+	// A called worker answers no calls.
 	"hang": {calledWorker, false, unhealthyFor(0, 1)},
 
+	// An operator sends configurations that must be refused.
 	"bad": {[]target{targetVersions}, false, onFleet(func(f *Fleet, _ eventloop.Micros) { f.putInvalidConfigurations() })},
 	// Many operators at once, each on the version that it has just read.
 	"crowd": {wholeFleet, false, onFleet(func(f *Fleet, _ eventloop.Micros) {
--- a/internal/sim/requests.go
+++ b/internal/sim/requests.go
@@ -75,7 +75,7 @@
 	return gateway.LeaderRequest{Kind: "plan", Group: clusterstate.GroupName}
 }
 
-// response reads the answer of a request; its code is 0 where there is none.
+// responseOf is a request's response; its code is 0 if there was none.
 func responseOf(answer any) gateway.Response {
 	response, _ := answer.(gateway.Response)
 	return response
--- a/internal/sim/scenario.go
+++ b/internal/sim/scenario.go
@@ -28,6 +28,10 @@
 
 // everyAgentNodeGone is a scenario that no fleet with called workers can be put through:
 // nobody can call a worker for so long.
+//
+// The names of scenarios and faults are keys of seeds, pages and commands, and stay. In
+// them a side machine is an agent node, a front a gateway, and a disk machine a storage
+// node.
 const everyAgentNodeGone = "every side machine gone"
 
 // ScenariosFor lists the scenarios that a fleet can be put through.
