--- a/cmd/sparnotchctl/datadir_test.go
+++ b/cmd/sparnotchctl/datadir_test.go
@@ -149,7 +149,7 @@
 		path := t.TempDir()
 		code, text := runCommand(&verifyCommand{}, path)
 		So(code, ShouldEqual, 2)
-		So(text, ShouldContainSubstring, "no data folder")
+		So(text, ShouldContainSubstring, "no data directory")
 		So(readFiles(path), ShouldBeEmpty)
 	})
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -37,7 +37,7 @@
 type Membership struct {
 	self            *schema.Member
 	config          Config
-	identity        *schema.StoreIdentity // as it is on disk; nil without a data folder
+	identity        *schema.StoreIdentity // as it is on disk; nil without a data directory
 	pendingIdentity *schema.StoreIdentity // being persisted; nil: nothing is
 	addresses       *AddressBook
 	subscribers     []string // components that get the View
@@ -64,7 +64,7 @@
 	agreedSince       eventloop.Micros
 }
 
-// New returns the component of a process. The identity is nil without a data folder. The
+// New returns the component of a process. The identity is nil without a data directory. The
 // subscribers are the components of this process that get the View.
 func New(self *schema.Member, config Config, identity *schema.StoreIdentity, addresses *AddressBook, subscribers []string, rng *rand.Rand) *Membership {
 	m := &Membership{
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -147,14 +147,14 @@
 func (n *Node) addComponents(role schema.Role, callers []agent.WorkerClient) error {
 	cfg := n.config(role == schema.Role_ROLE_CONTROLLER && len(callers) > 0)
 	if !timing.CanCatchUp(cfg.Bounds) {
-		n.log.Warn("a repair takes longer than the bound for catching up allows")
+		n.log.Warn("a replica can't be replaced within the bound for catching up")
 	}
 	if shortfall := cfg.membershipConfig(false).Tolerance().TopologyShortfall(); shortfall != "" {
 		n.log.Warn("the required fault tolerance can't be met", zap.String("why", shortfall))
 	}
 	slots, err := buildComponents(role, cfg)
 	if err != nil {
-		return storage.DirRejected.Wrap(err, "data folder %s", n.Settings.DataDir)
+		return storage.DirRejected.Wrap(err, "data directory %s", n.Settings.DataDir)
 	}
 	for _, slot := range slots {
 		n.loop.Add(slot.Name, slot.Component, slot.TickInterval)
--- a/internal/storage/dir.go
+++ b/internal/storage/dir.go
@@ -8,10 +8,10 @@
 	"syscall"
 )
 
-// lockName is the file that a process locks while it uses the folder.
+// lockName is the file that a process locks while it uses the directory.
 const lockName = "lock"
 
-// Dir is the Disk of a real data folder. It holds an exclusive lock on the folder until
+// Dir is the Disk of a real data directory. It holds an exclusive lock on the directory until
 // it is closed.
 type Dir struct {
 	path  string
@@ -19,7 +19,7 @@
 	lock  *os.File
 }
 
-// OpenDir makes the folder if need be and locks it. For one that holds something else
+// OpenDir makes the directory if need be and locks it. For one that holds something else
 // than a store, or is in use, the error is DirRejected and nothing is written there;
 // other failures are IOFailed.
 func OpenDir(path string) (*Dir, error) {
@@ -27,16 +27,16 @@
 		return nil, err
 	}
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return nil, IOFailed.Wrap(err, "data folder")
+		return nil, IOFailed.Wrap(err, "data directory")
 	}
 	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, IOFailed.Wrap(err, "data folder")
+		return nil, IOFailed.Wrap(err, "data directory")
 	}
 	// Two processes on one store would each vote under its id.
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
-		return nil, DirRejected.New("data folder %s is in use by another process", path)
+		return nil, DirRejected.New("data directory %s is in use by another process", path)
 	}
 	return &Dir{path: path, files: map[string]*os.File{}, lock: lock}, nil
 }
@@ -45,7 +45,7 @@
 // has in its root.
 var ownedPrefixes = []string{lockName, slotPrefix, logPrefix, "lost+found"}
 
-// checkOwned refuses what is no folder, can't be read, or holds files but none of a
+// checkOwned refuses what is no directory, can't be read, or holds files but none of a
 // store's.
 func checkOwned(path string) error {
 	entries, err := os.ReadDir(path)
@@ -53,14 +53,14 @@
 	case errors.Is(err, os.ErrNotExist):
 		return nil
 	case errors.Is(err, syscall.ENOTDIR):
-		return DirRejected.New("data folder %s is no folder", path)
+		return DirRejected.New("data directory %s is no directory", path)
 	case errors.Is(err, os.ErrPermission):
-		return DirRejected.New("data folder %s can't be read: permission denied", path)
+		return DirRejected.New("data directory %s can't be read: permission denied", path)
 	case err != nil:
-		return IOFailed.Wrap(err, "data folder")
+		return IOFailed.Wrap(err, "data directory")
 	}
 	if len(entries) > 0 && !anyHasPrefix(entries, ownedPrefixes) {
-		return DirRejected.New("data folder %s holds %s and no store: it may belong to another program", path, entries[0].Name())
+		return DirRejected.New("data directory %s holds %s and no store: it may belong to another program", path, entries[0].Name())
 	}
 	return nil
 }
--- a/internal/storage/readonly.go
+++ b/internal/storage/readonly.go
@@ -6,29 +6,29 @@
 	"syscall"
 )
 
-// readOnlyDisk is the Disk of a data folder that isn't changed: what is written, as by
+// readOnlyDisk is the Disk of a data directory that isn't changed: what is written, as by
 // the truncation of a torn tail, stays in memory.
 type readOnlyDisk struct {
 	path    string
 	changed map[string][]byte // content of files that were written to
 }
 
-// OpenReadOnly reads the store in the data folder of a stopped process, and writes
-// nothing there. The error is Corrupted as for Open; it is IOFailed if the folder is in
+// OpenReadOnly reads the store in the data directory of a stopped process, and writes
+// nothing there. The error is Corrupted as for Open; it is IOFailed if the directory is in
 // use or holds no store.
 func OpenReadOnly(path string) (*Store, error) {
 	lock, err := os.Open(filepath.Join(path, lockName))
 	if err != nil {
-		return nil, IOFailed.New("%s is no data folder of a store", path)
+		return nil, IOFailed.New("%s is no data directory of a store", path)
 	}
 	defer lock.Close()
 	// A shared lock fails while a process holds the exclusive one.
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_SH|syscall.LOCK_NB); err != nil {
-		return nil, IOFailed.New("data folder %s is in use: stop its process first, or ask it", path)
+		return nil, IOFailed.New("data directory %s is in use: stop its process first, or ask it", path)
 	}
 	entries, err := os.ReadDir(path)
 	if err != nil {
-		return nil, IOFailed.Wrap(err, "data folder")
+		return nil, IOFailed.Wrap(err, "data directory")
 	}
 	if !anyHasPrefix(entries, []string{slotPrefix, logPrefix}) {
 		return nil, IOFailed.New("%s holds no store", path)
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -23,14 +23,14 @@
 	Corrupted = Errors.NewType("damaged")
 	// IOFailed means that an operation on files failed.
 	IOFailed = Errors.NewType("failed")
-	// DirRejected means that a data folder isn't this process's to use.
+	// DirRejected means that a data directory isn't this process's to use.
 	DirRejected = Errors.NewType("foreign")
 )
 
 // IsCorrupted tells whether an error of Open means that the store can't be trusted.
 func IsCorrupted(err error) bool { return err != nil && errorx.IsOfType(err, Corrupted) }
 
-// IsDirRejected tells whether an error of OpenDir means that the folder isn't this
+// IsDirRejected tells whether an error of OpenDir means that the directory isn't this
 // process's to use.
 func IsDirRejected(err error) bool { return err != nil && errorx.IsOfType(err, DirRejected) }
 
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -59,7 +59,7 @@
 }
 
 func TestDiskContract(t *testing.T) {
-	Convey("A data folder fulfils the contract of Disk", t, func() {
+	Convey("A data directory fulfils the contract of Disk", t, func() {
 		path := t.TempDir()
 		var opened *storage.Dir
 		open := func() storage.Disk {
