--- a/cmd/sparnotch-platform/main.go
+++ b/cmd/sparnotch-platform/main.go
@@ -58,7 +58,7 @@
 		return daemon.ExitInvalidSettings
 	}
 	if c.role == schema.Role_ROLE_NONE {
-		fmt.Println("settings are good")
+		fmt.Println("settings are valid")
 		return subcommands.ExitSuccess
 	}
 	// SIGHUP changes nothing: settings are read at the start only.
--- a/cmd/sparnotch/main.go
+++ b/cmd/sparnotch/main.go
@@ -12,12 +12,12 @@
 	daemon.Main("sparnotch",
 		daemon.Command{
 			Name:     "server",
-			Synopsis: "run a server; with -data it holds replicas of the queues as well",
+			Synopsis: "run a gateway node; with -data it is a storage node as well",
 			Role:     schema.Role_ROLE_SERVER,
 		},
 		daemon.Command{
 			Name:     "controller",
-			Synopsis: "run a controller candidate: liveness, and the controller's loops",
+			Synopsis: "run an agent node: failure detection, and a candidate for the controller lease",
 			Role:     schema.Role_ROLE_CONTROLLER,
 		},
 	)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -29,7 +29,7 @@
 	maxShutdownTimeoutUs     = 600_000_000
 	maxTestSyncUs            = 60_000_000
 	maxSeeds                 = 3
-	// maxLosses needs groups of nineteen replicas; larger ones only cost.
+	// maxLosses is the most failures that a group can be made to tolerate: 2*9+1 = 19 replicas.
 	maxLosses = 9
 )
 
@@ -163,7 +163,7 @@
 			return Invalid.New("seeds[%d]: %s", k, why)
 		}
 		if seen[seed] {
-			return Invalid.New("seeds[%d]: %s stands twice", k, seed)
+			return Invalid.New("seeds[%d]: %s is given twice", k, seed)
 		}
 		seen[seed] = true
 	}
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -76,7 +76,7 @@
 		return ExitInvalidSettings
 	}
 	if c.isCheck {
-		fmt.Println("settings are good")
+		fmt.Println("settings are valid")
 		return subcommands.ExitSuccess
 	}
 	return Serve(c.program, options, c.Role, func(node *process.Node, log *zap.Logger) (Server, error) {
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -14,12 +14,12 @@
 // Tick is the message that comes to a component at its tick interval.
 type Tick struct{}
 
-// Effects is where a step leaves what is to happen outside its component. None of its
-// methods blocks; delivery isn't guaranteed.
+// Effects collects the outputs of a step: messages, notifications and responses. None of
+// its methods blocks; delivery isn't guaranteed.
 type Effects interface {
 	// Send sends a message to a process by its id.
 	Send(to string, body any)
-	// Dial sends a message to whichever process listens at an internal address.
+	// SendToAddress sends a message to whichever process listens at an internal address.
 	SendToAddress(address string, body any)
 	// Notify sends a message to another component of this process by its name.
 	Notify(component string, body any)
--- a/internal/gateway/backpressure.go
+++ b/internal/gateway/backpressure.go
@@ -35,13 +35,13 @@
 	case g.unconfirmedCount >= maxPending:
 		return &overload{codeGatewayFull, gatewayFullMessage, gatewayThroughput}
 	case s != nil && len(s.unconfirmed) >= int(g.values.Fleet("window")):
-		return &overload{codeWindowFull, "this client has too many hand-ins unconfirmed", queue}
+		return &overload{codeWindowFull, "this client has too many unconfirmed submissions", queue}
 	case g.unconfirmedByQueue[queue] >= maxPending/2:
-		return &overload{codeQueueFull, "the queue has too many hand-ins unconfirmed", queue}
+		return &overload{codeQueueFull, "the queue has too many unconfirmed submissions", queue}
 	case status != nil && status.StorageExhausted:
-		return &overload{codeStorageFull, "the stores keep the room they have for the work they hold", endedJobsKey(queue)}
+		return &overload{codeStorageFull, "the storage is full: the remaining space is reserved for accepted jobs", endedJobsKey(queue)}
 	case status != nil && int64(status.LiveJobs) >= g.values.Fleet("live_jobs"):
-		return &overload{codeQueueFull, "the queue has as many live jobs as the plan allows", endedJobsKey(queue)}
+		return &overload{codeQueueFull, "the queue has as many live jobs as the configuration allows", endedJobsKey(queue)}
 	}
 	return nil
 }
--- a/internal/gateway/confirmation.go
+++ b/internal/gateway/confirmation.go
@@ -54,7 +54,7 @@
 }
 
 // awaitConfirmation holds a call until its queue is confirmed to exist or not. It
-// returns false where too many calls wait already.
+// returns false where too many calls are waiting already.
 func (g *Gateway) awaitConfirmation(now eventloop.Micros, call deferredCall, effects eventloop.Effects) bool {
 	c := &g.confirmation
 	if len(c.inFlight)+len(c.queued) >= maxAwaitingConfirmation {
@@ -133,18 +133,18 @@
 		g.rejectNotReady(now, call.id(), effects)
 	case !isConfirmed:
 		if !g.awaitConfirmation(now, call, effects) {
-			g.rejectUnavailable(call.id(), "too many calls wait to hear what queues there are", effects)
+			g.rejectUnavailable(call.id(), "too many requests are waiting for the list of queues", effects)
 		}
 	// Before the first configuration nobody knows which queues there will be.
 	case g.state.Configuration.GetRevision() == 0 || g.values.HasQueue(queue):
-		g.rejectUnavailable(call.id(), "there is no plan yet, or the queue is being made", effects)
+		g.rejectUnavailable(call.id(), "there is no configuration yet, or the queue is being created", effects)
 	case queue == "":
 		effects.Respond(call.id(), Response{
-			Code: http.StatusNotFound, Body: ErrorBody(codeUnknownQueue, "the plan has no queue for this host and path", "path"),
+			Code: http.StatusNotFound, Body: ErrorBody(codeUnknownQueue, "the configuration has no queue for this host and path", "path"),
 		})
 	default:
 		effects.Respond(call.id(), Response{
-			Code: http.StatusNotFound, Body: ErrorBody(codeUnknownQueue, "the plan has no queue "+strconv.Quote(queue), "queue"),
+			Code: http.StatusNotFound, Body: ErrorBody(codeUnknownQueue, "the configuration has no queue "+strconv.Quote(queue), "queue"),
 		})
 	}
 }
--- a/internal/gateway/faults.go
+++ b/internal/gateway/faults.go
@@ -31,7 +31,7 @@
 const NameRule = "letters, digits, '.', '_', ':' and '-', at most 128"
 
 const (
-	gatewayFullMessage    = "this front has too much in hand"
+	gatewayFullMessage    = "this gateway has too many pending requests"
 	maxNotReadyRetryAfter = 10 // seconds
 )
 
@@ -82,5 +82,5 @@
 	if since := g.lease.confirmedAt; since > 0 {
 		retryAfter = min(max(int((now-since)/(2*eventloop.Second)), 1), maxNotReadyRetryAfter)
 	}
-	g.reject(requestID, http.StatusServiceUnavailable, codeNotReady, "this front has no fresh word of the cluster state: ask another", retryAfter, effects)
+	g.reject(requestID, http.StatusServiceUnavailable, codeNotReady, "this gateway's copy of the cluster state is stale: try another gateway", retryAfter, effects)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -281,9 +281,9 @@
 func (g *Gateway) checkReadiness(now eventloop.Micros, m CheckReadiness, effects eventloop.Effects) {
 	switch {
 	case g.isDraining:
-		g.reject(m.RequestID, http.StatusServiceUnavailable, codeDraining, "this process is leaving", 0, effects)
+		g.reject(m.RequestID, http.StatusServiceUnavailable, codeDraining, "this node is shutting down", 0, effects)
 	case !g.lease.isValid(now):
-		g.reject(m.RequestID, http.StatusServiceUnavailable, codeNotReady, "no fresh word of the cluster state", 1, effects)
+		g.reject(m.RequestID, http.StatusServiceUnavailable, codeNotReady, "the copy of the cluster state is stale", 1, effects)
 	default:
 		effects.Respond(m.RequestID, Response{Code: http.StatusOK, Body: []byte(`{"ready":true}`)})
 	}
--- a/internal/gateway/submissions.go
+++ b/internal/gateway/submissions.go
@@ -50,11 +50,11 @@
 		return
 	}
 	if !g.canCommit(now, m.Queue) {
-		g.rejectUnavailable(m.RequestID, "too many stores take no writes at the moment", effects)
+		g.rejectUnavailable(m.RequestID, "too few of the queue's voters can write at the moment", effects)
 		return
 	}
 	if g.isLeaderless(now, m.Queue) {
-		g.rejectUnavailable(m.RequestID, "nobody is known to lead the queue at the moment", effects)
+		g.rejectUnavailable(m.RequestID, "the queue has no known leader at the moment", effects)
 		return
 	}
 	key := queueClient{m.Queue, m.Client}
--- a/internal/gateway/validate.go
+++ b/internal/gateway/validate.go
@@ -55,7 +55,7 @@
 			return fault
 		}
 		if _, exists := indexByName[step.Name]; exists {
-			return badJob(stepField(k, "name"), "%q stands twice", step.Name)
+			return badJob(stepField(k, "name"), "%q is given twice", step.Name)
 		}
 		indexByName[step.Name] = k
 	}
--- a/internal/gateway/worker_polls.go
+++ b/internal/gateway/worker_polls.go
@@ -21,7 +21,7 @@
 		g.registerWorker(now, m.Worker, effects)
 	}
 	if lease == nil || lease.Scheduler == "" || len(g.pendingHeartbeats) >= maxPending {
-		g.reject(m.RequestID, http.StatusServiceUnavailable, codeNoLease, "nobody wards this worker yet", 1, effects)
+		g.reject(m.RequestID, http.StatusServiceUnavailable, codeNoLease, "no scheduler holds this worker's lease yet", 1, effects)
 		return
 	}
 	g.pendingHeartbeats[m.RequestID] = m
@@ -51,7 +51,7 @@
 	}
 	delete(g.pendingHeartbeats, m.Id)
 	if m.Orders == nil {
-		g.reject(m.Id, http.StatusServiceUnavailable, codeNoLease, "the ward is elsewhere or not sure of itself", 1, effects)
+		g.reject(m.Id, http.StatusServiceUnavailable, codeNoLease, "the scheduler no longer holds this worker's lease, or can't confirm it", 1, effects)
 		return
 	}
 	data, err := json.Marshal(m.Orders)
--- a/internal/process/components.go
+++ b/internal/process/components.go
@@ -3,7 +3,7 @@
 //
 // There are two kinds of nodes, by their role: ROLE_SERVER is a gateway node, and with a
 // data directory a storage node too; ROLE_CONTROLLER is an agent node, which runs beside
-// a worker and competes for the controller's duties. GatewayNodeComponents and
+// a worker and is a candidate for the controller lease. GatewayNodeComponents and
 // AgentNodeComponents make their components; the simulator runs these on a simulated
 // clock, network and disk.
 //
--- a/internal/replica/fault_tolerance.go
+++ b/internal/replica/fault_tolerance.go
@@ -44,7 +44,7 @@
 		}
 	}
 	// The zones of all voters aren't known: the membership forgets a voter that is gone
-	// for long. Bears needs only their number.
+	// for long. TolerableFailures needs only their number.
 	tolerance.Machines, tolerance.Zones, tolerance.Regions = h.tolerance.TolerableFailures(make([]string, len(voters)), liveZones)
 	tolerance.Shortfall = h.tolerance.Shortfall(zones)
 	return tolerance
--- a/internal/replica/requests.go
+++ b/internal/replica/requests.go
@@ -55,7 +55,7 @@
 	}
 	pending := pendingReply{term: r.group.Term(), from: from, request: m}
 	if (m.Kind == requestCancel || m.Kind == requestCommand) && !h.canCommit(now, r) {
-		h.reply(pending, http.StatusServiceUnavailable, errorJSON(codeNotReady, "too many stores take no writes at the moment"), effects)
+		h.reply(pending, http.StatusServiceUnavailable, errorJSON(codeNotReady, "too few of the group's voters can write at the moment"), effects)
 		return
 	}
 	switch m.Kind {
