--- a/internal/storage/dir.go
+++ b/internal/storage/dir.go
@@ -27,16 +27,16 @@
 		return nil, err
 	}
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return nil, IOFailed.Wrap(err, "data folder")
+		return nil, IOFailed.Wrap(err, "data directory")
 	}
 	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, IOFailed.Wrap(err, "data folder")
+		return nil, IOFailed.Wrap(err, "data directory")
 	}
 	// Two processes on one store would each vote under its id.
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
-		return nil, DirRejected.New("data folder %s is in use by another process", path)
+		return nil, DirRejected.New("data directory %s is in use by another process", path)
 	}
 	return &Dir{path: path, files: map[string]*os.File{}, lock: lock}, nil
 }
@@ -53,14 +53,14 @@
 	case errors.Is(err, os.ErrNotExist):
 		return nil
 	case errors.Is(err, syscall.ENOTDIR):
-		return DirRejected.New("data folder %s is no folder", path)
+		return DirRejected.New("data directory %s is no directory", path)
 	case errors.Is(err, os.ErrPermission):
-		return DirRejected.New("data folder %s can't be read: permission denied", path)
+		return DirRejected.New("data directory %s can't be read: permission denied", path)
 	case err != nil:
-		return IOFailed.Wrap(err, "data folder")
+		return IOFailed.Wrap(err, "data directory")
 	}
 	if len(entries) > 0 && !anyHasPrefix(entries, ownedPrefixes) {
-		return DirRejected.New("data folder %s holds %s and no store: it may belong to another program", path, entries[0].Name())
+		return DirRejected.New("data directory %s holds %s and no store: it may belong to another program", path, entries[0].Name())
 	}
 	return nil
 }
--- a/internal/storage/readonly.go
+++ b/internal/storage/readonly.go
@@ -19,16 +19,16 @@
 func OpenReadOnly(path string) (*Store, error) {
 	lock, err := os.Open(filepath.Join(path, lockName))
 	if err != nil {
-		return nil, IOFailed.New("%s is no data folder of a store", path)
+		return nil, IOFailed.New("%s is no data directory of a store", path)
 	}
 	defer lock.Close()
 	// A shared lock fails while a process holds the exclusive one.
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_SH|syscall.LOCK_NB); err != nil {
-		return nil, IOFailed.New("data folder %s is in use: stop its process first, or ask it", path)
+		return nil, IOFailed.New("data directory %s is in use: stop its process first, or ask it", path)
 	}
 	entries, err := os.ReadDir(path)
 	if err != nil {
-		return nil, IOFailed.Wrap(err, "data folder")
+		return nil, IOFailed.Wrap(err, "data directory")
 	}
 	if !anyHasPrefix(entries, []string{slotPrefix, logPrefix}) {
 		return nil, IOFailed.New("%s holds no store", path)
