--- a/internal/raft/bootstrap.go
+++ b/internal/raft/bootstrap.go
@@ -1,6 +1,7 @@
 package raft
 
-// The first term of a new group, whose voters open it independently.
+// This file starts the first term of a new group. Its voters create their replicas
+// independently of each other.
 
 import (
 	"sparnotch/internal/eventloop"
@@ -8,13 +9,13 @@
 )
 
 const (
-	bootstrapVoteInterval  = 50 * eventloop.Millisecond // between two rounds of vote requests
-	maxBootstrapVoteRounds = 12
+	bootstrapVoteInterval  = 50 * eventloop.Millisecond // time between two rounds of vote requests
+	maxBootstrapVoteRounds = 12                         // number of times that the vote requests are repeated
 )
 
-// Bootstrap sets the initial voters of a replica that was created by a leader's message
-// before its node knew them. It has no effect on a replica that has a snapshot or voters,
-// or if voters is empty.
+// Bootstrap sets the initial voters of a replica that its node created on a message from
+// the leader, before the node knew the voters. It has no effect on a replica that has a
+// snapshot or voters, or if voters is empty.
 func (g *Group) Bootstrap(voters []string) {
 	if g.snapshot.Index > 0 || len(g.snapshot.MemberSet.GetVoters()) > 0 || len(voters) == 0 {
 		return
@@ -25,10 +26,10 @@
 }
 
 // BootstrapCampaign makes a voter of a new group campaign at once, so that the group
-// needn't wait for an election timeout. Before the first term there can be no
-// leader, so no pre-vote is needed; a replica that has seen any term is left as it
-// is. Other voters may open the group later and miss the first vote requests, so
-// these are repeated for a while.
+// needn't wait for an election timeout. It needs no pre-vote, because there can be no
+// leader before the first term, and it has no effect on a replica that has seen any term.
+// Other voters may create their replicas later and miss the first vote requests, so the
+// candidate repeats them for a while (see repeatBootstrapVote).
 func (g *Group) BootstrapCampaign(now eventloop.Micros) {
 	if g.term > 0 || g.LastIndex() > 0 || g.role != follower || !g.isVoter(g.self) || g.readOnly {
 		return
--- a/internal/raft/durability.go
+++ b/internal/raft/durability.go
@@ -1,32 +1,33 @@
 package raft
 
-// Durability: what this replica has written, what of it is synced, and what its store
-// holds.
+// This file tracks durability: which state this replica has written, which part of it is
+// synced, and how much its store holds.
 
 import (
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/schema"
 )
 
-// entryOverhead is about how many bytes an entry takes besides its data.
+// entryOverhead is the approximate number of bytes that a stored entry takes in addition to
+// its data.
 const entryOverhead = 64
 
-// SyncPoint identifies what is durable for a group once all changes handed out so far
-// are synced.
+// SyncPoint identifies the state of a group that is durable once all changes that Ready has
+// returned so far are synced.
 type SyncPoint struct {
-	Index, Term  uint64 // of the last entry
-	HardStateSeq uint64 // count of hard states written
+	Index, Term  uint64 // index and term of the last entry
+	HardStateSeq uint64 // number of hard states written
 }
 
-// MarkSynced tells the replica that all changes up to a sync point are durable, which
-// lets it acknowledge entries, grant votes and, as leader, commit.
+// MarkSynced tells the replica that all changes up to a sync point are durable. The replica
+// may then acknowledge these entries, count its own vote and, as leader, commit entries.
 func (g *Group) MarkSynced(now eventloop.Micros, point SyncPoint) {
 	if point.HardStateSeq > g.syncedHardStateSeq {
 		g.syncedHardStateSeq = point.HardStateSeq
 		g.countVotes(now)
 	}
-	// The entry may have been replaced since: the same index with another term isn't
-	// the entry that was synced.
+	// The entry may have been replaced since the sync point was taken. If the entry at this
+	// index has another term, it isn't the one that was synced.
 	if point.Index > g.stable && point.Index >= g.snapshot.Index && g.termAt(point.Index) == point.Term {
 		g.stable = point.Index
 		if g.role == leader {
@@ -48,14 +49,14 @@
 
 func (g *Group) hasUnsyncedHardState() bool { return g.syncedHardStateSeq < g.hardStateSeq }
 
-// SetWritable says whether this replica's store takes writes. While it doesn't, no
-// term, vote or entry of this replica becomes durable: it goes on following and, as
-// leader, serving reads, but it doesn't campaign, accepts no leadership transfer, and
-// grants no pre-vote, since it couldn't grant the vote.
+// SetWritable sets whether this replica's store accepts writes. While it doesn't, no term,
+// vote or entry of this replica becomes durable. The replica continues to follow a leader
+// or, as leader, to serve reads. But it doesn't campaign, accepts no leadership transfer,
+// and grants no pre-vote, because it couldn't grant the vote that would follow.
 func (g *Group) SetWritable(writable bool) { g.readOnly = !writable }
 
-// FullState is one change that brings a store of any content to what this replica
-// holds.
+// FullState returns one change that makes a store, whatever it contained, hold the whole
+// state of this replica.
 func (g *Group) FullState() *schema.StoreChange {
 	return &schema.StoreChange{
 		Group: g.name, HardState: &schema.HardState{Term: g.term, Vote: g.vote}, Snapshot: g.snapshot, ReplacesLog: true,
@@ -63,7 +64,7 @@
 	}
 }
 
-// StoredBytes is about how many bytes of this replica its store holds.
+// StoredBytes returns approximately how many bytes this replica takes in its store.
 func (g *Group) StoredBytes() int {
 	size := entryOverhead + len(g.snapshot.GetData())
 	for _, entry := range g.log {
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -1,17 +1,19 @@
 package raft
 
-// Leader election: timeouts, pre-vote and votes (sections 3.4, 4.2.3 and 9.6).
+// This file implements leader election: timeouts, pre-votes and votes (sections 3.4, 4.2.3
+// and 9.6).
 
 import (
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/schema"
 )
 
-// Shorter election timeouts of a replica that has just restarted and knows no leader.
+// These delays replace the election timeout of a replica that has just restarted and knows
+// no leader. They are shorter than the ordinary election timeout.
 const (
-	restartYieldDelay = 150 * eventloop.Millisecond // how much longer the others wait than the former leader
-	restartJitter     = 150 * eventloop.Millisecond // random part of the others' wait
-	restartRetryDelay = 100 * eventloop.Millisecond // least time between two pre-votes
+	restartYieldDelay = 150 * eventloop.Millisecond // how much longer the other replicas wait than the former leader
+	restartJitter     = 150 * eventloop.Millisecond // maximum random delay that is added for the other replicas
+	restartRetryDelay = 100 * eventloop.Millisecond // minimum time between two pre-votes
 )
 
 func (g *Group) resetElectionDeadline(now eventloop.Micros) {
@@ -19,11 +21,11 @@
 	g.electionDeadline = now + g.timeouts.ElectionMin + eventloop.Micros(g.rng.Int64N(spread+1))
 }
 
-// shortenElectionDeadline sets the first deadline after a restart. This replica has
-// acknowledged no leader since, so only a lease that it may have extended just
-// before the restart is waited for; a pre-vote harms no leader that is still there.
-// A replica whose last vote was for itself, as the former leader's was, campaigns first,
-// so that a full restart keeps each group's leader.
+// shortenElectionDeadline sets the first election deadline after a restart. The replica has
+// acknowledged no leader since the restart, so it needs to wait only for a lease that it
+// may have extended just before. If a leader is still running, the pre-vote doesn't
+// disturb it. A replica whose last vote was for itself, like the former leader's, has the
+// earliest deadline, so that each group keeps its leader when all processes restart.
 func (g *Group) shortenElectionDeadline(now eventloop.Micros) {
 	g.formerLeaseExpiry = now + g.timeouts.leaderLease()
 	g.electionDeadline = g.formerLeaseExpiry
@@ -32,8 +34,8 @@
 	}
 }
 
-// electionTimeout gives the leader up and starts a pre-vote, if this replica may be
-// elected.
+// electionTimeout handles an expired election timeout: the replica no longer follows a
+// leader, and starts a pre-vote if it may be elected.
 func (g *Group) electionTimeout(now eventloop.Micros) {
 	g.lead = ""
 	g.resetElectionDeadline(now)
@@ -45,8 +47,8 @@
 	}
 }
 
-// becomeFollower follows a leader, or none if lead is empty, in a term that isn't
-// less than the current one.
+// becomeFollower makes this replica a follower in a term, which must not be less than the
+// current one. The parameter lead is the id of the term's leader, or empty if unknown.
 func (g *Group) becomeFollower(now eventloop.Micros, term uint64, lead string) {
 	if term > g.term {
 		g.setHardState(term, "")
@@ -75,8 +77,9 @@
 	g.countVotes(now)
 }
 
-// campaign starts an election in the next term. After a TimeoutNow the voters are
-// informed that the leader itself wants it, so that they don't protect its lease.
+// campaign starts an election in the next term. If isTransfer is set, the leader itself
+// requested the election by a TimeoutNow: the vote requests say so, and the voters then
+// don't refuse their votes because of the leader's lease.
 func (g *Group) campaign(now eventloop.Micros, isTransfer bool) {
 	g.role = candidate
 	g.lead = ""
@@ -99,8 +102,9 @@
 	}
 }
 
-// countVotes goes on with the election if a quorum has granted its votes. The
-// candidate's own vote counts only once it is synced, like every other.
+// countVotes checks whether a quorum has granted its votes. A pre-candidate then campaigns,
+// and a candidate becomes the leader. A candidate's own vote, like any other vote, counts
+// only once it is synced.
 func (g *Group) countVotes(now eventloop.Micros) {
 	count := 0
 	for _, id := range g.memberSet.Voters {
@@ -128,7 +132,8 @@
 	g.groupTimeBase, g.groupTimeStart, g.clockJumpAt = g.lastEntryTime(), now, 0
 	g.updatePeers(now, g.LastIndex()+1)
 	g.noOpIndex = g.LastIndex() + 1
-	// Entries of former terms commit only under an entry of this one (section 3.6.2).
+	// Entries of earlier terms are committed only together with a later entry of this term
+	// (section 3.6.2).
 	g.appendEntry(now, &schema.Entry{Kind: schema.EntryKind_ENTRY_NO_OP})
 	g.broadcastHeartbeat(now)
 }
@@ -155,23 +160,24 @@
 	g.send(from, &schema.VoteResponse{Group: g.name, Term: g.term, Granted: granted})
 }
 
-// protectsLeader tells whether votes are refused because a leader may hold its
-// lease: one that this replica hears, so that a replica which comes back from a
-// partition disturbs nobody; or one that it acknowledged just before it restarted.
+// protectsLeader reports whether this replica must refuse votes because a leader may hold
+// its lease. That may be a leader that it has heard from lately, so that a replica that
+// returns from a partition doesn't disturb the group, or a leader that it acknowledged
+// just before it restarted.
 func (g *Group) protectsLeader(now eventloop.Micros) bool {
 	hasLeader := g.lead != "" && (g.role == leader || now-g.lastHeard < g.timeouts.ElectionMin)
 	return hasLeader || now < g.formerLeaseExpiry
 }
 
-// isUpToDate tells whether a candidate's log is at least as up to date as this one
+// isUpToDate reports whether a candidate's log is at least as up to date as this replica's
 // (section 3.6.1).
 func (g *Group) isUpToDate(m *schema.VoteRequest) bool {
 	return m.LastTerm > g.lastTerm() || m.LastTerm == g.lastTerm() && m.LastIndex >= g.LastIndex()
 }
 
 func (g *Group) handlePreVoteRequest(from string, m *schema.VoteRequest) {
-	// Of two pre-candidates with equal logs the one with the lesser id goes first: the
-	// two that are left of three would otherwise split the vote.
+	// Of two pre-candidates with equal logs, the one with the smaller id campaigns first.
+	// Otherwise the two remaining replicas of a group of three would split the vote.
 	campaignsFirst := g.role == preCandidate && g.self < from && m.LastTerm == g.lastTerm() && m.LastIndex == g.LastIndex()
 	if m.Term > g.term && g.isUpToDate(m) && !campaignsFirst && !g.readOnly {
 		g.send(from, &schema.VoteResponse{Group: g.name, Term: m.Term, Granted: true, PreVote: true})
--- a/internal/raft/heartbeat.go
+++ b/internal/raft/heartbeat.go
@@ -1,37 +1,39 @@
 package raft
 
-// Rounds of heartbeats: quorum contact for the leader lease, the commit index for
-// followers, and how fresh a replica's state is.
+// This file implements rounds of heartbeats. A round proves the leader's contact with a
+// quorum, which extends its lease; it also tells the followers the commit index and how
+// fresh their state is.
 
 import (
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/schema"
 )
 
-// maxHeartbeatResponses is how many of the last heartbeats a follower remembers
-// having acknowledged.
+// maxHeartbeatResponses limits how many of the heartbeats that it acknowledged last a
+// follower remembers.
 const maxHeartbeatResponses = 16
 
-// heartbeatResponse is a heartbeat that this follower acknowledged.
+// heartbeatResponse records a heartbeat that this follower acknowledged.
 type heartbeatResponse struct {
 	round      uint64
-	receivedAt eventloop.Micros
+	receivedAt eventloop.Micros // when the heartbeat arrived
 }
 
-// HoldsLeaderLease tells whether this leader may act outside the group: it has applied
-// its no-op, and a quorum acknowledged a round sent within the lease. It gives the lease
-// up when it tells another to campaign, whose votes don't wait for the lease. A process that
-// was suspended finds its lease expired when it resumes, before it learns of its
-// successor.
+// HoldsLeaderLease reports whether this leader may act outside the group. It may if its
+// no-op entry is committed and a quorum acknowledged a round that was sent no longer ago
+// than the lease lasts. The leader gives up the lease when it sends a TimeoutNow, because
+// the voters grant the target their votes without waiting for the lease to expire. A
+// process that was suspended finds its lease expired when it resumes, even before it
+// learns that another replica leads.
 func (g *Group) HoldsLeaderLease(now eventloop.Micros) bool {
 	return g.role == leader && !g.hasSentTimeoutNow && g.commit >= g.noOpIndex && now-g.quorumRoundSentAt <= g.timeouts.leaderLease()
 }
 
-// FreshAsOf is a time at which this replica's applied state held all that was
-// committed; 0 if none is known.
+// FreshAsOf returns a time at which this replica's applied state included every entry that
+// was committed then, or 0 if no such time is known.
 func (g *Group) FreshAsOf() eventloop.Micros {
 	if g.role == leader {
-		// A new leader may hold committed entries that it doesn't know to be committed.
+		// A new leader's log may hold entries that are committed without its knowledge.
 		if g.commit < g.noOpIndex {
 			return 0
 		}
@@ -40,8 +42,8 @@
 	return g.freshAsOf
 }
 
-// BroadcastCommit sends a round of heartbeats at once, so that followers needn't wait
-// for the next one or the next entry to learn the commit index.
+// BroadcastCommit sends a round of heartbeats at once, so that followers learn the commit
+// index without waiting for the next round or the next entry.
 func (g *Group) BroadcastCommit(now eventloop.Micros) {
 	if g.role == leader {
 		g.broadcastHeartbeat(now)
@@ -66,8 +68,9 @@
 	if !g.acceptLeader(now, from, m.Term) {
 		return
 	}
-	// After a restart it isn't known how far this log agrees with the leader's, and in
-	// an idle group no Append comes to find out.
+	// After a restart this replica doesn't know how far its log agrees with the leader's,
+	// and in an idle group no Append arrives to show it. A matching term at the commit
+	// index proves that the logs agree up to there.
 	if m.CommitTerm > 0 && m.Commit <= g.LastIndex() && g.termAt(m.Commit) == m.CommitTerm {
 		g.matchIndex = max(g.matchIndex, m.Commit)
 	}
@@ -83,10 +86,12 @@
 	g.send(from, &schema.HeartbeatResponse{Group: g.name, Term: g.term, Round: m.Round, Match: min(g.matchIndex, g.stable)})
 }
 
-// updateFreshness advances freshAsOf if this replica has applied all that a heartbeat
-// says is committed. The heartbeat may have been delayed for any time, by the network
-// or because this process was suspended. What is certain is that it was sent after
-// the leader received the acknowledgement that it names.
+// updateFreshness advances freshAsOf if this replica has committed every entry that a
+// heartbeat reports as committed. The time of the heartbeat's arrival can't be used: the
+// heartbeat may have been delayed for any time, by the network or because this process was
+// suspended. It is certain, however, that the leader sent it after it had received this
+// replica's response to the round AckedRound, so freshAsOf becomes the time when the
+// heartbeat of that round arrived.
 func (g *Group) updateFreshness(m *schema.Heartbeat) {
 	for _, response := range g.heartbeatResponses {
 		if m.CommitConfirmed && g.commit >= m.Commit && response.round == m.AckedRound {
@@ -101,8 +106,8 @@
 		return
 	}
 	p.round = max(p.round, m.Round)
-	if sent, open := g.roundSentAt[m.Round]; open && (p.minRoundTrip == 0 || now-sent < p.minRoundTrip) {
-		p.minRoundTrip = max(now-sent, 1)
+	if sentAt, ok := g.roundSentAt[m.Round]; ok && (p.minRoundTrip == 0 || now-sentAt < p.minRoundTrip) {
+		p.minRoundTrip = max(now-sentAt, 1)
 	}
 	p.clockOffset = m.WallUs - int64(now)
 	g.advanceMatch(now, from, p, m.Match)
@@ -110,8 +115,8 @@
 	g.confirmRounds(now)
 }
 
-// confirmRounds notes the last round that a quorum has acknowledged, and serves the
-// reads that waited for it.
+// confirmRounds determines the last round that a quorum has acknowledged, records when it
+// was sent, and releases the reads that waited for it.
 func (g *Group) confirmRounds(now eventloop.Micros) {
 	round := g.quorumValue(func(id string) uint64 {
 		if id == g.self {
@@ -119,11 +124,11 @@
 		}
 		return g.peers[id].round
 	})
-	if sent, open := g.roundSentAt[round]; open {
-		g.quorumRoundSentAt = max(g.quorumRoundSentAt, sent)
-		for former := range g.roundSentAt {
-			if former < round {
-				delete(g.roundSentAt, former)
+	if sentAt, ok := g.roundSentAt[round]; ok {
+		g.quorumRoundSentAt = max(g.quorumRoundSentAt, sentAt)
+		for earlier := range g.roundSentAt {
+			if earlier < round {
+				delete(g.roundSentAt, earlier)
 			}
 		}
 	}
--- a/internal/raft/leadership_transfer.go
+++ b/internal/raft/leadership_transfer.go
@@ -1,16 +1,17 @@
 package raft
 
-// Leadership transfer by TimeoutNow (section 3.10).
+// This file implements leadership transfer by TimeoutNow (section 3.10).
 
 import (
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/schema"
 )
 
-// TransferLeadership starts to hand the leadership to a voter: once its log is
-// complete it is sent TimeoutNow. Until then, or until an election timeout has
-// passed, proposals are refused. It has no effect on a replica that doesn't lead,
-// for a target that isn't another voter, or while a transfer is in progress.
+// TransferLeadership starts a transfer of the leadership to another voter. Once the
+// target's log is complete, the leader sends it a TimeoutNow. The leader refuses
+// proposals until it steps down or until the shortest election timeout has passed. The
+// call has no effect on a replica that isn't the leader, if the target isn't another
+// voter, or while a transfer is in progress.
 func (g *Group) TransferLeadership(now eventloop.Micros, to string) {
 	if g.role != leader || to == g.self || !g.isVoter(to) || g.transferee != "" {
 		return
@@ -19,8 +20,8 @@
 	g.trySendTimeoutNow()
 }
 
-// Transferee is the target of the leadership transfer in progress; empty if there is
-// none.
+// Transferee returns the id of the target of the leadership transfer in progress, or "" if
+// there is none.
 func (g *Group) Transferee() string { return g.transferee }
 
 func (g *Group) expireTransfer(now eventloop.Micros) {
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -1,18 +1,20 @@
 package raft
 
-// The replicated log: the snapshot and the entries after it.
+// This file implements the replicated log, which consists of a snapshot and the entries
+// after it.
 
 import (
 	"sparnotch/internal/schema"
 )
 
-// LastIndex is the index of the log's last entry, or of the snapshot if there is none
-// after it.
+// LastIndex returns the index of the log's last entry, or the snapshot's index if no entry
+// follows the snapshot.
 func (g *Group) LastIndex() uint64 { return g.snapshot.Index + uint64(len(g.log)) }
 
 func (g *Group) lastTerm() uint64 { return g.termAt(g.LastIndex()) }
 
-// termAt is the term of an entry, 0 if the log doesn't hold it.
+// termAt returns the term of the entry at an index, which may be the snapshot's. It returns
+// 0 if the log doesn't hold the entry.
 func (g *Group) termAt(index uint64) uint64 {
 	switch {
 	case index == g.snapshot.Index:
@@ -23,8 +25,8 @@
 	return g.log[index-g.snapshot.Index-1].Term
 }
 
-// entryTime is the group time of an entry in µs; the index must be the snapshot's or in
-// the log.
+// entryTime returns the group time of the entry at an index, in µs. The index must be the
+// snapshot's or that of an entry in the log.
 func (g *Group) entryTime(index uint64) int64 {
 	if index == g.snapshot.Index {
 		return g.snapshot.TimeUs
@@ -39,15 +41,15 @@
 	return g.log[low-g.snapshot.Index : high-g.snapshot.Index]
 }
 
-// truncateAndAppend appends entries, which replace all from the first one's index on.
-// It panics if a committed entry would be replaced.
+// truncateAndAppend removes all entries of the log from the index of the first new entry
+// on, and then appends the new entries. It panics if this would remove a committed entry.
 func (g *Group) truncateAndAppend(entries []*schema.Entry) {
 	first := entries[0].Index
 	if first <= g.commit {
-		panic("raft: a committed entry would be replaced in " + g.name)
+		panic("raft: an append would replace a committed entry of group " + g.name)
 	}
-	// The log is long and member sets are rare: it is searched only when one may have
-	// come or gone.
+	// The log may be long and member sets are rare, so the log is searched only if a member
+	// set is appended or may have been removed.
 	memberSetChanged := first <= g.memberSetIndex
 	for _, entry := range entries {
 		memberSetChanged = memberSetChanged || entry.Kind == schema.EntryKind_ENTRY_MEMBER_SET
@@ -64,9 +66,9 @@
 	}
 }
 
-// Compact replaces the log up to an applied index by a snapshot of the state machine
-// at that index, whose data the group takes over. An index that isn't applied, or
-// that the present snapshot covers, has no effect.
+// Compact replaces the log up to an index by a snapshot of the state machine at that
+// index; the caller must not modify the data afterwards. The call has no effect if the
+// index isn't committed or if the current snapshot covers it.
 func (g *Group) Compact(index uint64, data []byte) {
 	if index <= g.snapshot.Index || index > g.commit {
 		return
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -1,24 +1,31 @@
 // Package raft implements the Raft consensus algorithm for one replica of one
-// group, as a deterministic state machine in the manner of etcd's raft: a caller
-// feeds it time (Tick), messages (Step), proposals and sync confirmations
-// (MarkSynced), and takes from Ready what is to be sent, written and applied. The
-// package does no I/O, reads no clock, starts no goroutines and draws random
-// numbers only from the Rand it is given. A Group isn't safe for concurrent use;
-// the component that hosts it owns it.
+// group, as a deterministic state machine similar to etcd's raft package. The caller
+// passes in time (Tick), messages (Step), proposals and sync confirmations
+// (MarkSynced), and gets from Ready the messages to send, the changes to write and
+// the entries to apply. The package does no I/O, reads no clock, starts no goroutines
+// and draws random numbers only from the Rand passed to New. A Group isn't safe for
+// concurrent use; the component that hosts it owns it.
 //
-// Implemented are leader election with pre-vote, check quorum and a leader lease,
-// log replication, single-server membership changes with learners, snapshots,
-// leadership transfer (TimeoutNow) and linearizable reads (ReadIndex). Sections
-// named in comments are those of D. Ongaro's dissertation, "Consensus: Bridging
-// Theory and Practice" (2014).
+// The package implements leader election with pre-vote, check quorum and a leader
+// lease, log replication, single-server membership changes with learners, snapshots,
+// leadership transfer (TimeoutNow) and linearizable reads (ReadIndex). Section numbers
+// in comments refer to D. Ongaro's dissertation, "Consensus: Bridging Theory and
+// Practice" (2014).
 //
-// Files by concern: election.go (terms and votes), bootstrap.go (the first term),
-// leadership_transfer.go, replication.go (appends and commit), heartbeat.go
-// (rounds, quorum contact and freshness), readindex.go, progress.go (what the
-// leader knows of each peer), flowcontrol.go and chunks.go (bounds on what is in
-// flight, large messages), log.go and snapshot.go, membership.go, durability.go
-// (what waits for a sync), grouptime.go (the group's clock), clone.go and
-// fingerprint.go (for the model checker).
+// The files are divided by concern:
+//   - election.go: terms and votes
+//   - bootstrap.go: the first term of a new group
+//   - leadership_transfer.go: leadership transfer
+//   - replication.go: appending entries and committing them
+//   - heartbeat.go: rounds of heartbeats, contact with a quorum, and freshness
+//   - readindex.go: linearizable reads
+//   - progress.go: the leader's state for each peer
+//   - flowcontrol.go and chunks.go: limits on the bytes in flight, and large messages
+//   - log.go and snapshot.go: the log and its snapshot
+//   - membership.go: voters and learners
+//   - durability.go: the state that waits for a sync
+//   - grouptime.go: the group's clock
+//   - clone.go and fingerprint.go: support for the model checker
 package raft
 
 import (
@@ -31,35 +38,37 @@
 )
 
 var (
-	// Errors is the namespace of this package's errors.
+	// Errors is the namespace that holds this package's error types.
 	Errors = errorx.NewNamespace("raft")
-	// NotLeader means that this replica isn't the leader, or not yet able to serve as
-	// one; the message names the leader where it is known.
+	// NotLeader means that this replica isn't the leader, or that it is a new leader
+	// that hasn't committed an entry of its term yet. The message names the leader if it
+	// is known.
 	NotLeader = Errors.NewType("not_leader")
-	// Busy means that the leader can't accept the request now; a retry may succeed.
+	// Busy means that the leader can't accept the request now, but may accept it later.
 	Busy = Errors.NewType("busy")
 )
 
-// Timeouts are the timing parameters of a group; docs/design.md derives the defaults.
+// Timeouts holds the timing parameters of a group; docs/design.md derives the defaults.
 type Timeouts struct {
-	ElectionMin       eventloop.Micros // least election timeout
-	ElectionMax       eventloop.Micros // greatest election timeout
+	ElectionMin       eventloop.Micros // shortest election timeout
+	ElectionMax       eventloop.Micros // longest election timeout
 	HeartbeatInterval eventloop.Micros
 }
 
-// DefaultTimeouts are the values used in production.
+// DefaultTimeouts holds the values used in production.
 var DefaultTimeouts = Timeouts{
 	ElectionMin:       450 * eventloop.Millisecond,
 	ElectionMax:       750 * eventloop.Millisecond,
 	HeartbeatInterval: 100 * eventloop.Millisecond,
 }
 
-// leaderLease is how long a leader may act outside the group after it sent a round
-// of heartbeats that a quorum acknowledged (section 6.4.1). It is less than the
-// least time that a voter which acknowledged waits before it votes for another.
+// leaderLease returns how long a leader may act outside the group after it sent a round
+// of heartbeats that a quorum acknowledged (section 6.4.1). The lease is shorter than
+// the minimum time that a voter waits, after it acknowledged a heartbeat, before it
+// votes for another candidate.
 func (t Timeouts) leaderLease() eventloop.Micros { return 3 * t.HeartbeatInterval }
 
-// Rand is the source of randomness for election timeouts.
+// Rand is the source of random numbers for election timeouts.
 type Rand interface {
 	// Int64N returns a number in [0, n).
 	Int64N(n int64) int64
@@ -74,93 +83,94 @@
 	leader
 )
 
-// String implements fmt.Stringer. The state view's JSON calls a pre-candidate "asking"; that
-// name can't change.
+// String returns the role's name. For a pre-candidate that is "asking", which can't change
+// because the JSON of the state view contains it.
 func (r role) String() string { return [...]string{"follower", "asking", "candidate", "leader"}[r] }
 
 // Message is a message for another replica of the group.
 type Message struct {
 	To   string
 	Body proto.Message
-	// AfterSync tells that the message reports a term or vote that isn't durable
-	// yet: it may leave only after the changes of its Ready have been synced.
+	// AfterSync is set if the message reveals a term or vote that isn't durable yet.
+	// The message may be sent only after the changes of the same Ready have been synced.
 	AfterSync bool
 }
 
-// Ready is the outcome of the steps since the last call of Group.Ready. Order of
-// use: Changes are written, Messages without AfterSync may be sent at once, the
-// others after the sync; Snapshot is restored before CommittedEntries are applied.
+// Ready holds the work that the group has produced since the last call of Group.Ready.
+// The caller writes Changes. It may send messages without AfterSync at once, and must
+// sync the changes before it sends the others. It restores Snapshot before it applies
+// CommittedEntries.
 type Ready struct {
 	Messages         []Message
 	Changes          []*schema.StoreChange
-	Snapshot         *schema.Snapshot // a leader's snapshot to restore; nil if none was installed
+	Snapshot         *schema.Snapshot // a snapshot received from the leader, to be restored; nil if there is none
 	CommittedEntries []*schema.Entry
-	ConfirmedReads   []uint64 // ids of ReadIndex requests that may now be served
+	ConfirmedReads   []uint64 // ids of the ReadIndex requests that may now be served
 }
 
 // Group is this process's replica of one Raft group.
 type Group struct {
-	name, self string
+	name, self string // name of the group; id of this storage node
 	timeouts   Timeouts
 	rng        Rand
 
-	// HardState and role.
+	// Term, vote and role.
 	term               uint64
 	vote               string
 	role               role
 	lead               string // leader of this term; empty if unknown
-	hardStateSeq       uint64 // hard states written
-	syncedHardStateSeq uint64 // hard states synced
-	readOnly           bool   // the store takes no writes
+	hardStateSeq       uint64 // number of hard states written
+	syncedHardStateSeq uint64 // number of hard states synced
+	readOnly           bool   // the store accepts no writes
 
 	// Log.
-	snapshot       *schema.Snapshot // what the log follows; immutable
-	log            []*schema.Entry  // entries after the snapshot
-	stable         uint64           // last index that is synced here
-	commit         uint64
-	memberSet      *schema.MemberSet // newest in the log, committed or not
-	memberSetIndex uint64
+	snapshot       *schema.Snapshot  // state before the first entry of the log; never modified
+	log            []*schema.Entry   // entries after the snapshot
+	stable         uint64            // last index that this replica has synced
+	commit         uint64            // last index known to be committed
+	memberSet      *schema.MemberSet // newest member set in the log, committed or not
+	memberSetIndex uint64            // index of the entry, or of the snapshot, that holds memberSet
 	ready          Ready
 
 	// Elections.
 	electionDeadline    eventloop.Micros
 	preVoteCount        int
-	votes               map[string]bool  // as candidate or pre-candidate
-	justRestarted       bool             // no leader was known since this start
-	formerLeaseExpiry   eventloop.Micros // a leader acknowledged before this start may hold its lease until then
-	bootstrapRoundsLeft int              // vote requests still to be repeated in the first term
+	votes               map[string]bool  // votes or pre-votes granted to this replica
+	justRestarted       bool             // no leader has been known since this replica started
+	formerLeaseExpiry   eventloop.Micros // until then a leader that was acknowledged before this start may hold its lease
+	bootstrapRoundsLeft int              // rounds of vote requests that may still be sent in the first term
 	nextBootstrapRound  eventloop.Micros
 
 	// Follower.
-	matchIndex         uint64 // how far the log is known to agree with the leader's
-	lastHeard          eventloop.Micros
-	freshAsOf          eventloop.Micros
+	matchIndex         uint64              // last index up to which the log is known to agree with the leader's
+	lastHeard          eventloop.Micros    // when the last message of the leader arrived
+	freshAsOf          eventloop.Micros    // see FreshAsOf
 	reassembly         reassembly          // a large message being received in chunks
-	heartbeatResponses []heartbeatResponse // heartbeats acknowledged in this term, the latest last
+	heartbeatResponses []heartbeatResponse // the last heartbeats acknowledged in this term, oldest first
 
 	// Leader.
 	peers             map[string]*progress
-	noOpIndex         uint64                      // the no-op entry that began this leader's term
-	round             uint64                      // last round of heartbeats sent
-	roundSentAt       map[uint64]eventloop.Micros // send times of the last round that a quorum acknowledged and of all later ones
+	noOpIndex         uint64                      // index of the no-op entry that this leader appended at the start of its term
+	round             uint64                      // number of the last round of heartbeats sent
+	roundSentAt       map[uint64]eventloop.Micros // when each round was sent, from the last one that a quorum acknowledged on
 	quorumRoundSentAt eventloop.Micros            // when the last round that a quorum acknowledged was sent
 	nextHeartbeat     eventloop.Micros
 	pendingReads      []readRequest
-	transferee        string // target of the leadership transfer in progress
-	hasSentTimeoutNow bool   // to the transferee, which may lead from then on
-	transferDeadline  eventloop.Micros
-	lastChunkedSend   uint64 // chunked sends begun so far
+	transferee        string           // target of the leadership transfer in progress; empty if there is none
+	hasSentTimeoutNow bool             // TimeoutNow was sent to the transferee, which may lead from then on
+	transferDeadline  eventloop.Micros // when the leadership transfer is given up
+	lastChunkedSend   uint64           // number of the last message sent in chunks
 
 	// Group time.
-	groupTimeBase  int64            // µs of group time at groupTimeStart
+	groupTimeBase  int64            // group time at groupTimeStart, in µs
 	groupTimeStart eventloop.Micros // when this replica became leader
-	wallOffset     int64            // wall time less group time in µs; 0: never agreed on
-	wallOffsetTerm uint64           // term in which this replica, as leader, set clockOffset
-	clockJumpAt    eventloop.Micros // since when the median wall clock has been off; 0: it isn't
+	wallOffset     int64            // wall time minus group time in µs; 0 if the clocks never agreed on it
+	wallOffsetTerm uint64           // term in which this replica, as leader, last set wallOffset
+	clockJumpAt    eventloop.Micros // when a jump of the median wall clock was noticed; 0 if there is none
 }
 
-// New makes a replica from its durable state, which it shares and doesn't change.
-// The id `self` is this storage node's.
+// New creates a replica from its durable state, which the replica shares with the caller
+// and doesn't modify. The parameter self is the id of this storage node.
 func New(name, self string, state *storage.GroupState, timeouts Timeouts, rng Rand, now eventloop.Micros) *Group {
 	g := &Group{name: name, self: self, timeouts: timeouts, rng: rng, snapshot: state.Snapshot}
 	g.term, g.vote = state.HardState.Term, state.HardState.Vote
@@ -176,57 +186,59 @@
 	return g
 }
 
-// Name is the group's name.
+// Name returns the group's name.
 func (g *Group) Name() string { return g.name }
 
-// Term is the current term, as far as this replica knows.
+// Term returns the latest term that this replica knows of.
 func (g *Group) Term() uint64 { return g.term }
 
-// Leader is the id of the leader of this term; empty while none is known.
+// Leader returns the id of the leader of this term, or "" while none is known.
 func (g *Group) Leader() string { return g.lead }
 
-// IsLeader tells whether this replica is the leader of its term; another may lead a
-// later one. See HoldsLeaderLease for whether it may act as the leader.
+// IsLeader reports whether this replica is the leader of its term. Another replica may
+// already lead a later term; HoldsLeaderLease reports whether this one may still act as
+// the leader.
 func (g *Group) IsLeader() bool { return g.role == leader }
 
-// Role is the name of the replica's role, for operators.
+// Role returns the name of the replica's role, for display to operators.
 func (g *Group) Role() string { return g.role.String() }
 
-// CommitIndex is the index up to which entries are known to be committed. All of them are in
-// Ready, so whoever has taken that has applied them.
+// CommitIndex returns the index up to which entries are known to be committed. Ready returns
+// all of these entries, so a caller that applies each Ready has applied them.
 func (g *Group) CommitIndex() uint64 { return g.commit }
 
-// StableIndex is the index up to which this replica's log is synced.
+// StableIndex returns the index up to which this replica's log is synced.
 func (g *Group) StableIndex() uint64 { return g.stable }
 
-// SnapshotIndex is the index of the last entry that the snapshot covers.
+// SnapshotIndex returns the index of the last entry that the snapshot covers.
 func (g *Group) SnapshotIndex() uint64 { return g.snapshot.Index }
 
-// SnapshotBytes is the size of the snapshot's data in bytes.
+// SnapshotBytes returns the size of the snapshot's data in bytes.
 func (g *Group) SnapshotBytes() int { return len(g.snapshot.Data) }
 
-// NoOpIndex is the index of the no-op entry with which this leader began its term.
+// NoOpIndex returns the index of the no-op entry that this leader appended at the start
+// of its term.
 func (g *Group) NoOpIndex() uint64 { return g.noOpIndex }
 
-// PreVoteCount is how many pre-votes this replica has started since it was made,
-// each because an election timeout passed.
+// PreVoteCount returns how many pre-votes this replica has started since it was created.
+// Each of them followed the expiry of an election timeout.
 func (g *Group) PreVoteCount() int { return g.preVoteCount }
 
-// Ready takes what the steps since the last call have left. Once its changes are
-// synced, the SyncPoint goes to MarkSynced.
+// Ready returns and clears the work that the group has produced since the last call.
+// Once the changes are synced, the caller passes the SyncPoint to MarkSynced.
 func (g *Group) Ready() (Ready, SyncPoint) {
 	ready := g.ready
 	g.ready = Ready{}
 	return ready, SyncPoint{Index: g.LastIndex(), Term: g.lastTerm(), HardStateSeq: g.hardStateSeq}
 }
 
-// send queues a message. While the current term or vote isn't synced, nothing that
-// reveals it may go out.
+// send queues a message for the next Ready. While the current term or vote isn't synced,
+// no message that reveals it may be sent, so the message is marked AfterSync.
 func (g *Group) send(to string, body proto.Message) {
 	g.ready.Messages = append(g.ready.Messages, Message{To: to, Body: body, AfterSync: g.hasUnsyncedHardState()})
 }
 
-// Tick advances time. It is to be called several times in a heartbeat interval.
+// Tick advances time. The caller calls it several times in each heartbeat interval.
 func (g *Group) Tick(now eventloop.Micros) {
 	if g.role == leader {
 		g.tickLeader(now)
@@ -239,8 +251,8 @@
 }
 
 func (g *Group) tickLeader(now eventloop.Micros) {
-	// Check quorum: a leader without one can commit nothing, and callers that see it
-	// step down look for its successor.
+	// Check quorum: a leader that has lost contact with a quorum can't commit anything.
+	// It steps down, which makes its callers look for its successor.
 	if now-g.quorumRoundSentAt > g.timeouts.ElectionMin {
 		g.becomeFollower(now, g.term, "")
 		return
@@ -251,7 +263,7 @@
 	}
 }
 
-// Step handles a message of another replica; bodies of other types are ignored.
+// Step handles a message from another replica. It ignores a body that isn't a Raft message.
 func (g *Group) Step(now eventloop.Micros, from string, body any) {
 	switch m := body.(type) {
 	case *schema.VoteRequest:
--- a/internal/raft/readindex.go
+++ b/internal/raft/readindex.go
@@ -1,22 +1,23 @@
 package raft
 
-// Linearizable reads by ReadIndex (section 6.4).
+// This file implements linearizable reads by ReadIndex (section 6.4).
 
 import (
 	"sparnotch/internal/eventloop"
 )
 
-// readRequest is a read that waits for a quorum to confirm this leader.
+// readRequest is a read that waits until a quorum has confirmed that this replica leads.
 type readRequest struct {
-	id    uint64 // the caller's id
-	index uint64 // commit index when it was asked; see serveReads
-	round uint64 // round of heartbeats that confirms it
+	id    uint64 // the id that the caller chose
+	index uint64 // commit index when the read was requested; see serveReads
+	round uint64 // the round of heartbeats that confirms the read
 }
 
-// ReadIndex asks for a read of a state no older than now. Its id is in a Ready's
-// ConfirmedReads once a quorum has acknowledged a round sent after this call; if
-// leadership is lost before, it never is. It returns NotLeader for a replica that
-// doesn't lead or hasn't committed an entry of its term.
+// ReadIndex requests a read of a state that is no older than now. The request's id appears
+// in ConfirmedReads of a Ready once a quorum has acknowledged a round of heartbeats sent
+// after this call. If this replica loses the leadership before that, the id never appears.
+// The error is NotLeader on a replica that isn't the leader or hasn't committed an entry
+// of its term.
 func (g *Group) ReadIndex(now eventloop.Micros, id uint64) error {
 	if g.role != leader || g.commit < g.noOpIndex {
 		return g.notLeader()
@@ -25,24 +26,25 @@
 	return nil
 }
 
-// FlushReads starts a round of heartbeats for the reads that wait for one. It is
-// called once after a batch of requests, so that all of them share the round.
+// FlushReads sends a round of heartbeats if pending reads need a new one. The caller calls
+// it once after a batch of requests, so that all of them share the round.
 func (g *Group) FlushReads(now eventloop.Micros) {
 	if g.role != leader || len(g.pendingReads) == 0 || g.pendingReads[len(g.pendingReads)-1].round <= g.round {
 		return
 	}
-	// While a round is in flight the next waits for its acknowledgement; if that is
-	// lost, for the next regular heartbeat.
-	if _, open := g.roundSentAt[g.round]; open && g.quorumRoundSentAt < g.roundSentAt[g.round] {
+	// While a round is in flight, the next one waits until a quorum has acknowledged it. If
+	// the acknowledgements are lost, the next regular round of heartbeats serves the reads.
+	if _, ok := g.roundSentAt[g.round]; ok && g.quorumRoundSentAt < g.roundSentAt[g.round] {
 		return
 	}
 	g.broadcastHeartbeat(now)
 }
 
-// serveReads releases the reads that a round confirms. It needn't compare their indexes: an
-// entry is queued for Ready when it is committed, and a read's index was committed when the
-// read was asked. So the entries up to it are handed out no later than the read, and the
-// caller must apply a Ready's entries before it serves the Ready's reads.
+// serveReads releases the reads that a round confirms. It needn't compare their indexes with
+// the commit index: a read's index was already committed when the read was requested, and
+// entries are queued for Ready when they are committed. The caller therefore gets the
+// entries up to that index no later than the read, and must apply the entries of a Ready
+// before it serves the reads of that Ready.
 func (g *Group) serveReads(round uint64) {
 	k := 0
 	for ; k < len(g.pendingReads) && g.pendingReads[k].round <= round; k++ {
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -1,6 +1,6 @@
 package raft
 
-// Log replication and commitment (sections 3.5 and 3.6).
+// This file implements log replication and commitment (sections 3.5 and 3.6).
 
 import (
 	"sort"
@@ -9,22 +9,26 @@
 	"sparnotch/internal/schema"
 )
 
-// Propose appends a command and takes over its data. The index and term identify the
-// entry when it is applied: another entry may be committed at that index. It returns
-// NotLeader, or Busy during a leadership transfer.
+// Propose appends a command to the leader's log; the caller must not modify the data
+// afterwards. It returns the entry's index and term. A caller must compare both when an
+// entry is applied, because another entry may be committed at that index. The error is
+// NotLeader on a replica that isn't the leader, and Busy during a leadership transfer.
 func (g *Group) Propose(now eventloop.Micros, data []byte) (index, term uint64, err error) {
 	if g.role != leader {
 		return 0, 0, g.notLeader()
 	}
 	if g.transferee != "" {
-		return 0, 0, Busy.New("%s: leadership is being transferred to %s", g.name, g.transferee)
+		return 0, 0, Busy.New("group %s accepts no proposals while leadership is being transferred to %s", g.name, g.transferee)
 	}
 	return g.appendEntry(now, &schema.Entry{Kind: schema.EntryKind_ENTRY_COMMAND, Data: data}), g.term, nil
 }
 
-func (g *Group) notLeader() error { return NotLeader.New("%s is led by %q", g.name, g.lead) }
+func (g *Group) notLeader() error {
+	return NotLeader.New("this replica can't serve as the leader of group %s; the known leader is %q", g.name, g.lead)
+}
 
-// appendEntry appends an entry of the leader's term and replicates it.
+// appendEntry appends an entry to the leader's log, in the current term, and starts to
+// replicate it. It returns the entry's index.
 func (g *Group) appendEntry(now eventloop.Micros, entry *schema.Entry) uint64 {
 	entry.Index, entry.Term, entry.TimeUs = g.LastIndex()+1, g.term, g.GroupTime(now)
 	g.truncateAndAppend([]*schema.Entry{entry})
@@ -39,15 +43,15 @@
 	return entry.Index
 }
 
-// replicateTo sends a peer what it lacks, as far as flow control allows: a snapshot,
-// a probe, or Appends.
+// replicateTo sends a peer the part of the log that it lacks, as far as flow control
+// allows: as a snapshot, as a single probe, or as several Appends.
 func (g *Group) replicateTo(now eventloop.Micros, id string) {
 	p := g.peers[id]
 	if p == nil || p.snapshotPending || p.chunked != nil {
 		return
 	}
 	if p.next <= g.snapshot.Index {
-		// The snapshot covers what is in flight.
+		// The snapshot covers the entries in flight, so they are no longer tracked.
 		p.snapshotPending, p.lastAdvance, p.inflight = true, now, nil
 		g.sendSnapshot(now, id, p)
 		return
@@ -56,12 +60,14 @@
 		return
 	}
 	if p.next == 1 && p.match == 0 {
-		// The first member set is in no entry: without the empty snapshot a voter that
-		// is reached before its own Bootstrap would never learn the members.
+		// The initial member set isn't stored in any entry, so it is sent in a snapshot
+		// without data. Otherwise a voter that gets this message before its node calls
+		// Bootstrap would never learn the members.
 		g.send(id, &schema.InstallSnapshot{Group: g.name, Term: g.term, Snapshot: g.snapshot})
 	}
-	// A probe is a single Append, and isn't bounded by what is known to match: in a long
-	// log, of which nothing is known to match, the end is further away than the bound.
+	// A probe is a single Append, and isn't subject to maxInflightEntries. That limit counts
+	// from the last entry known to match; while none is known, the end of a long log lies
+	// beyond the limit.
 	for p.next <= g.LastIndex() && (p.probing || p.canSend(g.inflightWindow(p))) {
 		entries, size := g.nextBatch(p.next, g.inflightWindow(p))
 		g.sendAppend(now, id, p, entries, size)
@@ -95,8 +101,9 @@
 	g.send(id, body)
 }
 
-// acceptLeader follows the sender as the leader of a term. It tells whether that term
-// is current; if it isn't, the sender is answered so that it steps down.
+// acceptLeader makes the sender of a message the leader that this replica follows, and
+// reports whether it did. If the message's term has passed, it sends a response instead,
+// from which the sender learns the current term and steps down.
 func (g *Group) acceptLeader(now eventloop.Micros, from string, term uint64) bool {
 	if term < g.term {
 		g.send(from, &schema.AppendResponse{Group: g.name, Term: g.term, Rejected: true})
@@ -115,7 +122,8 @@
 		return
 	}
 	prev, prevTerm, entries := m.PrevIndex, m.PrevTerm, m.Entries
-	// What the snapshot covers is committed, so the leader's log has the same.
+	// Entries that the snapshot covers are committed, so the leader's log has the same
+	// ones and they are skipped.
 	for prev < g.snapshot.Index && len(entries) > 0 && entries[0].Index <= g.snapshot.Index {
 		prev, prevTerm, entries = entries[0].Index, entries[0].Term, entries[1:]
 	}
@@ -134,15 +142,15 @@
 	appended := g.appendMissing(entries)
 	g.matchIndex = max(g.matchIndex, prev+uint64(len(entries)))
 	g.commitTo(min(m.Commit, g.matchIndex))
-	// What was appended is acknowledged when it is synced.
+	// Entries that were appended just now are acknowledged when they are synced.
 	if !appended {
 		g.acknowledge(from)
 	}
 }
 
 // appendMissing appends the leader's entries from the first one that this log doesn't
-// hold, and tells whether there was one. Those that agree stay: a delayed Append must
-// not remove what a later one has brought.
+// hold, and reports whether there was one. It keeps the entries that agree with the
+// leader's, because a delayed Append must not remove entries of a later Append.
 func (g *Group) appendMissing(entries []*schema.Entry) bool {
 	for k, entry := range entries {
 		if entry.Index > g.LastIndex() || g.termAt(entry.Index) != entry.Term {
@@ -153,7 +161,8 @@
 	return false
 }
 
-// acknowledge tells the leader how far this log agrees with its own and is synced.
+// acknowledge sends the leader the index up to which this log agrees with the leader's
+// and is synced.
 func (g *Group) acknowledge(to string) {
 	g.send(to, &schema.AppendResponse{Group: g.name, Term: g.term, Match: min(g.matchIndex, g.stable)})
 }
@@ -164,8 +173,9 @@
 		return
 	}
 	if m.Rejected {
-		// Only the first rejection among the Appends in flight counts: if each were
-		// answered by all the entries that follow, all these would be rejected as well.
+		// Only the first rejection among the Appends in flight is handled. If the leader
+		// sent the following entries again for each rejection, the follower would reject
+		// all of them as well.
 		stale := m.PrevIndex <= p.match || p.probing && m.PrevIndex != p.next-1
 		if !stale {
 			p.snapshotPending = false
@@ -179,7 +189,7 @@
 	g.advanceMatch(now, from, p, m.Match)
 }
 
-// maybeCommit commits what a quorum of voters has synced.
+// maybeCommit commits the entries that a quorum of voters has synced.
 func (g *Group) maybeCommit(now eventloop.Micros) {
 	if g.role != leader {
 		return
@@ -190,17 +200,20 @@
 		}
 		return g.peers[id].match
 	})
-	// Only an entry of this term commits those before it (section 3.6.2).
+	// Only an entry of the current term may be committed by counting replicas; it commits
+	// all entries before it as well (section 3.6.2).
 	if index > g.commit && g.termAt(index) == g.term {
 		g.commitTo(index)
-		// A removed leader leads until its removal is committed (section 4.2.2).
+		// A leader that is removed from the group steps down only once its removal is
+		// committed (section 4.2.2).
 		if g.memberSetIndex <= g.commit && !g.isVoter(g.self) {
 			g.becomeFollower(now, g.term, "")
 		}
 	}
 }
 
-// quorumValue is the greatest value that a quorum of voters has reached.
+// quorumValue returns the greatest value that a quorum of voters has reached, where value
+// returns the value of one voter. A voter without progress counts as 0.
 func (g *Group) quorumValue(value func(id string) uint64) uint64 {
 	var values []uint64
 	for _, id := range g.memberSet.Voters {
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -1,6 +1,6 @@
 package raft
 
-// Installing a leader's snapshot (section 5.1).
+// This file implements the installation of a snapshot sent by the leader (section 5.1).
 
 import (
 	"sparnotch/internal/eventloop"
@@ -33,8 +33,8 @@
 	g.restore(snapshot)
 }
 
-// restore replaces the state machine by a snapshot. Entries after it stay if the log
-// agrees with it.
+// restore replaces the state machine by a snapshot. It keeps the entries after the
+// snapshot's index if the log's entry at that index has the snapshot's term.
 func (g *Group) restore(snapshot *schema.Snapshot) {
 	keepsTail := g.termAt(snapshot.Index) == snapshot.Term && snapshot.Index <= g.LastIndex()
 	if keepsTail {
@@ -44,7 +44,7 @@
 	}
 	g.snapshot = snapshot
 	g.commit = snapshot.Index
-	// The snapshot isn't synced yet, so it isn't acknowledged either.
+	// The snapshot isn't synced yet, so it must not be acknowledged.
 	g.stable = min(g.stable, snapshot.Index-1)
 	g.refreshMemberSet()
 	g.ready.Changes = append(g.ready.Changes, &schema.StoreChange{Group: g.name, Snapshot: snapshot, ReplacesLog: !keepsTail})
