--- a/internal/raft/chunks.go
+++ b/internal/raft/chunks.go
@@ -1,7 +1,8 @@
 package raft
 
-// Large messages. An Append or InstallSnapshot that exceeds the window of flow control
-// is sent in chunks, each when the one before it has been acknowledged.
+// This file implements large messages. An Append or InstallSnapshot that exceeds the
+// flow-control window is sent in chunks; each chunk is sent once the previous one has been
+// acknowledged.
 
 import (
 	"google.golang.org/protobuf/proto"
@@ -10,33 +11,35 @@
 	"sparnotch/internal/schema"
 )
 
-// maxReassemblyBytes is the largest message that a replica reassembles.
+// maxReassemblyBytes is the size of the largest message that a replica reassembles.
 const maxReassemblyBytes = 64 << 20
 
-// chunkedSend is the leader's side of a message sent in chunks.
+// chunkedSend tracks, on the leader, a message that is being sent in chunks.
 type chunkedSend struct {
-	number        uint64 // unique within the leader's term
+	number        uint64 // identifies the message; unique within the leader's term
 	payload       []byte // the encoded message
 	isSnapshot    bool
-	lastIndex     uint64 // the peer's match once all of it is synced
-	ackedBytes    int
+	lastIndex     uint64           // the peer's match index once it has synced the whole message
+	ackedBytes    int              // number of bytes that the peer has acknowledged
 	sentAt        eventloop.Micros // when the chunk in flight was sent
-	retransmitted bool             // that chunk was sent before
+	retransmitted bool             // the chunk in flight was sent more than once
 }
 
-// reassembly is the follower's side.
+// reassembly tracks, on the follower, a message that is being received in chunks.
 type reassembly struct {
 	from         string
-	term, number uint64
-	data         []byte // received so far
-	complete     bool   // all was received and handled
+	term, number uint64 // the leader's term; the number of the chunkedSend
+	data         []byte // bytes received so far
+	complete     bool   // the whole message was received and handled
 }
 
-// startChunkedSend encodes a message as it is now; the log goes on meanwhile.
+// startChunkedSend encodes a message and sends its first chunk. The message keeps its
+// present content, even if the log grows or is compacted while the chunks are sent. The
+// parameter last is the peer's match index once it has synced the message.
 func (g *Group) startChunkedSend(now eventloop.Micros, id string, p *progress, body proto.Message, last uint64) {
 	payload, err := proto.Marshal(body)
 	if err != nil {
-		panic("raft: a message can't be encoded: " + err.Error())
+		panic("raft: encoding a large message failed: " + err.Error())
 	}
 	g.lastChunkedSend++
 	_, isSnapshot := body.(*schema.InstallSnapshot)
@@ -45,93 +48,96 @@
 }
 
 func (g *Group) sendChunk(now eventloop.Micros, id string, p *progress) {
-	t := p.chunked
-	t.sentAt = now
-	end := min(t.ackedBytes+g.inflightWindow(p), len(t.payload))
+	chunked := p.chunked
+	chunked.sentAt = now
+	end := min(chunked.ackedBytes+g.inflightWindow(p), len(chunked.payload))
 	g.send(id, &schema.TransferChunk{
-		Group: g.name, Term: g.term, Transfer: t.number, Offset: uint64(t.ackedBytes), Size: uint64(len(t.payload)),
-		IsSnapshot: t.isSnapshot, Data: t.payload[t.ackedBytes:end],
+		Group: g.name, Term: g.term, Transfer: chunked.number, Offset: uint64(chunked.ackedBytes), Size: uint64(len(chunked.payload)),
+		IsSnapshot: chunked.isSnapshot, Data: chunked.payload[chunked.ackedBytes:end],
 	})
 }
 
-// handleTransferChunkResponse sends the next chunk, but only if the response advances
-// the transfer: a duplicate must not double all the chunks that follow.
+// handleTransferChunkResponse sends the next chunk if the response acknowledges more bytes
+// than the ones before. A duplicate of a response is ignored; otherwise every following
+// chunk would be sent twice.
 func (g *Group) handleTransferChunkResponse(now eventloop.Micros, from string, m *schema.TransferChunkResponse) {
 	p := g.acceptResponse(now, from, m.Term)
 	if p == nil || p.chunked == nil || p.chunked.number != m.Transfer {
 		return
 	}
-	t := p.chunked
+	chunked := p.chunked
 	switch {
 	case m.Restart:
 		p.snapshotPending = false
 		g.probe(now, from, p, p.match+1)
-	case int(m.Received) > t.ackedBytes && int(m.Received) <= len(t.payload):
-		if !t.retransmitted {
-			g.adaptWindow(p, int(m.Received)-t.ackedBytes, now-t.sentAt)
+	case int(m.Received) > chunked.ackedBytes && int(m.Received) <= len(chunked.payload):
+		if !chunked.retransmitted {
+			g.adaptWindow(p, int(m.Received)-chunked.ackedBytes, now-chunked.sentAt)
 		}
-		t.ackedBytes, t.sentAt, t.retransmitted, p.lastAdvance = int(m.Received), now, false, now
-		if t.ackedBytes < len(t.payload) {
+		chunked.ackedBytes, chunked.sentAt, chunked.retransmitted, p.lastAdvance = int(m.Received), now, false, now
+		if chunked.ackedBytes < len(chunked.payload) {
 			g.sendChunk(now, from, p)
 		}
 	}
 }
 
-// resumeChunkedSend goes on with a transfer in which nothing has advanced for a while,
-// and tells whether one is in progress. A chunk may still be queued at a slow link, so
-// it is retransmitted no sooner than that could have ended; after the last one the
-// peer gets time to sync the message.
+// resumeChunkedSend retransmits the chunk in flight if the peer hasn't acknowledged it
+// for the shortest election timeout, since before that it may still be queued on a slow
+// link. It reports whether a chunked send is in progress. Once all chunks are acknowledged,
+// the peer has four times the longest election timeout to sync the message; after that the
+// send counts as failed.
 func (g *Group) resumeChunkedSend(now eventloop.Micros, id string, p *progress) bool {
-	t := p.chunked
+	chunked := p.chunked
 	switch {
-	case t == nil:
+	case chunked == nil:
 		return false
-	case t.ackedBytes < len(t.payload):
-		if now-t.sentAt > g.timeouts.ElectionMin {
-			t.retransmitted, p.windowBytes = true, 0
+	case chunked.ackedBytes < len(chunked.payload):
+		if now-chunked.sentAt > g.timeouts.ElectionMin {
+			chunked.retransmitted, p.windowBytes = true, 0
 			g.sendChunk(now, id, p)
 		}
 		return true
 	default:
-		return now-t.sentAt <= 4*g.timeouts.ElectionMax
+		return now-chunked.sentAt <= 4*g.timeouts.ElectionMax
 	}
 }
 
-// handleTransferChunk reassembles a message; it takes effect only when it is complete.
-// What was received is lost with a restart: the leader is asked to start again from
-// what is durable here.
+// handleTransferChunk adds a chunk to the message being reassembled, and handles the
+// message once it is complete. If this replica has lost the first chunks in a restart, it
+// asks the leader to start again from the state that is durable here.
 func (g *Group) handleTransferChunk(now eventloop.Micros, from string, m *schema.TransferChunk) {
 	if !g.acceptLeader(now, from, m.Term) {
 		return
 	}
-	a := &g.reassembly
-	isNewSend := a.from != from || a.term != m.Term || a.number < m.Transfer
+	buffer := &g.reassembly
+	isNewSend := buffer.from != from || buffer.term != m.Term || buffer.number < m.Transfer
 	switch {
-	case !isNewSend && a.number > m.Transfer || m.Size > maxReassemblyBytes:
+	case !isNewSend && buffer.number > m.Transfer || m.Size > maxReassemblyBytes:
 		return
 	case isNewSend && m.Offset > 0:
 		g.send(from, &schema.TransferChunkResponse{Group: g.name, Term: g.term, Transfer: m.Transfer, Restart: true})
 		return
 	case isNewSend:
-		*a = reassembly{from: from, term: m.Term, number: m.Transfer}
+		*buffer = reassembly{from: from, term: m.Term, number: m.Transfer}
 	}
-	if !a.complete && m.Offset == uint64(len(a.data)) {
-		a.data = append(a.data, m.Data...)
+	if !buffer.complete && m.Offset == uint64(len(buffer.data)) {
+		buffer.data = append(buffer.data, m.Data...)
 	}
-	received := uint64(len(a.data))
-	if a.complete {
+	received := uint64(len(buffer.data))
+	if buffer.complete {
 		received = m.Size
 	}
 	g.send(from, &schema.TransferChunkResponse{Group: g.name, Term: g.term, Transfer: m.Transfer, Received: received})
-	if a.complete || received < m.Size {
+	if buffer.complete || received < m.Size {
 		return
 	}
-	data := a.data
-	a.data, a.complete = nil, true
+	data := buffer.data
+	buffer.data, buffer.complete = nil, true
 	g.deliverReassembled(now, from, m.IsSnapshot, data)
 }
 
-// deliverReassembled handles a complete message; one that can't be decoded is dropped.
+// deliverReassembled handles a reassembled message. It drops a message that can't be
+// decoded.
 func (g *Group) deliverReassembled(now eventloop.Micros, from string, isSnapshot bool, data []byte) {
 	if isSnapshot {
 		message := &schema.InstallSnapshot{}
--- a/internal/raft/clone.go
+++ b/internal/raft/clone.go
@@ -5,9 +5,10 @@
 	"slices"
 )
 
-// Clone is an independent copy, for a model checker that explores several
-// continuations of one state. Entries, snapshots and member sets are shared: nothing
-// writes to them once they are made.
+// Clone returns an independent copy of the replica, which draws its random numbers from rng.
+// A model checker uses it to explore several continuations of one state. The copy shares
+// entries, snapshots and member sets with the original, because these are never modified
+// after their creation.
 func (g *Group) Clone(rng Rand) *Group {
 	c := *g
 	c.rng = rng
--- a/internal/raft/fingerprint.go
+++ b/internal/raft/fingerprint.go
@@ -8,12 +8,13 @@
 	"sparnotch/internal/eventloop"
 )
 
-// Fingerprint appends what determines the replica's further behaviour: two replicas
-// with equal fingerprints behave alike. Times count from now, and are cut off at the
-// greatest election timeout, beyond which nothing tells them apart. Wall clocks are
-// left out, since no decision of the consensus depends on them.
-func (g *Group) Fingerprint(now eventloop.Micros, to []byte) []byte {
-	f := &fingerprint{data: to, now: now, maxOffset: g.timeouts.ElectionMax + 1}
+// Fingerprint appends an encoding of the state that determines the replica's further
+// behaviour to dst, and returns the extended slice. Two replicas with equal fingerprints
+// behave in the same way. Points in time are encoded relative to now and limited to the
+// longest election timeout, because differences beyond that have no effect. Wall clocks are
+// left out, because no decision of the consensus algorithm depends on them.
+func (g *Group) Fingerprint(now eventloop.Micros, dst []byte) []byte {
+	f := &fingerprint{data: dst, now: now, maxOffset: g.timeouts.ElectionMax + 1}
 	f.numbers(g.lastChunkedSend, g.term, uint64(g.role), g.snapshot.Index, g.snapshot.Term, g.stable, g.commit,
 		g.memberSetIndex, g.hardStateSeq-g.syncedHardStateSeq, g.matchIndex, g.round, g.noOpIndex, uint64(g.bootstrapRoundsLeft))
 	f.text(g.vote)
@@ -38,11 +39,11 @@
 	return f.data
 }
 
-// fingerprint is the encoding of a fingerprint.
+// fingerprint builds the encoding that Group.Fingerprint returns.
 type fingerprint struct {
 	data      []byte
-	now       eventloop.Micros
-	maxOffset eventloop.Micros
+	now       eventloop.Micros // the point in time that others are encoded relative to
+	maxOffset eventloop.Micros // limit of the distance from now
 }
 
 func (f *fingerprint) numbers(values ...uint64) {
@@ -70,7 +71,7 @@
 	f.numbers(uint64(max(-f.maxOffset, min(f.maxOffset, at-f.now)) + f.maxOffset))
 }
 
-// leader adds what only a leader's behaviour depends on.
+// leader appends the state that only a leader's behaviour depends on.
 func (f *fingerprint) leader(g *Group) {
 	f.time(g.quorumRoundSentAt)
 	f.time(g.nextHeartbeat)
@@ -92,10 +93,10 @@
 	f.numbers(p.next, p.match, p.round)
 	f.time(p.lastAdvance)
 	f.flags(p.snapshotPending, p.probing, p.probeSent, p.chunked != nil)
-	if t := p.chunked; t != nil {
-		f.numbers(t.number, t.lastIndex, uint64(t.ackedBytes))
-		f.flags(t.isSnapshot, t.retransmitted)
-		f.time(t.sentAt)
+	if chunked := p.chunked; chunked != nil {
+		f.numbers(chunked.number, chunked.lastIndex, uint64(chunked.ackedBytes))
+		f.flags(chunked.isSnapshot, chunked.retransmitted)
+		f.time(chunked.sentAt)
 	}
 	f.numbers(uint64(p.windowBytes), uint64(len(p.inflight)))
 	for _, sent := range p.inflight {
--- a/internal/raft/flowcontrol.go
+++ b/internal/raft/flowcontrol.go
@@ -1,9 +1,9 @@
 package raft
 
-// Flow control. Heartbeats share their link with the log. So that neither a large
-// entry nor a snapshot delays them by more than the group can bear, the bytes in
-// flight from one replica to the others are bounded by what the slowest supported
-// link carries in the time that a heartbeat may be late.
+// This file implements flow control. Heartbeats share a link with the replication of the
+// log. A large entry or snapshot must not delay them so long that the leader loses its
+// lease. Therefore a leader limits the bytes in flight to its peers to the number that the
+// slowest supported link carries during the maximum delay of a heartbeat.
 
 import (
 	"sparnotch/internal/eventloop"
@@ -12,47 +12,52 @@
 
 const (
 	maxEntriesPerAppend = 64
-	maxInflightEntries  = 1024 // sent after the last one known to match
-	maxInflightAppends  = 2    // to one peer; what is proposed meanwhile goes in one
+	maxInflightEntries  = 1024 // entries sent to one peer after the last one known to match
+	maxInflightAppends  = 2    // Appends to one peer; entries proposed meanwhile share the next one
 
-	// maxWindowFactor bounds how far a window grows over the least one. If a link turns
-	// slow while that much is in flight, the leader may lose its lease once.
+	// maxWindowFactor limits how large a window may become, as a multiple of the minimum
+	// window. If a link becomes slow while that many bytes are in flight, the leader may
+	// lose its lease once.
 	maxWindowFactor = 4
 )
 
-// inflightAppend is an Append that isn't acknowledged.
+// inflightAppend tracks an Append that the peer hasn't acknowledged yet.
 type inflightAppend struct {
-	lastIndex uint64 // its last entry
-	bytes     int
+	lastIndex uint64           // index of its last entry
+	bytes     int              // size of its entries' data
 	sentAt    eventloop.Micros // 0 for a probe, whose round trip isn't used to adapt the window
 }
 
-// maxHeartbeatDelay is how long a heartbeat may wait behind other messages: it and its
-// response must arrive before the leader lease expires, and the next one follows only
-// an interval later. Half an interval is left for latency and processing.
+// maxHeartbeatDelay returns how long a heartbeat may wait behind other messages. The
+// heartbeat and its response must arrive before the leader lease expires, and up to a
+// whole interval passes between two heartbeats. Another half interval is reserved for
+// latency and processing.
 func (t Timeouts) maxHeartbeatDelay() eventloop.Micros {
 	return t.leaderLease() - t.HeartbeatInterval - t.HeartbeatInterval/2
 }
 
-// linkShare is how long the bytes in flight to one peer may occupy the leader's link.
+// linkShare returns how long the bytes in flight to one peer may occupy the leader's link.
 func (g *Group) linkShare() eventloop.Micros {
 	return g.timeouts.maxHeartbeatDelay() / eventloop.Micros(max(2, len(g.peers)))
 }
 
-// minWindow is the bytes that the slowest link carries in a peer's share.
+// minWindow returns the minimum window in bytes: the number of bytes that the slowest
+// supported link carries during linkShare.
 func (g *Group) minWindow() int {
 	return int(eventloop.SlowestLink * g.linkShare() / eventloop.Second)
 }
 
-// inflightWindow is how many bytes may be in flight to a peer, and so the size of a
-// chunk: the least window, or more where the link has proved faster.
+// inflightWindow returns how many bytes may be in flight to a peer, which is also the size
+// of a chunk. It is the minimum window, or more if the link has turned out to be faster.
 func (g *Group) inflightWindow(p *progress) int { return max(p.windowBytes, g.minWindow()) }
 
-// adaptWindow learns from the time until some bytes were acknowledged. What exceeds
-// the round trip of a heartbeat they spent on the link or in the peer's disk; the
-// window grows by half only if it then still fits into the link's share.
-func (g *Group) adaptWindow(p *progress, bytes int, took eventloop.Micros) {
-	window, linkTime := g.inflightWindow(p), took-p.minRoundTrip
+// adaptWindow adapts a peer's window to the time that some bytes took from being sent to
+// being acknowledged. The part of it that exceeds the round trip of a heartbeat was spent
+// on the link or in the peer's disk. The window is reset to the minimum if that part
+// exceeds linkShare. It grows by half only if that part is at most half of linkShare, so
+// that the bytes of the larger window still fit.
+func (g *Group) adaptWindow(p *progress, bytes int, elapsed eventloop.Micros) {
+	window, linkTime := g.inflightWindow(p), elapsed-p.minRoundTrip
 	switch {
 	case p.minRoundTrip == 0 || linkTime > g.linkShare():
 		p.windowBytes = 0
@@ -61,8 +66,9 @@
 	}
 }
 
-// nextBatch is the entries from an index on that go into one Append, and the bytes of
-// their data. It holds at least one, even if that exceeds the window.
+// nextBatch returns the entries to be sent in one Append, from the index next on, and the
+// size of their data in bytes. The batch has at least one entry, even if that exceeds the
+// window.
 func (g *Group) nextBatch(next uint64, window int) ([]*schema.Entry, int) {
 	entries := g.entriesBetween(next-1, min(g.LastIndex(), next+maxEntriesPerAppend-1))
 	size := 0
@@ -75,8 +81,8 @@
 	return entries, size
 }
 
-// canSend tells whether another Append may be sent to a peer, of which so many bytes may be in
-// flight.
+// canSend reports whether another Append may be sent to a peer, where window is the number
+// of bytes that may be in flight to it.
 func (p *progress) canSend(window int) bool {
 	if len(p.inflight) >= maxInflightAppends {
 		return false
@@ -87,7 +93,8 @@
 	return p.next <= p.match+maxInflightEntries && window > 0
 }
 
-// ackInflight notes that a peer has synced the log up to an index.
+// ackInflight removes the messages that a peer has acknowledged, by syncing the log up to
+// the index match, from those in flight.
 func (g *Group) ackInflight(now eventloop.Micros, p *progress, match uint64) {
 	for len(p.inflight) > 0 && p.inflight[0].lastIndex <= match {
 		if first := p.inflight[0]; first.sentAt > 0 {
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -1,6 +1,7 @@
 package raft
 
-// Membership: voters and learners, changed by one server at a time (chapter 4).
+// This file implements membership, which consists of voters and learners. It is changed by
+// one server at a time (chapter 4).
 
 import (
 	"maps"
@@ -10,23 +11,24 @@
 	"sparnotch/internal/schema"
 )
 
-// MaxLearnerLag is how many entries a learner may lack to be promoted to voter.
+// MaxLearnerLag is the maximum number of entries that a learner may lack when it is promoted
+// to voter.
 const MaxLearnerLag = 64
 
-// NotSingleServerChange means that a proposed member set differs from the current one
-// by more than one voter, or has no voters. The name in quotes is the one that error texts
-// print.
+// NotSingleServerChange means that a proposed member set differs from the current one by
+// more than one voter, or has no voters. Error messages contain the name in quotes.
 var NotSingleServerChange = Errors.NewType("not_one_step")
 
-// MemberSet is the group's newest membership, committed or not; it must not be
-// changed.
+// MemberSet returns the group's newest membership, committed or not. The caller must not
+// modify it.
 func (g *Group) MemberSet() *schema.MemberSet { return g.memberSet }
 
-// MemberSetIndex is the index of the newest membership change, committed or not.
+// MemberSetIndex returns the index of the newest membership change, committed or not.
 func (g *Group) MemberSetIndex() uint64 { return g.memberSetIndex }
 
-// refreshMemberSet finds the newest membership. A replica uses it as soon as it is in
-// the log, without waiting for the commit (section 4.1).
+// refreshMemberSet sets memberSet to the newest membership in the log. A replica uses a
+// membership as soon as it is in the log, without waiting until it is committed (section
+// 4.1).
 func (g *Group) refreshMemberSet() {
 	g.memberSet, g.memberSetIndex = g.snapshot.MemberSet, g.snapshot.Index
 	if g.memberSet == nil {
@@ -39,7 +41,7 @@
 	}
 }
 
-// memberSetAsOf is the membership in force at an index.
+// memberSetAsOf returns the membership in effect at an index.
 func (g *Group) memberSetAsOf(index uint64) *schema.MemberSet {
 	memberSet := g.snapshot.MemberSet
 	for _, entry := range g.log {
@@ -56,7 +58,7 @@
 	return g.isVoter(id) || slices.Contains(g.memberSet.Learners, id)
 }
 
-// otherMembers are the voters and learners but this replica.
+// otherMembers returns the ids of all voters and learners except this replica.
 func (g *Group) otherMembers() []string {
 	var ids []string
 	for _, id := range slices.Concat(g.memberSet.Voters, g.memberSet.Learners) {
@@ -71,17 +73,19 @@
 
 func quorumOf(voters []string) int { return len(voters)/2 + 1 }
 
-// ProposeMemberSet appends a membership change. It returns NotLeader; Busy while the
-// last change isn't committed, while nothing of this term is, or for a new voter that
-// hasn't caught up as a learner; NotSingleServerChange if more than one voter changes.
+// ProposeMemberSet appends a membership change to the leader's log. The error is NotLeader
+// on a replica that isn't the leader; Busy while the last membership change or every entry
+// of this term is uncommitted, or if a new voter hasn't caught up as a learner; and
+// NotSingleServerChange if more than one voter changes or no voter remains.
 func (g *Group) ProposeMemberSet(now eventloop.Micros, memberSet *schema.MemberSet) error {
 	if g.role != leader {
 		return g.notLeader()
 	}
-	// Without an entry of its own term a new leader might overlap a change of a former
-	// one that it doesn't know (the fault of the dissertation's section 4.1).
+	// Until an entry of its own term is committed, a new leader may not know of a change
+	// that an earlier leader made. Without this check the two changes could overlap: that is
+	// the known safety bug in the algorithm of the dissertation's section 4.1.
 	if g.memberSetIndex > g.commit || g.commit < g.noOpIndex {
-		return Busy.New("%s: the last membership change isn't committed", g.name)
+		return Busy.New("group %s accepts no membership change until the last one and an entry of the current term are committed", g.name)
 	}
 	if err := g.checkSingleServerChange(memberSet); err != nil {
 		return err
@@ -90,25 +94,26 @@
 	return nil
 }
 
-// checkSingleServerChange refuses a change after which a majority of the old voters
-// and one of the new could have none in common, however stale the request may be. At
-// most one voter is added or removed; one that is added must have caught up as a
-// learner, so that the group tolerates as many failures at once.
+// checkSingleServerChange refuses a change after which a majority of the old voters and a
+// majority of the new voters might have no voter in common, even if the request is based on
+// an outdated membership. Therefore at most one voter may be added or removed. An added
+// voter must have caught up as a learner, so that the group can tolerate as many failures
+// as its size allows as soon as the change takes effect.
 func (g *Group) checkSingleServerChange(next *schema.MemberSet) error {
 	old := g.memberSet
 	added, removed := difference(next.Voters, old.Voters), difference(old.Voters, next.Voters)
 	if len(next.Voters) == 0 || len(added)+len(removed) > 1 {
-		return NotSingleServerChange.New("%s: from voters %v to %v is more than one change", g.name, old.Voters, next.Voters)
+		return NotSingleServerChange.New("group %s: changing the voters from %v to %v adds or removes more than one voter or leaves none", g.name, old.Voters, next.Voters)
 	}
 	for _, id := range added {
 		if !slices.Contains(old.Learners, id) || !g.IsCaughtUp(id) {
-			return Busy.New("%s: %s hasn't caught up", g.name, id)
+			return Busy.New("group %s: %s can't become a voter before it has caught up as a learner", g.name, id)
 		}
 	}
 	return nil
 }
 
-// difference are the ids that aren't in another list.
+// difference returns the ids that aren't in other.
 func difference(ids, other []string) []string {
 	var missing []string
 	for _, id := range ids {
@@ -119,17 +124,19 @@
 	return missing
 }
 
-// IsCaughtUp tells whether a learner may be promoted: it holds the newest membership
-// change, so all that was committed before it, and lacks at most MaxLearnerLag
-// entries. The lag alone says nothing in a new group, whose whole log is shorter.
+// IsCaughtUp reports whether a learner may be promoted to voter. It must hold the newest
+// membership change, and thereby every entry that was committed before that change, and
+// must lack at most MaxLearnerLag entries. The lag alone isn't enough in a new group, whose
+// whole log may be shorter than MaxLearnerLag.
 func (g *Group) IsCaughtUp(id string) bool {
 	p := g.peers[id]
 	return p != nil && p.match >= g.memberSetIndex && g.LastIndex()-p.match <= MaxLearnerLag
 }
 
-// FailureTolerance is how many of some voters may fail before no quorum of them is
-// left: those that responded to this leader within an election timeout and lack
-// little of the log, less a quorum. It may be negative.
+// FailureTolerance returns how many of the given voters may fail while a quorum of them
+// remains: the number of healthy voters minus the quorum. A voter is healthy if it
+// responded to this leader within the shortest election timeout and lacks few entries of
+// the log. The result is negative if there is no healthy quorum.
 func (g *Group) FailureTolerance(now eventloop.Micros, voters []string) int {
 	healthy := 0
 	for _, id := range voters {
@@ -144,9 +151,9 @@
 	return p != nil && p.lastHeard > 0 && now-p.lastHeard <= g.timeouts.ElectionMin && g.LastIndex()-p.match <= maxInflightEntries
 }
 
-// notifyRemoved replicates the change that removes them to those peers that are no
-// members any more: otherwise they would go on starting elections, and a node that
-// is being drained waits for it.
+// notifyRemoved replicates a membership change to the peers that it removes. Otherwise they
+// would continue to start elections. A node that is being drained also waits for the change
+// that removes it.
 func (g *Group) notifyRemoved(now eventloop.Micros) {
 	for _, id := range slices.Sorted(maps.Keys(g.peers)) {
 		if !g.isMember(id) {
--- a/internal/raft/progress.go
+++ b/internal/raft/progress.go
@@ -1,32 +1,33 @@
 package raft
 
-// What the leader knows of its peers.
+// This file tracks the leader's state for each of its peers.
 
 import (
 	"sparnotch/internal/eventloop"
 )
 
-// progress is the leader's view of one peer.
+// progress holds the leader's state for one peer.
 type progress struct {
-	next, match     uint64           // next entry to send; last one known to be synced there
-	round           uint64           // last round of heartbeats acknowledged
+	next, match     uint64           // index of the next entry to send; index of the last entry that the peer is known to have synced
+	round           uint64           // last round of heartbeats that the peer acknowledged
 	lastAdvance     eventloop.Micros // when match or next last advanced
-	lastHeard       eventloop.Micros // last response of any kind
-	snapshotPending bool             // a snapshot was sent and isn't acknowledged
-	probing         bool             // where the logs agree isn't known: one Append at a time until one is accepted
-	probeSent       bool             // that Append is in flight
-	clockOffset     int64            // the peer's wall clock less this node's monotonic one, in µs; 0: unknown
+	lastHeard       eventloop.Micros // when the last response of any kind arrived
+	snapshotPending bool             // a snapshot was sent and isn't acknowledged yet
+	probing         bool             // the last index at which the logs agree is unknown, so one Append at a time is sent until the peer accepts one
+	probeSent       bool             // the Append that serves as a probe is in flight
+	clockOffset     int64            // the peer's wall clock minus this node's monotonic clock, in µs; 0 if unknown
 
 	// Flow control.
-	chunked      *chunkedSend     // a large message in flight; nothing else is sent meanwhile
-	inflight     []inflightAppend // Appends after match
-	windowBytes  int              // bytes that may be in flight, where more than the least window
-	minRoundTrip eventloop.Micros // shortest time to a heartbeat's response; 0: none yet
+	chunked      *chunkedSend     // a large message in flight; no other part of the log is sent meanwhile; nil if there is none
+	inflight     []inflightAppend // unacknowledged Appends
+	windowBytes  int              // bytes that may be in flight; 0 or less than minWindow means minWindow
+	minRoundTrip eventloop.Micros // shortest time from a heartbeat to its response; 0 if there was no response yet
 }
 
-// updatePeers makes the peers those of the member set. The entry at next is the first
-// that is sent to a new one. It must be there now or be appended at once: in an idle
-// group no other entry may follow, and the peer would never learn of the group.
+// updatePeers adds progress for new members and removes it for replicas that are no longer
+// members. The entry at the index next is the first one sent to a new peer. It must exist
+// already or be appended immediately: in an idle group no other entry may follow, and the
+// peer would never learn of the group.
 func (g *Group) updatePeers(now eventloop.Micros, next uint64) {
 	for _, id := range g.otherMembers() {
 		if g.peers[id] == nil {
@@ -40,8 +41,8 @@
 	}
 }
 
-// PeerProgress is the index up to which a peer is known to have synced the log, and
-// when it last responded; zeros for a peer of which nothing is known.
+// PeerProgress returns the index up to which a peer is known to have synced the log, and
+// the time of its last response. It returns zeros if nothing is known of the peer.
 func (g *Group) PeerProgress(peer string) (match uint64, lastHeard eventloop.Micros) {
 	if p := g.peers[peer]; p != nil {
 		return p.match, p.lastHeard
@@ -49,8 +50,9 @@
 	return 0, 0
 }
 
-// acceptResponse gives the progress of the peer that a response is from; nil if the
-// response isn't to this term's leader.
+// acceptResponse returns the progress of the peer that sent a response. It returns nil if
+// this replica isn't the leader of the response's term or if the sender isn't a peer. A
+// response with a later term makes this replica a follower.
 func (g *Group) acceptResponse(now eventloop.Micros, from string, term uint64) *progress {
 	if term > g.term {
 		g.becomeFollower(now, term, "")
@@ -66,8 +68,8 @@
 	return p
 }
 
-// advanceMatch notes that a peer has synced the log up to an index, and sends it what
-// follows.
+// advanceMatch records that a peer has synced the log up to the index match, and sends it
+// the following entries.
 func (g *Group) advanceMatch(now eventloop.Micros, from string, p *progress, match uint64) {
 	if match > p.match {
 		p.match, p.lastAdvance = match, now
@@ -80,21 +82,23 @@
 		g.maybeCommit(now)
 		g.trySendTimeoutNow()
 	}
-	// The commit may have removed this leader.
+	// This replica has stepped down if maybeCommit committed its own removal.
 	if g.role == leader {
 		g.replicateTo(now, from)
 	}
 }
 
-// probe drops what is in flight to a peer and sends one Append from an index on.
+// probe discards the state of the messages in flight to a peer, and sends it one Append
+// that starts at the index next.
 func (g *Group) probe(now eventloop.Micros, id string, p *progress, next uint64) {
 	p.next, p.probing, p.probeSent = next, true, false
 	p.chunked, p.inflight = nil, nil
 	g.replicateTo(now, id)
 }
 
-// retransmitIfStalled goes back to what a peer is known to hold if nothing has
-// advanced for two heartbeats though entries are outstanding: they were lost.
+// retransmitIfStalled sends entries again if a peer lacks some and hasn't advanced for two
+// heartbeat intervals, because the messages in flight were then lost. It starts after the
+// last entry that the peer is known to hold, or at the index of the last probe.
 func (g *Group) retransmitIfStalled(now eventloop.Micros, id string, p *progress) {
 	stalled := p.match < g.LastIndex() && now-p.lastAdvance > 2*g.timeouts.HeartbeatInterval
 	if !stalled || g.resumeChunkedSend(now, id, p) {
@@ -103,8 +107,8 @@
 	if now-p.lastAdvance > g.timeouts.ElectionMin {
 		p.snapshotPending = false
 	}
-	// A lost probe is repeated from its own index: from what is known to match, which
-	// may be nothing, all of a long log would be sent again.
+	// A lost probe is repeated from its own index. If it started after the last entry known
+	// to match, the whole of a long log would be sent again while none is known.
 	next := p.match + 1
 	if p.probing {
 		next = max(next, min(p.next, g.LastIndex()))
