--- a/internal/raft/bootstrap_test.go
+++ b/internal/raft/bootstrap_test.go
@@ -76,7 +76,7 @@
 	})
 	Convey("A voter that its leader reached before its Bootstrap becomes a voter, and stays one", t, func() {
 		r := newCluster(9, ids...)
-		// The leader's first message made c, without members.
+		// Replica c was created by the leader's first message, without members.
 		r.startEmpty("c")
 		r.groups["a"].BootstrapCampaign(r.now)
 		r.run(300 * eventloop.Millisecond)
--- a/internal/raft/chunks_test.go
+++ b/internal/raft/chunks_test.go
@@ -57,16 +57,16 @@
 	Convey("A snapshot of 2 MB is sent about once, in about the time that the link needs, and delays no heartbeat past the lease", t, func() {
 		const size = 2 << 20
 		s, lead, lagging, state := newLaggingFollower(1, size)
-		began, took := s.now, eventloop.Micros(0)
-		least := eventloop.LinkTime(size)
-		s.runSlow(2*least, func() {
-			if took == 0 && len(s.applied[lagging]) == 2 {
-				took = s.now - began
+		began, elapsed := s.now, eventloop.Micros(0)
+		linkTime := eventloop.LinkTime(size)
+		s.runSlow(2*linkTime, func() {
+			if elapsed == 0 && len(s.applied[lagging]) == 2 {
+				elapsed = s.now - began
 			}
 		})
 		So(s.applied[lagging], ShouldHaveLength, 2)
 		So(s.applied[lagging][0] == state && s.applied[lagging][1] == "after", ShouldBeTrue)
-		So(took, ShouldBeBetween, least, least*5/4+eventloop.Second)
+		So(elapsed, ShouldBeBetween, linkTime, linkTime*5/4+eventloop.Second)
 		So(s.sent[lead.self], ShouldBeLessThan, size*5/4)
 		So(s.stepsWithoutLease, ShouldEqual, 0)
 	})
@@ -74,7 +74,7 @@
 		const size = 2 << 20
 		s, lead, lagging, state := newLaggingFollower(1, size)
 		s.bytesPerSecond, s.linkDelay = 100_000_000, 30*eventloop.Millisecond
-		lead.peers[lagging].minRoundTrip = 0 // as if the latency had always been so
+		lead.peers[lagging].minRoundTrip = 0 // forget the shorter round trips measured before the latency rose
 		s.runSlow(2500*eventloop.Millisecond, nil)
 		So(s.applied[lagging], ShouldHaveLength, 2)
 		So(s.applied[lagging][0] == state, ShouldBeTrue)
@@ -124,7 +124,8 @@
 			s.runSlow(50*eventloop.Millisecond, nil)
 			s.start(lagging)
 			s.runSlow(4*eventloop.Second, nil)
-			// After a restart the snapshot is part of the durable state, and no Ready has it.
+			// If the snapshot was durable before the restart, no Ready returns it again.
+			// Therefore this checks the durable state instead of applied.
 			So(string(s.durable[lagging].Snapshot.Data) == state, ShouldBeTrue)
 			last := s.applied[lagging][len(s.applied[lagging])-1]
 			So(last, ShouldEqual, "after")
@@ -133,9 +134,10 @@
 	Convey("If the leader fails during an installation its successor starts it again", t, func() {
 		for at := 1; at <= 6; at++ {
 			s, lead, lagging, state := newLaggingFollower(uint64(at), size)
-			// Each replica compacts its log itself, so the other one has the same snapshot.
-			other := s.others()
-			for _, id := range other {
+			// Each replica compacts its own log. The other follower has applied the same
+			// entries and takes a snapshot as well.
+			others := s.others()
+			for _, id := range others {
 				if id != lagging {
 					s.groups[id].Compact(s.groups[id].CommitIndex(), []byte(state+"after"))
 					s.processReady(id)
@@ -216,7 +218,7 @@
 		other, last := s.groups[lagging], lead.CommitIndex()
 		So(other.LastIndex(), ShouldEqual, last)
 		heartbeat := &schema.Heartbeat{Group: "g", Term: lead.Term(), Commit: last, CommitTerm: lead.termAt(last), Round: 1, CommitConfirmed: true}
-		// It holds an entry of a former leader that wasn't committed.
+		// The replica holds an uncommitted entry of an earlier leader at that index.
 		other.log[last-1] = &schema.Entry{Index: last, Term: lead.Term() - 1, Data: []byte("other")}
 		other.Step(s.now, lead.self, heartbeat)
 		So(other.CommitIndex(), ShouldBeLessThan, last)
--- a/internal/raft/clone_test.go
+++ b/internal/raft/clone_test.go
@@ -13,9 +13,9 @@
 
 var messageType = reflect.TypeFor[proto.Message]()
 
-// sharedMutable lists the paths of what two values share and could write to: maps,
-// slices and targets of pointers. Protobuf messages are exempt: nothing writes to them
-// once they are made.
+// sharedMutable returns the paths of the fields through which two values share memory that
+// could be written to: maps, slices and the targets of pointers. Protobuf messages are
+// exempt, because they are never modified after their creation.
 func sharedMutable(path string, a, b reflect.Value) []string {
 	var found []string
 	switch a.Kind() {
--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -11,31 +11,33 @@
 	"sparnotch/internal/storage"
 )
 
-// cluster is a group of replicas with simulated disks and a network whose faults a
-// test controls.
+// cluster simulates the replicas of one group, their disks and their network. A test
+// controls the faults of the disks and of the network.
 type cluster struct {
 	now          eventloop.Micros
 	rng          *rand.Rand
 	groups       map[string]*Group
-	durable      map[string]*storage.GroupState // what has been synced
-	awaitingSync map[string][]Message           // messages with AfterSync set
-	changes      map[string][]*schema.StoreChange
-	applied      map[string][]string
-	reads        map[string][]uint64
-	messages     []envelope
-	down         map[string]bool
-	blocked      func(from, to string) bool // links on which messages are lost
-	lossRate     float64
-	stalledDisks map[string]bool // disks on which no sync returns
-	appendCount  int             // Appends delivered or lost
-	ordered      bool            // messages keep their order
+	durable      map[string]*storage.GroupState   // state that each replica's disk has synced
+	awaitingSync map[string][]Message             // messages with AfterSync set that wait for their sync
+	changes      map[string][]*schema.StoreChange // changes that aren't synced yet
+	applied      map[string][]string              // what each replica applied since its start: snapshot data, then commands
+	reads        map[string][]uint64              // ids of confirmed reads
+	messages     []envelope                       // messages on the network
+	down         map[string]bool                  // replicas that aren't running
+	blocked      func(from, to string) bool       // reports whether messages between two replicas are lost
+	lossRate     float64                          // fraction of the messages that are lost
+	stalledDisks map[string]bool                  // replicas whose disks don't complete any sync
+	appendCount  int                              // number of Appends delivered or lost
+	ordered      bool                             // messages are delivered in the order in which they were sent
 }
 
+// envelope is a message on the network.
 type envelope struct {
 	from, to string
 	body     proto.Message
 }
 
+// ids lists the voters of most clusters in these tests.
 var ids = []string{"a", "b", "c"}
 
 func newCluster(seed uint64, members ...string) *cluster {
@@ -51,7 +53,7 @@
 	return r
 }
 
-// start starts a replica from what is durable, after a crash if it was running.
+// start starts a replica from its durable state. A replica that was running crashes first.
 func (r *cluster) start(id string) {
 	r.down[id] = false
 	r.awaitingSync[id], r.changes[id] = nil, nil
@@ -61,7 +63,8 @@
 	r.groups[id] = New("g", id, copied, DefaultTimeouts, rand.New(rand.NewPCG(r.rng.Uint64(), 2)), r.now)
 }
 
-// processReady handles a replica's Ready. Its disk syncs at once unless it is stalled.
+// processReady handles a replica's Ready. The replica's disk syncs at once unless it is
+// stalled.
 func (r *cluster) processReady(id string) {
 	g := r.groups[id]
 	g.FlushReads(r.now)
@@ -102,7 +105,7 @@
 	}
 }
 
-// run advances time in steps of 10 ms and delivers all messages in each.
+// run advances time in steps of 10 ms, and delivers all messages in each step.
 func (r *cluster) run(span eventloop.Micros) {
 	for end := r.now + span; r.now < end; r.now += 10 * eventloop.Millisecond {
 		for _, id := range sortedIDs(r.groups) {
@@ -124,7 +127,7 @@
 	}
 }
 
-// deliver hands a message to its receiver, unless it is lost.
+// deliver passes a message to its receiver, unless the message is lost.
 func (r *cluster) deliver(m envelope) {
 	if _, isAppend := m.body.(*schema.AppendRequest); isAppend {
 		r.appendCount++
@@ -146,7 +149,7 @@
 	return list
 }
 
-// leader is the running leader of the greatest term; nil if there is none.
+// leader returns the running leader of the highest term, or nil if there is none.
 func (r *cluster) leader() *Group {
 	var newest *Group
 	for id, g := range r.groups {
@@ -157,7 +160,7 @@
 	return newest
 }
 
-// propose has the leader propose a command, and tells whether it could.
+// propose proposes a command to the leader, and reports whether the leader accepted it.
 func (r *cluster) propose(text string) bool {
 	g := r.leader()
 	if g == nil {
@@ -174,19 +177,19 @@
 	r.start(id)
 }
 
-// proposeMembers has a leader propose a membership change.
+// proposeMembers proposes a membership change to a leader.
 func (r *cluster) proposeMembers(lead *Group, voters []string, learners ...string) error {
 	err := lead.ProposeMemberSet(r.now, &schema.MemberSet{Voters: voters, Learners: learners})
 	r.processReady(lead.self)
 	return err
 }
 
-// membersExcept are the first three members but one.
+// membersExcept returns ids without one of them.
 func membersExcept(id string) []string {
 	return slices.DeleteFunc(slices.Clone(ids), func(member string) bool { return member == id })
 }
 
-// isolate partitions one replica from all others, in place of any other partition.
+// isolate partitions one replica from all others, and ends any earlier partition.
 func (r *cluster) isolate(id string) {
 	r.blocked = func(from, to string) bool { return from == id || to == id }
 }
--- a/internal/raft/durability_test.go
+++ b/internal/raft/durability_test.go
@@ -26,7 +26,8 @@
 			r.run(6 * eventloop.Second)
 			So(readOnly.PreVoteCount(), ShouldEqual, preVotes)
 			So(readOnly.IsLeader(), ShouldBeFalse)
-			// The third alone is no majority, and wasn't granted a pre-vote.
+			// The third replica alone isn't a majority, and the read-only replica granted it no
+			// pre-vote.
 			third := r.groups[membersExcept(leader.self)[1]]
 			So(third.IsLeader(), ShouldBeFalse)
 			So(third.Term(), ShouldEqual, term)
@@ -44,7 +45,8 @@
 			r.run(3 * eventloop.Second)
 			So(r.leader(), ShouldEqual, leader)
 			So(leader.Term(), ShouldEqual, term)
-			// A term that it couldn't sync would silence it now, and depose the leader later.
+			// If it started a term that it can't sync, it could send no message now, and would
+			// depose the leader later.
 			So(readOnly.Term(), ShouldEqual, term)
 		})
 	})
@@ -63,7 +65,7 @@
 		r.processReady(leader.self)
 		r.run(200 * eventloop.Millisecond)
 		So(r.leader().self, ShouldEqual, membersExcept(leader.self)[0])
-		// The votes of the other two were enough.
+		// The other two replicas elected the new leader; the former one hasn't synced the term.
 		So(r.durable[leader.self].HardState.Term, ShouldBeLessThan, r.leader().Term())
 	})
 }
@@ -120,8 +122,8 @@
 		}
 		r.run(6 * eventloop.Second)
 		So(r.leader(), ShouldBeNil)
-		// Votes that weren't synced are lost with the restart, and another may be granted
-		// in the same term.
+		// Votes that weren't synced are lost in the restart, so a replica may grant another
+		// vote in the same term.
 		for _, id := range ids[1:] {
 			r.stalledDisks[id] = false
 			r.start(id)
--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -70,7 +70,7 @@
 			old := r.leader().self
 			splitVote := false
 			for _, id := range ids {
-				// A candidate that lost has voted for itself as well.
+				// A candidate that lost the election voted for itself too, like the leader.
 				splitVote = splitVote || id != old && r.durable[id].HardState.Vote == id
 				r.start(id)
 			}
--- a/internal/raft/flowcontrol_test.go
+++ b/internal/raft/flowcontrol_test.go
@@ -9,7 +9,8 @@
 	"sparnotch/internal/eventloop"
 )
 
-// Each entry was sent by itself, to each peer: thousands of messages a second under load.
+// Guards against sending each entry to each peer in an Append of its own, which caused
+// thousands of messages per second under load.
 func TestEntriesProposedTogetherShareAppends(t *testing.T) {
 	Convey("While Appends are in flight to a peer, further entries wait and go in one", t, func() {
 		r := newCluster(7, ids...)
@@ -23,7 +24,7 @@
 		for _, id := range ids {
 			So(len(r.applied[id]), ShouldEqual, entries)
 		}
-		// To each of two peers: two at once, and one with the rest.
+		// Each of the two peers gets two Appends at once, and a third one with the other entries.
 		So(r.appendCount, ShouldBeLessThanOrEqualTo, 6)
 	})
 	Convey("Where Appends in flight are lost, all entries arrive nevertheless", t, func() {
--- a/internal/raft/grouptime_test.go
+++ b/internal/raft/grouptime_test.go
@@ -10,9 +10,9 @@
 
 func TestWallTime(t *testing.T) {
 	const right, jump = int64(1_800_000_000_000_000), int64(3600 * eventloop.Second)
-	clock := func(g *Group, walls map[string]int64) {
-		for id, wall := range walls {
-			g.peers[id].clockOffset = wall
+	setClockOffsets := func(g *Group, offsets map[string]int64) {
+		for id, offset := range offsets {
+			g.peers[id].clockOffset = offset
 		}
 	}
 	Convey("The median of three clocks counts", t, func() {
@@ -20,7 +20,7 @@
 		r.run(3 * eventloop.Second)
 		g := r.leader()
 		for k, id := range g.otherMembers() {
-			clock(g, map[string]int64{id: []int64{right + jump, right}[k]})
+			setClockOffsets(g, map[string]int64{id: []int64{right + jump, right}[k]})
 		}
 		So(g.WallTime(0, right), ShouldEqual, right)
 		So(g.WallTime(0, right-jump), ShouldEqual, right)
@@ -30,41 +30,43 @@
 		r.run(3 * eventloop.Second)
 		g := r.leader()
 		now, others := r.now, g.otherMembers()
-		at := func(jump int64, span eventloop.Micros) int64 {
-			walls := map[string]int64{}
+		// wallTimeAfter returns the agreed wall time, minus span, if all clocks are wrong by
+		// jump when span has passed.
+		wallTimeAfter := func(jump int64, span eventloop.Micros) int64 {
+			offsets := map[string]int64{}
 			for _, id := range others {
-				walls[id] = right + jump - int64(now)
+				offsets[id] = right + jump - int64(now)
 			}
-			clock(g, walls)
+			setClockOffsets(g, offsets)
 			g.UpdateWallOffset(now+span, right+jump+int64(span))
 			return g.WallTime(now+span, right+jump+int64(span)) - int64(span)
 		}
-		So(at(0, 0), ShouldEqual, right)
-		for _, each := range []int64{jump, -jump, 5_000_000, -5_000_000} {
-			So(at(each, eventloop.Second), ShouldEqual, right)
-			So(at(each, 7*eventloop.Second), ShouldEqual, right)
-			So(at(0, 8*eventloop.Second), ShouldEqual, right)
+		So(wallTimeAfter(0, 0), ShouldEqual, right)
+		for _, unaccepted := range []int64{jump, -jump, 5_000_000, -5_000_000} {
+			So(wallTimeAfter(unaccepted, eventloop.Second), ShouldEqual, right)
+			So(wallTimeAfter(unaccepted, 7*eventloop.Second), ShouldEqual, right)
+			So(wallTimeAfter(0, 8*eventloop.Second), ShouldEqual, right)
 		}
-		So(at(200_000, 9*eventloop.Second), ShouldEqual, right+200_000)
-		So(at(jump, 10*eventloop.Second), ShouldEqual, right+200_000)
-		So(at(jump, 29*eventloop.Second), ShouldEqual, right+200_000)
-		So(at(jump, 30*eventloop.Second), ShouldEqual, right+jump)
+		So(wallTimeAfter(200_000, 9*eventloop.Second), ShouldEqual, right+200_000)
+		So(wallTimeAfter(jump, 10*eventloop.Second), ShouldEqual, right+200_000)
+		So(wallTimeAfter(jump, 29*eventloop.Second), ShouldEqual, right+200_000)
+		So(wallTimeAfter(jump, 30*eventloop.Second), ShouldEqual, right+jump)
 	})
 	Convey("A time later than a former leader's is no jump: group time may have stood still", t, func() {
 		r := newCluster(1, ids...)
 		r.run(3 * eventloop.Second)
 		g := r.leader()
-		walls := map[string]int64{}
+		offsets := map[string]int64{}
 		for _, id := range g.otherMembers() {
-			walls[id] = right - int64(r.now)
+			offsets[id] = right - int64(r.now)
 		}
-		clock(g, walls)
+		setClockOffsets(g, offsets)
 		g.wallOffset = right - g.GroupTime(r.now) - 13*int64(eventloop.Second)
 		So(g.WallTime(r.now, right), ShouldEqual, right)
 		offset, known := g.WallOffset(r.now, right)
 		So(known, ShouldBeTrue)
 		So(offset, ShouldEqual, right-g.GroupTime(r.now))
-		clock(g, map[string]int64{g.otherMembers()[0]: 0, g.otherMembers()[1]: 0})
+		setClockOffsets(g, map[string]int64{g.otherMembers()[0]: 0, g.otherMembers()[1]: 0})
 		_, known = g.WallOffset(r.now, right)
 		So(known, ShouldBeFalse)
 	})
@@ -74,12 +76,12 @@
 		g := r.leader()
 		now := r.now
 		others := g.otherMembers()
-		clock(g, map[string]int64{others[0]: right - int64(now), others[1]: right - int64(now)})
+		setClockOffsets(g, map[string]int64{others[0]: right - int64(now), others[1]: right - int64(now)})
 		g.UpdateWallOffset(now, right)
 		g.broadcastHeartbeat(now)
 		r.processReady(g.self)
 		r.run(20 * eventloop.Millisecond)
-		// The leader fails; its successor knows one clock besides its own.
+		// The leader fails, and its successor knows only one clock in addition to its own.
 		r.down[g.self] = true
 		r.run(4 * eventloop.Second)
 		next := r.leader()
@@ -92,11 +94,11 @@
 			running = others[1]
 		}
 		now, later := r.now, right+int64(4*eventloop.Second)
-		for _, each := range []struct{ own, other, want int64 }{
+		for _, test := range []struct{ own, other, want int64 }{
 			{later, later + jump, later}, {later + jump, later, later}, {later, later - jump, later}, {later - jump, later, later},
 		} {
-			next.peers[running].clockOffset = each.other - int64(now)
-			So(next.WallTime(now, each.own), ShouldEqual, each.want)
+			next.peers[running].clockOffset = test.other - int64(now)
+			So(next.WallTime(now, test.own), ShouldEqual, test.want)
 		}
 	})
 }
--- a/internal/raft/heartbeat_test.go
+++ b/internal/raft/heartbeat_test.go
@@ -43,7 +43,7 @@
 		heartbeat := &schema.Heartbeat{Group: "g", Term: g.term, Commit: g.commit, Round: g.round, CommitConfirmed: true, AckedRound: g.peers[other.self].round}
 		before := other.FreshAsOf()
 		So(r.now-before, ShouldBeLessThan, eventloop.Second)
-		// It is delivered an hour later.
+		// The heartbeat is delivered an hour later.
 		other.Step(r.now+3600*eventloop.Second, g.self, heartbeat)
 		So(other.FreshAsOf()-before, ShouldBeLessThan, eventloop.Second)
 	})
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -17,8 +17,8 @@
 		r.messages = nil
 		So(r.proposeMembers(lead, ids, "d"), ShouldBeNil)
 		count := 0
-		for _, each := range r.messages {
-			if _, ok := each.body.(*schema.AppendRequest); ok && each.to == "d" {
+		for _, m := range r.messages {
+			if _, ok := m.body.(*schema.AppendRequest); ok && m.to == "d" {
 				count++
 			}
 		}
@@ -162,7 +162,7 @@
 		r.down[failed] = true
 		r.startEmpty("d")
 		r.run(3 * eventloop.Second)
-		So(r.groups["d"].Term(), ShouldEqual, 0) // no member, so it doesn't campaign
+		So(r.groups["d"].Term(), ShouldEqual, 0) // it isn't a member, so it doesn't campaign
 		So(lead.ProposeMemberSet(r.now, &schema.MemberSet{Voters: ids, Learners: []string{"d"}}), ShouldBeNil)
 		r.processReady(lead.self)
 		r.run(eventloop.Second)
@@ -174,7 +174,7 @@
 		So(lead.ProposeMemberSet(r.now, &schema.MemberSet{Voters: []string{lead.self, other, "d"}}), ShouldBeNil)
 		r.processReady(lead.self)
 		r.run(eventloop.Second)
-		// A second failure is tolerated now.
+		// The group can now tolerate a second failure.
 		r.down[other] = true
 		r.propose("two")
 		r.run(eventloop.Second)
--- a/internal/raft/replication_test.go
+++ b/internal/raft/replication_test.go
@@ -42,7 +42,7 @@
 			}
 			r.run(3 * eventloop.Second)
 			r.heal()
-			// Many proposals arrive just before it catches up.
+			// Many proposals arrive just before the replica catches up.
 			r.appendCount, r.ordered = 0, true
 			for k := 0; k < 40; k++ {
 				r.propose(fmt.Sprint("n", k))
@@ -86,8 +86,8 @@
 	})
 }
 
-// changeFaults draws what happens next: a crash, the restart of all that are down, a
-// one-way partition, the end of the partition, or nothing.
+// changeFaults picks one of five events at random: the crash of a replica, the restart of
+// all replicas that are down, a one-way partition, the end of the partition, or no event.
 func (r *cluster) changeFaults() {
 	switch r.rng.IntN(6) {
 	case 0:
@@ -112,15 +112,16 @@
 	}
 }
 
-// longestApplied returns the longest sequence that was ever applied; before is that so
-// far. The error says which replica has applied another one.
+// longestApplied returns the longest sequence of commands that any replica ever applied,
+// where before is the longest one until now. It returns an error if a replica has applied a
+// different sequence.
 func (r *cluster) longestApplied(before []string) ([]string, error) {
 	longest := before
 	for _, id := range ids {
 		got := r.applied[id]
 		for i := 0; i < min(len(got), len(longest)); i++ {
 			if got[i] != longest[i] {
-				return nil, fmt.Errorf("%s applied %q at %d, where %q had been applied", id, got[i], i, longest[i])
+				return nil, fmt.Errorf("replica %s applied %q as command %d, but another replica had applied %q there", id, got[i], i, longest[i])
 			}
 		}
 		if len(got) > len(longest) {
@@ -130,8 +131,8 @@
 	return longest, nil
 }
 
-// TestRandomHistories: under crashes, partitions and loss all replicas apply the same
-// sequence, and none loses what it applied.
+// TestRandomHistories checks that under crashes, partitions and message loss all replicas
+// apply the same sequence of commands, and that no applied command is lost.
 func TestRandomHistories(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		r := newCluster(seed, ids...)
@@ -151,11 +152,11 @@
 		r.startStopped()
 		r.run(8 * eventloop.Second)
 		if len(longest) == 0 {
-			t.Fatalf("seed %d: nothing was applied", seed)
+			t.Fatalf("seed %d: no replica applied any command", seed)
 		}
 		for _, id := range ids {
 			if len(r.applied[id]) < len(longest) {
-				t.Fatalf("seed %d: %s applied %d of %d entries in the end", seed, id, len(r.applied[id]), len(longest))
+				t.Fatalf("seed %d: after all faults ended, replica %s applied only %d of %d commands", seed, id, len(r.applied[id]), len(longest))
 			}
 		}
 	}
--- a/internal/raft/slowcluster_test.go
+++ b/internal/raft/slowcluster_test.go
@@ -9,32 +9,34 @@
 	"sparnotch/internal/eventloop"
 )
 
-// slowCluster is a cluster in which each replica sends over a link of its own, which
-// keeps the order and has a bandwidth.
+// slowCluster is a cluster in which each replica sends all its messages over a link of its
+// own. The link has a limited bandwidth and delivers the messages in order.
 type slowCluster struct {
 	*cluster
 	bytesPerSecond    int
-	links             map[string]*link
-	maxQuorumSilence  eventloop.Micros // longest time since a round that a quorum acknowledged
-	stepsWithoutLease int              // in which no leader held its lease
-	sent              map[string]int   // bytes by sender
-	duplicateRate     float64
-	linkDelay         eventloop.Micros // latency of each message, besides its transmission
-	inTransit         []delivery
+	links             map[string]*link // links by the id of the sender
+	maxQuorumSilence  eventloop.Micros // longest time since the last round that a quorum acknowledged was sent
+	stepsWithoutLease int              // number of steps in which no leader held its lease
+	sent              map[string]int   // bytes sent, by the id of the sender
+	duplicateRate     float64          // fraction of the messages that are sent twice
+	linkDelay         eventloop.Micros // latency of each message, in addition to its transmission time
+	inTransit         []delivery       // messages that were transmitted and haven't arrived yet
 }
 
+// delivery is a message that arrives at some time.
 type delivery struct {
 	at eventloop.Micros
 	envelope
 }
 
+// link is the network connection over which one replica sends its messages.
 type link struct {
 	queue     []envelope
-	sentBytes int // of the first message
+	sentBytes int // number of bytes of the first message that were transmitted
 }
 
-func newSlowCluster(seed uint64, speed int) *slowCluster {
-	s := &slowCluster{cluster: newCluster(seed, ids...), bytesPerSecond: speed, links: map[string]*link{}, sent: map[string]int{}}
+func newSlowCluster(seed uint64, bytesPerSecond int) *slowCluster {
+	s := &slowCluster{cluster: newCluster(seed, ids...), bytesPerSecond: bytesPerSecond, links: map[string]*link{}, sent: map[string]int{}}
 	for _, id := range ids {
 		s.links[id] = &link{}
 	}
@@ -42,9 +44,11 @@
 	return s
 }
 
+// slowStep is the time by which each step of runSlow advances.
 const slowStep = 5 * eventloop.Millisecond
 
-// runSlow advances time; observe, if given, is called after each step.
+// runSlow advances time in steps of slowStep, and calls observe after each step unless it is
+// nil.
 func (s *slowCluster) runSlow(span eventloop.Micros, observe func()) {
 	for end := s.now + span; s.now < end; s.now += slowStep {
 		for _, id := range ids {
@@ -75,19 +79,21 @@
 	}
 }
 
+// queue adds the messages that the replicas have sent to the queues of their links.
 func (s *slowCluster) queue() {
-	for _, each := range s.messages {
+	for _, m := range s.messages {
 		count := 1
 		if s.rng.Float64() < s.duplicateRate {
 			count = 2
 		}
 		for range count {
-			s.links[each.from].queue = append(s.links[each.from].queue, each)
+			s.links[m.from].queue = append(s.links[m.from].queue, m)
 		}
 	}
 	s.messages = nil
 }
 
+// transmit sends the bytes that a replica's link carries during one step.
 func (s *slowCluster) transmit(id string) {
 	l := s.links[id]
 	if s.down[id] {
@@ -97,12 +103,12 @@
 	budget := int(slowStep) * s.bytesPerSecond / int(eventloop.Second)
 	for len(l.queue) > 0 {
 		first := l.queue[0]
-		left := proto.Size(first.body) + 64 - l.sentBytes
-		if left > budget {
+		remaining := proto.Size(first.body) + 64 - l.sentBytes
+		if remaining > budget {
 			l.sentBytes += budget
 			return
 		}
-		budget -= left
+		budget -= remaining
 		l.queue, l.sentBytes = l.queue[1:], 0
 		s.sent[id] += proto.Size(first.body)
 		if s.linkDelay > 0 {
@@ -113,14 +119,16 @@
 	}
 }
 
-func (s *slowCluster) deliver(each envelope) {
-	if s.down[each.to] || s.blocked(each.from, each.to) || s.rng.Float64() < s.lossRate {
+// deliver passes a message to its receiver, unless the message is lost.
+func (s *slowCluster) deliver(m envelope) {
+	if s.down[m.to] || s.blocked(m.from, m.to) || s.rng.Float64() < s.lossRate {
 		return
 	}
-	s.groups[each.to].Step(s.now, each.from, each.body)
-	s.processReady(each.to)
+	s.groups[m.to].Step(s.now, m.from, m.body)
+	s.processReady(m.to)
 }
 
+// others returns the ids of the replicas that don't lead.
 func (s *slowCluster) others() []string { return membersExcept(s.leader().self) }
 
 func randomText(size int) string {
@@ -132,8 +140,10 @@
 	return string(data)
 }
 
-// newLaggingFollower makes a cluster in which a replica was down while the log was
-// compacted into a snapshot of some size.
+// newLaggingFollower returns a slow cluster in which one replica was down while the leader
+// compacted its log into a snapshot of size bytes. The replica, whose id is lagging, has
+// just restarted. The result state is the snapshot's data; the command "after" follows it in
+// the log.
 func newLaggingFollower(seed uint64, size int) (s *slowCluster, lead *Group, lagging string, state string) {
 	s = newSlowCluster(seed, eventloop.SlowestLink)
 	lead, lagging = s.leader(), s.others()[0]
--- a/internal/raft/transfer_lease_test.go
+++ b/internal/raft/transfer_lease_test.go
@@ -8,7 +8,8 @@
 	"sparnotch/internal/eventloop"
 )
 
-// A leader that had handed its group over and heard nothing since held its lease beside the new leader's.
+// Guards against two simultaneous leases: a leader that had transferred its leadership and
+// received no messages since kept its lease, while the new leader held one as well.
 func TestLeaderLeaseEndsWithATransfer(t *testing.T) {
 	Convey("While a leader that was cut off hands over, at most one node holds the leader lease", t, func() {
 		for seed := uint64(1); seed <= 20; seed++ {
@@ -36,7 +37,7 @@
 				span += 10 * eventloop.Millisecond
 				longest = max(longest, span)
 			}
-			// Within one moment both sides may hold one.
+			// Both replicas may hold a lease within one step of the simulation, but no longer.
 			So(longest, ShouldBeLessThanOrEqualTo, 10*eventloop.Millisecond)
 		}
 	})
