--- a/internal/raft/chunks_test.go
+++ b/internal/raft/chunks_test.go
@@ -125,7 +125,7 @@
 			s.start(lagging)
 			s.runSlow(4*eventloop.Second, nil)
 			// If the snapshot was durable before the restart, no Ready returns it again.
-			// Therefore this checks the durable state instead of applied.
+			// Therefore the test checks the durable state, not the applied snapshots.
 			So(string(s.durable[lagging].Snapshot.Data) == state, ShouldBeTrue)
 			last := s.applied[lagging][len(s.applied[lagging])-1]
 			So(last, ShouldEqual, "after")
--- a/internal/raft/heartbeat.go
+++ b/internal/raft/heartbeat.go
@@ -9,7 +9,7 @@
 	"sparnotch/internal/schema"
 )
 
-// maxHeartbeatResponses limits how many of the heartbeats that it acknowledged last a
+// maxHeartbeatResponses is the number of most recently acknowledged heartbeats that a
 // follower remembers.
 const maxHeartbeatResponses = 16
 
