--- a/internal/scheduler/barrier.go
+++ b/internal/scheduler/barrier.go
@@ -21,9 +21,9 @@
 	return defaultBarrierTimeout
 }
 
-// breakUpGang stops the members of a task's gang when one of them can't begin any
+// stopBrokenGang stops the members of a task's gang when one of them can't begin any
 // more.
-func (s *Scheduler) breakUpGang(now eventloop.Micros, t *task) {
+func (s *Scheduler) stopBrokenGang(now eventloop.Micros, t *task) {
 	if !t.isActive() {
 		return
 	}
--- a/internal/scheduler/candidate.go
+++ b/internal/scheduler/candidate.go
@@ -17,8 +17,8 @@
 	penalty                 float64   // see Scheduler.penalty
 	isEjected               bool      // only for work that has waited long
 	isClaimed               bool      // kept free for a wide step
-	victims                 []*victim // what may be preempted on it, once hasVictims
-	hasVictims              bool
+	victims                 []*victim // what may be preempted on it, once areVictimsListed
+	areVictimsListed        bool
 }
 
 func (c *candidate) allocate(need resources) {
--- a/internal/scheduler/choose.go
+++ b/internal/scheduler/choose.go
@@ -11,7 +11,7 @@
 type placementReason struct {
 	score       float64
 	worker      string
-	left        resources // on the worker, beside the task
+	free        resources // on the worker, beside the task
 	rack        string
 	tasksOnRack int // of the step
 }
@@ -21,14 +21,14 @@
 		return ""
 	}
 	return fmt.Sprintf("score %.2f on %s: %d milli cores and %d MB left, rack %s has %d of this step",
-		r.score, r.worker, r.left.cores, r.left.memory, r.rack, r.tasksOnRack)
+		r.score, r.worker, r.free.cores, r.free.memory, r.rack, r.tasksOnRack)
 }
 
 // chooseWorkers filters and scores the candidates for tasks of one step. It returns
 // a candidate for every task, whose resources it has taken, or nil.
 func (s *Scheduler) chooseWorkers(tasks []*task, candidates []*candidate, req *placementRequest) []*candidate {
 	if !req.spec.Gang {
-		return s.chooseEach(tasks, candidates, req)
+		return s.chooseGreedily(tasks, candidates, req)
 	}
 	// The members of a gang either all wait at a barrier or are all held.
 	for _, hasBarrier := range []bool{true, false} {
@@ -46,14 +46,14 @@
 				return chosen
 			}
 		}
-		if chosen := s.chooseEach(tasks, alike, req); chosen != nil {
+		if chosen := s.chooseGreedily(tasks, alike, req); chosen != nil {
 			return chosen
 		}
 	}
 	return nil
 }
 
-// chooseInOneRack is chooseEach within one rack: that of the step's data, else the
+// chooseInOneRack is chooseGreedily within one rack: that of the step's data, else the
 // one with most free capacity, that takes all tasks.
 func (s *Scheduler) chooseInOneRack(tasks []*task, candidates []*candidate, req *placementRequest) []*candidate {
 	byRack := map[string][]*candidate{}
@@ -64,7 +64,7 @@
 		}
 		rack := c.worker.rack
 		byRack[rack] = append(byRack[rack], c)
-		weights[rack] += min(c.free.multipleOf(req.need), int64(len(tasks)))
+		weights[rack] += min(c.free.fitCount(req.need), int64(len(tasks)))
 		if rack == req.spec.DataRack {
 			weights[rack] += 1 << 32
 		}
@@ -73,15 +73,15 @@
 		return cmp.Or(cmp.Compare(weights[b], weights[a]), cmp.Compare(a, b))
 	})
 	for _, rack := range racks {
-		if chosen := s.chooseEach(tasks, byRack[rack], req); chosen != nil {
+		if chosen := s.chooseGreedily(tasks, byRack[rack], req); chosen != nil {
 			return chosen
 		}
 	}
 	return nil
 }
 
-// chooseEach chooses the best candidate for each task in turn; nil: one fits nowhere.
-func (s *Scheduler) chooseEach(tasks []*task, candidates []*candidate, req *placementRequest) []*candidate {
+// chooseGreedily chooses the best candidate for each task in turn; nil: one fits nowhere.
+func (s *Scheduler) chooseGreedily(tasks []*task, candidates []*candidate, req *placementRequest) []*candidate {
 	chosen := make([]*candidate, 0, len(tasks))
 	undos := make([]func(), 0, len(tasks))
 	for _, t := range tasks {
--- a/internal/scheduler/claim.go
+++ b/internal/scheduler/claim.go
@@ -44,7 +44,7 @@
 func (req *placementRequest) tasksOnceFree(c *candidate) int64 {
 	total := c.worker.total()
 	total.sub(c.worker.usedByServices)
-	tasks := total.multipleOf(req.need)
+	tasks := total.fitCount(req.need)
 	if req.spec.MaxPerWorker > 0 {
 		tasks = min(tasks, int64(req.spec.MaxPerWorker)-int64(req.tasksPerWorker[c.worker.id]))
 	}
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -157,7 +157,7 @@
 	if w := s.workers[t.worker]; w != nil {
 		w.needsResponse, w.isUsageStale = true, true
 		if t.spec.Gang {
-			s.wakeGang(t)
+			s.requestGangResponses(t)
 		}
 	}
 }
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -31,7 +31,7 @@
 
 // criticalPath is the longest path through a round of a job, and that from one step
 // on, itself first.
-type criticalPath struct{ wholeRound, remaining []queue.PathStep }
+type criticalPath struct{ roundPath, remainingPath []queue.PathStep }
 
 // latencyTarget is how long a round of a queue's jobs should take at most: stretch
 // times its critical path, and slack besides.
@@ -52,62 +52,62 @@
 // as the longest of its tasks. Steps without an estimate count as 0.
 func (s *Scheduler) estimateDuration(name string, path []queue.PathStep, cores int64) (total eventloop.Micros) {
 	model := s.runtimeModels[runtimeKey{name, ""}]
-	for _, leg := range path {
-		total += model.estimateLeg(leg, cores)
+	for _, pathStep := range path {
+		total += model.estimateStep(pathStep, cores)
 	}
 	return total
 }
 
 // estimateTask is the estimate for one task of a step.
-func (s *Scheduler) estimateTask(name string, leg queue.PathStep) eventloop.Micros {
-	leg.Tasks = 1
-	return s.runtimeModels[runtimeKey{name, ""}].estimateLeg(leg, 0)
+func (s *Scheduler) estimateTask(name string, pathStep queue.PathStep) eventloop.Micros {
+	pathStep.Tasks = 1
+	return s.runtimeModels[runtimeKey{name, ""}].estimateStep(pathStep, 0)
 }
 
 // ownDuration is how long a task should take by itself; 0: it has no estimate.
 func (s *Scheduler) ownDuration(q *queueView, t *task) eventloop.Micros {
-	if len(t.remaining) == 0 {
+	if len(t.remainingPath) == 0 {
 		return 0
 	}
-	return s.estimateTask(q.name, t.remaining[0])
+	return s.estimateTask(q.name, t.remainingPath[0])
 }
 
-// estimateLeg is the estimate for one step of a path; a nil model knows no runs.
-func (m *runtimeModel) estimateLeg(leg queue.PathStep, cores int64) eventloop.Micros {
-	if leg.EstimateUs <= 0 {
+// estimateStep is the estimate for one step of a path; a nil model knows no runs.
+func (m *runtimeModel) estimateStep(pathStep queue.PathStep, cores int64) eventloop.Micros {
+	if pathStep.EstimateUs <= 0 {
 		return 0
 	}
-	duration := float64(leg.EstimateUs)
+	duration := float64(pathStep.EstimateUs)
 	if m != nil && m.count >= minRuns {
-		duration = math.Exp(m.predict(math.Log(duration))) * m.longestOf(leg.Tasks)
+		duration = math.Exp(m.predict(math.Log(duration))) * m.longestOf(pathStep.Tasks)
 	}
 	if cores > 0 {
-		duration *= math.Ceil(math.Max(1, float64(leg.CoresMilli)/float64(cores)))
+		duration *= math.Ceil(math.Max(1, float64(pathStep.CoresMilli)/float64(cores)))
 	}
 	return eventloop.Micros(duration)
 }
 
-// remainingLeg is a task's own step on the critical path, of which only unended tasks are left.
-func (q *queueView) remainingLeg(t *task) queue.PathStep {
-	leg := t.remaining[0]
+// remainingStep is a task's own step on the critical path, of which only unended tasks are left.
+func (q *queueView) remainingStep(t *task) queue.PathStep {
+	pathStep := t.remainingPath[0]
 	if progress := q.stepProgress[t.key.stepKey()]; progress != nil {
-		leg.Tasks = int64(progress.unended)
-		leg.CoresMilli = leg.CoresMilli * leg.Tasks / max(int64(t.spec.Tasks), 1)
+		pathStep.Tasks = int64(progress.unended)
+		pathStep.CoresMilli = pathStep.CoresMilli * pathStep.Tasks / max(int64(t.spec.Tasks), 1)
 	}
-	return leg
+	return pathStep
 }
 
 // feasibilityOf tells whether a task's job can still meet the latency target.
 func (s *Scheduler) feasibilityOf(now eventloop.Micros, q *queueView, t *task) deadlineFeasibility {
-	if t.spec.RunUntilCancelled || len(t.remaining) == 0 {
+	if t.spec.RunUntilCancelled || len(t.remainingPath) == 0 {
 		return onTime
 	}
 	allowed := s.allowedDuration(q, t)
 	if allowed == 0 {
 		return onTime
 	}
-	model, rest := s.runtimeModels[runtimeKey{q.name, ""}], s.estimateDuration(q.name, t.remaining[1:], 0)
-	remaining := model.estimateLeg(q.remainingLeg(t), 0) + rest
+	model, rest := s.runtimeModels[runtimeKey{q.name, ""}], s.estimateDuration(q.name, t.remainingPath[1:], 0)
+	remaining := model.estimateStep(q.remainingStep(t), 0) + rest
 	if t.state == queue.CheckedOut && t.startedAt > 0 {
 		if w := s.workers[t.worker]; w != nil {
 			remaining = min(remaining, s.remainingRuntime(now, w, t)+rest)
@@ -117,7 +117,7 @@
 	case end <= allowed:
 		return onTime
 	case end <= lateFactor*allowed:
-		if float64(remaining) <= nearlyDoneRatio*float64(s.estimateDuration(q.name, t.wholeRound, 0)) {
+		if float64(remaining) <= nearlyDoneRatio*float64(s.estimateDuration(q.name, t.roundPath, 0)) {
 			return onTime
 		}
 		return late
@@ -128,7 +128,7 @@
 // allowedDuration is how long, in µs, the round of a task's job may take to meet the latency
 // target; 0: it has no estimates.
 func (s *Scheduler) allowedDuration(q *queueView, t *task) float64 {
-	duration := s.estimateDuration(q.name, t.wholeRound, s.candidateCores/waveFraction)
+	duration := s.estimateDuration(q.name, t.roundPath, s.candidateCores/waveFraction)
 	if duration == 0 {
 		return 0
 	}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -53,9 +53,9 @@
 	return members
 }
 
-// wakeGang has the polls of all members' workers looked at: what becomes of one
+// requestGangResponses has the polls of all members' workers looked at: what becomes of one
 // member may concern all.
-func (s *Scheduler) wakeGang(t *task) {
+func (s *Scheduler) requestGangResponses(t *task) {
 	for _, member := range s.gangMembers(t) {
 		if w := s.workers[member.worker]; w != nil {
 			w.needsResponse = true
--- a/internal/scheduler/inspection_pause.go
+++ b/internal/scheduler/inspection_pause.go
@@ -30,12 +30,12 @@
 // spareTime is a step's part of the time that its job may spend on waiting for inspections.
 func (s *Scheduler) spareTime(q *queueView, t *task) eventloop.Micros {
 	duration := eventloop.Micros(0)
-	for _, leg := range t.wholeRound {
+	for _, leg := range t.roundPath {
 		duration += s.estimateTask(q.name, leg)
 	}
 	if duration == 0 {
 		return maxInspectionPause
 	}
 	spare := (q.stretch-1)*float64(duration) + float64(q.slack)
-	return eventloop.Micros(max(0, spareTimeRatio*spare/float64(len(t.wholeRound))))
+	return eventloop.Micros(max(0, spareTimeRatio*spare/float64(len(t.roundPath))))
 }
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/limits.go
@@ -56,7 +56,7 @@
 // enforceGangLimits evicts a member of a gang that doesn't come together.
 func (s *Scheduler) enforceGangLimits(now eventloop.Micros, w *worker, t *task) {
 	if w.hasBarrier {
-		s.breakUpGang(now, t)
+		s.stopBrokenGang(now, t)
 	} else if t.exceedsHold(now) {
 		s.evict(t, outcomeStopped)
 	}
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -18,20 +18,20 @@
 
 // passState is what the queues of one pass share.
 type passState struct {
-	allCandidates     []*candidate
-	byPool            map[string][]*candidate
-	maxUnplaced       int                 // of one queue, after which the steps behind aren't looked at
-	minRunningUrgency int64               // the lowest of the queues that have tasks out
-	claimedPools      map[string]bool     // in which workers are kept free
-	gangVictims       map[stepKey]*victim // gangs may be preempted only as a whole
-	starvedPools      map[string]bool     // in which a step found no capacity
-	boosted           map[stepKey]bool    // steps that go before all others
-	boostedLeft       map[string]int64    // milli cores that these may still take, by pool
-	preemptionFailed  bool                // something that may preempt found no victim
-	tenantUse         tenantUse           // when the pass began
-	knowsAllRuns      bool                // see Scheduler.knowsAllRuns
-	accounts          map[string]*tenantAccount
-	poolShares        map[string]*poolShares
+	allCandidates         []*candidate
+	byPool                map[string][]*candidate
+	maxUnplaced           int                 // of one queue, after which the steps behind aren't looked at
+	minRunningUrgency     int64               // the lowest of the queues that have tasks out
+	claimedPools          map[string]bool     // in which workers are kept free
+	gangVictims           map[stepKey]*victim // gangs may be preempted only as a whole
+	starvedPools          map[string]bool     // in which a step found no capacity
+	boosted               map[stepKey]bool    // steps that go before all others
+	remainingBoostedCores map[string]int64    // milli cores that these may still take, by pool
+	preemptionFailed      bool                // something that may preempt found no victim
+	tenantUse             tenantUse           // when the pass began
+	knowsAllRuns          bool                // see Scheduler.knowsAllRuns
+	accounts              map[string]*tenantAccount
+	poolShares            map[string]*poolShares
 }
 
 // runPass goes over the ready tasks of all queues, most urgent queue first, and
@@ -49,7 +49,7 @@
 	for k, q := range queues {
 		heaps[k] = s.stepsByFeasibility(now, q, pass)
 	}
-	for _, turn := range turnsOf(len(queues)) {
+	for _, turn := range passTurns(len(queues)) {
 		s.scheduleQueue(now, queues[turn.queue], turn.class, &heaps[turn.queue][turn.class], pass, effects)
 	}
 	s.starvedPools = pass.starvedPools
@@ -64,10 +64,10 @@
 	class deadlineFeasibility
 }
 
-// turnsOf is the order of a pass: what would starve, then by urgency what can still be of use,
+// passTurns is the order of a pass: what would starve, then by urgency what can still be of use,
 // on time before late, and last what has missed its target by far. Less urgent work that went
 // before urgent late work would be preempted by the next urgent job.
-func turnsOf(queues int) (turns []passTurn) {
+func passTurns(queues int) (turns []passTurn) {
 	for _, classes := range [][]deadlineFeasibility{{boosted}, {onTime, late}, {infeasible}} {
 		for k := range queues {
 			for _, class := range classes {
@@ -97,19 +97,19 @@
 
 func (s *Scheduler) newPass(now eventloop.Micros) *passState {
 	pass := &passState{
-		allCandidates:     s.candidates(now),
-		byPool:            map[string][]*candidate{},
-		maxUnplaced:       maxUnplaced,
-		minRunningUrgency: math.MaxInt64,
-		claimedPools:      map[string]bool{},
-		starvedPools:      map[string]bool{},
-		gangVictims:       map[stepKey]*victim{},
-		boosted:           map[stepKey]bool{},
-		boostedLeft:       map[string]int64{},
-		tenantUse:         s.sumTenantUse(),
-		knowsAllRuns:      s.knowsAllRuns(now),
-		poolShares:        map[string]*poolShares{},
-		accounts:          map[string]*tenantAccount{},
+		allCandidates:         s.candidates(now),
+		byPool:                map[string][]*candidate{},
+		maxUnplaced:           maxUnplaced,
+		minRunningUrgency:     math.MaxInt64,
+		claimedPools:          map[string]bool{},
+		starvedPools:          map[string]bool{},
+		gangVictims:           map[stepKey]*victim{},
+		boosted:               map[stepKey]bool{},
+		remainingBoostedCores: map[string]int64{},
+		tenantUse:             s.sumTenantUse(),
+		knowsAllRuns:          s.knowsAllRuns(now),
+		poolShares:            map[string]*poolShares{},
+		accounts:              map[string]*tenantAccount{},
 	}
 	if now-s.fullPassAt >= fullPassInterval {
 		s.fullPassAt, pass.maxUnplaced = now, math.MaxInt
@@ -154,8 +154,8 @@
 	}
 	switch class {
 	case boosted:
-		p.remainingCores = int(pass.boostedLeft[s.poolOf(q)])
-		defer func() { pass.boostedLeft[s.poolOf(q)] = int64(p.remainingCores) }()
+		p.remainingCores = int(pass.remainingBoostedCores[s.poolOf(q)])
+		defer func() { pass.remainingBoostedCores[s.poolOf(q)] = int64(p.remainingCores) }()
 	case infeasible:
 		p.remainingCores = infeasibleBudget(candidates)
 	}
@@ -177,7 +177,7 @@
 		if req.couldRunOnAny(candidates) {
 			pass.starvedPools[s.poolOf(q)] = true
 		}
-		p.awaitCapacity(steps, cursor, step, req)
+		p.reserveForShape(steps, cursor, step, req)
 	}
 	q.proposeCheckout(p.placements, effects)
 }
@@ -210,7 +210,7 @@
 	// Headroom is kept neither from boosted steps nor from short tasks, nor from steps that
 	// have waited long while the pool is underutilized.
 	mayUseHeadroom := p.class == boosted || req.isShort || !req.isRecent && isUnderutilized(p.candidates)
-	if !mayUseHeadroom && p.headroom.multipleOf(req.need) < int64(members) {
+	if !mayUseHeadroom && p.headroom.fitCount(req.need) < int64(members) {
 		return true
 	}
 	account := p.accountOf(p.scheduler, step.first().tenant)
@@ -255,9 +255,9 @@
 	return true
 }
 
-// awaitCapacity reserves future capacity for a step that found none, and for the
+// reserveForShape reserves future capacity for a step that found none, and for the
 // steps of its shape, which would find none either.
-func (p *queuePass) awaitCapacity(steps *stepHeap, cursor *stepCursor, step *stepQueue, req *placementRequest) {
+func (p *queuePass) reserveForShape(steps *stepHeap, cursor *stepCursor, step *stepQueue, req *placementRequest) {
 	awaited := p.reserveFutureCapacity(step, req)
 	steps.removeShape(cursor.shape)
 	for k := 1; awaited > 0 && cursor.current != nil && k < maxUnplaced && p.canGainCapacity(); k++ {
--- a/internal/scheduler/polls.go
+++ b/internal/scheduler/polls.go
@@ -127,9 +127,9 @@
 			continue
 		}
 		if w.hasBarrier {
-			s.breakUpGang(now, t)
+			s.stopBrokenGang(now, t)
 		}
-		s.wakeGang(t)
+		s.requestGangResponses(t)
 	}
 }
 
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -12,7 +12,7 @@
 const (
 	preemptionDelay       = 500 * eventloop.Millisecond  // how long urgent work waits before it preempts
 	claimDelay            = 1500 * eventloop.Millisecond // how long wide work waits before workers are kept free for it
-	maxAwaited            = 64                           // tasks of one step that future capacity is reserved for at once
+	maxFutureReservations = 64                           // tasks of one step that future capacity is reserved for at once
 	maxLossFactor         = 2                            // how many times its own work may be lost for a task
 	wideFraction          = 4                            // a task of which fewer fit on any worker is wide
 	acceleratorMilliCores = 8000                         // what an accelerator counts as when work is measured
@@ -21,11 +21,11 @@
 
 // victim is what may be preempted: a task, or a gang as a whole.
 type victim struct {
-	members []*task
-	urgency int64
-	class   deadlineFeasibility
-	loss    float64 // core-microseconds of work, lost and not done while it is being stopped
-	isTaken bool
+	members       []*task
+	urgency       int64
+	class         deadlineFeasibility
+	loss          float64 // core-microseconds of work, lost and not done while it is being stopped
+	isUnavailable bool
 }
 
 // reserveFutureCapacity reserves capacity for tasks that find none now: what is
@@ -37,8 +37,8 @@
 	}
 	waited := p.now - step.first().since
 	mayPreempt := req.feasibility != infeasible && p.mayPreempt() && waited >= preemptionDelay
-	if p.isCapacityComing() || mayPreempt {
-		awaited = p.awaitStops(step, req, mayPreempt)
+	if p.isCapacityBeingFreed() || mayPreempt {
+		awaited = p.reserveFromStops(step, req, mayPreempt)
 	}
 	pool := p.scheduler.poolOf(p.queue)
 	if awaited == 0 && !p.claimedPools[pool] && waited >= claimDelay && req.isWide(p.candidates) {
@@ -51,11 +51,11 @@
 	return awaited
 }
 
-// awaitStops reserves what is freed by stops: of each task by itself, of a gang for
+// reserveFromStops reserves what is freed by stops: of each task by itself, of a gang for
 // all its members or none. It returns for how many tasks.
-func (p *queuePass) awaitStops(step *stepQueue, req *placementRequest, mayPreempt bool) (awaited int) {
+func (p *queuePass) reserveFromStops(step *stepQueue, req *placementRequest, mayPreempt bool) (awaited int) {
 	account := p.accountOf(p.scheduler, step.first().tenant)
-	count := min(step.ready.Len(), p.slots, maxAwaited, int(account.room(req.need)))
+	count := min(step.ready.Len(), p.slots, maxFutureReservations, int(account.room(req.need)))
 	if req.spec.Gang {
 		count = step.ready.Len()
 	}
@@ -81,8 +81,8 @@
 	return awaited
 }
 
-// isCapacityComing reports whether a stop under way frees something.
-func (p *queuePass) isCapacityComing() bool {
+// isCapacityBeingFreed reports whether a stop under way frees something.
+func (p *queuePass) isCapacityBeingFreed() bool {
 	return slices.ContainsFunc(p.candidates, func(c *candidate) bool { return c.freeAfterStops != c.free })
 }
 
@@ -93,7 +93,7 @@
 }
 
 // canGainCapacity reports whether a step that finds no capacity may come by some.
-func (p *queuePass) canGainCapacity() bool { return p.isCapacityComing() || p.mayPreempt() }
+func (p *queuePass) canGainCapacity() bool { return p.isCapacityBeingFreed() || p.mayPreempt() }
 
 // preemptionTx is a tentative reservation: its victims are evicted once it commits.
 type preemptionTx struct {
@@ -122,25 +122,25 @@
 
 // reserveOne reserves future capacity for one task of a step.
 func (tx *preemptionTx) reserveOne(req *placementRequest, mayPreempt bool) bool {
-	c, victims := tx.cheapest(req, mayPreempt)
+	c, victims := tx.cheapestCandidate(req, mayPreempt)
 	if c == nil {
 		return false
 	}
 	for _, v := range victims {
-		tx.take(v)
+		tx.addVictim(v)
 	}
 	c.freeAfterStops.sub(req.need)
-	req.count(c, 1)
+	req.addTaskCount(c, 1)
 	tx.undos = append(tx.undos, func() {
 		c.freeAfterStops.add(req.need)
-		req.count(c, -1)
+		req.addTaskCount(c, -1)
 	})
 	return true
 }
 
-// cheapest finds the first candidate on which the task fits after the stops under
+// cheapestCandidate finds the first candidate on which the task fits after the stops under
 // way, else the one where the preemption that it takes loses least work.
-func (tx *preemptionTx) cheapest(req *placementRequest, mayPreempt bool) (best *candidate, victims []*victim) {
+func (tx *preemptionTx) cheapestCandidate(req *placementRequest, mayPreempt bool) (best *candidate, victims []*victim) {
 	lowest := 0.0
 	for _, c := range tx.candidates {
 		if !req.mayRunOn(c) {
@@ -159,12 +159,12 @@
 	return best, victims
 }
 
-// take marks a victim as taken and adds the resources of its members to freeAfterStops of
+// addVictim marks a victim as taken and adds the resources of its members to freeAfterStops of
 // the candidates that run them.
-func (tx *preemptionTx) take(v *victim) {
-	v.isTaken = true
+func (tx *preemptionTx) addVictim(v *victim) {
+	v.isUnavailable = true
 	tx.victims = append(tx.victims, v)
-	tx.undos = append(tx.undos, func() { v.isTaken = false })
+	tx.undos = append(tx.undos, func() { v.isUnavailable = false })
 	for _, member := range v.members {
 		at := slices.IndexFunc(tx.allCandidates, func(c *candidate) bool { return c.worker.id == member.worker })
 		if at < 0 {
@@ -180,15 +180,15 @@
 // the least work lost; nil: all of them aren't enough. It returns the loss in
 // core-microseconds.
 func (p *queuePass) selectVictims(c *candidate, req *placementRequest) (victims []*victim, loss float64) {
-	if !c.hasVictims {
-		c.hasVictims, c.victims = true, p.listVictims(c.worker)
+	if !c.areVictimsListed {
+		c.areVictimsListed, c.victims = true, p.listVictims(c.worker)
 	}
 	free, id := c.freeAfterStops, c.worker.id
 	for _, v := range c.victims {
 		if free.covers(req.need) {
 			break
 		}
-		if v.isTaken || v.urgency >= p.queue.urgency || v.class < req.feasibility || v.members[0].evictOutcome != "" {
+		if v.isUnavailable || v.urgency >= p.queue.urgency || v.class < req.feasibility || v.members[0].evictOutcome != "" {
 			continue
 		}
 		free.add(v.resourcesOn(id))
@@ -243,7 +243,7 @@
 			}
 			p.gangVictims[step] = v
 			if v.members = s.gangMembers(t); !s.areAllPreemptible(v.members) {
-				v.isTaken = true
+				v.isUnavailable = true
 				continue
 			}
 		}
@@ -274,7 +274,7 @@
 // lostWork is the work in core-microseconds that is lost when a task is stopped
 // now: since its last checkpoint, else since it started.
 func lostWork(now eventloop.Micros, t *task) float64 {
-	cores := coresOf(t.spec)
+	cores := coreEquivalentsOf(t.spec)
 	if t.spec.RunUntilCancelled {
 		return cores * float64(serviceLoss)
 	}
@@ -291,7 +291,7 @@
 // idleWork is the work in core-microseconds that a task's resources don't do while it is being
 // stopped, which takes half of the stop timeout on average.
 func (s *Scheduler) idleWork(t *task) float64 {
-	return coresOf(t.spec) * float64(s.bounds.GetStopTimeoutUs()) / 2
+	return coreEquivalentsOf(t.spec) * float64(s.bounds.GetStopTimeoutUs()) / 2
 }
 
 // maxLostWork is how much work, in core-microseconds, may be lost to start a task
@@ -301,10 +301,10 @@
 	if duration == 0 || t.spec.RunUntilCancelled {
 		return math.Inf(1)
 	}
-	return maxLossFactor * coresOf(t.spec) * float64(duration)
+	return maxLossFactor * coreEquivalentsOf(t.spec) * float64(duration)
 }
 
-// coresOf is what a task of a step takes, in cores; accelerators count as cores.
-func coresOf(spec *schema.Step) float64 {
+// coreEquivalentsOf is what a task of a step takes, in cores; accelerators count as cores.
+func coreEquivalentsOf(spec *schema.Step) float64 {
 	return float64(spec.CoresMilli+acceleratorMilliCores*spec.Accelerators) / 1000
 }
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -155,7 +155,7 @@
 		expected := float64(s.expectedRuntime(w, t))
 		remainingHere := expected * float64(100-t.percent) / 100 / ratio
 		runtimeElsewhere := expected + float64(s.bounds.GetStopTimeoutUs())
-		if remainingHere > runtimeElsewhere && lostWork(now, t) <= maxLossFactor*coresOf(t.spec)*expected {
+		if remainingHere > runtimeElsewhere && lostWork(now, t) <= maxLossFactor*coreEquivalentsOf(t.spec)*expected {
 			s.evict(t, outcomeStopped)
 			s.noteEviction(t, countSlowEvicted)
 		}
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -76,7 +76,7 @@
 
 // reportStep adds a step that has ended to the totals of its queue; t is its last task.
 func (s *Scheduler) reportStep(now eventloop.Micros, q *queueView, t *task, progress *stepProgress) {
-	rank := workRank(t.wholeRound)
+	rank := workRank(t.roundPath)
 	totals := q.totals.bySize[rank]
 	if totals == nil {
 		totals = &sizeTotals{SizeReport{CoreSeconds: math.Ldexp(1, rank)}}
@@ -88,7 +88,7 @@
 	totals.MostEnded += cmp.Or(progress.mostEndedAt, now) - progress.readyAt
 	totals.Ended += now - progress.readyAt
 	totals.Reruns.add(progress.rerunCounts)
-	if len(t.remaining) == 1 {
+	if len(t.remainingPath) == 1 {
 		totals.countRound(float64(now-t.roundDueAt), s.allowedDuration(q, t)/estimateTolerance)
 	}
 }
--- a/internal/scheduler/request.go
+++ b/internal/scheduler/request.go
@@ -69,7 +69,7 @@
 	}
 	for _, c := range candidates {
 		if req.isEligible(c) {
-			weights[c.worker.rack] += min(c.free.multipleOf(req.need), int64(req.spec.Tasks))
+			weights[c.worker.rack] += min(c.free.fitCount(req.need), int64(req.spec.Tasks))
 		}
 	}
 	best := ""
@@ -85,21 +85,21 @@
 // gang, or no worker could run several of them at a time.
 func (req *placementRequest) isWide(candidates []*candidate) bool {
 	return req.spec.Gang || !slices.ContainsFunc(candidates, func(c *candidate) bool {
-		return c.worker.total().multipleOf(req.need) >= wideFraction
+		return c.worker.total().fitCount(req.need) >= wideFraction
 	})
 }
 
 // allocate takes a candidate's resources for one task and returns what undoes that.
 func (req *placementRequest) allocate(c *candidate) (undo func()) {
 	c.allocate(req.need)
-	req.count(c, 1)
+	req.addTaskCount(c, 1)
 	return func() {
 		c.release(req.need)
-		req.count(c, -1)
+		req.addTaskCount(c, -1)
 	}
 }
 
-func (req *placementRequest) count(c *candidate, by int) {
+func (req *placementRequest) addTaskCount(c *candidate, by int) {
 	req.tasksPerWorker[c.worker.id] += by
 	req.tasksPerRack[c.worker.rack] += by
 }
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -37,8 +37,8 @@
 	return resources{r.cores * factor, r.memory * factor, r.accelerators * factor}
 }
 
-// multipleOf is how many times need goes into r.
-func (r resources) multipleOf(need resources) int64 {
+// fitCount is how many times need goes into r.
+func (r resources) fitCount(need resources) int64 {
 	count := int64(math.MaxInt32)
 	for _, kind := range [][2]int64{{r.cores, need.cores}, {r.memory, need.memory}, {r.accelerators, need.accelerators}} {
 		if kind[1] > 0 {
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -40,8 +40,8 @@
 	budgets := map[string]*boostBudget{}
 	for pool, candidates := range pass.byPool {
 		total, used := totalCores(candidates), s.boostedCores(pool)
-		pass.boostedLeft[pool] = int64(lostShare*total) - used
-		budgets[pool] = &boostBudget{pass.boostedLeft[pool], int64(agedShare*total) - used}
+		pass.remainingBoostedCores[pool] = int64(lostShare*total) - used
+		budgets[pool] = &boostBudget{pass.remainingBoostedCores[pool], int64(agedShare*total) - used}
 	}
 	var lost, aged []starvingStep
 	for _, q := range queues {
@@ -110,7 +110,7 @@
 // isAged reports whether a task's job has missed its target by far more than makes it
 // infeasible.
 func (s *Scheduler) isAged(now eventloop.Micros, q *queueView, t *task) bool {
-	if t.spec.RunUntilCancelled || len(t.remaining) == 0 {
+	if t.spec.RunUntilCancelled || len(t.remainingPath) == 0 {
 		return false
 	}
 	allowed := s.allowedDuration(q, t)
--- a/internal/scheduler/step_heap.go
+++ b/internal/scheduler/step_heap.go
@@ -30,7 +30,7 @@
 type stepCursor struct {
 	steps     []rankedStep // that are left; the first of them is current
 	current   *stepQueue   // nil: none is left
-	taken     rankedStep   // that next returned last
+	lastTaken rankedStep   // that next returned last
 	share     *tenantShare // of their tenant; nil: the steps' order has nothing to do with it
 	shape     shape
 	shareRank int // of the share when the heap was last put in order
@@ -52,7 +52,7 @@
 }
 
 func (c *stepCursor) advance() {
-	c.taken = c.steps[0]
+	c.lastTaken = c.steps[0]
 	if c.steps, c.current = c.steps[1:], nil; len(c.steps) > 0 {
 		c.current = c.steps[0].stepQueue
 	}
@@ -100,7 +100,7 @@
 // putBack returns the step that next took last from a cursor.
 func (h *stepHeap) putBack(cursor *stepCursor) {
 	wasExhausted := cursor.current == nil
-	cursor.steps, cursor.current = append([]rankedStep{cursor.taken}, cursor.steps...), cursor.taken.stepQueue
+	cursor.steps, cursor.current = append([]rankedStep{cursor.lastTaken}, cursor.steps...), cursor.lastTaken.stepQueue
 	cursor.shareRank = cursor.currentShareRank()
 	if wasExhausted {
 		heap.Push(h, cursor)
@@ -162,10 +162,10 @@
 
 // remainingWorkRank is workRank of what is left from a task's step on.
 func (q *queueView) remainingWorkRank(t *task) int {
-	if len(t.remaining) == 0 {
+	if len(t.remainingPath) == 0 {
 		return 0
 	}
-	return rankOfWork(legCoreSeconds(q.remainingLeg(t)) + coreSeconds(t.remaining[1:]))
+	return rankOfWork(stepCoreSeconds(q.remainingStep(t)) + coreSeconds(t.remainingPath[1:]))
 }
 
 func rankOfWork(coreSeconds float64) int {
@@ -174,12 +174,12 @@
 }
 
 func coreSeconds(path []queue.PathStep) (sum float64) {
-	for _, leg := range path {
-		sum += legCoreSeconds(leg)
+	for _, pathStep := range path {
+		sum += stepCoreSeconds(pathStep)
 	}
 	return sum
 }
 
-func legCoreSeconds(leg queue.PathStep) float64 {
-	return float64(leg.EstimateUs) / float64(eventloop.Second) * float64(leg.CoresMilli) / 1000
+func stepCoreSeconds(pathStep queue.PathStep) float64 {
+	return float64(pathStep.EstimateUs) / float64(eventloop.Second) * float64(pathStep.CoresMilli) / 1000
 }
