--- a/internal/ablation/ablations.go
+++ b/internal/ablation/ablations.go
@@ -38,7 +38,7 @@
 		{Package: "internal/scheduler", Old: "\tif model == nil {\n\t\tif len(s.runtimeModels) > maxRuntimeModels {", New: "\tif true {\n\t\treturn\n\t}\n\tif model == nil {\n\t\tif len(s.runtimeModels) > maxRuntimeModels {"},
 	}},
 	{"claims", "workers are kept free for wide work that has waited", []mutation.Edit{
-		{Package: "internal/scheduler", Old: "\tif awaited == 0 && !p.claimedPools[pool]", New: "\tif false && awaited == 0 && !p.claimedPools[pool]"},
+		{Package: "internal/scheduler", Old: "\tif reserved == 0 && !p.claimedPools[pool]", New: "\tif false && reserved == 0 && !p.claimedPools[pool]"},
 	}},
 	{"data-rack", "the rack that holds the data is preferred", []mutation.Edit{
 		{Package: "internal/scheduler", Old: "\tif req.spec.DataRack != \"\" && w.rack == req.spec.DataRack {\n\t\tscore +=", New: "\tif false && req.spec.DataRack != \"\" && w.rack == req.spec.DataRack {\n\t\tscore +="},
--- a/internal/scheduler/barrier.go
+++ b/internal/scheduler/barrier.go
@@ -4,16 +4,15 @@
 	"sparnotch/internal/eventloop"
 )
 
-// Where the workers have a barrier, at which the members of a gang wait for each
-// other, a gang isn't held first: all members are ordered to start once they are
-// checked out. When one can't begin, the others are stopped before they have
-// waited in vain.
+// Some workers have a barrier, at which the members of a gang wait for each other before they begin.
+// A gang on such workers isn't held first: all members are ordered to start once they are checked
+// out. If one member can't begin, the scheduler stops the others before their wait times out.
 
-// defaultBarrierTimeout is the barrierTimeout unless the bounds say more.
+// defaultBarrierTimeout is the barrier timeout if the bounds set no gang timeout.
 const defaultBarrierTimeout = 2 * eventloop.Second
 
-// barrierTimeout is how long a member may take to begin. It is shorter than the
-// workers have the other members wait.
+// barrierTimeout returns how long a member of a gang may take to begin. It is shorter than the gang
+// timeout, for which the workers let the other members wait.
 func (s *Scheduler) barrierTimeout() eventloop.Micros {
 	if s.bounds.GetGangTimeoutUs() > 0 {
 		return eventloop.Micros(s.bounds.GangTimeoutUs) * 3 / 4
@@ -21,8 +20,8 @@
 	return defaultBarrierTimeout
 }
 
-// stopBrokenGang stops the members of a task's gang when one of them can't begin any
-// more.
+// stopBrokenGang stops all members of a task's gang if one of them can't begin any more, unless a
+// member has already succeeded.
 func (s *Scheduler) stopBrokenGang(now eventloop.Micros, t *task) {
 	if !t.isActive() {
 		return
@@ -31,7 +30,7 @@
 	isBroken := len(members) != int(t.spec.Tasks)
 	for _, member := range members {
 		if report := s.endReportOf(member); report != nil && report.status.State == outcomeDone {
-			// One member's success is the gang's.
+			// The success of one member is the success of the gang.
 			return
 		}
 		isBroken = isBroken || s.cannotBegin(now, member)
@@ -41,7 +40,7 @@
 	}
 }
 
-// cannotBegin reports whether a member of a gang neither runs nor will begin in time.
+// cannotBegin reports whether a member of a gang has ended, is being stopped, or won't begin in time.
 func (s *Scheduler) cannotBegin(now eventloop.Micros, member *task) bool {
 	_, isWorkerDead := s.deadWorkers[member.worker]
 	if s.endReportOf(member) != nil || !member.isActive() || isWorkerDead {
@@ -55,7 +54,7 @@
 		w != nil && w.hasHeartbeat && (w.isDraining || w.incarnation != member.incarnation)
 }
 
-// endReportOf is what a task's worker reports of the end of its attempt, or nil.
+// endReportOf returns the end that a task's worker has reported for the current attempt, or nil.
 func (s *Scheduler) endReportOf(t *task) *endReport {
 	w := s.workers[t.worker]
 	if w == nil {
@@ -64,8 +63,8 @@
 	return w.ended[attemptKey{t.key, t.attempt}]
 }
 
-// canStartGang reports whether a task may be started as far as its gang, if it has
-// one, is concerned: no member has ended, and each can begin as well.
+// canStartGang reports whether a task's gang, if it has one, allows the task to start: every member
+// is checked out, none has ended, and those that haven't begun still can.
 func (s *Scheduler) canStartGang(t *task) bool {
 	if !t.spec.Gang {
 		return true
--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -6,13 +6,13 @@
 	"sparnotch/internal/schema"
 )
 
-// The bind stage: a placement is reserved here at once, and takes effect once the
-// queue's Raft group has committed its checkout.
+// The bind stage reserves a placement at once. The placement takes effect when the queue's Raft
+// group has committed its checkout.
 
-// reservationTimeout is when a checkout that was never committed is given up.
+// reservationTimeout is how long a reservation waits for its checkout to be committed.
 const reservationTimeout = 3 * eventloop.Second
 
-// reserve takes a ready task for a worker while its checkout is on the way.
+// reserve assigns a ready task to a worker until its checkout is committed or given up.
 func (s *Scheduler) reserve(q *queueView, t *task, worker string, now eventloop.Micros) {
 	q.removeReady(t)
 	t.reservedWorker, t.reservedAt = worker, now
@@ -23,7 +23,8 @@
 	}
 }
 
-// unreserve undoes a reservation. The task is ready, but not in the ready index.
+// unreserve undoes a reservation. It doesn't return the task to the ready index; a caller for which
+// the task stays ready does that.
 func (s *Scheduler) unreserve(q *queueView, t *task) {
 	delete(q.reserved, t.key)
 	q.countOnWorker(t, t.reservedWorker, -1)
@@ -34,8 +35,8 @@
 	t.reservedWorker, t.isBoosted = "", false
 }
 
-// expireReservations makes those tasks available again whose checkout wasn't
-// committed in time.
+// expireReservations releases the reservations whose checkout wasn't committed in time, so that
+// their tasks can be placed again.
 func (s *Scheduler) expireReservations(now eventloop.Micros, q *queueView) {
 	for _, t := range q.reserved {
 		if now-t.reservedAt > reservationTimeout {
@@ -46,7 +47,8 @@
 	}
 }
 
-// releaseDropped makes the tasks of a checkout available again that wasn't added to the log.
+// releaseDropped releases the reservations of a checkout that wasn't added to the log, so that
+// their tasks can be placed again.
 func (s *Scheduler) releaseDropped(m replica.ProposalDropped) {
 	q := s.queues[m.Queue]
 	if q == nil || q.term != m.Term {
@@ -64,27 +66,27 @@
 	}
 }
 
-// keepOpenCheckout notes that the checkout of a ready task was given up, but may yet be
+// keepOpenCheckout records that the checkout of a ready task was given up but may still be
 // committed in this term.
 func (q *queueView) keepOpenCheckout(t *task) {
 	t.hasOpenCheckout = true
 	q.openCheckouts[t.key] = t
 }
 
-// newPlacement is the placement of a task on a worker, for a checkout.
+// newPlacement returns the placement of a task on a worker for a Checkout command.
 func newPlacement(t *task, w *worker) *schema.Placement {
 	return &schema.Placement{Key: t.key.toSchema(), Worker: w.id, Incarnation: w.incarnation}
 }
 
-// proposeCheckout proposes a Checkout command for the placements.
+// proposeCheckout proposes a Checkout command for the placements, if there are any.
 func (q *queueView) proposeCheckout(placements []*schema.Placement, effects eventloop.Effects) {
 	if len(placements) > 0 {
 		q.propose(&schema.QueueCommand{Body: &schema.QueueCommand_Checkout{Checkout: &schema.Checkout{Placements: placements}}}, effects)
 	}
 }
 
-// propose has the replica here propose a command to the queue's Raft group, if it
-// still leads it in the term of this view.
+// propose asks this node's replica to propose a command to the queue's Raft group. The replica
+// does so only if it still leads the group in the term of this view.
 func (q *queueView) propose(command *schema.QueueCommand, effects eventloop.Effects) {
 	effects.Notify("replica", replica.Propose{Group: q.raftGroup, Term: q.term, Command: command})
 }
--- a/internal/scheduler/candidate.go
+++ b/internal/scheduler/candidate.go
@@ -7,18 +7,18 @@
 	"sparnotch/internal/eventloop"
 )
 
-// candidate is a worker that a pass may place tasks on, with what it has left.
+// candidate is a worker that a pass may place tasks on, with its remaining capacity.
 type candidate struct {
 	worker                  *worker
 	free                    resources // now
-	freeAfterStops          resources // once all stops under way are done, less what is reserved of that
-	remainingProbationTasks int       // on probation: how many more it gets of work that can wait
-	rackWeight              int64     // percent
+	freeAfterStops          resources // once all stops in progress are done, minus what tasks have reserved of it
+	remainingProbationTasks int       // on probation: tasks that it may still get from steps that haven't waited long
+	rackWeight              int64     // in percent
 	penalty                 float64   // see Scheduler.penalty
-	isEjected               bool      // only for work that has waited long
+	isEjected               bool      // gets only steps that have waited long
 	isClaimed               bool      // kept free for a wide step
-	victims                 []*victim // what may be preempted on it, once areVictimsListed
-	areVictimsListed        bool
+	victims                 []*victim // tasks and gangs that may be preempted on it, see areVictimsListed
+	areVictimsListed        bool      // victims has been filled
 }
 
 func (c *candidate) allocate(need resources) {
@@ -33,7 +33,8 @@
 	c.remainingProbationTasks++
 }
 
-// candidates lists the workers that may be given work, for one pass.
+// candidates returns the workers that may get tasks in a pass. It ejects those that fail far more
+// often than others, but still returns them, marked as ejected.
 func (s *Scheduler) candidates(now eventloop.Micros) []*candidate {
 	candidates := s.candidateBuffer[:0]
 	cores := int64(0)
@@ -68,7 +69,8 @@
 	return candidates
 }
 
-// reuseNext is the candidate of an earlier pass behind the end of the list, or a new one.
+// reuseNext returns the candidate that an earlier pass left in the list's buffer just past its end,
+// or a new one.
 func reuseNext(candidates []*candidate) *candidate {
 	if len(candidates) < cap(candidates) {
 		if reused := candidates[:len(candidates)+1][len(candidates)]; reused != nil {
@@ -78,8 +80,8 @@
 	return &candidate{}
 }
 
-// rackWeight is the weight of a worker's rack in percent. Workers of racks with
-// weight 0 and of racks without a valid name get no work, workers without a rack do.
+// rackWeight returns the weight of a worker's rack in percent and whether the worker may get tasks.
+// Workers in racks with weight 0 or without a valid name get none; workers without a rack do.
 func (s *Scheduler) rackWeight(w *worker) (weight int64, allowed bool) {
 	weight, known := s.rackWeights[w.rack]
 	if !known {
--- a/internal/scheduler/choose.go
+++ b/internal/scheduler/choose.go
@@ -7,13 +7,13 @@
 	"slices"
 )
 
-// placementReason is why a task's worker was chosen.
+// placementReason records why a task's worker was chosen.
 type placementReason struct {
 	score       float64
 	worker      string
-	free        resources // on the worker, beside the task
+	free        resources // on the worker, once the task is placed
 	rack        string
-	tasksOnRack int // of the step
+	tasksOnRack int // the step's tasks there, this one included
 }
 
 func (r placementReason) String() string {
@@ -24,13 +24,14 @@
 		r.score, r.worker, r.free.cores, r.free.memory, r.rack, r.tasksOnRack)
 }
 
-// chooseWorkers filters and scores the candidates for tasks of one step. It returns
-// a candidate for every task, whose resources it has taken, or nil.
+// chooseWorkers filters and scores the candidates for tasks of one step. It returns a candidate
+// for every task, with the resources allocated there, or nil if not all of the tasks fit.
 func (s *Scheduler) chooseWorkers(tasks []*task, candidates []*candidate, req *placementRequest) []*candidate {
 	if !req.spec.Gang {
 		return s.chooseGreedily(tasks, candidates, req)
 	}
-	// The members of a gang either all wait at a barrier or are all held.
+	// Members start together either by waiting at a barrier or by being held first, so either
+	// all workers of a gang have a barrier or none has.
 	for _, hasBarrier := range []bool{true, false} {
 		var alike []*candidate
 		for _, c := range candidates {
@@ -53,8 +54,9 @@
 	return nil
 }
 
-// chooseInOneRack is chooseGreedily within one rack: that of the step's data, else the
-// one with most free capacity, that takes all tasks.
+// chooseInOneRack chooses workers within the first rack that takes all tasks, as chooseGreedily
+// does. It tries the rack of the step's data first, then the others by free capacity. It returns
+// nil if no rack takes all tasks.
 func (s *Scheduler) chooseInOneRack(tasks []*task, candidates []*candidate, req *placementRequest) []*candidate {
 	byRack := map[string][]*candidate{}
 	weights := map[string]int64{}
@@ -80,7 +82,8 @@
 	return nil
 }
 
-// chooseGreedily chooses the best candidate for each task in turn; nil: one fits nowhere.
+// chooseGreedily chooses the best candidate for one task after the other. If one of them fits
+// nowhere, it undoes all allocations and returns nil.
 func (s *Scheduler) chooseGreedily(tasks []*task, candidates []*candidate, req *placementRequest) []*candidate {
 	chosen := make([]*candidate, 0, len(tasks))
 	undos := make([]func(), 0, len(tasks))
--- a/internal/scheduler/claim.go
+++ b/internal/scheduler/claim.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// claimWorkers keeps workers free for count tasks of a wide step, which would otherwise
-// starve behind narrower ones: those that are nearest to being free. It reports
-// whether there are enough. Batch systems call this a reservation.
+// claimWorkers keeps workers free for count tasks of a wide step, which narrower steps would
+// otherwise starve. It takes the workers with the largest share of free cores. If there aren't
+// enough workers, it claims none and returns false. Batch systems call this a reservation.
 func (req *placementRequest) claimWorkers(count int, candidates []*candidate) bool {
 	type offer struct {
 		candidate *candidate
 		freeShare float64
-		tasks     int64 // that it takes once it is free
+		tasks     int64 // of the step, that the candidate can run once it is free
 	}
 	var offers []offer
 	for _, c := range candidates {
@@ -39,8 +39,8 @@
 	return true
 }
 
-// tasksOnceFree is how many of the step's tasks a candidate takes once all has
-// ended on it that ends by itself.
+// tasksOnceFree returns how many of the step's tasks a candidate can run once all its tasks have
+// ended, except those that run until cancelled.
 func (req *placementRequest) tasksOnceFree(c *candidate) int64 {
 	total := c.worker.total()
 	total.sub(c.worker.usedByServices)
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -7,64 +7,64 @@
 	"sparnotch/internal/queue"
 )
 
-// deadlineFeasibility is whether a job can still meet its queue's latency target.
-// Of a queue's work that goes first which can: while there is more to do than capacity, work that
-// is late anyway would make late what follows it. What has missed its target by far goes after
-// the work of all queues.
+// deadlineFeasibility classifies work by whether its job can still meet the latency target of its
+// queue. Within a queue, work that can meet the target goes first: while there is more work than
+// capacity, work that is late anyway would make the work behind it late, too. Work that has missed
+// its target by far goes after the work of all queues.
 type deadlineFeasibility int
 
 const (
-	boosted deadlineFeasibility = iota // it would starve: see starvation.go
+	boosted deadlineFeasibility = iota // placed first because it would starve: see starvation.go
 	onTime
-	late       // it misses the target, but by less than lateFactor, and much of it is left
-	infeasible // it misses the target by far
+	late       // misses the target, but by less than lateFactor, and much of it is left
+	infeasible // misses the target by far
 	feasibilityClasses
 )
 
 const (
-	lateFactor            = 3   // times the target, up to which a job is merely late
-	estimateTolerance     = 1.2 // estimates are rough
-	nearlyDoneRatio       = 0.5 // of the critical path: late work with no more left goes with what is on time
-	infeasibleUtilization = 0.6 // infeasible work is placed up to this utilization
-	waveFraction          = 4   // a step is assumed to get at most 1/4 of all cores at a time
+	lateFactor            = 3   // a job that takes up to this many times the target is late, beyond that infeasible
+	estimateTolerance     = 1.2 // targets are multiplied by this, because estimates are rough
+	nearlyDoneRatio       = 0.5 // late work with at most this part of the critical path left counts as on time
+	infeasibleUtilization = 0.6 // infeasible work is placed up to this utilization of the pool
+	waveFraction          = 4   // a step is assumed to get at most 1/waveFraction of all cores at a time
 )
 
-// criticalPath is the longest path through a round of a job, and that from one step
-// on, itself first.
+// criticalPath holds the longest path through a round of a job, and the longest path from one step
+// to the end of the round, that step included.
 type criticalPath struct{ roundPath, remainingPath []queue.PathStep }
 
-// latencyTarget is how long a round of a queue's jobs should take at most: stretch
-// times its critical path, and slack besides.
+// latencyTarget defines how long a round of a queue's jobs should take at most: stretch times the
+// duration of its critical path, plus slack.
 type latencyTarget struct {
 	stretch float64
 	slack   eventloop.Micros
 }
 
-func (s *Scheduler) latencyTargetOf(name string) latencyTarget {
+func (s *Scheduler) latencyTargetOf(queueName string) latencyTarget {
 	return latencyTarget{
-		stretch: float64(s.config.Number("queue", name, "stretch_milli")) / 1000,
-		slack:   eventloop.Micros(s.config.Number("queue", name, "target_ms")) * eventloop.Millisecond,
+		stretch: float64(s.config.Number("queue", queueName, "stretch_milli")) / 1000,
+		slack:   eventloop.Micros(s.config.Number("queue", queueName, "target_ms")) * eventloop.Millisecond,
 	}
 }
 
-// estimateDuration is how long a path should take where no step has more milli
-// cores at once than cores (0: any number); wider steps go in waves. A step takes as long
-// as the longest of its tasks. Steps without an estimate count as 0.
-func (s *Scheduler) estimateDuration(name string, path []queue.PathStep, cores int64) (total eventloop.Micros) {
-	model := s.runtimeModels[runtimeKey{name, ""}]
+// estimateDuration returns how long a path should take if each step uses at most maxCores milli
+// cores at a time (0: any number); wider steps run in waves. A step takes as long as the longest of
+// its tasks. Steps without an estimate count as 0.
+func (s *Scheduler) estimateDuration(queueName string, path []queue.PathStep, maxCores int64) (total eventloop.Micros) {
+	model := s.runtimeModels[runtimeKey{queueName, ""}]
 	for _, pathStep := range path {
-		total += model.estimateStep(pathStep, cores)
+		total += model.estimateStep(pathStep, maxCores)
 	}
 	return total
 }
 
-// estimateTask is the estimate for one task of a step.
-func (s *Scheduler) estimateTask(name string, pathStep queue.PathStep) eventloop.Micros {
+// estimateTask returns the estimated run time of one task of a step.
+func (s *Scheduler) estimateTask(queueName string, pathStep queue.PathStep) eventloop.Micros {
 	pathStep.Tasks = 1
-	return s.runtimeModels[runtimeKey{name, ""}].estimateStep(pathStep, 0)
+	return s.runtimeModels[runtimeKey{queueName, ""}].estimateStep(pathStep, 0)
 }
 
-// ownDuration is how long a task should take by itself; 0: it has no estimate.
+// ownDuration returns how long a task itself should run; 0: it has no estimate.
 func (s *Scheduler) ownDuration(q *queueView, t *task) eventloop.Micros {
 	if len(t.remainingPath) == 0 {
 		return 0
@@ -72,8 +72,9 @@
 	return s.estimateTask(q.name, t.remainingPath[0])
 }
 
-// estimateStep is the estimate for one step of a path; a nil model knows no runs.
-func (m *runtimeModel) estimateStep(pathStep queue.PathStep, cores int64) eventloop.Micros {
+// estimateStep returns the estimated duration of one step of a path. The model is nil while no runs
+// are known.
+func (m *runtimeModel) estimateStep(pathStep queue.PathStep, maxCores int64) eventloop.Micros {
 	if pathStep.EstimateUs <= 0 {
 		return 0
 	}
@@ -81,13 +82,14 @@
 	if m != nil && m.count >= minRuns {
 		duration = math.Exp(m.predict(math.Log(duration))) * m.longestOf(pathStep.Tasks)
 	}
-	if cores > 0 {
-		duration *= math.Ceil(math.Max(1, float64(pathStep.CoresMilli)/float64(cores)))
+	if maxCores > 0 {
+		duration *= math.Ceil(math.Max(1, float64(pathStep.CoresMilli)/float64(maxCores)))
 	}
 	return eventloop.Micros(duration)
 }
 
-// remainingStep is a task's own step on the critical path, of which only unended tasks are left.
+// remainingStep returns a task's own step on the critical path, reduced to the tasks that haven't
+// ended.
 func (q *queueView) remainingStep(t *task) queue.PathStep {
 	pathStep := t.remainingPath[0]
 	if progress := q.stepProgress[t.key.stepKey()]; progress != nil {
@@ -97,7 +99,7 @@
 	return pathStep
 }
 
-// feasibilityOf tells whether a task's job can still meet the latency target.
+// feasibilityOf returns the feasibility class of a task, without regard to boosting.
 func (s *Scheduler) feasibilityOf(now eventloop.Micros, q *queueView, t *task) deadlineFeasibility {
 	if t.spec.RunUntilCancelled || len(t.remainingPath) == 0 {
 		return onTime
@@ -125,8 +127,8 @@
 	return infeasible
 }
 
-// allowedDuration is how long, in µs, the round of a task's job may take to meet the latency
-// target; 0: it has no estimates.
+// allowedDuration returns how long, in µs, the round of a task's job may take to meet the latency
+// target, multiplied by estimateTolerance; 0: the round has no estimates.
 func (s *Scheduler) allowedDuration(q *queueView, t *task) float64 {
 	duration := s.estimateDuration(q.name, t.roundPath, s.candidateCores/waveFraction)
 	if duration == 0 {
@@ -135,7 +137,7 @@
 	return estimateTolerance * (q.stretch*float64(duration) + float64(q.slack))
 }
 
-// infeasibleBudget is how many milli cores infeasible work may still take.
+// infeasibleBudget returns how many milli cores infeasible work may still take.
 func infeasibleBudget(candidates []*candidate) int {
 	free, total := int64(0), int64(0)
 	for _, c := range candidates {
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -2,27 +2,28 @@
 
 import "slices"
 
-// The filter stage: which candidates can run one more task of a step.
+// The filter stage finds the candidates that can run one more task of a step.
 
-// fits reports whether a task can run on the candidate now.
+// fits reports whether a task of the step can run on the candidate now.
 func (req *placementRequest) fits(c *candidate) bool {
-	// What is freed by a preemption is reserved for the task that asked for it.
+	// Capacity that a preemption frees is reserved, in freeAfterStops, for the task that caused the
+	// preemption.
 	return c.free.covers(req.need) && c.freeAfterStops.covers(req.need) && req.mayRunOn(c)
 }
 
-// mayRunOn reports whether a task may run on the candidate, resources aside.
+// mayRunOn reports whether a task of the step may run on the candidate, apart from its resources.
 func (req *placementRequest) mayRunOn(c *candidate) bool {
 	return req.isWithinProbation(c) && req.isEligible(c) && req.isBelowWorkerLimit(c)
 }
 
-// isWithinProbation reports whether a candidate on probation gets one more task.
-// What has waited long needn't wait for the end of the probation as well.
+// isWithinProbation reports whether the candidate's probation, if it is on one, allows one more
+// task. A step that has waited long may exceed the limit of a probation, except during an ejection.
 func (req *placementRequest) isWithinProbation(c *candidate) bool {
 	return c.remainingProbationTasks > 0 || req.mayUseEjected && !c.isEjected
 }
 
-// isEligible reports whether the candidate is healthy enough for the step, isn't
-// claimed for another, and has the labels.
+// isEligible reports whether the candidate is healthy enough for the step, isn't kept free for
+// another step, and has the step's labels.
 func (req *placementRequest) isEligible(c *candidate) bool {
 	if c.isClaimed || c.isEjected && !req.mayUseEjected || c.worker.isOnProbation && !req.isShort && !req.mayUseEjected {
 		return false
@@ -30,7 +31,7 @@
 	return req.hasLabels(c)
 }
 
-// couldRunOnAny reports whether a candidate could run a task if it had nothing else to run.
+// couldRunOnAny reports whether any candidate could run a task of the step if it ran nothing else.
 func (req *placementRequest) couldRunOnAny(candidates []*candidate) bool {
 	return slices.ContainsFunc(candidates, func(c *candidate) bool {
 		return c.worker.total().covers(req.need) && req.hasLabels(c)
@@ -46,8 +47,8 @@
 	return true
 }
 
-// isBelowWorkerLimit reports whether the candidate may have one more of the step's
-// tasks. Runs that are no longer checked out count as well.
+// isBelowWorkerLimit reports whether the step's limit of tasks per worker allows one more on the
+// candidate. Runs that the worker still lists but that are no longer checked out count as well.
 func (req *placementRequest) isBelowWorkerLimit(c *candidate) bool {
 	if req.spec.MaxPerWorker == 0 {
 		return true
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -8,23 +8,23 @@
 	"sparnotch/internal/schema"
 )
 
-// A gang is a step whose tasks run together (gang scheduling). Where workers have
-// no barrier (see barrier.go), its members are first held by their workers, which
-// reserve their resources, and start only once all are held.
+// A gang is a step whose tasks, its members, run together (gang scheduling). Workers without a
+// barrier (see barrier.go) first hold the members, that is, reserve resources for them. The members
+// start only once all of them are held.
 
 const (
-	// gangStartTimeout is after how long a gang's start that wasn't committed is
-	// proposed again, and how long it waits for all workers to have a poll open.
+	// gangStartTimeout is how long the scheduler waits for a gang start to be committed before it
+	// proposes the start again, and how long a start waits for all workers to have a poll open.
 	gangStartTimeout = 500 * eventloop.Millisecond
-	// minPollRemaining is what a poll must have left for a start to reach it after
-	// the commit.
+	// minPollRemaining is how much longer a poll must stay open for the start order to reach it
+	// after the commit.
 	minPollRemaining = 50 * eventloop.Millisecond
-	// gangHoldTimeout is how long the members of a gang that hasn't started keep their
-	// reservations before they are evicted.
+	// gangHoldTimeout is how long the members of a gang that hasn't started stay checked out
+	// before they are evicted.
 	gangHoldTimeout = 3 * eventloop.Second
 )
 
-// evictWithGang evicts a task and the other members of its gang, if it has one.
+// evictWithGang evicts a task and, if it belongs to a gang, all active members of the gang.
 func (s *Scheduler) evictWithGang(t *task, outcome string) {
 	if !t.spec.Gang {
 		s.evict(t, outcome)
@@ -41,7 +41,7 @@
 	}
 }
 
-// gangMembers lists the members of a task's gang that the queue's view has.
+// gangMembers returns the members of a task's gang that the queue's view contains.
 func (s *Scheduler) gangMembers(t *task) []*task {
 	q := s.queues[t.key.queue]
 	var members []*task
@@ -53,8 +53,8 @@
 	return members
 }
 
-// requestGangResponses has the polls of all members' workers looked at: what becomes of one
-// member may concern all.
+// requestGangResponses marks the workers of all members of a task's gang as needing a response,
+// because a change of one member may affect the orders for all.
 func (s *Scheduler) requestGangResponses(t *task) {
 	for _, member := range s.gangMembers(t) {
 		if w := s.workers[member.worker]; w != nil {
@@ -63,11 +63,11 @@
 	}
 }
 
-// startGangs proposes the start of the gangs whose members are all held. The start
-// is committed to the queue's log before any start order leaves, so that another
-// scheduler carries it out instead of breaking up the gang.
+// startGangs proposes the start of the gangs whose members are all held. The start is committed to
+// the queue's log before any start order is sent, so that a scheduler that takes over completes the
+// start instead of stopping the gang.
 func (s *Scheduler) startGangs(now eventloop.Micros, effects eventloop.Effects) {
-	// Few of many queues have a gang that is pending, so those are found first.
+	// Few queues have a pending gang, so only the names of those are sorted.
 	var names []string
 	for name, q := range s.queues {
 		if len(q.pendingGangs) > 0 && s.mayActFor(now, q) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// startGang proposes the start of the gang with this first member, if it is due.
+// startGang proposes the start of the gang whose first member is given, once all members are held.
 func (s *Scheduler) startGang(now eventloop.Micros, q *queueView, first *task, effects eventloop.Effects) {
 	members := s.gangMembers(first)
 	if len(members) != int(first.spec.Tasks) || !s.isGangHeld(members) {
@@ -93,8 +93,8 @@
 	if first.gangHeldAt == 0 {
 		first.gangHeldAt = now
 	}
-	// All start orders should leave in one step, so for a moment the start waits
-	// until every worker has a poll open.
+	// All start orders should leave in the same Step call, so the start waits up to
+	// gangStartTimeout for every worker to have a poll open.
 	if first.gangStartProposedAt > 0 && now-first.gangStartProposedAt < gangStartTimeout || !s.canRespondToAll(now, members) && now-first.gangHeldAt < gangStartTimeout {
 		return
 	}
@@ -106,7 +106,7 @@
 	q.propose(&schema.QueueCommand{Body: &schema.QueueCommand_StartGang{StartGang: command}}, effects)
 }
 
-// isGangHeld reports whether every member is held by a worker that stays.
+// isGangHeld reports whether every member is held by a worker that isn't draining.
 func (s *Scheduler) isGangHeld(members []*task) bool {
 	for _, member := range members {
 		w := s.workers[member.worker]
@@ -117,8 +117,8 @@
 	return true
 }
 
-// isGangStarting reports whether a task's gang has started, but has members that
-// are still only held.
+// isGangStarting reports whether the start of a task's gang is committed while some members are
+// still held and haven't started.
 func (s *Scheduler) isGangStarting(t *task) bool {
 	if !t.isGangStarted {
 		return false
@@ -129,8 +129,8 @@
 	})
 }
 
-// canRespondToAll reports whether the workers of all members have a poll open that
-// outlasts the commit of a start.
+// canRespondToAll reports whether the workers of all members have a poll that stays open long
+// enough for the start to be committed.
 func (s *Scheduler) canRespondToAll(now eventloop.Micros, members []*task) bool {
 	for _, member := range members {
 		w := s.workers[member.worker]
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -6,23 +6,23 @@
 	"sparnotch/internal/eventloop"
 )
 
-// Urgent work comes in bursts, and capacity that less urgent work has filled comes
-// back only by preemption, with work lost. So tasks that aren't short leave free
-// what more urgent queues have lately used at their peak.
+// Urgent work comes in bursts, and only preemption, which loses work, can free capacity that less
+// urgent work has filled. So tasks that aren't short leave as much capacity free as more urgent
+// queues have recently used at their peak.
 
 const (
-	peakDecayPeriod     = 10 * eventloop.Second // in which a peak decays to 1/e
-	peakReserveRatio    = 0.8                   // of a peak is kept free
-	maxHeadroomRatio    = 0.5                   // of all capacity is kept free at most
-	lowUtilizationRatio = 0.55                  // of the cores in use: below, capacity is plenty
-	shortStopFactor     = 2                     // a run up to this many stop timeouts long counts as short
-	minShortRun         = eventloop.Second      // runs up to this are short in any case
+	peakDecayPeriod     = 10 * eventloop.Second // time in which a peak decays to 1/e
+	peakReserveRatio    = 0.8                   // part of a peak that is kept free
+	maxHeadroomRatio    = 0.5                   // largest part of all capacity that is kept free
+	lowUtilizationRatio = 0.55                  // a pool with a smaller part of its cores in use is underutilized
+	shortStopFactor     = 2                     // a run of up to this many stop timeouts counts as short
+	minShortRun         = eventloop.Second      // a run of up to this length always counts as short
 )
 
-// decayingPeak is a maximum that decays exponentially.
+// decayingPeak tracks the maximum of a usage, which decays exponentially.
 type decayingPeak struct{ cores, memory, accelerators float64 }
 
-// update takes in the usage of now; it is called at each tick.
+// update records the current usage; it is called at each tick.
 func (p *decayingPeak) update(usage resources) {
 	decay := math.Exp(-float64(TickInterval) / float64(peakDecayPeriod))
 	p.cores = math.Max(float64(usage.cores), p.cores*decay)
@@ -30,14 +30,14 @@
 	p.accelerators = math.Max(float64(usage.accelerators), p.accelerators*decay)
 }
 
-// unused is what to keep free of the peak, beside what is in use now.
+// unused returns how much of the peak to keep free in addition to the current usage.
 func (p *decayingPeak) unused(usage resources) resources {
-	left := func(peak float64, used int64) int64 { return max(0, int64(peakReserveRatio*peak)-used) }
-	return resources{left(p.cores, usage.cores), left(p.memory, usage.memory), left(p.accelerators, usage.accelerators)}
+	toKeep := func(peak float64, used int64) int64 { return max(0, int64(peakReserveRatio*peak)-used) }
+	return resources{toKeep(p.cores, usage.cores), toKeep(p.memory, usage.memory), toKeep(p.accelerators, usage.accelerators)}
 }
 
-// headroom is how much of the free capacity a queue's tasks that aren't short may
-// still take.
+// headroom returns how much of the free capacity a queue's tasks may still take if they aren't
+// short.
 func (s *Scheduler) headroom(q *queueView, candidates []*candidate) resources {
 	var free, total resources
 	for _, c := range candidates {
@@ -52,8 +52,8 @@
 	return free
 }
 
-// keptForUrgent is what the more urgent queues of the same pool lately used at
-// their peak, beside what they use now.
+// keptForUrgent returns how much capacity to keep free for the more urgent queues of the same pool:
+// what they have recently used at their peak, minus what they use now.
 func (s *Scheduler) keptForUrgent(q *queueView) (kept resources) {
 	pool := s.poolOf(q)
 	for _, other := range s.queues {
@@ -69,7 +69,7 @@
 	return kept
 }
 
-// isUnderutilized reports whether little of the candidates' cores is in use.
+// isUnderutilized reports whether less than lowUtilizationRatio of the candidates' cores is in use.
 func isUnderutilized(candidates []*candidate) bool {
 	free, total := int64(0), int64(0)
 	for _, c := range candidates {
@@ -79,8 +79,8 @@
 	return float64(total-free) < lowUtilizationRatio*float64(total)
 }
 
-// isShort reports whether a step's tasks, of which t is one, end about as soon as
-// they could be stopped.
+// isShort reports whether tasks of the same step as t are expected to end about as soon as a stop
+// would end them. Tasks without an estimate count as short.
 func (s *Scheduler) isShort(q *queueView, t *task) bool {
 	duration := s.ownDuration(q, t)
 	return !t.spec.RunUntilCancelled && duration <= max(shortStopFactor*eventloop.Micros(s.bounds.GetStopTimeoutUs()), minShortRun)
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	maxPlacements    = 64                         // of one checkout, gangs apart
-	maxUnplaced      = 32                         // steps without capacity, of one queue and pass
-	fullPassInterval = eventloop.Second / 2       // between passes without that limit
-	passCooldown     = 10 * eventloop.Millisecond // after a pass that has left a backlog
+	maxPlacements    = 64                         // tasks of one checkout; the last gang may exceed it
+	maxUnplaced      = 32                         // a queue's turn ends after this many steps found no capacity
+	fullPassInterval = eventloop.Second / 2       // between passes that ignore maxUnplaced
+	passCooldown     = 10 * eventloop.Millisecond // minimum delay after a pass that left a backlog
 )
 
-// passState is what the queues of one pass share.
+// passState holds the state that all queues share during one scheduling pass.
 type passState struct {
 	allCandidates         []*candidate
 	byPool                map[string][]*candidate
-	maxUnplaced           int                 // of one queue, after which the steps behind aren't looked at
-	minRunningUrgency     int64               // the lowest of the queues that have tasks out
-	claimedPools          map[string]bool     // in which workers are kept free
-	gangVictims           map[stepKey]*victim // gangs may be preempted only as a whole
-	starvedPools          map[string]bool     // in which a step found no capacity
-	boosted               map[stepKey]bool    // steps that go before all others
-	remainingBoostedCores map[string]int64    // milli cores that these may still take, by pool
-	preemptionFailed      bool                // something that may preempt found no victim
-	tenantUse             tenantUse           // when the pass began
+	maxUnplaced           int                 // maxUnplaced, or no limit in a full pass
+	minRunningUrgency     int64               // lowest urgency of the queues that have tasks checked out
+	claimedPools          map[string]bool     // pools in which workers are kept free for a wide step
+	gangVictims           map[stepKey]*victim // one victim per gang, which can be preempted only as a whole
+	starvedPools          map[string]bool     // pools in which a step found no capacity
+	boosted               map[stepKey]bool    // steps that are placed before all others
+	remainingBoostedCores map[string]int64    // milli cores that boosted steps may still take, by pool
+	preemptionFailed      bool                // a step that was allowed to preempt found too little capacity
+	tenantUse             tenantUse           // at the start of the pass
 	knowsAllRuns          bool                // see Scheduler.knowsAllRuns
 	accounts              map[string]*tenantAccount
 	poolShares            map[string]*poolShares
 }
 
-// runPass goes over the ready tasks of all queues, most urgent queue first, and
-// proposes the checkout of those that find a worker.
+// runPass goes through the ready tasks of all queues in the order of passTurns and proposes the
+// checkout of those that find a worker.
 func (s *Scheduler) runPass(now eventloop.Micros, effects eventloop.Effects) {
 	queues := s.queuesToServe(now)
 	s.starvedPools = nil
@@ -58,18 +58,19 @@
 	}
 }
 
-// passTurn is the turn of one class of one queue in a pass.
+// passTurn is one turn of a pass: the steps of one feasibility class of one queue.
 type passTurn struct {
-	queue int // in the order of urgency
+	queue int // index into the queues, which are sorted by urgency
 	class deadlineFeasibility
 }
 
-// passTurns is the order of a pass: what would starve, then by urgency what can still be of use,
-// on time before late, and last what has missed its target by far. Less urgent work that went
-// before urgent late work would be preempted by the next urgent job.
-func passTurns(queues int) (turns []passTurn) {
+// passTurns returns the turns of a pass in order: first the steps that would starve; then, for
+// each queue in order of urgency, the steps that are on time and after them those that are late;
+// last the steps that have missed their target by far. If less urgent work that is on time went
+// before urgent work that is late, the next urgent job would preempt it.
+func passTurns(queueCount int) (turns []passTurn) {
 	for _, classes := range [][]deadlineFeasibility{{boosted}, {onTime, late}, {infeasible}} {
-		for k := range queues {
+		for k := range queueCount {
 			for _, class := range classes {
 				turns = append(turns, passTurn{k, class})
 			}
@@ -78,8 +79,8 @@
 	return turns
 }
 
-// queuesToServe lists the queues with ready tasks, most urgent first; among equals
-// the one that has waited longest.
+// queuesToServe returns the queues with ready tasks that this node may act for, most urgent
+// first; among queues of equal urgency, the one whose tasks have waited longest comes first.
 func (s *Scheduler) queuesToServe(now eventloop.Micros) []*queueView {
 	var queues []*queueView
 	oldest := map[*queueView]eventloop.Micros{}
@@ -132,15 +133,15 @@
 	now            eventloop.Micros
 	queue          *queueView
 	class          deadlineFeasibility
-	candidates     []*candidate // of the queue's pool
-	headroom       resources    // that tasks which aren't short may still take
-	slots          int          // tasks that may still go out by the queue's limit
+	candidates     []*candidate // workers of the queue's pool
+	headroom       resources    // capacity that tasks that aren't short may still take
+	slots          int          // tasks that the queue's limit still allows to check out
 	remainingCores int          // milli cores that steps of this class may still take
 	placements     []*schema.Placement
 }
 
-// scheduleQueue places what it can of a queue's steps and proposes their checkout.
-// For steps that find no capacity it reserves capacity that is being freed.
+// scheduleQueue places as many as it can of a queue's steps of one class and proposes their
+// checkout. For steps that find no capacity it reserves future capacity.
 func (s *Scheduler) scheduleQueue(now eventloop.Micros, q *queueView, class deadlineFeasibility, steps *stepHeap, pass *passState, effects eventloop.Effects) {
 	if steps.Len() == 0 {
 		return
@@ -161,7 +162,7 @@
 	}
 	for unplaced := 0; steps.Len() > 0 && p.mayPlace() && unplaced < pass.maxUnplaced; {
 		cursor, step := steps.next()
-		// What waits for its tenant's limit holds nobody up.
+		// A step that waits for its tenant's limit doesn't hold up other steps.
 		if !p.mayTakeAny(s, step) {
 			continue
 		}
@@ -172,7 +173,8 @@
 			}
 			continue
 		}
-		// A long backlog must not be looked through at every pass.
+		// The turn ends after too many steps without capacity, because a pass must not go through
+		// all of a long backlog.
 		unplaced++
 		if req.couldRunOnAny(candidates) {
 			pass.starvedPools[s.poolOf(q)] = true
@@ -182,8 +184,8 @@
 	q.proposeCheckout(p.placements, effects)
 }
 
-// newRequest is the request for a step of the turn's class. What is boosted keeps its own
-// class where it is compared with other work.
+// newRequest returns the placement request for a step of the turn. A boosted step is compared with
+// other work by the feasibility class that it would have without the boost.
 func (p *queuePass) newRequest(step *stepQueue) *placementRequest {
 	class := p.class
 	if class == boosted {
@@ -197,8 +199,8 @@
 	return p.slots > 0 && len(p.placements) < maxPlacements && p.remainingCores > 0
 }
 
-// place places the ready tasks of a step as far as the limits of the turn allow. It
-// reports false where one of them found no worker.
+// place places the ready tasks of a step as far as the limits of the turn allow. It returns
+// false only if a task found no worker.
 func (p *queuePass) place(step *stepQueue, req *placementRequest) bool {
 	members := 1
 	if step.spec.Gang {
@@ -207,8 +209,8 @@
 			return true
 		}
 	}
-	// Headroom is kept neither from boosted steps nor from short tasks, nor from steps that
-	// have waited long while the pool is underutilized.
+	// The headroom for more urgent queues may be used by boosted steps, by short tasks, and by
+	// steps that have waited long while the pool is underutilized.
 	mayUseHeadroom := p.class == boosted || req.isShort || !req.isRecent && isUnderutilized(p.candidates)
 	if !mayUseHeadroom && p.headroom.fitCount(req.need) < int64(members) {
 		return true
@@ -230,14 +232,14 @@
 	return true
 }
 
-// isBeyondShare reports whether a step has tasks left that its tenant's limit takes, but that
-// come after those of other tenants.
+// isBeyondShare reports whether a step still has ready tasks that its tenant's limit allows, but
+// that must wait for other tenants' steps because the tenant's share rank has risen.
 func (p *queuePass) isBeyondShare(cursor *stepCursor, step *stepQueue) bool {
 	return step.ready.Len() > 0 && cursor.currentShareRank() > cursor.shareRank && p.mayTakeAny(p.scheduler, step)
 }
 
-// placeTogether chooses a worker for each of the tasks and reserves it; false: not
-// all of them found one, and none is placed.
+// placeTogether chooses a worker for each of the tasks and reserves the tasks there. If one of
+// them finds no worker, it places none and returns false.
 func (p *queuePass) placeTogether(tasks []*task, req *placementRequest) bool {
 	chosen := p.scheduler.chooseWorkers(tasks, p.candidates, req)
 	if chosen == nil {
@@ -255,14 +257,14 @@
 	return true
 }
 
-// reserveForShape reserves future capacity for a step that found none, and for the
-// steps of its shape, which would find none either.
+// reserveForShape reserves future capacity for a step that found none now, and for the next steps
+// of its shape, which would find none either. It removes the shape from the turn's steps.
 func (p *queuePass) reserveForShape(steps *stepHeap, cursor *stepCursor, step *stepQueue, req *placementRequest) {
-	awaited := p.reserveFutureCapacity(step, req)
+	reserved := p.reserveFutureCapacity(step, req)
 	steps.removeShape(cursor.shape)
-	for k := 1; awaited > 0 && cursor.current != nil && k < maxUnplaced && p.canGainCapacity(); k++ {
+	for k := 1; reserved > 0 && cursor.current != nil && k < maxUnplaced && p.canGainCapacity(); k++ {
 		if next := cursor.current; !next.spec.Gang || next.isComplete() {
-			awaited = p.reserveFutureCapacity(next, p.newRequest(next))
+			reserved = p.reserveFutureCapacity(next, p.newRequest(next))
 		}
 		cursor.advance()
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -10,92 +10,109 @@
 )
 
 const (
-	preemptionDelay       = 500 * eventloop.Millisecond  // how long urgent work waits before it preempts
-	claimDelay            = 1500 * eventloop.Millisecond // how long wide work waits before workers are kept free for it
-	maxFutureReservations = 64                           // tasks of one step that future capacity is reserved for at once
-	maxLossFactor         = 2                            // how many times its own work may be lost for a task
-	wideFraction          = 4                            // a task of which fewer fit on any worker is wide
-	acceleratorMilliCores = 8000                         // what an accelerator counts as when work is measured
-	serviceLoss           = 30 * eventloop.Second        // run time that stopping a task that runs until cancelled counts as losing
+	// preemptionDelay is how long a step waits before it may preempt less urgent work.
+	preemptionDelay = 500 * eventloop.Millisecond
+	// claimDelay is how long a wide step waits before workers, or parts of its tenant's limit, are
+	// kept free for it.
+	claimDelay = 1500 * eventloop.Millisecond
+	// maxFutureReservations limits the tasks of one step for which future capacity is reserved at a
+	// time.
+	maxFutureReservations = 64
+	// maxLossFactor limits the work that a preemption may lose, as a multiple of the work of the
+	// task that it makes room for.
+	maxLossFactor = 2
+	// wideFraction defines which steps are wide: a task takes more than 1/wideFraction of any
+	// worker, or the tasks that must start together take more than 1/wideFraction of the limit of
+	// their tenant.
+	wideFraction = 4
+	// acceleratorMilliCores is how many milli cores an accelerator counts as when work is measured.
+	acceleratorMilliCores = 8000
+	// serviceLoss is the run time that counts as lost when a task that runs until cancelled is
+	// stopped.
+	serviceLoss = 30 * eventloop.Second
 )
 
-// victim is what may be preempted: a task, or a gang as a whole.
+// victim is a task, or a gang as a whole, that may be preempted.
 type victim struct {
 	members       []*task
 	urgency       int64
 	class         deadlineFeasibility
-	loss          float64 // core-microseconds of work, lost and not done while it is being stopped
-	isUnavailable bool
+	loss          float64 // core-microseconds: lostWork plus idleWork of all members
+	isUnavailable bool    // already chosen, or a gang with a member that can't be preempted
 }
 
-// reserveFutureCapacity reserves capacity for tasks that find none now: what is
-// being freed, else what is freed by preempting less urgent work, else, for a wide
-// step, whole workers until they are free. It returns for how many tasks.
-func (p *queuePass) reserveFutureCapacity(step *stepQueue, req *placementRequest) (awaited int) {
+// reserveFutureCapacity reserves capacity for tasks that find none now: capacity that is being
+// freed, else capacity that preempting less urgent work frees. Failing both, it keeps whole workers
+// free for a wide step. It returns the number of tasks that got a reservation.
+func (p *queuePass) reserveFutureCapacity(step *stepQueue, req *placementRequest) (reserved int) {
 	if !p.mayTakeAny(p.scheduler, step) {
 		return 0
 	}
 	waited := p.now - step.first().since
 	mayPreempt := req.feasibility != infeasible && p.mayPreempt() && waited >= preemptionDelay
 	if p.isCapacityBeingFreed() || mayPreempt {
-		awaited = p.reserveFromStops(step, req, mayPreempt)
+		reserved = p.reserveFromStops(step, req, mayPreempt)
 	}
 	pool := p.scheduler.poolOf(p.queue)
-	if awaited == 0 && !p.claimedPools[pool] && waited >= claimDelay && req.isWide(p.candidates) {
+	if reserved == 0 && !p.claimedPools[pool] && waited >= claimDelay && req.isWide(p.candidates) {
 		count := 1
 		if req.spec.Gang {
 			count = step.ready.Len()
 		}
 		p.claimedPools[pool] = req.claimWorkers(count, p.candidates)
 	}
-	return awaited
+	return reserved
 }
 
-// reserveFromStops reserves what is freed by stops: of each task by itself, of a gang for
-// all its members or none. It returns for how many tasks.
-func (p *queuePass) reserveFromStops(step *stepQueue, req *placementRequest, mayPreempt bool) (awaited int) {
+// reserveFromStops reserves capacity that stops free, if need be by preempting. Tasks get their
+// reservations one by one, but a gang gets them for all its members or for none. It returns the
+// number of tasks that got one.
+func (p *queuePass) reserveFromStops(step *stepQueue, req *placementRequest, mayPreempt bool) (reserved int) {
 	account := p.accountOf(p.scheduler, step.first().tenant)
 	count := min(step.ready.Len(), p.slots, maxFutureReservations, int(account.room(req.need)))
 	if req.spec.Gang {
 		count = step.ready.Len()
 	}
 	tx := &preemptionTx{queuePass: p}
-	for awaited < count && tx.reserveOne(req, mayPreempt) {
-		awaited++
+	for reserved < count && tx.reserveOne(req, mayPreempt) {
+		reserved++
 		if !req.spec.Gang {
 			tx.commit()
 		}
 	}
 	if req.spec.Gang {
-		if awaited == count {
+		if reserved == count {
 			tx.commit()
 		} else {
 			tx.rollback()
-			awaited = 0
+			reserved = 0
 		}
 	}
-	account.used.add(req.need.times(int64(awaited)))
-	if mayPreempt && awaited < count {
+	account.used.add(req.need.times(int64(reserved)))
+	if mayPreempt && reserved < count {
 		p.preemptionFailed = true
 	}
-	return awaited
+	return reserved
 }
 
-// isCapacityBeingFreed reports whether a stop under way frees something.
+// isCapacityBeingFreed reports whether a stop in progress will free capacity on any candidate.
 func (p *queuePass) isCapacityBeingFreed() bool {
 	return slices.ContainsFunc(p.candidates, func(c *candidate) bool { return c.freeAfterStops != c.free })
 }
 
-// mayPreempt reports whether the queue may preempt, and there is something to.
+// mayPreempt reports whether preemption is enabled, a less urgent queue has tasks checked out, and
+// no attempt to preempt has failed within the last TickInterval.
 func (p *queuePass) mayPreempt() bool {
 	s := p.scheduler
 	return s.fleetSetting("preempt") != 0 && p.minRunningUrgency < p.queue.urgency && p.now-s.preemptionFailedAt >= TickInterval
 }
 
-// canGainCapacity reports whether a step that finds no capacity may come by some.
+// canGainCapacity reports whether a stop or a preemption may free capacity for a step that finds
+// none now.
 func (p *queuePass) canGainCapacity() bool { return p.isCapacityBeingFreed() || p.mayPreempt() }
 
-// preemptionTx is a tentative reservation: its victims are evicted once it commits.
+// preemptionTx is a tentative reservation of future capacity: commit evicts its victims, rollback
+// undoes it.
 type preemptionTx struct {
 	*queuePass
 	undos   []func()
@@ -120,7 +137,7 @@
 	tx.undos, tx.victims = nil, nil
 }
 
-// reserveOne reserves future capacity for one task of a step.
+// reserveOne reserves future capacity for one task of a step. It returns false if it finds none.
 func (tx *preemptionTx) reserveOne(req *placementRequest, mayPreempt bool) bool {
 	c, victims := tx.cheapestCandidate(req, mayPreempt)
 	if c == nil {
@@ -138,8 +155,9 @@
 	return true
 }
 
-// cheapestCandidate finds the first candidate on which the task fits after the stops under
-// way, else the one where the preemption that it takes loses least work.
+// cheapestCandidate returns the first candidate on which the task fits after the stops in progress.
+// Failing that, if the step may preempt, it returns the candidate where preemption loses the least
+// work, and the victims there. It returns nil if every preemption would lose too much.
 func (tx *preemptionTx) cheapestCandidate(req *placementRequest, mayPreempt bool) (best *candidate, victims []*victim) {
 	lowest := 0.0
 	for _, c := range tx.candidates {
@@ -159,7 +177,7 @@
 	return best, victims
 }
 
-// addVictim marks a victim as taken and adds the resources of its members to freeAfterStops of
+// addVictim adds a victim to the reservation and the resources of its members to freeAfterStops of
 // the candidates that run them.
 func (tx *preemptionTx) addVictim(v *victim) {
 	v.isUnavailable = true
@@ -176,9 +194,9 @@
 	}
 }
 
-// selectVictims finds which victims on a candidate must go for a task to fit, with
-// the least work lost; nil: all of them aren't enough. It returns the loss in
-// core-microseconds.
+// selectVictims returns victims on a candidate whose preemption lets a task fit there, the least
+// costly ones first, and the work lost in core-microseconds. It returns nil if preempting all of
+// them isn't enough.
 func (p *queuePass) selectVictims(c *candidate, req *placementRequest) (victims []*victim, loss float64) {
 	if !c.areVictimsListed {
 		c.areVictimsListed, c.victims = true, p.listVictims(c.worker)
@@ -197,7 +215,7 @@
 	if !free.covers(req.need) {
 		return nil, 0
 	}
-	// Drop the victims that later ones have made unnecessary, the most expensive first.
+	// Drop victims that later ones have made unnecessary, those that lose most work first.
 	for k := len(victims) - 1; k >= 0; k-- {
 		without := free
 		if without.sub(victims[k].resourcesOn(id)); without.covers(req.need) {
@@ -211,7 +229,7 @@
 	return victims, loss
 }
 
-// resourcesOn is what a victim's end frees on one worker.
+// resourcesOn returns the resources that stopping a victim frees on one worker.
 func (v *victim) resourcesOn(worker string) (size resources) {
 	for _, member := range v.members {
 		if member.worker == worker {
@@ -221,7 +239,8 @@
 	return size
 }
 
-// listVictims lists what may be preempted on a worker, the least loss first.
+// listVictims returns the tasks and gangs that may be preempted on a worker, in order of increasing
+// loss.
 func (p *queuePass) listVictims(w *worker) []*victim {
 	s := p.scheduler
 	var victims []*victim
@@ -271,8 +290,8 @@
 	return t.isActive() && !t.isBoosted && s.endReportOf(t) == nil
 }
 
-// lostWork is the work in core-microseconds that is lost when a task is stopped
-// now: since its last checkpoint, else since it started.
+// lostWork returns the work, in core-microseconds, that is lost when a task is stopped now: the
+// work since its last checkpoint, or since its start if it has none.
 func lostWork(now eventloop.Micros, t *task) float64 {
 	cores := coreEquivalentsOf(t.spec)
 	if t.spec.RunUntilCancelled {
@@ -288,14 +307,15 @@
 	return cores * float64(now-from)
 }
 
-// idleWork is the work in core-microseconds that a task's resources don't do while it is being
-// stopped, which takes half of the stop timeout on average.
+// idleWork returns the work, in core-microseconds, that the resources of a task could do in the time
+// in which it is being stopped. A stop takes half of the stop timeout on average.
 func (s *Scheduler) idleWork(t *task) float64 {
 	return coreEquivalentsOf(t.spec) * float64(s.bounds.GetStopTimeoutUs()) / 2
 }
 
-// maxLostWork is how much work, in core-microseconds, may be lost to start a task
-// at once: more than about its own isn't worth it.
+// maxLostWork returns how much work, in core-microseconds, a preemption may lose to start a task at
+// once. To lose much more than the task's own work isn't worth it. There is no limit for tasks
+// without an estimate and tasks that run until cancelled.
 func (s *Scheduler) maxLostWork(q *queueView, t *task) float64 {
 	duration := s.ownDuration(q, t)
 	if duration == 0 || t.spec.RunUntilCancelled {
@@ -304,7 +324,8 @@
 	return maxLossFactor * coreEquivalentsOf(t.spec) * float64(duration)
 }
 
-// coreEquivalentsOf is what a task of a step takes, in cores; accelerators count as cores.
+// coreEquivalentsOf returns the cores that a task of a step takes. Accelerators count as cores, see
+// acceleratorMilliCores.
 func coreEquivalentsOf(spec *schema.Step) float64 {
 	return float64(spec.CoresMilli+acceleratorMilliCores*spec.Accelerators) / 1000
 }
--- a/internal/scheduler/ready_index.go
+++ b/internal/scheduler/ready_index.go
@@ -11,22 +11,21 @@
 	"sparnotch/internal/schema"
 )
 
-// readyIndex holds a queue's ready tasks that aren't reserved, by shape and step.
+// readyIndex indexes those ready tasks of a queue that aren't reserved, by shape and step.
 type readyIndex struct {
 	byShape    map[shape]*shapeGroup
 	readyCount int
-	lostSteps  map[stepKey]*stepQueue // those with tasks that were lost with a worker
-	byTenant   map[string]int         // how many of the tasks are a tenant's
+	lostSteps  map[stepKey]*stepQueue // steps with ready tasks that were lost with a worker
+	byTenant   map[string]int         // number of ready tasks of each tenant
 }
 
-// shape is all that decides whether the tasks of a step fit a worker (an
-// equivalence class): where one step finds no capacity, the steps of the same
-// shape behind it needn't be tried.
+// shape contains everything that decides whether the tasks of a step fit on a worker. Steps of the
+// same shape form an equivalence class: if one finds no capacity, the others needn't be tried.
 type shape struct {
 	need     resources
 	labels   string
 	gangSize uint32  // 0: no gang
-	step     stepKey // only of a step that limits its tasks per worker
+	step     stepKey // set only for a step that limits its tasks per worker
 }
 
 func shapeOf(key stepKey, spec *schema.Step) shape {
@@ -43,15 +42,15 @@
 	return result
 }
 
-// shapeGroup is the steps of one shape that have ready tasks, oldest job first.
+// shapeGroup holds the steps of one shape that have ready tasks, oldest job first.
 type shapeGroup struct{ steps *btree.BTreeG[*stepQueue] }
 
-// stepQueue is the ready tasks of one step; it is never empty.
+// stepQueue holds the ready tasks of one step; it is never empty.
 type stepQueue struct {
 	key       stepKey
 	spec      *schema.Step
 	ready     *btree.BTreeG[*task]
-	lostCount int // of the tasks that were lost with a worker
+	lostCount int // number of ready tasks that were lost with a worker
 }
 
 func (q *stepQueue) first() *task {
@@ -59,7 +58,7 @@
 	return first
 }
 
-// firstReady lists the first count ready tasks.
+// firstReady returns the first count ready tasks, or all if there are fewer.
 func (q *stepQueue) firstReady(count int) []*task {
 	tasks := make([]*task, 0, count)
 	q.ready.Ascend(func(t *task) bool {
@@ -99,7 +98,7 @@
 	}
 }
 
-// removeReady takes a task out, if it is in.
+// removeReady removes a task from the index, if it is there.
 func (x *readyIndex) removeReady(t *task) {
 	key := shapeOf(t.key.stepKey(), t.spec)
 	group := x.byShape[key]
@@ -134,7 +133,7 @@
 	}
 }
 
-// oldestReady is since when the first step of any shape has waited.
+// oldestReady returns the earliest time at which the first step of any shape became ready.
 func (x *readyIndex) oldestReady() eventloop.Micros {
 	since := eventloop.Micros(math.MaxInt64)
 	for _, group := range x.byShape {
--- a/internal/scheduler/request.go
+++ b/internal/scheduler/request.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// ejectedFallbackDelay is how long work waits before it may go to ejected workers
-	// and workers on probation where no other could run it, or much is free.
+	// ejectedFallbackDelay is how long a step waits before it may use ejected workers and workers
+	// on probation, if no other worker could run it or much of the pool is free.
 	ejectedFallbackDelay = 2500 * eventloop.Millisecond
-	// ejectedLastResortDelay is the same for any work.
+	// ejectedLastResortDelay is how long a step waits before it may use them in any case.
 	ejectedLastResortDelay = 12 * eventloop.Second
 )
 
-// placementRequest is a step that a pass looks for workers for.
+// placementRequest describes a step for whose tasks a pass looks for workers.
 type placementRequest struct {
 	step           stepKey
 	spec           *schema.Step
-	need           resources // of one task
-	tasksPerWorker map[string]int
-	tasksPerRack   map[string]int
-	preferredRack  string // of a step that keeps to one rack
+	need           resources      // of one task
+	tasksPerWorker map[string]int // the step's tasks, by worker id
+	tasksPerRack   map[string]int // the step's tasks, by rack
+	preferredRack  string         // for a step that keeps to one rack
 	feasibility    deadlineFeasibility
-	maxLoss        float64 // core-microseconds of work that may be lost to preemption for one task
-	isRecent       bool    // it hasn't waited long
+	maxLoss        float64 // core-microseconds of work that a preemption for one task may lose
+	isRecent       bool    // it has waited for at most ejectedFallbackDelay
 	isShort        bool    // its tasks are expected to end soon, see Scheduler.isShort
 	mayUseEjected  bool    // it has waited long enough for ejected workers and those on probation
 }
@@ -60,8 +60,8 @@
 	})
 }
 
-// choosePreferredRack is the rack with most of the step's tasks; among equals the
-// one with most free capacity for it.
+// choosePreferredRack returns the rack with the most tasks of the step; among equals, the one with
+// the most free capacity for it.
 func (req *placementRequest) choosePreferredRack(candidates []*candidate) string {
 	weights := map[string]int64{}
 	for rack, count := range req.tasksPerRack {
@@ -81,15 +81,15 @@
 	return best
 }
 
-// isWide reports whether the step's tasks can be starved by narrower ones: it is a
-// gang, or no worker could run several of them at a time.
+// isWide reports whether narrower steps can starve this one: it is a gang, or no worker could run
+// wideFraction of its tasks at a time.
 func (req *placementRequest) isWide(candidates []*candidate) bool {
 	return req.spec.Gang || !slices.ContainsFunc(candidates, func(c *candidate) bool {
 		return c.worker.total().fitCount(req.need) >= wideFraction
 	})
 }
 
-// allocate takes a candidate's resources for one task and returns what undoes that.
+// allocate allocates a candidate's resources to one task and returns a function that undoes it.
 func (req *placementRequest) allocate(c *candidate) (undo func()) {
 	c.allocate(req.need)
 	req.addTaskCount(c, 1)
@@ -99,6 +99,7 @@
 	}
 }
 
+// addTaskCount adds to the number of the step's tasks on a candidate and in its rack.
 func (req *placementRequest) addTaskCount(c *candidate, by int) {
 	req.tasksPerWorker[c.worker.id] += by
 	req.tasksPerRack[c.worker.rack] += by
--- a/internal/scheduler/resolve.go
+++ b/internal/scheduler/resolve.go
@@ -5,14 +5,14 @@
 	"sparnotch/internal/schema"
 )
 
-// taskName is a task as an agent names it, which knows no queues.
+// taskName identifies a task in an agent's statuses. Agents don't know queues, so they name the job.
 type taskName struct {
 	jobName            string
 	round, stepInRound uint32
 	task               uint32
 }
 
-// namedAttempt is an attempt as an agent names it.
+// namedAttempt identifies one attempt at a task in an agent's statuses.
 type namedAttempt struct {
 	taskName
 	attempt uint32
@@ -24,8 +24,8 @@
 	return namedAttempt{taskName{status.Name, status.Round, status.StepInRound, status.Task}, status.Attempt}
 }
 
-// resolveStatuses gives the queue and key to every status of a heartbeat that names
-// its tasks by job. The statuses of which no task is known stay with the worker.
+// resolveStatuses adds the queue and key to every status of a heartbeat that names its tasks by job.
+// Statuses whose task isn't known are kept in the worker's unknownRuns and unknownEnds.
 func (s *Scheduler) resolveStatuses(w *worker, heartbeat *schema.WorkerHeartbeat) (running, ended []*schema.TaskStatus) {
 	if !heartbeat.TasksByName {
 		w.unknownRuns, w.unknownEnds = nil, nil
@@ -38,7 +38,7 @@
 	return running, ended
 }
 
-// resolveList resolves statuses and adds the keys it finds to keys.
+// resolveList resolves statuses and adds the keys that it finds to keys.
 func (s *Scheduler) resolveList(w *worker, statuses []*schema.TaskStatus, keys map[namedAttempt]attemptKey) (resolved, unresolved []*schema.TaskStatus) {
 	for _, status := range statuses {
 		key, found := s.resolveStatus(w, status)
@@ -57,8 +57,8 @@
 	return resolved, unresolved
 }
 
-// resolveStatus finds the attempt that a status names. Jobs of several queues may have
-// the same name, so what is checked out to the worker goes first.
+// resolveStatus finds the attempt that a status names. Jobs in several queues may have the same
+// name, so a task that is checked out to the worker takes precedence.
 func (s *Scheduler) resolveStatus(w *worker, status *schema.TaskStatus) (attemptKey, bool) {
 	name := namedAttemptOf(status)
 	tasks := s.tasksByName[name.taskName]
@@ -67,7 +67,7 @@
 			return attemptKey{t.key, status.Attempt}, true
 		}
 	}
-	// A name keeps its meaning, also after the task is gone.
+	// A name that was resolved before keeps its key, even after the task is gone.
 	if key, known := w.resolved[name]; known {
 		return key, true
 	}
@@ -79,15 +79,15 @@
 	return attemptKey{}, false
 }
 
-// orphanedStatuses lists those of a worker's unknown statuses that belong to no task of
-// any queue. It is empty until this node leads every queue and so can be sure.
+// orphanedStatuses returns those of a worker's unknown statuses that belong to no task of any queue.
+// It returns none until this node leads every queue, because only then can it be sure.
 func (s *Scheduler) orphanedStatuses(now eventloop.Micros, statuses []*schema.TaskStatus) []*schema.TaskStatus {
 	if len(statuses) == 0 || !s.leadsAllQueues(now) {
 		return nil
 	}
 	var orphaned []*schema.TaskStatus
 	for _, status := range statuses {
-		// A task that has come since is resolved by the next heartbeat.
+		// A task that has become known since the heartbeat is resolved by the next one.
 		if len(s.tasksByName[namedAttemptOf(status).taskName]) == 0 {
 			orphaned = append(orphaned, &schema.TaskStatus{Name: status.Name, Round: status.Round, StepInRound: status.StepInRound, Task: status.Task, Attempt: status.Attempt})
 		}
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -7,15 +7,15 @@
 	"sparnotch/internal/schema"
 )
 
-// resources is an amount of each kind: milli cores, MB of memory, accelerators.
+// resources holds an amount of each kind of resource: milli cores, MB of memory, accelerators.
 type resources struct{ cores, memory, accelerators int64 }
 
-// resourcesOf is what one task of a step needs.
+// resourcesOf returns the resources that one task of a step needs.
 func resourcesOf(step *schema.Step) resources {
 	return resources{step.CoresMilli, step.MemoryMb, step.Accelerators}
 }
 
-// covers reports whether r is at least need in every kind.
+// covers reports whether r is at least as large as need in every kind.
 func (r resources) covers(need resources) bool {
 	return r.cores >= need.cores && r.memory >= need.memory && r.accelerators >= need.accelerators
 }
@@ -32,12 +32,12 @@
 	r.accelerators -= other.accelerators
 }
 
-// times is r multiplied by a factor.
+// times returns r multiplied by a factor.
 func (r resources) times(factor int64) resources {
 	return resources{r.cores * factor, r.memory * factor, r.accelerators * factor}
 }
 
-// fitCount is how many times need goes into r.
+// fitCount returns how many times need fits into r, at most math.MaxInt32.
 func (r resources) fitCount(need resources) int64 {
 	count := int64(math.MaxInt32)
 	for _, kind := range [][2]int64{{r.cores, need.cores}, {r.memory, need.memory}, {r.accelerators, need.accelerators}} {
@@ -48,19 +48,19 @@
 	return count
 }
 
-// usageSummary are sums over what a worker runs or is about to run.
+// usageSummary holds sums over the tasks that a worker runs or is about to run.
 type usageSummary struct {
-	isUsageStale    bool      // the sums are to be made again
-	used            resources // by all that is there or on its way
-	releasing       resources // of that, by what is being stopped
-	usedByServices  resources // of that, by tasks that run until cancelled
+	isUsageStale    bool      // the sums must be recomputed
+	used            resources // by all tasks that are there or on their way
+	releasing       resources // part of used: by tasks that are being stopped
+	usedByServices  resources // part of used: by tasks that run until cancelled
 	taskCount       int
 	hasUnknownUsage bool   // it runs something of unknown size, so it may be full
-	summedPool      string // the worker's pool when the sums were made
+	summedPool      string // the worker's pool when the sums were computed
 	tenantUse
 }
 
-// capacitySummary is what decides whether a worker can take more work.
+// capacitySummary holds the values that decide whether a worker can take more work.
 type capacitySummary struct {
 	used, total                 resources
 	isDraining, hasUnknownUsage bool
@@ -70,9 +70,9 @@
 	return capacitySummary{w.used, w.total(), w.isDraining, w.hasUnknownUsage}
 }
 
-// refreshUsage makes a worker's sums again if they are stale: over what is checked
-// out to it, what is reserved on it, and what it says it runs besides. A task that
-// is being stopped uses its resources until its end is reported.
+// refreshUsage recomputes a worker's sums if they are stale: over the tasks that are checked out to
+// it, those that are reserved on it, and the other runs that it reports. A task that is being
+// stopped uses its resources until its end is reported.
 func (s *Scheduler) refreshUsage(w *worker) {
 	if !w.isUsageStale {
 		return
@@ -119,7 +119,8 @@
 	s.countTenantUse(w, 1)
 }
 
-// usageOf is what a run uses: as the worker reports it, else as its step states it.
+// usageOf returns the resources that a run uses: as the worker reports them, or else as its step
+// states them.
 func (s *Scheduler) usageOf(w *worker, key attemptKey, status *schema.TaskStatus) resources {
 	size := reportedUsage(status)
 	if spec := s.specOf(w, key); spec != nil {
@@ -131,7 +132,8 @@
 	return size
 }
 
-// reportedUsage is what a worker says that a run uses; zero: it doesn't say.
+// reportedUsage returns the resources that a run uses according to its worker; zero: the worker
+// doesn't report them.
 func reportedUsage(status *schema.TaskStatus) resources {
 	return resources{status.CoresMilli, status.MemoryMb, status.Accelerators}
 }
@@ -148,8 +150,8 @@
 	return nil
 }
 
-// runsUnknownUsage reports whether a worker runs something whose size neither it
-// nor any known task states.
+// runsUnknownUsage reports whether a worker has a run whose size is stated neither by the worker nor
+// by any known task.
 func (s *Scheduler) runsUnknownUsage(w *worker) bool {
 	if !w.usesNames {
 		return false
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -6,18 +6,18 @@
 	"sparnotch/internal/eventloop"
 )
 
-// The score stage: which of the candidates that fit is best. The weights weight_room,
+// The score stage finds the best of the candidates that fit. The weights weight_room,
 // weight_failures and weight_rack are settings of the fleet.
 const (
-	dataRackScore   = 2000 // for the rack that holds the step's data
-	sameRackScore   = 1000 // for the rack that the step keeps to
-	slowdownPenalty = 100  // for each time that runs take longer than elsewhere
-	warmUpPenalty   = 50   // for workers that have just started
-	maxLogSlowdown  = 3    // what is slower yet costs no more
+	dataRackScore   = 2000 // added in the rack that holds the step's data
+	sameRackScore   = 1000 // added in the preferred rack of a step that keeps to one rack
+	slowdownPenalty = 100  // subtracted for every 100 % that runs take longer than expected
+	warmUpPenalty   = 50   // subtracted for workers that have just started
+	maxLogSlowdown  = 3    // slowdowns with a larger natural logarithm aren't penalized further
 )
 
-// scoreWeights are the weights that are settings of the fleet. They are read for every task and
-// candidate, so they are kept between changes of the configuration.
+// scoreWeights holds the weights that are settings of the fleet. They are needed for every task and
+// candidate, so they are read only when the configuration changes.
 type scoreWeights struct{ room, failures, rack float64 }
 
 func (s *Scheduler) readScoreWeights() scoreWeights {
@@ -43,7 +43,7 @@
 	return score
 }
 
-// penalty is what a worker's past takes off its score, whatever the task.
+// penalty returns by how much a worker's history lowers its score, whatever the task.
 func (s *Scheduler) penalty(now eventloop.Micros, w *worker) float64 {
 	penalty := s.weights.failures * w.failureRate()
 	penalty += slowdownPenalty * math.Max(0, math.Exp(math.Min(w.slowdown, maxLogSlowdown))-1)
@@ -53,8 +53,8 @@
 	return penalty
 }
 
-// freeShare is the share of a candidate's resources that stays free beside the
-// task, of cores or memory, whichever is scarcer.
+// freeShare returns the share of the candidate's cores or of its memory that stays free once the
+// task is placed there, whichever is smaller.
 func (req *placementRequest) freeShare(c *candidate) float64 {
 	share := func(free, need, total int64) float64 {
 		if total <= 0 {
@@ -65,8 +65,8 @@
 	return math.Min(share(c.free.cores, req.need.cores, c.worker.cores), share(c.free.memory, max(req.need.memory, 1), c.worker.memory))
 }
 
-// spreadScore rates a rack by the step's other tasks: the step keeps to one rack or
-// spreads over racks.
+// spreadScore rates a rack by where the step's other tasks are. A step that keeps to one rack prefers
+// the rack chosen for it; the tasks of any other step spread over racks.
 func (s *Scheduler) spreadScore(rack string, req *placementRequest) float64 {
 	switch {
 	case !req.spec.OneRack:
@@ -77,7 +77,8 @@
 	return 0
 }
 
-// bestCandidate is the best of the candidates that a task fits on; nil: none.
+// bestCandidate returns the candidate with the highest score among those that a task fits on, and
+// its score; the candidate is nil if the task fits on none.
 func (s *Scheduler) bestCandidate(candidates []*candidate, req *placementRequest) (*candidate, float64) {
 	var best *candidate
 	top := math.Inf(-1)
--- a/internal/scheduler/step_heap.go
+++ b/internal/scheduler/step_heap.go
@@ -10,13 +10,14 @@
 	"sparnotch/internal/queue"
 )
 
-// stepHeap yields the ready steps of a queue: those of tenants that are furthest below their
-// fair shares first, among equals those with least work left, then the oldest job. While there
-// is more work than capacity that makes the fewest jobs late. It holds one cursor per shape and
-// tenant, so that a whole shape can be taken out once it finds no capacity.
+// stepHeap is a priority queue of a queue's ready steps. Steps of the tenant with the lowest share
+// rank come first; among equals, those whose job has the least work left by order of magnitude, then
+// those of the oldest job. While there is more work than capacity, this order makes the fewest jobs
+// late. The heap holds one cursor per shape and tenant, so that a whole shape can be removed once it
+// finds no capacity.
 type stepHeap []*stepCursor
 
-// rankedStep is a step with the order of magnitude of the work that its job has left.
+// rankedStep is a step with the order of magnitude of its job's remaining work.
 type rankedStep struct {
 	*stepQueue
 	workRank int
@@ -26,24 +27,24 @@
 	return cmp.Or(cmp.Compare(a.workRank, b.workRank), cmp.Compare(a.key.job, b.key.job), cmp.Compare(a.key.step, b.key.step))
 }
 
-// stepCursor goes over the steps of one shape and one tenant.
+// stepCursor iterates over the steps of one shape and one tenant.
 type stepCursor struct {
-	steps     []rankedStep // that are left; the first of them is current
+	steps     []rankedStep // not yet returned; the first of them is current
 	current   *stepQueue   // nil: none is left
-	lastTaken rankedStep   // that next returned last
-	share     *tenantShare // of their tenant; nil: the steps' order has nothing to do with it
+	lastTaken rankedStep   // the step that stepHeap.next returned last
+	share     *tenantShare // of the steps' tenant; nil: it has no influence on the order of the steps
 	shape     shape
-	shareRank int // of the share when the heap was last put in order
+	shareRank int // of the share when the heap was last ordered
 }
 
-func newStepCursor(steps []rankedStep, share *tenantShare, of shape) *stepCursor {
+func newStepCursor(steps []rankedStep, share *tenantShare, stepShape shape) *stepCursor {
 	slices.SortFunc(steps, compareRankedSteps)
-	c := &stepCursor{steps: steps, current: steps[0].stepQueue, share: share, shape: of}
+	c := &stepCursor{steps: steps, current: steps[0].stepQueue, share: share, shape: stepShape}
 	c.shareRank = c.currentShareRank()
 	return c
 }
 
-// currentShareRank is the rank of the tenant's share at this point of the pass.
+// currentShareRank returns the rank of the tenant's share at this point of the pass.
 func (c *stepCursor) currentShareRank() int {
 	if c.share == nil {
 		return 0
@@ -79,8 +80,8 @@
 	return last
 }
 
-// next takes out the first step and returns it with the cursor it came from. Shares only grow
-// during a pass, so a cursor's rank is looked at again when it comes first.
+// next removes the first step and returns it with the cursor it came from. Share ranks only grow
+// during a pass, so it is enough to update a cursor's rank when the cursor comes first.
 func (h *stepHeap) next() (*stepCursor, *stepQueue) {
 	cursor := (*h)[0]
 	for rank := cursor.currentShareRank(); rank > cursor.shareRank; rank = cursor.currentShareRank() {
@@ -97,7 +98,7 @@
 	return cursor, step
 }
 
-// putBack returns the step that next took last from a cursor.
+// putBack puts the step that next last took from a cursor back in its place.
 func (h *stepHeap) putBack(cursor *stepCursor) {
 	wasExhausted := cursor.current == nil
 	cursor.steps, cursor.current = append([]rankedStep{cursor.lastTaken}, cursor.steps...), cursor.lastTaken.stepQueue
@@ -109,23 +110,23 @@
 	}
 }
 
-// removeShape takes out the steps of a shape, whosoever they are.
-func (h *stepHeap) removeShape(of shape) {
+// removeShape removes the steps of a shape, whichever tenants they belong to.
+func (h *stepHeap) removeShape(removed shape) {
 	before := len(*h)
-	if *h = slices.DeleteFunc(*h, func(cursor *stepCursor) bool { return cursor.shape == of }); len(*h) < before {
+	if *h = slices.DeleteFunc(*h, func(cursor *stepCursor) bool { return cursor.shape == removed }); len(*h) < before {
 		heap.Init(h)
 	}
 }
 
-// cursorKey is what the steps of one cursor have in common beside their shape.
+// cursorKey identifies a cursor among those of the same shape.
 type cursorKey struct {
 	class  deadlineFeasibility
 	tenant string
 }
 
-// stepsByFeasibility sorts a queue's ready steps by whether their jobs can meet the
-// latency target, in one look at each; boosted ones are a class of their own. What its tenant's
-// limit doesn't take is left out.
+// stepsByFeasibility sorts a queue's ready steps into one heap per feasibility class, with one look
+// at each step; boosted steps are a class of their own. It leaves out steps that their tenant's
+// limit doesn't allow.
 func (s *Scheduler) stepsByFeasibility(now eventloop.Micros, q *queueView, pass *passState) (heaps [feasibilityClasses]stepHeap) {
 	for shape, group := range q.byShape {
 		steps := map[cursorKey][]rankedStep{}
@@ -134,7 +135,7 @@
 			if !pass.mayTakeAny(s, step) {
 				return true
 			}
-			class, rank := boosted, 0 // the oldest job first
+			class, rank := boosted, 0 // equal ranks: the oldest job first
 			if !pass.boosted[step.key] {
 				class, rank = s.feasibilityOf(now, q, first), q.remainingWorkRank(first)
 			}
@@ -156,11 +157,11 @@
 	return heaps
 }
 
-// workRank is the order of magnitude, to base 2, of the core-seconds on a path; 0 where
-// there are no estimates. Jobs of about the same size keep the order in which they came.
+// workRank returns the order of magnitude, to base 2, of the core-seconds on a path; 0 if there are
+// no estimates. Jobs of about the same size thus keep the order in which they were submitted.
 func workRank(path []queue.PathStep) int { return rankOfWork(coreSeconds(path)) }
 
-// remainingWorkRank is workRank of what is left from a task's step on.
+// remainingWorkRank returns the workRank of the path that remains from a task's step on.
 func (q *queueView) remainingWorkRank(t *task) int {
 	if len(t.remainingPath) == 0 {
 		return 0
