--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -14,8 +14,8 @@
 type startBenchmark struct {
 	*harness
 	workers        []string
-	shapes         int // of the tasks, that differ in their memory
-	specs          int // made so far
+	shapes         int // number of task shapes, which differ in memory
+	specs          int // step specs created so far
 	sequence       uint64
 	running, ended map[string][]*schema.TaskStatus // by worker
 }
@@ -56,7 +56,8 @@
 	s.deliverEvent(s.lastJob, queue.Ready, "")
 }
 
-// commit plays the queue's leader: it commits what the scheduler has proposed or reported.
+// commit acts as the queue's leader: it commits a checkout that the scheduler has proposed, or an end
+// that it has reported.
 func (s *startBenchmark) commit(notified any) {
 	switch m := notified.(type) {
 	case replica.Propose:
@@ -73,7 +74,8 @@
 	}
 }
 
-// step adds one task, commits what that leads to, and ends a task of the k-th worker.
+// step adds one ready task, commits what the scheduler has proposed and reported, and ends one task
+// of a worker; successive values of k go round the workers.
 func (s *startBenchmark) step(k int) {
 	s.addReadyTask()
 	notified := s.notified
@@ -95,8 +97,8 @@
 	}
 }
 
-// BenchmarkStart measures one task from its event to its acknowledged end, on 40
-// full workers and with a backlog.
+// BenchmarkStart measures one task from its first event to its acknowledged end, on 40 full workers,
+// with and without a backlog.
 func BenchmarkStart(b *testing.B) {
 	for _, size := range []struct{ backlog, shapes, queues int }{{0, 1, 1}, {0, 1, 50}, {2000, 1, 1}, {4000, 400, 1}} {
 		b.Run(fmt.Sprint("backlog ", size.backlog, " of ", size.shapes, " queues ", size.queues), func(b *testing.B) {
@@ -114,8 +116,8 @@
 	}
 }
 
-// BenchmarkBacklogPass measures one pass over 240 full workers and a backlog of steps of jobs
-// with estimates, some of which find a worker.
+// BenchmarkBacklogPass measures one pass over a backlog of jobs with estimates and 240 workers, of
+// which only four are large enough for any of the tasks.
 func BenchmarkBacklogPass(b *testing.B) {
 	const workers, jobs, tasks = 240, 400, 8
 	var ids []string
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -22,7 +22,7 @@
 		h := newHarness("v", "w")
 		h.sendHeartbeat("v", nil)
 		h.deliverEvents(true, 2, newEvent(1, 1, 0, queue.Ready, "", gang), newEvent(2, 1, 1, queue.Ready, "", gang))
-		So(len(h.placements()), ShouldEqual, 0) // one worker isn't enough
+		So(len(h.placements()), ShouldEqual, 0) // one worker can't run both members
 		h.sendHeartbeat("w", nil)
 		So(len(h.placements()), ShouldEqual, 2)
 		h.deliverEvents(false, 4, newEvent(3, 1, 0, queue.CheckedOut, "v", gang), newEvent(4, 1, 1, queue.CheckedOut, "w", gang))
@@ -31,8 +31,8 @@
 		h.sendHeartbeat("v", held(0))
 		h.sendHeartbeat("w", nil)
 		So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "hold")
-		// While a worker has no poll open its start order would leave later than the
-		// others'.
+		// While a worker has no poll open, its start order would leave later than the others', so
+		// no start is proposed yet.
 		h.deliver(&schema.TaskEndAck{Queue: "l", Key: &schema.TaskKey{Job: 9}, Attempt: 1, Worker: "v"})
 		h.now += maxPollWait
 		h.confirmLeadership(true)
@@ -41,10 +41,10 @@
 		h.sendHeartbeat("w", held(1))
 		So(h.notified, ShouldBeEmpty)
 		h.sendHeartbeat("v", held(0))
-		// Once all are held, the gang start is committed before any start order leaves.
+		// Once all are held, the gang start is proposed; no start order leaves before its commit.
 		count := len(h.replies)
-		launch := h.notified[len(h.notified)-1].(replica.Propose).Command.GetStartGang()
-		So(launch.GetAttempts(), ShouldResemble, []uint32{1, 1})
+		start := h.notified[len(h.notified)-1].(replica.Propose).Command.GetStartGang()
+		So(start.GetAttempts(), ShouldResemble, []uint32{1, 1})
 		So(len(h.replies), ShouldEqual, count)
 		one, two := newEvent(5, 1, 0, queue.CheckedOut, "v", gang), newEvent(6, 1, 1, queue.CheckedOut, "w", gang)
 		one.IsGangStarted, two.IsGangStarted = true, true
--- a/internal/scheduler/large_jobs_test.go
+++ b/internal/scheduler/large_jobs_test.go
@@ -12,11 +12,12 @@
 	"sparnotch/internal/schema"
 )
 
-// unevenRuns are run times of one step's tasks, in estimates: about a log-normal distribution
-// with a standard deviation of 0.9.
+// unevenRuns lists run times of one step's tasks as multiples of their estimate. They follow roughly
+// a log-normal distribution with a standard deviation of 0.9.
 var unevenRuns = []float64{0.25, 0.4, 0.55, 0.75, 1, 1.35, 1.8, 2.5, 4}
 
-// finishUnevenSteps has workers finish steps of tasks whose run times differ by unevenRuns.
+// finishUnevenSteps has a worker finish the given number of steps, each with tasks whose run times
+// differ as unevenRuns does.
 func (h *harness) finishUnevenSteps(worker string, steps int, estimate eventloop.Micros) {
 	step := &schema.Step{Name: "s", Tasks: uint32(len(unevenRuns)), CoresMilli: 10, MemoryMb: 1, EstimatedRunUs: int64(estimate)}
 	for range steps {
@@ -32,8 +33,8 @@
 	}
 }
 
-// Of the largest jobs too few were served: a step was expected to take as long as one of its
-// tasks, so that wide ones counted as missed while they could still meet their targets.
+// Too few of the largest jobs were served: a step was estimated to take as long as a single one of
+// its tasks, so wide steps counted as infeasible while they could still meet their targets.
 func TestWideStepsAreExpectedToTakeAsLongAsTheirLongestTask(t *testing.T) {
 	const estimate = 240 * eventloop.Millisecond
 	rows := []*schema.ConfigurationRow{
@@ -58,7 +59,8 @@
 			return h.scheduler.feasibilityOf(h.now, q, q.tasks[taskKey{"l", h.lastJob, 0, 0}])
 		}
 	}
-	// The longest of 31 takes some 1.5 s, so the target is 2.5 s, and 7.5 s to be late.
+	// The longest of 31 uneven tasks takes about 1.5 s, so the target is 2.5 s, and a job counts as
+	// late, not infeasible, up to 7.5 s.
 	Convey("Where tasks of a step take about the same time the target goes by the estimate", t, func() {
 		_, classOf := setUp()
 		So(classOf(1, 0), ShouldEqual, onTime)
@@ -86,7 +88,8 @@
 	})
 }
 
-// The last task of a large job waited behind every smaller job, as if none of its tasks had ended.
+// The last task of a large job waited behind every smaller job, because the tasks of the large job
+// that had ended still counted as remaining work.
 func TestTheLastTasksOfALargeJobGoFirst(t *testing.T) {
 	const large, small = 1, 2
 	largeStep := &schema.Step{Name: "s", Tasks: 100, CoresMilli: 600, MemoryMb: 10, EstimatedRunUs: int64(eventloop.Second)}
--- a/internal/scheduler/pass_test.go
+++ b/internal/scheduler/pass_test.go
@@ -26,7 +26,7 @@
 		}{{3, "l"}, {1, "m"}, {2, "k"}} {
 			So(len(h.placements()), ShouldEqual, 1)
 			So(h.placements()[0].Key.Job, ShouldEqual, want.job)
-			// This node no longer leads its queue, which leaves the capacity to the next.
+			// Once this node no longer leads the job's queue, the capacity is free for the next job.
 			h.notified = nil
 			h.deliver(replica.LeadershipLost{Queue: want.queue})
 		}
@@ -53,20 +53,20 @@
 }
 
 func TestPassCooldown(t *testing.T) {
-	// Each worker has capacity for one task; the second sends its heartbeat later.
-	desk := func(ready int) *harness {
+	// Each of the two workers has capacity for one task; w2 sends its heartbeat in the tests.
+	setUp := func(readyCount int) *harness {
 		h := newHarness("w1", "w2")
 		h.sendHeartbeat("w1", nil)
 		var list []*queue.TaskEvent
-		for k := 1; k <= ready; k++ {
+		for k := 1; k <= readyCount; k++ {
 			list = append(list, newEvent(uint64(k), uint64(k), 0, queue.Ready, "", oneTask))
 		}
-		h.deliverEvents(true, uint64(ready), list...)
+		h.deliverEvents(true, uint64(readyCount), list...)
 		So(h.placements(), ShouldHaveLength, 1)
 		return h
 	}
 	Convey("With a backlog a pass comes passCooldown after the one before, and no later", t, func() {
-		h := desk(maxPlacements + 2)
+		h := setUp(maxPlacements + 2)
 		h.sendHeartbeat("w2", nil)
 		So(h.placements(), ShouldHaveLength, 1)
 		h.now += passCooldown - 1
@@ -78,12 +78,12 @@
 		So(passCooldown, ShouldBeLessThan, TickInterval)
 	})
 	Convey("Without a backlog capacity is used at once", t, func() {
-		h := desk(maxPlacements + 1)
+		h := setUp(maxPlacements + 1)
 		h.sendHeartbeat("w2", nil)
 		So(h.placements(), ShouldHaveLength, 2)
 	})
 	Convey("A tick alone causes the pass", t, func() {
-		h := desk(maxPlacements + 2)
+		h := setUp(maxPlacements + 2)
 		h.sendHeartbeat("w2", nil)
 		h.now += TickInterval
 		h.deliver(eventloop.Tick{})
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -11,7 +11,7 @@
 	"sparnotch/internal/schema"
 )
 
-// evictedTasks counts the tasks that are to be stopped, by job.
+// evictedTasks returns the number of evicted tasks of each job.
 func (h *harness) evictedTasks() map[uint64]int {
 	counts := map[uint64]int{}
 	for _, q := range h.scheduler.queues {
@@ -29,64 +29,64 @@
 	mid := &schema.Step{Name: "m", Tasks: 1, CoresMilli: 400}
 	saving := &schema.Step{Name: "m", Tasks: 1, CoresMilli: 400, Checkpoints: true}
 	service := &schema.Step{Name: "m", Tasks: 1, CoresMilli: 400, RunUntilCancelled: true}
-	group := &schema.Step{Name: "m", Tasks: 2, CoresMilli: 400, Gang: true}
+	gang := &schema.Step{Name: "m", Tasks: 2, CoresMilli: 400, Gang: true}
 	run := func(job uint64, task uint32, run eventloop.Micros) *schema.TaskStatus {
 		return &schema.TaskStatus{Queue: "l", Job: job, Task: task, Attempt: 1, State: "running", RunUs: int64(run), CoresMilli: 400}
 	}
-	for _, each := range []struct {
+	for _, test := range []struct {
 		what         string
-		less         []*queue.TaskEvent
+		lessUrgent   []*queue.TaskEvent
 		running      map[string][]*schema.TaskStatus
 		urgent       []*queue.TaskEvent
 		want         map[uint64]int
-		lessUrgently int64
+		lowerUrgency int64 // of the queue with the tasks lessUrgent; 10 unless it is higher
 	}{
-		{what: "what has run least", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
+		{what: "what has run least", lessUrgent: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), run(2, 0, 9*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{3: 1}},
-		{what: "what has saved a checkpoint", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", saving), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
+		{what: "what has saved a checkpoint", lessUrgent: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", saving), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), {Queue: "l", Job: 2, Attempt: 1, State: "running", RunUs: 20_000_000, Checkpoint: "x", CoresMilli: 400}}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{2: 1}},
-		{what: "tasks that run until cancelled last", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", service), newEvent(1, 3, 0, queue.CheckedOut, "w", service), newEvent(1, 4, 0, queue.CheckedOut, "w", service)},
+		{what: "tasks that run until cancelled last", lessUrgent: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", service), newEvent(1, 3, 0, queue.CheckedOut, "w", service), newEvent(1, 4, 0, queue.CheckedOut, "w", service)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), run(2, 0, eventloop.Millisecond)}, "w": {run(3, 0, eventloop.Millisecond), run(4, 0, eventloop.Millisecond)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{1: 1}},
-		{what: "no more than is needed, but enough for all waiting tasks", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
+		{what: "no more than is needed, but enough for all waiting tasks", lessUrgent: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second), run(2, 0, 3*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 8, 0, queue.Ready, "", mid), newEvent(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{1: 1, 2: 1}},
-		{what: "a gang only as a whole, at the loss of all its members", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", group), newEvent(1, 1, 1, queue.CheckedOut, "w", group), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid)},
+		{what: "a gang only as a whole, at the loss of all its members", lessUrgent: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", gang), newEvent(1, 1, 1, queue.CheckedOut, "w", gang), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 5*eventloop.Second), run(2, 0, 20*eventloop.Second)}, "w": {run(1, 1, 5*eventloop.Second), run(3, 0, 9*eventloop.Second)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", mid)}, want: map[uint64]int{3: 1}},
-		{what: "enough for a gang", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
+		{what: "enough for a gang", lessUrgent: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second), run(2, 0, 3*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Gang: true}), newEvent(1, 9, 1, queue.Ready, "", &schema.Step{Name: "g", Tasks: 2, CoresMilli: 600, Gang: true})}, want: map[uint64]int{1: 1, 3: 1}},
-		{what: "nothing for a task that then doesn't fit", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "w", mid)},
+		{what: "nothing for a task that then doesn't fit", lessUrgent: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second)}, "w": {run(2, 0, 8*eventloop.Second)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", &schema.Step{Name: "x", Tasks: 1, CoresMilli: 1200})}, want: map[uint64]int{}},
-		{what: "nothing for a gang of which one member doesn't fit", less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "w", mid)},
+		{what: "nothing for a gang of which one member doesn't fit", lessUrgent: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second)}, "w": {run(2, 0, 8*eventloop.Second)}},
 			urgent: []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Gang: true}), newEvent(1, 9, 1, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Gang: true}),
 				newEvent(1, 9, 2, queue.Ready, "", &schema.Step{Name: "g", Tasks: 3, CoresMilli: 800, Gang: true})}, want: map[uint64]int{}},
-		{what: "nothing of the same urgency", lessUrgently: 50, less: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "w", mid)},
+		{what: "nothing of the same urgency", lowerUrgency: 50, lessUrgent: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 2*eventloop.Second)}, "w": {run(2, 0, 8*eventloop.Second)}},
 			urgent:  []*queue.TaskEvent{newEvent(1, 9, 0, queue.Ready, "", big)}, want: map[uint64]int{}},
 	} {
-		Convey("Urgent work preempts "+each.what, t, func() {
+		Convey("Urgent work preempts "+test.what, t, func() {
 			h := newHarness("v", "w")
 			h.deliver(replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 1, "m#1": 1}, IsClusterStateFresh: true})
-			h.syncQueue("l", max(each.lessUrgently, 10), each.less...)
+			h.syncQueue("l", max(test.lowerUrgency, 10), test.lessUrgent...)
 			sendHeartbeats := func() {
 				for _, id := range []string{"v", "w"} {
-					h.sendHeartbeat(id, func(a *schema.WorkerHeartbeat) { a.Running = each.running[id] })
+					h.sendHeartbeat(id, func(a *schema.WorkerHeartbeat) { a.Running = test.running[id] })
 				}
 			}
 			sendHeartbeats()
-			h.syncQueue("m", 50, each.urgent...)
+			h.syncQueue("m", 50, test.urgent...)
 			h.advance(preemptionDelay - TickInterval)
 			So(h.evictedTasks(), ShouldBeEmpty) // not before preemptionDelay
 			h.advance(60 * eventloop.Millisecond)
 			sendHeartbeats()
 			h.advance(100 * eventloop.Millisecond)
-			So(h.evictedTasks(), ShouldResemble, each.want)
+			So(h.evictedTasks(), ShouldResemble, test.want)
 		})
 	}
 	Convey("Freed capacity goes to the task that preempted for it", t, func() {
@@ -161,8 +161,8 @@
 	})
 }
 
-// A fifth of a full pool's cores stood idle while tasks on them were being stopped, for urgent
-// tasks that took less time than a stop.
+// Urgent tasks that took less time than a stop preempted others, so a fifth of a full pool's cores
+// stood idle while tasks on them were being stopped.
 func TestAStopsIdleTimeCountsAsLost(t *testing.T) {
 	const stopTimeout = 900 * eventloop.Millisecond
 	victim := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 800, MemoryMb: 10}
--- a/internal/scheduler/resolve_test.go
+++ b/internal/scheduler/resolve_test.go
@@ -11,10 +11,10 @@
 
 func TestStatusesAreResolvedByName(t *testing.T) {
 	rows := []*schema.ConfigurationRow{queueRow("l", "urgency", "10"), queueRow("m", "urgency", "10")}
-	out := func() *queue.TaskEvent {
-		s := newEvent(1, 7, 3, queue.CheckedOut, "w", &schema.Step{Name: "s", Tasks: 4, CoresMilli: 600, Checkpoints: true})
-		s.Key.Step, s.Round, s.StepInRound, s.Checkpoint = 5, 2, 1, "before"
-		return s
+	checkedOut := func() *queue.TaskEvent {
+		event := newEvent(1, 7, 3, queue.CheckedOut, "w", &schema.Step{Name: "s", Tasks: 4, CoresMilli: 600, Checkpoints: true})
+		event.Key.Step, event.Round, event.StepInRound, event.Checkpoint = 5, 2, 1, "before"
+		return event
 	}
 	status := func(state string) *schema.TaskStatus {
 		return &schema.TaskStatus{Name: "j7", Round: 2, StepInRound: 1, Task: 3, Attempt: 1, State: state}
@@ -22,7 +22,7 @@
 	Convey("An agent's task statuses are resolved by job name, round and part", t, func() {
 		h := newHarness("w")
 		h.configure(rows, "w")
-		h.syncQueue("l", 10, out())
+		h.syncQueue("l", 10, checkedOut())
 		h.sendHeartbeat("w", withNames(nil))
 		start := h.lastReply().Orders.Orders[0]
 		So(start.Action, ShouldEqual, "start")
@@ -38,17 +38,17 @@
 			h.syncQueue("l", 10)
 			h.sendHeartbeat("w", withEnded(status("done")))
 			h.deliver(&schema.TaskEndAck{Queue: "l", Key: &schema.TaskKey{Job: 7, Step: 5, Task: 3}, Attempt: 1, Worker: "w"})
-			noted := h.lastReply().Orders.Acknowledged
-			So(len(noted), ShouldEqual, 1)
-			So([]any{noted[0].Name, noted[0].Round, noted[0].StepInRound, noted[0].Task, noted[0].Attempt}, ShouldResemble, []any{"j7", uint32(2), uint32(1), uint32(3), uint32(1)})
+			acknowledged := h.lastReply().Orders.Acknowledged
+			So(len(acknowledged), ShouldEqual, 1)
+			So([]any{acknowledged[0].Name, acknowledged[0].Round, acknowledged[0].StepInRound, acknowledged[0].Task, acknowledged[0].Attempt}, ShouldResemble, []any{"j7", uint32(2), uint32(1), uint32(3), uint32(1)})
 		})
 		Convey("with the checkpoint of the end, else the last one seen, else the one it began from", func() {
-			for _, test := range []struct{ seen, told, want string }{{"", "", "before"}, {"mid", "", "mid"}, {"mid", "last", "last"}} {
+			for _, test := range []struct{ running, ended, want string }{{"", "", "before"}, {"mid", "", "mid"}, {"mid", "last", "last"}} {
 				h := newHarness("w")
 				h.configure(rows, "w")
-				h.syncQueue("l", 10, out())
+				h.syncQueue("l", 10, checkedOut())
 				running, ended := status("running"), status("stopped")
-				running.Checkpoint, ended.Checkpoint = test.seen, test.told
+				running.Checkpoint, ended.Checkpoint = test.running, test.ended
 				h.sendHeartbeat("w", withRunning(running))
 				h.sendHeartbeat("w", withEnded(ended))
 				So(h.endReports()[0].Checkpoint, ShouldEqual, test.want)
--- a/internal/scheduler/resources_test.go
+++ b/internal/scheduler/resources_test.go
@@ -30,7 +30,7 @@
 		h := newHarness("w")
 		h.sendHeartbeat("w", nil)
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "w", step))
-		// A task of a queue that this node doesn't lead runs there.
+		// The worker also runs a task of a queue that this node doesn't lead.
 		other := &schema.TaskStatus{Queue: "other", Job: 9, Attempt: 1, State: "running", CoresMilli: 500, MemoryMb: 1}
 		count := len(h.replies)
 		h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) { a.Running = []*schema.TaskStatus{other} })
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -11,14 +11,14 @@
 	"sparnotch/internal/schema"
 )
 
-// starvationRows give the queues l and m a target of 2 s for a step of a second that takes a
-// quarter of the pool, plus the tolerance.
+// starvationRows configures the queues l and m so that a step that runs for 1 s and takes a quarter
+// of the pool has a target of 2 s, plus the tolerance.
 var starvationRows = []*schema.ConfigurationRow{
 	queueRow("l", "stretch_milli", "1500"), queueRow("l", "target_ms", "500"),
 	queueRow("m", "stretch_milli", "1500"), queueRow("m", "target_ms", "500"),
 }
 
-// newStarvationHarness has one worker, which takes nothing until it stops draining.
+// newStarvationHarness returns a harness with one worker, which is draining and so gets no tasks yet.
 func newStarvationHarness() *harness {
 	h := newHarness("w")
 	h.configure(starvationRows, "w")
@@ -50,34 +50,34 @@
 
 func TestStarvingSteps(t *testing.T) {
 	core := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1000, MemoryMb: 10, EstimatedRunUs: int64(eventloop.Second)}
-	// Urgent work that can meet its target.
+	// fresh returns ready steps of urgent jobs that can meet their target.
 	fresh := func(count uint64) (events []*queue.TaskEvent) {
 		for job := uint64(101); job <= 100+count; job++ {
 			events = append(events, readyStep(job, core, 0))
 		}
 		return events
 	}
-	late := 20 * eventloop.Second    // infeasible
-	tooLate := 30 * eventloop.Second // over ten times the target
+	infeasibleAge := 20 * eventloop.Second
+	agedAge := 30 * eventloop.Second // over ten times the target
 	Convey("A task that was lost with its worker goes before more urgent work that is on time", t, func() {
 		h := newStarvationHarness()
 		h.syncQueue("m", 50, fresh(4)...)
-		h.syncQueue("l", 10, readyStep(1, core, late), lostStep(2, core, late))
+		h.syncQueue("l", 10, readyStep(1, core, infeasibleAge), lostStep(2, core, infeasibleAge))
 		h.sendHeartbeat("w", withCapacity(4000))
 		So(h.placedJobs(), ShouldResemble, []uint64{2, 101, 102, 103})
 	})
 	Convey("So does a job that is late by far, the oldest first, but not one that is late by less", t, func() {
 		h := newStarvationHarness()
-		h.syncQueue("m", 50, append(fresh(4), readyStep(3, core, tooLate))...)
-		h.syncQueue("l", 10, readyStep(1, core, tooLate+eventloop.Second), readyStep(2, core, late))
+		h.syncQueue("m", 50, append(fresh(4), readyStep(3, core, agedAge))...)
+		h.syncQueue("l", 10, readyStep(1, core, agedAge+eventloop.Second), readyStep(2, core, infeasibleAge))
 		h.sendHeartbeat("w", withCapacity(4000))
 		So(h.placedJobs(), ShouldResemble, []uint64{1, 101, 102, 103})
 	})
 	Convey("They take no more than their share of the pool, what is out included, and less where nothing was lost", t, func() {
 		h := newStarvationHarness()
 		h.syncQueue("m", 50, fresh(5)...)
-		h.syncQueue("l", 10, lostStep(1, core, late), lostStep(2, core, late), lostStep(3, core, late))
-		h.sendHeartbeat("w", withCapacity(8000)) // a share of 2 cores
+		h.syncQueue("l", 10, lostStep(1, core, infeasibleAge), lostStep(2, core, infeasibleAge), lostStep(3, core, infeasibleAge))
+		h.sendHeartbeat("w", withCapacity(8000)) // of which boosted tasks may use 2 cores
 		So(h.placedJobs(), ShouldResemble, []uint64{1, 2, 101, 102, 103, 104, 105})
 		h.notified = nil
 		checkedOut := func(job uint64) *queue.TaskEvent {
@@ -90,7 +90,7 @@
 		h.advance(fullPassInterval)
 		h.sendHeartbeat("w", withCapacity(8000))
 		So(h.placedJobs(), ShouldBeEmpty)
-		// An end gives the share back.
+		// The end of a boosted task returns its cores to the share.
 		ended := newEvent(1, 1, 0, queue.Inactive, "", core)
 		ended.Attempt = 2
 		h.deliverNext(ended)
