--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -137,7 +137,8 @@
 	return estimateTolerance * (q.stretch*float64(duration) + float64(q.slack))
 }
 
-// infeasibleBudget returns how many milli cores infeasible work may still take.
+// infeasibleBudget returns how many milli cores infeasible work may still take until the utilization
+// of the pool reaches infeasibleUtilization.
 func infeasibleBudget(candidates []*candidate) int {
 	free, total := int64(0), int64(0)
 	for _, c := range candidates {
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -19,7 +19,7 @@
 	minShortRun         = eventloop.Second      // a run of up to this length always counts as short
 )
 
-// decayingPeak tracks the maximum of a usage, which decays exponentially.
+// decayingPeak tracks the peak of a queue's resource usage, which decays exponentially.
 type decayingPeak struct{ cores, memory, accelerators float64 }
 
 // update records the current usage; it is called at each tick.
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -24,7 +24,7 @@
 	minRunningUrgency     int64               // lowest urgency of the queues that have tasks checked out
 	claimedPools          map[string]bool     // pools in which workers are kept free for a wide step
 	gangVictims           map[stepKey]*victim // one victim per gang, which can be preempted only as a whole
-	starvedPools          map[string]bool     // pools in which a step found no capacity
+	starvedPools          map[string]bool     // pools in which a step found no capacity, though a worker is large enough
 	boosted               map[stepKey]bool    // steps that are placed before all others
 	remainingBoostedCores map[string]int64    // milli cores that boosted steps may still take, by pool
 	preemptionFailed      bool                // a step that was allowed to preempt found too little capacity
@@ -135,7 +135,7 @@
 	class          deadlineFeasibility
 	candidates     []*candidate // workers of the queue's pool
 	headroom       resources    // capacity that tasks that aren't short may still take
-	slots          int          // tasks that the queue's limit still allows to check out
+	slots          int          // number of tasks that may still be checked out under the queue's limit
 	remainingCores int          // milli cores that steps of this class may still take
 	placements     []*schema.Placement
 }
--- a/internal/scheduler/request.go
+++ b/internal/scheduler/request.go
@@ -25,9 +25,9 @@
 	preferredRack  string         // for a step that keeps to one rack
 	feasibility    deadlineFeasibility
 	maxLoss        float64 // core-microseconds of work that a preemption for one task may lose
-	isRecent       bool    // it has waited for at most ejectedFallbackDelay
-	isShort        bool    // its tasks are expected to end soon, see Scheduler.isShort
-	mayUseEjected  bool    // it has waited long enough for ejected workers and those on probation
+	isRecent       bool    // the step has waited for at most ejectedFallbackDelay
+	isShort        bool    // the step's tasks are expected to end soon, see Scheduler.isShort
+	mayUseEjected  bool    // the step has waited long enough to use ejected workers and those on probation
 }
 
 func (s *Scheduler) newRequest(now eventloop.Micros, q *queueView, step *stepQueue, feasibility deadlineFeasibility, candidates []*candidate) *placementRequest {
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -51,11 +51,11 @@
 // usageSummary holds sums over the tasks that a worker runs or is about to run.
 type usageSummary struct {
 	isUsageStale    bool      // the sums must be recomputed
-	used            resources // by all tasks that are there or on their way
-	releasing       resources // part of used: by tasks that are being stopped
-	usedByServices  resources // part of used: by tasks that run until cancelled
+	used            resources // by all tasks on the worker or on their way to it
+	releasing       resources // part of used that belongs to tasks that are being stopped
+	usedByServices  resources // part of used that belongs to tasks that run until cancelled
 	taskCount       int
-	hasUnknownUsage bool   // it runs something of unknown size, so it may be full
+	hasUnknownUsage bool   // the worker runs something of unknown size, so it may be full
 	summedPool      string // the worker's pool when the sums were computed
 	tenantUse
 }
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -9,11 +9,11 @@
 // The score stage finds the best of the candidates that fit. The weights weight_room,
 // weight_failures and weight_rack are settings of the fleet.
 const (
-	dataRackScore   = 2000 // added in the rack that holds the step's data
-	sameRackScore   = 1000 // added in the preferred rack of a step that keeps to one rack
+	dataRackScore   = 2000 // added for workers in the rack that holds the step's data
+	sameRackScore   = 1000 // added for workers in the preferred rack of a step that keeps to one rack
 	slowdownPenalty = 100  // subtracted for every 100 % that runs take longer than expected
 	warmUpPenalty   = 50   // subtracted for workers that have just started
-	maxLogSlowdown  = 3    // slowdowns with a larger natural logarithm aren't penalized further
+	maxLogSlowdown  = 3    // cap on the natural logarithm of the slowdown that is penalized
 )
 
 // scoreWeights holds the weights that are settings of the fleet. They are needed for every task and
--- a/internal/scheduler/step_heap.go
+++ b/internal/scheduler/step_heap.go
@@ -98,7 +98,7 @@
 	return cursor, step
 }
 
-// putBack puts the step that next last took from a cursor back in its place.
+// putBack puts the step that next last returned for a cursor back to the front of that cursor.
 func (h *stepHeap) putBack(cursor *stepCursor) {
 	wasExhausted := cursor.current == nil
 	cursor.steps, cursor.current = append([]rankedStep{cursor.lastTaken}, cursor.steps...), cursor.lastTaken.stepQueue
@@ -124,8 +124,8 @@
 	tenant string
 }
 
-// stepsByFeasibility sorts a queue's ready steps into one heap per feasibility class, with one look
-// at each step; boosted steps are a class of their own. It leaves out steps that their tenant's
+// stepsByFeasibility sorts a queue's ready steps into one heap per feasibility class, looking at
+// each step once; boosted steps are a class of their own. It leaves out steps that their tenant's
 // limit doesn't allow.
 func (s *Scheduler) stepsByFeasibility(now eventloop.Micros, q *queueView, pass *passState) (heaps [feasibilityClasses]stepHeap) {
 	for shape, group := range q.byShape {
