--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -108,11 +108,11 @@
 	if allowed == 0 {
 		return onTime
 	}
-	model, rest := s.runtimeModels[runtimeKey{q.name, ""}], s.estimateDuration(q.name, t.remainingPath[1:], 0)
-	remaining := model.estimateStep(q.remainingStep(t), 0) + rest
+	model, laterDuration := s.runtimeModels[runtimeKey{q.name, ""}], s.estimateDuration(q.name, t.remainingPath[1:], 0)
+	remaining := model.estimateStep(q.remainingStep(t), 0) + laterDuration
 	if t.state == queue.CheckedOut && t.startedAt > 0 {
 		if w := s.workers[t.worker]; w != nil {
-			remaining = min(remaining, s.remainingRuntime(now, w, t)+rest)
+			remaining = min(remaining, s.remainingRuntime(now, w, t)+laterDuration)
 		}
 	}
 	switch end := float64(now + remaining - t.roundDueAt); {
--- a/internal/scheduler/feasibility_test.go
+++ b/internal/scheduler/feasibility_test.go
@@ -59,9 +59,9 @@
 		h := setUp()
 		classOf := func(age eventloop.Micros, stepCount, remainingCount int) deadlineFeasibility {
 			path := slices.Repeat([]queue.PathStep{{EstimateUs: int64(eventloop.Second)}}, stepCount)
-			v := &queueView{name: "l", latencyTarget: h.scheduler.latencyTargetOf("l")}
+			view := &queueView{name: "l", latencyTarget: h.scheduler.latencyTargetOf("l")}
 			readyTask := &task{spec: step, state: queue.Ready, roundDueAt: h.now - age, criticalPath: criticalPath{path, path[:remainingCount]}}
-			return h.scheduler.feasibilityOf(h.now, v, readyTask)
+			return h.scheduler.feasibilityOf(h.now, view, readyTask)
 		}
 		// Four steps of 1 s in a row have a target of 6.5 s, plus the tolerance.
 		So(classOf(0, 4, 4), ShouldEqual, onTime)
@@ -91,12 +91,12 @@
 	Convey("A step wider than a quarter of the cores runs in waves, which its target allows for", t, func() {
 		h := setUp()
 		h.scheduler.candidateCores = 1000
-		v := &queueView{name: "l", latencyTarget: h.scheduler.latencyTargetOf("l")}
+		view := &queueView{name: "l", latencyTarget: h.scheduler.latencyTargetOf("l")}
 		readyTask := &task{spec: step, state: queue.Ready, roundDueAt: h.now - 3*eventloop.Second}
 		path := []queue.PathStep{{EstimateUs: int64(eventloop.Second), CoresMilli: 250}}
 		readyTask.criticalPath = criticalPath{path, path}
-		So(h.scheduler.feasibilityOf(h.now, v, readyTask), ShouldEqual, late)
+		So(h.scheduler.feasibilityOf(h.now, view, readyTask), ShouldEqual, late)
 		path[0].CoresMilli = 500
-		So(h.scheduler.feasibilityOf(h.now, v, readyTask), ShouldEqual, onTime)
+		So(h.scheduler.feasibilityOf(h.now, view, readyTask), ShouldEqual, onTime)
 	})
 }
