--- a/internal/mutation/modelcheck_mutants.go
+++ b/internal/mutation/modelcheck_mutants.go
@@ -48,7 +48,7 @@
 		"return hasLeader || now < g.formerLeaseExpiry", "return hasLeader"}}},
 	// A scenario kills it too, besides the test of another mutant.
 	{Guard: "the leases of a former scheduler are waited for", Rule: 2, Scenario: "leader, controller and worker lost at once", Seed: 1, Edits: []Edit{{"internal/scheduler",
-		"last := max(w.runLeaseGrantedAt, w.leaseSince+timing.FromBounds(s.bounds).FormerLeaseTimeout)", "last := w.runLeaseGrantedAt"}}},
+		"lastGrantAt := max(w.runLeaseGrantedAt, w.leaseSince+timing.FromBounds(s.bounds).FormerLeaseTimeout)", "lastGrantAt := w.runLeaseGrantedAt"}}},
 	{Guard: "an accepted version is recognised again", Rule: 11, Test: walks, Edits: []Edit{{"internal/clusterstate",
 		"accepted.Version == version && bytes.Equal(accepted.Digest, digest) {", "accepted.Version > version && bytes.Equal(accepted.Digest, digest) {"}}},
 }
--- a/internal/mutation/size_mutants.go
+++ b/internal/mutation/size_mutants.go
@@ -5,9 +5,9 @@
 
 var sizeMutants = []*Mutant{
 	{Guard: "a step takes as long as its longest task", Test: "internal/scheduler TestWideStepsAreExpectedToTakeAsLongAsTheirLongestTask", Edits: []Edit{{"internal/scheduler",
-		"math.Exp(m.predict(math.Log(duration))) * m.longestOf(leg.Tasks)", "math.Exp(m.predict(math.Log(duration)))"}}},
+		"math.Exp(m.predict(math.Log(duration))) * m.longestToTypicalRatio(leg.Tasks)", "math.Exp(m.predict(math.Log(duration)))"}}},
 	{Guard: "the largest jobs are served", Test: "internal/sim TestLargestJobsAreServed", Edits: []Edit{{"internal/scheduler",
-		"math.Exp(m.predict(math.Log(duration))) * m.longestOf(leg.Tasks)", "math.Exp(m.predict(math.Log(duration)))"}, {"internal/scheduler",
+		"math.Exp(m.predict(math.Log(duration))) * m.longestToTypicalRatio(leg.Tasks)", "math.Exp(m.predict(math.Log(duration)))"}, {"internal/scheduler",
 		"		leg.Tasks = int64(progress.unended)\n", ""}}},
 	{Guard: "tasks that have ended are no work that is left", Test: "internal/scheduler TestTheLastTasksOfALargeJobGoFirst", Edits: []Edit{{"internal/scheduler",
 		"		leg.Tasks = int64(progress.unended)\n", ""}}},
--- a/internal/mutation/tenant_mutants.go
+++ b/internal/mutation/tenant_mutants.go
@@ -23,7 +23,7 @@
 	{Guard: "what a dead or lapsed worker listed counts no longer", Test: "internal/modelcheck/workerpath TestWalksOfTenants", Edits: []Edit{{"internal/scheduler",
 		"	w.running, w.unknownRuns, w.isUsageStale = map[attemptKey]*schema.TaskStatus{}, nil, true\n", ""}}},
 	{Guard: "a queue that a predecessor may have used isn't new", Test: "internal/scheduler TestQueueThatAPredecessorMayHaveUsedIsNotNew", Edits: []Edit{{"internal/scheduler",
-		" || s.knowsAllSince == 0 || now-s.knowsAllSince <= timing.FromBounds(s.bounds).FormerLeaseTimeout {", " || timing.FromBounds(s.bounds).FormerLeaseTimeout == 0 {"}}},
+		" || s.knowsAllRunsSince == 0 || now-s.knowsAllRunsSince <= timing.FromBounds(s.bounds).FormerLeaseTimeout {", " || timing.FromBounds(s.bounds).FormerLeaseTimeout == 0 {"}}},
 	{Guard: "a wide step claims its tenant's limit", Test: "internal/scheduler TestGangIsNotStarvedByItsOwnTenant", Edits: []Edit{{"internal/scheduler",
 		"	s.claimLimits(now, queues, pass)\n", ""}}},
 	{Guard: "the limits of removed tenants are kept", Test: "internal/scheduler TestRemovedTenantsLimitOutlivesALeader", Edits: []Edit{{"internal/clusterstate",
--- a/internal/scheduler/barrier.go
+++ b/internal/scheduler/barrier.go
@@ -51,7 +51,7 @@
 		return false
 	}
 	w := s.workers[member.worker]
-	return now-member.since > s.barrierTimeout() ||
+	return now-member.stateSince > s.barrierTimeout() ||
 		w != nil && w.hasHeartbeat && (w.isDraining || w.incarnation != member.incarnation)
 }
 
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -21,7 +21,7 @@
 	if m.IsSnapshot || slices.ContainsFunc(m.Events, func(event *queue.TaskEvent) bool { return event.Status == queue.Ready }) {
 		s.needsPass = true
 	}
-	s.needsGangStart = true
+	s.needsGangCheck = true
 }
 
 // replaceQueue makes the view of a queue anew from the whole list of its tasks.
@@ -29,7 +29,7 @@
 	previous, isSameTerm := map[taskKey]task{}, false
 	q := newQueueView(m.Queue, m.Group, m.Term)
 	if old := s.queues[m.Queue]; old != nil {
-		q.peak = old.peak
+		q.peakUsage = old.peakUsage
 		if isSameTerm = old.term == m.Term; !isSameTerm {
 			s.forgetAddedQueues()
 		}
@@ -78,7 +78,7 @@
 	t.evictOutcome, t.attemptProgress, t.isBoosted = old.evictOutcome, old.attemptProgress, old.isBoosted
 	t.returnedAt = old.returnedAt
 	if (t.state == queue.Ready) == (old.state == queue.Ready) {
-		t.since = old.since
+		t.stateSince = old.stateSince
 	}
 }
 
@@ -119,12 +119,12 @@
 	}
 	t := &task{
 		key: key, state: event.Status, attempt: event.Attempt, worker: event.Worker, incarnation: event.Incarnation,
-		sequence: event.Sequence, jobName: event.Name, tenant: event.Tenant, spec: event.Spec, text: event.Text, since: now, isGangStarted: event.IsGangStarted,
+		sequence: event.Sequence, jobName: event.Name, tenant: event.Tenant, spec: event.Spec, text: event.Text, stateSince: now, isGangStarted: event.IsGangStarted,
 		round: event.Round, stepInRound: event.StepInRound, initialCheckpoint: event.Checkpoint, failures: event.Failures, isLost: event.IsLost,
 		roundDueAt: now - eventloop.Micros(event.RoundAgeUs), criticalPath: criticalPath{event.CriticalPath, event.RemainingPath},
 	}
 	if old != nil {
-		t.placementReason, t.strikes = old.placementReason, old.strikes
+		t.placementReason, t.stuckStops = old.placementReason, old.stuckStops
 		if old.attempt == t.attempt {
 			t.inherit(old)
 		} else if t.state == queue.CheckedOut {
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -79,7 +79,7 @@
 	}
 	duration := float64(leg.EstimateUs)
 	if m != nil && m.count >= minRuns {
-		duration = math.Exp(m.predict(math.Log(duration))) * m.longestOf(leg.Tasks)
+		duration = math.Exp(m.predict(math.Log(duration))) * m.longestToTypicalRatio(leg.Tasks)
 	}
 	if cores > 0 {
 		duration *= math.Ceil(math.Max(1, float64(leg.CoresMilli)/float64(cores)))
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -54,7 +54,7 @@
 	}
 	count := req.tasksPerWorker[c.worker.id]
 	for key := range c.worker.running {
-		if key.stepKey() == req.step && c.worker.taskOf(key) == nil {
+		if key.stepKey() == req.step && c.worker.taskForAttempt(key) == nil {
 			count++
 		}
 	}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -125,7 +125,7 @@
 	}
 	return slices.ContainsFunc(s.gangMembers(t), func(member *task) bool {
 		status := s.runStatus(member)
-		return status != nil && status.State == runHeld && member.evictOutcome == ""
+		return status != nil && status.State == runStateHeld && member.evictOutcome == ""
 	})
 }
 
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -72,14 +72,14 @@
 	}
 }
 
-func (h *harness) deliverEvents(isWhole bool, sequence uint64, list ...*queue.TaskEvent) {
-	h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: 1, LastSequence: sequence, Events: list, IsSnapshot: isWhole, Running: 1000})
+func (h *harness) deliverEvents(isSnapshot bool, sequence uint64, list ...*queue.TaskEvent) {
+	h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: 1, LastSequence: sequence, Events: list, IsSnapshot: isSnapshot, Running: 1000})
 }
 
 func (h *harness) placements() []*schema.Placement {
 	var placements []*schema.Placement
-	for _, tell := range h.notified {
-		if propose, ok := tell.(replica.Propose); ok {
+	for _, message := range h.notified {
+		if propose, ok := message.(replica.Propose); ok {
 			placements = append(placements, propose.Command.GetCheckout().GetPlacements()...)
 		}
 	}
@@ -167,8 +167,8 @@
 
 // withCriticalPath gives a ready task its job's age and a critical path of one step.
 func withCriticalPath(s *queue.TaskEvent, age eventloop.Micros, estimate eventloop.Micros) *queue.TaskEvent {
-	legs := []queue.PathStep{{EstimateUs: int64(estimate), CoresMilli: s.Spec.CoresMilli}}
-	s.RoundAgeUs, s.CriticalPath, s.RemainingPath = int64(age), legs, legs
+	path := []queue.PathStep{{EstimateUs: int64(estimate), CoresMilli: s.Spec.CoresMilli}}
+	s.RoundAgeUs, s.CriticalPath, s.RemainingPath = int64(age), path, path
 	return s
 }
 
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -64,7 +64,7 @@
 		for _, t := range other.reserved {
 			usage.add(resourcesOf(t.spec))
 		}
-		kept.add(other.peak.unused(usage))
+		kept.add(other.peakUsage.unused(usage))
 	}
 	return kept
 }
--- a/internal/scheduler/inspection_pause.go
+++ b/internal/scheduler/inspection_pause.go
@@ -30,8 +30,8 @@
 // spareTime is a step's part of the time that its job may spend on waiting for inspections.
 func (s *Scheduler) spareTime(q *queueView, t *task) eventloop.Micros {
 	duration := eventloop.Micros(0)
-	for _, leg := range t.wholeRound {
-		duration += s.estimateTask(q.name, leg)
+	for _, step := range t.wholeRound {
+		duration += s.estimateTask(q.name, step)
 	}
 	if duration == 0 {
 		return maxInspectionPause
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -16,7 +16,7 @@
 // isClusterStateCurrent reports whether the replicas have lately confirmed that
 // this node's copy of the cluster state, which holds its worker leases, is current.
 func (s *Scheduler) isClusterStateCurrent(now eventloop.Micros) bool {
-	return now-s.leadershipAt < maxLeadershipAge && s.leadership.IsClusterStateFresh
+	return now-s.leadershipConfirmedAt < maxLeadershipAge && s.leadership.IsClusterStateFresh
 }
 
 // mayActFor reports whether orders for a queue may leave: its leader has lately
@@ -31,8 +31,8 @@
 	if s.clusterState.Version == 0 || !s.isClusterStateCurrent(now) {
 		return false
 	}
-	for _, place := range s.clusterState.Queues {
-		if q := s.queues[place.Queue]; q == nil || !s.mayActFor(now, q) {
+	for _, placement := range s.clusterState.Queues {
+		if q := s.queues[placement.Queue]; q == nil || !s.mayActFor(now, q) {
 			return false
 		}
 	}
@@ -41,14 +41,14 @@
 
 // returnTasksOfUnresponsive returns the tasks of a worker whose lease to run them
 // has ended, so that it has stopped them by its own clock.
-func (s *Scheduler) returnTasksOfUnresponsive(now eventloop.Micros, w *worker, effects eventloop.Effects) {
-	lease := eventloop.Micros(s.fleetSetting("lease_ms")+s.fleetSetting("margin_ms")) * eventloop.Millisecond
+func (s *Scheduler) returnTasksOfUnresponsiveWorker(now eventloop.Micros, w *worker, effects eventloop.Effects) {
+	leaseDuration := eventloop.Micros(s.fleetSetting("lease_ms")+s.fleetSetting("margin_ms")) * eventloop.Millisecond
 	// The former holder of the worker lease may have granted something a little
 	// longer than this scheduler knows.
-	last := max(w.runLeaseGrantedAt, w.leaseSince+timing.FromBounds(s.bounds).FormerLeaseTimeout)
+	lastGrantAt := max(w.runLeaseGrantedAt, w.leaseSince+timing.FromBounds(s.bounds).FormerLeaseTimeout)
 	// While the cluster state isn't current the worker lease may have a new holder,
 	// to which the worker responds.
-	if now-w.lastHeard > unresponsiveTimeout && now-last > lease && s.isClusterStateCurrent(now) {
+	if now-w.lastHeard > unresponsiveTimeout && now-lastGrantAt > leaseDuration && s.isClusterStateCurrent(now) {
 		w.forgetRuns()
 		for _, t := range w.sortedTasks() {
 			s.returnTask(now, t, effects)
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/limits.go
@@ -26,7 +26,7 @@
 // come together.
 func (s *Scheduler) enforceLimits(now eventloop.Micros, w *worker) {
 	for key, status := range w.running {
-		if t := w.taskOf(key); t != nil && t.evictOutcome == "" {
+		if t := w.taskForAttempt(key); t != nil && t.evictOutcome == "" {
 			s.enforceRunLimits(now, w, t, status)
 		}
 	}
@@ -40,7 +40,7 @@
 
 // enforceRunLimits evicts a task that its worker has, by what is reported of its run.
 func (s *Scheduler) enforceRunLimits(now eventloop.Micros, w *worker, t *task, status *schema.TaskStatus) {
-	if status.State == runRunning && s.exceedsLimits(now, w, t, status) {
+	if status.State == runStateRunning && s.exceedsLimits(now, w, t, status) {
 		s.evict(t, outcomeFailed)
 	}
 	if !t.isActive() {
@@ -57,7 +57,7 @@
 func (s *Scheduler) enforceGangLimits(now eventloop.Micros, w *worker, t *task) {
 	if w.hasBarrier {
 		s.breakUpGang(now, t)
-	} else if t.exceedsHold(now) {
+	} else if t.isHeldTooLong(now) {
 		s.evict(t, outcomeStopped)
 	}
 }
@@ -65,23 +65,23 @@
 // exceedsLimits reports whether a run is over the time limit, or over the limit on
 // time without progress, of its step or else of its queue.
 func (s *Scheduler) exceedsLimits(now eventloop.Micros, w *worker, t *task, status *schema.TaskStatus) bool {
-	limitOf := func(ofStep int64, ofQueue string) int64 {
-		if ofStep > 0 {
-			return ofStep
+	limitOf := func(stepLimit int64, queueKey string) int64 {
+		if stepLimit > 0 {
+			return stepLimit
 		}
-		return s.config.Number("queue", t.key.queue, ofQueue) * int64(eventloop.Millisecond)
+		return s.config.Number("queue", t.key.queue, queueKey) * int64(eventloop.Millisecond)
 	}
 	age := int64(now - w.lastHeard) // of the status
-	runLimit, stillLimit := limitOf(t.spec.TimeLimitUs, "limit_ms"), limitOf(t.spec.StallTimeoutUs, "still_ms")
-	return runLimit > 0 && status.RunUs+age > runLimit || stillLimit > 0 && status.IdleUs+age > stillLimit
+	runLimit, stallLimit := limitOf(t.spec.TimeLimitUs, "limit_ms"), limitOf(t.spec.StallTimeoutUs, "still_ms")
+	return runLimit > 0 && status.RunUs+age > runLimit || stallLimit > 0 && status.IdleUs+age > stallLimit
 }
 
 // evictStuck stops a task that stands still on this worker, which may be why.
 func (s *Scheduler) evictStuck(now eventloop.Micros, w *worker, t *task) {
-	t.strikes++
+	t.stuckStops++
 	if t.spec.Gang {
 		for _, member := range s.gangMembers(t) {
-			member.strikes = max(member.strikes, t.strikes)
+			member.stuckStops = max(member.stuckStops, t.stuckStops)
 		}
 	}
 	s.evictWithGang(t, outcomeStopped)
@@ -116,7 +116,7 @@
 
 // exceedsHold reports whether a member of a gang has been held for too long. Once
 // the gang's start has been proposed, only the log knows what becomes of it.
-func (t *task) exceedsHold(now eventloop.Micros) bool {
-	return t.isActive() && !t.isGangStarted && now-t.since > gangHoldTimeout &&
+func (t *task) isHeldTooLong(now eventloop.Micros) bool {
+	return t.isActive() && !t.isGangStarted && now-t.stateSince > gangHoldTimeout &&
 		(t.gangStartProposedAt == 0 || now-t.gangStartProposedAt > gangHoldTimeout)
 }
--- a/internal/scheduler/limits_test.go
+++ b/internal/scheduler/limits_test.go
@@ -12,17 +12,17 @@
 
 func TestDepartureDeadline(t *testing.T) {
 	for _, test := range []struct {
-		what    string
-		step    *schema.Step
-		percent int64
-		isSaved bool
+		description string
+		step        *schema.Step
+		percent     int64
+		isSaved     bool
 	}{
 		{"a task that finishes in time runs on", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Checkpoints: true, EstimatedRunUs: 3_000_000}, 0, false},
 		{"one that can't is stopped just before, to save a checkpoint", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Checkpoints: true, EstimatedRunUs: 60_000_000}, 0, true},
 		{"one that reports progress is judged by that", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Checkpoints: true, EstimatedRunUs: 60_000_000}, 95, false},
 		{"one that saves no checkpoints runs on", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, EstimatedRunUs: 60_000_000}, 0, false},
 	} {
-		Convey("On a worker with a time of departure "+test.what, t, func() {
+		Convey("On a worker with a time of departure "+test.description, t, func() {
 			h := newHarness("w")
 			h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "w", test.step))
 			began := h.now
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -111,8 +111,8 @@
 		poolShares:        map[string]*poolShares{},
 		accounts:          map[string]*tenantAccount{},
 	}
-	if now-s.fullPassAt >= fullPassInterval {
-		s.fullPassAt, pass.maxUnplaced = now, math.MaxInt
+	if now-s.lastFullPassAt >= fullPassInterval {
+		s.lastFullPassAt, pass.maxUnplaced = now, math.MaxInt
 	}
 	for _, c := range pass.allCandidates {
 		pass.byPool[c.worker.pool] = append(pass.byPool[c.worker.pool], c)
@@ -162,7 +162,7 @@
 	for unplaced := 0; steps.Len() > 0 && p.mayPlace() && unplaced < pass.maxUnplaced; {
 		cursor, step := steps.next()
 		// What waits for its tenant's limit holds nobody up.
-		if !p.mayTakeAny(s, step) {
+		if !p.allowsAnyTask(s, step) {
 			continue
 		}
 		req := p.newRequest(step)
@@ -214,10 +214,10 @@
 		return true
 	}
 	account := p.accountOf(p.scheduler, step.first().tenant)
-	share := p.sharesOf(p.scheduler, p.queue).of(p.scheduler, step.first().tenant)
+	share := p.sharesOf(p.scheduler, p.queue).shareOf(p.scheduler, step.first().tenant)
 	rank := share.rank()
 	for p.mayPlace() && step.ready.Len() > 0 && (mayUseHeadroom || p.headroom.covers(req.need)) {
-		tasks := account.takeable(step, p.queue.urgency)
+		tasks := account.nextAllowedTasks(step, p.queue.urgency)
 		if tasks == nil || p.class != boosted && share.rank() > rank {
 			return true
 		}
@@ -233,7 +233,7 @@
 // isBeyondShare reports whether a step has tasks left that its tenant's limit takes, but that
 // come after those of other tenants.
 func (p *queuePass) isBeyondShare(cursor *stepCursor, step *stepQueue) bool {
-	return step.ready.Len() > 0 && cursor.currentShareRank() > cursor.shareRank && p.mayTakeAny(p.scheduler, step)
+	return step.ready.Len() > 0 && cursor.currentShareRank() > cursor.shareRank && p.allowsAnyTask(p.scheduler, step)
 }
 
 // placeTogether chooses a worker for each of the tasks and reserves it; false: not
--- a/internal/scheduler/polls.go
+++ b/internal/scheduler/polls.go
@@ -44,7 +44,7 @@
 	// Most heartbeats bring no new capacity, and a pass is expensive.
 	s.refreshUsage(w)
 	s.needsPass = s.needsPass || isFirst || wasUnresponsive || before != w.capacity()
-	s.needsGangStart = true
+	s.needsGangCheck = true
 }
 
 // acceptsHeartbeat reports whether a heartbeat counts as a sign of life.
@@ -78,7 +78,7 @@
 	h.incarnation, h.seq, h.lastHeard, h.hasHeartbeat = m.Incarnation, m.Seq, now, true
 	h.cores, h.memory, h.accelerators = m.CoresMilli, m.MemoryMb, m.Accelerators
 	h.rack, h.pool, h.labels = m.Rack, m.Pool, m.Labels
-	h.hasBarrier, h.usesNames, h.isDraining = m.GangBarrier, m.TasksByName, m.Draining
+	h.hasBarrier, h.usesTaskNames, h.isDraining = m.GangBarrier, m.TasksByName, m.Draining
 	h.departsAt = 0
 	if m.Draining && m.DepartsInUs > 0 {
 		h.departsAt = now + eventloop.Micros(m.DepartsInUs)
@@ -93,7 +93,7 @@
 // forgetIncarnation drops what was known of the incarnation before.
 func (w *worker) forgetIncarnation() {
 	w.ended = map[attemptKey]*endReport{}
-	w.resolved = map[namedAttempt]attemptKey{}
+	w.resolvedAttempts = map[namedAttempt]attemptKey{}
 	w.quality = quality{}
 }
 
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -32,10 +32,10 @@
 // being freed, else what is freed by preempting less urgent work, else, for a wide
 // step, whole workers until they are free. It returns for how many tasks.
 func (p *queuePass) reserveFutureCapacity(step *stepQueue, req *placementRequest) (awaited int) {
-	if !p.mayTakeAny(p.scheduler, step) {
+	if !p.allowsAnyTask(p.scheduler, step) {
 		return 0
 	}
-	waited := p.now - step.first().since
+	waited := p.now - step.first().stateSince
 	mayPreempt := req.feasibility != infeasible && p.mayPreempt() && waited >= preemptionDelay
 	if p.isCapacityComing() || mayPreempt {
 		awaited = p.awaitStops(step, req, mayPreempt)
@@ -107,7 +107,7 @@
 		for _, member := range v.members {
 			tx.scheduler.evict(member, outcomeStopped)
 			tx.scheduler.counts.Preempted++
-			tx.scheduler.noteEviction(member, countPreempted)
+			tx.scheduler.countEviction(member, countPreempted)
 		}
 	}
 	tx.undos, tx.victims = nil, nil
@@ -258,7 +258,7 @@
 		victims = append(victims, v)
 	}
 	slices.SortStableFunc(victims, func(a, b *victim) int {
-		return cmp.Or(cmp.Compare(a.loss, b.loss), cmp.Compare(a.urgency, b.urgency), -cmp.Compare(a.members[0].since, b.members[0].since))
+		return cmp.Or(cmp.Compare(a.loss, b.loss), cmp.Compare(a.urgency, b.urgency), -cmp.Compare(a.members[0].stateSince, b.members[0].stateSince))
 	})
 	return victims
 }
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -44,8 +44,8 @@
 	m.actual += actual
 	m.expected += expected
 	const halfway = (1 + slowProgressRatio) / 2
-	ratio := (1 - slowProgressRatio) * (halfway*expected - actual) / math.Max(variance, minRunVariance)
-	m.suspicion = math.Max(0, m.suspicion+ratio)
+	logRatio := (1 - slowProgressRatio) * (halfway*expected - actual) / math.Max(variance, minRunVariance)
+	m.suspicion = math.Max(0, m.suspicion+logRatio)
 }
 
 // isSlow reports whether enough progress was to be expected, far less was made, and that isn't
@@ -56,7 +56,7 @@
 
 // progressSample is a task's progress when any task of its worker last moved.
 type progressSample struct {
-	at      eventloop.Micros
+	takenAt eventloop.Micros
 	percent int64
 }
 
@@ -80,11 +80,11 @@
 	// In order: sums of fractions depend on it in their last digit.
 	for _, t := range w.sortedTasks() {
 		status := w.running[attemptKey{t.key, t.attempt}]
-		if status == nil || status.State != runRunning || !s.isProgressComparable(now, w, t) {
+		if status == nil || status.State != runStateRunning || !s.isProgressComparable(now, w, t) {
 			continue
 		}
-		if t.sample.at == 0 {
-			t.sample = progressSample{now, status.Percent}
+		if t.lastSample.takenAt == 0 {
+			t.lastSample = progressSample{now, status.Percent}
 		} else if hasProgressed {
 			s.recordProgress(now, w, t, status.Percent)
 		}
@@ -97,7 +97,7 @@
 // hasProgressed reports whether the latest heartbeat shows progress of any task.
 func (w *worker) hasProgressed() bool {
 	for key, status := range w.running {
-		if t := w.taskOf(key); t != nil && t.sample.at > 0 && status.Percent != t.sample.percent {
+		if t := w.taskForAttempt(key); t != nil && t.lastSample.takenAt > 0 && status.Percent != t.lastSample.percent {
 			return true
 		}
 	}
@@ -106,14 +106,14 @@
 
 func (s *Scheduler) recordProgress(now eventloop.Micros, w *worker, t *task, percent int64) {
 	key, _ := runtimeKeyOf(t)
-	mean, variance := s.runtimeModels[key].meanOfTypical()
-	w.progress.add(float64(percent-t.sample.percent)/100, float64(now-t.sample.at)/(mean*float64(s.expectedRuntime(w, t))), variance)
-	t.sample = progressSample{now, percent}
+	mean, variance := s.runtimeModels[key].meanToTypicalRatio()
+	w.progress.add(float64(percent-t.lastSample.percent)/100, float64(now-t.lastSample.takenAt)/(mean*float64(s.expectedRuntime(w, t))), variance)
+	t.lastSample = progressSample{now, percent}
 }
 
 // recordFinalProgress takes in the progress up to a task's successful end.
 func (s *Scheduler) recordFinalProgress(now eventloop.Micros, w *worker, t *task) {
-	if t.sample.at > 0 && s.isProgressComparable(now, w, t) {
+	if t.lastSample.takenAt > 0 && s.isProgressComparable(now, w, t) {
 		s.recordProgress(now, w, t, 100)
 		w.progress.lastProgressAt = now
 	}
@@ -127,10 +127,10 @@
 	expected := 0.0
 	for _, t := range w.sortedTasks() {
 		status := w.running[attemptKey{t.key, t.attempt}]
-		if status == nil || t.sample.at == 0 || status.State != runRunning || !s.isProgressComparable(now, w, t) {
+		if status == nil || t.lastSample.takenAt == 0 || status.State != runStateRunning || !s.isProgressComparable(now, w, t) {
 			continue
 		}
-		if from := max(t.sample.at, w.progress.lastProgressAt); now-from >= frozenTimeout {
+		if from := max(t.lastSample.takenAt, w.progress.lastProgressAt); now-from >= frozenTimeout {
 			expected += float64(now-from) / float64(s.expectedRuntime(w, t))
 		}
 	}
@@ -140,7 +140,7 @@
 // ejectSlowWorker ejects a worker that makes only this ratio of the expected
 // progress, and stops those of its tasks that would finish sooner elsewhere, where
 // the work that is lost is worth it.
-func (s *Scheduler) ejectSlowWorker(now eventloop.Micros, w *worker, ratio float64) {
+func (s *Scheduler) ejectSlowWorker(now eventloop.Micros, w *worker, progressRatio float64) {
 	w.progress = progressMeter{lastProgressAt: now}
 	if now < w.ejectedUntil {
 		return
@@ -153,11 +153,11 @@
 			continue
 		}
 		expected := float64(s.expectedRuntime(w, t))
-		remainingHere := expected * float64(100-t.percent) / 100 / ratio
+		remainingHere := expected * float64(100-t.percent) / 100 / progressRatio
 		runtimeElsewhere := expected + float64(s.bounds.GetStopTimeoutUs())
 		if remainingHere > runtimeElsewhere && lostWork(now, t) <= maxLossFactor*coresOf(t.spec)*expected {
 			s.evict(t, outcomeStopped)
-			s.noteEviction(t, countSlowEvicted)
+			s.countEviction(t, countSlowEvicted)
 		}
 	}
 }
--- a/internal/scheduler/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -36,27 +36,27 @@
 			made += percent
 		}
 	}
-	isAside := func(h *harness) bool { return h.now < h.scheduler.workers["a"].ejectedUntil }
+	isEjected := func(h *harness) bool { return h.now < h.scheduler.workers["a"].ejectedUntil }
 	Convey("A worker whose tasks make a fifth of the expected progress is ejected, and they go elsewhere", t, func() {
 		h := setUp()
 		simulate(h, 1900*eventloop.Millisecond, 2)
-		So(isAside(h), ShouldBeTrue)
+		So(isEjected(h), ShouldBeTrue)
 		So(len(h.ordersOf(0, "stop")), ShouldBeGreaterThanOrEqualTo, 3)
 		So(h.scheduler.workers["a"].ejectionPeriod, ShouldEqual, slowEjectionPeriod)
 	})
 	Convey("One whose tasks make nearly the expected progress isn't", t, func() {
 		h := setUp()
 		simulate(h, 1500*eventloop.Millisecond, 6)
-		So(isAside(h), ShouldBeFalse)
+		So(isEjected(h), ShouldBeFalse)
 		So(h.ordersOf(0, "stop"), ShouldBeEmpty)
 	})
 	Convey("A short time without reported progress says nothing", t, func() {
 		h := setUp()
 		simulate(h, 2*eventloop.Second, 0)
-		So(isAside(h), ShouldBeFalse)
+		So(isEjected(h), ShouldBeFalse)
 		Convey("but after a long time the worker is ejected", func() {
 			simulate(h, 1000*eventloop.Millisecond, 0)
-			So(isAside(h), ShouldBeTrue)
+			So(isEjected(h), ShouldBeTrue)
 		})
 	})
 	Convey("Estimates are trusted until more runs are known, since the short ones finish first", t, func() {
--- a/internal/scheduler/quality.go
+++ b/internal/scheduler/quality.go
@@ -18,11 +18,11 @@
 // others sound workers would look bad.
 
 const (
-	baseEjectionPeriod = 5 * eventloop.Second         // the first; each following one is twice as long
-	maxEjectionPeriod  = 60 * eventloop.Second        // in any case
-	slowEjectionPeriod = 1500 * eventloop.Millisecond // the first of a slow worker: whether it still is shows soon
-	slowProbationTasks = 3                            // at a time, of a slow worker on probation
-	probationLength    = 2                            // successes that end a probation
+	baseEjectionPeriod    = 5 * eventloop.Second         // the first; each following one is twice as long
+	maxEjectionPeriod     = 60 * eventloop.Second        // in any case
+	slowEjectionPeriod    = 1500 * eventloop.Millisecond // the first of a slow worker: whether it still is shows soon
+	slowProbationTasks    = 3                            // at a time, of a slow worker on probation
+	minProbationSuccesses = 2                            // successes that end a probation
 
 	outcomeDecay          = 0.98 // of counts of outcomes, per run
 	badFailureRatio       = 0.5  // of its runs, that a bad worker is taken to fail
@@ -37,8 +37,8 @@
 	counts             outcomeCounts
 	slowdown           float64 // decayed mean of the log ratio of its runtimes to those expected
 	suspicion          float64 // sum of log likelihood ratios that it is bad rather than sound; never below 0
-	lastFailed         taskKey // the task that failed here last
-	outcomes           map[string]*outcomeCounts
+	lastFailedTask     taskKey // the task that failed here last
+	outcomesByQueue    map[string]*outcomeCounts
 	progress           progressMeter
 	ejectedUntil       eventloop.Micros
 	ejectionPeriod     eventloop.Micros // the latest
@@ -88,13 +88,13 @@
 func (s *Scheduler) recordSuccess(now eventloop.Micros, w *worker, key attemptKey, status *schema.TaskStatus) {
 	w.counts.add(false)
 	s.recordOutcome(w, key.queue, false)
-	s.credit(w, key.queue, w.taskOf(key), 1)
+	s.credit(w, key.queue, w.taskForAttempt(key), 1)
 	t := w.tasks[key.taskKey]
 	switch {
 	case !w.isOnProbation:
 		w.ejectionPeriod = w.ejectionPeriod * 9 / 10
 	case t == nil || t.startedAt >= w.ejectedUntil:
-		if w.probationSuccesses++; w.probationSuccesses >= probationLength {
+		if w.probationSuccesses++; w.probationSuccesses >= minProbationSuccesses {
 			w.isOnProbation, w.probationSuccesses = false, 0
 		}
 	}
@@ -109,23 +109,23 @@
 func (s *Scheduler) recordFailure(w *worker, key attemptKey) {
 	w.counts.add(true)
 	t := w.tasks[key.taskKey]
-	if hasFailedBefore := t != nil && t.failures > 0; !hasFailedBefore && w.lastFailed != key.taskKey {
+	if hasFailedBefore := t != nil && t.failures > 0; !hasFailedBefore && w.lastFailedTask != key.taskKey {
 		s.recordOutcome(w, key.queue, true)
 	}
-	w.lastFailed = key.taskKey
+	w.lastFailedTask = key.taskKey
 }
 
 // recordOutcome weighs an end against how often the queue's tasks fail on other
 // workers: tasks that fail by their own fault do so everywhere.
 func (s *Scheduler) recordOutcome(w *worker, queue string, isFailure bool) {
 	ratio := s.peerFailureRatio(w, queue)
-	if w.outcomes == nil {
-		w.outcomes = map[string]*outcomeCounts{}
+	if w.outcomesByQueue == nil {
+		w.outcomesByQueue = map[string]*outcomeCounts{}
 	}
-	if w.outcomes[queue] == nil {
-		w.outcomes[queue] = &outcomeCounts{}
+	if w.outcomesByQueue[queue] == nil {
+		w.outcomesByQueue[queue] = &outcomeCounts{}
 	}
-	w.outcomes[queue].add(isFailure)
+	w.outcomesByQueue[queue].add(isFailure)
 	if isFailure {
 		w.suspicion += math.Log(badFailureRatio / ratio)
 	}
@@ -146,11 +146,11 @@
 
 // credit counts a run, known or not, as successful up to a part of it. What was counted
 // before isn't counted again.
-func (s *Scheduler) credit(w *worker, queue string, t *task, part float64) {
-	credited := part
+func (s *Scheduler) credit(w *worker, queue string, t *task, fraction float64) {
+	credited := fraction
 	if t != nil {
-		credited = math.Max(0, part-t.creditedPart)
-		t.creditedPart += credited
+		credited = math.Max(0, fraction-t.creditedFraction)
+		t.creditedFraction += credited
 	}
 	ratio := s.peerFailureRatio(w, queue)
 	w.suspicion = math.Max(0, w.suspicion+credited*math.Log((1-badFailureRatio)/(1-ratio)))
@@ -160,7 +160,7 @@
 func (s *Scheduler) peerFailureRatio(w *worker, queue string) float64 {
 	succeeded, failed := 0.0, 0.0
 	for _, other := range s.sortedWorkers() {
-		if counts := other.outcomes[queue]; other != w && counts != nil {
+		if counts := other.outcomesByQueue[queue]; other != w && counts != nil {
 			succeeded += counts.succeeded
 			failed += counts.failed
 		}
@@ -172,15 +172,15 @@
 // eject ejects a worker for twice the period before, and at least for first. After
 // that it is on probation with probationTasks tasks at a time. Nothing happens while
 // too many workers are on probation.
-func (s *Scheduler) eject(now eventloop.Micros, w *worker, first eventloop.Micros, probationTasks int) {
+func (s *Scheduler) eject(now eventloop.Micros, w *worker, minPeriod eventloop.Micros, probationTasks int) {
 	if now < w.ejectedUntil {
-		w.ejectedUntil = max(w.ejectedUntil, now+first)
+		w.ejectedUntil = max(w.ejectedUntil, now+minPeriod)
 		return
 	}
 	if s.wouldExceedProbationLimit(now, w) {
 		return
 	}
-	w.ejectionPeriod = min(max(2*w.ejectionPeriod, first), maxEjectionPeriod)
+	w.ejectionPeriod = min(max(2*w.ejectionPeriod, minPeriod), maxEjectionPeriod)
 	w.ejectedUntil, w.isOnProbation = now+w.ejectionPeriod, true
 	w.probationTasks, w.probationSuccesses, w.suspicion = probationTasks, 0, 0
 }
--- a/internal/scheduler/quality_test.go
+++ b/internal/scheduler/quality_test.go
@@ -77,7 +77,7 @@
 		h.deliverNext(newEvent(0, 7, 0, queue.CheckedOut, "a", step))
 		began := h.now
 		run := &schema.TaskStatus{Name: "j7", Attempt: 1, State: "running"}
-		simulate := func(span eventloop.Micros, moves int64) { h.runBesideOthers(span, run, moves, step) }
+		simulate := func(span eventloop.Micros, progress int64) { h.runBesideOthers(span, run, progress, step) }
 		isStopped := func() bool { return len(h.ordersOf(0, "stop")) > 0 }
 		Convey("if it makes no progress", func() {
 			simulate(3900*eventloop.Millisecond, 0)
@@ -123,11 +123,11 @@
 			h.notified = nil
 			h.deliverNext(newEvent(0, 900, 0, queue.Ready, "", only))
 			h.advance(2 * eventloop.Second)
-			has := withNames(func(a *schema.WorkerHeartbeat) { a.Labels = []string{"x"} })
-			h.sendHeartbeat("a", has)
+			withLabel := withNames(func(a *schema.WorkerHeartbeat) { a.Labels = []string{"x"} })
+			h.sendHeartbeat("a", withLabel)
 			So(h.placements(), ShouldBeEmpty)
 			h.advance(1100 * eventloop.Millisecond)
-			h.sendHeartbeat("a", has)
+			h.sendHeartbeat("a", withLabel)
 			So(len(h.placements()), ShouldEqual, 1)
 		})
 	})
@@ -137,21 +137,21 @@
 		h.placeNewTask(step)
 		h.deliverNext(newEvent(0, h.lastJob, 0, queue.Inactive, "", step))
 		h.advance(baseEjectionPeriod)
-		has := func(statuses ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
+		withLabel := func(statuses ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
 			return withNames(func(a *schema.WorkerHeartbeat) { a.Labels, a.Running = []string{"x"}, statuses })
 		}
 		only := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, Labels: []string{"x"}}
 		h.notified = nil
 		h.deliverNext(newEvent(0, 900, 0, queue.CheckedOut, "a", only))
 		runs := &schema.TaskStatus{Name: "j900", Attempt: 1, State: "running"}
-		h.sendHeartbeat("a", has(runs))
+		h.sendHeartbeat("a", withLabel(runs))
 		h.deliverNext(newEvent(0, 901, 0, queue.Ready, "", only))
-		h.sendHeartbeat("a", has(runs))
+		h.sendHeartbeat("a", withLabel(runs))
 		So(h.scheduler.workers["a"].isOnProbation, ShouldBeTrue)
 		So(h.placements(), ShouldBeEmpty)
 		for k := 0; k < 6; k++ {
 			h.advance(500 * eventloop.Millisecond)
-			h.sendHeartbeat("a", has(runs))
+			h.sendHeartbeat("a", withLabel(runs))
 		}
 		So(len(h.placements()), ShouldEqual, 1)
 	})
@@ -271,9 +271,9 @@
 			h.advance(5 * eventloop.Second)
 			h.scheduler.workers["a"].suspicion = 7
 			h.scheduler.creditRunning(h.now, h.scheduler.workers["a"])
-			left := h.scheduler.workers["a"].suspicion
+			suspicion := h.scheduler.workers["a"].suspicion
 			h.scheduler.creditRunning(h.now, h.scheduler.workers["a"])
-			So(h.scheduler.workers["a"].suspicion, ShouldEqual, left)
+			So(h.scheduler.workers["a"].suspicion, ShouldEqual, suspicion)
 		})
 	})
 	Convey("The same failures do where nothing else runs", t, func() {
--- a/internal/scheduler/queue_view.go
+++ b/internal/scheduler/queue_view.go
@@ -14,7 +14,7 @@
 	checkedOutCount int                        // checked out or stopping
 	usage           resources                  // by those
 	boostedCores    int64                      // milli cores, by those that are boosted
-	peak            decayingPeak               // of usage
+	peakUsage       decayingPeak               // of usage
 	tasksPerWorker  map[stepKey]map[string]int // checked out or reserved, by worker id
 	reserved        map[taskKey]*task          // ready, with a checkout on the way
 	openCheckouts   map[taskKey]*task          // ready, with a checkout that was given up but may yet be committed
@@ -39,12 +39,12 @@
 }
 
 // countOnWorker adds to the number of a step's tasks on a worker.
-func (q *queueView) countOnWorker(t *task, worker string, by int) {
+func (q *queueView) countOnWorker(t *task, worker string, delta int) {
 	key := t.key.stepKey()
 	if q.tasksPerWorker[key] == nil {
 		q.tasksPerWorker[key] = map[string]int{}
 	}
-	if q.tasksPerWorker[key][worker] += by; q.tasksPerWorker[key][worker] <= 0 {
+	if q.tasksPerWorker[key][worker] += delta; q.tasksPerWorker[key][worker] <= 0 {
 		delete(q.tasksPerWorker[key], worker)
 	}
 	if len(q.tasksPerWorker[key]) == 0 {
--- a/internal/scheduler/ready_index.go
+++ b/internal/scheduler/ready_index.go
@@ -139,7 +139,7 @@
 	since := eventloop.Micros(math.MaxInt64)
 	for _, group := range x.byShape {
 		if step, found := group.steps.Min(); found {
-			since = min(since, step.first().since)
+			since = min(since, step.first().stateSince)
 		}
 	}
 	return since
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -24,7 +24,7 @@
 // queues want on it.
 func (s *Scheduler) reconcile(now eventloop.Micros, w *worker) []*schema.TaskOrder {
 	var orders []*schema.TaskOrder
-	left := s.reportedFree(w)
+	free := s.reportedFree(w)
 	unknownUsage := s.runsUnknownUsage(w)
 	for _, t := range w.sortedTasks() {
 		if t.incarnation != w.incarnation || w.hasEnded(t) || w.isDead || t.isEndAcknowledged {
@@ -41,11 +41,11 @@
 			orders = append(orders, newOrder(actionStop, q, t))
 		case status == nil:
 			// The worker's own report of free capacity decides, not this scheduler's estimate.
-			if need := resourcesOf(t.spec); left.covers(need) && !unknownUsage && (!w.hasBarrier || s.canStartGang(t)) {
-				left.sub(need)
+			if need := resourcesOf(t.spec); free.covers(need) && !unknownUsage && (!w.hasBarrier || s.canStartGang(t)) {
+				free.sub(need)
 				orders = append(orders, newOrder(firstAction(w, t), q, t))
 			}
-		case status.State == runHeld && t.isGangStarted:
+		case status.State == runStateHeld && t.isGangStarted:
 			orders = append(orders, newOrder(actionStart, q, t))
 		}
 	}
@@ -80,7 +80,7 @@
 	if status == nil {
 		return false
 	}
-	return status.State != runHeld || t.isGangStarted && now-w.drainingSince < drainStartGrace
+	return status.State != runStateHeld || t.isGangStarted && now-w.drainingSince < drainStartGrace
 }
 
 // stopOrphans orders the end of what runs on a worker though its queue, which is
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -118,10 +118,10 @@
 
 // sendReports notifies of the pools in which work waits or steps have ended.
 func (s *Scheduler) sendReports(now eventloop.Micros, effects eventloop.Effects) {
-	if now-s.reportedAt < reportInterval {
+	if now-s.lastReportAt < reportInterval {
 		return
 	}
-	s.reportedAt = now
+	s.lastReportAt = now
 	byPool := map[string][]QueueReport{}
 	for _, name := range slices.Sorted(maps.Keys(s.queues)) {
 		q := s.queues[name]
@@ -194,7 +194,7 @@
 }
 
 // noteEviction counts a task that is stopped though it could go on.
-func (s *Scheduler) noteEviction(t *task, count func(*queueTotals)) {
+func (s *Scheduler) countEviction(t *task, count func(*queueTotals)) {
 	if q := s.queues[t.key.queue]; q != nil && t.state == queue.CheckedOut {
 		count(&q.totals)
 	}
--- a/internal/scheduler/report_test.go
+++ b/internal/scheduler/report_test.go
@@ -12,8 +12,8 @@
 
 // reports lists the pool reports so far.
 func (h *harness) reports() (reports []PoolReport) {
-	for _, tell := range h.notified {
-		if report, ok := tell.(PoolReport); ok {
+	for _, message := range h.notified {
+		if report, ok := message.(PoolReport); ok {
 			reports = append(reports, report)
 		}
 	}
--- a/internal/scheduler/reports_test.go
+++ b/internal/scheduler/reports_test.go
@@ -17,7 +17,7 @@
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.CheckedOut, "v", oneTask))
 		status := func(state string) *schema.TaskStatus { return &schema.TaskStatus{Name: "j1", Attempt: 1, State: state} }
 		h.sendHeartbeat("v", withRunning(status("running")))
-		isNoted := func() bool {
+		isAcknowledged := func() bool {
 			for _, reply := range h.replies {
 				if len(reply.GetOrders().GetAcknowledged()) > 0 {
 					return true
@@ -28,13 +28,13 @@
 		for k := 0; k < 3; k++ {
 			h.sendHeartbeat("v", withEnded(status("done")))
 			h.advance(maxPollWait + eventloop.Second)
-			So(isNoted(), ShouldBeFalse)
+			So(isAcknowledged(), ShouldBeFalse)
 			So(len(h.endReports()), ShouldBeGreaterThan, k)
 		}
 		h.deliver(&schema.TaskEndAck{Queue: "l", Key: &schema.TaskKey{Job: 1}, Attempt: 1, Worker: "v"})
 		h.sendHeartbeat("v", withEnded(status("done")))
 		h.advance(maxPollWait + eventloop.Second)
-		So(isNoted(), ShouldBeTrue)
+		So(isAcknowledged(), ShouldBeTrue)
 	})
 	Convey("An attempt that was reported as lapsed and turns out to have failed is reported again, and only that is acknowledged", t, func() {
 		h := newHarness("v")
--- a/internal/scheduler/request.go
+++ b/internal/scheduler/request.go
@@ -32,7 +32,7 @@
 
 func (s *Scheduler) newRequest(now eventloop.Micros, q *queueView, step *stepQueue, feasibility deadlineFeasibility, candidates []*candidate) *placementRequest {
 	first := step.first()
-	waited := now - first.since
+	waited := now - first.stateSince
 	req := &placementRequest{
 		step: step.key, spec: step.spec, need: resourcesOf(step.spec),
 		tasksPerWorker: map[string]int{}, tasksPerRack: map[string]int{},
--- a/internal/scheduler/resolve.go
+++ b/internal/scheduler/resolve.go
@@ -34,7 +34,7 @@
 	keys := make(map[namedAttempt]attemptKey, len(heartbeat.Running)+len(heartbeat.Ended))
 	running, w.unknownRuns = s.resolveList(w, heartbeat.Running, keys)
 	ended, w.unknownEnds = s.resolveList(w, heartbeat.Ended, keys)
-	w.resolved = keys
+	w.resolvedAttempts = keys
 	return running, ended
 }
 
@@ -68,7 +68,7 @@
 		}
 	}
 	// A name keeps its meaning, also after the task is gone.
-	if key, known := w.resolved[name]; known {
+	if key, known := w.resolvedAttempts[name]; known {
 		return key, true
 	}
 	for _, t := range tasks {
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -96,7 +96,7 @@
 		}
 	}
 	for key, status := range w.running {
-		if w.taskOf(key) == nil {
+		if w.taskForAttempt(key) == nil {
 			size := s.usageOf(w, key, status)
 			w.used.add(size)
 			w.tenantUse.addRun(s.tenantOfRun(key, status), size)
@@ -151,7 +151,7 @@
 // runsUnknownUsage reports whether a worker runs something whose size neither it
 // nor any known task states.
 func (s *Scheduler) runsUnknownUsage(w *worker) bool {
-	if !w.usesNames {
+	if !w.usesTaskNames {
 		return false
 	}
 	isUnstated := func(status *schema.TaskStatus) bool { return reportedUsage(status) == resources{} }
--- a/internal/scheduler/runtime.go
+++ b/internal/scheduler/runtime.go
@@ -10,7 +10,7 @@
 
 const (
 	minRuns             = 3                           // that a model predicts from
-	minJudgedRun        = 500 * eventloop.Millisecond // shorter runs say nothing of a worker's speed
+	minJudgedRuntime    = 500 * eventloop.Millisecond // shorter runs say nothing of a worker's speed
 	maxRuntimeModels    = 4096                        // past which all are forgotten
 	runtimeDecay        = 0.99                        // of a model, per run
 	estimatePriorRuns   = 5                           // runs that the estimates themselves count as
@@ -48,7 +48,7 @@
 	count                                 int
 	spread                                spreadModel
 	lastWorker, previousWorker            string // the latest two workers on which one finished
-	lastAt, previousAt                    eventloop.Micros
+	lastFinishAt, previousFinishAt        eventloop.Micros
 }
 
 // predict returns the logarithm of the runtime for that of an estimate.
@@ -68,46 +68,46 @@
 		y = math.Max(m.predict(x)-maxDeviation, math.Min(m.predict(x)+maxDeviation, y))
 	}
 	m.count++
-	part := math.Max(1-runtimeDecay, 1/float64(m.count))
+	weight := math.Max(1-runtimeDecay, 1/float64(m.count))
 	dx, dy := x-m.meanX, y-m.meanY
-	m.meanX += part * dx
-	m.meanY += part * dy
-	m.varianceX += part * (dx*(x-m.meanX) - m.varianceX)
-	m.covarianceXY += part * (dx*(y-m.meanY) - m.covarianceXY)
+	m.meanX += weight * dx
+	m.meanY += weight * dy
+	m.varianceX += weight * (dx*(x-m.meanX) - m.varianceX)
+	m.covarianceXY += weight * (dx*(y-m.meanY) - m.covarianceXY)
 }
 
 // longestOf is how many times as long as a typical run the longest of a step's tasks should take.
-func (m *runtimeModel) longestOf(tasks int64) float64 {
+func (m *runtimeModel) longestToTypicalRatio(tasks int64) float64 {
 	if tasks <= 1 || m.spread.variance == 0 {
 		return 1
 	}
-	return math.Exp(largestQuantile(tasks) * math.Sqrt(m.spread.variance))
+	return math.Exp(medianLargestNormal(tasks) * math.Sqrt(m.spread.variance))
 }
 
 // largestQuantiles are the values of largestQuantile for few tasks, as steps have them.
-var largestQuantiles = func() (quantiles [1024]float64) {
-	for tasks := 1; tasks < len(quantiles); tasks++ {
-		quantiles[tasks] = computeLargestQuantile(int64(tasks))
+var medianLargestNormals = func() (medians [1024]float64) {
+	for tasks := 1; tasks < len(medians); tasks++ {
+		medians[tasks] = computeMedianLargestNormal(int64(tasks))
 	}
-	return quantiles
+	return medians
 }()
 
 // largestQuantile is the median of the largest of so many draws of the standard normal
 // distribution.
-func largestQuantile(tasks int64) float64 {
-	if tasks < int64(len(largestQuantiles)) {
-		return largestQuantiles[tasks]
+func medianLargestNormal(tasks int64) float64 {
+	if tasks < int64(len(medianLargestNormals)) {
+		return medianLargestNormals[tasks]
 	}
-	return computeLargestQuantile(tasks)
+	return computeMedianLargestNormal(tasks)
 }
 
-func computeLargestQuantile(tasks int64) float64 {
+func computeMedianLargestNormal(tasks int64) float64 {
 	return math.Sqrt2 * math.Erfinv(2*math.Pow(0.5, 1/float64(tasks))-1)
 }
 
 // meanOfTypical is how many times as long as a typical run the mean one takes, and the variance
 // of run times relative to the square of their mean, by the spread within steps.
-func (m *runtimeModel) meanOfTypical() (mean, relativeVariance float64) {
+func (m *runtimeModel) meanToTypicalRatio() (mean, relativeVariance float64) {
 	variance := m.spread.variance
 	return math.Exp(variance / 2), math.Exp(variance) - 1
 }
@@ -121,13 +121,13 @@
 
 // observe takes in the runs of a step that has ended.
 func (m *spreadModel) observe(runs runSample) {
-	freedom := float64(runs.count - 1)
-	if freedom <= 0 {
+	degreesOfFreedom := float64(runs.count - 1)
+	if degreesOfFreedom <= 0 {
 		return
 	}
-	m.count += freedom
-	part := math.Max(1-math.Pow(runtimeDecay, freedom), freedom/(m.count+spreadPriorRuns))
-	m.variance += part * (runs.squares/freedom - m.variance)
+	m.count += degreesOfFreedom
+	weight := math.Max(1-math.Pow(runtimeDecay, degreesOfFreedom), degreesOfFreedom/(m.count+spreadPriorRuns))
+	m.variance += weight * (runs.squares/degreesOfFreedom - m.variance)
 }
 
 // runSample sums up run times, as logarithms (Welford's algorithm).
@@ -136,41 +136,41 @@
 	mean, squares float64 // squares: the sum of the squared distances from the mean
 }
 
-func (s *runSample) add(run float64) {
+func (s *runSample) add(logRuntime float64) {
 	s.count++
-	distance := run - s.mean
+	distance := logRuntime - s.mean
 	s.mean += distance / float64(s.count)
-	s.squares += distance * (run - s.mean)
+	s.squares += distance * (logRuntime - s.mean)
 }
 
 // finishedOn notes the worker on which a task finished.
-func (m *runtimeModel) finishedOn(worker string, now eventloop.Micros) {
+func (m *runtimeModel) recordFinish(worker string, now eventloop.Micros) {
 	if m.lastWorker != worker {
-		m.previousWorker, m.previousAt = m.lastWorker, m.lastAt
+		m.previousWorker, m.previousFinishAt = m.lastWorker, m.lastFinishAt
 	}
-	m.lastWorker, m.lastAt = worker, now
+	m.lastWorker, m.lastFinishAt = worker, now
 }
 
 // hasFinishedElsewhere reports whether a task finished lately on another worker.
 func (m *runtimeModel) hasFinishedElsewhere(now eventloop.Micros, worker string, window eventloop.Micros) bool {
 	if m.lastWorker != worker {
-		return now-m.lastAt < window
+		return now-m.lastFinishAt < window
 	}
-	return m.previousWorker != "" && now-m.previousAt < window
+	return m.previousWorker != "" && now-m.previousFinishAt < window
 }
 
 // recordRuntime learns from a successful run, for the model and for the worker's
 // slowdown.
 func (s *Scheduler) recordRuntime(now eventloop.Micros, w *worker, t *task, status *schema.TaskStatus) {
-	run := eventloop.Micros(status.RunUs)
-	if from := cmp.Or(t.startedAt, t.orderedAt); run == 0 && from > 0 {
-		run = now - from
+	runtime := eventloop.Micros(status.RunUs)
+	if from := cmp.Or(t.startedAt, t.orderedAt); runtime == 0 && from > 0 {
+		runtime = now - from
 	}
-	if run <= 0 || t.spec.RunUntilCancelled || w.warmUpUntil > now-run {
+	if runtime <= 0 || t.spec.RunUntilCancelled || w.warmUpUntil > now-runtime {
 		return
 	}
 	key, estimate := runtimeKeyOf(t)
-	x, y := math.Log(estimate), math.Log(float64(run)/s.remoteDataFactor(w, t.spec))
+	x, y := math.Log(estimate), math.Log(float64(runtime)/s.remoteDataFactor(w, t.spec))
 	model := s.runtimeModels[key]
 	if model == nil {
 		if len(s.runtimeModels) > maxRuntimeModels {
@@ -179,12 +179,12 @@
 		model = &runtimeModel{isEstimated: key.step == ""}
 		s.runtimeModels[key] = model
 	}
-	if run >= minJudgedRun && model.count >= minRuns {
+	if runtime >= minJudgedRuntime && model.count >= minRuns {
 		w.slowdown = slowdownDecay*w.slowdown + (1-slowdownDecay)*(y-model.predict(x))
 	}
 	model.observe(x, y)
 	s.queues[t.key.queue].sampleRun(t, y)
-	model.finishedOn(w.id, now)
+	model.recordFinish(w.id, now)
 }
 
 // expectedRuntime is how long a task should run on a worker; 0: unknown.
@@ -202,16 +202,16 @@
 // remainingRuntime is how much longer a running task should take; where that isn't
 // known it is taken to be long.
 func (s *Scheduler) remainingRuntime(now eventloop.Micros, w *worker, t *task) eventloop.Micros {
-	run := now - t.startedAt
-	if t.percent >= minTrustedPercent && run > 0 {
-		return run * eventloop.Micros(max(100-t.percent, 0)) / eventloop.Micros(t.percent)
+	elapsed := now - t.startedAt
+	if t.percent >= minTrustedPercent && elapsed > 0 {
+		return elapsed * eventloop.Micros(max(100-t.percent, 0)) / eventloop.Micros(t.percent)
 	}
 	expected := s.expectedRuntime(w, t)
 	if expected == 0 || t.spec.RunUntilCancelled {
 		return unknownRuntime
 	}
 	// An overdue task may end at any time, but hardly at once.
-	return max(expected-run, run/10)
+	return max(expected-elapsed, elapsed/10)
 }
 
 // remoteDataFactor is how many times as long a step's tasks run on a worker because
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -36,32 +36,32 @@
 // Scheduler decides which worker runs which task. Only its Step function may be
 // called once it runs in an event loop.
 type Scheduler struct {
-	id           string
-	bounds       *schema.Bounds // limits of the deployment, as the stop timeout
-	clusterState *schema.ClusterState
-	config       *clusterstate.Values     // the settings of clusterState
-	weights      scoreWeights             // of config
-	rackWeights  map[string]int64         // of config, of the racks looked up so far; 0: its workers get no work
-	leadership   replica.LeadershipStatus // which queues this node may act for
-	leadershipAt eventloop.Micros         // when that was so
-
-	queues        map[string]*queueView
-	workers       map[string]*worker // those whose lease this scheduler holds
-	workerOrder   []*worker          // the same by id; nil: to be sorted again
-	tasksByWorker map[string]map[taskKey]*task
-	tasksByName   map[taskName][]*task
-	tenantUse     tenantUse                   // sums over the workers
-	poolUse       map[string]*tenantUse       // the same by pool
-	addedQueues   map[string]uint64           // their generations: see knowsAllRuns
-	knowsAllSince eventloop.Micros            // when this node came to know all that runs; 0: it does not
-	deadWorkers   map[string]eventloop.Micros // and when each was last reported dead
-	runtimeModels map[runtimeKey]*runtimeModel
+	id                    string
+	bounds                *schema.Bounds // limits of the deployment, as the stop timeout
+	clusterState          *schema.ClusterState
+	config                *clusterstate.Values     // the settings of clusterState
+	weights               scoreWeights             // of config
+	rackWeights           map[string]int64         // of config, of the racks looked up so far; 0: its workers get no work
+	leadership            replica.LeadershipStatus // which queues this node may act for
+	leadershipConfirmedAt eventloop.Micros         // when that was so
+
+	queues            map[string]*queueView
+	workers           map[string]*worker // those whose lease this scheduler holds
+	workerOrder       []*worker          // the same by id; nil: to be sorted again
+	tasksByWorker     map[string]map[taskKey]*task
+	tasksByName       map[taskName][]*task
+	tenantUse         tenantUse                   // sums over the workers
+	poolUse           map[string]*tenantUse       // the same by pool
+	addedQueues       map[string]uint64           // their generations: see knowsAllRuns
+	knowsAllRunsSince eventloop.Micros            // when this node came to know all that runs; 0: it does not
+	deadWorkers       map[string]eventloop.Micros // and when each was last reported dead
+	runtimeModels     map[runtimeKey]*runtimeModel
 
 	needsPass          bool
-	needsGangStart     bool             // a gang may have come to be held by all its workers
+	needsGangCheck     bool             // a gang may have come to be held by all its workers
 	nextPassAt         eventloop.Micros // no pass before
-	reportedAt         eventloop.Micros // the latest reports
-	fullPassAt         eventloop.Micros // the latest pass without a limit on unplaced steps
+	lastReportAt       eventloop.Micros // the latest reports
+	lastFullPassAt     eventloop.Micros // the latest pass without a limit on unplaced steps
 	starvedPools       map[string]bool  // in which the latest pass found no capacity for some step
 	preemptionFailedAt eventloop.Micros // the latest pass in which nothing was found to preempt
 	candidateBuffer    []*candidate     // of the latest pass, for reuse
@@ -127,7 +127,7 @@
 	case replica.LeadershipStatus:
 		// A process that was frozen finds statuses from before in its mailbox, so
 		// the age counts from when it was true, not from now.
-		s.leadership, s.leadershipAt = body, cmp.Or(body.At, now)
+		s.leadership, s.leadershipConfirmedAt = body, cmp.Or(body.At, now)
 	case replica.TaskEvents:
 		s.applyEvents(now, body, effects)
 	case replica.ProposalDropped:
@@ -154,8 +154,8 @@
 			s.nextPassAt = now + passCooldown
 		}
 	}
-	if s.needsGangStart {
-		s.needsGangStart = false
+	if s.needsGangCheck {
+		s.needsGangCheck = false
 		s.startGangs(now, effects)
 	}
 	s.respondToPolls(now, effects)
@@ -165,19 +165,19 @@
 	for _, w := range s.sortedWorkers() {
 		w.needsResponse = true
 		s.forwardEndReports(now, w, effects)
-		s.returnTasksOfUnresponsive(now, w, effects)
+		s.returnTasksOfUnresponsiveWorker(now, w, effects)
 		s.enforceLimits(now, w)
 		if s.isFrozen(now, w) {
 			s.ejectSlowWorker(now, w, minProgressRatio)
 		}
 	}
 	s.removeDeadWorkers(now, effects)
-	s.trackKnowledge(now)
+	s.updateKnowsAllRunsSince(now)
 	for _, q := range s.queues {
-		q.peak.update(q.usage)
+		q.peakUsage.update(q.usage)
 		s.expireReservations(now, q)
 	}
-	s.needsPass, s.needsGangStart = true, true
+	s.needsPass, s.needsGangCheck = true, true
 	s.sendReports(now, effects)
 }
 
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		for _, step := range q.lostSteps {
-			if !pass.mayTakeAny(s, step) {
+			if !pass.allowsAnyTask(s, step) {
 				continue
 			}
 			lost = append(lost, starvingStep{step, budget, step.first().roundDueAt})
@@ -96,7 +96,7 @@
 			if left <= 0 || !s.isAged(now, q, first) {
 				return false
 			}
-			if !pass.mayTakeAny(s, step) {
+			if !pass.allowsAnyTask(s, step) {
 				return true
 			}
 			aged = append(aged, starvingStep{step, budget, first.roundDueAt})
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -103,7 +103,7 @@
 		place := func(isLost bool) []uint64 {
 			h := newStarvationHarness()
 			h.syncQueue("m", 50)
-			h.scheduler.queues["m"].peak.cores = 8000
+			h.scheduler.queues["m"].peakUsage.cores = 8000
 			event := withCriticalPath(newEvent(1, 1, 0, queue.Ready, "", long), 0, 30*eventloop.Second)
 			event.IsLost = isLost
 			h.syncQueue("l", 10, event)
--- a/internal/scheduler/step_heap.go
+++ b/internal/scheduler/step_heap.go
@@ -131,7 +131,7 @@
 		steps := map[cursorKey][]rankedStep{}
 		group.steps.Ascend(func(step *stepQueue) bool {
 			first := step.first()
-			if !pass.mayTakeAny(s, step) {
+			if !pass.allowsAnyTask(s, step) {
 				return true
 			}
 			class, rank := boosted, 0 // the oldest job first
@@ -145,7 +145,7 @@
 		for key, list := range steps {
 			var share *tenantShare
 			if key.class != boosted {
-				share = pass.sharesOf(s, q).of(s, key.tenant)
+				share = pass.sharesOf(s, q).shareOf(s, key.tenant)
 			}
 			heaps[key.class] = append(heaps[key.class], newStepCursor(list, share, shape))
 		}
--- a/internal/scheduler/step_progress.go
+++ b/internal/scheduler/step_progress.go
@@ -31,13 +31,13 @@
 }
 
 // countUnended adds to the number of a step's tasks that haven't ended.
-func (q *queueView) countUnended(key stepKey, by int) {
+func (q *queueView) countUnended(key stepKey, delta int) {
 	progress := q.stepProgress[key]
 	if progress == nil {
 		progress = &stepProgress{}
 		q.stepProgress[key] = progress
 	}
-	progress.unended += by
+	progress.unended += delta
 }
 
 // trackChange takes in that a task is in another state than before; before is nil for a task
@@ -60,9 +60,9 @@
 
 // sampleRun takes in the run time, as a logarithm, of a task that is done. The members of a
 // gang end together.
-func (q *queueView) sampleRun(t *task, run float64) {
+func (q *queueView) sampleRun(t *task, logRuntime float64) {
 	if progress := q.stepProgress[t.key.stepKey()]; progress != nil && !t.spec.Gang {
-		progress.runs.add(run)
+		progress.runs.add(logRuntime)
 	}
 }
 
--- a/internal/scheduler/stuck.go
+++ b/internal/scheduler/stuck.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	minStuckRun       = 2 * eventloop.Second  // shorter runs aren't stuck
-	stuckFactor       = 4                     // times the expected runtime, that a stuck task has run
-	similarRunWindow  = 10 * eventloop.Second // in which another worker must have finished a similar task
-	minStillTime      = eventloop.Second      // minimum time without progress for a task to count as stuck
-	minStillTimeAgent = 3 * eventloop.Second  // the same for workers behind an agent, which samples progress only about once a second
-	minFrozenTime     = 4 * eventloop.Second  // without progress, that suffices for tasks which report it
-	maxStrikes        = 10                    // that count
+	minStuckRun             = 2 * eventloop.Second  // shorter runs aren't stuck
+	stuckFactor             = 4                     // times the expected runtime, that a stuck task has run
+	similarRunWindow        = 10 * eventloop.Second // in which another worker must have finished a similar task
+	minStallTime            = eventloop.Second      // minimum time without progress for a task to count as stuck
+	minStallTimeBehindAgent = 3 * eventloop.Second  // the same for workers behind an agent, which samples progress only about once a second
+	minFrozenTime           = 4 * eventloop.Second  // without progress, that suffices for tasks which report it
+	maxCountedStuckStops    = 10                    // that count
 )
 
 // isStuck reports whether a task stands still on its worker while others finish
 // similar ones.
 func (s *Scheduler) isStuck(now eventloop.Micros, w *worker, t *task, status *schema.TaskStatus) bool {
-	if t.spec.RunUntilCancelled || t.startedAt == 0 || status.State != runRunning {
+	if t.spec.RunUntilCancelled || t.startedAt == 0 || status.State != runStateRunning {
 		return false
 	}
 	// Of a worker that can't be heard it isn't known what its tasks do.
@@ -41,15 +41,15 @@
 		return false
 	}
 	// Each strike doubles the patience: some tasks just are long.
-	patience := eventloop.Micros(1) << min(t.strikes, maxStrikes)
+	patienceFactor := eventloop.Micros(1) << min(t.stuckStops, maxCountedStuckStops)
 	allowance := max(w.warmUpUntil-t.startedAt, 0) + eventloop.Micros(s.bounds.GetRestoreDelayUs())
 	run := now - t.startedAt - allowance
-	isOverdue := run > stuckFactor*expected*patience && run > minStuckRun
-	if !w.usesNames {
-		stillTime := eventloop.Micros(status.IdleUs) + now - w.lastHeard
-		return isOverdue && stillTime > minStillTime
+	isOverdue := run > stuckFactor*expected*patienceFactor && run > minStuckRun
+	if !w.usesTaskNames {
+		stallTime := eventloop.Micros(status.IdleUs) + now - w.lastHeard
+		return isOverdue && stallTime > minStallTime
 	}
-	stillTime := now - t.progressedAt
-	isFrozen := stillTime > max(minFrozenTime, expected/4)*patience && run > max(minFrozenTime, expected)*patience
-	return isFrozen || isOverdue && stillTime > minStillTimeAgent
+	stallTime := now - t.progressedAt
+	isFrozen := stallTime > max(minFrozenTime, expected/4)*patienceFactor && run > max(minFrozenTime, expected)*patienceFactor
+	return isFrozen || isOverdue && stallTime > minStallTimeBehindAgent
 }
--- a/internal/scheduler/task.go
+++ b/internal/scheduler/task.go
@@ -18,8 +18,8 @@
 
 // States of a run that hasn't ended, in a worker's task statuses.
 const (
-	runHeld    = "held" // its resources are reserved, it waits for the gang's start
-	runRunning = "running"
+	runStateHeld    = "held" // its resources are reserved, it waits for the gang's start
+	runStateRunning = "running"
 )
 
 // taskKey is a task, whatever its attempt; step counts over the rounds of the job.
@@ -74,7 +74,7 @@
 	round, stepInRound uint32
 	spec               *schema.Step
 	text               string           // the job's, for the worker
-	since              eventloop.Micros // in its state
+	stateSince         eventloop.Micros // in its state
 	failures           uint32           // counted so far
 	isLost             bool             // an attempt of it, or of its gang, was lost with its worker
 	isBoosted          bool             // its checkout is, or was, paid from the pool's boosted share
@@ -100,17 +100,17 @@
 
 // attemptProgress is what was observed of one attempt.
 type attemptProgress struct {
-	orderedAt       eventloop.Micros // its start order last left
-	startedAt       eventloop.Micros // it was first seen running; 0: not yet
-	progressedAt    eventloop.Micros // its percentage last changed
-	percent         int64
-	checkpointedAt  eventloop.Micros // its checkpoint last changed
-	lastCheckpoint  string
-	sample          progressSample
-	creditedPart    float64          // of its run, that has counted as successful for its worker
-	strikes         uint32           // how often the task was stopped for being stuck
-	stopRequestedAt eventloop.Micros // it was first seen wanting to be stopped
-	isStopOverdue   bool             // preemption no longer waits for its resources
+	orderedAt        eventloop.Micros // its start order last left
+	startedAt        eventloop.Micros // it was first seen running; 0: not yet
+	progressedAt     eventloop.Micros // its percentage last changed
+	percent          int64
+	checkpointedAt   eventloop.Micros // its checkpoint last changed
+	lastCheckpoint   string
+	lastSample       progressSample
+	creditedFraction float64          // of its run, that has counted as successful for its worker
+	stuckStops       uint32           // how often the task was stopped for being stuck
+	stopRequestedAt  eventloop.Micros // it was first seen wanting to be stopped
+	isStopOverdue    bool             // preemption no longer waits for its resources
 }
 
 // isStopping reports whether the task is to be stopped on its worker.
@@ -134,8 +134,8 @@
 
 // observeRun notes what a heartbeat shows of a run of the worker.
 func (w *worker) observeRun(now eventloop.Micros, status *schema.TaskStatus) {
-	t := w.taskOf(attemptKeyOf(status))
-	if t == nil || status.State == runHeld {
+	t := w.taskForAttempt(attemptKeyOf(status))
+	if t == nil || status.State == runStateHeld {
 		return
 	}
 	if t.startedAt == 0 {
--- a/internal/scheduler/tenant_claims.go
+++ b/internal/scheduler/tenant_claims.go
@@ -11,9 +11,9 @@
 
 // limitClaim keeps what becomes free of a tenant's limit for a wide step.
 type limitClaim struct {
-	step    stepKey
-	urgency int64 // of its queue; more urgent steps don't wait
-	since   eventloop.Micros
+	step         stepKey
+	urgency      int64 // of its queue; more urgent steps don't wait
+	waitingSince eventloop.Micros
 }
 
 // claimLimits keeps the limits of tenants for those of their wide steps that have waited long and
@@ -28,10 +28,10 @@
 			step, _ := group.steps.Min()
 			first := step.first()
 			account := pass.accountOf(s, first.tenant)
-			if now-first.since < claimDelay || !account.isWide(step) || account.isUncertain || account.takeable(step, math.MaxInt64) != nil {
+			if now-first.stateSince < claimDelay || !account.isWide(step) || account.isUncertain || account.nextAllowedTasks(step, math.MaxInt64) != nil {
 				continue
 			}
-			claim := &limitClaim{step.key, q.urgency, first.since}
+			claim := &limitClaim{step.key, q.urgency, first.stateSince}
 			if claim.comesBefore(account.claim) {
 				account.claim = claim
 			}
@@ -44,7 +44,7 @@
 		return true
 	}
 	return cmp.Or(
-		cmp.Compare(other.urgency, c.urgency), cmp.Compare(c.since, other.since),
+		cmp.Compare(other.urgency, c.urgency), cmp.Compare(c.waitingSince, other.waitingSince),
 		compareTaskKeys(taskKey{c.step.queue, c.step.job, c.step.step, 0}, taskKey{other.step.queue, other.step.job, other.step.step, 0}),
 	) < 0
 }
@@ -58,7 +58,7 @@
 	}
 	need := resourcesOf(step.spec)
 	alone := tenantAccount{limit: a.limit, overrun: a.overrun}
-	if !alone.takesGang(need, members) {
+	if !alone.allowsGang(need, members) {
 		return false
 	}
 	for _, kind := range a.limitedKinds(need) {
--- a/internal/scheduler/tenant_contention_test.go
+++ b/internal/scheduler/tenant_contention_test.go
@@ -27,10 +27,10 @@
 	evictedWith := func(tenant string) map[uint64]int {
 		h := newHarness("w")
 		h.configure(coresLimit.rows("l", "m"), "w")
-		h.syncQueue("l", 10, outOf("free", 1, "w", step))
-		h.syncQueue("m", 50, outOf(tenant, 8, "elsewhere", step), readyOf(tenant, 9, step))
+		h.syncQueue("l", 10, checkedOutTask("free", 1, "w", step))
+		h.syncQueue("m", 50, checkedOutTask(tenant, 8, "elsewhere", step), readyTask(tenant, 9, step))
 		for range 10 {
-			h.sendHeartbeat("w", withRunning(runOf(1, "free", step)))
+			h.sendHeartbeat("w", withRunning(runningStatus(1, "free", step)))
 			h.advance(100 * eventloop.Millisecond)
 		}
 		return h.evictedTasks()
@@ -40,19 +40,19 @@
 }
 
 func checkNoClaims() {
-	vast := &schema.Step{Name: "v", Tasks: 1, CoresMilli: 900, MemoryMb: 10}
+	oversized := &schema.Step{Name: "v", Tasks: 1, CoresMilli: 900, MemoryMb: 10}
 	small := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 300, MemoryMb: 10}
 	placedWith := func(tenant string) []uint64 {
 		h := newHarness("w")
 		h.configure(coresLimit.rows("l", "m"), "w")
-		h.syncQueue("m", 10, outOf("", 8, "w", small))
-		h.syncQueue("l", 10, outOf(tenant, 1, "elsewhere", vast), readyOf(tenant, 2, vast))
+		h.syncQueue("m", 10, checkedOutTask("", 8, "w", small))
+		h.syncQueue("l", 10, checkedOutTask(tenant, 1, "elsewhere", oversized), readyTask(tenant, 2, oversized))
 		for range 17 {
-			h.sendHeartbeat("w", withRunning(runOf(8, "", small)))
+			h.sendHeartbeat("w", withRunning(runningStatus(8, "", small)))
 			h.advance(100 * eventloop.Millisecond)
 		}
-		h.sendHeartbeat("w", withRunning(runOf(8, "", small)))
-		h.syncQueue("m", 10, outOf("", 8, "w", small), readyOf("free", 9, small))
+		h.sendHeartbeat("w", withRunning(runningStatus(8, "", small)))
+		h.syncQueue("m", 10, checkedOutTask("", 8, "w", small), readyTask("free", 9, small))
 		return h.placedJobs()
 	}
 	So(placedWith("free"), ShouldBeEmpty)
@@ -71,7 +71,7 @@
 			fresh = append(fresh, readyStep(job, core, 0))
 		}
 		h.syncQueue("m", 50, fresh...)
-		h.syncQueue("l", 10, outOf(tenant, 9, "elsewhere", core), of(tenant, starving(1, core, 40*eventloop.Second)), of("free", starving(2, core, 35*eventloop.Second)))
+		h.syncQueue("l", 10, checkedOutTask(tenant, 9, "elsewhere", core), forTenant(tenant, starving(1, core, 40*eventloop.Second)), forTenant("free", starving(2, core, 35*eventloop.Second)))
 		h.sendHeartbeat("w", withCapacity(4000))
 		return h.placedJobs()
 	}
@@ -82,14 +82,14 @@
 }
 
 func checkNothingBehindIsStopped() {
-	h := newQuotaHarness(coresLimit, outOf("limited", 90, "w", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1000}))
+	h := newQuotaHarness(coresLimit, checkedOutTask("limited", 90, "w", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1000}))
 	var list []*queue.TaskEvent
 	// More steps than a pass looks at where it finds no capacity, each of another shape.
 	for job := uint64(1); job <= 2*maxUnplaced; job++ {
-		list = append(list, readyOf("limited", job, &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, MemoryMb: int64(job)}))
+		list = append(list, readyTask("limited", job, &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, MemoryMb: int64(job)}))
 	}
 	// And one of a shape that comes in front.
-	list = append(list, readyOf("free", 101, list[0].Spec), readyOf("", 102, list[0].Spec))
+	list = append(list, readyTask("free", 101, list[0].Spec), readyTask("", 102, list[0].Spec))
 	h.deliverNext(list...)
 	h.advance(2 * TickInterval)
 	So(h.placedJobs(), ShouldResemble, []uint64{101, 102})
@@ -101,10 +101,10 @@
 	placedWith := func(tenant string) []uint64 {
 		h := newHarness("w")
 		h.configure(coresLimit.rows("l", "m"), "w")
-		h.syncQueue("m", 10, of("", newEvent(0, 8, 0, queue.Stopping, "w", step)))
-		h.syncQueue("l", 10, outOf(tenant, 1, "elsewhere", step), readyOf(tenant, 2, step), readyOf("free", 3, &schema.Step{Name: "s", Tasks: 1, CoresMilli: 400}))
-		h.sendHeartbeat("w", withRunning(runOf(8, "", step)))
-		h.sendHeartbeat("w", withEnded(endOf(8)))
+		h.syncQueue("m", 10, forTenant("", newEvent(0, 8, 0, queue.Stopping, "w", step)))
+		h.syncQueue("l", 10, checkedOutTask(tenant, 1, "elsewhere", step), readyTask(tenant, 2, step), readyTask("free", 3, &schema.Step{Name: "s", Tasks: 1, CoresMilli: 400}))
+		h.sendHeartbeat("w", withRunning(runningStatus(8, "", step)))
+		h.sendHeartbeat("w", withEnded(doneStatus(8)))
 		return h.placedJobs()
 	}
 	So(placedWith("free"), ShouldContain, uint64(2))
@@ -126,7 +126,7 @@
 			tenant = "heavy"
 		}
 		for task := range step.Tasks {
-			list = append(list, of(tenant, newEvent(0, job, task, queue.Ready, "", step)))
+			list = append(list, forTenant(tenant, newEvent(0, job, task, queue.Ready, "", step)))
 		}
 	}
 	h.syncQueue("l", 10, list...)
@@ -139,7 +139,7 @@
 		h.advance(TickInterval) // the pass over a backlog may wait for a moment
 		for _, placement := range h.placements() {
 			out = append(out, placement.Key)
-			h.deliverNext(of(tenantOfBacklog(placement.Key), newEvent(0, placement.Key.Job, placement.Key.Task, queue.CheckedOut, "w", step)))
+			h.deliverNext(forTenant(tenantOfBacklog(placement.Key), newEvent(0, placement.Key.Job, placement.Key.Task, queue.CheckedOut, "w", step)))
 			count.add(placement.Key, 1)
 		}
 		history = append(history, count)
@@ -157,11 +157,11 @@
 	return "light"
 }
 
-func (s *shares) add(key *schema.TaskKey, by int) {
+func (s *shares) add(key *schema.TaskKey, delta int) {
 	if tenantOfBacklog(key) == "heavy" {
-		s.heavy += by
+		s.heavy += delta
 	} else {
-		s.light += by
+		s.light += delta
 	}
 }
 
@@ -184,7 +184,7 @@
 		small := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1000, MemoryMb: 10}
 		var list []*queue.TaskEvent
 		for job := uint64(1); job <= 10; job++ {
-			list = append(list, readyOf("much", job, large), readyOf("little", 20+job, small))
+			list = append(list, readyTask("much", job, large), readyTask("little", 20+job, small))
 		}
 		h.syncQueue("l", 10, list...)
 		h.sendHeartbeat("w", withCapacity(8000))
--- a/internal/scheduler/tenant_harness_test.go
+++ b/internal/scheduler/tenant_harness_test.go
@@ -49,12 +49,12 @@
 	h := newHarness("w")
 	h.configure(kind.rows("l"), "w")
 	h.syncQueue("l", 10, list...)
-	h.sendHeartbeat("w", wide(nil))
+	h.sendHeartbeat("w", withAmpleCapacity(nil))
 	return h
 }
 
 // wide makes a heartbeat one of an agent with room for everything.
-func wide(change func(*schema.WorkerHeartbeat)) func(*schema.WorkerHeartbeat) {
+func withAmpleCapacity(change func(*schema.WorkerHeartbeat)) func(*schema.WorkerHeartbeat) {
 	return withNames(func(a *schema.WorkerHeartbeat) {
 		a.CoresMilli, a.MemoryMb, a.Accelerators = 16_000, 16_000, 16
 		if change != nil {
@@ -63,50 +63,50 @@
 	})
 }
 
-func lists(running ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
-	return wide(func(a *schema.WorkerHeartbeat) { a.Running = running })
+func withAmpleCapacityRunning(running ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
+	return withAmpleCapacity(func(a *schema.WorkerHeartbeat) { a.Running = running })
 }
 
-func listsEnded(ended ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
-	return wide(func(a *schema.WorkerHeartbeat) { a.Ended = ended })
+func withAmpleCapacityEnded(ended ...*schema.TaskStatus) func(*schema.WorkerHeartbeat) {
+	return withAmpleCapacity(func(a *schema.WorkerHeartbeat) { a.Ended = ended })
 }
 
 // runOf is how a worker lists a job's run.
-func runOf(job uint64, tenant string, step *schema.Step) *schema.TaskStatus {
+func runningStatus(job uint64, tenant string, step *schema.Step) *schema.TaskStatus {
 	return &schema.TaskStatus{
 		Name: fmt.Sprint("j", job), Attempt: 1, State: "running", Tenant: tenant,
 		CoresMilli: step.CoresMilli, MemoryMb: step.MemoryMb, Accelerators: step.Accelerators,
 	}
 }
 
-func endOf(job uint64) *schema.TaskStatus {
+func doneStatus(job uint64) *schema.TaskStatus {
 	return &schema.TaskStatus{Name: fmt.Sprint("j", job), Attempt: 1, State: "done"}
 }
 
 // of sets the tenant of a task.
-func of(tenant string, event *queue.TaskEvent) *queue.TaskEvent {
+func forTenant(tenant string, event *queue.TaskEvent) *queue.TaskEvent {
 	event.Tenant = tenant
 	return event
 }
 
-func readyOf(tenant string, job uint64, step *schema.Step) *queue.TaskEvent {
-	return of(tenant, newEvent(0, job, 0, queue.Ready, "", step))
+func readyTask(tenant string, job uint64, step *schema.Step) *queue.TaskEvent {
+	return forTenant(tenant, newEvent(0, job, 0, queue.Ready, "", step))
 }
 
-func outOf(tenant string, job uint64, worker string, step *schema.Step) *queue.TaskEvent {
-	return of(tenant, newEvent(0, job, 0, queue.CheckedOut, worker, step))
+func checkedOutTask(tenant string, job uint64, worker string, step *schema.Step) *queue.TaskEvent {
+	return forTenant(tenant, newEvent(0, job, 0, queue.CheckedOut, worker, step))
 }
 
 // readyGang is the members of a gang.
 func readyGang(tenant string, job uint64, step *schema.Step) (members []*queue.TaskEvent) {
 	for k := range step.Tasks {
-		members = append(members, of(tenant, newEvent(0, job, k, queue.Ready, "", step)))
+		members = append(members, forTenant(tenant, newEvent(0, job, k, queue.Ready, "", step)))
 	}
 	return members
 }
 
 // placedOf counts what was placed of the jobs from first to last.
-func (h *harness) placedOf(first, last uint64) (count int) {
+func (h *harness) countPlaced(first, last uint64) (count int) {
 	for _, job := range h.placedJobs() {
 		if first <= job && job <= last {
 			count++
--- a/internal/scheduler/tenant_history_test.go
+++ b/internal/scheduler/tenant_history_test.go
@@ -46,7 +46,7 @@
 		h.running[worker], h.ended[worker] = map[attemptKey]*schema.TaskStatus{}, map[attemptKey]*schema.TaskStatus{}
 	}
 	h.setLimit(h.limit)
-	h.leadOthers(true)
+	h.setLeadsOtherQueue(true)
 	h.resync()
 	return h
 }
@@ -70,7 +70,7 @@
 }
 
 // leadOthers has this node lead queue m as well, or no longer.
-func (h *history) leadOthers(isLed bool) {
+func (h *history) setLeadsOtherQueue(isLed bool) {
 	h.leadsAll = isLed
 	h.confirm()
 	if isLed {
@@ -111,7 +111,7 @@
 
 func (h *history) submit(tenant string, job uint64, step *schema.Step) {
 	for k := range step.Tasks {
-		h.change(taskKey{"l", job, 0, k}, of(tenant, newEvent(0, job, k, queue.Ready, "", step)))
+		h.change(taskKey{"l", job, 0, k}, forTenant(tenant, newEvent(0, job, k, queue.Ready, "", step)))
 	}
 }
 
@@ -137,13 +137,13 @@
 		key := keyOfPlacement(placement)
 		if t := h.tasks[key]; t != nil && t.Status == queue.Ready {
 			h.attempts[key]++
-			h.change(key, of(t.Tenant, newEvent(0, key.job, key.task, queue.CheckedOut, placement.Worker, t.Spec)))
+			h.change(key, forTenant(t.Tenant, newEvent(0, key.job, key.task, queue.CheckedOut, placement.Worker, t.Spec)))
 		}
 	}
 }
 
 // begin has a worker list a task that is checked out to it as running.
-func (h *history) begin(key taskKey) {
+func (h *history) startRun(key taskKey) {
 	t := h.tasks[key]
 	attempt := attemptKey{key, t.Attempt}
 	if h.ended[t.Worker][attempt] != nil {
@@ -153,19 +153,19 @@
 		Name: t.Name, Task: key.task, Attempt: t.Attempt, State: "running", Tenant: t.Tenant,
 		CoresMilli: t.Spec.CoresMilli, MemoryMb: t.Spec.MemoryMb, Accelerators: t.Spec.Accelerators,
 	}
-	h.beat(t.Worker)
+	h.reportStatuses(t.Worker)
 }
 
 // end has a worker list the end of a run.
-func (h *history) end(worker string, attempt attemptKey) {
+func (h *history) endRun(worker string, attempt attemptKey) {
 	status := h.running[worker][attempt]
 	delete(h.running[worker], attempt)
 	h.ended[worker][attempt] = &schema.TaskStatus{Name: status.Name, Task: status.Task, Attempt: status.Attempt, State: "done"}
-	h.beat(worker)
+	h.reportStatuses(worker)
 }
 
-func (h *history) beat(worker string) {
-	h.sendHeartbeat(worker, wide(func(a *schema.WorkerHeartbeat) {
+func (h *history) reportStatuses(worker string) {
+	h.sendHeartbeat(worker, withAmpleCapacity(func(a *schema.WorkerHeartbeat) {
 		for _, key := range slices.SortedFunc(maps.Keys(h.running[worker]), attemptKey.compare) {
 			a.Running = append(a.Running, h.running[worker][key])
 		}
@@ -177,14 +177,14 @@
 
 // pass lets time pass. The workers go on reporting: what one that is silent for long has listed
 // has ended with its lease.
-func (h *history) pass(span eventloop.Micros) {
+func (h *history) letTimePass(span eventloop.Micros) {
 	for end := h.now + span; h.now < end; {
 		h.now += min(TickInterval, end-h.now)
 		h.confirm()
 		h.deliver(eventloop.Tick{})
 		if h.now%(unresponsiveTimeout/2) < TickInterval {
 			for _, worker := range historyWorkers {
-				h.beat(worker)
+				h.reportStatuses(worker)
 			}
 		}
 	}
@@ -231,8 +231,8 @@
 
 // takeCheckouts takes what the scheduler has proposed, and checks the limit after each.
 func (h *history) takeCheckouts() {
-	for _, tell := range h.notified {
-		propose, isPropose := tell.(replica.Propose)
+	for _, message := range h.notified {
+		propose, isPropose := message.(replica.Propose)
 		if !isPropose || propose.Term != h.term || propose.Command.GetCheckout() == nil {
 			continue
 		}
@@ -300,13 +300,13 @@
 }
 
 // changeOut changes the state of a task that is checked out.
-func (h *history) changeOut(key taskKey, status queue.Status) {
+func (h *history) changeCheckedOut(key taskKey, status queue.Status) {
 	if out := h.tasks[key]; out != nil && out.Status == queue.CheckedOut {
 		worker := out.Worker
 		if status == queue.Ready {
 			worker = ""
 		}
-		h.change(key, of(out.Tenant, newEvent(0, key.job, key.task, status, worker, out.Spec)))
+		h.change(key, forTenant(out.Tenant, newEvent(0, key.job, key.task, status, worker, out.Spec)))
 	}
 }
 
@@ -339,38 +339,38 @@
 		}
 	case "begin":
 		if key, found := anyOf(queue.CheckedOut); found {
-			h.begin(key)
+			h.startRun(key)
 		}
 	case "end":
 		if runs := slices.SortedFunc(maps.Keys(h.running[worker]), attemptKey.compare); len(runs) > 0 {
-			h.end(worker, rapid.SampledFrom(runs).Draw(t, "run"))
+			h.endRun(worker, rapid.SampledFrom(runs).Draw(t, "run"))
 		}
 	case "settle":
 		h.propose(func() { h.settleEnds(worker) })
 	case "stop":
 		if key, found := anyOf(queue.CheckedOut); found {
-			h.propose(func() { h.changeOut(key, queue.Stopping) })
+			h.propose(func() { h.changeCheckedOut(key, queue.Stopping) })
 		}
 	case "lose": // the queue takes a task back though it may run on
 		if key, found := anyOf(queue.CheckedOut); found && h.running[h.tasks[key].Worker][attemptKey{key, h.tasks[key].Attempt}] != nil {
-			h.propose(func() { h.changeOut(key, queue.Ready) })
+			h.propose(func() { h.changeCheckedOut(key, queue.Ready) })
 		}
 	case "forget": // a worker lists a run of which no queue knows anything
 		name := fmt.Sprint("gone", job)
 		h.running[worker][attemptKey{taskKey{"?", job, 0, 0}, 1}] = &schema.TaskStatus{Name: name, Attempt: 1, State: "running", Tenant: "t", CoresMilli: 200, MemoryMb: 100}
-		h.beat(worker)
+		h.reportStatuses(worker)
 	case "pass":
-		h.pass(eventloop.Micros(rapid.Int64Range(1, 800).Draw(t, "ms")) * eventloop.Millisecond)
+		h.letTimePass(eventloop.Micros(rapid.Int64Range(1, 800).Draw(t, "ms")) * eventloop.Millisecond)
 	case "pass long":
-		h.pass(reservationTimeout + eventloop.Second)
+		h.letTimePass(reservationTimeout + eventloop.Second)
 	case "beat":
-		h.beat(worker)
+		h.reportStatuses(worker)
 	case "resync":
 		h.resync()
 	case "elect":
 		h.elect()
 	case "lead":
-		h.leadOthers(!h.leadsAll)
+		h.setLeadsOtherQueue(!h.leadsAll)
 	case "limit":
 		h.setLimit(resources{rapid.Int64Range(1, 3).Draw(t, "limit") * 500, 1000, 2})
 	}
@@ -404,7 +404,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHistory()
 		for _, worker := range historyWorkers {
-			h.beat(worker)
+			h.reportStatuses(worker)
 		}
 		for job := range uint64(rapid.IntRange(5, maxSteps).Draw(t, "steps")) {
 			h.drawStep(t, job+1)
--- a/internal/scheduler/tenant_review_test.go
+++ b/internal/scheduler/tenant_review_test.go
@@ -14,7 +14,7 @@
 )
 
 // leadership confirms that this node leads these groups, each in term 1.
-func (h *harness) leadership(groups ...string) {
+func (h *harness) confirmLeadershipOf(groups ...string) {
 	terms := map[string]uint64{}
 	for _, group := range groups {
 		terms[group] = 1
@@ -24,58 +24,58 @@
 
 // The removal of one queue made this node forget that another one was new, so limited tenants waited.
 func TestRemovedQueueDoesNotHoldUpLimitedTenants(t *testing.T) {
-	eachKind(t, "A configuration that adds a queue and removes another one stops nothing", func(kind quotaKind) {
+	forEachKind(t, "A configuration that adds a queue and removes another one stops nothing", func(kind quotaKind) {
 		h := newHarness("w")
 		h.configure(kind.rows("l", "m"), "w")
 		h.syncQueue("m", 10)
 		h.syncQueue("l", 10)
 		h.advance(2 * eventloop.Second) // longer than a copy of the cluster state may be old
-		h.sendHeartbeat("w", wide(nil))
-		h.leadership("l#1", "m#1")
+		h.sendHeartbeat("w", withAmpleCapacity(nil))
+		h.confirmLeadershipOf("l#1", "m#1")
 		h.configure(kind.rows("l", "k"), "w") // k is new and led by another node as yet
-		h.leadership("l#1")
-		h.deliverNext(readyOf("limited", 1, kind.step))
+		h.confirmLeadershipOf("l#1")
+		h.deliverNext(readyTask("limited", 1, kind.step))
 		So(h.placedJobs(), ShouldResemble, []uint64{1})
 		h.deliver(replica.LeadershipLost{Queue: "m"})
-		h.deliverNext(readyOf("limited", 2, kind.step))
+		h.deliverNext(readyTask("limited", 2, kind.step))
 		So(h.placedJobs(), ShouldResemble, []uint64{1, 2})
 	})
 }
 
 // A new leader with an old copy of the cluster state counted a queue as new in which its predecessor had placed tasks.
 func TestQueueThatAPredecessorMayHaveUsedIsNotNew(t *testing.T) {
-	eachKind(t, "A queue that appears soon after this node came to lead the others isn't counted as empty", func(kind quotaKind) {
+	forEachKind(t, "A queue that appears soon after this node came to lead the others isn't counted as empty", func(kind quotaKind) {
 		h := newHarness("w")
 		h.configure(kind.rows("l"), "w")
 		h.syncQueue("l", 10)
 		h.advance(eventloop.Second)
-		h.sendHeartbeat("w", wide(nil))
-		h.leadership("l#1")
+		h.sendHeartbeat("w", withAmpleCapacity(nil))
+		h.confirmLeadershipOf("l#1")
 		h.configure(kind.rows("l", "k"), "w")
-		h.leadership("l#1")
-		h.deliverNext(readyOf("limited", 1, kind.step))
+		h.confirmLeadershipOf("l#1")
+		h.deliverNext(readyTask("limited", 1, kind.step))
 		So(h.placedJobs(), ShouldBeEmpty)
 	})
 }
 
 // Tasks whose checkout was lost were placed again though their tenant's limit had been lowered since.
 func TestLostCheckoutsKeepToALoweredLimit(t *testing.T) {
-	eachKind(t, "What isn't checked out is placed within the limit of now", func(kind quotaKind) {
+	forEachKind(t, "What isn't checked out is placed within the limit of now", func(kind quotaKind) {
 		h := newHarness("w")
 		h.configure(kind.rowsWith(4*kind.limit, "l"), "w")
 		var list []*queue.TaskEvent
 		for job := uint64(1); job <= 8; job++ {
-			list = append(list, readyOf("limited", job, kind.step))
+			list = append(list, readyTask("limited", job, kind.step))
 		}
 		h.syncQueue("l", 10, list...)
-		h.sendHeartbeat("w", wide(nil))
+		h.sendHeartbeat("w", withAmpleCapacity(nil))
 		So(len(h.placements()), ShouldEqual, 8)
 		h.notified = nil // the replica proposes nothing while it hands the queue over, which fails
 		h.configure(kind.rows("l"), "w")
 		running := map[uint64]bool{}
 		for end := h.now + 2*reservationTimeout; h.now < end; {
 			h.advance(eventloop.Second / 4)
-			h.sendHeartbeat("w", wide(nil))
+			h.sendHeartbeat("w", withAmpleCapacity(nil))
 			for _, job := range h.placedJobs() {
 				running[job] = true
 			}
@@ -86,7 +86,7 @@
 
 // A new leader knew no limit of a tenant that a configuration had removed, and started all its jobs.
 func TestRemovedTenantsLimitOutlivesALeader(t *testing.T) {
-	eachKind(t, "A scheduler that never saw a removed tenant's limit keeps to it", func(kind quotaKind) {
+	forEachKind(t, "A scheduler that never saw a removed tenant's limit keeps to it", func(kind quotaKind) {
 		machine := clusterstate.New()
 		update := func(revision uint64, rows []*schema.ConfigurationRow) {
 			command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{
@@ -105,26 +105,26 @@
 		h.deliver(&schema.ClusterStateResponse{State: state, Version: state.Version})
 		var list []*queue.TaskEvent
 		for job := uint64(1); job <= 5; job++ {
-			list = append(list, readyOf("limited", job, kind.step))
+			list = append(list, readyTask("limited", job, kind.step))
 		}
 		h.syncQueue("l", 10, list...)
-		h.sendHeartbeat("w", wide(nil))
-		So(h.placedOf(1, 5), ShouldEqual, 2)
+		h.sendHeartbeat("w", withAmpleCapacity(nil))
+		So(h.countPlaced(1, 5), ShouldEqual, 2)
 	})
 }
 
 // Tasks whose checkout was lost filled their tenant's limit and waited behind one that didn't fit it.
 func TestLostCheckoutsDoNotBlockTheirTenantForEver(t *testing.T) {
-	eachKind(t, "A step whose first ready task has no room places those that have theirs already", func(kind quotaKind) {
+	forEachKind(t, "A step whose first ready task has no room places those that have theirs already", func(kind quotaKind) {
 		many := &schema.Step{Name: "s", Tasks: 2, CoresMilli: kind.step.CoresMilli, MemoryMb: kind.step.MemoryMb, Accelerators: kind.step.Accelerators}
 		task := func(number uint32, status queue.Status, worker string) *queue.TaskEvent {
-			return of("limited", newEvent(0, 1, number, status, worker, many))
+			return forTenant("limited", newEvent(0, 1, number, status, worker, many))
 		}
 		h := newHarness("w")
 		h.configure(kind.rows("l"), "w")
 		h.syncQueue("l", 10, task(0, queue.CheckedOut, "w"), task(1, queue.Ready, ""))
 		run := &schema.TaskStatus{Name: "j1", Attempt: 1, State: "running", Tenant: "limited", CoresMilli: many.CoresMilli, MemoryMb: many.MemoryMb, Accelerators: many.Accelerators}
-		h.sendHeartbeat("w", lists(run))
+		h.sendHeartbeat("w", withAmpleCapacityRunning(run))
 		So(len(h.placements()), ShouldEqual, 1)
 		// The checkout is lost, and given up while the worker has no room.
 		for end := h.now + reservationTimeout + eventloop.Second; h.now < end; {
@@ -137,7 +137,7 @@
 		h.deliverNext(again)
 		h.notified = nil
 		for range 20 {
-			h.sendHeartbeat("w", wide(nil))
+			h.sendHeartbeat("w", withAmpleCapacity(nil))
 			h.advance(eventloop.Second / 2)
 		}
 		So(len(h.placements()), ShouldBeGreaterThan, 0)
@@ -146,29 +146,29 @@
 
 // A stream of single tasks took each piece of its tenant's limit that became free, and a gang waited for ever.
 func TestGangIsNotStarvedByItsOwnTenant(t *testing.T) {
-	eachKind(t, "A gang that fits its tenant's limit starts although single tasks keep coming", func(kind quotaKind) {
-		h := newQuotaHarness(kind, outOf("limited", 101, "w", kind.step), outOf("limited", 102, "w", kind.step))
+	forEachKind(t, "A gang that fits its tenant's limit starts although single tasks keep coming", func(kind quotaKind) {
+		h := newQuotaHarness(kind, checkedOutTask("limited", 101, "w", kind.step), checkedOutTask("limited", 102, "w", kind.step))
 		h.deliverNext(readyGang("limited", 1, kind.withMembers(2))...)
 		running := []uint64{101, 102}
-		for job := uint64(103); job < 163 && h.placedOf(1, 1) == 0; job++ {
-			h.deliverNext(readyOf("limited", job, kind.step))
+		for job := uint64(103); job < 163 && h.countPlaced(1, 1) == 0; job++ {
+			h.deliverNext(readyTask("limited", job, kind.step))
 			if len(running) > 0 {
 				h.deliverNext(newEvent(0, running[0], 0, queue.Inactive, "", kind.step))
 				running = running[1:]
 			}
 			h.advance(eventloop.Second / 2)
-			h.sendHeartbeat("w", wide(nil))
+			h.sendHeartbeat("w", withAmpleCapacity(nil))
 			for _, placed := range h.placedJobs() {
 				if placed > 1 {
-					h.deliverNext(outOf("limited", placed, "w", kind.step))
+					h.deliverNext(checkedOutTask("limited", placed, "w", kind.step))
 					running = append(running, placed)
 				}
 			}
-			if h.placedOf(1, 1) == 0 {
+			if h.countPlaced(1, 1) == 0 {
 				h.notified = nil
 			}
 		}
-		So(h.placedOf(1, 1), ShouldEqual, 2)
+		So(h.countPlaced(1, 1), ShouldEqual, 2)
 	})
 }
 
@@ -186,9 +186,9 @@
 			h.deliverNext(newEvent(0, 1000, 0, queue.CheckedOut, "w", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 500, MemoryMb: 10}))
 			var list []*queue.TaskEvent
 			for job := uint64(1); job <= 60; job++ {
-				list = append(list, of(fmt.Sprint("t", int(job)%tenants), newEvent(0, job, 0, queue.Ready, "", large)))
+				list = append(list, forTenant(fmt.Sprint("t", int(job)%tenants), newEvent(0, job, 0, queue.Ready, "", large)))
 			}
-			list = append(list, of("t0", newEvent(0, 2000, 0, queue.Ready, "", small)))
+			list = append(list, forTenant("t0", newEvent(0, 2000, 0, queue.Ready, "", small)))
 			h.advance(TickInterval)
 			h.deliverNext(list...)
 			h.advance(3 * TickInterval)
@@ -205,9 +205,9 @@
 		h := newHarness("w")
 		h.configure([]*schema.ConfigurationRow{tenantRow("light", "weight_milli", 1000), tenantRow("heavy", "weight_milli", 19_000), queueRow("l", "urgency", "10")}, "w")
 		step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1000, MemoryMb: 10}
-		list := []*queue.TaskEvent{readyOf("light", 1, step)}
+		list := []*queue.TaskEvent{readyTask("light", 1, step)}
 		for job := uint64(2); job <= 300; job++ {
-			list = append(list, readyOf("heavy", job, step))
+			list = append(list, readyTask("heavy", job, step))
 		}
 		h.syncQueue("l", 10, list...)
 		const turns = 100 // in which 100 tasks end, of which the light tenant's share is five
@@ -221,7 +221,7 @@
 			for _, job := range h.placedJobs() {
 				hasStarted = hasStarted || job == 1
 				out = append(out, job)
-				h.deliverNext(outOf("heavy", job, "w", step))
+				h.deliverNext(checkedOutTask("heavy", job, "w", step))
 			}
 			h.deliverNext(newEvent(0, out[0], 0, queue.Inactive, "", step))
 			out = out[1:]
--- a/internal/scheduler/tenant_shares.go
+++ b/internal/scheduler/tenant_shares.go
@@ -55,15 +55,15 @@
 }
 
 // of returns a tenant's share.
-func (p *poolShares) of(s *Scheduler, name string) *tenantShare {
+func (p *poolShares) shareOf(s *Scheduler, name string) *tenantShare {
 	if share := p.byTenant[name]; share != nil {
 		return share
 	}
 	share := &tenantShare{}
 	if tenant := s.tenantOf(name); tenant != nil && p.activeWeight > 0 {
-		part := float64(tenant.WeightMilli) / p.activeWeight
-		share.used = s.poolUse[p.pool].of(name)
-		share.fair = resources{int64(part * float64(p.total.cores)), int64(part * float64(p.total.memory)), int64(part * float64(p.total.accelerators))}
+		fraction := float64(tenant.WeightMilli) / p.activeWeight
+		share.used = s.poolUse[p.pool].usedBy(name)
+		share.fair = resources{int64(fraction * float64(p.total.cores)), int64(fraction * float64(p.total.memory)), int64(fraction * float64(p.total.accelerators))}
 	}
 	p.byTenant[name] = share
 	return share
--- a/internal/scheduler/tenant_use.go
+++ b/internal/scheduler/tenant_use.go
@@ -58,7 +58,7 @@
 }
 
 // of returns what a tenant uses.
-func (u *tenantUse) of(tenant string) resources {
+func (u *tenantUse) usedBy(tenant string) resources {
 	if u == nil {
 		return resources{}
 	}
@@ -66,24 +66,24 @@
 }
 
 // addAll adds a use so many times.
-func (u *tenantUse) addAll(other tenantUse, times int64) {
+func (u *tenantUse) addAll(other tenantUse, factor int64) {
 	for tenant, size := range other.byTenant {
-		u.add(tenant, size.times(times))
+		u.add(tenant, size.times(factor))
 		if u.byTenant[tenant] == (resources{}) {
 			delete(u.byTenant, tenant)
 		}
 	}
-	u.unassigned.add(other.unassigned.times(times))
+	u.unassigned.add(other.unassigned.times(factor))
 }
 
 // countTenantUse adds what was last summed up for a worker to the sums by tenant, or with -1
 // takes it out.
-func (s *Scheduler) countTenantUse(w *worker, times int64) {
+func (s *Scheduler) countTenantUse(w *worker, factor int64) {
 	if s.poolUse[w.summedPool] == nil {
 		s.poolUse[w.summedPool] = &tenantUse{}
 	}
-	s.poolUse[w.summedPool].addAll(w.tenantUse, times)
-	s.tenantUse.addAll(w.tenantUse, times)
+	s.poolUse[w.summedPool].addAll(w.tenantUse, factor)
+	s.tenantUse.addAll(w.tenantUse, factor)
 }
 
 // sumTenantUse returns what each tenant uses now, beside the use of runs that may be anybody's.
--- a/internal/scheduler/tenant_view.go
+++ b/internal/scheduler/tenant_view.go
@@ -52,12 +52,12 @@
 		tenantUse: s.sumTenantUse(), knowsAllRuns: s.knowsAllRuns(now), accounts: map[string]*tenantAccount{},
 	}}
 	for _, name := range s.config.Tenants() {
-		views.of(name).WeightMilli = s.config.Tenant(name).WeightMilli
+		views.viewOf(name).WeightMilli = s.config.Tenant(name).WeightMilli
 	}
 	for _, tasks := range s.tasksByWorker {
 		for _, t := range tasks {
 			if t.tenant != "" {
-				views.of(t.tenant).TasksRunning++
+				views.viewOf(t.tenant).TasksRunning++
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 }
 
 // of returns the view of a tenant, and makes it if there is none yet.
-func (v *tenantViews) of(name string) *TenantView {
+func (v *tenantViews) viewOf(name string) *TenantView {
 	if v.byName[name] == nil {
 		account := v.pass.accountOf(v.scheduler, name)
 		v.byName[name] = &TenantView{Tenant: name, Used: account.used.view(), Limit: account.limit.view()}
@@ -84,7 +84,7 @@
 func (v *tenantViews) addReady(q *queueView) {
 	for _, t := range q.reserved {
 		if t.tenant != "" {
-			v.of(t.tenant).TasksReady++
+			v.viewOf(t.tenant).TasksReady++
 		}
 	}
 	for _, group := range q.byShape {
@@ -101,14 +101,14 @@
 // than what waits for workers.
 func (v *tenantViews) addReadyStep(step *stepQueue) {
 	first := step.first()
-	view := v.of(first.tenant)
+	view := v.viewOf(first.tenant)
 	view.TasksReady += step.ready.Len()
-	view.WaitingUs = max(view.WaitingUs, int64(v.now-first.since))
+	view.WaitingUs = max(view.WaitingUs, int64(v.now-first.stateSince))
 	account := v.pass.accountOf(v.scheduler, first.tenant)
 	switch {
 	case account.isUncertain && account.hasLimit():
 		view.WaitsFor = waitsForLeadership
-	case !v.pass.mayTakeAny(v.scheduler, step):
+	case !v.pass.allowsAnyTask(v.scheduler, step):
 		// Of several the same one each time, in whatever order the steps are looked at.
 		if reason := account.describeQuota(resourcesOf(step.spec), v.pass.tenantUse.unassigned); reason > view.WaitsFor || view.WaitsFor == waitsForWorkers {
 			view.WaitsFor = reason
--- a/internal/scheduler/tenant_view_test.go
+++ b/internal/scheduler/tenant_view_test.go
@@ -26,8 +26,8 @@
 	Convey("The state view shows what each tenant uses, may use and waits for", t, func() {
 		h := newQuotaHarness(cores)
 		h.syncQueue("l", 10,
-			outOf("limited", 1, "w", cores.step), outOf("limited", 2, "w", cores.step), readyOf("limited", 3, cores.step),
-			outOf("free", 4, "w", cores.step),
+			checkedOutTask("limited", 1, "w", cores.step), checkedOutTask("limited", 2, "w", cores.step), readyTask("limited", 3, cores.step),
+			checkedOutTask("free", 4, "w", cores.step),
 		)
 		h.now += 5 * eventloop.Second
 		h.confirmLeadership(true)
@@ -44,35 +44,35 @@
 		})
 		So(h.tenantView("equal").TasksReady, ShouldEqual, 0)
 	})
-	eachKind(t, "It names the kind of resource of which the limit leaves too little", func(kind quotaKind) {
+	forEachKind(t, "It names the kind of resource of which the limit leaves too little", func(kind quotaKind) {
 		h := newQuotaHarness(kind)
-		h.syncQueue("l", 10, outOf("limited", 1, "w", kind.step), outOf("limited", 2, "w", kind.step), readyOf("limited", 3, kind.step))
+		h.syncQueue("l", 10, checkedOutTask("limited", 1, "w", kind.step), checkedOutTask("limited", 2, "w", kind.step), readyTask("limited", 3, kind.step))
 		So(h.tenantView("limited").WaitsFor, ShouldEqual, map[string]string{
 			"cores": "its tenant's quota: 0.8 of 1 cores", "memory": "its tenant's quota: 800 of 1000 MB of memory", "accelerators": "its tenant's quota: 2 of 2 accelerators",
 		}[kind.name])
 	})
 	Convey("Runs of which nobody knows the tenant count, and are named", t, func() {
 		h := newQuotaHarness(cores)
-		h.sendHeartbeat("w", lists(runOf(9, "", cores.step)))
-		h.syncQueue("l", 10, outOf("limited", 1, "w", cores.step), readyOf("limited", 3, cores.step))
+		h.sendHeartbeat("w", withAmpleCapacityRunning(runningStatus(9, "", cores.step)))
+		h.syncQueue("l", 10, checkedOutTask("limited", 1, "w", cores.step), readyTask("limited", 3, cores.step))
 		So(h.tenantView("limited").WaitsFor, ShouldEqual, "its tenant's quota: 0.8 of 1 cores (0.4 by runs of unknown tenants)")
 	})
 	Convey("A gang that doesn't fit as a whole waits for the quota as well", t, func() {
 		h := newQuotaHarness(cores)
-		h.syncQueue("l", 10, append(readyGang("limited", 1, cores.withMembers(3)), outOf("limited", 2, "w", cores.step))...)
+		h.syncQueue("l", 10, append(readyGang("limited", 1, cores.withMembers(3)), checkedOutTask("limited", 2, "w", cores.step))...)
 		So(h.tenantView("limited").WaitsFor, ShouldEqual, "its tenant's quota: 0.4 of 1 cores")
 	})
 	Convey("Where another node leads a queue, that is what a limited tenant waits for", t, func() {
 		h := newHarness("w")
 		h.configure(cores.rows("l", "m"), "w")
-		h.syncQueue("l", 10, readyOf("limited", 1, cores.step), readyOf("free", 2, &schema.Step{Name: "s", Tasks: 1, CoresMilli: 99_000}))
+		h.syncQueue("l", 10, readyTask("limited", 1, cores.step), readyTask("free", 2, &schema.Step{Name: "s", Tasks: 1, CoresMilli: 99_000}))
 		So(h.scheduler.stateView(h.now).LeadsAllQueues, ShouldBeFalse)
 		So(h.tenantView("limited").WaitsFor, ShouldEqual, waitsForLeadership)
 		So(h.tenantView("free").WaitsFor, ShouldEqual, waitsForWorkers)
 	})
 	Convey("A tenant that was removed is shown while it has tasks", t, func() {
 		h := newQuotaHarness(cores)
-		h.syncQueue("l", 10, outOf("limited", 1, "w", cores.step))
+		h.syncQueue("l", 10, checkedOutTask("limited", 1, "w", cores.step))
 		h.configure([]*schema.ConfigurationRow{queueRow("l", "urgency", "10")}, "w")
 		state := proto.Clone(h.scheduler.clusterState).(*schema.ClusterState)
 		state.Configuration.FormerTenants = []*schema.ConfigurationRow{tenantRow("limited", "max_cores_milli", cores.limit)}
--- a/internal/scheduler/tenants.go
+++ b/internal/scheduler/tenants.go
@@ -39,7 +39,7 @@
 
 // takes reports whether the tenant may have these tasks, which are one task or a whole gang.
 // Those whose checkout may yet be committed are in use already.
-func (a *tenantAccount) takes(tasks []*task, need resources) bool {
+func (a *tenantAccount) allows(tasks []*task, need resources) bool {
 	switch {
 	case !a.hasLimit():
 		return true
@@ -48,7 +48,7 @@
 	case tasks[0].hasOpenCheckout:
 		return a.isWithinLimit()
 	case tasks[0].spec.Gang:
-		return a.takesGang(need, len(tasks))
+		return a.allowsGang(need, len(tasks))
 	}
 	return a.room(need) > 0
 }
@@ -89,7 +89,7 @@
 
 // takesGang reports whether the tenant may have all members of a gang of this size. One that
 // is wider than the limit may run alone, if the deployment's overrun and one member more cover it.
-func (a *tenantAccount) takesGang(need resources, members int) bool {
+func (a *tenantAccount) allowsGang(need resources, members int) bool {
 	if a.room(need) >= int64(members) {
 		return true
 	}
@@ -138,7 +138,7 @@
 
 // takeable returns the ready tasks of a step that its tenant may have next: one, or all members
 // of a gang; nil: none. Of tasks without room those are taken that have theirs already.
-func (a *tenantAccount) takeable(step *stepQueue, urgency int64) []*task {
+func (a *tenantAccount) nextAllowedTasks(step *stepQueue, urgency int64) []*task {
 	if a.claim != nil && a.claim.step != step.key && urgency <= a.claim.urgency {
 		return nil
 	}
@@ -147,7 +147,7 @@
 		members = step.ready.Len()
 	}
 	need := resourcesOf(step.spec)
-	if tasks := step.firstReady(members); a.takes(tasks, need) {
+	if tasks := step.firstReady(members); a.allows(tasks, need) {
 		return tasks
 	}
 	if !a.hasOpenCheckouts || step.spec.Gang {
@@ -155,7 +155,7 @@
 	}
 	var open []*task
 	step.ready.Ascend(func(t *task) bool {
-		if t.hasOpenCheckout && a.takes([]*task{t}, need) {
+		if t.hasOpenCheckout && a.allows([]*task{t}, need) {
 			open = []*task{t}
 		}
 		return open == nil
@@ -164,9 +164,9 @@
 }
 
 // mayTakeAny reports whether a step's tenant may have any more of its tasks.
-func (p *passState) mayTakeAny(s *Scheduler, step *stepQueue) bool {
+func (p *passState) allowsAnyTask(s *Scheduler, step *stepQueue) bool {
 	account := p.accountOf(s, step.first().tenant)
-	return !account.hasLimit() || account.takeable(step, s.queues[step.key.queue].urgency) != nil
+	return !account.hasLimit() || account.nextAllowedTasks(step, s.queues[step.key.queue].urgency) != nil
 }
 
 // tenantOf returns what is configured of a tenant, or was last, if it has been removed; nil:
@@ -186,24 +186,24 @@
 	if !s.isClusterStateCurrent(now) {
 		return false
 	}
-	ledCount := 0
+	ledQueues := 0
 	for _, place := range s.clusterState.Queues {
 		q := s.queues[place.Queue]
 		switch {
 		case q != nil && s.mayActFor(now, q):
-			ledCount++
+			ledQueues++
 		case q != nil || s.addedQueues[place.Queue] != place.Generation:
 			return false
 		}
 	}
-	return ledCount > 0
+	return ledQueues > 0
 }
 
 // noteAddedQueues notes the queues of a new cluster state that the one before didn't have, if
 // this node has known all that runs for longer than a copy of the cluster state may be old: then
 // they were added while it led all others, and no predecessor could place anything of theirs.
 func (s *Scheduler) noteAddedQueues(now eventloop.Micros, state *schema.ClusterState) {
-	if !s.knowsAllRuns(now) || s.knowsAllSince == 0 || now-s.knowsAllSince <= timing.FromBounds(s.bounds).FormerLeaseTimeout {
+	if !s.knowsAllRuns(now) || s.knowsAllRunsSince == 0 || now-s.knowsAllRunsSince <= timing.FromBounds(s.bounds).FormerLeaseTimeout {
 		return
 	}
 	known := map[string]uint64{}
@@ -218,12 +218,12 @@
 }
 
 // trackKnowledge keeps since when this node has known all that runs.
-func (s *Scheduler) trackKnowledge(now eventloop.Micros) {
+func (s *Scheduler) updateKnowsAllRunsSince(now eventloop.Micros) {
 	switch {
 	case !s.knowsAllRuns(now):
-		s.knowsAllSince = 0
-	case s.knowsAllSince == 0:
-		s.knowsAllSince = now
+		s.knowsAllRunsSince = 0
+	case s.knowsAllRunsSince == 0:
+		s.knowsAllRunsSince = now
 	}
 }
 
@@ -231,5 +231,5 @@
 // scheduler may have come to lead all.
 func (s *Scheduler) forgetAddedQueues() {
 	clear(s.addedQueues)
-	s.knowsAllSince = 0
+	s.knowsAllRunsSince = 0
 }
--- a/internal/scheduler/workers.go
+++ b/internal/scheduler/workers.go
@@ -35,9 +35,9 @@
 	running  map[attemptKey]*schema.TaskStatus
 	ended    map[attemptKey]*endReport
 
-	resolved    map[namedAttempt]attemptKey // what the names in its statuses stand for
-	unknownRuns []*schema.TaskStatus        // runs of which no task is known
-	unknownEnds []*schema.TaskStatus        // ends of which no task is known
+	resolvedAttempts map[namedAttempt]attemptKey // what the names in its statuses stand for
+	unknownRuns      []*schema.TaskStatus        // runs of which no task is known
+	unknownEnds      []*schema.TaskStatus        // ends of which no task is known
 
 	quality
 	usageSummary
@@ -56,7 +56,7 @@
 	pool          string
 	labels        []string
 	hasBarrier    bool // it has the members of a gang wait for each other
-	usesNames     bool // its statuses name tasks by job instead of by queue and key
+	usesTaskNames bool // its statuses name tasks by job instead of by queue and key
 	isDraining    bool
 	drainingSince eventloop.Micros // when that was first reported
 	departsAt     eventloop.Micros // while it drains; 0: unknown
@@ -65,15 +65,15 @@
 
 func (s *Scheduler) addWorker(now eventloop.Micros, id string, fencingToken uint64) {
 	w := &worker{
-		id:           id,
-		fencingToken: fencingToken,
-		leaseSince:   now,
-		tasks:        s.tasksOn(id),
-		reserved:     map[taskKey]*task{},
-		running:      map[attemptKey]*schema.TaskStatus{},
-		ended:        map[attemptKey]*endReport{},
-		resolved:     map[namedAttempt]attemptKey{},
-		usageSummary: usageSummary{isUsageStale: true},
+		id:               id,
+		fencingToken:     fencingToken,
+		leaseSince:       now,
+		tasks:            s.tasksOn(id),
+		reserved:         map[taskKey]*task{},
+		running:          map[attemptKey]*schema.TaskStatus{},
+		ended:            map[attemptKey]*endReport{},
+		resolvedAttempts: map[namedAttempt]attemptKey{},
+		usageSummary:     usageSummary{isUsageStale: true},
 	}
 	for _, q := range s.queues {
 		for key, t := range q.reserved {
@@ -117,7 +117,7 @@
 }
 
 // taskOf is the task that is checked out to the worker under just this attempt, or nil.
-func (w *worker) taskOf(key attemptKey) *task {
+func (w *worker) taskForAttempt(key attemptKey) *task {
 	if t := w.tasks[key.taskKey]; t != nil && t.attempt == key.attempt {
 		return t
 	}
@@ -169,7 +169,7 @@
 			s.closePoll(w, effects)
 		}
 		if !known {
-			s.returnTasksOfDead(now, id, effects)
+			s.returnTasksOfDeadWorker(now, id, effects)
 		}
 	}
 }
@@ -187,14 +187,14 @@
 func (s *Scheduler) removeDeadWorkers(now eventloop.Micros, effects eventloop.Effects) {
 	for _, id := range slices.Sorted(maps.Keys(s.deadWorkers)) {
 		if len(s.tasksByWorker[id]) > 0 {
-			s.returnTasksOfDead(now, id, effects)
+			s.returnTasksOfDeadWorker(now, id, effects)
 		} else if now-s.deadWorkers[id] > deadWorkerRetention {
 			delete(s.deadWorkers, id)
 		}
 	}
 }
 
-func (s *Scheduler) returnTasksOfDead(now eventloop.Micros, id string, effects eventloop.Effects) {
+func (s *Scheduler) returnTasksOfDeadWorker(now eventloop.Micros, id string, effects eventloop.Effects) {
 	w := s.workers[id]
 	for _, t := range sortedTasks(s.tasksByWorker[id]) {
 		// An end that it reported before it died is forwarded as such.
--- a/internal/scheduler/workers_test.go
+++ b/internal/scheduler/workers_test.go
@@ -41,11 +41,11 @@
 		h.sendHeartbeat("w", nil)
 		So(h.lastReply().Orders.Orders, ShouldHaveLength, 1)
 		answered := h.now
-		deaf := func(a *schema.WorkerHeartbeat) { a.Unanswered = true }
+		unanswered := func(a *schema.WorkerHeartbeat) { a.Unanswered = true }
 		for h.now < answered+5*eventloop.Second {
 			h.now += 100 * eventloop.Millisecond
 			h.confirmLeadership(true)
-			h.sendHeartbeat("w", deaf)
+			h.sendHeartbeat("w", unanswered)
 			// That grants nothing, so the lease ends by the last response before.
 			So(h.lastReply().Orders, ShouldBeNil)
 			h.deliver(eventloop.Tick{})
@@ -53,7 +53,7 @@
 		}
 		h.now += 100 * eventloop.Millisecond
 		h.confirmLeadership(true)
-		h.sendHeartbeat("w", deaf)
+		h.sendHeartbeat("w", unanswered)
 		h.deliver(eventloop.Tick{})
 		So(h.endReports(), ShouldHaveLength, 1)
 		So(h.endReports()[0].Outcome, ShouldEqual, "lost")
