--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -8,23 +8,23 @@
 	"sparnotch/internal/replica"
 )
 
-// applyEvents brings the view of a queue up to date with what its leader's state
-// machine has committed: numbered events, or the whole list of its tasks.
+// applyEvents updates the view of a queue with what the state machine of its leader has
+// committed: either numbered events or a snapshot of all its tasks.
 func (s *Scheduler) applyEvents(now eventloop.Micros, m replica.TaskEvents, effects eventloop.Effects) {
 	if m.IsSnapshot {
 		s.replaceQueue(now, m)
 	} else if !s.applyNewEvents(now, m, effects) {
 		return
 	}
-	// A task that went out took its capacity when it was reserved; only tasks that
-	// became ready call for a pass.
+	// A task that was checked out has used its capacity since its reservation, so only
+	// tasks that became ready require a pass.
 	if m.IsSnapshot || slices.ContainsFunc(m.Events, func(event *queue.TaskEvent) bool { return event.Status == queue.Ready }) {
 		s.needsPass = true
 	}
 	s.needsGangCheck = true
 }
 
-// replaceQueue makes the view of a queue anew from the whole list of its tasks.
+// replaceQueue rebuilds the view of a queue from a snapshot of all its tasks.
 func (s *Scheduler) replaceQueue(now eventloop.Micros, m replica.TaskEvents) {
 	previous, isSameTerm := map[taskKey]task{}, false
 	q := newQueueView(m.Queue, m.Group, m.Term)
@@ -51,8 +51,9 @@
 	q.lastSequence = m.LastSequence
 }
 
-// inheritAttempts keeps what only the scheduler knew of attempts that go on. Checkouts may yet
-// be committed in the same term alone: a view of a later one has all that were.
+// inheritAttempts copies from the previous view what only the scheduler knew of attempts that
+// still exist. Proposed checkouts are kept only within the same term: a proposal of an earlier
+// term can't be committed any more, and a view of a later term contains all that were committed.
 func (s *Scheduler) inheritAttempts(previous map[taskKey]task, q *queueView, isSameTerm bool) {
 	for key, t := range q.tasks {
 		old, found := previous[key]
@@ -73,7 +74,7 @@
 	}
 }
 
-// inherit takes over what was observed of the same attempt.
+// inherit copies what was observed of the same attempt from the task's former state.
 func (t *task) inherit(old *task) {
 	t.evictOutcome, t.attemptProgress, t.isBoosted = old.evictOutcome, old.attemptProgress, old.isBoosted
 	t.returnedAt = old.returnedAt
@@ -82,8 +83,8 @@
 	}
 }
 
-// applyNewEvents applies the events that follow those already known. It reports
-// false where they are of another term than the view.
+// applyNewEvents applies the events that follow the latest applied one. It reports
+// false if the queue isn't known or the events belong to another term than its view.
 func (s *Scheduler) applyNewEvents(now eventloop.Micros, m replica.TaskEvents, effects eventloop.Effects) bool {
 	q := s.queues[m.Queue]
 	if q == nil || q.term != m.Term {
@@ -94,7 +95,7 @@
 			continue
 		}
 		if event.Sequence != q.lastSequence+1 {
-			// An event is missing: ask for the whole list.
+			// An event is missing, so the view can only be rebuilt from a snapshot.
 			s.counts.Gaps++
 			effects.Notify("replica", replica.ResyncQueue{Group: m.Group})
 			break
@@ -105,7 +106,7 @@
 	return true
 }
 
-// applyEvent puts a task into the state that the event states.
+// applyEvent changes the view of a task to the state that the event reports.
 func (s *Scheduler) applyEvent(now eventloop.Micros, q *queueView, event *queue.TaskEvent) {
 	key := taskKey{q.name, event.Key.Job, event.Key.Step, event.Key.Task}
 	old := q.tasks[key]
@@ -135,6 +136,7 @@
 	q.trackChange(now, old, t)
 }
 
+// addTask adds a task to the view of its queue and to the indexes by name and worker.
 func (s *Scheduler) addTask(q *queueView, t *task) {
 	q.tasks[t.key] = t
 	q.countUnended(t.key.stepKey(), 1)
@@ -162,6 +164,7 @@
 	}
 }
 
+// removeTask reverses addTask, and releases the task's reservation if it has one.
 func (s *Scheduler) removeTask(q *queueView, key taskKey) {
 	t := q.tasks[key]
 	if t == nil {
@@ -193,6 +196,7 @@
 	}
 }
 
+// removeName removes a task from the index by name.
 func (s *Scheduler) removeName(t *task) {
 	others := slices.DeleteFunc(s.tasksByName[t.name()], func(other *task) bool { return other == t })
 	if len(others) == 0 {
@@ -202,7 +206,7 @@
 	}
 }
 
-// dropQueue forgets a queue that this node no longer leads.
+// dropQueue removes the view of a queue with all its tasks.
 func (s *Scheduler) dropQueue(name string) {
 	q := s.queues[name]
 	if q == nil {
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/limits.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// minStopTimeout is how long preemption waits for a stop at least.
+	// minStopTimeout is the minimum of stopTimeout.
 	minStopTimeout = 3 * eventloop.Second
-	// departureStopLead is how long before its worker departs a task is stopped to
-	// save a checkpoint.
+	// departureStopLead is the time before a worker's departure at which a task is
+	// stopped so that it saves a checkpoint.
 	departureStopLead = 500 * eventloop.Millisecond
 )
 
-// evict has a task stopped; the outcome is what its end will be reported as.
+// evict orders the stop of a task. Its end will be reported to its queue with the given outcome.
 func (s *Scheduler) evict(t *task, outcome string) {
 	t.evictOutcome = outcome
 	if w := s.workers[t.worker]; w != nil {
@@ -21,9 +21,8 @@
 	}
 }
 
-// enforceLimits evicts those of a worker's tasks that have run too long, stand
-// still, can't finish before the worker departs, or wait in a gang that doesn't
-// come together.
+// enforceLimits evicts those tasks of a worker that have run too long, are stuck, can't
+// finish before the worker departs, or wait too long for the other members of their gang.
 func (s *Scheduler) enforceLimits(now eventloop.Micros, w *worker) {
 	for key, status := range w.running {
 		if t := w.taskForAttempt(key); t != nil && t.evictOutcome == "" {
@@ -38,7 +37,7 @@
 	}
 }
 
-// enforceRunLimits evicts a task that its worker has, by what is reported of its run.
+// enforceRunLimits evicts a task if the reported status of its run exceeds a limit.
 func (s *Scheduler) enforceRunLimits(now eventloop.Micros, w *worker, t *task, status *schema.TaskStatus) {
 	if status.State == runStateRunning && s.exceedsLimits(now, w, t, status) {
 		s.evict(t, outcomeFailed)
@@ -53,7 +52,7 @@
 	}
 }
 
-// enforceGangLimits evicts a member of a gang that doesn't come together.
+// enforceGangLimits evicts a member of a gang that has waited too long for the other members.
 func (s *Scheduler) enforceGangLimits(now eventloop.Micros, w *worker, t *task) {
 	if w.hasBarrier {
 		s.breakUpGang(now, t)
@@ -62,8 +61,8 @@
 	}
 }
 
-// exceedsLimits reports whether a run is over the time limit, or over the limit on
-// time without progress, of its step or else of its queue.
+// exceedsLimits reports whether a run exceeds its limit on run time or its limit on time
+// without progress. A limit of the step takes precedence over that of the queue.
 func (s *Scheduler) exceedsLimits(now eventloop.Micros, w *worker, t *task, status *schema.TaskStatus) bool {
 	limitOf := func(stepLimit int64, queueKey string) int64 {
 		if stepLimit > 0 {
@@ -71,12 +70,12 @@
 		}
 		return s.config.Number("queue", t.key.queue, queueKey) * int64(eventloop.Millisecond)
 	}
-	age := int64(now - w.lastHeard) // of the status
+	age := int64(now - w.lastHeard) // age of the status
 	runLimit, stallLimit := limitOf(t.spec.TimeLimitUs, "limit_ms"), limitOf(t.spec.StallTimeoutUs, "still_ms")
 	return runLimit > 0 && status.RunUs+age > runLimit || stallLimit > 0 && status.IdleUs+age > stallLimit
 }
 
-// evictStuck stops a task that stands still on this worker, which may be why.
+// evictStuck stops a stuck task and ejects its worker, which may be the cause.
 func (s *Scheduler) evictStuck(now eventloop.Micros, w *worker, t *task) {
 	t.stuckStops++
 	if t.spec.Gang {
@@ -89,14 +88,14 @@
 }
 
 // mustCheckpoint reports whether a task must be stopped now to save a checkpoint
-// before its worker departs. What saves none may as well run on.
+// before its worker departs. A task that saves no checkpoints gains nothing by a stop.
 func (s *Scheduler) mustCheckpoint(now eventloop.Micros, w *worker, t *task) bool {
 	return w.isDraining && w.departsAt > 0 && t.spec.Checkpoints &&
 		now+departureStopLead >= w.departsAt && now+s.remainingRuntime(now, w, t) > w.departsAt
 }
 
-// watchStop marks a stop that takes too long, so that preemption counts on its
-// resources no longer.
+// watchStop marks a stop that takes too long, so that preemption no longer counts on the
+// resources that the stop will free.
 func (s *Scheduler) watchStop(now eventloop.Micros, w *worker, t *task) {
 	if !t.isStopping() {
 		return
@@ -109,13 +108,14 @@
 	}
 }
 
-// stopTimeout is how long preemption waits for a stop.
+// stopTimeout returns the time for which preemption waits for a stop.
 func (s *Scheduler) stopTimeout() eventloop.Micros {
 	return max(2*eventloop.Micros(s.bounds.GetStopTimeoutUs()), minStopTimeout)
 }
 
-// exceedsHold reports whether a member of a gang has been held for too long. Once
-// the gang's start has been proposed, only the log knows what becomes of it.
+// isHeldTooLong reports whether a member of a gang has waited for the gang's start for
+// longer than gangHoldTimeout. After a proposal of the start it waits as long again, since
+// the proposal may still be committed.
 func (t *task) isHeldTooLong(now eventloop.Micros) bool {
 	return t.isActive() && !t.isGangStarted && now-t.stateSince > gangHoldTimeout &&
 		(t.gangStartProposedAt == 0 || now-t.gangStartProposedAt > gangHoldTimeout)
--- a/internal/scheduler/queue_view.go
+++ b/internal/scheduler/queue_view.go
@@ -3,24 +3,24 @@
 // queueView is the scheduler's copy of a queue that this node leads.
 type queueView struct {
 	name, raftGroup string
-	term            uint64 // in which this node leads it
-	lastSequence    uint64 // of the latest event applied
-	urgency         int64  // higher is served first
+	term            uint64 // Raft term in which this node leads the queue
+	lastSequence    uint64 // sequence number of the latest applied event
+	urgency         int64  // queues with a higher urgency are served first
 	maxRunning      int64  // maximum number of checked-out tasks
-	pool            string // of workers, that its tasks run in; empty: those without one
+	pool            string // worker pool in which its tasks run; empty: workers without a pool
 	latencyTarget
 
 	tasks           map[taskKey]*task
-	checkedOutCount int                        // checked out or stopping
-	usage           resources                  // by those
-	boostedCores    int64                      // milli cores, by those that are boosted
-	peakUsage       decayingPeak               // of usage
-	tasksPerWorker  map[stepKey]map[string]int // checked out or reserved, by worker id
-	reserved        map[taskKey]*task          // ready, with a checkout on the way
-	openCheckouts   map[taskKey]*task          // ready, with a checkout that was given up but may yet be committed
-	pendingGangs    map[taskKey]*task          // checked-out gangs whose start isn't committed, by their first member
+	checkedOutCount int                        // number of tasks that are checked out or stopping
+	usage           resources                  // resources of those tasks
+	boostedCores    int64                      // milli cores of those tasks that are boosted
+	peakUsage       decayingPeak               // decaying peak of usage
+	tasksPerWorker  map[stepKey]map[string]int // number of a step's tasks that are checked out or reserved, by worker id
+	reserved        map[taskKey]*task          // ready tasks with a proposed checkout that isn't committed
+	openCheckouts   map[taskKey]*task          // ready tasks whose proposed checkout was given up but may still be committed
+	pendingGangs    map[taskKey]*task          // first members of checked-out gangs whose start isn't committed
 	stepProgress    map[stepKey]*stepProgress
-	totals          queueTotals // since the latest report
+	totals          queueTotals // totals since the latest report
 	readyIndex
 }
 
@@ -38,7 +38,7 @@
 	}
 }
 
-// countOnWorker adds to the number of a step's tasks on a worker.
+// countOnWorker adds delta to the number of tasks of t's step on a worker.
 func (q *queueView) countOnWorker(t *task, worker string, delta int) {
 	key := t.key.stepKey()
 	if q.tasksPerWorker[key] == nil {
@@ -52,7 +52,7 @@
 	}
 }
 
-// hasBacklog reports whether more tasks are ready than one checkout takes.
+// hasBacklog reports whether more tasks are ready than one checkout can place.
 func (s *Scheduler) hasBacklog() bool {
 	ready := 0
 	for _, q := range s.queues {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -4,17 +4,17 @@
 //
 // The central type is Scheduler, a component of the event loop: a step function
 // that owns its state, never blocks and reads no clock. The queues' state
-// machines own which task is ready or checked out; the scheduler keeps a view of
-// it (queueView) that it rebuilds from numbered events, and a view of each worker
-// from the worker's heartbeats.
+// machines decide which tasks are ready or checked out. The scheduler keeps a view of
+// each queue (queueView), which it rebuilds from numbered events, and a view of each
+// worker, which it updates from the worker's heartbeats.
 //
 // A scheduling pass (pass.go) takes the ready tasks through the stages known from
-// Nomad and Kubernetes: filter the candidate workers (filter.go), score what is
-// left (score.go), and bind the task to the best one by proposing a checkout to
+// Nomad and Kubernetes: filter the candidate workers (filter.go), score the remaining
+// ones (score.go), and bind the task to the best one by proposing a checkout to
 // the queue's Raft group (bind.go). Tasks that find no capacity may preempt tasks
 // of less urgent queues (preempt.go). Once the checkout is committed, the
 // response to the worker's next poll carries the order: reconcile.go compares
-// what the queues want on a worker with what it says it runs.
+// the tasks checked out to a worker with the tasks that the worker reports as running.
 //
 // All times are in microseconds, cores in milli cores, memory in MB.
 package scheduler
@@ -30,53 +30,55 @@
 	"sparnotch/internal/schema"
 )
 
-// TickInterval is how often the event loop sends the scheduler a tick.
+// TickInterval is the time between two ticks that the event loop sends the scheduler.
 const TickInterval = 20 * eventloop.Millisecond
 
-// Scheduler decides which worker runs which task. Only its Step function may be
-// called once it runs in an event loop.
+// Scheduler decides which worker runs which task. Once it runs in an event loop, only
+// its Step method may be called.
 type Scheduler struct {
 	id                    string
-	bounds                *schema.Bounds // limits of the deployment, as the stop timeout
+	bounds                *schema.Bounds // limits of the deployment, such as the stop timeout
 	clusterState          *schema.ClusterState
 	config                *clusterstate.Values     // the settings of clusterState
 	weights               scoreWeights             // of config
-	rackWeights           map[string]int64         // of config, of the racks looked up so far; 0: its workers get no work
-	leadership            replica.LeadershipStatus // which queues this node may act for
-	leadershipConfirmedAt eventloop.Micros         // when that was so
+	rackWeights           map[string]int64         // weights by rack, read from config on first use; 0: the rack's workers get no work
+	leadership            replica.LeadershipStatus // queues that this node leads, by the latest status
+	leadershipConfirmedAt eventloop.Micros         // time at which leadership was confirmed
 
 	queues            map[string]*queueView
-	workers           map[string]*worker // those whose lease this scheduler holds
-	workerOrder       []*worker          // the same by id; nil: to be sorted again
+	workers           map[string]*worker // workers whose lease this scheduler holds, by id
+	workerOrder       []*worker          // the same workers sorted by id; nil: must be sorted again
 	tasksByWorker     map[string]map[taskKey]*task
 	tasksByName       map[taskName][]*task
-	tenantUse         tenantUse                   // sums over the workers
-	poolUse           map[string]*tenantUse       // the same by pool
-	addedQueues       map[string]uint64           // their generations: see knowsAllRuns
-	knowsAllRunsSince eventloop.Micros            // when this node came to know all that runs; 0: it does not
-	deadWorkers       map[string]eventloop.Micros // and when each was last reported dead
+	tenantUse         tenantUse                   // resources that tenants use, summed over the workers
+	poolUse           map[string]*tenantUse       // the same sums by pool
+	addedQueues       map[string]uint64           // generations of queues added while this node led all others; see knowsAllRuns
+	knowsAllRunsSince eventloop.Micros            // since when knowsAllRuns has held without a break; 0: it doesn't hold
+	deadWorkers       map[string]eventloop.Micros // time of the last report of each worker's death
 	runtimeModels     map[runtimeKey]*runtimeModel
 
 	needsPass          bool
-	needsGangCheck     bool             // a gang may have come to be held by all its workers
-	nextPassAt         eventloop.Micros // no pass before
-	lastReportAt       eventloop.Micros // the latest reports
-	lastFullPassAt     eventloop.Micros // the latest pass without a limit on unplaced steps
-	starvedPools       map[string]bool  // in which the latest pass found no capacity for some step
-	preemptionFailedAt eventloop.Micros // the latest pass in which nothing was found to preempt
-	candidateBuffer    []*candidate     // of the latest pass, for reuse
-	candidateCores     int64            // of all candidates of the latest pass
+	needsGangCheck     bool             // all workers of some gang may now hold it, so that it can start
+	nextPassAt         eventloop.Micros // earliest time of the next pass
+	lastReportAt       eventloop.Micros // time of the latest pool reports
+	lastFullPassAt     eventloop.Micros // time of the latest pass without a limit on unplaced steps
+	starvedPools       map[string]bool  // pools in which the latest pass found no capacity for some step
+	preemptionFailedAt eventloop.Micros // time of the latest pass that found nothing to preempt
+	candidateBuffer    []*candidate     // candidates of the latest pass; the next pass reuses the slice
+	candidateCores     int64            // milli cores of all candidates of the latest pass
 
 	counts Counts
 }
 
-// Counts are totals since the process started. Its field names are part of the
-// JSON of /v1/placements. LostTasks counts attempts that were reported as lost.
+// Counts holds totals since the process started. The names of its fields are part of the
+// JSON of /v1/placements. Starts, Stops and Holds count orders that were sent to workers,
+// LostTasks counts attempts that were reported as lost, and Gaps counts breaks in the
+// sequence of a queue's events.
 type Counts struct {
 	Starts, Stops, Holds, Preempted, LostTasks, Gaps uint64
 }
 
-// New makes the scheduler of the node with this process id.
+// New returns the scheduler of the node with this process id.
 func New(id string) *Scheduler {
 	s := &Scheduler{
 		id:            id,
@@ -95,7 +97,7 @@
 	return s
 }
 
-// adoptConfiguration takes over the settings of a configuration.
+// adoptConfiguration makes a configuration's settings those of the scheduler and its queues.
 func (s *Scheduler) adoptConfiguration(config *clusterstate.Values) {
 	s.config = config
 	s.weights, s.rackWeights = s.readScoreWeights(), map[string]int64{}
@@ -104,14 +106,14 @@
 	}
 }
 
-// configureQueue takes over what the configuration says of a queue.
+// configureQueue updates a queue's latency target and pool from the configuration.
 func (s *Scheduler) configureQueue(q *queueView) {
 	q.latencyTarget = s.latencyTargetOf(q.name)
 	q.pool = s.config.Text("queue", q.name, "pool")
 }
 
-// WithBounds sets what the deployment promises and demands; where that is nil or
-// zero the defaults hold.
+// WithBounds sets the limits of the deployment and returns the scheduler. The defaults apply
+// where bounds or one of its fields is nil or zero.
 func (s *Scheduler) WithBounds(bounds *schema.Bounds) *Scheduler {
 	s.bounds = bounds
 	return s
@@ -125,15 +127,15 @@
 	case *schema.ClusterStateResponse:
 		s.applyClusterState(now, body, effects)
 	case replica.LeadershipStatus:
-		// A process that was frozen finds statuses from before in its mailbox, so
-		// the age counts from when it was true, not from now.
+		// A process that was frozen finds old statuses in its mailbox, so the age of a
+		// status counts from the time at which it was true, not from its arrival.
 		s.leadership, s.leadershipConfirmedAt = body, cmp.Or(body.At, now)
 	case replica.TaskEvents:
 		s.applyEvents(now, body, effects)
 	case replica.ProposalDropped:
 		s.releaseDropped(body)
 	case replica.LeadershipLost:
-		// Nobody leads a queue that was removed.
+		// The loss of a removed queue doesn't count, since no other node leads it.
 		if clusterstate.FindQueue(s.clusterState, body.Queue) != nil {
 			s.forgetAddedQueues()
 		}
@@ -148,8 +150,8 @@
 	if s.needsPass && now >= s.nextPassAt {
 		s.needsPass = false
 		s.runPass(now, effects)
-		// A backlog loses nothing by a moment's delay, and a pass over it costs far
-		// more than the message that asks for it.
+		// A pass over a backlog costs far more than the message that requests it, and a
+		// short delay doesn't harm the backlog.
 		if s.hasBacklog() {
 			s.nextPassAt = now + passCooldown
 		}
@@ -161,6 +163,8 @@
 	s.respondToPolls(now, effects)
 }
 
+// handleTick does the periodic work: it forwards ends, enforces time limits, returns the tasks
+// of lost workers, requests a pass and sends reports.
 func (s *Scheduler) handleTick(now eventloop.Micros, effects eventloop.Effects) {
 	for _, w := range s.sortedWorkers() {
 		w.needsResponse = true
@@ -181,8 +185,8 @@
 	s.sendReports(now, effects)
 }
 
-// applyClusterState takes over the settings and the worker leases of a newer
-// cluster state.
+// applyClusterState adopts the configuration of a newer cluster state, and adds and drops
+// workers by its worker leases.
 func (s *Scheduler) applyClusterState(now eventloop.Micros, m *schema.ClusterStateResponse, effects eventloop.Effects) {
 	if m.State == nil {
 		return
@@ -209,8 +213,8 @@
 	s.needsPass = true
 }
 
-// sortedWorkers lists the workers by id. Every step goes over them, so the order
-// is kept between changes of the leases.
+// sortedWorkers returns the workers sorted by id. Every step iterates over them, so the
+// sorted list is kept until the leases change.
 func (s *Scheduler) sortedWorkers() []*worker {
 	if s.workerOrder == nil {
 		for _, id := range slices.Sorted(maps.Keys(s.workers)) {
@@ -220,7 +224,8 @@
 	return s.workerOrder
 }
 
+// fleetSetting returns a setting that applies to the whole fleet.
 func (s *Scheduler) fleetSetting(key string) int64 { return s.config.Fleet(key) }
 
-// poolOf is the pool of workers that a queue's tasks run in; empty: those without one.
+// poolOf returns the worker pool in which a queue's tasks run; empty: workers without a pool.
 func (s *Scheduler) poolOf(q *queueView) string { return q.pool }
--- a/internal/scheduler/task.go
+++ b/internal/scheduler/task.go
@@ -8,7 +8,7 @@
 	"sparnotch/internal/schema"
 )
 
-// Outcomes of a task's attempt, as reported to its queue.
+// Outcomes of an attempt at a task, as reported to the task's queue.
 const (
 	outcomeDone    = "done"
 	outcomeFailed  = "failed"
@@ -16,13 +16,13 @@
 	outcomeLost    = "lost"
 )
 
-// States of a run that hasn't ended, in a worker's task statuses.
+// States that a worker reports for a run that hasn't ended.
 const (
-	runStateHeld    = "held" // its resources are reserved, it waits for the gang's start
+	runStateHeld    = "held" // the task's resources are reserved until its gang starts
 	runStateRunning = "running"
 )
 
-// taskKey is a task, whatever its attempt; step counts over the rounds of the job.
+// taskKey identifies a task, across all its attempts. Steps are numbered across the rounds of a job.
 type taskKey struct {
 	queue string
 	job   uint64
@@ -30,7 +30,7 @@
 	task  uint32
 }
 
-// stepKey is a step of one round of a job.
+// stepKey identifies a step in one round of a job.
 type stepKey struct {
 	queue string
 	job   uint64
@@ -47,7 +47,7 @@
 	return cmp.Or(cmp.Compare(a.queue, b.queue), cmp.Compare(a.job, b.job), cmp.Compare(a.step, b.step), cmp.Compare(a.task, b.task))
 }
 
-// attemptKey is one attempt at a task.
+// attemptKey identifies one attempt at a task.
 type attemptKey struct {
 	taskKey
 	attempt uint32
@@ -61,70 +61,71 @@
 	return attemptKey{taskKey{status.Queue, status.Job, status.Step, status.Task}, status.Attempt}
 }
 
-// task is the scheduler's view of a task that is ready, checked out or stopping.
+// task is the scheduler's view of a task that is ready, checked out or stopping. It lasts for
+// one state of the task: each event replaces it, and what remains valid is copied.
 type task struct {
 	key                taskKey
 	state              queue.Status
 	attempt            uint32
-	worker             string // it is checked out to; empty while ready
-	incarnation        uint64 // of that worker
-	sequence           uint64 // of the event that checked it out
+	worker             string // worker to which the task is checked out; empty while the task is ready
+	incarnation        uint64 // incarnation of that worker
+	sequence           uint64 // sequence number of the event that led to this state
 	jobName            string
-	tenant             string // whose job it is; empty: nobody's
+	tenant             string // owner of the job; empty: none
 	round, stepInRound uint32
 	spec               *schema.Step
-	text               string           // the job's, for the worker
-	stateSince         eventloop.Micros // in its state
-	failures           uint32           // counted so far
-	isLost             bool             // an attempt of it, or of its gang, was lost with its worker
-	isBoosted          bool             // its checkout is, or was, paid from the pool's boosted share
-	initialCheckpoint  string           // that its next start begins from
-	roundDueAt         eventloop.Micros // when its job's round was due to begin
+	text               string           // text of the job, which the worker gets
+	stateSince         eventloop.Micros // when the task entered its state
+	failures           uint32           // failures that the queue has counted so far
+	isLost             bool             // an attempt at the task, or at its gang, was lost with its worker
+	isBoosted          bool             // the current or last checkout counts against the pool's boosted share
+	initialCheckpoint  string           // checkpoint from which the next start resumes
+	roundDueAt         eventloop.Micros // when the round of its job was due to begin
 	criticalPath
 
-	reservedWorker  string // while its checkout is on the way
+	reservedWorker  string // worker to which a checkout has been proposed but not committed
 	reservedAt      eventloop.Micros
-	hasOpenCheckout bool // see queueView.openCheckouts
+	hasOpenCheckout bool // the task is in queueView.openCheckouts
 	placementReason placementReason
 
-	evictOutcome      string           // to report once its worker has stopped it; empty: it may stay
-	returnedAt        eventloop.Micros // its loss was last reported
-	isEndAcknowledged bool             // by the queue, ahead of the event that says so
+	evictOutcome      string           // outcome to report once the worker has stopped the task; empty: not evicted
+	returnedAt        eventloop.Micros // when the attempt was last reported as lost; 0: never
+	isEndAcknowledged bool             // the queue has acknowledged the end, but the event hasn't arrived yet
 
-	isGangStarted       bool             // the start of its gang is committed
-	gangStartProposedAt eventloop.Micros // that was last proposed
-	gangHeldAt          eventloop.Micros // the whole gang was first seen held
+	isGangStarted       bool             // the queue has committed the start of the gang
+	gangStartProposedAt eventloop.Micros // when the gang's start was last proposed; 0: never
+	gangHeldAt          eventloop.Micros // when the whole gang was first seen held; 0: never
 
 	attemptProgress
 }
 
-// attemptProgress is what was observed of one attempt.
+// attemptProgress holds the observations of one attempt.
 type attemptProgress struct {
-	orderedAt        eventloop.Micros // its start order last left
-	startedAt        eventloop.Micros // it was first seen running; 0: not yet
-	progressedAt     eventloop.Micros // its percentage last changed
+	orderedAt        eventloop.Micros // when its start order was last sent
+	startedAt        eventloop.Micros // when it began to run, by the first status that showed it; 0: not yet
+	progressedAt     eventloop.Micros // when its percentage last changed
 	percent          int64
-	checkpointedAt   eventloop.Micros // its checkpoint last changed
+	checkpointedAt   eventloop.Micros // when its checkpoint last changed
 	lastCheckpoint   string
 	lastSample       progressSample
-	creditedFraction float64          // of its run, that has counted as successful for its worker
-	stuckStops       uint32           // how often the task was stopped for being stuck
-	stopRequestedAt  eventloop.Micros // it was first seen wanting to be stopped
-	isStopOverdue    bool             // preemption no longer waits for its resources
+	creditedFraction float64          // fraction of the run that was already counted as a success of its worker
+	stuckStops       uint32           // number of times that the task was stopped because it was stuck
+	stopRequestedAt  eventloop.Micros // when the task was first seen to be stopping
+	isStopOverdue    bool             // the stop takes too long, so preemption doesn't count on its resources
 }
 
-// isStopping reports whether the task is to be stopped on its worker.
+// isStopping reports whether the task must be stopped on its worker.
 func (t *task) isStopping() bool { return t.state == queue.Stopping || t.evictOutcome != "" }
 
-// isReturned reports whether the attempt was reported as lost to its queue. That may be
-// committed at any time, and the task be started elsewhere, so it mustn't start any more,
-// though its worker be back.
+// isReturned reports whether the attempt was reported as lost to its queue. The queue may commit
+// the loss at any time and the task may then start elsewhere, so this attempt must not start any
+// more, even if its worker is responsive again.
 func (t *task) isReturned() bool { return t.returnedAt > 0 }
 
-// isActive reports whether the task is checked out and may stay so.
+// isActive reports whether the task is checked out and isn't being stopped.
 func (t *task) isActive() bool { return t.state == queue.CheckedOut && t.evictOutcome == "" }
 
-// latestCheckpoint is the newest checkpoint known, for steps that save any.
+// latestCheckpoint returns the newest known checkpoint, or "" if the step saves none.
 func (t *task) latestCheckpoint() string {
 	if !t.spec.Checkpoints {
 		return ""
@@ -132,7 +133,7 @@
 	return cmp.Or(t.lastCheckpoint, t.initialCheckpoint)
 }
 
-// observeRun notes what a heartbeat shows of a run of the worker.
+// observeRun records the start, progress and checkpoint that a heartbeat reports for a run.
 func (w *worker) observeRun(now eventloop.Micros, status *schema.TaskStatus) {
 	t := w.taskForAttempt(attemptKeyOf(status))
 	if t == nil || status.State == runStateHeld {
--- a/internal/scheduler/workers.go
+++ b/internal/scheduler/workers.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	// unresponsiveTimeout is the time without a heartbeat after which a worker
-	// gets neither orders nor new tasks.
+	// unresponsiveTimeout is the time without a heartbeat after which a worker gets
+	// neither orders nor new tasks.
 	unresponsiveTimeout = eventloop.Second
-	// deadWorkerRetention is how long a worker stays known as dead after the last
-	// report of its death.
+	// deadWorkerRetention is the time after the last report of a worker's death for
+	// which the worker is remembered as dead.
 	deadWorkerRetention = 60 * eventloop.Second
 )
 
 // worker is the state of a worker whose lease this scheduler holds.
 type worker struct {
 	id                string
-	fencingToken      uint64           // of the lease
-	leaseSince        eventloop.Micros // when this scheduler learned of the lease
-	isDead            bool             // reported dead by the agent that took its place
-	runLeaseGrantedAt eventloop.Micros // when it was last granted its own lease to run tasks
+	fencingToken      uint64           // fencing token of the worker lease
+	leaseSince        eventloop.Micros // when this scheduler learned of the worker lease
+	isDead            bool             // reported dead by the agent of the worker that replaced it
+	runLeaseGrantedAt eventloop.Micros // when a response last granted the worker its lease to run tasks
 
 	heartbeatState
-	poll          *openPoll // nil: none is waiting for a response
-	needsResponse bool      // there may be something to respond with
+	poll          *openPoll // poll that waits for a response; nil: none
+	needsResponse bool      // there may be orders or acknowledgements to send
 
-	tasks    map[taskKey]*task // checked out to it
-	reserved map[taskKey]*task // with a checkout to it on the way
+	tasks    map[taskKey]*task // tasks checked out to the worker
+	reserved map[taskKey]*task // ready tasks with a proposed checkout to the worker
 	running  map[attemptKey]*schema.TaskStatus
 	ended    map[attemptKey]*endReport
 
-	resolvedAttempts map[namedAttempt]attemptKey // what the names in its statuses stand for
-	unknownRuns      []*schema.TaskStatus        // runs of which no task is known
-	unknownEnds      []*schema.TaskStatus        // ends of which no task is known
+	resolvedAttempts map[namedAttempt]attemptKey // attempts by the names that the worker's statuses use
+	unknownRuns      []*schema.TaskStatus        // runs that belong to no known task
+	unknownEnds      []*schema.TaskStatus        // ends that belong to no known task
 
 	quality
 	usageSummary
 }
 
-// heartbeatState is what a worker last said of itself.
+// heartbeatState holds what a worker's latest heartbeat reported of the worker itself.
 type heartbeatState struct {
-	hasHeartbeat  bool // under the current lease
+	hasHeartbeat  bool // a heartbeat has arrived under the current lease
 	incarnation   uint64
 	seq           uint64
 	lastHeard     eventloop.Micros
@@ -55,14 +55,15 @@
 	rack          string
 	pool          string
 	labels        []string
-	hasBarrier    bool // it has the members of a gang wait for each other
-	usesTaskNames bool // its statuses name tasks by job instead of by queue and key
+	hasBarrier    bool // the worker makes the members of a gang wait for each other
+	usesTaskNames bool // the statuses identify tasks by job name instead of by queue and key
 	isDraining    bool
-	drainingSince eventloop.Micros // when that was first reported
-	departsAt     eventloop.Micros // while it drains; 0: unknown
-	warmUpUntil   eventloop.Micros
+	drainingSince eventloop.Micros // when isDraining was first reported
+	departsAt     eventloop.Micros // time of departure of a draining worker; 0: unknown
+	warmUpUntil   eventloop.Micros // end of the time in which the worker may run slowly after its start
 }
 
+// addWorker starts to track a worker whose lease this scheduler has received.
 func (s *Scheduler) addWorker(now eventloop.Micros, id string, fencingToken uint64) {
 	w := &worker{
 		id:               id,
@@ -86,6 +87,7 @@
 	s.workers[id], s.workerOrder = w, nil
 }
 
+// dropWorker forgets a worker whose lease this scheduler no longer holds.
 func (s *Scheduler) dropWorker(w *worker, effects eventloop.Effects) {
 	s.closePoll(w, effects)
 	s.countTenantUse(w, -1)
@@ -96,7 +98,7 @@
 	}
 }
 
-// tasksOn is the tasks checked out to a worker, whoever holds its lease.
+// tasksOn returns the tasks checked out to a worker, whichever scheduler holds its lease.
 func (s *Scheduler) tasksOn(id string) map[taskKey]*task {
 	if s.tasksByWorker[id] == nil {
 		s.tasksByWorker[id] = map[taskKey]*task{}
@@ -104,7 +106,7 @@
 	return s.tasksByWorker[id]
 }
 
-// sortedTasks lists the tasks checked out to the worker by key.
+// sortedTasks returns the tasks checked out to the worker, sorted by key.
 func (w *worker) sortedTasks() []*task { return sortedTasks(w.tasks) }
 
 func sortedTasks(tasks map[taskKey]*task) []*task {
@@ -116,7 +118,7 @@
 	return list
 }
 
-// taskOf is the task that is checked out to the worker under just this attempt, or nil.
+// taskForAttempt returns the task that is checked out to the worker with exactly this attempt, or nil.
 func (w *worker) taskForAttempt(key attemptKey) *task {
 	if t := w.tasks[key.taskKey]; t != nil && t.attempt == key.attempt {
 		return t
@@ -127,7 +129,7 @@
 // hasEnded reports whether the worker has reported the end of a task's current attempt.
 func (w *worker) hasEnded(t *task) bool { return w.ended[attemptKey{t.key, t.attempt}] != nil }
 
-// total is the worker's resources, used or not.
+// total returns all resources of the worker, used and free.
 func (w *worker) total() resources { return resources{w.cores, w.memory, w.accelerators} }
 
 // isResponsive reports whether a worker is alive and has sent a heartbeat lately.
@@ -135,7 +137,7 @@
 	return w.hasHeartbeat && !w.isDead && now-w.lastHeard <= unresponsiveTimeout
 }
 
-// runStatus is what a task's worker says of its run, or nil.
+// runStatus returns the status that a task's worker reported for its run, or nil.
 func (s *Scheduler) runStatus(t *task) *schema.TaskStatus {
 	w := s.workers[t.worker]
 	if w == nil {
@@ -144,8 +146,8 @@
 	return w.running[attemptKey{t.key, t.attempt}]
 }
 
-// returnTasksOfFormerIncarnations returns the tasks of earlier incarnations of a worker, of which
-// nothing runs any more.
+// returnTasksOfFormerIncarnations returns the tasks that were checked out to earlier incarnations
+// of a worker. None of them runs any more.
 func (s *Scheduler) returnTasksOfFormerIncarnations(now eventloop.Micros, w *worker, effects eventloop.Effects) {
 	for _, t := range w.sortedTasks() {
 		if t.incarnation < w.incarnation {
@@ -154,8 +156,8 @@
 	}
 }
 
-// markDead takes an agent's report of the workers that its machine ran before:
-// nothing of theirs runs, so their tasks are returned at once.
+// markDead handles an agent's report of the workers that its machine ran before the present
+// one, the reporter. Their tasks no longer run, so they are returned at once.
 func (s *Scheduler) markDead(now eventloop.Micros, ids []string, reporter string, effects eventloop.Effects) {
 	for _, id := range ids {
 		if id == reporter {
@@ -174,7 +176,7 @@
 	}
 }
 
-// forgetRuns drops what a worker last listed as running, none of which runs any more.
+// forgetRuns drops the runs that a worker last listed, when none of them runs any more.
 func (w *worker) forgetRuns() {
 	if len(w.running)+len(w.unknownRuns) == 0 {
 		return
@@ -182,8 +184,8 @@
 	w.running, w.unknownRuns, w.isUsageStale = map[attemptKey]*schema.TaskStatus{}, nil, true
 }
 
-// removeDeadWorkers returns tasks that have turned out since to be checked out to a
-// dead worker, and forgets the dead workers after a while.
+// removeDeadWorkers returns tasks that were found to be checked out to a dead worker after its
+// death was reported. A dead worker without tasks is forgotten after deadWorkerRetention.
 func (s *Scheduler) removeDeadWorkers(now eventloop.Micros, effects eventloop.Effects) {
 	for _, id := range slices.Sorted(maps.Keys(s.deadWorkers)) {
 		if len(s.tasksByWorker[id]) > 0 {
@@ -194,10 +196,12 @@
 	}
 }
 
+// returnTasksOfDeadWorker returns the tasks checked out to a dead worker, except those whose
+// end it had reported.
 func (s *Scheduler) returnTasksOfDeadWorker(now eventloop.Micros, id string, effects eventloop.Effects) {
 	w := s.workers[id]
 	for _, t := range sortedTasks(s.tasksByWorker[id]) {
-		// An end that it reported before it died is forwarded as such.
+		// An end that the worker reported before it died is forwarded with its own outcome.
 		if w != nil && w.hasEnded(t) {
 			continue
 		}
@@ -205,7 +209,8 @@
 	}
 }
 
-// returnTask reports a task as lost to its queue, which makes it ready again.
+// returnTask reports a task as lost to its queue, which then makes the task ready again. The
+// report is repeated at most every reportRetryInterval.
 func (s *Scheduler) returnTask(now eventloop.Micros, t *task, effects eventloop.Effects) {
 	if now-t.returnedAt < reportRetryInterval && t.returnedAt > 0 {
 		return
