--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -6,40 +6,41 @@
 	"sparnotch/internal/eventloop"
 )
 
-// A worker that has turned slow or is frozen finishes nothing for a while, so the
-// ends of its tasks show it too late. The progress that its tasks report shows it
-// sooner, measured against what similar tasks make elsewhere.
+// A worker that has become slow or frozen finishes no tasks for a while, so the ends of
+// its tasks reveal it too late. The progress that its tasks report reveals it sooner, when
+// compared with the progress of similar tasks on other workers.
 
 const (
-	progressDecayPeriod = 700 * eventloop.Millisecond  // in which observed progress decays to 1/e
+	progressDecayPeriod = 700 * eventloop.Millisecond  // time in which observed progress decays to 1/e
 	minExpectedProgress = 2.0                          // expected progress, in completed tasks, needed before a worker is judged
-	minComparableRuns   = 20                           // of similar tasks, that the expectation is made from
-	slowProgressRatio   = 0.35                         // of the expected progress: less is slow
-	slowSuspicion       = 7                            // sum of log likelihood ratios from which a worker is slow
-	minRunVariance      = 0.05                         // that run times, relative to their mean, are taken to have
-	minProgressRatio    = 0.05                         // that a worker is reckoned to make at least
-	frozenTimeout       = 2200 * eventloop.Millisecond // without any progress; agents look about each second
-	minFrozenProgress   = 0.1                          // tasks' worth that must be expected in that time
+	minComparableRuns   = 20                           // minimum number of runs of similar tasks to derive the expected progress from
+	slowProgressRatio   = 0.35                         // a worker below this fraction of the expected progress is slow
+	slowSuspicion       = 7                            // sum of log likelihood ratios at which a worker counts as slow
+	minRunVariance      = 0.05                         // minimum assumed variance of run times relative to the square of their mean
+	minProgressRatio    = 0.05                         // minimum assumed fraction of the expected progress for the remaining time on a slow worker
+	frozenTimeout       = 2200 * eventloop.Millisecond // time without any progress after which a worker may count as frozen; agents inspect it about once a second
+	minFrozenProgress   = 0.1                          // expected progress, in completed tasks, needed in that time
 )
 
-// progressMeter compares the progress that a worker's tasks made lately with what
-// was to be expected, in tasks' worth. Where the run times of similar tasks differ, a few long
-// ones make little progress on a sound worker too, so a CUSUM test decides whether what was
-// seen says anything: it adds the logarithm of how much likelier it is on a slow worker.
+// progressMeter compares the recent progress of a worker's tasks with the expected progress,
+// both in completed tasks. Where the run times of similar tasks differ, a few long tasks
+// make little progress on a sound worker too. So a CUSUM test decides whether low progress is
+// significant: it sums the log likelihood ratios of a slow worker to a sound one.
 type progressMeter struct {
-	actual, expected float64          // decayed
+	actual, expected float64          // decayed sums
 	suspicion        float64          // sum of log likelihood ratios; never below 0
-	lastProgressAt   eventloop.Micros // any task's progress last changed
+	lastProgressAt   eventloop.Micros // when the progress of any task last changed
 }
 
+// decay reduces the sums by the time since the last progress.
 func (m *progressMeter) decay(now eventloop.Micros) {
 	factor := math.Exp(-float64(now-m.lastProgressAt) / float64(progressDecayPeriod))
 	m.actual, m.expected, m.lastProgressAt = m.actual*factor, m.expected*factor, now
 }
 
-// add takes in progress of a task whose run time has this variance, relative to the square of
-// its mean. Progress is taken as normally distributed, with its mean at slowProgressRatio of
-// the expected on a slow worker.
+// add adds the actual and the expected progress of a task. The variance is that of the run time,
+// relative to the square of its mean. The test assumes normally distributed progress, whose mean
+// on a slow worker is slowProgressRatio of the expected progress.
 func (m *progressMeter) add(actual, expected, variance float64) {
 	m.actual += actual
 	m.expected += expected
@@ -48,19 +49,19 @@
 	m.suspicion = math.Max(0, m.suspicion+logRatio)
 }
 
-// isSlow reports whether enough progress was to be expected, far less was made, and that isn't
-// by chance.
+// isSlow reports whether enough progress was expected for a judgement, the actual progress is
+// far less, and the difference is significant.
 func (m *progressMeter) isSlow() bool {
 	return m.expected >= minExpectedProgress && m.actual < slowProgressRatio*m.expected && m.suspicion >= slowSuspicion
 }
 
-// progressSample is a task's progress when any task of its worker last moved.
+// progressSample is a task's progress at the time when any task of its worker last progressed.
 type progressSample struct {
 	takenAt eventloop.Micros
 	percent int64
 }
 
-// isProgressComparable reports whether a task's progress says something of its worker.
+// isProgressComparable reports whether a task's progress can show how fast its worker is.
 func (s *Scheduler) isProgressComparable(now eventloop.Micros, w *worker, t *task) bool {
 	if t.spec.RunUntilCancelled || t.spec.Gang || t.startedAt == 0 || now < w.warmUpUntil {
 		return false
@@ -70,14 +71,14 @@
 	return model != nil && model.count >= minComparableRuns && (t.initialCheckpoint == "" || now-t.startedAt > 2*eventloop.Micros(s.bounds.GetRestoreDelayUs()))
 }
 
-// measureProgress takes in the progress that a heartbeat reports, and ejects
-// the worker if it turns out slow.
+// measureProgress records the progress that a heartbeat reports, and ejects the worker if
+// it is slow.
 func (s *Scheduler) measureProgress(now eventloop.Micros, w *worker) {
 	hasProgressed := w.hasProgressed()
 	if hasProgressed || w.progress.lastProgressAt == 0 {
 		w.progress.decay(now)
 	}
-	// In order: sums of fractions depend on it in their last digit.
+	// The order is fixed because the last digit of a floating-point sum depends on it.
 	for _, t := range w.sortedTasks() {
 		status := w.running[attemptKey{t.key, t.attempt}]
 		if status == nil || status.State != runStateRunning || !s.isProgressComparable(now, w, t) {
@@ -104,6 +105,7 @@
 	return false
 }
 
+// recordProgress adds a task's progress since its last sample to the meter of its worker.
 func (s *Scheduler) recordProgress(now eventloop.Micros, w *worker, t *task, percent int64) {
 	key, _ := runtimeKeyOf(t)
 	mean, variance := s.runtimeModels[key].meanToTypicalRatio()
@@ -111,7 +113,7 @@
 	t.lastSample = progressSample{now, percent}
 }
 
-// recordFinalProgress takes in the progress up to a task's successful end.
+// recordFinalProgress records the progress of a task from its last sample to its successful end.
 func (s *Scheduler) recordFinalProgress(now eventloop.Micros, w *worker, t *task) {
 	if t.lastSample.takenAt > 0 && s.isProgressComparable(now, w, t) {
 		s.recordProgress(now, w, t, 100)
@@ -119,7 +121,7 @@
 	}
 }
 
-// isFrozen reports whether nothing moves on a worker though it sends heartbeats.
+// isFrozen reports whether no task progresses on a worker although it sends heartbeats.
 func (s *Scheduler) isFrozen(now eventloop.Micros, w *worker) bool {
 	if w.progress.lastProgressAt == 0 || now-w.progress.lastProgressAt < frozenTimeout || now-w.lastHeard > maxPollWait {
 		return false
@@ -137,9 +139,9 @@
 	return expected > minFrozenProgress
 }
 
-// ejectSlowWorker ejects a worker that makes only this ratio of the expected
-// progress, and stops those of its tasks that would finish sooner elsewhere, where
-// the work that is lost is worth it.
+// ejectSlowWorker ejects a worker whose progress is only progressRatio of the expected
+// progress. It also stops those tasks that would finish sooner on another worker, unless
+// their stop would lose too much work.
 func (s *Scheduler) ejectSlowWorker(now eventloop.Micros, w *worker, progressRatio float64) {
 	w.progress = progressMeter{lastProgressAt: now}
 	if now < w.ejectedUntil {
--- a/internal/scheduler/quality.go
+++ b/internal/scheduler/quality.go
@@ -7,47 +7,47 @@
 	"sparnotch/internal/schema"
 )
 
-// Workers that fail far more than others, or turn out slow, are ejected for a while
-// (outlier ejection, as in Envoy): they get only work that has waited long. After
-// that they are on probation, with few tasks at a time, until some succeed.
+// Workers that fail far more often than others, or that are slow, are ejected for a while
+// (outlier ejection, as in Envoy): they get only work that has waited long. Then they are on
+// probation, with few tasks at a time, until some of these succeed.
 //
-// Whether a worker fails too much is decided by Page's CUSUM test: each run adds the
-// logarithm of how much likelier its outcome is on a bad worker than on a sound one,
-// and the sum, which never falls below 0, ejects the worker at a threshold. A run that goes
-// on counts in part: of runs that began together the failed ones end first, and without the
-// others sound workers would look bad.
+// Page's CUSUM test decides whether a worker fails too often. Each run adds the logarithm of
+// the likelihood ratio of its outcome on a bad worker to that on a sound one. The sum never
+// falls below 0, and the worker is ejected when it reaches a threshold. A run that hasn't ended
+// counts as a partial success: of runs that began together, the failed ones end first, and
+// sound workers would look bad if the others weren't counted.
 
 const (
-	baseEjectionPeriod    = 5 * eventloop.Second         // the first; each following one is twice as long
-	maxEjectionPeriod     = 60 * eventloop.Second        // in any case
-	slowEjectionPeriod    = 1500 * eventloop.Millisecond // the first of a slow worker: whether it still is shows soon
-	slowProbationTasks    = 3                            // at a time, of a slow worker on probation
-	minProbationSuccesses = 2                            // successes that end a probation
-
-	outcomeDecay          = 0.98 // of counts of outcomes, per run
-	badFailureRatio       = 0.5  // of its runs, that a bad worker is taken to fail
-	minFailureRatio       = 0.01 // of the runs of a queue, that sound workers are taken to fail at least
-	failureRatioPriorRuns = 20   // runs that minFailureRatio counts as
-	ejectionSuspicion     = 7.5  // sum at which a worker is ejected
-	probationSuspicion    = 3.5  // the same while it is on probation
+	baseEjectionPeriod    = 5 * eventloop.Second         // the first ejection; each further one lasts twice as long
+	maxEjectionPeriod     = 60 * eventloop.Second        // upper limit of any ejection
+	slowEjectionPeriod    = 1500 * eventloop.Millisecond // first ejection of a slow worker; short because it soon shows whether the worker is still slow
+	slowProbationTasks    = 3                            // tasks at a time on a slow worker on probation
+	minProbationSuccesses = 2                            // number of successes that ends a probation
+
+	outcomeDecay          = 0.98 // decay of the counts of outcomes per run
+	badFailureRatio       = 0.5  // fraction of runs that are assumed to fail on a bad worker
+	minFailureRatio       = 0.01 // minimum fraction of a queue's runs that are assumed to fail on sound workers
+	failureRatioPriorRuns = 20   // number of runs for which minFailureRatio counts as a prior
+	ejectionSuspicion     = 7.5  // CUSUM sum at which a worker is ejected
+	probationSuspicion    = 3.5  // the same for a worker on probation
 )
 
-// quality is what a worker's runs so far say of it.
+// quality holds what a worker's runs so far show about its reliability and speed.
 type quality struct {
 	counts             outcomeCounts
-	slowdown           float64 // decayed mean of the log ratio of its runtimes to those expected
-	suspicion          float64 // sum of log likelihood ratios that it is bad rather than sound; never below 0
-	lastFailedTask     taskKey // the task that failed here last
+	slowdown           float64 // decayed mean of the logarithms of actual to expected run times
+	suspicion          float64 // CUSUM sum of log likelihood ratios of a bad worker to a sound one; never below 0
+	lastFailedTask     taskKey // latest task that failed on this worker
 	outcomesByQueue    map[string]*outcomeCounts
 	progress           progressMeter
 	ejectedUntil       eventloop.Micros
-	ejectionPeriod     eventloop.Micros // the latest
-	isOnProbation      bool             // since its ejection
-	probationTasks     int              // at a time
+	ejectionPeriod     eventloop.Micros // length of the latest ejection
+	isOnProbation      bool             // from the ejection until enough successes
+	probationTasks     int              // maximum number of tasks at a time during the probation
 	probationSuccesses int
 }
 
-// outcomeCounts are decayed counts of ended runs.
+// outcomeCounts holds decayed counts of ended runs.
 type outcomeCounts struct{ succeeded, failed float64 }
 
 func (c *outcomeCounts) add(isFailure bool) {
@@ -60,13 +60,13 @@
 	}
 }
 
-// failureRate is the share of the worker's runs that failed, towards 0 while there
-// are few.
+// failureRate returns the fraction of the worker's runs that failed. The estimate tends
+// to 0 while the runs are few.
 func (w *worker) failureRate() float64 {
 	return w.counts.failed / (w.counts.succeeded + w.counts.failed + 2)
 }
 
-// isSuspicious reports whether the worker fails far more than others.
+// isSuspicious reports whether the worker fails far more often than others.
 func (w *worker) isSuspicious() bool {
 	if w.isOnProbation {
 		return w.suspicion >= probationSuspicion
@@ -74,7 +74,7 @@
 	return w.suspicion >= ejectionSuspicion
 }
 
-// recordEnd learns from the end of a run.
+// recordEnd updates the quality of a worker by the end of a run.
 func (s *Scheduler) recordEnd(now eventloop.Micros, w *worker, key attemptKey, status *schema.TaskStatus) {
 	switch status.State {
 	case outcomeDone:
@@ -85,6 +85,8 @@
 	}
 }
 
+// recordSuccess counts a success for the worker, which may end its probation, and learns from
+// the run time.
 func (s *Scheduler) recordSuccess(now eventloop.Micros, w *worker, key attemptKey, status *schema.TaskStatus) {
 	w.counts.add(false)
 	s.recordOutcome(w, key.queue, false)
@@ -104,8 +106,8 @@
 	}
 }
 
-// recordFailure counts a failure against the worker, unless the task is to blame: it
-// has failed before, here or elsewhere.
+// recordFailure counts a failure against the worker, unless the task is probably the
+// cause because it has failed before, on this worker or another one.
 func (s *Scheduler) recordFailure(w *worker, key attemptKey) {
 	w.counts.add(true)
 	t := w.tasks[key.taskKey]
@@ -115,8 +117,9 @@
 	w.lastFailedTask = key.taskKey
 }
 
-// recordOutcome weighs an end against how often the queue's tasks fail on other
-// workers: tasks that fail by their own fault do so everywhere.
+// recordOutcome counts the outcome of a run of a queue. A failure raises the suspicion of
+// the worker the less, the more often the queue's tasks fail on other workers, since
+// faulty tasks fail everywhere.
 func (s *Scheduler) recordOutcome(w *worker, queue string, isFailure bool) {
 	ratio := s.peerFailureRatio(w, queue)
 	if w.outcomesByQueue == nil {
@@ -131,8 +134,8 @@
 	}
 }
 
-// creditRunning counts the part of their expected runtime that the worker's tasks have run
-// so far without a failure.
+// creditRunning credits the worker with each running task, for the fraction of the expected
+// run time that the task has run without a failure.
 func (s *Scheduler) creditRunning(now eventloop.Micros, w *worker) {
 	for _, t := range w.sortedTasks() {
 		if t.startedAt == 0 || t.spec.RunUntilCancelled {
@@ -144,8 +147,8 @@
 	}
 }
 
-// credit counts a run, known or not, as successful up to a part of it. What was counted
-// before isn't counted again.
+// credit lowers the suspicion of a worker for a fraction of a successful run. What was already
+// credited for the run doesn't count again; t is nil if the task isn't known.
 func (s *Scheduler) credit(w *worker, queue string, t *task, fraction float64) {
 	credited := fraction
 	if t != nil {
@@ -156,7 +159,7 @@
 	w.suspicion = math.Max(0, w.suspicion+credited*math.Log((1-badFailureRatio)/(1-ratio)))
 }
 
-// peerFailureRatio is the share of a queue's runs that fail on other workers.
+// peerFailureRatio returns the fraction of a queue's runs that fail on other workers.
 func (s *Scheduler) peerFailureRatio(w *worker, queue string) float64 {
 	succeeded, failed := 0.0, 0.0
 	for _, other := range s.sortedWorkers() {
@@ -169,9 +172,10 @@
 	return math.Min(math.Max(ratio, minFailureRatio), badFailureRatio)
 }
 
-// eject ejects a worker for twice the period before, and at least for first. After
-// that it is on probation with probationTasks tasks at a time. Nothing happens while
-// too many workers are on probation.
+// eject ejects a worker for twice its previous period, but at least for minPeriod. Then
+// the worker is on probation with probationTasks tasks at a time. A worker that is ejected
+// already stays so for at least minPeriod more. Nothing happens while too many workers are
+// on probation.
 func (s *Scheduler) eject(now eventloop.Micros, w *worker, minPeriod eventloop.Micros, probationTasks int) {
 	if now < w.ejectedUntil {
 		w.ejectedUntil = max(w.ejectedUntil, now+minPeriod)
@@ -185,8 +189,8 @@
 	w.probationTasks, w.probationSuccesses, w.suspicion = probationTasks, 0, 0
 }
 
-// wouldExceedProbationLimit reports whether with this one over half of the responsive
-// workers would be on probation: then the cause is none of the workers.
+// wouldExceedProbationLimit reports whether more than half of the responsive workers
+// would be on probation together with this one. The cause is then not in the workers.
 func (s *Scheduler) wouldExceedProbationLimit(now eventloop.Micros, w *worker) bool {
 	onProbation, all := 1, 1
 	for _, other := range s.workers {
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -10,66 +10,67 @@
 	"sparnotch/internal/queue"
 )
 
-// ReportComponent is the component that the scheduler notifies of its reports.
+// ReportComponent is the name of the component that receives the scheduler's reports.
 const ReportComponent = "reporter"
 
 // reportInterval is the time between two reports of a pool.
 const reportInterval = 2 * eventloop.Second
 
-// PoolReport says what the cores of one pool do, and what became of the steps that ended since
-// the report before. It is made of pools in which work waits or has ended.
+// PoolReport describes how the cores of one pool are used, and how the steps that ended since the
+// previous report went. The scheduler reports only pools in which work waits or has ended.
 type PoolReport struct {
 	Pool   string
 	Cores  PoolCores
-	Queues []QueueReport // by name
+	Queues []QueueReport // sorted by name
 }
 
-// PoolCores are milli cores of all workers of a pool, by what they do.
+// PoolCores divides the milli cores of all workers of a pool by their use.
 type PoolCores struct {
-	Total        int64
-	Used         int64 // by tasks that may stay
+	Total        int64 // of all workers
+	Used         int64 // by tasks that aren't being stopped
 	Stopping     int64 // by tasks that are being stopped
-	Free         int64 // on workers that get new tasks
+	Free         int64 // free on workers that accept new tasks
 	Ejected      int64 // free on workers that are ejected or on probation
-	Draining     int64 // free on workers that drain
-	Unresponsive int64 // free on workers that aren't heard
+	Draining     int64 // free on draining workers
+	Unresponsive int64 // free on unresponsive workers
 }
 
-// QueueReport is one queue's part of a pool's report.
+// QueueReport is the part of a pool's report that concerns one queue.
 type QueueReport struct {
 	Queue   string
-	Used    int64        // milli cores
-	Waiting WaitingCores // of ready tasks
-	Sizes   []SizeReport // smallest first
+	Used    int64        // milli cores used by its tasks
+	Waiting WaitingCores // milli cores wanted by ready tasks
+	Sizes   []SizeReport // sorted by size, smallest first
 	Preempted,
-	SlowEvicted int // tasks stopped for more urgent ones, and because their worker seemed slow
+	SlowEvicted int // tasks stopped for more urgent ones, and tasks stopped because their worker seemed slow
 }
 
-// WaitingCores are the milli cores that ready tasks want, by whether their jobs can meet the
+// WaitingCores divides the milli cores that ready tasks want by whether their jobs can meet the
 // latency target.
 type WaitingCores struct{ OnTime, Late, Infeasible int64 }
 
-// SizeReport is of the steps of jobs of about one size that have ended. A step whose job was
+// SizeReport describes the ended steps of jobs of about the same size. A step whose job was
 // cancelled or has failed counts as ended.
 type SizeReport struct {
-	// CoreSeconds bounds the work of a round of these jobs from above; it is at least half of it.
+	// CoreSeconds is an upper bound of the work of a round of these jobs, which is at least half of it.
 	CoreSeconds float64
 	Steps       int
-	// RoundsOnTime, RoundsLate and RoundsMissed are rounds that ended within the latency target,
-	// within lateFactor times that, and later.
+	// RoundsOnTime, RoundsLate and RoundsMissed count the rounds that ended within the latency
+	// target, within lateFactor times the target, and later than that.
 	RoundsOnTime, RoundsLate, RoundsMissed int
-	// Means in µs, from the first task's being ready to the first and the last placement, to
-	// the end of most tasks, and to the last end.
+	// FirstPlaced, LastPlaced, MostEnded and Ended are mean times in µs, counted from when the
+	// first task of a step became ready. They last until the first and the last placement, the
+	// end of most tasks (mostEndedRatio) and the last end.
 	FirstPlaced, LastPlaced, MostEnded, Ended eventloop.Micros
 	Reruns                                    rerunCounts
 }
 
-// sizeTotals are sums for a SizeReport.
+// sizeTotals is a SizeReport whose times are still sums over the steps.
 type sizeTotals struct{ SizeReport }
 
-// queueTotals is what a queue's next report will say.
+// queueTotals accumulates what the next report of a queue will contain.
 type queueTotals struct {
-	bySize      map[int]*sizeTotals // by workRank of the round
+	bySize      map[int]*sizeTotals // by workRank of the jobs' rounds
 	preempted   int
 	slowEvicted int
 }
@@ -93,7 +94,7 @@
 	}
 }
 
-// countRound counts a round that took so long, in µs, by its target; 0: it has none.
+// countRound counts a round by its age and its target, both in µs; target 0: none.
 func (t *sizeTotals) countRound(age, target float64) {
 	switch {
 	case target == 0 || age <= target:
@@ -105,7 +106,7 @@
 	}
 }
 
-// report is the totals' report with means in place of sums.
+// report returns the report with means in place of sums.
 func (t *sizeTotals) report() SizeReport {
 	report := t.SizeReport
 	steps := eventloop.Micros(report.Steps)
@@ -116,7 +117,7 @@
 	return report
 }
 
-// sendReports notifies of the pools in which work waits or steps have ended.
+// sendReports sends, every reportInterval, a report of each pool in which work waits or steps have ended.
 func (s *Scheduler) sendReports(now eventloop.Micros, effects eventloop.Effects) {
 	if now-s.lastReportAt < reportInterval {
 		return
@@ -135,7 +136,7 @@
 	}
 }
 
-// reportQueue makes a queue's report, and its totals anew.
+// reportQueue returns the report of a queue and resets its totals.
 func (s *Scheduler) reportQueue(now eventloop.Micros, q *queueView) QueueReport {
 	report := QueueReport{
 		Queue: q.name, Used: q.usage.cores, Waiting: s.waitingCores(now, q),
@@ -150,8 +151,8 @@
 
 func newQueueTotals() queueTotals { return queueTotals{bySize: map[int]*sizeTotals{}} }
 
-// waitingCores sums what a queue's ready tasks want; all tasks of a step are of the class of
-// its first.
+// waitingCores sums the cores that a queue's ready tasks want. The feasibility of a step's first
+// task applies to all its tasks.
 func (s *Scheduler) waitingCores(now eventloop.Micros, q *queueView) (waiting WaitingCores) {
 	for _, group := range q.byShape {
 		group.steps.Ascend(func(step *stepQueue) bool {
@@ -169,6 +170,7 @@
 	return waiting
 }
 
+// poolCores sums the cores of a pool's workers by their use.
 func (s *Scheduler) poolCores(now eventloop.Micros, pool string) (cores PoolCores) {
 	for _, w := range s.sortedWorkers() {
 		if w.pool != pool {
@@ -193,7 +195,7 @@
 	return cores
 }
 
-// noteEviction counts a task that is stopped though it could go on.
+// countEviction counts a task that is stopped although it could go on, in one of its queue's totals.
 func (s *Scheduler) countEviction(t *task, count func(*queueTotals)) {
 	if q := s.queues[t.key.queue]; q != nil && t.state == queue.CheckedOut {
 		count(&q.totals)
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// reportRetryInterval is after how long an end that wasn't acknowledged is
+	// reportRetryInterval is the time after which an end that wasn't acknowledged is
 	// reported to its queue again.
 	reportRetryInterval = 300 * eventloop.Millisecond
-	// gangFailureGrace is how long the failure of a gang's member is kept back for
-	// the other members to begin.
+	// gangFailureGrace is the time for which the failure of a gang's member is held
+	// back so that the other members can begin.
 	gangFailureGrace = eventloop.Second
 )
 
-// endReport is an end that a worker lists until it is acknowledged.
+// endReport is the end of an attempt, which a worker lists until the end is acknowledged.
 type endReport struct {
 	status         *schema.TaskStatus
-	receivedAt     eventloop.Micros // first
-	sentAt         eventloop.Micros // last
-	sentOutcome    string           // to the queue, last
-	isAcknowledged bool             // the queue has committed it
+	receivedAt     eventloop.Micros // when the worker first listed it
+	sentAt         eventloop.Micros // when it was last reported to the queue
+	sentOutcome    string           // outcome that was last reported to the queue
+	isAcknowledged bool             // the queue has committed the end, or doesn't need it
 }
 
-// recordEndReports takes in the ends that a heartbeat lists.
+// recordEndReports records the ends that a heartbeat lists and forwards them to their queues.
 func (s *Scheduler) recordEndReports(now eventloop.Micros, w *worker, statuses []*schema.TaskStatus, effects eventloop.Effects) {
 	listed := map[attemptKey]*endReport{}
 	for _, status := range statuses {
 		key := attemptKeyOf(status)
 		report := w.ended[key]
-		// An agent that has declared an attempt over may learn later how it ended.
+		// An agent that has reported an attempt as lapsed may learn later how it ended.
 		if report == nil || report.status.State != status.State {
 			report = &endReport{status: status, receivedAt: now, sentAt: -reportRetryInterval}
 			s.recordEnd(now, w, key, status)
@@ -58,7 +58,7 @@
 	}
 }
 
-// newEndReport is what to report of an end to its queue; nil: nothing, or not yet.
+// newEndReport returns the report of an end for its queue, or nil if there is nothing to report yet or at all.
 func (s *Scheduler) newEndReport(now eventloop.Micros, w *worker, key attemptKey, report *endReport) *schema.TaskEndReport {
 	end := &schema.TaskEndReport{
 		Queue: key.queue, Key: key.toSchema(), Attempt: key.attempt, Worker: w.id,
@@ -73,19 +73,20 @@
 	return end
 }
 
-// fillEndReport adds to an end what the queue's view of the task says, nil if it has
-// none. It reports false where the end isn't to be reported, or not yet.
+// fillEndReport completes the report of an end from the queue's view of the task; t is nil
+// if the view doesn't have the task. It returns false if the end must not be reported, or
+// not yet.
 func (s *Scheduler) fillEndReport(now eventloop.Micros, end *schema.TaskEndReport, t *task, report *endReport) bool {
-	// Where the task isn't out under that attempt any more, nothing is left to
-	// report but a failure, which counts. The view may be relied on only because
-	// this node may act for the queue.
+	// Once the task isn't checked out with this attempt any more, only a failure still
+	// matters, because failures are counted. The view can be relied on because this node
+	// may act for the queue.
 	superseded := t == nil || t.attempt > end.Attempt
 	if superseded && end.Outcome != outcomeFailed {
 		report.isAcknowledged = true
 		return false
 	}
-	// A member that fails at once would have the others stopped before the last of
-	// them has begun, whose start order was lost on the way.
+	// If a member fails at once, its failure would stop the other members, although the
+	// last of them hasn't begun yet because its start order was lost.
 	if !superseded && end.Outcome == outcomeFailed && now-report.receivedAt < gangFailureGrace && s.isGangStarting(t) {
 		return false
 	}
@@ -96,7 +97,7 @@
 		end.Outcome = t.evictOutcome
 	}
 	end.WholeGang = end.WholeGang && t.spec.Gang
-	// A run that ends before it has saved a new checkpoint leaves the one before.
+	// A run that ends before it saves a new checkpoint keeps the previous one.
 	if end.Checkpoint == "" && t.attempt == end.Attempt {
 		end.Checkpoint = t.latestCheckpoint()
 	}
@@ -106,6 +107,7 @@
 	return true
 }
 
+// sortedEndKeys returns the attempts that have ended on the worker, sorted by key.
 func (w *worker) sortedEndKeys() []attemptKey {
 	keys := make([]attemptKey, 0, len(w.ended))
 	for key := range w.ended {
@@ -115,20 +117,20 @@
 	return keys
 }
 
-// handleEndAck notes that a queue has committed an end.
+// handleEndAck records that a queue has committed an end.
 func (s *Scheduler) handleEndAck(m *schema.TaskEndAck) {
 	if m.Key == nil {
 		return
 	}
 	key := attemptKey{taskKey{m.Queue, m.Key.Job, m.Key.Step, m.Key.Task}, m.Attempt}
 	if w := s.workers[m.Worker]; w != nil {
-		// What a worker has reported before of the same attempt isn't its end any more.
+		// An acknowledgement of an earlier outcome of the same attempt doesn't count for the present one.
 		if report := w.ended[key]; report != nil && (m.Outcome == "" || m.Outcome == report.sentOutcome) {
 			report.isAcknowledged, w.needsResponse = true, true
 		}
 	}
-	// The event that says so may not be here yet: until then the attempt must not
-	// be ordered again.
+	// The event of the end may arrive later. Until then the attempt must not be ordered
+	// again.
 	if q := s.queues[m.Queue]; q != nil {
 		if t := q.tasks[key.taskKey]; t != nil && t.attempt == m.Attempt && t.worker == m.Worker {
 			t.isEndAcknowledged = true
@@ -136,8 +138,8 @@
 	}
 }
 
-// hasAcknowledgedEnds reports whether there are settled ends to acknowledge to the
-// worker.
+// hasAcknowledgedEnds reports whether there are committed or orphaned ends to acknowledge
+// to the worker.
 func (s *Scheduler) hasAcknowledgedEnds(now eventloop.Micros, w *worker) bool {
 	for _, report := range w.ended {
 		if report.isAcknowledged {
--- a/internal/scheduler/runtime.go
+++ b/internal/scheduler/runtime.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	minRuns             = 3                           // that a model predicts from
-	minJudgedRuntime    = 500 * eventloop.Millisecond // shorter runs say nothing of a worker's speed
-	maxRuntimeModels    = 4096                        // past which all are forgotten
-	runtimeDecay        = 0.99                        // of a model, per run
-	estimatePriorRuns   = 5                           // runs that the estimates themselves count as
-	slopePriorVariance  = 0.05                        // the variance of estimates that goes with a slope of 1
-	maxDeviation        = 0.7                         // how far off a run may move the line, as a logarithm
-	spreadPriorRuns     = 5                           // runs of equal length that a spread begins with
-	minTrustedPercent   = 5                           // from which a task's progress tells its remaining runtime
-	slowdownDecay       = 0.8                         // of a worker's slowdown, per run
-	unknownRuntime      = math.MaxInt64 / 4           // longer than anything
-	defaultRemoteFactor = 2000                        // thousandths; see remoteDataFactor
-	defaultEstimate     = eventloop.Second            // of steps without one
+	minRuns             = 3                           // number of runs from which a model predicts
+	minJudgedRuntime    = 500 * eventloop.Millisecond // shorter runs don't show a worker's speed
+	maxRuntimeModels    = 4096                        // with more models all are dropped
+	runtimeDecay        = 0.99                        // decay of a model per run
+	estimatePriorRuns   = 5                           // number of runs for which an estimate counts as a prior
+	slopePriorVariance  = 0.05                        // prior of the variance and covariance, with a slope of 1
+	maxDeviation        = 0.7                         // maximum distance of a run from the line, as a logarithm; larger ones are clipped
+	spreadPriorRuns     = 5                           // number of runs of equal length that serve as the prior of a spread
+	minTrustedPercent   = 5                           // minimum progress from which the remaining run time is extrapolated
+	slowdownDecay       = 0.8                         // decay of a worker's slowdown per run
+	unknownRuntime      = math.MaxInt64 / 4           // longer than any run
+	defaultRemoteFactor = 2000                        // in thousandths; see remoteDataFactor
+	defaultEstimate     = eventloop.Second            // run time assumed for steps without an estimate
 )
 
-// runtimeKey names tasks whose runs can be compared: those of a queue that have
-// estimates, and others by the name of their step.
+// runtimeKey identifies tasks whose run times are comparable: all tasks of a queue that
+// have estimates, for which step is empty, and other tasks of a queue by the name of their step.
 type runtimeKey struct {
 	queue, step string
 }
 
-// runtimeKeyOf also returns the task's estimate in microseconds.
+// runtimeKeyOf returns the key of a task's runtime model, and the task's estimate in microseconds.
 func runtimeKeyOf(t *task) (runtimeKey, float64) {
 	if t.spec.EstimatedRunUs > 0 {
 		return runtimeKey{t.key.queue, ""}, float64(t.spec.EstimatedRunUs)
@@ -38,31 +38,32 @@
 	return runtimeKey{t.key.queue, t.spec.Name}, float64(defaultEstimate)
 }
 
-// runtimeModel predicts how long tasks run, by a linear regression of the logarithm
-// of their runtimes on that of their estimates, both in microseconds: estimates are
-// rough and say less than what other tasks took. Outliers move the line little, so
-// that one bad worker doesn't.
+// runtimeModel predicts how long tasks run. Estimates are rough, and the run times of
+// other tasks tell more, so it is a linear regression of the logarithm of the run time (Y)
+// on the logarithm of the estimate (X), both in microseconds. Outliers move the regression
+// line little, so that one bad worker can't distort it.
 type runtimeModel struct {
-	meanX, meanY, varianceX, covarianceXY float64 // decayed
-	isEstimated                           bool
-	count                                 int
+	meanX, meanY, varianceX, covarianceXY float64 // decayed moments
+	isEstimated                           bool    // the tasks have estimates of their own
+	count                                 int     // number of observed runs
 	spread                                spreadModel
-	lastWorker, previousWorker            string // the latest two workers on which one finished
+	lastWorker, previousWorker            string // latest two workers on which a task finished
 	lastFinishAt, previousFinishAt        eventloop.Micros
 }
 
-// predict returns the logarithm of the runtime for that of an estimate.
+// predict returns the logarithm of the expected run time, given the logarithm x of the estimate.
 func (m *runtimeModel) predict(x float64) float64 {
 	slope := math.Max(0, math.Min(1, (m.covarianceXY+slopePriorVariance)/(m.varianceX+slopePriorVariance)))
 	line := m.meanY + slope*(x-m.meanX)
 	if !m.isEstimated {
 		return line
 	}
-	// The first to finish are the short ones: they say little of the others.
+	// The shortest tasks finish first and tell little about the others.
 	return line + (x-line)*estimatePriorRuns/float64(estimatePriorRuns+m.count)
 }
 
-// observe moves the line by one run.
+// observe updates the regression line by one run, given the logarithms of its estimate (x) and of
+// its run time (y).
 func (m *runtimeModel) observe(x, y float64) {
 	if m.count > 0 {
 		y = math.Max(m.predict(x)-maxDeviation, math.Min(m.predict(x)+maxDeviation, y))
@@ -76,7 +77,8 @@
 	m.covarianceXY += weight * (dx*(y-m.meanY) - m.covarianceXY)
 }
 
-// longestOf is how many times as long as a typical run the longest of a step's tasks should take.
+// longestToTypicalRatio returns the expected ratio of the longest run of a step with this many
+// tasks to a typical run.
 func (m *runtimeModel) longestToTypicalRatio(tasks int64) float64 {
 	if tasks <= 1 || m.spread.variance == 0 {
 		return 1
@@ -84,7 +86,7 @@
 	return math.Exp(medianLargestNormal(tasks) * math.Sqrt(m.spread.variance))
 }
 
-// largestQuantiles are the values of largestQuantile for few tasks, as steps have them.
+// medianLargestNormals caches medianLargestNormal for the usual numbers of tasks.
 var medianLargestNormals = func() (medians [1024]float64) {
 	for tasks := 1; tasks < len(medians); tasks++ {
 		medians[tasks] = computeMedianLargestNormal(int64(tasks))
@@ -92,8 +94,8 @@
 	return medians
 }()
 
-// largestQuantile is the median of the largest of so many draws of the standard normal
-// distribution.
+// medianLargestNormal returns the median of the largest of this many draws from the standard
+// normal distribution.
 func medianLargestNormal(tasks int64) float64 {
 	if tasks < int64(len(medianLargestNormals)) {
 		return medianLargestNormals[tasks]
@@ -101,25 +103,27 @@
 	return computeMedianLargestNormal(tasks)
 }
 
+// computeMedianLargestNormal computes medianLargestNormal: the largest of n draws is below a value
+// with the nth power of the probability that one draw is.
 func computeMedianLargestNormal(tasks int64) float64 {
 	return math.Sqrt2 * math.Erfinv(2*math.Pow(0.5, 1/float64(tasks))-1)
 }
 
-// meanOfTypical is how many times as long as a typical run the mean one takes, and the variance
-// of run times relative to the square of their mean, by the spread within steps.
+// meanToTypicalRatio returns the ratio of the mean run time to a typical one, and the variance of
+// the run times relative to the square of their mean. Both follow from the spread within steps.
 func (m *runtimeModel) meanToTypicalRatio() (mean, relativeVariance float64) {
 	variance := m.spread.variance
 	return math.Exp(variance / 2), math.Exp(variance) - 1
 }
 
-// spreadModel is how much the run times of one step's tasks differ. The estimate of a step
-// may be wrong for all its tasks alike; that says nothing of how they differ.
+// spreadModel estimates how much the run times of the tasks of one step differ. It compares them
+// with each other and not with the estimate, which may be wrong for all tasks alike.
 type spreadModel struct {
-	variance float64 // of the logarithm of the run times within a step, decayed
-	count    float64 // of runs beside the first of their step
+	variance float64 // decayed variance of the logarithms of the run times within a step
+	count    float64 // number of runs, without the first of each step
 }
 
-// observe takes in the runs of a step that has ended.
+// observe updates the spread by the runs of a step that has ended.
 func (m *spreadModel) observe(runs runSample) {
 	degreesOfFreedom := float64(runs.count - 1)
 	if degreesOfFreedom <= 0 {
@@ -130,10 +134,10 @@
 	m.variance += weight * (runs.squares/degreesOfFreedom - m.variance)
 }
 
-// runSample sums up run times, as logarithms (Welford's algorithm).
+// runSample accumulates the logarithms of run times by Welford's algorithm.
 type runSample struct {
 	count         int
-	mean, squares float64 // squares: the sum of the squared distances from the mean
+	mean, squares float64 // squares is the sum of the squared distances from the mean
 }
 
 func (s *runSample) add(logRuntime float64) {
@@ -143,7 +147,7 @@
 	s.squares += distance * (logRuntime - s.mean)
 }
 
-// finishedOn notes the worker on which a task finished.
+// recordFinish records that a task finished on a worker.
 func (m *runtimeModel) recordFinish(worker string, now eventloop.Micros) {
 	if m.lastWorker != worker {
 		m.previousWorker, m.previousFinishAt = m.lastWorker, m.lastFinishAt
@@ -151,7 +155,7 @@
 	m.lastWorker, m.lastFinishAt = worker, now
 }
 
-// hasFinishedElsewhere reports whether a task finished lately on another worker.
+// hasFinishedElsewhere reports whether a task finished on another worker within the window.
 func (m *runtimeModel) hasFinishedElsewhere(now eventloop.Micros, worker string, window eventloop.Micros) bool {
 	if m.lastWorker != worker {
 		return now-m.lastFinishAt < window
@@ -159,8 +163,7 @@
 	return m.previousWorker != "" && now-m.previousFinishAt < window
 }
 
-// recordRuntime learns from a successful run, for the model and for the worker's
-// slowdown.
+// recordRuntime updates the runtime model and the worker's slowdown by a successful run.
 func (s *Scheduler) recordRuntime(now eventloop.Micros, w *worker, t *task, status *schema.TaskStatus) {
 	runtime := eventloop.Micros(status.RunUs)
 	if from := cmp.Or(t.startedAt, t.orderedAt); runtime == 0 && from > 0 {
@@ -187,7 +190,7 @@
 	model.recordFinish(w.id, now)
 }
 
-// expectedRuntime is how long a task should run on a worker; 0: unknown.
+// expectedRuntime returns how long a task is expected to run on a worker; 0: unknown.
 func (s *Scheduler) expectedRuntime(w *worker, t *task) eventloop.Micros {
 	key, estimate := runtimeKeyOf(t)
 	duration := estimate
@@ -199,8 +202,8 @@
 	return eventloop.Micros(duration * s.remoteDataFactor(w, t.spec))
 }
 
-// remainingRuntime is how much longer a running task should take; where that isn't
-// known it is taken to be long.
+// remainingRuntime returns how much longer a running task is expected to run, or
+// unknownRuntime if that can't be predicted.
 func (s *Scheduler) remainingRuntime(now eventloop.Micros, w *worker, t *task) eventloop.Micros {
 	elapsed := now - t.startedAt
 	if t.percent >= minTrustedPercent && elapsed > 0 {
@@ -210,12 +213,12 @@
 	if expected == 0 || t.spec.RunUntilCancelled {
 		return unknownRuntime
 	}
-	// An overdue task may end at any time, but hardly at once.
+	// An overdue task may end at any time, but is unlikely to end at once.
 	return max(expected-elapsed, elapsed/10)
 }
 
-// remoteDataFactor is how many times as long a step's tasks run on a worker because
-// their data is in another rack.
+// remoteDataFactor returns the factor by which a step's tasks run longer on a worker
+// because their data is in another rack.
 func (s *Scheduler) remoteDataFactor(w *worker, spec *schema.Step) float64 {
 	if spec.DataRack != "" && spec.DataRack != w.rack {
 		return float64(cmp.Or(s.bounds.GetRemoteSlowdownMilli(), defaultRemoteFactor)) / 1000
--- a/internal/scheduler/step_progress.go
+++ b/internal/scheduler/step_progress.go
@@ -5,23 +5,24 @@
 	"sparnotch/internal/queue"
 )
 
-// mostEndedRatio is the part of a step's tasks after whose ends the rest are its stragglers.
+// mostEndedRatio is the fraction of a step's tasks after whose end the remaining tasks count as
+// stragglers.
 const mostEndedRatio = 0.95
 
-// stepProgress is how far the tasks of one step have come, by the events of its queue. It
-// exists while a task of the step is ready or checked out.
+// stepProgress tracks the tasks of one step by the events of its queue. It exists while a task
+// of the step is ready or checked out.
 type stepProgress struct {
-	unended       int // tasks that haven't ended
-	isTracked     bool
-	readyAt       eventloop.Micros // the first task became ready
-	firstPlacedAt eventloop.Micros // 0: none was
+	unended       int              // number of tasks that haven't ended
+	isTracked     bool             // an event of the step was seen, so that readyAt is set
+	readyAt       eventloop.Micros // when the first event of the step was seen, usually of its first ready task
+	firstPlacedAt eventloop.Micros // 0: no task was placed
 	lastPlacedAt  eventloop.Micros
-	mostEndedAt   eventloop.Micros // mostEndedRatio of the tasks had ended; 0: not yet
+	mostEndedAt   eventloop.Micros // when mostEndedRatio of the tasks had ended; 0: not yet
 	rerunCounts
-	runs runSample // of tasks that were done
+	runs runSample // run times of tasks that were done
 }
 
-// rerunCounts are attempts that were followed by another, by how they ended.
+// rerunCounts counts the attempts that were followed by another attempt, by how they ended.
 type rerunCounts struct{ Failed, Stopped, Lost int }
 
 func (c *rerunCounts) add(other rerunCounts) {
@@ -30,7 +31,7 @@
 	c.Lost += other.Lost
 }
 
-// countUnended adds to the number of a step's tasks that haven't ended.
+// countUnended adds delta to the number of a step's tasks that haven't ended.
 func (q *queueView) countUnended(key stepKey, delta int) {
 	progress := q.stepProgress[key]
 	if progress == nil {
@@ -40,8 +41,8 @@
 	progress.unended += delta
 }
 
-// trackChange takes in that a task is in another state than before; before is nil for a task
-// that the view didn't have.
+// trackChange records that a task has changed its state from before to t; before is nil for a
+// task that the view didn't have.
 func (q *queueView) trackChange(now eventloop.Micros, before, t *task) {
 	progress := q.stepProgress[t.key.stepKey()]
 	if !progress.isTracked {
@@ -58,14 +59,15 @@
 	}
 }
 
-// sampleRun takes in the run time, as a logarithm, of a task that is done. The members of a
-// gang end together.
+// sampleRun records the logarithm of the run time of a task that is done. Members of a gang don't
+// count, since they end together.
 func (q *queueView) sampleRun(t *task, logRuntime float64) {
 	if progress := q.stepProgress[t.key.stepKey()]; progress != nil && !t.spec.Gang {
 		progress.runs.add(logRuntime)
 	}
 }
 
+// countRerun counts an attempt that has ended and left its task ready again.
 func (p *stepProgress) countRerun(before, t *task) {
 	switch {
 	case t.failures > before.failures:
@@ -77,8 +79,8 @@
 	}
 }
 
-// trackEnd takes in that a task, which the view no longer has, has ended. With the step's last
-// one the step is added to the report of its queue, and forgotten.
+// trackEnd records the end of a task, which the view no longer has. When it was the last task of
+// its step, the step is added to the report of its queue and forgotten.
 func (s *Scheduler) trackEnd(now eventloop.Micros, q *queueView, t *task) {
 	progress := q.stepProgress[t.key.stepKey()]
 	if progress == nil {
