--- a/internal/scheduler/inspection_pause.go
+++ b/internal/scheduler/inspection_pause.go
@@ -2,18 +2,18 @@
 
 import "sparnotch/internal/eventloop"
 
-// Each inspection of a worker by its agent costs something on both sides. Tasks that run
-// beside each other end one at a time: to ask again at once after each end would take an
-// inspection for nearly every task. So the scheduler tells the agent how long more ends may
-// wait: little beside what the jobs' latency targets leave besides the jobs' own duration,
-// and not at all where work waits for the capacity that the ends free.
+// An inspection of a worker by its agent costs time on both sides. Tasks that run at the same
+// time end one by one, so an inspection right after each end would mean one inspection for
+// nearly every task. So the scheduler tells the agent how long to pause after it has seen ends.
+// The pause is a small part of the time that the jobs' latency targets leave beyond the jobs' own
+// duration, and it is 0 where work waits for the capacity that the ends free.
 
 const (
-	spareTimeRatio     = 0.2                         // of what a latency target leaves, for all steps of a job together
-	maxInspectionPause = 400 * eventloop.Millisecond // in any case
+	spareTimeRatio     = 0.2                         // fraction of the time left by a latency target that all pauses of a job may take together
+	maxInspectionPause = 400 * eventloop.Millisecond // upper limit of every pause
 )
 
-// inspectionPause is how long a worker needn't be inspected after ends were seen.
+// inspectionPause returns how long a worker need not be inspected after ends were seen.
 func (s *Scheduler) inspectionPause(w *worker) eventloop.Micros {
 	if s.starvedPools[w.pool] {
 		return 0
@@ -27,7 +27,7 @@
 	return pause
 }
 
-// spareTime is a step's part of the time that its job may spend on waiting for inspections.
+// spareTime returns the share of one step in the time that its job may spend waiting for inspections.
 func (s *Scheduler) spareTime(q *queueView, t *task) eventloop.Micros {
 	duration := eventloop.Micros(0)
 	for _, step := range t.wholeRound {
--- a/internal/scheduler/polls.go
+++ b/internal/scheduler/polls.go
@@ -5,18 +5,18 @@
 	"sparnotch/internal/schema"
 )
 
-// maxPollWait is how long a poll is held open at most.
+// maxPollWait is the maximum time for which a poll is held open.
 const maxPollWait = 400 * eventloop.Millisecond
 
 // openPoll is a worker's poll that waits for a response.
 type openPoll struct {
-	gateway  string // the process to respond to
+	gateway  string // id of the process that forwards the response to the worker
 	id       uint64
 	deadline eventloop.Micros
 }
 
-// handlePoll takes in a worker's heartbeat and keeps its poll open until there
-// is something to respond with.
+// handlePoll applies a worker's heartbeat and keeps its poll open until there are orders
+// or acknowledgements to send, or the poll reaches its deadline.
 func (s *Scheduler) handlePoll(now eventloop.Micros, gateway string, poll *schema.WorkerPollRequest, effects eventloop.Effects) {
 	w, heartbeat := s.workers[poll.Worker], poll.Heartbeat
 	if !s.acceptsHeartbeat(now, w, heartbeat) {
@@ -38,16 +38,16 @@
 	s.replacePoll(now, gateway, poll, w, effects)
 	s.updateGangsOn(now, w)
 	if isFirst {
-		// The worker must learn at once who holds its lease, and its inventory is here.
+		// The worker must learn at once who holds its lease, and its inventory has just arrived.
 		s.respond(now, w, effects)
 	}
-	// Most heartbeats bring no new capacity, and a pass is expensive.
+	// Most heartbeats bring no new capacity, and a pass is expensive, so not each requests one.
 	s.refreshUsage(w)
 	s.needsPass = s.needsPass || isFirst || wasUnresponsive || before != w.capacity()
 	s.needsGangCheck = true
 }
 
-// acceptsHeartbeat reports whether a heartbeat counts as a sign of life.
+// acceptsHeartbeat reports whether a heartbeat counts as a sign of life and is applied.
 func (s *Scheduler) acceptsHeartbeat(now eventloop.Micros, w *worker, heartbeat *schema.WorkerHeartbeat) bool {
 	// A scheduler that can't be sure of holding the worker lease grants nothing.
 	if w == nil || heartbeat == nil || w.isDead || !s.isClusterStateCurrent(now) || heartbeat.FencingToken > w.fencingToken {
@@ -56,9 +56,9 @@
 	if heartbeat.Incarnation < w.incarnation || heartbeat.Incarnation == w.incarnation && heartbeat.Seq <= w.seq {
 		return false
 	}
-	// The worker's messages arrive here, but no response arrives there: what is
-	// ordered may never begin, so the worker counts as unresponsive. The empty
-	// response grants nothing, and shows the worker when it hears again.
+	// The worker's messages arrive here, but it gets no responses. Orders might never
+	// reach it, so it counts as unresponsive. It still gets an empty response, which grants
+	// nothing but shows the worker when responses arrive again.
 	if heartbeat.Unanswered && w.hasHeartbeat && heartbeat.Incarnation == w.incarnation {
 		return false
 	}
@@ -71,6 +71,7 @@
 	return !h.hasHeartbeat || h.incarnation != incarnation
 }
 
+// update copies the content of a heartbeat. It converts spans of time to points in time.
 func (h *heartbeatState) update(now eventloop.Micros, m *schema.WorkerHeartbeat) {
 	if m.Draining && (!h.isDraining || h.isFirstOf(m.Incarnation)) {
 		h.drainingSince = now
@@ -90,14 +91,14 @@
 	}
 }
 
-// forgetIncarnation drops what was known of the incarnation before.
+// forgetIncarnation drops what was known of the worker's previous incarnation.
 func (w *worker) forgetIncarnation() {
 	w.ended = map[attemptKey]*endReport{}
 	w.resolvedAttempts = map[namedAttempt]attemptKey{}
 	w.quality = quality{}
 }
 
-// updateRuns takes in what a heartbeat lists as running and ended.
+// updateRuns records the runs and ends that a heartbeat lists.
 func (s *Scheduler) updateRuns(now eventloop.Micros, w *worker, heartbeat *schema.WorkerHeartbeat, effects eventloop.Effects) {
 	running, ended := s.resolveStatuses(w, heartbeat)
 	w.running = map[attemptKey]*schema.TaskStatus{}
@@ -109,10 +110,10 @@
 	s.recordEndReports(now, w, ended, effects)
 }
 
-// replacePoll opens a poll in place of the worker's former one, which is superseded.
+// replacePoll makes a poll the worker's open poll, in place of its previous one.
 func (s *Scheduler) replacePoll(now eventloop.Micros, gateway string, poll *schema.WorkerPollRequest, w *worker, effects eventloop.Effects) {
-	// The response to the former would say less. An agent, which names its tasks,
-	// has one poll open at a time and doesn't take it.
+	// The previous poll still gets a response, except from an agent, which reports tasks by
+	// name: it has one open poll at a time and ignores responses to superseded polls.
 	if w.poll != nil && !poll.Heartbeat.TasksByName {
 		s.respond(now, w, effects)
 	}
@@ -120,7 +121,7 @@
 	w.poll, w.needsResponse = &openPoll{gateway: gateway, id: poll.Id, deadline: now + wait}, true
 }
 
-// updateGangsOn lets the gangs that have a member on a worker react to its heartbeat.
+// updateGangsOn makes the gangs that have a member on a worker react to its heartbeat.
 func (s *Scheduler) updateGangsOn(now eventloop.Micros, w *worker) {
 	for _, t := range w.tasks {
 		if !t.spec.Gang {
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -9,19 +9,19 @@
 	"sparnotch/internal/schema"
 )
 
-// Acts of an order to a worker.
+// Actions of an order to a worker.
 const (
 	actionStart = "start"
 	actionHold  = "hold" // reserve the task's resources until its gang starts
 	actionStop  = "stop"
 )
 
-// drainStartGrace is how long a committed gang start still reaches a worker that
-// has reported that it drains.
+// drainStartGrace is the time for which a committed gang start is still ordered on a worker
+// after the worker has reported that it drains.
 const drainStartGrace = 500 * eventloop.Millisecond
 
-// reconcile lists the orders that lead from what a worker says it has to what the
-// queues want on it.
+// reconcile returns the orders that lead from the tasks a worker reports to the tasks
+// that are checked out to it.
 func (s *Scheduler) reconcile(now eventloop.Micros, w *worker) []*schema.TaskOrder {
 	var orders []*schema.TaskOrder
 	free := s.reportedFree(w)
@@ -37,10 +37,10 @@
 			orders = append(orders, newOrder(actionStop, q, t))
 		case !s.mayActFor(now, q):
 		case status == nil && s.poolOf(q) != w.pool:
-			// The configuration has moved the queue to another pool since.
+			// The configuration has moved the queue to another pool since the checkout.
 			orders = append(orders, newOrder(actionStop, q, t))
 		case status == nil:
-			// The worker's own report of free capacity decides, not this scheduler's estimate.
+			// The worker's own report of free capacity is authoritative, not this scheduler's estimate.
 			if need := resourcesOf(t.spec); free.covers(need) && !unknownUsage && (!w.hasBarrier || s.canStartGang(t)) {
 				free.sub(need)
 				orders = append(orders, newOrder(firstAction(w, t), q, t))
@@ -52,8 +52,8 @@
 	return append(orders, s.stopOrphans(now, w)...)
 }
 
-// firstAction is the order by which a task begins on a worker: where the worker doesn't
-// start a gang's members together by itself, a member is held until all have capacity.
+// firstAction returns the action of a task's first order. A member of a gang is held until
+// all members have capacity, unless the worker has a barrier and so starts them together itself.
 func firstAction(w *worker, t *task) string {
 	if t.spec.Gang && !t.isGangStarted && !w.hasBarrier {
 		return actionHold
@@ -61,7 +61,7 @@
 	return actionStart
 }
 
-// reportedFree is what is free on a worker by its own report alone.
+// reportedFree returns the free resources of a worker by its own report alone.
 func (s *Scheduler) reportedFree(w *worker) resources {
 	free := w.total()
 	for key, status := range w.running {
@@ -73,9 +73,9 @@
 	return free
 }
 
-// staysWhileDraining reports whether a task stays on a worker that drains. What
-// runs may run out. A member of a gang whose start is committed is started if the
-// worker has reported only just now that it drains, since other members may have begun.
+// staysWhileDraining reports whether a task stays on a draining worker. A running task
+// may finish. A held member of a gang whose start is committed is still started for
+// drainStartGrace after the worker began to drain, since other members may have begun.
 func (t *task) staysWhileDraining(now eventloop.Micros, w *worker, status *schema.TaskStatus) bool {
 	if status == nil {
 		return false
@@ -83,8 +83,8 @@
 	return status.State != runStateHeld || t.isGangStarted && now-w.drainingSince < drainStartGrace
 }
 
-// stopOrphans orders the end of what runs on a worker though its queue, which is
-// led here, doesn't have it checked out there, and of what belongs to no queue.
+// stopOrphans returns orders to stop the runs on a worker that aren't checked out to it,
+// if this node leads their queue, and the runs that belong to no queue.
 func (s *Scheduler) stopOrphans(now eventloop.Micros, w *worker) []*schema.TaskOrder {
 	var orders []*schema.TaskOrder
 	for key, status := range w.running {
@@ -107,6 +107,7 @@
 	return orders
 }
 
+// orderLess reports whether order a comes before order b in a response.
 func orderLess(a, b *schema.TaskOrder) bool {
 	return cmp.Or(
 		compareTaskKeys(taskKey{a.Queue, a.Job, a.Step, a.Task}, taskKey{b.Queue, b.Job, b.Step, b.Task}),
@@ -114,6 +115,7 @@
 	) < 0
 }
 
+// newOrder returns an order with all that a worker needs to run the task.
 func newOrder(action string, q *queueView, t *task) *schema.TaskOrder {
 	checkpoint := ""
 	if t.spec.Checkpoints {
--- a/internal/scheduler/respond.go
+++ b/internal/scheduler/respond.go
@@ -5,8 +5,8 @@
 	"sparnotch/internal/schema"
 )
 
-// respondToPolls responds to the open polls that have reached their deadline or
-// for which there is something to say.
+// respondToPolls responds to the open polls that have reached their deadline, and to
+// those of workers that get orders or acknowledgements.
 func (s *Scheduler) respondToPolls(now eventloop.Micros, effects eventloop.Effects) {
 	for _, w := range s.sortedWorkers() {
 		if w.poll == nil || !w.needsResponse && now < w.poll.deadline {
@@ -24,8 +24,9 @@
 	s.respondWith(now, w, s.reconcile(now, w), effects)
 }
 
-// respondWith grants the worker its lease to run tasks, gives it orders, and
-// acknowledges the ends that are settled.
+// respondWith answers a worker's open poll. The response grants the worker its lease to run
+// tasks, carries orders, and acknowledges the committed and orphaned ends. An unresponsive
+// worker gets an empty response, and so does any worker while the cluster state isn't current.
 func (s *Scheduler) respondWith(now eventloop.Micros, w *worker, orders []*schema.TaskOrder, effects eventloop.Effects) {
 	if !s.isClusterStateCurrent(now) || now-w.lastHeard > unresponsiveTimeout {
 		s.closePoll(w, effects)
@@ -43,7 +44,7 @@
 	w.poll = nil
 }
 
-// acknowledgedEnds lists the ends that the worker needn't report any longer.
+// acknowledgedEnds returns the ends that the worker need not report any more.
 func (w *worker) acknowledgedEnds() []*schema.TaskStatus {
 	var statuses []*schema.TaskStatus
 	for _, key := range w.sortedEndKeys() {
@@ -57,6 +58,7 @@
 	return statuses
 }
 
+// countOrder counts an order by its action, and records when a start was ordered.
 func (s *Scheduler) countOrder(now eventloop.Micros, w *worker, order *schema.TaskOrder) {
 	switch order.Action {
 	case actionStart:
--- a/internal/scheduler/state_view.go
+++ b/internal/scheduler/state_view.go
@@ -8,7 +8,7 @@
 	"sparnotch/internal/queue"
 )
 
-// StateViewRequest asks for a StateView; Request is the id to respond to.
+// StateViewRequest asks for a StateView. Request is the id of the request to respond to.
 type StateViewRequest struct {
 	Request uint64
 }
@@ -20,12 +20,12 @@
 	Ready   map[string]int `json:"ready"` // ready tasks by queue
 	Counts  Counts         `json:"counts"`
 	Tenants []*TenantView  `json:"tenants"`
-	// LeadsAllQueues says that the tenants' figures are those of the whole system, and that
-	// tasks of tenants with a limit are placed here.
+	// LeadsAllQueues reports whether this scheduler knows all runs of the system. If so, the
+	// tenants' figures cover the whole system and tasks of tenants with a limit are placed here.
 	LeadsAllQueues bool `json:"leads_all_queues"`
 }
 
-// WorkerView is the state of one worker, as the holder of its lease has it.
+// WorkerView is the state of one worker, as known to the holder of its lease.
 type WorkerView struct {
 	Worker       string `json:"worker"`
 	FencingToken uint64 `json:"ward_generation"`
@@ -37,15 +37,15 @@
 	Accelerators int64  `json:"accelerators"`
 	Leaving      bool   `json:"leaving"`
 	Dead         bool   `json:"over"`
-	TasksOut     int    `json:"tasks_out"`
-	TasksRunning int    `json:"tasks_running"` // that the worker lists, with those it holds for a gang's start
-	TasksUnknown int    `json:"tasks_unknown"`
+	TasksOut     int    `json:"tasks_out"`     // tasks checked out to the worker
+	TasksRunning int    `json:"tasks_running"` // runs that the worker lists, including tasks held for a gang's start
+	TasksUnknown int    `json:"tasks_unknown"` // runs that belong to no known task
 	FailureRate  string `json:"failure_rate"`
 	Slowdown     string `json:"times_slower"`
 	Ejected      bool   `json:"set_aside"`
 }
 
-// Placement is the worker of one task and the reason for choosing it.
+// Placement is the view of a task that is checked out to a worker, with the reason for the choice of the worker.
 type Placement struct {
 	Queue  string `json:"queue"`
 	Job    string `json:"job"`
@@ -56,6 +56,7 @@
 	Reason string `json:"why"`
 }
 
+// stateView returns the present state for operators.
 func (s *Scheduler) stateView(now eventloop.Micros) *StateView {
 	view := &StateView{Ready: map[string]int{}, Counts: s.counts, Tenants: s.viewTenants(now), LeadsAllQueues: s.knowsAllRuns(now)}
 	for _, w := range s.sortedWorkers() {
--- a/internal/scheduler/tenant_claims.go
+++ b/internal/scheduler/tenant_claims.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// Claims: what becomes free of a tenant's limit is kept for a wide step that has waited long.
+// Claims reserve the room in a tenant's limit for a wide step that has waited long.
 
 import (
 	"cmp"
@@ -9,16 +9,17 @@
 	"sparnotch/internal/eventloop"
 )
 
-// limitClaim keeps what becomes free of a tenant's limit for a wide step.
+// limitClaim reserves the room that becomes free in a tenant's limit for a wide step.
 type limitClaim struct {
 	step         stepKey
-	urgency      int64 // of its queue; more urgent steps don't wait
-	waitingSince eventloop.Micros
+	urgency      int64            // urgency of its queue; steps of more urgent queues ignore the claim
+	waitingSince eventloop.Micros // when the step's first ready task became ready
 }
 
-// claimLimits keeps the limits of tenants for those of their wide steps that have waited long and
-// don't fit beside what else the tenant runs: narrower ones would take each part that becomes
-// free. Of several the one in the most urgent queue claims, among equals the oldest.
+// claimLimits lets wide steps claim the limits of their tenants if they have waited for claimDelay
+// and don't fit beside the tenant's other tasks. Without a claim, narrower steps would take each
+// bit of room as it becomes free. For each tenant the step in the most urgent queue claims the
+// limit, and among equally urgent ones the step that has waited longest.
 func (s *Scheduler) claimLimits(now eventloop.Micros, queues []*queueView, pass *passState) {
 	if !s.config.HasTenants() {
 		return
@@ -39,6 +40,7 @@
 	}
 }
 
+// comesBefore reports whether a claim has precedence over another one, which may be nil.
 func (c *limitClaim) comesBefore(other *limitClaim) bool {
 	if other == nil {
 		return true
@@ -49,8 +51,8 @@
 	) < 0
 }
 
-// isWide reports whether what a step must start at once, a task or a gang, takes much of the
-// limit and yet may have it when nothing else of the tenant runs.
+// isWide reports whether the unit that a step must start at once, a task or a whole gang, takes
+// more than 1/wideFraction of the limit, but is allowed when the tenant runs nothing else.
 func (a *tenantAccount) isWide(step *stepQueue) bool {
 	members := 1
 	if step.spec.Gang {
--- a/internal/scheduler/tenant_shares.go
+++ b/internal/scheduler/tenant_shares.go
@@ -1,22 +1,22 @@
 package scheduler
 
-// Fair shares: who goes first while there is more work than capacity.
+// Fair shares determine the order of tenants while there is more work than capacity.
 
 import "math"
 
-// shareRanksPerDoubling is how finely the order of tenants beyond their fair shares tells them
-// apart; within a rank the jobs' order counts.
+// shareRanksPerDoubling is the number of ranks per doubling of a tenant's use beyond its fair
+// share. Tenants of the same rank are served in the order of their jobs.
 const shareRanksPerDoubling = 8
 
-// tenantShare is what a tenant uses of a pool during a pass, beside its fair share of it.
+// tenantShare holds a tenant's use of a pool during a pass, and its fair share of the pool.
 type tenantShare struct {
 	used resources
-	fair resources // by its weight among the tenants that use or want something there; 0: no share
+	fair resources // share by its weight among the tenants that use or want something in the pool; 0: none
 }
 
-// rank tells how far the tenant is beyond its fair share: 0 is below, and each doubling counts
-// shareRanksPerDoubling. What counts is the kind of which it has the largest part (dominant
-// resource fairness).
+// rank returns how far the tenant's use is beyond its fair share: 0 is below the share, and each
+// doubling adds shareRanksPerDoubling. The rank is that of the kind of resource of which the tenant
+// uses the largest part (dominant resource fairness).
 func (s *tenantShare) rank() int {
 	ratio := 0.0
 	for _, kind := range [...][2]int64{
@@ -32,11 +32,11 @@
 	return 1 + int(shareRanksPerDoubling*math.Log2(ratio))
 }
 
-// poolShares are the shares of one pool.
+// poolShares holds the tenants' shares of one pool during a pass.
 type poolShares struct {
 	pool         string
-	total        resources // of its candidates
-	activeWeight float64   // of the tenants that use or want something, in thousandths
+	total        resources // resources of its candidate workers
+	activeWeight float64   // sum of the weights of the tenants that use or want something, in thousandths
 	byTenant     map[string]*tenantShare
 }
 
@@ -54,7 +54,7 @@
 	return shares
 }
 
-// of returns a tenant's share.
+// shareOf returns a tenant's share of the pool.
 func (p *poolShares) shareOf(s *Scheduler, name string) *tenantShare {
 	if share := p.byTenant[name]; share != nil {
 		return share
@@ -69,8 +69,8 @@
 	return share
 }
 
-// activeWeight sums the weights, in thousandths, of the tenants that use or want something of a
-// pool.
+// activeWeight returns the sum of the weights, in thousandths, of the tenants that use a pool or
+// have ready tasks for it.
 func (s *Scheduler) activeWeight(pool string) (sum float64) {
 	active := map[string]bool{}
 	if use := s.poolUse[pool]; use != nil {
--- a/internal/scheduler/tenant_use.go
+++ b/internal/scheduler/tenant_use.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// What tenants use, summed over the workers.
+// Sums of the resources that tenants use.
 
 import (
 	"maps"
@@ -8,12 +8,13 @@
 	"sparnotch/internal/schema"
 )
 
-// tenantUse is what a worker's tasks use, by tenant.
+// tenantUse sums the resources in use by tenant, for one worker, a pool or all workers.
 type tenantUse struct {
-	byTenant   map[string]resources // nil: nothing
-	unassigned resources            // by runs of which the tenant isn't known
+	byTenant   map[string]resources // resources by tenant; nil: none
+	unassigned resources            // resources of runs whose tenant isn't known
 }
 
+// add adds resources to the use of a tenant; "" is no tenant and isn't counted.
 func (u *tenantUse) add(tenant string, size resources) {
 	if tenant == "" {
 		return
@@ -26,7 +27,7 @@
 	u.byTenant[tenant] = sum
 }
 
-// addRun adds a run that isn't checked out to the worker; without a tenant it may be anybody's.
+// addRun adds a run that isn't checked out to the worker. Without a known tenant it may belong to any.
 func (u *tenantUse) addRun(tenant string, size resources) {
 	if tenant == "" {
 		u.unassigned.add(size)
@@ -35,8 +36,8 @@
 	u.add(tenant, size)
 }
 
-// tenantOfRun returns whose a run is: as the worker says, else as another attempt at the task
-// shows; empty: it isn't known.
+// tenantOfRun returns the tenant of a run, as reported by the worker or else as known from another
+// attempt at the same task; empty: unknown.
 func (s *Scheduler) tenantOfRun(key attemptKey, status *schema.TaskStatus) string {
 	if status.Tenant != "" {
 		return status.Tenant
@@ -47,7 +48,7 @@
 	return ""
 }
 
-// hasOpenCheckouts reports whether the checkout of any task was given up but may yet be committed.
+// hasOpenCheckouts reports whether any queue has tasks in queueView.openCheckouts.
 func (s *Scheduler) hasOpenCheckouts() bool {
 	for _, q := range s.queues {
 		if len(q.openCheckouts) > 0 {
@@ -57,7 +58,7 @@
 	return false
 }
 
-// of returns what a tenant uses.
+// usedBy returns the resources that a tenant uses.
 func (u *tenantUse) usedBy(tenant string) resources {
 	if u == nil {
 		return resources{}
@@ -65,7 +66,7 @@
 	return u.byTenant[tenant]
 }
 
-// addAll adds a use so many times.
+// addAll adds another use multiplied by factor.
 func (u *tenantUse) addAll(other tenantUse, factor int64) {
 	for tenant, size := range other.byTenant {
 		u.add(tenant, size.times(factor))
@@ -76,8 +77,8 @@
 	u.unassigned.add(other.unassigned.times(factor))
 }
 
-// countTenantUse adds what was last summed up for a worker to the sums by tenant, or with -1
-// takes it out.
+// countTenantUse adds a worker's use by tenant to the sums over its pool and over all workers.
+// With a factor of -1 it subtracts that use.
 func (s *Scheduler) countTenantUse(w *worker, factor int64) {
 	if s.poolUse[w.summedPool] == nil {
 		s.poolUse[w.summedPool] = &tenantUse{}
@@ -86,7 +87,7 @@
 	s.tenantUse.addAll(w.tenantUse, factor)
 }
 
-// sumTenantUse returns what each tenant uses now, beside the use of runs that may be anybody's.
+// sumTenantUse returns the present use of each tenant, and the use of runs whose tenant isn't known.
 func (s *Scheduler) sumTenantUse() tenantUse {
 	if !s.config.HasTenants() {
 		return tenantUse{}
@@ -95,7 +96,7 @@
 		s.refreshUsage(w)
 	}
 	sums := tenantUse{byTenant: maps.Clone(s.tenantUse.byTenant), unassigned: s.tenantUse.unassigned}
-	// What is checked out to workers whose lease another scheduler holds.
+	// Tasks that are checked out to workers whose lease another scheduler holds.
 	for id, tasks := range s.tasksByWorker {
 		if s.workers[id] != nil {
 			continue
--- a/internal/scheduler/tenant_view.go
+++ b/internal/scheduler/tenant_view.go
@@ -9,17 +9,17 @@
 	"sparnotch/internal/eventloop"
 )
 
-// TenantView is a tenant as this node's scheduler counts it, over the queues that the node
-// leads.
+// TenantView shows the use, limit and tasks of a tenant, as this node's scheduler counts them over
+// the queues that the node leads.
 type TenantView struct {
 	Tenant       string         `json:"tenant"`
-	WeightMilli  int64          `json:"weight_milli"` // 0: it isn't configured any more
+	WeightMilli  int64          `json:"weight_milli"` // 0: the tenant was removed from the configuration
 	Used         *ResourcesView `json:"used"`
 	Limit        *ResourcesView `json:"limit"`         // 0: no limit
 	TasksRunning int            `json:"tasks_running"` // checked out
 	TasksReady   int            `json:"tasks_ready"`
-	WaitingUs    int64          `json:"waiting_us"` // how long the longest of these has waited
-	WaitsFor     string         `json:"waits_for"`  // empty: nothing is ready
+	WaitingUs    int64          `json:"waiting_us"` // longest waiting time of a ready task
+	WaitsFor     string         `json:"waits_for"`  // reason for the waiting; empty: no task is ready
 }
 
 // ResourcesView is an amount of each kind of resource.
@@ -29,15 +29,16 @@
 	Accelerators int64 `json:"accelerators"`
 }
 
+// view returns the resources in the form of the state view.
 func (r resources) view() *ResourcesView { return &ResourcesView{r.cores, r.memory, r.accelerators} }
 
-// What a tenant's ready tasks wait for, beside its quota.
+// Reasons for which a tenant's ready tasks wait, other than its quota.
 const (
 	waitsForWorkers    = "room on the workers"
 	waitsForLeadership = "a node that leads every queue: this one doesn't, and its limit needs that"
 )
 
-// tenantViews collects the views of all tenants.
+// tenantViews builds the views of all tenants.
 type tenantViews struct {
 	scheduler *Scheduler
 	now       eventloop.Micros
@@ -45,8 +46,8 @@
 	byName    map[string]*TenantView
 }
 
-// viewTenants returns the tenants by name: those that are configured, and those that are not
-// any more and still have tasks.
+// viewTenants returns the views of all tenants, sorted by name: the configured ones, and removed
+// ones that still have tasks.
 func (s *Scheduler) viewTenants(now eventloop.Micros) []*TenantView {
 	views := &tenantViews{scheduler: s, now: now, byName: map[string]*TenantView{}, pass: &passState{
 		tenantUse: s.sumTenantUse(), knowsAllRuns: s.knowsAllRuns(now), accounts: map[string]*tenantAccount{},
@@ -71,7 +72,7 @@
 	return list
 }
 
-// of returns the view of a tenant, and makes it if there is none yet.
+// viewOf returns the view of a tenant. It creates the view on first use.
 func (v *tenantViews) viewOf(name string) *TenantView {
 	if v.byName[name] == nil {
 		account := v.pass.accountOf(v.scheduler, name)
@@ -80,7 +81,7 @@
 	return v.byName[name]
 }
 
-// addReady counts the ready tasks of a queue.
+// addReady adds the ready tasks of a queue to the views of their tenants.
 func (v *tenantViews) addReady(q *queueView) {
 	for _, t := range q.reserved {
 		if t.tenant != "" {
@@ -97,8 +98,8 @@
 	}
 }
 
-// addReadyStep counts the ready tasks of a step. What waits for the tenant's quota tells more
-// than what waits for workers.
+// addReadyStep adds the ready tasks of a step to the view of their tenant. As the reason for
+// waiting, the tenant's quota takes precedence over the lack of room on the workers.
 func (v *tenantViews) addReadyStep(step *stepQueue) {
 	first := step.first()
 	view := v.viewOf(first.tenant)
@@ -109,7 +110,7 @@
 	case account.isUncertain && account.hasLimit():
 		view.WaitsFor = waitsForLeadership
 	case !v.pass.allowsAnyTask(v.scheduler, step):
-		// Of several the same one each time, in whatever order the steps are looked at.
+		// The greatest text wins, so that the result doesn't depend on the order of the steps.
 		if reason := account.describeQuota(resourcesOf(step.spec), v.pass.tenantUse.unassigned); reason > view.WaitsFor || view.WaitsFor == waitsForWorkers {
 			view.WaitsFor = reason
 		}
@@ -118,8 +119,8 @@
 	}
 }
 
-// describeQuota says which kinds of a tenant's limit leave no room for a task, and how much of
-// what counts as used is that of runs whose tenant isn't known.
+// describeQuota returns a text that names the kinds of resource in which a tenant's limit leaves no
+// room for a task, and how much of the use comes from runs whose tenant isn't known.
 func (a *tenantAccount) describeQuota(need, unassigned resources) string {
 	var full, kinds []string
 	for _, kind := range a.limitedAmounts(need, unassigned) {
@@ -129,21 +130,22 @@
 			full = append(full, text)
 		}
 	}
-	// A gang's first member may have room, and the whole gang not.
+	// A single member of a gang may fit the limit while the whole gang doesn't.
 	if len(full) == 0 {
 		full = kinds
 	}
 	return "its tenant's quota: " + strings.Join(full, ", ")
 }
 
-// limitedAmount is one kind of resource that is limited and needed, for a text.
+// limitedAmount is a limited and needed kind of resource with its unit for texts.
 type limitedAmount struct {
 	limitedKind
 	unassigned int64
-	divisor    float64 // of the unit in texts
+	divisor    float64 // divides an amount to convert it to the unit of the text
 	unit       string
 }
 
+// limitedAmounts returns the kinds of resource that are limited and of which a task needs some.
 func (a *tenantAccount) limitedAmounts(need, unassigned resources) []limitedAmount {
 	return slices.DeleteFunc([]limitedAmount{
 		{limitedKind{a.limit.cores, a.used.cores, need.cores}, unassigned.cores, 1000, "cores"},
@@ -152,6 +154,7 @@
 	}, func(amount limitedAmount) bool { return amount.limit == 0 || amount.need == 0 })
 }
 
+// describe returns a text such as "0.8 of 1 cores".
 func (a limitedAmount) describe() string {
 	text := fmt.Sprintf("%g of %g %s", float64(a.used)/a.divisor, float64(a.limit)/a.divisor, a.unit)
 	if a.unassigned > 0 {
--- a/internal/scheduler/tenants.go
+++ b/internal/scheduler/tenants.go
@@ -9,36 +9,39 @@
 	"sparnotch/internal/timing"
 )
 
-// A tenant's limit bounds what its tasks use at once over all workers. It is spent where a
-// task is checked out: a queue's log is the only record of what was checked out of that
-// queue, so a scheduler that leads every queue knows all that may run, also what its
-// predecessors ordered and what is carried out late. Only such a scheduler places tasks of
-// tenants with a limit. Leadership is thus the lease on a tenant's whole share, fenced by the
-// terms of the queues' Raft groups, and a new holder begins with the exact count.
+// A tenant's limit bounds the resources that its tasks use at the same time on all workers.
+// A task is counted from its checkout. A queue's log is the only record of the checkouts of
+// that queue, so a scheduler that leads every queue knows all tasks that may run, including
+// those that its predecessors ordered and those that start late. Only such a scheduler places
+// tasks of tenants with a limit. The leadership of all queues thus acts as the lease on every
+// tenant's limit, fenced by the terms of the queues' Raft groups, and a new holder begins with
+// the exact count.
 //
-// What a tenant uses is the sum of
-//   - what is checked out, until its worker has listed the end or the queue has committed it;
-//   - what is reserved for checkouts on their way, and what may yet be committed of those
-//     that were given up;
-//   - runs that workers list beside that, as of a queue that was removed. Where the worker
-//     doesn't say whose they are, they count for every tenant.
-
-// tenantAccount is what one tenant uses and may use, during one pass.
+// The use of a tenant is the sum of
+//   - tasks that are checked out, until their worker has listed the end or the queue has
+//     committed it;
+//   - tasks that are reserved for proposed checkouts, and tasks whose checkout was given up
+//     but may still be committed;
+//   - other runs that workers list, for example of a queue that was removed. They count for
+//     every tenant if the worker doesn't report their tenant.
+
+// tenantAccount tracks the use and the limit of one tenant during one pass.
 type tenantAccount struct {
 	limit       resources // 0 in a kind: no limit
-	overrun     float64   // that the deployment allows, as a part of the limit
+	overrun     float64   // overrun of the limit that the deployment allows, as a fraction of the limit
 	used        resources
-	isUncertain bool // more may be in use than is known
+	isUncertain bool // more may be in use than this scheduler knows
 
-	claim            *limitClaim // nil: none
-	hasOpenCheckouts bool        // some task, of this tenant or another, has one: see queueView.openCheckouts
+	claim            *limitClaim // claim on the limit by a wide step; nil: none
+	hasOpenCheckouts bool        // queueView.openCheckouts isn't empty for some queue, whichever tenant its tasks belong to
 }
 
-// hasLimit reports whether the tenant's use is limited in any kind.
+// hasLimit reports whether any kind of resource is limited for the tenant.
 func (a *tenantAccount) hasLimit() bool { return a.limit != resources{} }
 
-// takes reports whether the tenant may have these tasks, which are one task or a whole gang.
-// Those whose checkout may yet be committed are in use already.
+// allows reports whether the limit allows the tenant to run these tasks, which are one task or
+// a whole gang, each with this need. Tasks with an open checkout (queueView.openCheckouts) already
+// count as used, so they are allowed as long as the use is within the limit.
 func (a *tenantAccount) allows(tasks []*task, need resources) bool {
 	switch {
 	case !a.hasLimit():
@@ -53,13 +56,13 @@
 	return a.room(need) > 0
 }
 
-// isWithinLimit reports whether what is in use keeps to the limit.
+// isWithinLimit reports whether the present use is within the limit.
 func (a *tenantAccount) isWithinLimit() bool {
 	within := func(used, limit int64) bool { return limit == 0 || used <= limit }
 	return within(a.used.cores, a.limit.cores) && within(a.used.memory, a.limit.memory) && within(a.used.accelerators, a.limit.accelerators)
 }
 
-// charge counts tasks that are placed.
+// charge adds placed tasks to the use, except those with an open checkout, which count already.
 func (a *tenantAccount) charge(tasks []*task, need resources) {
 	for _, t := range tasks {
 		if !t.hasOpenCheckout {
@@ -68,8 +71,8 @@
 	}
 }
 
-// room is how many more tasks of a size the tenant may have. A task that is wider than the
-// limit by itself may run alone.
+// room returns how many more tasks of this size the limit allows. A single task that exceeds
+// the limit by itself is allowed while the tenant uses nothing else.
 func (a *tenantAccount) room(need resources) int64 {
 	switch {
 	case !a.hasLimit():
@@ -87,8 +90,9 @@
 	return count
 }
 
-// takesGang reports whether the tenant may have all members of a gang of this size. One that
-// is wider than the limit may run alone, if the deployment's overrun and one member more cover it.
+// allowsGang reports whether the limit allows all members of a gang of this size. A gang that
+// exceeds the limit is allowed while the tenant uses nothing else, if without one of its members
+// it is within the limit plus the overrun that the deployment allows.
 func (a *tenantAccount) allowsGang(need resources, members int) bool {
 	if a.room(need) >= int64(members) {
 		return true
@@ -104,9 +108,10 @@
 	return true
 }
 
-// limitedKind is one kind of resource that is limited and needed.
+// limitedKind is a kind of resource that has a limit and is needed by a task.
 type limitedKind struct{ limit, used, need int64 }
 
+// limitedKinds returns the kinds of resource that are limited and of which a task needs some.
 func (a *tenantAccount) limitedKinds(need resources) []limitedKind {
 	kinds := make([]limitedKind, 0, 3)
 	for _, kind := range [...]limitedKind{
@@ -121,7 +126,7 @@
 	return kinds
 }
 
-// accountOf returns a tenant's account in this pass. A task without a tenant has no limit.
+// accountOf returns a tenant's account in this pass. Tasks without a tenant share an account without a limit.
 func (p *passState) accountOf(s *Scheduler, name string) *tenantAccount {
 	if account := p.accounts[name]; account != nil {
 		return account
@@ -136,8 +141,9 @@
 	return account
 }
 
-// takeable returns the ready tasks of a step that its tenant may have next: one, or all members
-// of a gang; nil: none. Of tasks without room those are taken that have theirs already.
+// nextAllowedTasks returns the ready tasks of a step that the tenant's limit allows next: one task,
+// all members of a gang, or nil. If the limit has no room for another task, a task with an open
+// checkout is still allowed, since it already counts as used.
 func (a *tenantAccount) nextAllowedTasks(step *stepQueue, urgency int64) []*task {
 	if a.claim != nil && a.claim.step != step.key && urgency <= a.claim.urgency {
 		return nil
@@ -163,14 +169,14 @@
 	return open
 }
 
-// mayTakeAny reports whether a step's tenant may have any more of its tasks.
+// allowsAnyTask reports whether the limit of a step's tenant allows any more of the step's tasks.
 func (p *passState) allowsAnyTask(s *Scheduler, step *stepQueue) bool {
 	account := p.accountOf(s, step.first().tenant)
 	return !account.hasLimit() || account.nextAllowedTasks(step, s.queues[step.key.queue].urgency) != nil
 }
 
-// tenantOf returns what is configured of a tenant, or was last, if it has been removed; nil:
-// no limit is known.
+// tenantOf returns the configuration of a tenant, or its last configuration if the tenant was
+// removed. It returns nil if neither is known.
 func (s *Scheduler) tenantOf(name string) *clusterstate.Tenant {
 	if tenant := s.config.Tenant(name); tenant != nil {
 		return tenant
@@ -178,10 +184,10 @@
 	return s.config.FormerTenant(name)
 }
 
-// knowsAllRuns reports whether this node knows everything that may run: it leads every queue,
-// one at least, also those that the configuration no longer has, but for those that were added
-// while it led all others. Nothing of these was placed by another scheduler, since that would
-// have had to lead all queues.
+// knowsAllRuns reports whether this node knows every task that may run. This holds if its cluster
+// state is current and it leads at least one queue and every queue of the cluster state, including
+// those that the configuration no longer has. Queues that were added while it led all others need
+// not be led: no other scheduler has placed their tasks, since it would have had to lead all queues.
 func (s *Scheduler) knowsAllRuns(now eventloop.Micros) bool {
 	if !s.isClusterStateCurrent(now) {
 		return false
@@ -199,9 +205,9 @@
 	return ledQueues > 0
 }
 
-// noteAddedQueues notes the queues of a new cluster state that the one before didn't have, if
-// this node has known all that runs for longer than a copy of the cluster state may be old: then
-// they were added while it led all others, and no predecessor could place anything of theirs.
+// noteAddedQueues records the queues that a new cluster state has added. It does so only if
+// knowsAllRuns has held for longer than FormerLeaseTimeout. Then the queues were added while this
+// node led all others, so no predecessor can have placed any of their tasks.
 func (s *Scheduler) noteAddedQueues(now eventloop.Micros, state *schema.ClusterState) {
 	if !s.knowsAllRuns(now) || s.knowsAllRunsSince == 0 || now-s.knowsAllRunsSince <= timing.FromBounds(s.bounds).FormerLeaseTimeout {
 		return
@@ -217,7 +223,7 @@
 	}
 }
 
-// trackKnowledge keeps since when this node has known all that runs.
+// updateKnowsAllRunsSince updates the time since which knowsAllRuns has held.
 func (s *Scheduler) updateKnowsAllRunsSince(now eventloop.Micros) {
 	switch {
 	case !s.knowsAllRuns(now):
@@ -227,8 +233,8 @@
 	}
 }
 
-// forgetAddedQueues is called when this node has stopped leading a queue in some term: another
-// scheduler may have come to lead all.
+// forgetAddedQueues drops the recorded queues. It is called when this node has stopped leading a
+// queue in some term, since another scheduler may lead all queues from then on.
 func (s *Scheduler) forgetAddedQueues() {
 	clear(s.addedQueues)
 	s.knowsAllRunsSince = 0
