--- a/internal/scheduler/events_test.go
+++ b/internal/scheduler/events_test.go
@@ -22,7 +22,7 @@
 		So(len(h.replies), ShouldEqual, 1)
 		h.deliverEvents(true, 2, newEvent(2, 1, 0, queue.CheckedOut, "w", oneTask))
 		So(h.lastReply().Orders.Orders[0].Action, ShouldEqual, "start")
-		// A duplicate is ignored.
+		// An event with a sequence number that was already applied is ignored.
 		h.deliverEvents(false, 2, newEvent(2, 1, 0, queue.Inactive, "", oneTask))
 		So(len(h.scheduler.queues["l"].tasks), ShouldEqual, 1)
 	})
--- a/internal/scheduler/inspection_pause_test.go
+++ b/internal/scheduler/inspection_pause_test.go
@@ -13,7 +13,7 @@
 
 func TestInspectionPause(t *testing.T) {
 	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 400, MemoryMb: 1}
-	// running is a task of a job with so many steps in a row, of so long each.
+	// running returns a running task of a job with a chain of steps, each with this estimate.
 	running := func(job uint64, steps int, estimate eventloop.Micros) *queue.TaskEvent {
 		event := newEvent(job, job, 0, queue.CheckedOut, "w", step)
 		event.CriticalPath = slices.Repeat([]queue.PathStep{{EstimateUs: int64(estimate), CoresMilli: 400}}, steps)
@@ -23,7 +23,7 @@
 	ready := func(cores int64) *queue.TaskEvent {
 		return newEvent(9, 9, 0, queue.Ready, "", &schema.Step{Name: "s", Tasks: 1, CoresMilli: cores, MemoryMb: 1})
 	}
-	// pause is what the worker is told. A target is 1.5 times the job's duration, and 0.5 s.
+	// pause returns the pause that the worker is told. The latency target is 1.5 times the job's duration plus 0.5 s.
 	pause := func(events ...*queue.TaskEvent) eventloop.Micros {
 		h := newHarness("w")
 		h.configure([]*schema.ConfigurationRow{queueRow("l", "stretch_milli", "1500"), queueRow("l", "target_ms", "500")}, "w")
--- a/internal/scheduler/leases_test.go
+++ b/internal/scheduler/leases_test.go
@@ -63,7 +63,7 @@
 			h.deliver(eventloop.Tick{})
 		}
 		So(h.endReports(), ShouldBeEmpty)
-		// Nor does one whose process was frozen and finds an old status in its mailbox.
+		// A scheduler whose process was frozen finds an old status in its mailbox, which must not count as current.
 		h.deliver(replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 1}, IsClusterStateFresh: true, At: h.now - 3*eventloop.Second})
 		h.deliver(eventloop.Tick{})
 		So(h.endReports(), ShouldBeEmpty)
--- a/internal/scheduler/polls_test.go
+++ b/internal/scheduler/polls_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestSupersededPolls(t *testing.T) {
-	// replies counts the responses to two polls of which the second follows at once.
+	// replies returns the number of responses to two polls, the second of which supersedes the first.
 	replies := func(change func(*schema.WorkerHeartbeat)) int {
 		h := newHarness("w")
 		h.sendHeartbeat("w", change)
--- a/internal/scheduler/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -21,7 +21,7 @@
 		}
 		return h
 	}
-	// simulate runs three tasks on worker a, each with so much progress per 100 ms.
+	// simulate runs three tasks on worker a, each of which progresses by this percentage per 100 ms.
 	simulate := func(h *harness, span eventloop.Micros, percent float64) {
 		made := 0.0
 		for end := h.now + span; h.now < end; {
@@ -70,11 +70,11 @@
 	})
 }
 
-// Sound workers with a few long tasks were ejected as slow, and their tasks stopped.
+// Guards against sound workers being ejected as slow, and their tasks stopped, because a few tasks are long.
 func TestSoundWorkersWithLongTasksAreNotSlow(t *testing.T) {
 	const estimate = eventloop.Second
 	step := &schema.Step{Name: "s", Tasks: 16, CoresMilli: 10, EstimatedRunUs: int64(estimate)}
-	// simulate runs tasks on worker a, of these run times on a sound worker, at a speed.
+	// simulate runs tasks on worker a at a speed relative to a sound worker, where they take runs times the estimate.
 	simulate := func(span eventloop.Micros, speed float64, runs ...float64) *harness {
 		h := newQualityHarness(0, step)
 		h.finishUnevenSteps("b", 15, estimate)
--- a/internal/scheduler/quality_test.go
+++ b/internal/scheduler/quality_test.go
@@ -12,7 +12,7 @@
 	"sparnotch/internal/schema"
 )
 
-// failTasks has a worker report the tasks of these jobs as failed, one by one.
+// failTasks makes a worker report the tasks of these jobs as failed, one by one.
 func (h *harness) failTasks(worker string, jobs ...uint64) {
 	for _, failed := range jobs {
 		h.sendHeartbeat(worker, func(a *schema.WorkerHeartbeat) {
@@ -21,14 +21,14 @@
 	}
 }
 
-// finishTasks has a worker report so many tasks of new jobs as done, one by one.
+// finishTasks makes a worker report count tasks of new jobs as done, one by one.
 func (h *harness) finishTasks(count int, worker string, step *schema.Step, run eventloop.Micros) {
 	for range count {
 		h.finishTask(worker, step, run)
 	}
 }
 
-// countOnProbation returns how many workers get one task at a time.
+// countOnProbation returns the number of workers on probation.
 func (h *harness) countOnProbation() int {
 	count := 0
 	for _, w := range h.scheduler.workers {
@@ -39,7 +39,7 @@
 	return count
 }
 
-// placeNewTask returns the worker on which the one task of a new job is placed.
+// placeNewTask makes the only task of a new job ready and returns the worker on which it is placed.
 func (h *harness) placeNewTask(step *schema.Step) string {
 	h.lastJob++
 	h.notified = nil
@@ -48,8 +48,8 @@
 	return h.placements()[0].Worker
 }
 
-// runBesideOthers lets worker a run a task, with so much progress per 100 ms, while the
-// others finish tasks of a step.
+// runBesideOthers makes worker a run a task, which progresses by this percentage per 100 ms,
+// while workers b and c finish tasks of a step.
 func (h *harness) runBesideOthers(span eventloop.Micros, run *schema.TaskStatus, progress int64, step *schema.Step) {
 	for end := h.now + span; h.now < end; {
 		run.Percent += progress
@@ -236,7 +236,7 @@
 
 func TestRunningTasksCountForTheirWorker(t *testing.T) {
 	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 10, EstimatedRunUs: 1_000_000}
-	// One in ten of the queue's runs fails on other workers; b has run many.
+	// setUp makes worker b run many tasks of the queue, of which one in ten fails.
 	setUp := func() *harness {
 		h := newQualityHarness(4, step)
 		for k := uint64(1); k <= 4; k++ {
@@ -245,7 +245,7 @@
 		}
 		return h
 	}
-	// start has a begin so many tasks, of which some then fail while the others go on.
+	// start makes worker a begin count tasks and returns their statuses.
 	start := func(h *harness, count uint64) (statuses []*schema.TaskStatus) {
 		for k := uint64(1); k <= count; k++ {
 			h.deliverNext(newEvent(0, 500+k, 0, queue.CheckedOut, "a", step))
@@ -271,9 +271,9 @@
 			h.advance(5 * eventloop.Second)
 			h.scheduler.workers["a"].suspicion = 7
 			h.scheduler.creditRunning(h.now, h.scheduler.workers["a"])
-			suspicion := h.scheduler.workers["a"].suspicion
+			suspicionBefore := h.scheduler.workers["a"].suspicion
 			h.scheduler.creditRunning(h.now, h.scheduler.workers["a"])
-			So(h.scheduler.workers["a"].suspicion, ShouldEqual, suspicion)
+			So(h.scheduler.workers["a"].suspicion, ShouldEqual, suspicionBefore)
 		})
 	})
 	Convey("The same failures do where nothing else runs", t, func() {
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -14,7 +14,7 @@
 	Convey("A start order leaves only once its checkout has been applied", t, func() {
 		h := newHarness("w")
 		h.sendHeartbeat("w", nil)
-		So(h.lastReply().Orders.FencingToken, ShouldEqual, 1) // the worker learns at once who holds its lease
+		So(h.lastReply().Orders.FencingToken, ShouldEqual, 1) // the first response tells the worker at once who holds its lease
 		h.sendHeartbeat("w", nil)
 		h.deliverEvents(true, 1, newEvent(1, 1, 0, queue.Ready, "", oneTask))
 		So(len(h.placements()), ShouldEqual, 1)
@@ -30,7 +30,7 @@
 			So(len(h.lastReply().Orders.Orders), ShouldEqual, 1)
 			h.now += maxLeadershipAge
 			h.sendHeartbeat("w", nil)
-			So(h.lastReply().Orders, ShouldBeNil) // no lease either
+			So(h.lastReply().Orders, ShouldBeNil) // the response doesn't grant the lease to run tasks either
 		})
 		Convey("not to a worker that drains", func() {
 			h.sendHeartbeat("w", func(a *schema.WorkerHeartbeat) { a.Draining = true })
@@ -47,7 +47,7 @@
 				a.Ended = []*schema.TaskStatus{{Queue: "l", Job: 1, Attempt: 1, State: "done"}}
 			})
 			So(len(h.endReports()), ShouldEqual, 1)
-			So(len(h.placements()), ShouldEqual, 1) // the worker reports the capacity as free
+			So(len(h.placements()), ShouldEqual, 1) // the reported end frees the worker's capacity
 		})
 	})
 }
--- a/internal/scheduler/report_test.go
+++ b/internal/scheduler/report_test.go
@@ -10,7 +10,7 @@
 	"sparnotch/internal/schema"
 )
 
-// reports lists the pool reports so far.
+// reports returns the pool reports so far.
 func (h *harness) reports() (reports []PoolReport) {
 	for _, message := range h.notified {
 		if report, ok := message.(PoolReport); ok {
@@ -20,7 +20,7 @@
 	return reports
 }
 
-// reportedSizes lists what the reports so far say of steps that have ended.
+// reportedSizes returns the size reports of all pool reports so far.
 func (h *harness) reportedSizes() (sizes []SizeReport) {
 	for _, report := range h.reports() {
 		for _, q := range report.Queues {
--- a/internal/scheduler/tenant_contention_test.go
+++ b/internal/scheduler/tenant_contention_test.go
@@ -11,7 +11,7 @@
 	"sparnotch/internal/schema"
 )
 
-// A tenant's work beyond its limit counted as work that the pool can't take.
+// Guards against counting a tenant's work beyond its limit as work for which the pool has no capacity.
 func TestTenantAtItsLimitHoldsNobodyUp(t *testing.T) {
 	Convey("Its waiting work doesn't preempt", t, func() { checkNoPreemption() })
 	Convey("claims no workers", t, func() { checkNoClaims() })
@@ -22,6 +22,7 @@
 
 var coresLimit = quotaKinds[0]
 
+// checkNoPreemption checks that a task beyond its tenant's limit preempts no less urgent task.
 func checkNoPreemption() {
 	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1000, MemoryMb: 10}
 	evictedWith := func(tenant string) map[uint64]int {
@@ -39,6 +40,7 @@
 	So(evictedWith("limited"), ShouldBeEmpty)
 }
 
+// checkNoClaims checks that a large task beyond its tenant's limit keeps no worker free.
 func checkNoClaims() {
 	oversized := &schema.Step{Name: "v", Tasks: 1, CoresMilli: 900, MemoryMb: 10}
 	small := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 300, MemoryMb: 10}
@@ -59,6 +61,7 @@
 	So(placedWith("limited"), ShouldResemble, []uint64{9})
 }
 
+// checkNoBoost checks that a starving task beyond its tenant's limit takes nothing of the boosted share.
 func checkNoBoost() {
 	core := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1000, MemoryMb: 10, EstimatedRunUs: int64(eventloop.Second)}
 	rows := append(append(coresLimit.rows(), starvationRows...), tenantRow("limited", "max_cores_milli", 1000))
@@ -81,14 +84,16 @@
 	}
 }
 
+// checkNothingBehindIsStopped checks that steps beyond their tenant's limit don't end the pass
+// before steps of other tenants, and don't count as a lack of capacity.
 func checkNothingBehindIsStopped() {
 	h := newQuotaHarness(coresLimit, checkedOutTask("limited", 90, "w", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1000}))
 	var list []*queue.TaskEvent
-	// More steps than a pass looks at where it finds no capacity, each of another shape.
+	// More steps than the pass limit on unplaced steps, each of another shape.
 	for job := uint64(1); job <= 2*maxUnplaced; job++ {
 		list = append(list, readyTask("limited", job, &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, MemoryMb: int64(job)}))
 	}
-	// And one of a shape that comes in front.
+	// Two tasks of other tenants, with the shape that comes first.
 	list = append(list, readyTask("free", 101, list[0].Spec), readyTask("", 102, list[0].Spec))
 	h.deliverNext(list...)
 	h.advance(2 * TickInterval)
@@ -96,6 +101,8 @@
 	So(h.scheduler.starvedPools, ShouldBeEmpty)
 }
 
+// checkNothingIsReserved checks that capacity that is being freed isn't reserved for a task beyond
+// its tenant's limit.
 func checkNothingIsReserved() {
 	step := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 600, MemoryMb: 10}
 	placedWith := func(tenant string) []uint64 {
@@ -111,11 +118,12 @@
 	So(placedWith("limited"), ShouldResemble, []uint64{3})
 }
 
-// shares are how many tasks each of two tenants has running.
+// shares holds the number of running tasks of each of two tenants.
 type shares struct{ light, heavy int }
 
-// runBacklog has two tenants with weights 1 and 3 and a backlog each keep a worker full, of
-// which the oldest task ends at each turn. It returns what they had running after each.
+// runBacklog gives two tenants with weights 1 and 3 a backlog each, which keeps a worker full.
+// In each turn tasks are placed and then the oldest running task ends. It returns the tenants'
+// running tasks in each turn, before that end.
 func runBacklog(step *schema.Step, turns int) (history []shares) {
 	h := newHarness("w")
 	h.configure([]*schema.ConfigurationRow{tenantRow("light", "weight_milli", 1000), tenantRow("heavy", "weight_milli", 3000), queueRow("l", "urgency", "10")}, "w")
@@ -130,26 +138,27 @@
 		}
 	}
 	h.syncQueue("l", 10, list...)
-	var out []*schema.TaskKey
+	var running []*schema.TaskKey
 	var count shares
 	for range turns {
 		h.notified = nil
 		h.advance(2 * TickInterval)
 		h.sendHeartbeat("w", withCapacity(8000))
-		h.advance(TickInterval) // the pass over a backlog may wait for a moment
+		h.advance(TickInterval) // the pass over a backlog may be delayed by passCooldown
 		for _, placement := range h.placements() {
-			out = append(out, placement.Key)
+			running = append(running, placement.Key)
 			h.deliverNext(forTenant(tenantOfBacklog(placement.Key), newEvent(0, placement.Key.Job, placement.Key.Task, queue.CheckedOut, "w", step)))
 			count.add(placement.Key, 1)
 		}
 		history = append(history, count)
-		count.add(out[0], -1)
-		h.deliverNext(newEvent(0, out[0].Job, out[0].Task, queue.Inactive, "", step))
-		out = out[1:]
+		count.add(running[0], -1)
+		h.deliverNext(newEvent(0, running[0].Job, running[0].Task, queue.Inactive, "", step))
+		running = running[1:]
 	}
 	return history
 }
 
+// tenantOfBacklog returns the tenant of a task of runBacklog.
 func tenantOfBacklog(key *schema.TaskKey) string {
 	if key.Job > 40 {
 		return "heavy"
@@ -165,7 +174,7 @@
 	}
 }
 
-// A tenant with a long backlog in front had all workers, whatever the weights.
+// Guards against a tenant whose long backlog comes first getting all workers, whatever the weights.
 func TestTenantsShareAFullPoolByWeight(t *testing.T) {
 	for _, tasks := range []uint32{1, 20} {
 		Convey(fmt.Sprintf("Tenants with weights 1 and 3 have 2 and 6 of 8 cores, with jobs of %d tasks", tasks), t, func() {
@@ -179,7 +188,7 @@
 	Convey("What counts is the resource of which a tenant uses the largest part", t, func() {
 		h := newHarness("w")
 		h.configure([]*schema.ConfigurationRow{tenantRow("much", "weight_milli", 1000), tenantRow("little", "weight_milli", 1000), queueRow("l", "urgency", "10")}, "w")
-		// A quarter of the memory each, and an eighth of the cores.
+		// Tasks of "much" take 1000 MB and 0.1 cores each, tasks of "little" 1 core and 10 MB.
 		large := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 100, MemoryMb: 1000}
 		small := &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1000, MemoryMb: 10}
 		var list []*queue.TaskEvent
@@ -190,10 +199,10 @@
 		h.sendHeartbeat("w", withCapacity(8000))
 		jobs := h.placedJobs()
 		So(len(jobs), ShouldBeGreaterThanOrEqualTo, 6)
-		first := map[bool]int{}
+		countByTenant := map[bool]int{}
 		for _, job := range jobs[:6] {
-			first[job > 20]++
+			countByTenant[job > 20]++
 		}
-		So(first, ShouldResemble, map[bool]int{false: 2, true: 4})
+		So(countByTenant, ShouldResemble, map[bool]int{false: 2, true: 4})
 	})
 }
--- a/internal/scheduler/tenant_harness_test.go
+++ b/internal/scheduler/tenant_harness_test.go
@@ -7,7 +7,7 @@
 	"sparnotch/internal/schema"
 )
 
-// quotaKind is a kind of resource with a limit that two tasks fit, and not three.
+// quotaKind is a kind of resource with a limit that fits two tasks of the step, but not three.
 type quotaKind struct {
 	name, key string
 	limit     int64
@@ -20,16 +20,17 @@
 	{"accelerators", "max_accelerators", 2, &schema.Step{Name: "s", Tasks: 1, CoresMilli: 10, MemoryMb: 10, Accelerators: 1}},
 }
 
-// withMembers is a kind's step as a gang.
+// withMembers returns a gang with this many members, each of the size of the kind's step.
 func (k quotaKind) withMembers(count uint32) *schema.Step {
 	return &schema.Step{Name: "g", Tasks: count, CoresMilli: k.step.CoresMilli, MemoryMb: k.step.MemoryMb, Accelerators: k.step.Accelerators, Gang: true}
 }
 
-// rows give "limited" and "equal" the limit of the kind, and leave "free" without one.
+// rows returns configuration rows that give tenants "limited" and "equal" the kind's limit and tenant "free" none.
 func (k quotaKind) rows(queues ...string) []*schema.ConfigurationRow {
 	return k.rowsWith(k.limit, queues...)
 }
 
+// rowsWith is like rows, but with another limit.
 func (k quotaKind) rowsWith(limit int64, queues ...string) []*schema.ConfigurationRow {
 	rows := []*schema.ConfigurationRow{
 		tenantRow("limited", k.key, limit), tenantRow("equal", k.key, limit), tenantRow("free", "weight_milli", 1000),
@@ -44,7 +45,7 @@
 	return &schema.ConfigurationRow{Kind: "tenant", Name: name, Key: key, Value: fmt.Sprint(value)}
 }
 
-// newQuotaHarness has one worker with room for everything, and queue l led with these tasks.
+// newQuotaHarness returns a harness with one worker of ample capacity, which leads queue l with these tasks.
 func newQuotaHarness(kind quotaKind, list ...*queue.TaskEvent) *harness {
 	h := newHarness("w")
 	h.configure(kind.rows("l"), "w")
@@ -53,7 +54,7 @@
 	return h
 }
 
-// wide makes a heartbeat one of an agent with room for everything.
+// withAmpleCapacity makes a heartbeat one of an agent whose worker has ample capacity, and applies change.
 func withAmpleCapacity(change func(*schema.WorkerHeartbeat)) func(*schema.WorkerHeartbeat) {
 	return withNames(func(a *schema.WorkerHeartbeat) {
 		a.CoresMilli, a.MemoryMb, a.Accelerators = 16_000, 16_000, 16
@@ -71,7 +72,7 @@
 	return withAmpleCapacity(func(a *schema.WorkerHeartbeat) { a.Ended = ended })
 }
 
-// runOf is how a worker lists a job's run.
+// runningStatus returns the status with which a worker lists the running task of a job.
 func runningStatus(job uint64, tenant string, step *schema.Step) *schema.TaskStatus {
 	return &schema.TaskStatus{
 		Name: fmt.Sprint("j", job), Attempt: 1, State: "running", Tenant: tenant,
@@ -79,25 +80,28 @@
 	}
 }
 
+// doneStatus returns the status with which a worker lists the successful end of a job's task.
 func doneStatus(job uint64) *schema.TaskStatus {
 	return &schema.TaskStatus{Name: fmt.Sprint("j", job), Attempt: 1, State: "done"}
 }
 
-// of sets the tenant of a task.
+// forTenant sets the tenant of a task and returns the task.
 func forTenant(tenant string, event *queue.TaskEvent) *queue.TaskEvent {
 	event.Tenant = tenant
 	return event
 }
 
+// readyTask returns the ready first task of a job.
 func readyTask(tenant string, job uint64, step *schema.Step) *queue.TaskEvent {
 	return forTenant(tenant, newEvent(0, job, 0, queue.Ready, "", step))
 }
 
+// checkedOutTask returns the first task of a job, checked out to a worker.
 func checkedOutTask(tenant string, job uint64, worker string, step *schema.Step) *queue.TaskEvent {
 	return forTenant(tenant, newEvent(0, job, 0, queue.CheckedOut, worker, step))
 }
 
-// readyGang is the members of a gang.
+// readyGang returns the ready members of a gang.
 func readyGang(tenant string, job uint64, step *schema.Step) (members []*queue.TaskEvent) {
 	for k := range step.Tasks {
 		members = append(members, forTenant(tenant, newEvent(0, job, k, queue.Ready, "", step)))
@@ -105,7 +109,7 @@
 	return members
 }
 
-// placedOf counts what was placed of the jobs from first to last.
+// countPlaced counts the placed tasks of the jobs from first to last.
 func (h *harness) countPlaced(first, last uint64) (count int) {
 	for _, job := range h.placedJobs() {
 		if first <= job && job <= last {
--- a/internal/scheduler/tenant_history_test.go
+++ b/internal/scheduler/tenant_history_test.go
@@ -14,25 +14,25 @@
 	"sparnotch/internal/schema"
 )
 
-// logEntry is what the leader of queue l has proposed, a checkout or another change.
+// logEntry is a proposal in the log of queue l: either a checkout or another change.
 type logEntry struct {
 	checkout *schema.Checkout
 	change   func()
 }
 
-// history drives a scheduler through a random history of queue l, and knows what may run.
+// history drives a scheduler through random events of queue l and tracks which tasks may run.
 type history struct {
 	*harness
 	term      uint64
 	limit     resources
-	tasks     map[taskKey]*queue.TaskEvent                 // that the queue has as ready or checked out
-	attempts  map[taskKey]uint32                           // latest
-	log       []logEntry                                   // proposed and not committed
-	running   map[string]map[attemptKey]*schema.TaskStatus // by worker, as it lists them
-	ended     map[string]map[attemptKey]*schema.TaskStatus // by worker, as it lists them
-	leadsAll  bool
+	tasks     map[taskKey]*queue.TaskEvent                 // tasks that are ready, checked out or stopping
+	attempts  map[taskKey]uint32                           // latest attempt of each task
+	log       []logEntry                                   // proposed but not committed
+	running   map[string]map[attemptKey]*schema.TaskStatus // runs by the worker that lists them
+	ended     map[string]map[attemptKey]*schema.TaskStatus // ends by the worker that lists them
+	leadsAll  bool                                         // this node leads queue m as well as l
 	sequence  uint64
-	violation string
+	violation string // latest violation that was found; empty: none
 }
 
 var historyWorkers = []string{"v", "w"}
@@ -51,6 +51,7 @@
 	return h
 }
 
+// setLimit changes the limit of tenants t and u.
 func (h *history) setLimit(limit resources) {
 	h.limit = limit
 	rows := []*schema.ConfigurationRow{queueRow("l", "urgency", "10"), queueRow("m", "urgency", "10")}
@@ -60,7 +61,7 @@
 	h.configure(rows, historyWorkers...)
 }
 
-// confirm has the replicas confirm which queues this node leads.
+// confirm delivers a status that confirms which queues this node leads.
 func (h *history) confirm() {
 	terms := map[string]uint64{"l#1": h.term}
 	if h.leadsAll {
@@ -69,7 +70,7 @@
 	h.deliver(replica.LeadershipStatus{Terms: terms, IsClusterStateFresh: true})
 }
 
-// leadOthers has this node lead queue m as well, or no longer.
+// setLeadsOtherQueue makes this node lead queue m as well, or makes it lose queue m.
 func (h *history) setLeadsOtherQueue(isLed bool) {
 	h.leadsAll = isLed
 	h.confirm()
@@ -80,6 +81,7 @@
 	}
 }
 
+// resync delivers a snapshot of the tasks of queue l.
 func (h *history) resync() {
 	h.confirm()
 	keys := slices.SortedFunc(maps.Keys(h.tasks), compareTaskKeys)
@@ -90,14 +92,14 @@
 	h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: h.term, LastSequence: h.sequence, Events: list, IsSnapshot: true, Running: 1000})
 }
 
-// elect has this node lead queue l in a new term. What isn't committed is lost.
+// elect makes this node lead queue l in a new term. Proposals that aren't committed are lost.
 func (h *history) elect() {
 	h.term++
 	h.log = nil
 	h.resync()
 }
 
-// change has the queue commit a task's new state.
+// change makes the queue commit a task's new state.
 func (h *history) change(key taskKey, event *queue.TaskEvent) {
 	h.sequence++
 	event.Sequence, event.Attempt = h.sequence, h.attempts[key]
@@ -109,6 +111,7 @@
 	h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: h.term, LastSequence: h.sequence, Events: []*queue.TaskEvent{event}, Running: 1000})
 }
 
+// submit commits the ready tasks of a new job.
 func (h *history) submit(tenant string, job uint64, step *schema.Step) {
 	for k := range step.Tasks {
 		h.change(taskKey{"l", job, 0, k}, forTenant(tenant, newEvent(0, job, k, queue.Ready, "", step)))
@@ -117,7 +120,7 @@
 
 func (h *history) propose(change func()) { h.log = append(h.log, logEntry{change: change}) }
 
-// commit has the queue commit the oldest proposal.
+// commit makes the queue commit the oldest proposal.
 func (h *history) commit() {
 	if len(h.log) == 0 {
 		return
@@ -131,7 +134,7 @@
 	}
 }
 
-// checkOut checks out the tasks of a checkout that are still ready.
+// checkOut checks out those tasks of a checkout that are still ready.
 func (h *history) checkOut(checkout *schema.Checkout) {
 	for _, placement := range checkout.Placements {
 		key := keyOfPlacement(placement)
@@ -142,7 +145,7 @@
 	}
 }
 
-// begin has a worker list a task that is checked out to it as running.
+// startRun makes a worker list a task that is checked out to it as running.
 func (h *history) startRun(key taskKey) {
 	t := h.tasks[key]
 	attempt := attemptKey{key, t.Attempt}
@@ -156,7 +159,7 @@
 	h.reportStatuses(t.Worker)
 }
 
-// end has a worker list the end of a run.
+// endRun makes a worker list the end of a run.
 func (h *history) endRun(worker string, attempt attemptKey) {
 	status := h.running[worker][attempt]
 	delete(h.running[worker], attempt)
@@ -164,6 +167,7 @@
 	h.reportStatuses(worker)
 }
 
+// reportStatuses sends a heartbeat with all runs and ends that a worker lists.
 func (h *history) reportStatuses(worker string) {
 	h.sendHeartbeat(worker, withAmpleCapacity(func(a *schema.WorkerHeartbeat) {
 		for _, key := range slices.SortedFunc(maps.Keys(h.running[worker]), attemptKey.compare) {
@@ -175,8 +179,8 @@
 	}))
 }
 
-// pass lets time pass. The workers go on reporting: what one that is silent for long has listed
-// has ended with its lease.
+// letTimePass lets time pass in ticks. The workers go on sending heartbeats, because the lease of
+// a silent worker would end and its runs would no longer count.
 func (h *history) letTimePass(span eventloop.Micros) {
 	for end := h.now + span; h.now < end; {
 		h.now += min(TickInterval, end-h.now)
@@ -190,7 +194,7 @@
 	}
 }
 
-// unitUse is what a tenant may have running, by task, or by gang, as these run whole.
+// unitUse holds the resources that a tenant's tasks may use, by task, or by gang since a gang runs as a whole.
 type unitUse map[string]resources
 
 func (u unitUse) add(t *queue.TaskEvent) {
@@ -203,8 +207,8 @@
 	u[unit] = sum
 }
 
-// mayRun sums up what may run of a tenant: what is checked out and not listed as ended, what may
-// yet be checked out, and what workers list beside.
+// mayRun returns the resources of all that may run for a tenant: tasks that are checked out and not
+// listed as ended, ready tasks with a proposed checkout, and other runs that workers list.
 func (h *history) mayRun(tenant string) unitUse {
 	use := unitUse{}
 	for key, t := range h.tasks {
@@ -212,7 +216,7 @@
 			use.add(t)
 		}
 	}
-	for key := range h.openTasks() {
+	for key := range h.tasksWithProposedCheckout() {
 		if t := h.tasks[key]; t.Tenant == tenant {
 			use.add(t)
 		}
@@ -229,19 +233,19 @@
 	return use
 }
 
-// takeCheckouts takes what the scheduler has proposed, and checks the limit after each.
+// takeCheckouts appends the proposed checkouts to the log, and checks the limit after each placement.
 func (h *history) takeCheckouts() {
 	for _, message := range h.notified {
 		propose, isPropose := message.(replica.Propose)
 		if !isPropose || propose.Term != h.term || propose.Command.GetCheckout() == nil {
 			continue
 		}
-		placed, before := &schema.Checkout{}, h.openTasks()
-		h.log = append(h.log, logEntry{checkout: placed})
+		checkout, alreadyProposed := &schema.Checkout{}, h.tasksWithProposedCheckout()
+		h.log = append(h.log, logEntry{checkout: checkout})
 		for _, placement := range propose.Command.GetCheckout().Placements {
-			placed.Placements = append(placed.Placements, placement)
-			// What may have been checked out already is placed again, wherever the limit is now.
-			if key := keyOfPlacement(placement); !before[key] {
+			checkout.Placements = append(checkout.Placements, placement)
+			// A task with an earlier proposed checkout may be placed again, even if the limit is lower now.
+			if key := keyOfPlacement(placement); !alreadyProposed[key] {
 				h.checkLimit(h.tasks[key])
 			}
 		}
@@ -253,8 +257,8 @@
 	return taskKey{"l", placement.Key.Job, placement.Key.Step, placement.Key.Task}
 }
 
-// openTasks are the ready tasks that may yet be checked out.
-func (h *history) openTasks() map[taskKey]bool {
+// tasksWithProposedCheckout returns the ready tasks with a checkout that is proposed but not committed.
+func (h *history) tasksWithProposedCheckout() map[taskKey]bool {
 	tasks := map[taskKey]bool{}
 	for _, entry := range h.log {
 		for _, placement := range entry.checkout.GetPlacements() {
@@ -266,8 +270,8 @@
 	return tasks
 }
 
-// neededBy leaves the kinds of which a task needs some: it takes nothing of the others.
-func (r resources) neededBy(need resources) resources {
+// onlyKindsNeededBy returns r with the kinds of resource set to 0 of which a task needs none.
+func (r resources) onlyKindsNeededBy(need resources) resources {
 	if need.cores == 0 {
 		r.cores = 0
 	}
@@ -280,8 +284,8 @@
 	return r
 }
 
-// checkLimit checks that a task that was just placed keeps its tenant within its limit. A task
-// or gang that is wider may run alone.
+// checkLimit records a violation if a task that was just placed exceeds its tenant's limit. A task
+// or gang that is larger than the limit may run alone.
 func (h *history) checkLimit(placed *queue.TaskEvent) {
 	if placed.Tenant == "" {
 		return
@@ -291,15 +295,15 @@
 	for _, size := range use {
 		sum.add(size)
 	}
-	if !h.limit.covers(sum.neededBy(resourcesOf(placed.Spec))) && len(use) > 1 {
-		h.violation = fmt.Sprintf("%s was placed for tenant %s, of which %+v may run; its limit is %+v", placed.Name, placed.Tenant, use, h.limit)
+	if !h.limit.covers(sum.onlyKindsNeededBy(resourcesOf(placed.Spec))) && len(use) > 1 {
+		h.violation = fmt.Sprintf("job %s was placed for tenant %s, whose tasks may then use %+v; the limit is %+v", placed.Name, placed.Tenant, use, h.limit)
 	}
 	if !h.leadsAll {
-		h.violation = fmt.Sprintf("%s was placed though another node leads a queue", placed.Name)
+		h.violation = fmt.Sprintf("job %s was placed although another node leads a queue", placed.Name)
 	}
 }
 
-// changeOut changes the state of a task that is checked out.
+// changeCheckedOut changes the state of a task if it is checked out.
 func (h *history) changeCheckedOut(key taskKey, status queue.Status) {
 	if out := h.tasks[key]; out != nil && out.Status == queue.CheckedOut {
 		worker := out.Worker
@@ -310,13 +314,13 @@
 	}
 }
 
-// historySteps are drawn alike.
+// historySteps lists the events of a history. Each entry is drawn with the same probability.
 var historySteps = []string{
 	"submit", "submit", "submit", "commit", "commit", "commit", "commit", "commit all", "begin", "begin", "end", "end", "settle", "settle",
 	"stop", "lose", "forget", "pass", "pass long", "beat", "beat", "resync", "elect", "lead", "limit",
 }
 
-// drawStep lets rapid choose what happens next.
+// drawStep makes rapid draw the next event and carries it out.
 func (h *history) drawStep(t *rapid.T, job uint64) {
 	anyOf := func(status queue.Status) (taskKey, bool) {
 		keys := slices.SortedFunc(maps.Keys(h.tasks), compareTaskKeys)
@@ -351,11 +355,11 @@
 		if key, found := anyOf(queue.CheckedOut); found {
 			h.propose(func() { h.changeCheckedOut(key, queue.Stopping) })
 		}
-	case "lose": // the queue takes a task back though it may run on
+	case "lose": // the queue makes a task ready again although its attempt may still run
 		if key, found := anyOf(queue.CheckedOut); found && h.running[h.tasks[key].Worker][attemptKey{key, h.tasks[key].Attempt}] != nil {
 			h.propose(func() { h.changeCheckedOut(key, queue.Ready) })
 		}
-	case "forget": // a worker lists a run of which no queue knows anything
+	case "forget": // a worker lists a run that no queue knows
 		name := fmt.Sprint("gone", job)
 		h.running[worker][attemptKey{taskKey{"?", job, 0, 0}, 1}] = &schema.TaskStatus{Name: name, Attempt: 1, State: "running", Tenant: "t", CoresMilli: 200, MemoryMb: 100}
 		h.reportStatuses(worker)
@@ -376,7 +380,7 @@
 	}
 }
 
-// settleEnds has the queue commit the ends that a worker lists.
+// settleEnds makes the queue commit the ends that a worker lists.
 func (h *history) settleEnds(worker string) {
 	for _, attempt := range slices.SortedFunc(maps.Keys(h.ended[worker]), attemptKey.compare) {
 		delete(h.ended[worker], attempt)
@@ -386,6 +390,7 @@
 	}
 }
 
+// drawTask returns a random step of one to three tasks, which may be a gang.
 func drawTask(t *rapid.T) *schema.Step {
 	step := &schema.Step{
 		Name: "s", Tasks: uint32(rapid.IntRange(1, 3).Draw(t, "tasks")),
@@ -397,8 +402,8 @@
 	return step
 }
 
-// Some history of checkouts that come late, attempts that run on, lost leads and changed limits
-// let a scheduler place more than a tenant's limit.
+// Guards against a scheduler placing more than a tenant's limit after checkouts that are committed
+// late, attempts that run on, lost leaderships and changed limits.
 func TestNoHistoryExceedsATenantsLimit(t *testing.T) {
 	const maxSteps = 60
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/scheduler/tenant_quota_test.go
+++ b/internal/scheduler/tenant_quota_test.go
@@ -12,14 +12,14 @@
 	"sparnotch/internal/schema"
 )
 
-// eachKind runs a test for every kind of resource that may be limited.
+// forEachKind runs a test for every kind of resource that may be limited.
 func forEachKind(t *testing.T, description string, test func(kind quotaKind)) {
 	for _, kind := range quotaKinds {
 		Convey(description+" ("+kind.name+")", t, func() { test(kind) })
 	}
 }
 
-// Ready tasks of a tenant were placed as far as workers had room, whatever its limit.
+// Guards against placing a tenant's ready tasks wherever workers have room, regardless of its limit.
 func TestTenantRunsNoMoreThanItsLimit(t *testing.T) {
 	forEachKind(t, "What a tenant has ready beyond its limit isn't placed, what others have is", func(kind quotaKind) {
 		h := newQuotaHarness(kind)
@@ -46,7 +46,7 @@
 	})
 }
 
-// What runs or may start counts, also if it is no longer, or not yet, checked out.
+// Checks that all tasks that run or may start count, including those that are no longer or not yet checked out.
 func TestAllThatMayRunCountsForItsTenant(t *testing.T) {
 	forEachKind(t, "Beside one task that has the limit's half, one more is placed", func(kind quotaKind) {
 		for what, occupy := range map[string]func(h *harness) []*queue.TaskEvent{
@@ -101,7 +101,7 @@
 	})
 }
 
-// A checkout that was given up was committed after all, and a third task ran beside.
+// Guards against a third task being placed beside a checkout that was given up and is committed later.
 func TestCheckoutThatWasGivenUpCounts(t *testing.T) {
 	forEachKind(t, "A checkout that may yet be committed counts", func(kind quotaKind) {
 		h := newHarness("v", "w")
@@ -110,7 +110,7 @@
 		h.sendHeartbeat("w", withAmpleCapacity(nil))
 		So(h.placedJobs(), ShouldResemble, []uint64{11, 12})
 		h.notified = nil
-		// The older job comes first wherever it may run.
+		// Job 3 is older and would be placed first if the limit had room.
 		h.deliverNext(readyTask("limited", 3, kind.step))
 		for end := h.now + 2*reservationTimeout; h.now < end; {
 			h.advance(eventloop.Second / 2)
@@ -120,8 +120,8 @@
 	})
 }
 
-// The checkouts of a former term are lost, but their tasks were placed again whatever the limit
-// was by then.
+// Guards against exceeding a lowered limit after a new term: the checkouts of the former term are
+// lost, and their tasks were placed again regardless of the present limit.
 func TestCheckoutOfAFormerTermIsNoReasonToExceedTheLimit(t *testing.T) {
 	forEachKind(t, "Of three checkouts that were lost two are proposed again where the limit fits two now", func(kind quotaKind) {
 		h := newHarness("w")
@@ -146,7 +146,7 @@
 	})
 }
 
-// The jobs of a queue that the configuration removes go on, but its leader wasn't asked for.
+// Guards against ignoring a queue that the configuration has removed: its jobs go on, led by another node.
 func TestRemovedQueueCountsWhileItsJobsGoOn(t *testing.T) {
 	forEachKind(t, "While another node leads a queue that was removed", func(kind quotaKind) {
 		h := newHarness("w")
@@ -166,7 +166,7 @@
 	})
 }
 
-// Two schedulers that each led one queue placed up to the whole limit each.
+// Guards against two schedulers that lead one queue each and place tasks up to the whole limit each.
 func TestNothingIsPlacedForLimitedTenantsUnlessAllQueuesAreLed(t *testing.T) {
 	forEachKind(t, "Without the lead of every queue", func(kind quotaKind) {
 		h := newHarness("w")
@@ -199,7 +199,7 @@
 	})
 }
 
-// A quota that is changed while tasks run.
+// Checks that a limit that changes while tasks run applies to the next placement.
 func TestChangedLimitHoldsForTheNextPlacement(t *testing.T) {
 	forEachKind(t, "Under a lowered limit nothing is placed until use is below it, under a raised one at once", func(kind quotaKind) {
 		h := newHarness("w")
@@ -227,7 +227,8 @@
 	})
 }
 
-// A gang's members were counted one by one, and wide tasks against what was left.
+// Guards against counting the members of a gang one by one, and against comparing a task wider than the limit
+// with the remaining room, which it never fits.
 func TestGangsAndWideTasksKeepToTheLimit(t *testing.T) {
 	forEachKind(t, "A gang is placed whole within the limit", func(kind quotaKind) {
 		h := newQuotaHarness(kind, checkedOutTask("limited", 9, "w", kind.step))
@@ -258,7 +259,7 @@
 	})
 }
 
-// An end that a worker lists frees the worker at once, so it frees the tenant's use as well.
+// Checks that an end that a worker lists frees the tenant's use at once, as it frees the worker.
 func TestListedEndFreesTheTenantsUse(t *testing.T) {
 	forEachKind(t, "An end that a worker lists makes room for the tenant's next task", func(kind quotaKind) {
 		h := newQuotaHarness(kind, checkedOutTask("limited", 8, "w", kind.step), checkedOutTask("limited", 9, "w", kind.step))
--- a/internal/scheduler/tenant_review_test.go
+++ b/internal/scheduler/tenant_review_test.go
@@ -13,7 +13,7 @@
 	"sparnotch/internal/schema"
 )
 
-// leadership confirms that this node leads these groups, each in term 1.
+// confirmLeadershipOf confirms that this node leads these Raft groups, each in term 1, and no others.
 func (h *harness) confirmLeadershipOf(groups ...string) {
 	terms := map[string]uint64{}
 	for _, group := range groups {
@@ -22,17 +22,17 @@
 	h.deliver(replica.LeadershipStatus{Terms: terms, IsClusterStateFresh: true})
 }
 
-// The removal of one queue made this node forget that another one was new, so limited tenants waited.
+// Guards against the removal of one queue making this node forget that another queue is new, so that limited tenants wait.
 func TestRemovedQueueDoesNotHoldUpLimitedTenants(t *testing.T) {
 	forEachKind(t, "A configuration that adds a queue and removes another one stops nothing", func(kind quotaKind) {
 		h := newHarness("w")
 		h.configure(kind.rows("l", "m"), "w")
 		h.syncQueue("m", 10)
 		h.syncQueue("l", 10)
-		h.advance(2 * eventloop.Second) // longer than a copy of the cluster state may be old
+		h.advance(2 * eventloop.Second) // longer than FormerLeaseTimeout
 		h.sendHeartbeat("w", withAmpleCapacity(nil))
 		h.confirmLeadershipOf("l#1", "m#1")
-		h.configure(kind.rows("l", "k"), "w") // k is new and led by another node as yet
+		h.configure(kind.rows("l", "k"), "w") // k is new and led by another node so far
 		h.confirmLeadershipOf("l#1")
 		h.deliverNext(readyTask("limited", 1, kind.step))
 		So(h.placedJobs(), ShouldResemble, []uint64{1})
@@ -42,7 +42,8 @@
 	})
 }
 
-// A new leader with an old copy of the cluster state counted a queue as new in which its predecessor had placed tasks.
+// Guards against a new leader with an old copy of the cluster state counting a queue as new although its
+// predecessor has placed tasks of that queue.
 func TestQueueThatAPredecessorMayHaveUsedIsNotNew(t *testing.T) {
 	forEachKind(t, "A queue that appears soon after this node came to lead the others isn't counted as empty", func(kind quotaKind) {
 		h := newHarness("w")
@@ -58,7 +59,7 @@
 	})
 }
 
-// Tasks whose checkout was lost were placed again though their tenant's limit had been lowered since.
+// Guards against placing tasks whose checkout was lost again although their tenant's limit was lowered since.
 func TestLostCheckoutsKeepToALoweredLimit(t *testing.T) {
 	forEachKind(t, "What isn't checked out is placed within the limit of now", func(kind quotaKind) {
 		h := newHarness("w")
@@ -70,7 +71,7 @@
 		h.syncQueue("l", 10, list...)
 		h.sendHeartbeat("w", withAmpleCapacity(nil))
 		So(len(h.placements()), ShouldEqual, 8)
-		h.notified = nil // the replica proposes nothing while it hands the queue over, which fails
+		h.notified = nil // the proposals are lost: the replica drops them during a handover of the queue, which then fails
 		h.configure(kind.rows("l"), "w")
 		running := map[uint64]bool{}
 		for end := h.now + 2*reservationTimeout; h.now < end; {
@@ -80,11 +81,11 @@
 				running[job] = true
 			}
 		}
-		So(len(running), ShouldBeLessThanOrEqualTo, 3) // the limit's two, and one task more
+		So(len(running), ShouldBeLessThanOrEqualTo, 3) // two tasks of the limit, and one more
 	})
 }
 
-// A new leader knew no limit of a tenant that a configuration had removed, and started all its jobs.
+// Guards against a new leader not knowing the limit of a removed tenant, and so starting all its jobs.
 func TestRemovedTenantsLimitOutlivesALeader(t *testing.T) {
 	forEachKind(t, "A scheduler that never saw a removed tenant's limit keeps to it", func(kind quotaKind) {
 		machine := clusterstate.New()
@@ -113,7 +114,7 @@
 	})
 }
 
-// Tasks whose checkout was lost filled their tenant's limit and waited behind one that didn't fit it.
+// Guards against tasks with a lost checkout filling their tenant's limit and waiting behind a task that doesn't fit it.
 func TestLostCheckoutsDoNotBlockTheirTenantForEver(t *testing.T) {
 	forEachKind(t, "A step whose first ready task has no room places those that have theirs already", func(kind quotaKind) {
 		many := &schema.Step{Name: "s", Tasks: 2, CoresMilli: kind.step.CoresMilli, MemoryMb: kind.step.MemoryMb, Accelerators: kind.step.Accelerators}
@@ -126,7 +127,7 @@
 		run := &schema.TaskStatus{Name: "j1", Attempt: 1, State: "running", Tenant: "limited", CoresMilli: many.CoresMilli, MemoryMb: many.MemoryMb, Accelerators: many.Accelerators}
 		h.sendHeartbeat("w", withAmpleCapacityRunning(run))
 		So(len(h.placements()), ShouldEqual, 1)
-		// The checkout is lost, and given up while the worker has no room.
+		// The checkout is lost, and the scheduler gives it up while the worker has no room.
 		for end := h.now + reservationTimeout + eventloop.Second; h.now < end; {
 			h.advance(eventloop.Second / 4)
 			h.sendHeartbeat("w", withNames(func(a *schema.WorkerHeartbeat) { a.Running = []*schema.TaskStatus{run} }))
@@ -144,7 +145,7 @@
 	})
 }
 
-// A stream of single tasks took each piece of its tenant's limit that became free, and a gang waited for ever.
+// Guards against a gang that waits forever because single tasks take all room that becomes free in their tenant's limit.
 func TestGangIsNotStarvedByItsOwnTenant(t *testing.T) {
 	forEachKind(t, "A gang that fits its tenant's limit starts although single tasks keep coming", func(kind quotaKind) {
 		h := newQuotaHarness(kind, checkedOutTask("limited", 101, "w", kind.step), checkedOutTask("limited", 102, "w", kind.step))
@@ -172,7 +173,7 @@
 	})
 }
 
-// One shape without capacity took up a pass for as many times as tenants had work of it.
+// Guards against a pass counting a shape that finds no capacity once for each tenant that has tasks of this shape.
 func TestOneShapeOfManyTenantsIsLookedAtOnce(t *testing.T) {
 	Convey("A step behind a shape that finds no worker is placed, however many tenants have that shape", t, func() {
 		placedWith := func(tenants int) []uint64 {
@@ -199,7 +200,7 @@
 	})
 }
 
-// A tenant with a small weight and nothing running came after one that had all workers, as long as that had a backlog.
+// Guards against a tenant with a small weight and no running tasks waiting as long as another tenant, which uses all workers, has a backlog.
 func TestTenantWithASmallWeightHasItsTurn(t *testing.T) {
 	Convey("A task larger than its tenant's fair share starts once the others had theirs", t, func() {
 		h := newHarness("w")
@@ -210,8 +211,8 @@
 			list = append(list, readyTask("heavy", job, step))
 		}
 		h.syncQueue("l", 10, list...)
-		const turns = 100 // in which 100 tasks end, of which the light tenant's share is five
-		var out []uint64
+		const turns = 100 // 100 tasks end in these turns; the light tenant's share of them is five
+		var running []uint64
 		hasStarted := false
 		for turn := 0; turn < turns && !hasStarted; turn++ {
 			h.notified = nil
@@ -220,11 +221,11 @@
 			h.advance(TickInterval)
 			for _, job := range h.placedJobs() {
 				hasStarted = hasStarted || job == 1
-				out = append(out, job)
+				running = append(running, job)
 				h.deliverNext(checkedOutTask("heavy", job, "w", step))
 			}
-			h.deliverNext(newEvent(0, out[0], 0, queue.Inactive, "", step))
-			out = out[1:]
+			h.deliverNext(newEvent(0, running[0], 0, queue.Inactive, "", step))
+			running = running[1:]
 		}
 		So(hasStarted, ShouldBeTrue)
 	})
--- a/internal/scheduler/tenant_view_test.go
+++ b/internal/scheduler/tenant_view_test.go
@@ -11,7 +11,7 @@
 	"sparnotch/internal/schema"
 )
 
-// tenantView is what the state view shows of a tenant.
+// tenantView returns the state view's entry for a tenant, or nil.
 func (h *harness) tenantView(name string) *TenantView {
 	for _, view := range h.scheduler.stateView(h.now).Tenants {
 		if view.Tenant == name {
--- a/internal/scheduler/workers_test.go
+++ b/internal/scheduler/workers_test.go
@@ -46,7 +46,7 @@
 			h.now += 100 * eventloop.Millisecond
 			h.confirmLeadership(true)
 			h.sendHeartbeat("w", unanswered)
-			// That grants nothing, so the lease ends by the last response before.
+			// The empty response grants nothing, so the lease ends by the previous response.
 			So(h.lastReply().Orders, ShouldBeNil)
 			h.deliver(eventloop.Tick{})
 			So(h.endReports(), ShouldBeEmpty)
