--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -65,7 +65,7 @@
 	h.deliver(&schema.WorkerPollRequest{Id: h.polls, Worker: worker, Heartbeat: a})
 }
 
-// newEvent returns an event of queue l for a task of the first step of a job.
+// newEvent returns an event for a task of the first step of a job. Unless the task is ready, its attempt is 1.
 func newEvent(sequence, job uint64, task uint32, state queue.Status, worker string, step *schema.Step) *queue.TaskEvent {
 	attempt := uint32(0)
 	if state != queue.Ready {
--- a/internal/scheduler/polls.go
+++ b/internal/scheduler/polls.go
@@ -41,7 +41,7 @@
 		// The worker must learn at once who holds its lease, and its inventory has just arrived.
 		s.respond(now, w, effects)
 	}
-	// Most heartbeats bring no new capacity, and a pass is expensive, so not each requests one.
+	// Most heartbeats bring no new capacity and so don't need a pass, which is expensive.
 	s.refreshUsage(w)
 	s.needsPass = s.needsPass || isFirst || wasUnresponsive || before != w.capacity()
 	s.needsGangCheck = true
--- a/internal/scheduler/quality.go
+++ b/internal/scheduler/quality.go
@@ -117,9 +117,9 @@
 	w.lastFailedTask = key.taskKey
 }
 
-// recordOutcome counts the outcome of a run of a queue. A failure raises the suspicion of
-// the worker the less, the more often the queue's tasks fail on other workers, since
-// faulty tasks fail everywhere.
+// recordOutcome counts the outcome of a run of a queue. The more often the queue's tasks
+// fail on other workers, the less a failure raises the suspicion of this worker, since faulty
+// tasks fail everywhere.
 func (s *Scheduler) recordOutcome(w *worker, queue string, isFailure bool) {
 	ratio := s.peerFailureRatio(w, queue)
 	if w.outcomesByQueue == nil {
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -27,8 +27,8 @@
 // PoolCores divides the milli cores of all workers of a pool by their use.
 type PoolCores struct {
 	Total        int64 // of all workers
-	Used         int64 // by tasks that aren't being stopped
-	Stopping     int64 // by tasks that are being stopped
+	Used         int64 // used by tasks that aren't being stopped
+	Stopping     int64 // used by tasks that are being stopped
 	Free         int64 // free on workers that accept new tasks
 	Ejected      int64 // free on workers that are ejected or on probation
 	Draining     int64 // free on draining workers
@@ -42,7 +42,7 @@
 	Waiting WaitingCores // milli cores wanted by ready tasks
 	Sizes   []SizeReport // sorted by size, smallest first
 	Preempted,
-	SlowEvicted int // tasks stopped for more urgent ones, and tasks stopped because their worker seemed slow
+	SlowEvicted int // Preempted counts tasks stopped for more urgent ones, SlowEvicted those whose worker seemed slow
 }
 
 // WaitingCores divides the milli cores that ready tasks want by whether their jobs can meet the
@@ -52,7 +52,7 @@
 // SizeReport describes the ended steps of jobs of about the same size. A step whose job was
 // cancelled or has failed counts as ended.
 type SizeReport struct {
-	// CoreSeconds is an upper bound of the work of a round of these jobs, which is at least half of it.
+	// CoreSeconds is an upper bound of the work in a round of each of these jobs. The work is at least half of it.
 	CoreSeconds float64
 	Steps       int
 	// RoundsOnTime, RoundsLate and RoundsMissed count the rounds that ended within the latency
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// newEndReport returns the report of an end for its queue, or nil if there is nothing to report yet or at all.
+// newEndReport returns the report of an end for its queue, or nil if the end must not be
+// reported, or not yet.
 func (s *Scheduler) newEndReport(now eventloop.Micros, w *worker, key attemptKey, report *endReport) *schema.TaskEndReport {
 	end := &schema.TaskEndReport{
 		Queue: key.queue, Key: key.toSchema(), Attempt: key.attempt, Worker: w.id,
@@ -85,8 +86,8 @@
 		report.isAcknowledged = true
 		return false
 	}
-	// If a member fails at once, its failure would stop the other members, although the
-	// last of them hasn't begun yet because its start order was lost.
+	// The failure of a member stops the other members of its gang. If it were reported at
+	// once, it could stop a member that hasn't begun yet because its start order was lost.
 	if !superseded && end.Outcome == outcomeFailed && now-report.receivedAt < gangFailureGrace && s.isGangStarting(t) {
 		return false
 	}
--- a/internal/scheduler/runtime.go
+++ b/internal/scheduler/runtime.go
@@ -11,10 +11,10 @@
 const (
 	minRuns             = 3                           // number of runs from which a model predicts
 	minJudgedRuntime    = 500 * eventloop.Millisecond // shorter runs don't show a worker's speed
-	maxRuntimeModels    = 4096                        // with more models all are dropped
+	maxRuntimeModels    = 4096                        // if there are more models, all are dropped
 	runtimeDecay        = 0.99                        // decay of a model per run
 	estimatePriorRuns   = 5                           // number of runs for which an estimate counts as a prior
-	slopePriorVariance  = 0.05                        // prior of the variance and covariance, with a slope of 1
+	slopePriorVariance  = 0.05                        // prior added to both variance and covariance, as if the slope were 1
 	maxDeviation        = 0.7                         // maximum distance of a run from the line, as a logarithm; larger ones are clipped
 	spreadPriorRuns     = 5                           // number of runs of equal length that serve as the prior of a spread
 	minTrustedPercent   = 5                           // minimum progress from which the remaining run time is extrapolated
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -40,7 +40,7 @@
 	bounds                *schema.Bounds // limits of the deployment, such as the stop timeout
 	clusterState          *schema.ClusterState
 	config                *clusterstate.Values     // the settings of clusterState
-	weights               scoreWeights             // of config
+	weights               scoreWeights             // score weights, read from config
 	rackWeights           map[string]int64         // weights by rack, read from config on first use; 0: the rack's workers get no work
 	leadership            replica.LeadershipStatus // queues that this node leads, by the latest status
 	leadershipConfirmedAt eventloop.Micros         // time at which leadership was confirmed
@@ -58,7 +58,7 @@
 	runtimeModels     map[runtimeKey]*runtimeModel
 
 	needsPass          bool
-	needsGangCheck     bool             // all workers of some gang may now hold it, so that it can start
+	needsGangCheck     bool             // some gang may now be held by all its workers and ready to start
 	nextPassAt         eventloop.Micros // earliest time of the next pass
 	lastReportAt       eventloop.Micros // time of the latest pool reports
 	lastFullPassAt     eventloop.Micros // time of the latest pass without a limit on unplaced steps
--- a/internal/scheduler/task.go
+++ b/internal/scheduler/task.go
@@ -75,7 +75,7 @@
 	round, stepInRound uint32
 	spec               *schema.Step
 	text               string           // text of the job, which the worker gets
-	stateSince         eventloop.Micros // when the task entered its state
+	stateSince         eventloop.Micros // when the task became ready, or was checked out
 	failures           uint32           // failures that the queue has counted so far
 	isLost             bool             // an attempt at the task, or at its gang, was lost with its worker
 	isBoosted          bool             // the current or last checkout counts against the pool's boosted share
--- a/internal/scheduler/tenant_use.go
+++ b/internal/scheduler/tenant_use.go
@@ -27,7 +27,7 @@
 	u.byTenant[tenant] = sum
 }
 
-// addRun adds a run that isn't checked out to the worker. Without a known tenant it may belong to any.
+// addRun adds a run that isn't checked out to the worker. If tenant is "", it may belong to any tenant.
 func (u *tenantUse) addRun(tenant string, size resources) {
 	if tenant == "" {
 		u.unassigned.add(size)
--- a/internal/scheduler/tenant_view.go
+++ b/internal/scheduler/tenant_view.go
@@ -16,7 +16,7 @@
 	WeightMilli  int64          `json:"weight_milli"` // 0: the tenant was removed from the configuration
 	Used         *ResourcesView `json:"used"`
 	Limit        *ResourcesView `json:"limit"`         // 0: no limit
-	TasksRunning int            `json:"tasks_running"` // checked out
+	TasksRunning int            `json:"tasks_running"` // tasks that are checked out
 	TasksReady   int            `json:"tasks_ready"`
 	WaitingUs    int64          `json:"waiting_us"` // longest waiting time of a ready task
 	WaitsFor     string         `json:"waits_for"`  // reason for the waiting; empty: no task is ready
--- a/internal/scheduler/workers.go
+++ b/internal/scheduler/workers.go
@@ -132,7 +132,7 @@
 // total returns all resources of the worker, used and free.
 func (w *worker) total() resources { return resources{w.cores, w.memory, w.accelerators} }
 
-// isResponsive reports whether a worker is alive and has sent a heartbeat lately.
+// isResponsive reports whether a worker is alive and has sent a heartbeat within unresponsiveTimeout.
 func (w *worker) isResponsive(now eventloop.Micros) bool {
 	return w.hasHeartbeat && !w.isDead && now-w.lastHeard <= unresponsiveTimeout
 }
@@ -156,8 +156,9 @@
 	}
 }
 
-// markDead handles an agent's report of the workers that its machine ran before the present
-// one, the reporter. Their tasks no longer run, so they are returned at once.
+// markDead handles the report of an agent that its machine formerly ran other workers than its
+// present one, the reporter. These are dead and their tasks no longer run, so the tasks are
+// returned at once.
 func (s *Scheduler) markDead(now eventloop.Micros, ids []string, reporter string, effects eventloop.Effects) {
 	for _, id := range ids {
 		if id == reporter {
