--- a/internal/scheduler/tenant_history_test.go
+++ b/internal/scheduler/tenant_history_test.go
@@ -240,10 +240,10 @@
 		if !isPropose || propose.Term != h.term || propose.Command.GetCheckout() == nil {
 			continue
 		}
-		checkout, alreadyProposed := &schema.Checkout{}, h.tasksWithProposedCheckout()
-		h.log = append(h.log, logEntry{checkout: checkout})
+		placedCheckout, alreadyProposed := &schema.Checkout{}, h.tasksWithProposedCheckout()
+		h.log = append(h.log, logEntry{checkout: placedCheckout})
 		for _, placement := range propose.Command.GetCheckout().Placements {
-			checkout.Placements = append(checkout.Placements, placement)
+			placedCheckout.Placements = append(placedCheckout.Placements, placement)
 			// A task with an earlier proposed checkout may be placed again, even if the limit is lower now.
 			if key := keyOfPlacement(placement); !alreadyProposed[key] {
 				h.checkLimit(h.tasks[key])
