--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -80,7 +80,7 @@
 	}
 	duration := float64(pathStep.EstimateUs)
 	if m != nil && m.count >= minRuns {
-		duration = math.Exp(m.predict(math.Log(duration))) * m.longestOf(pathStep.Tasks)
+		duration = math.Exp(m.predict(math.Log(duration))) * m.longestToTypicalRatio(pathStep.Tasks)
 	}
 	if maxCores > 0 {
 		duration *= math.Ceil(math.Max(1, float64(pathStep.CoresMilli)/float64(maxCores)))
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -45,10 +45,10 @@
 // freed, else capacity that preempting less urgent work frees. Failing both, it keeps whole workers
 // free for a wide step. It returns the number of tasks that got a reservation.
 func (p *queuePass) reserveFutureCapacity(step *stepQueue, req *placementRequest) (reserved int) {
-	if !p.mayTakeAny(p.scheduler, step) {
+	if !p.allowsAnyTask(p.scheduler, step) {
 		return 0
 	}
-	waited := p.now - step.first().since
+	waited := p.now - step.first().stateSince
 	mayPreempt := req.feasibility != infeasible && p.mayPreempt() && waited >= preemptionDelay
 	if p.isCapacityBeingFreed() || mayPreempt {
 		reserved = p.reserveFromStops(step, req, mayPreempt)
@@ -124,7 +124,7 @@
 		for _, member := range v.members {
 			tx.scheduler.evict(member, outcomeStopped)
 			tx.scheduler.counts.Preempted++
-			tx.scheduler.noteEviction(member, countPreempted)
+			tx.scheduler.countEviction(member, countPreempted)
 		}
 	}
 	tx.undos, tx.victims = nil, nil
@@ -277,7 +277,7 @@
 		victims = append(victims, v)
 	}
 	slices.SortStableFunc(victims, func(a, b *victim) int {
-		return cmp.Or(cmp.Compare(a.loss, b.loss), cmp.Compare(a.urgency, b.urgency), -cmp.Compare(a.members[0].since, b.members[0].since))
+		return cmp.Or(cmp.Compare(a.loss, b.loss), cmp.Compare(a.urgency, b.urgency), -cmp.Compare(a.members[0].stateSince, b.members[0].stateSince))
 	})
 	return victims
 }
--- a/internal/scheduler/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -21,7 +21,7 @@
 		}
 		return h
 	}
-	// simulate runs three tasks on worker a, each with so much progress per 100 ms.
+	// simulate runs three tasks on worker a, each of which progresses by this percentage per 100 ms.
 	simulate := func(h *harness, span eventloop.Micros, percent float64) {
 		made := 0.0
 		for end := h.now + span; h.now < end; {
@@ -36,27 +36,27 @@
 			made += percent
 		}
 	}
-	isAside := func(h *harness) bool { return h.now < h.scheduler.workers["a"].ejectedUntil }
+	isEjected := func(h *harness) bool { return h.now < h.scheduler.workers["a"].ejectedUntil }
 	Convey("A worker whose tasks make a fifth of the expected progress is ejected, and they go elsewhere", t, func() {
 		h := setUp()
 		simulate(h, 1900*eventloop.Millisecond, 2)
-		So(isAside(h), ShouldBeTrue)
+		So(isEjected(h), ShouldBeTrue)
 		So(len(h.ordersOf(0, "stop")), ShouldBeGreaterThanOrEqualTo, 3)
 		So(h.scheduler.workers["a"].ejectionPeriod, ShouldEqual, slowEjectionPeriod)
 	})
 	Convey("One whose tasks make nearly the expected progress isn't", t, func() {
 		h := setUp()
 		simulate(h, 1500*eventloop.Millisecond, 6)
-		So(isAside(h), ShouldBeFalse)
+		So(isEjected(h), ShouldBeFalse)
 		So(h.ordersOf(0, "stop"), ShouldBeEmpty)
 	})
 	Convey("A short time without reported progress says nothing", t, func() {
 		h := setUp()
 		simulate(h, 2*eventloop.Second, 0)
-		So(isAside(h), ShouldBeFalse)
+		So(isEjected(h), ShouldBeFalse)
 		Convey("but after a long time the worker is ejected", func() {
 			simulate(h, 1000*eventloop.Millisecond, 0)
-			So(isAside(h), ShouldBeTrue)
+			So(isEjected(h), ShouldBeTrue)
 		})
 	})
 	Convey("Estimates are trusted until more runs are known, since the short ones finish first", t, func() {
@@ -70,11 +70,11 @@
 	})
 }
 
-// Sound workers with a few long tasks were ejected as slow, and their tasks stopped.
+// Guards against sound workers being ejected as slow, and their tasks stopped, because a few tasks are long.
 func TestSoundWorkersWithLongTasksAreNotSlow(t *testing.T) {
 	const estimate = eventloop.Second
 	step := &schema.Step{Name: "s", Tasks: 16, CoresMilli: 10, EstimatedRunUs: int64(estimate)}
-	// simulate runs tasks on worker a, of these run times on a sound worker, at a speed.
+	// simulate runs tasks on worker a at a speed relative to a sound worker, where they take runs times the estimate.
 	simulate := func(span eventloop.Micros, speed float64, runs ...float64) *harness {
 		h := newQualityHarness(0, step)
 		h.finishUnevenSteps("b", 15, estimate)
--- a/internal/scheduler/report_test.go
+++ b/internal/scheduler/report_test.go
@@ -10,17 +10,17 @@
 	"sparnotch/internal/schema"
 )
 
-// reports lists the pool reports so far.
+// reports returns the pool reports so far.
 func (h *harness) reports() (reports []PoolReport) {
-	for _, tell := range h.notified {
-		if report, ok := tell.(PoolReport); ok {
+	for _, message := range h.notified {
+		if report, ok := message.(PoolReport); ok {
 			reports = append(reports, report)
 		}
 	}
 	return reports
 }
 
-// reportedSizes lists what the reports so far say of steps that have ended.
+// reportedSizes returns the size reports of all pool reports so far.
 func (h *harness) reportedSizes() (sizes []SizeReport) {
 	for _, report := range h.reports() {
 		for _, q := range report.Queues {
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -96,7 +96,7 @@
 		}
 	}
 	for key, status := range w.running {
-		if w.taskOf(key) == nil {
+		if w.taskForAttempt(key) == nil {
 			size := s.usageOf(w, key, status)
 			w.used.add(size)
 			w.tenantUse.addRun(s.tenantOfRun(key, status), size)
@@ -153,7 +153,7 @@
 // runsUnknownUsage reports whether a worker has a run whose size is stated neither by the worker nor
 // by any known task.
 func (s *Scheduler) runsUnknownUsage(w *worker) bool {
-	if !w.usesNames {
+	if !w.usesTaskNames {
 		return false
 	}
 	isUnstated := func(status *schema.TaskStatus) bool { return reportedUsage(status) == resources{} }
--- a/internal/scheduler/workers_test.go
+++ b/internal/scheduler/workers_test.go
@@ -41,19 +41,19 @@
 		h.sendHeartbeat("w", nil)
 		So(h.lastReply().Orders.Orders, ShouldHaveLength, 1)
 		answered := h.now
-		deaf := func(a *schema.WorkerHeartbeat) { a.Unanswered = true }
+		unanswered := func(a *schema.WorkerHeartbeat) { a.Unanswered = true }
 		for h.now < answered+5*eventloop.Second {
 			h.now += 100 * eventloop.Millisecond
 			h.confirmLeadership(true)
-			h.sendHeartbeat("w", deaf)
-			// That grants nothing, so the lease ends by the last response before.
+			h.sendHeartbeat("w", unanswered)
+			// The empty response grants nothing, so the lease ends by the previous response.
 			So(h.lastReply().Orders, ShouldBeNil)
 			h.deliver(eventloop.Tick{})
 			So(h.endReports(), ShouldBeEmpty)
 		}
 		h.now += 100 * eventloop.Millisecond
 		h.confirmLeadership(true)
-		h.sendHeartbeat("w", deaf)
+		h.sendHeartbeat("w", unanswered)
 		h.deliver(eventloop.Tick{})
 		So(h.endReports(), ShouldHaveLength, 1)
 		So(h.endReports()[0].Outcome, ShouldEqual, "lost")
