--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -120,7 +120,7 @@
 	t := &task{
 		key: key, state: event.Status, attempt: event.Attempt, worker: event.Worker, incarnation: event.Incarnation,
 		sequence: event.Sequence, jobName: event.Name, tenant: event.Tenant, spec: event.Spec, text: event.Text, since: now, isGangStarted: event.IsGangStarted,
-		round: event.Round, stepInRound: event.StepInRound, initialCheckpoint: event.Checkpoint, failures: event.Failures, isLost: event.IsLost,
+		round: event.Round, stepInRound: event.StepInRound, initialCheckpoint: event.Checkpoint, failures: event.Failures, isLost: event.HasLostAttempt,
 		roundDueAt: now - eventloop.Micros(event.RoundAgeUs), criticalPath: criticalPath{event.CriticalPath, event.RemainingPath},
 	}
 	if old != nil {
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -36,7 +36,7 @@
 
 func lostStep(job uint64, step *schema.Step, age eventloop.Micros) *queue.TaskEvent {
 	event := readyStep(job, step, age)
-	event.IsLost, event.Attempt = true, 1
+	event.HasLostAttempt, event.Attempt = true, 1
 	return event
 }
 
@@ -82,7 +82,7 @@
 		h.notified = nil
 		checkedOut := func(job uint64) *queue.TaskEvent {
 			event := newEvent(1, job, 0, queue.CheckedOut, "w", core)
-			event.Attempt, event.IsLost = 2, true
+			event.Attempt, event.HasLostAttempt = 2, true
 			return event
 		}
 		h.deliverNext(checkedOut(1), checkedOut(2))
@@ -105,7 +105,7 @@
 			h.syncQueue("m", 50)
 			h.scheduler.queues["m"].peak.cores = 8000
 			event := withCriticalPath(newEvent(1, 1, 0, queue.Ready, "", long), 0, 30*eventloop.Second)
-			event.IsLost = isLost
+			event.HasLostAttempt = isLost
 			h.syncQueue("l", 10, event)
 			h.sendHeartbeat("w", withCapacity(1500))
 			return h.placedJobs()
@@ -118,7 +118,7 @@
 			h := newStarvationHarness()
 			h.syncQueue("l", 10, func() *queue.TaskEvent {
 				event := readyStep(1, core, 0)
-				event.IsLost = isLost
+				event.HasLostAttempt = isLost
 				return event
 			}())
 			h.sendHeartbeat("w", withCapacity(1000))
