--- a/internal/queue/checkout.go
+++ b/internal/queue/checkout.go
@@ -1,37 +1,38 @@
 package queue
 
-// Checkout of tasks for workers, and the start of gangs.
+// This file implements the checkout of tasks for workers and the start of gangs.
 
 import (
 	"sparnotch/internal/schema"
 )
 
-// checkout checks out tasks for workers. Tasks that aren't ready stay as they are. Each
-// task of the command gets an event, so the scheduler learns which were checked out.
+// checkout checks out tasks for workers and leaves tasks that aren't ready unchanged. It
+// emits an event for every task that the command names and that exists, so the scheduler
+// learns which of them were checked out.
 func (m *Machine) checkout(c *schema.Checkout) {
 	var chosen []chosenTask
-	available := map[*task]bool{}      // chosen tasks that are ready, each once
-	availableOf := map[stepOfJob]int{} // how many of them each step has
-	for _, pick := range c.Placements {
-		j, s, t := m.findTask(pick.Key)
+	readyTasks := map[*task]bool{}   // the chosen tasks that are ready
+	readyCounts := map[stepKey]int{} // number of readyTasks in each step
+	for _, placement := range c.Placements {
+		j, s, t := m.findTask(placement.Key)
 		if j == nil {
 			continue
 		}
-		chosen = append(chosen, chosenTask{j, s, t, pick})
-		if task := &j.tasks[s][t]; j.status(s, t) == Ready && !available[task] {
-			available[task] = true
-			availableOf[stepOfJob{j, s}]++
+		chosen = append(chosen, chosenTask{j, s, t, placement})
+		if task := &j.tasks[s][t]; j.status(s, t) == Ready && !readyTasks[task] {
+			readyTasks[task] = true
+			readyCounts[stepKey{j, s}]++
 		}
 	}
-	gangAttempts := map[stepOfJob]uint32{}
+	gangAttempts := map[stepKey]uint32{}
 	for _, choice := range chosen {
-		j, s, t := choice.job, choice.s, choice.t
-		task, step := &j.tasks[s][t], stepOfJob{j, s}
-		// A gang is checked out as a whole by one command, or not at all.
+		j, s, t := choice.job, choice.step, choice.task
+		task, step := &j.tasks[s][t], stepKey{j, s}
+		// One command checks out either all members of a gang or none of them.
 		isGang := j.step(s).Gang
-		isComplete := !isGang || availableOf[step] == len(j.tasks[s])
-		if available[task] && isComplete {
-			delete(available, task)
+		isComplete := !isGang || readyCounts[step] == len(j.tasks[s])
+		if readyTasks[task] && isComplete {
+			delete(readyTasks, task)
 			if isGang && gangAttempts[step] == 0 {
 				gangAttempts[step] = nextGangAttempt(j.tasks[s])
 			}
@@ -41,19 +42,22 @@
 	}
 }
 
-// chosenTask is a task that a command checks out.
+// chosenTask is a task that a checkout command names, with the worker to check it out for.
 type chosenTask struct {
 	job       *job
-	s, t      int
+	step      int
+	task      int
 	placement *schema.Placement
 }
 
-type stepOfJob struct {
-	job *job
-	s   int
+// stepKey identifies one step of one job.
+type stepKey struct {
+	job  *job
+	step int
 }
 
-// nextGangAttempt is the number of a gang's next attempt: all members have the same.
+// nextGangAttempt returns the number of a gang's next attempt, which all members share. It
+// is higher than the latest attempt of any member.
 func nextGangAttempt(members []task) uint32 {
 	attempt := uint32(0)
 	for t := range members {
@@ -62,20 +66,20 @@
 	return attempt
 }
 
-// checkOutTask checks out one task. gangAttempt is its gang's attempt; 0: it is no member of
-// a gang.
-func (j *job) checkOutTask(s, t int, gangAttempt uint32, pick *schema.Placement) {
+// checkOutTask checks out one task for the worker of placement. gangAttempt is the attempt
+// number of the task's gang, or 0 if the task isn't a member of a gang.
+func (j *job) checkOutTask(s, t int, gangAttempt uint32, placement *schema.Placement) {
 	task := &j.tasks[s][t]
 	task.state, task.attempt = schema.TaskState_TASK_CHECKED_OUT, max(task.attempt+1, gangAttempt)
-	task.worker, task.incarnation, task.checkoutSequence = pick.Worker, pick.Incarnation, 0
+	task.worker, task.incarnation, task.checkoutSequence = placement.Worker, placement.Incarnation, 0
 	j.checkedOutTasks[s]++
-	j.checkedOut++
+	j.checkedOutCount++
 	j.startedTasks++
 }
 
-// startGang decides that a gang starts: from then on every scheduler of the queue has all
-// members start, even one that has never seen their reservations. It concerns the whole
-// gang as it was checked out, or nothing.
+// startGang records the decision to start a gang. From then on, every scheduler of the queue
+// starts all members, even a scheduler that has never seen their reservations. The command
+// takes effect only if every member is checked out with the attempt that the command lists.
 func (m *Machine) startGang(c *schema.StartGang) {
 	j, s, _ := m.findTask(&schema.TaskKey{Job: c.Job, Step: c.Step})
 	if j == nil || !j.step(s).Gang || len(c.Attempts) != len(j.tasks[s]) {
--- a/internal/queue/end.go
+++ b/internal/queue/end.go
@@ -1,6 +1,6 @@
 package queue
 
-// The end of jobs: cancelling, stopping, and retaining what has ended.
+// This file cancels, stops and ends jobs, and retains a record of each ended job.
 
 import (
 	"net/http"
@@ -8,8 +8,8 @@
 	"sparnotch/internal/schema"
 )
 
-// cancel ends a job, or stops it if tasks of it run. It changes nothing for one that has
-// ended or is stopping, or is another tenant's.
+// cancel ends a job, or stops it first if any of its tasks are checked out. It changes
+// nothing if the job has ended, is already stopping or belongs to another tenant.
 func (m *Machine) cancel(c *schema.Cancel) {
 	if m.isOthersJob(c.Name, c.Tenant) {
 		m.effects.CancelCode = http.StatusForbidden
@@ -18,7 +18,7 @@
 	if j := m.jobsByName[c.Name]; j != nil {
 		switch j.state {
 		case schema.JobState_JOB_SCHEDULED:
-			m.byStart.Delete(j)
+			m.jobsByNextRound.Delete(j)
 			j.reason = "cancelled before its start"
 			m.endJob(j, schema.JobState_JOB_CANCELLED)
 		case schema.JobState_JOB_RUNNING:
@@ -32,11 +32,11 @@
 	}
 }
 
-// stopJob opens nothing more of a job; it ends in finalState when none of its tasks is
-// checked out.
+// stopJob marks a job as stopping: no further round, step or task of it becomes ready. The
+// job ends in finalState once none of its tasks is checked out (see endIfIdle).
 func (m *Machine) stopJob(j *job, finalState schema.JobState, reason string) {
 	if j.openedRounds < j.rounds() {
-		m.byStart.Delete(j)
+		m.jobsByNextRound.Delete(j)
 	}
 	j.state, j.finalState, j.reason = schema.JobState_JOB_STOPPING, finalState, reason
 	for s := range j.tasks {
@@ -51,20 +51,22 @@
 	}
 }
 
+// endIfIdle ends a stopping job if none of its tasks is checked out.
 func (m *Machine) endIfIdle(j *job) {
-	if j.checkedOut == 0 {
+	if j.checkedOutCount == 0 {
 		m.endJob(j, j.finalState)
 	}
 }
 
-// endJob removes a job from the live ones and retains what can be asked of it.
+// endJob removes a job from the live jobs. It retains the data that status requests and
+// resubmissions of the job's name need.
 func (m *Machine) endJob(j *job, state schema.JobState) {
 	ended := &schema.EndedJobSnapshot{Name: j.name, Digest: j.digest, State: state, EndedUs: m.now, Reason: j.reason, Id: j.id, Tenant: j.tenant}
 	for s := range j.unfinishedTasks {
 		ended.Tasks += j.step(s).Tasks
 		ended.Done += j.step(s).Tasks - uint32(j.unfinishedTasks[s])
 	}
-	m.byIndex.Delete(j)
+	m.jobsByPayloadIndex.Delete(j)
 	delete(m.jobs, j.id)
 	delete(m.jobsByName, j.name)
 	m.endedByName[j.name] = ended
--- a/internal/queue/enqueue.go
+++ b/internal/queue/enqueue.go
@@ -1,7 +1,7 @@
 package queue
 
-// Enqueue: admitting jobs in the order of their sessions, and keeping one name to one
-// job.
+// This file implements enqueue. It admits the jobs of each session in the order of their
+// numbers, and ensures that a name belongs to only one job.
 
 import (
 	"net/http"
@@ -9,11 +9,14 @@
 	"sparnotch/internal/schema"
 )
 
+// enqueue admits a submission if its number is the session's next one. It holds a submission
+// with a higher number, and answers one with a lower number again without admitting it.
 func (m *Machine) enqueue(index uint64, e *schema.Enqueue) {
 	key := sessionKeyOf(e.Session)
 	if _, isExpired := m.expiredGateways[gatewayKey{key.gateway, key.incarnation}]; isExpired {
-		// Its callers have gone to other gateways. What it still sends may have been
-		// submitted there, run, and been forgotten since.
+		// The clients of an expired gateway have moved to other gateways. A submission that
+		// the expired gateway still sends may have been submitted through one of those,
+		// have run, and have been forgotten since, so that it would run a second time.
 		m.effects.SubmitResults = append(m.effects.SubmitResults, &schema.SubmitResult{Session: e.Session, Number: e.Number, Code: http.StatusGone})
 		return
 	}
@@ -34,7 +37,7 @@
 	}
 }
 
-// holdPending keeps a submission until the numbers below it have been admitted.
+// holdPending holds a submission until all lower numbers of its session have been admitted.
 func (m *Machine) holdPending(s *session, index uint64, e *schema.Enqueue) {
 	if s.pending[e.Number] == nil {
 		s.pending[e.Number] = &schema.PendingEnqueueSnapshot{Index: index, Enqueue: e}
@@ -42,7 +45,7 @@
 	}
 }
 
-// admitPending admits the held submissions up to the next gap.
+// admitPending admits the held submissions of a session up to the next missing number.
 func (m *Machine) admitPending(s *session) {
 	for next := s.pending[s.next]; next != nil; next = s.pending[s.next] {
 		delete(s.pending, s.next)
@@ -52,8 +55,9 @@
 	}
 }
 
-// resubmissionCode is the HTTP status for a submission whose name may belong to a job
-// already: 200 for the same job, 409 for another one, unknownCode if there is none.
+// resubmissionCode returns the HTTP status for a submission whose name may already belong to
+// a job: 200 if it is the same job, 409 if it is a different one, and unknownCode if no live
+// or retained job has the name.
 func (m *Machine) resubmissionCode(e *schema.Enqueue, unknownCode int32) int32 {
 	digest, tenant, found := m.jobIdentity(e.Name)
 	switch {
@@ -65,7 +69,8 @@
 	return http.StatusOK
 }
 
-// jobIdentity returns what tells a live or retained job from another one of its name.
+// jobIdentity returns the digest and the tenant of the live or retained job with a name. A
+// submission that has the same name but a different digest or tenant is a different job.
 func (m *Machine) jobIdentity(name string) (digest []byte, tenant string, found bool) {
 	if live := m.jobsByName[name]; live != nil {
 		return live.digest, live.tenant, true
@@ -76,29 +81,30 @@
 	return nil, "", false
 }
 
-// isOthersJob reports whether a job is known and is of another tenant.
+// isOthersJob reports whether the live or retained job with a name belongs to another tenant.
 func (m *Machine) isOthersJob(name, tenant string) bool {
 	_, owner, _ := m.jobIdentity(name)
 	return IsOtherTenant(owner, tenant)
 }
 
-// IsOtherTenant reports whether two tenants differ. A job or call of nobody, whose tenant is
-// empty, is no other tenant's.
+// IsOtherTenant reports whether two tenants differ. An empty tenant, that of a job or call
+// without a tenant, doesn't differ from any tenant.
 func IsOtherTenant(a, b string) bool { return a != "" && b != "" && a != b }
 
+// addSubmitResult adds the reply to a submission to the effects.
 func (m *Machine) addSubmitResult(e *schema.Enqueue, code int32) {
 	result := &schema.SubmitResult{Session: e.Session, Number: e.Number, Code: code}
 	if code == http.StatusConflict {
-		result.Error = &schema.Error{Code: "name_taken", Message: "this name stands for a job with other content, or of another tenant", Field: "name"}
+		result.Error = &schema.Error{Code: "name_taken", Message: "the name already belongs to a job that has different content or another tenant", Field: "name"}
 	} else {
 		result.View, _ = m.JobView(e.Name)
 	}
 	m.effects.SubmitResults = append(m.effects.SubmitResults, result)
 }
 
-// admitJob adds a job, unless its name is taken. index is that of the entry with the
-// payload.
-func (m *Machine) admitJob(index uint64, e *schema.Enqueue) {
+// admitJob adds a job, unless its name is taken. payloadIndex is the index of the log entry
+// that holds the job's payload.
+func (m *Machine) admitJob(payloadIndex uint64, e *schema.Enqueue) {
 	if code := m.resubmissionCode(e, http.StatusCreated); code != http.StatusCreated {
 		m.addSubmitResult(e, code)
 		return
@@ -106,45 +112,47 @@
 	m.lastJobID++
 	m.enqueues++
 	j := &job{
-		id: m.lastJobID, name: e.Name, digest: e.Digest, index: index, startUs: e.StartUs,
+		id: m.lastJobID, name: e.Name, digest: e.Digest, payloadIndex: payloadIndex, startUs: e.StartUs,
 		spec: e.Job, tenant: e.Tenant,
 	}
 	if j.startUs == 0 {
-		j.startUs = m.now // the job's age and later rounds count from its admission
+		j.startUs = m.now // the ages and due times of the rounds count from admission
 	}
 	j.expandSteps()
 	m.jobs[j.id], m.jobsByName[j.name] = j, j
-	m.byIndex.ReplaceOrInsert(j)
+	m.jobsByPayloadIndex.ReplaceOrInsert(j)
 	j.state = schema.JobState_JOB_SCHEDULED
 	m.openDueRounds(j)
 	m.addSubmitResult(e, http.StatusCreated)
 }
 
-// openDueRounds opens every round that is due, and queues the job for the next one.
+// openDueRounds opens every round of a job that is due. If rounds remain, it adds the job to
+// jobsByNextRound.
 func (m *Machine) openDueRounds(j *job) {
 	for j.openedRounds < j.rounds() && j.nextRoundUs() <= m.now {
 		j.state = schema.JobState_JOB_RUNNING
 		j.openRound()
-		for step := range j.spec.Steps {
-			if len(j.dependencies[step]) == 0 {
-				m.emitStepEvents(j, j.firstStep(j.openedRounds-1)+step)
+		for stepInRound := range j.spec.Steps {
+			if len(j.dependencies[stepInRound]) == 0 {
+				m.emitStepEvents(j, j.firstStep(j.openedRounds-1)+stepInRound)
 			}
 		}
 	}
 	if j.openedRounds < j.rounds() {
-		m.byStart.ReplaceOrInsert(j)
+		m.jobsByNextRound.ReplaceOrInsert(j)
 	}
 }
 
-// reenqueue moves a job's payload to this entry, so that the log below is released.
+// reenqueue replaces a job's payload by the copy in the log entry at index, so that the job
+// no longer keeps older entries from being released.
 func (m *Machine) reenqueue(index uint64, c *schema.Reenqueue) {
 	j := m.jobs[c.Job]
 	if j == nil {
 		return
 	}
-	m.byIndex.Delete(j)
-	j.index, j.spec, j.isDehydrated = index, c.Payload, false
-	m.byIndex.ReplaceOrInsert(j)
+	m.jobsByPayloadIndex.Delete(j)
+	j.payloadIndex, j.spec, j.isDehydrated = index, c.Payload, false
+	m.jobsByPayloadIndex.ReplaceOrInsert(j)
 	m.reenqueues++
 	m.enqueues++
 }
--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -1,6 +1,6 @@
 package queue
 
-// A live job: its rounds, steps and tasks.
+// This file defines a live job with its rounds, steps and tasks.
 
 import (
 	"slices"
@@ -8,74 +8,81 @@
 	"sparnotch/internal/schema"
 )
 
-// job is a live job. The steps of all its rounds stand one after another: step s is step
-// s%stepsPerRound of round s/stepsPerRound. The tasks of a round are made when it opens.
+// job is a live job. The steps of all its rounds are numbered consecutively: step s of the job
+// is step s%stepsPerRound of round s/stepsPerRound. The tasks of a round are created when
+// the round opens.
 type job struct {
-	id           uint64 // in the order of admission
+	id           uint64 // number of the job in the order of admission
 	name         string
-	digest       []byte // of what was submitted
-	index        uint64 // of the log entry with the payload
-	startUs      int64  // of the first round, in queue time
+	digest       []byte // digest of the submitted job, see schema.Enqueue
+	payloadIndex uint64 // index of the log entry that holds the payload
+	startUs      int64  // queue time at which the first round is due, µs
 	state        schema.JobState
-	finalState   schema.JobState // of a stopping job: its state once nothing runs
-	reason       string          // why it stopped
+	finalState   schema.JobState // state in which a stopping job will end
+	reason       string          // why the job was cancelled or failed, for callers
 	spec         *schema.Job
-	tenant       string // whose it is, fixed when it was admitted; empty: nobody's
-	isDehydrated bool   // from a dehydrated snapshot: spec lacks the text
+	tenant       string // tenant of the job, fixed at its admission; empty if it has none
+	isDehydrated bool   // whether the job comes from a dehydrated snapshot, so that spec lacks the text
+
+	// Indexed by step, over all rounds.
+	tasks           [][]task // nil for a step whose round isn't open
+	unfinishedTasks []int    // number of tasks that aren't done
+	checkedOutTasks []int    // number of tasks that are checked out
+	failures        []uint32 // number of counted failures
 
-	tasks           [][]task // by step
-	unfinishedTasks []int    // by step
-	checkedOutTasks []int    // by step
-	failures        []uint32 // by step, counted ones
 	openedRounds    int
-	unfinishedSteps int
-	checkedOut      int    // tasks of all steps
+	unfinishedSteps int    // steps with unfinished tasks
+	checkedOutCount int    // checked-out tasks of all steps
 	startedTasks    uint64 // checkouts so far
 
-	// Of the steps of a round, by step in round.
-	dependencies   [][]int
-	dependents     [][]int
-	remainingPaths [][]PathStep // the longest path from the step on, itself first
-	criticalPath   []PathStep   // the longest of them
+	// Indexed by the position of a step within its round.
+	dependencies   [][]int      // positions of the steps that must be done first
+	dependents     [][]int      // positions of the steps that depend on the step
+	remainingPaths [][]PathStep // longest path from the step to the end of the round, starting with the step
+
+	criticalPath []PathStep // longest path through a round
 }
 
-// task is one task. The members of a gang have their failures, failedAttempt and
-// checkpoint in common: they stand at the first member, see job.account.
+// task is one task of a job. The members of a gang share their failures, failedAttempt and
+// checkpoint, which are stored in the first member (see job.sharedTask).
 type task struct {
 	state            schema.TaskState
-	attempt          uint32
-	failures         uint32
-	failedAttempt    uint32 // the latest attempt that was counted as failed
-	requeues         uint32 // returns that weren't failures
-	worker           string // that it is checked out for
-	incarnation      uint64 // of the worker
-	checkoutSequence uint64 // of the event that reported the checkout
-	isGangStopping   bool   // checked out, and to be stopped because a member of its gang ended
-	isGangStarted    bool
-	lostAttempts     []uint32 // returned as lost: a late report may still show that they failed
-	checkpoint       string   // the latest one, for the next start
-}
-
+	attempt          uint32   // number of the latest attempt; 0 before the first checkout
+	failures         uint32   // counted failures
+	failedAttempt    uint32   // latest attempt that was counted as failed
+	requeues         uint32   // counted returns that weren't failures
+	worker           string   // worker that the task is checked out for
+	incarnation      uint64   // incarnation of the worker
+	checkoutSequence uint64   // sequence number of the event that reported the checkout
+	isGangStopping   bool     // the checked-out task is to be stopped because a member of its gang ended
+	isGangStarted    bool     // the task's gang has been started, see startGang
+	lostAttempts     []uint32 // attempts that were returned as lost; a late report may still show that one failed
+	checkpoint       string   // latest checkpoint, from which the next start resumes
+}
+
+// stepsPerRound returns the number of steps in each round.
 func (j *job) stepsPerRound() int { return len(j.spec.GetSteps()) }
 
+// rounds returns the number of rounds, which is at least one.
 func (j *job) rounds() int { return max(1, int(j.spec.GetRounds())) }
 
-// firstStep is the index of a round's first step.
+// firstStep returns the index of a round's first step.
 func (j *job) firstStep(round int) int { return round * j.stepsPerRound() }
 
+// step returns the specification of step s.
 func (j *job) step(s int) *schema.Step { return j.spec.Steps[s%j.stepsPerRound()] }
 
-// nextRoundUs is when the next round that isn't open is due, in µs of queue time.
+// nextRoundUs returns the queue time in µs at which the first round that isn't open is due.
 func (j *job) nextRoundUs() int64 {
 	return j.startUs + int64(j.openedRounds)*max(0, j.spec.GetPeriodUs())
 }
 
-// roundAgeUs is how long ago a round was due.
+// roundAgeUs returns the time in µs from when a round was due until the queue time now.
 func (j *job) roundAgeUs(round int, now int64) int64 {
 	return now - j.startUs - int64(round)*max(0, j.spec.GetPeriodUs())
 }
 
-// expandSteps sets up the steps of all rounds; no round is open yet.
+// expandSteps initializes the steps of all rounds. It opens no round.
 func (j *job) expandSteps() {
 	j.linkSteps()
 	steps := j.rounds() * j.stepsPerRound()
@@ -88,47 +95,50 @@
 	}
 }
 
-// linkSteps works out the dependencies between the steps of a round, and its paths.
+// linkSteps computes the dependencies between the steps of a round and the longest paths
+// through it.
 func (j *job) linkSteps() {
 	perRound := j.stepsPerRound()
 	stepByName := map[string]int{}
-	for index, step := range j.spec.GetSteps() {
-		stepByName[step.Name] = index
+	for stepInRound, step := range j.spec.GetSteps() {
+		stepByName[step.Name] = stepInRound
 	}
 	j.dependencies, j.dependents = make([][]int, perRound), make([][]int, perRound)
-	for index, step := range j.spec.GetSteps() {
+	for stepInRound, step := range j.spec.GetSteps() {
 		for _, name := range step.Dependencies {
 			if dependency, found := stepByName[name]; found {
-				j.dependencies[index] = append(j.dependencies[index], dependency)
-				j.dependents[dependency] = append(j.dependents[dependency], index)
+				j.dependencies[stepInRound] = append(j.dependencies[stepInRound], dependency)
+				j.dependents[dependency] = append(j.dependents[dependency], stepInRound)
 			}
 		}
 	}
 	j.remainingPaths = make([][]PathStep, perRound)
-	for index := range j.spec.GetSteps() {
-		if path := j.longestPath(index, perRound); pathEstimateUs(path) > pathEstimateUs(j.criticalPath) {
+	for stepInRound := range j.spec.GetSteps() {
+		if path := j.longestPath(stepInRound, perRound); pathEstimateUs(path) > pathEstimateUs(j.criticalPath) {
 			j.criticalPath = path
 		}
 	}
 }
 
-// longestPath is the longest path from a step on through maxDepth steps at most, which
-// ends the search where the dependencies have a cycle.
-func (j *job) longestPath(index, maxDepth int) []PathStep {
-	if j.remainingPaths[index] != nil || maxDepth == 0 {
-		return j.remainingPaths[index]
+// longestPath returns the longest path that starts with a step and follows its dependents,
+// measured by the estimated run times. The search goes at most maxDepth steps deep, so it ends
+// even if the dependencies have a cycle.
+func (j *job) longestPath(stepInRound, maxDepth int) []PathStep {
+	if j.remainingPaths[stepInRound] != nil || maxDepth == 0 {
+		return j.remainingPaths[stepInRound]
 	}
 	var longest []PathStep
-	for _, next := range j.dependents[index] {
+	for _, next := range j.dependents[stepInRound] {
 		if path := j.longestPath(next, maxDepth-1); pathEstimateUs(path) > pathEstimateUs(longest) {
 			longest = path
 		}
 	}
-	step := j.spec.Steps[index]
-	j.remainingPaths[index] = append([]PathStep{{step.EstimatedRunUs, step.CoresMilli * int64(step.Tasks), int64(step.Tasks)}}, longest...)
-	return j.remainingPaths[index]
+	step := j.spec.Steps[stepInRound]
+	j.remainingPaths[stepInRound] = append([]PathStep{{step.EstimatedRunUs, step.CoresMilli * int64(step.Tasks), int64(step.Tasks)}}, longest...)
+	return j.remainingPaths[stepInRound]
 }
 
+// pathEstimateUs returns the sum of the estimated run times of a path's steps in µs.
 func pathEstimateUs(path []PathStep) (sum int64) {
 	for _, step := range path {
 		sum += step.EstimateUs
@@ -136,22 +146,23 @@
 	return sum
 }
 
-// openRound makes the tasks of the next round.
+// openRound creates the tasks of the next round.
 func (j *job) openRound() {
-	for index, step := range j.spec.GetSteps() {
-		j.tasks[j.firstStep(j.openedRounds)+index] = make([]task, step.Tasks)
+	for stepInRound, step := range j.spec.GetSteps() {
+		j.tasks[j.firstStep(j.openedRounds)+stepInRound] = make([]task, step.Tasks)
 	}
 	j.openedRounds++
 }
 
-// isStepOpen reports whether a step's round is open and its dependencies are done.
+// isStepOpen reports whether the round of a step is open and all dependencies of the step are
+// done.
 func (j *job) isStepOpen(s int) bool {
-	index := s % j.stepsPerRound()
-	first := s - index
+	stepInRound := s % j.stepsPerRound()
+	first := s - stepInRound
 	if first >= j.firstStep(j.openedRounds) {
 		return false
 	}
-	for _, dependency := range j.dependencies[index] {
+	for _, dependency := range j.dependencies[stepInRound] {
 		if j.unfinishedTasks[first+dependency] > 0 {
 			return false
 		}
@@ -159,6 +170,7 @@
 	return true
 }
 
+// status returns the status of a task as the scheduler sees it.
 func (j *job) status(s, t int) Status {
 	task := &j.tasks[s][t]
 	switch {
@@ -170,13 +182,13 @@
 	case task.state == schema.TaskState_TASK_DONE || j.state != schema.JobState_JOB_RUNNING || !j.isStepOpen(s):
 		return Inactive
 	case j.step(s).Gang && j.checkedOutTasks[s] > 0:
-		return Inactive // members of a gang are ready again when all have stopped
+		return Inactive // the members of a gang become ready again only when all have stopped
 	}
 	return Ready
 }
 
-// sharedTask returns the task that holds the shared failure count and checkpoint: the task
-// itself, or the first member of its gang.
+// sharedTask returns the task that holds the failures, the latest failed attempt and the
+// checkpoint of a task: the first member of its gang, or the task itself if it has no gang.
 func (j *job) sharedTask(s, t int) *task {
 	if j.step(s).Gang {
 		return &j.tasks[s][0]
@@ -184,8 +196,8 @@
 	return &j.tasks[s][t]
 }
 
-// hasLostAttempt reports whether an attempt of a task, or of any member of its gang, was
-// lost with its worker.
+// hasLostAttempt reports whether an attempt of a task, or of any member of its gang, was lost
+// with its worker and hasn't been counted as failed since.
 func (j *job) hasLostAttempt(s, t int) bool {
 	if !j.step(s).Gang {
 		return len(j.tasks[s][t].lostAttempts) > 0
@@ -193,18 +205,19 @@
 	return slices.ContainsFunc(j.tasks[s], func(member task) bool { return len(member.lostAttempts) > 0 })
 }
 
-// uncountCheckout counts a task of a step as no longer checked out.
-func (j *job) uncountCheckout(s int) {
+// decrementCheckedOut decrements the counts of checked-out tasks of a step and of its job.
+func (j *job) decrementCheckedOut(s int) {
 	j.checkedOutTasks[s]--
-	j.checkedOut--
+	j.checkedOutCount--
 }
 
-// hasRun reports whether an attempt is known to have run: it ended, or was lost.
+// hasRun reports whether an attempt of the task is known to have run, because it was done,
+// failed or was lost with its worker.
 func (t *task) hasRun() bool {
 	return t.state == schema.TaskState_TASK_DONE || t.failures > 0 || len(t.lostAttempts) > 0
 }
 
-// reset makes a task wait for its next checkout.
+// reset puts a task back into the waiting state, without a worker.
 func (t *task) reset() {
 	t.state, t.worker, t.incarnation, t.checkoutSequence = schema.TaskState_TASK_WAITING, "", 0, 0
 	t.isGangStopping, t.isGangStarted = false, false
--- a/internal/queue/replay_test.go
+++ b/internal/queue/replay_test.go
@@ -67,7 +67,7 @@
 		if j.openedRounds < j.rounds() && j.state != schema.JobState_JOB_STOPPING {
 			timed++
 		}
-		checkedOut += uint32(j.checkedOut)
+		checkedOut += uint32(j.checkedOutCount)
 	}
 	pendingEnqueues := 0
 	for _, s := range m.sessions {
@@ -114,8 +114,8 @@
 		}
 	}
 	switch {
-	case checkedOut != j.checkedOut || unfinishedSteps != j.unfinishedSteps || unfinishedSteps == 0:
-		return fmt.Sprint(j.checkedOut, " checked out and ", j.unfinishedSteps, " steps unfinished, counted ", checkedOut, " and ", unfinishedSteps)
+	case checkedOut != j.checkedOutCount || unfinishedSteps != j.unfinishedSteps || unfinishedSteps == 0:
+		return fmt.Sprint(j.checkedOutCount, " checked out and ", j.unfinishedSteps, " steps unfinished, counted ", checkedOut, " and ", unfinishedSteps)
 	case j.openedRounds < j.rounds() && j.state != schema.JobState_JOB_STOPPING && j.nextRoundUs() <= m.now:
 		return "a due round isn't open"
 	}
--- a/internal/queue/return.go
+++ b/internal/queue/return.go
@@ -1,6 +1,6 @@
 package queue
 
-// Returning tasks that aren't done, and counting failures.
+// This file implements the return of tasks that aren't done, and counts their failures.
 
 import (
 	"slices"
@@ -8,8 +8,8 @@
 	"sparnotch/internal/schema"
 )
 
-// returnTask makes a checked-out task ready again. Failures and returns beyond the
-// allowed ones end the job.
+// returnTask makes a checked-out task wait for another checkout. It stops the job if the task
+// exceeds its allowed failures or the allowed number of other returns.
 func (m *Machine) returnTask(c *schema.Return) {
 	j, s, t := m.findTask(c.Key)
 	if j == nil {
@@ -21,17 +21,18 @@
 		return
 	}
 	isRunning := j.state == schema.JobState_JOB_RUNNING
-	account := j.sharedTask(s, t)
-	// A report without a checkpoint leaves the one before.
+	shared := j.sharedTask(s, t)
+	// A report without a checkpoint keeps the previous checkpoint.
 	if step.Checkpoints && c.Checkpoint != "" && len(c.Checkpoint) <= maxCheckpointBytes {
-		account.checkpoint = c.Checkpoint
+		shared.checkpoint = c.Checkpoint
 	}
-	if c.Cause == schema.ReturnCause_RETURN_CAUSE_WORKER_LOST && !step.RunUntilCancelled && account.failedAttempt != c.Attempt {
+	if c.Cause == schema.ReturnCause_RETURN_CAUSE_WORKER_LOST && !step.RunUntilCancelled && shared.failedAttempt != c.Attempt {
 		task.lostAttempts = append(task.lostAttempts, task.attempt)
 	}
-	// A failure counts even if the task was being stopped. Other returns don't count for
-	// members that are stopped because of another one, and nothing counts for steps that
-	// run until their job is cancelled: they start again however they end.
+	// A failure counts even if the task was being stopped together with its gang. Other
+	// returns don't count for members that are stopped because another member ended.
+	// Nothing counts in a job that is stopping, nor for steps that run until their job is
+	// cancelled, because the tasks of those start again however they end.
 	switch {
 	case step.RunUntilCancelled || !isRunning:
 	case c.Cause == schema.ReturnCause_RETURN_CAUSE_FAILED:
@@ -48,8 +49,9 @@
 	m.makeWaiting(j, s, t)
 }
 
-// countLateFailure counts the failure of an attempt that was returned as lost: its
-// worker was partitioned and reports late. It counts once, whatever the task does now.
+// countLateFailure counts the failure of an attempt that was returned as lost: the worker was
+// partitioned and reports the failure late. The failure counts once, whatever the state of
+// the task is by then.
 func (m *Machine) countLateFailure(j *job, s, t int, c *schema.Return) {
 	hasFailed := c.Cause == schema.ReturnCause_RETURN_CAUSE_FAILED && slices.Contains(j.tasks[s][t].lostAttempts, c.Attempt)
 	if !hasFailed || j.state != schema.JobState_JOB_RUNNING {
@@ -61,37 +63,38 @@
 	}
 }
 
-// countFailure counts a failed attempt. One beyond the allowed failures stops the job,
-// unless the task has been done since. A gang fails once an attempt, however many of its
-// members fail.
+// countFailure counts a failed attempt of a task or of its gang. It stops the job if the
+// count exceeds the allowed failures, unless the task has been done since. For a gang, at
+// most one failure counts in each attempt, however many members fail.
 func (m *Machine) countFailure(j *job, s, t int, attempt uint32) {
-	step, account := j.step(s), j.sharedTask(s, t)
+	step, shared := j.step(s), j.sharedTask(s, t)
 	members, isFinished := j.tasks[s][t:t+1], j.tasks[s][t].state == schema.TaskState_TASK_DONE
 	if step.Gang {
 		members, isFinished = j.tasks[s], j.unfinishedTasks[s] == 0
 	}
-	if account.failedAttempt == attempt {
+	if shared.failedAttempt == attempt {
 		return
 	}
 	for k := range members {
 		members[k].removeLostAttempt(attempt)
 	}
-	account.failedAttempt = max(account.failedAttempt, attempt)
-	account.failures++
+	shared.failedAttempt = max(shared.failedAttempt, attempt)
+	shared.failures++
 	j.failures[s]++
-	if account.failures > step.AllowedFailures && !isFinished {
+	if shared.failures > step.AllowedFailures && !isFinished {
 		m.stopJob(j, schema.JobState_JOB_FAILED, "step "+step.Name+": a task used up its allowed failures")
 	}
 }
 
+// removeLostAttempt removes an attempt from the lost attempts of a task, if it is one of them.
 func (t *task) removeLostAttempt(attempt uint32) {
 	if index := slices.Index(t.lostAttempts, attempt); index >= 0 {
 		t.lostAttempts = slices.Delete(t.lostAttempts, index, index+1)
 	}
 }
 
-// stopGang stops the members of a gang; they are ready again when all have stopped.
-// Members that were done run again with the others.
+// stopGang stops the checked-out members of a gang. The members are ready again when all of
+// them have stopped. Members that were done run again with the others.
 func (m *Machine) stopGang(j *job, s int) {
 	for t := range j.tasks[s] {
 		task := &j.tasks[s][t]
@@ -106,10 +109,11 @@
 	}
 }
 
-// makeWaiting makes a checked-out task wait again.
+// makeWaiting makes a checked-out task wait for another checkout. It also ends a stopping job
+// whose last checked-out task this was.
 func (m *Machine) makeWaiting(j *job, s, t int) {
 	j.tasks[s][t].reset()
-	j.uncountCheckout(s)
+	j.decrementCheckedOut(s)
 	m.emitEvent(j, s, t)
 	if j.state == schema.JobState_JOB_STOPPING {
 		m.endIfIdle(j)
--- a/internal/queue/rounds_test.go
+++ b/internal/queue/rounds_test.go
@@ -85,7 +85,7 @@
 			h.tick()
 			So(h.machine.jobs[1].openedRounds, ShouldEqual, int(round))
 			h.checkout(key(1, uint32(round)*2, 0))
-			So(h.machine.jobs[1].checkedOut, ShouldEqual, 0)
+			So(h.machine.jobs[1].checkedOutCount, ShouldEqual, 0)
 			So(h.machine.TimedJobs(), ShouldEqual, 1)
 			h.now = due
 			h.tick()
--- a/internal/queue/session.go
+++ b/internal/queue/session.go
@@ -1,6 +1,6 @@
 package queue
 
-// Sessions of gateways: numbered submissions, admitted in order.
+// This file implements sessions, whose numbered submissions are admitted in order.
 
 import (
 	"sort"
@@ -8,22 +8,23 @@
 	"sparnotch/internal/schema"
 )
 
-// sessionKey names a session: one client of one incarnation of a gateway.
+// sessionKey identifies a session by its client and the gateway's incarnation.
 type sessionKey struct {
 	gateway     string
 	incarnation uint64
 	client      string
 }
 
-// gatewayKey names one incarnation of a gateway.
+// gatewayKey identifies one incarnation of a gateway.
 type gatewayKey struct {
 	gateway     string
 	incarnation uint64
 }
 
+// session is the state of one session.
 type session struct {
-	next    uint64                                    // next submission number to admit
-	pending map[uint64]*schema.PendingEnqueueSnapshot // higher numbers, held until the gap below is filled
+	next    uint64                                    // number of the next submission to admit
+	pending map[uint64]*schema.PendingEnqueueSnapshot // submissions with higher numbers, held until all lower numbers have been admitted
 }
 
 func sessionKeyOf(s *schema.Session) sessionKey {
@@ -34,7 +35,7 @@
 	return &schema.Session{Gateway: k.gateway, Incarnation: k.incarnation, Client: k.client}
 }
 
-// pendingNumbers lists the held numbers in order.
+// pendingNumbers returns the numbers of the held submissions in ascending order.
 func (s *session) pendingNumbers() []uint64 {
 	numbers := make([]uint64, 0, len(s.pending))
 	for number := range s.pending {
@@ -44,6 +45,8 @@
 	return numbers
 }
 
+// sortedSessionKeys returns the keys of all sessions, sorted by gateway, incarnation and
+// client.
 func (m *Machine) sortedSessionKeys() []sessionKey {
 	keys := make([]sessionKey, 0, len(m.sessions))
 	for key := range m.sessions {
@@ -62,8 +65,9 @@
 	return keys
 }
 
-// endSessions removes single sessions at their gateway's request, and all those of
-// gateways that have expired.
+// endSessions removes single sessions at the request of their gateway, and all sessions of
+// expired gateways. It remembers the expired gateways, so that enqueue can reject their
+// submissions.
 func (m *Machine) endSessions(c *schema.EndSessions) {
 	for _, session := range c.Sessions {
 		m.removeSession(sessionKeyOf(session))
@@ -71,8 +75,8 @@
 	for _, gateway := range c.Gateways {
 		m.expiredGateways[gatewayKey{gateway.Gateway, gateway.Incarnation}] = m.now
 		for key := range m.sessions {
-			// Held submissions were never confirmed, and nobody is left to fill the gap
-			// below them.
+			// The held submissions of these sessions can be dropped: they were never
+			// confirmed, and no gateway is left to send the missing lower numbers.
 			if key.gateway == gateway.Gateway && key.incarnation == gateway.Incarnation {
 				m.removeSession(key)
 			}
@@ -80,6 +84,7 @@
 	}
 }
 
+// removeSession removes a session and its held submissions.
 func (m *Machine) removeSession(key sessionKey) {
 	if s := m.sessions[key]; s != nil {
 		m.pendingEnqueues -= len(s.pending)
--- a/internal/queue/settle.go
+++ b/internal/queue/settle.go
@@ -1,11 +1,14 @@
 package queue
 
-// Settling tasks that are done, and what follows for their job.
+// This file implements settle, which marks tasks as done and advances their job.
 
 import (
 	"sparnotch/internal/schema"
 )
 
+// settle marks a checked-out task, or all members of its gang, as done. A task of a step that
+// runs until its job is cancelled waits for another checkout instead, and so does a single
+// member of a gang that is being stopped.
 func (m *Machine) settle(c *schema.Settle) {
 	j, s, t := m.findTask(c.Key)
 	if j == nil {
@@ -13,15 +16,15 @@
 	}
 	task, step := &j.tasks[s][t], j.step(s)
 	if c.WholeGang && step.Gang {
-		// While a member is checked out no member has begun another attempt. So this
-		// report ends the attempt of the whole gang, even where a member was returned as
-		// lost or is stopping.
+		// While any member is checked out, no member has begun another attempt. The report
+		// therefore ends the attempt of the whole gang, even if some members were returned
+		// as lost or are stopping.
 		if j.checkedOutTasks[s] > 0 && task.attempt == c.Attempt {
 			m.settleGang(j, s)
 		}
 		return
 	}
-	// A report on another attempt than the one that is checked out changes nothing.
+	// Ignore a report about any attempt other than the one that is checked out.
 	if task.state != schema.TaskState_TASK_CHECKED_OUT || task.attempt != c.Attempt {
 		return
 	}
@@ -36,7 +39,7 @@
 		return
 	}
 	task.state = schema.TaskState_TASK_DONE
-	j.uncountCheckout(s)
+	j.decrementCheckedOut(s)
 	j.unfinishedTasks[s]--
 	if !step.Gang || j.unfinishedTasks[s] == 0 {
 		j.sharedTask(s, t).checkpoint = ""
@@ -45,14 +48,14 @@
 	m.advanceJob(j, s)
 }
 
-// settleGang settles all members of a gang: they end together. Their later reports find
-// them done.
+// settleGang settles all members of a gang at once, because they end together. Reports that
+// arrive later for single members have no effect.
 func (m *Machine) settleGang(j *job, s int) {
 	runsUntilCancelled := j.step(s).RunUntilCancelled
 	for t := range j.tasks[s] {
 		task := &j.tasks[s][t]
 		if task.state == schema.TaskState_TASK_CHECKED_OUT {
-			j.uncountCheckout(s)
+			j.decrementCheckedOut(s)
 		}
 		task.state, task.isGangStopping, task.checkpoint = schema.TaskState_TASK_DONE, false, ""
 		if runsUntilCancelled {
@@ -66,8 +69,9 @@
 	m.advanceJob(j, s)
 }
 
-// advanceJob does what follows from the end of a step's tasks: steps whose dependencies
-// are done open, and a job without unfinished steps is complete.
+// advanceJob updates a job after tasks of step s have been settled. It ends a stopping job
+// that has no checked-out tasks left. If step s is done, it emits the events of the steps
+// whose dependencies are now done, and completes the job if no unfinished steps are left.
 func (m *Machine) advanceJob(j *job, s int) {
 	if j.unfinishedTasks[s] == 0 {
 		j.unfinishedSteps--
@@ -79,9 +83,9 @@
 	if j.unfinishedTasks[s] > 0 {
 		return
 	}
-	index := s % j.stepsPerRound()
-	for _, dependent := range j.dependents[index] {
-		if next := s - index + dependent; j.unfinishedTasks[next] > 0 && j.isStepOpen(next) {
+	stepInRound := s % j.stepsPerRound()
+	for _, dependent := range j.dependents[stepInRound] {
+		if next := s - stepInRound + dependent; j.unfinishedTasks[next] > 0 && j.isStepOpen(next) {
 			m.emitStepEvents(j, next)
 		}
 	}
--- a/internal/queue/snapshot.go
+++ b/internal/queue/snapshot.go
@@ -1,7 +1,7 @@
 package queue
 
-// Snapshots, and the release cursor ("Quorum Queues Implementation Notes", section
-// "Snapshotting").
+// This file implements snapshots and the release cursor ("Quorum Queues Implementation
+// Notes", section "Snapshotting").
 
 import (
 	"sort"
@@ -11,17 +11,19 @@
 	"sparnotch/internal/schema"
 )
 
-// cachedSnapshot is a dehydrated snapshot at a log index.
+// cachedSnapshot is a dehydrated snapshot of the state after the log entry at index.
 type cachedSnapshot struct {
 	index uint64
-	data  []byte
+	data  []byte // encoded snapshot
 }
 
-// indexesPerEnqueue is how many log entries stand for one enqueue where a queue gets few
-// of them: settles and ticks are entries too, and must be released as well.
-const indexesPerEnqueue = 8
+// entriesPerEnqueue is the number of log entries that count like one enqueue when a snapshot
+// becomes due. Settles and ticks are log entries too and must be released, even if the queue
+// gets few enqueues.
+const entriesPerEnqueue = 8
 
-// cacheSnapshot caches a dehydrated snapshot if the last one is old enough.
+// cacheSnapshot caches a dehydrated snapshot of the state after the entry at index, if one is
+// due.
 func (m *Machine) cacheSnapshot(index uint64) {
 	if !m.isSnapshotDue(index) {
 		return
@@ -33,6 +35,9 @@
 	}
 }
 
+// isSnapshotDue reports whether the next snapshot is due: after SnapshotInterval enqueues, or
+// after entriesPerEnqueue times as many log entries of any kind. If no snapshot is cached to
+// count the entries from, a snapshot is due at multiples of that number.
 func (m *Machine) isSnapshotDue(index uint64) bool {
 	interval := uint64(m.settings.SnapshotInterval)
 	if interval == 0 {
@@ -41,15 +46,15 @@
 	if m.enqueues >= m.snapshotAtEnqueues+interval {
 		return true
 	}
-	maxEntries := indexesPerEnqueue * interval
+	maxEntries := entriesPerEnqueue * interval
 	if len(m.snapshots) == 0 {
 		return index%maxEntries == 0
 	}
 	return index >= m.snapshots[len(m.snapshots)-1].index+maxEntries
 }
 
-// thinSnapshots drops every other cached snapshot. They accumulate while an old job keeps
-// the log from being released, and half of them serve nearly as well.
+// thinSnapshots drops every other cached snapshot. Snapshots accumulate while an old job
+// keeps the log from being released, and half of them allow releasing nearly as much.
 func (m *Machine) thinSnapshots() {
 	kept := m.snapshots[:0]
 	for k, snapshot := range m.snapshots {
@@ -60,8 +65,9 @@
 	m.snapshots = kept
 }
 
-// advanceReleaseCursor releases the log up to the latest cached snapshot that is below
-// every payload that is still needed.
+// advanceReleaseCursor emits a release cursor for the latest cached snapshot whose index is
+// below the index of every payload that is still needed, if there is one. It drops that
+// snapshot and the earlier ones from the cache.
 func (m *Machine) advanceReleaseCursor() {
 	if len(m.snapshots) == 0 {
 		return
@@ -80,12 +86,12 @@
 	m.snapshots = append([]cachedSnapshot(nil), m.snapshots[best+1:]...)
 }
 
-// lowestLiveIndex is the lowest log index with a payload that is still needed; false:
-// there is none.
+// lowestLiveIndex returns the lowest log index of the payloads that are still needed, those of
+// live jobs and held submissions. It returns false if no payload is needed.
 func (m *Machine) lowestLiveIndex() (uint64, bool) {
 	lowest, found := uint64(0), false
-	if oldest, ok := m.byIndex.Min(); ok {
-		lowest, found = oldest.index, true
+	if oldest, ok := m.jobsByPayloadIndex.Min(); ok {
+		lowest, found = oldest.payloadIndex, true
 	}
 	if m.pendingEnqueues == 0 {
 		return lowest, found
@@ -100,9 +106,10 @@
 	return lowest, found
 }
 
-// Snapshot encodes the state. A dehydrated snapshot leaves out the texts of the jobs,
-// which are still in the log, and counts its jobs in Prefix. Unlike the messages of the
-// source, jobs keep their outline: the commands that follow in the log name their tasks.
+// Snapshot returns the encoded state. A dehydrated snapshot leaves out the texts of the jobs,
+// which are still in the log, and contains the number of its live jobs in DehydratedJobs.
+// Unlike the dehydrated messages of the Quorum Queues notes, dehydrated jobs keep their steps
+// and tasks, because later commands in the log refer to these tasks.
 func (m *Machine) Snapshot(isDehydrated bool) []byte {
 	snapshot := &schema.QueueSnapshot{
 		NowUs: m.now, NextJob: m.lastJobID, Handover: m.lastSequence, Settings: m.settings, Reenqueues: m.reenqueues, Enqueues: m.enqueues,
@@ -130,15 +137,17 @@
 	}
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(snapshot)
 	if err != nil {
-		panic("queue: state can't be encoded: " + err.Error())
+		panic("queue: the state can't be encoded: " + err.Error())
 	}
 	return data
 }
 
+// expiredGatewaysInOrder returns the remembered expired gateways, sorted by name and
+// incarnation.
 func (m *Machine) expiredGatewaysInOrder() []*schema.ExpiredGateway {
 	var gateways []*schema.ExpiredGateway
-	for key, at := range m.expiredGateways {
-		gateways = append(gateways, &schema.ExpiredGateway{Gateway: key.gateway, Incarnation: key.incarnation, AtUs: at})
+	for key, expiredAt := range m.expiredGateways {
+		gateways = append(gateways, &schema.ExpiredGateway{Gateway: key.gateway, Incarnation: key.incarnation, AtUs: expiredAt})
 	}
 	sort.Slice(gateways, func(a, b int) bool {
 		x, y := gateways[a], gateways[b]
@@ -149,7 +158,7 @@
 
 func (j *job) snapshot() *schema.JobSnapshot {
 	snapshot := &schema.JobSnapshot{
-		Id: j.id, Name: j.name, Digest: j.digest, Index: j.index, StartUs: j.startUs, State: j.state,
+		Id: j.id, Name: j.name, Digest: j.digest, Index: j.payloadIndex, StartUs: j.startUs, State: j.state,
 		PendingOutcome: j.finalState, Job: j.spec, Reason: j.reason, Dehydrated: j.isDehydrated, StartedTasks: j.startedTasks, DueRounds: uint32(j.openedRounds),
 		Tenant: j.tenant,
 	}
@@ -170,11 +179,12 @@
 	}
 }
 
-// dehydrate is a job without its text.
+// dehydrate returns a copy of a job without its text.
 func dehydrate(job *schema.Job) *schema.Job {
 	return &schema.Job{Steps: job.GetSteps(), DelayUs: job.GetDelayUs(), StartUnixUs: job.GetStartUnixUs(), Rounds: job.GetRounds(), PeriodUs: job.GetPeriodUs()}
 }
 
+// dehydratePending returns a copy of a held submission whose job has no text.
 func dehydratePending(pending *schema.PendingEnqueueSnapshot) *schema.PendingEnqueueSnapshot {
 	e := pending.Enqueue
 	return &schema.PendingEnqueueSnapshot{Index: pending.Index, Enqueue: &schema.Enqueue{
@@ -182,8 +192,9 @@
 	}}
 }
 
-// Restore returns the queue of a snapshot; no data: an empty one. An error means that
-// the data can't be decoded.
+// Restore returns the state machine with the state of an encoded snapshot, or of an empty
+// queue if data is empty. The second parameter, the log index of the snapshot, is ignored.
+// Restore returns an error if the data can't be decoded.
 func Restore(name string, _ uint64, data []byte) (*Machine, error) {
 	m := New(name)
 	if len(data) == 0 {
@@ -214,22 +225,24 @@
 	return m, nil
 }
 
+// restoreJob adds the live job of a snapshot.
 func (m *Machine) restoreJob(snapshot *schema.JobSnapshot) {
 	j := &job{
-		id: snapshot.Id, name: snapshot.Name, digest: snapshot.Digest, index: snapshot.Index, startUs: snapshot.StartUs, state: snapshot.State,
+		id: snapshot.Id, name: snapshot.Name, digest: snapshot.Digest, payloadIndex: snapshot.Index, startUs: snapshot.StartUs, state: snapshot.State,
 		finalState: snapshot.PendingOutcome, spec: snapshot.Job, reason: snapshot.Reason, isDehydrated: snapshot.Dehydrated, startedTasks: snapshot.StartedTasks,
 		tenant: snapshot.Tenant,
 	}
 	j.expandSteps()
 	j.restoreTasks(snapshot)
 	m.jobs[j.id], m.jobsByName[j.name] = j, j
-	m.byIndex.ReplaceOrInsert(j)
+	m.jobsByPayloadIndex.ReplaceOrInsert(j)
 	if j.state != schema.JobState_JOB_STOPPING && j.openedRounds < j.rounds() {
-		m.byStart.ReplaceOrInsert(j)
+		m.jobsByNextRound.ReplaceOrInsert(j)
 	}
 }
 
-// restoreTasks opens the rounds that were open: a snapshot has only their tasks.
+// restoreTasks opens the rounds that were open when the snapshot was taken, and restores their
+// tasks and the counts of the job. A snapshot contains only the tasks of these rounds.
 func (j *job) restoreTasks(snapshot *schema.JobSnapshot) {
 	for j.openedRounds < int(snapshot.DueRounds) {
 		j.openRound()
@@ -248,7 +261,7 @@
 				}
 			case schema.TaskState_TASK_CHECKED_OUT:
 				j.checkedOutTasks[s]++
-				j.checkedOut++
+				j.checkedOutCount++
 			}
 		}
 	}
@@ -263,6 +276,7 @@
 	}
 }
 
+// restoreSession adds the session of a snapshot with its held submissions.
 func (m *Machine) restoreSession(snapshot *schema.SessionSnapshot) {
 	s := &session{next: snapshot.Next, pending: map[uint64]*schema.PendingEnqueueSnapshot{}}
 	for _, pending := range snapshot.Pending {
--- a/internal/queue/views.go
+++ b/internal/queue/views.go
@@ -1,6 +1,6 @@
 package queue
 
-// What callers and operators are shown.
+// This file builds the views of jobs and the counts that callers and operators see.
 
 import (
 	"maps"
@@ -9,14 +9,14 @@
 	"sparnotch/internal/schema"
 )
 
-// States of a step.
+// States of a step in a job view.
 const (
 	stepWaiting = "waiting"
 	stepOpen    = "open"
 	stepDone    = "done"
 )
 
-// stateNames are the states of jobs as the HTTP interface names them.
+// stateNames maps each job state to its name in the HTTP interface.
 var stateNames = map[schema.JobState]string{
 	schema.JobState_JOB_SCHEDULED: "timed",
 	schema.JobState_JOB_RUNNING:   "running",
@@ -26,7 +26,8 @@
 	schema.JobState_JOB_CANCELLED: "cancelled",
 }
 
-// JobView is a job as callers see it; false: it is unknown, or no longer retained.
+// JobView returns the view of a job for callers. It returns false if the name is unknown or the
+// job is no longer retained.
 func (m *Machine) JobView(name string) (*schema.JobView, bool) {
 	if j := m.jobsByName[name]; j != nil {
 		return m.newJobView(j), true
@@ -37,13 +38,14 @@
 	return nil, false
 }
 
+// newJobView returns the view of a live job.
 func (m *Machine) newJobView(j *job) *schema.JobView {
 	view := &schema.JobView{Queue: m.name, Name: j.name, State: stateNames[j.state], Reason: j.reason, StartedTasks: j.startedTasks, Tenant: j.tenant}
 	if j.state == schema.JobState_JOB_STOPPING {
 		view.PendingOutcome = stateNames[j.finalState]
 	}
-	for index, step := range j.spec.Steps {
-		stepView := j.stepView(index, step)
+	for stepInRound, step := range j.spec.Steps {
+		stepView := j.stepView(stepInRound, step)
 		view.Tasks += uint32(j.rounds()) * step.Tasks
 		view.Done += stepView.Done
 		view.Steps = append(view.Steps, stepView)
@@ -51,10 +53,10 @@
 	return view
 }
 
-// stepView sums up a step over all rounds.
-func (j *job) stepView(index int, step *schema.Step) *schema.StepView {
+// stepView returns the view of a step, with its tasks and failures summed over all rounds.
+func (j *job) stepView(stepInRound int, step *schema.Step) *schema.StepView {
 	view := &schema.StepView{Name: step.Name, State: stepDone}
-	for s := index; s < len(j.unfinishedTasks); s += j.stepsPerRound() {
+	for s := stepInRound; s < len(j.unfinishedTasks); s += j.stepsPerRound() {
 		view.Failures += j.failures[s]
 		view.Running += uint32(j.checkedOutTasks[s])
 		view.Waiting += uint32(j.unfinishedTasks[s] - j.checkedOutTasks[s])
@@ -70,12 +72,12 @@
 	return view
 }
 
-// Counts counts live jobs, those that haven't begun, tasks that could be checked out, and
-// tasks that are checked out.
+// Counts returns the numbers of live jobs, of live jobs that haven't begun, of tasks that are
+// ready to be checked out, and of tasks that are checked out.
 func (m *Machine) Counts() *schema.QueueCounts {
 	counts := &schema.QueueCounts{Live: uint32(len(m.jobs))}
 	for _, j := range m.jobs {
-		counts.Out += uint32(j.checkedOut)
+		counts.Out += uint32(j.checkedOutCount)
 		if !j.hasBegun() {
 			counts.NotBegun++
 		}
@@ -91,13 +93,13 @@
 	return counts
 }
 
-// hasBegun reports whether a task of a job runs, or is known to have run. A task that was
-// returned without a failure or a loss may never have started on its worker.
+// hasBegun reports whether any task of the job is checked out or is known to have run. A task
+// that was returned without a failure or a loss may never have started on its worker.
 func (j *job) hasBegun() bool {
 	if j.startedTasks == 0 {
 		return false
 	}
-	if j.checkedOut > 0 || j.state == schema.JobState_JOB_STOPPING {
+	if j.checkedOutCount > 0 || j.state == schema.JobState_JOB_STOPPING {
 		return true
 	}
 	for _, step := range j.tasks {
@@ -108,8 +110,9 @@
 	return false
 }
 
-// List is a page of at most limit live and retained jobs, in the order of their names,
-// after the given name.
+// List returns a page of live and retained jobs, sorted by name and without their steps. The
+// page begins after the name `after` and has at most limit jobs. If more jobs follow, the
+// page's Next is the name of its last job.
 func (m *Machine) List(after string, limit int) *schema.JobList {
 	names := slices.Collect(maps.Keys(m.jobsByName))
 	names = slices.AppendSeq(names, maps.Keys(m.endedByName))
