--- a/internal/queue/enqueue_test.go
+++ b/internal/queue/enqueue_test.go
@@ -15,9 +15,9 @@
 		So(len(h.enqueue("c", 2, "two", simpleJob(1)).SubmitResults), ShouldEqual, 0)
 		effects := h.enqueue("c", 1, "one", simpleJob(1))
 		So(len(effects.SubmitResults), ShouldEqual, 3)
-		for k, outcome := range effects.SubmitResults {
-			So(outcome.Number, ShouldEqual, uint64(k+1))
-			So(outcome.Code, ShouldEqual, 201)
+		for k, result := range effects.SubmitResults {
+			So(result.Number, ShouldEqual, uint64(k+1))
+			So(result.Code, ShouldEqual, 201)
 		}
 		Convey("a number that is sent again is answered again and runs nothing twice", func() {
 			effects := h.enqueue("c", 2, "two", simpleJob(1))
@@ -58,7 +58,8 @@
 	})
 }
 
-// Guards against a tenant that takes another one's job for its own, or cancels it.
+// TestNamesOfOtherTenantsAreTaken guards against a tenant that takes over or cancels another
+// tenant's job by using its name.
 func TestNamesOfOtherTenantsAreTaken(t *testing.T) {
 	Convey("Given a job of tenant t", t, func() {
 		h := newHarness()
--- a/internal/queue/harness_test.go
+++ b/internal/queue/harness_test.go
@@ -9,25 +9,27 @@
 	"sparnotch/internal/schema"
 )
 
-// harness applies commands to one machine, and keeps the log and the last release cursor.
+// harness applies commands to one machine. It records them as a log and keeps the latest
+// release cursor.
 type harness struct {
 	machine     *Machine
 	index       uint64
-	now         int64 // µs, the group's time of the next command
+	now         int64 // group time of the next command, µs
 	log         [][]byte
-	times       []int64 // of the log's entries
+	groupTimes  []int64 // group time of each log entry, µs
 	lastRelease *ReleaseCursor
 }
 
 func newHarness() *harness { return &harness{machine: New("l")} }
 
+// apply appends a command to the log and applies it to the machine.
 func (h *harness) apply(command *schema.QueueCommand) *Effects {
 	data, err := proto.Marshal(command)
 	if err != nil {
 		panic(err)
 	}
 	h.index++
-	h.log, h.times = append(h.log, data), append(h.times, h.now)
+	h.log, h.groupTimes = append(h.log, data), append(h.groupTimes, h.now)
 	effects, err := h.machine.Apply(h.index, h.now, data)
 	if err != nil {
 		panic(err)
@@ -38,16 +40,17 @@
 	return effects
 }
 
-// sessionOf is a client's session with the first incarnation of the gateway "i".
+// sessionOf returns a client's session with incarnation 1 of the gateway "i".
 func sessionOf(client string) *schema.Session {
 	return &schema.Session{Gateway: "i", Incarnation: 1, Client: client}
 }
 
-// simpleJob is a job of one step whose tasks may fail once.
+// simpleJob returns a job of one step whose tasks may fail once.
 func simpleJob(tasks uint32) *schema.Job {
 	return &schema.Job{Text: "text", Steps: []*schema.Step{{Name: "s", Tasks: tasks, CoresMilli: 1, AllowedFailures: 1}}}
 }
 
+// enqueue submits a job in a client's session. The job's delay counts from queue time 0.
 func (h *harness) enqueue(client string, number uint64, name string, job *schema.Job) *Effects {
 	return h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Enqueue{Enqueue: &schema.Enqueue{
 		Session: sessionOf(client), Number: number, Name: name, Digest: []byte(job.Text), Job: job, StartUs: job.DelayUs,
@@ -62,6 +65,7 @@
 	return h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_StartGang{StartGang: &schema.StartGang{Job: job, Step: step, Attempts: attempts}}})
 }
 
+// checkout checks out tasks for incarnation 1 of the worker "w".
 func (h *harness) checkout(keys ...*schema.TaskKey) *Effects {
 	c := &schema.Checkout{}
 	for _, k := range keys {
@@ -82,24 +86,24 @@
 	return h.returnWithCheckpoint(k, attempt, cause, "")
 }
 
-func (h *harness) returnWithCheckpoint(k *schema.TaskKey, attempt uint32, cause schema.ReturnCause, saved string) *Effects {
-	return h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Return{Return: &schema.Return{Key: k, Attempt: attempt, Cause: cause, Checkpoint: saved}}})
+func (h *harness) returnWithCheckpoint(k *schema.TaskKey, attempt uint32, cause schema.ReturnCause, checkpoint string) *Effects {
+	return h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Return{Return: &schema.Return{Key: k, Attempt: attempt, Cause: cause, Checkpoint: checkpoint}}})
 }
 
-// restart replaces the machine by one restored from its full snapshot.
+// restart replaces the machine by one that is restored from its full snapshot.
 func (h *harness) restart() {
 	m, err := Restore("l", h.index, h.machine.Snapshot(false))
 	if err != nil {
 		panic(err)
 	}
 	if !bytes.Equal(m.Snapshot(false), h.machine.Snapshot(false)) {
-		panic("restored to another state")
+		panic("the restored machine has a different state")
 	}
 	h.machine = m
 }
 
-// activeTasks lists the active tasks as "STEP ROUND.TASK-STATUS", without the status if
-// they are ready.
+// activeTasks lists the active tasks in the form "STEPROUND.TASK-STATUS ", for example
+// "a0.1-out ". The status is left out for tasks that are ready.
 func (h *harness) activeTasks() string {
 	events, _ := h.machine.ActiveTasks()
 	text := ""
@@ -110,6 +114,7 @@
 	return text
 }
 
+// eventOf returns the event of an active task, or nil if the task isn't active.
 func (h *harness) eventOf(k *schema.TaskKey) *TaskEvent {
 	events, _ := h.machine.ActiveTasks()
 	for _, event := range events {
@@ -128,7 +133,7 @@
 	return h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Tick{Tick: &schema.Tick{}}})
 }
 
-// state is a job's state as callers see it.
+// state returns a job's state as callers see it, or "unknown".
 func (h *harness) state(name string) string {
 	view, found := h.machine.JobView(name)
 	if !found {
--- a/internal/queue/replay_test.go
+++ b/internal/queue/replay_test.go
@@ -9,8 +9,8 @@
 	"sparnotch/internal/schema"
 )
 
-// TestReplayEquivalence shows, on random histories, that the log from each released
-// snapshot on gives the same state as the whole log.
+// TestReplayEquivalence checks, on random command sequences, that restoring a released
+// snapshot and replaying the rest of the log gives the same state as the whole log.
 func TestReplayEquivalence(t *testing.T) {
 	releases := 0
 	for seed := uint64(1); seed <= 150; seed++ {
@@ -18,39 +18,39 @@
 		h := newHarness()
 		h.machine.settings = &schema.ApplySettings{JobRetentionUs: 3_000_000, SnapshotInterval: 4, MaxRequeues: 3}
 		random := &randomCommands{h: h, rng: rng, numbers: map[string]uint64{}}
-		var last *ReleaseCursor
+		var lastChecked *ReleaseCursor
 		for k := 0; k < 600; k++ {
 			h.now += rng.Int64N(100_000)
 			random.apply()
 			if violation := invariantViolation(h.machine); violation != "" {
 				t.Fatalf("seed %d: at index %d, %s", seed, h.index, violation)
 			}
-			if h.lastRelease == nil || h.lastRelease == last {
+			if h.lastRelease == nil || h.lastRelease == lastChecked {
 				continue
 			}
-			last = h.lastRelease
+			lastChecked = h.lastRelease
 			releases++
-			m, err := Restore("l", last.Index, last.Snapshot)
+			m, err := Restore("l", lastChecked.Index, lastChecked.Snapshot)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for i := int(last.Index); i < len(h.log); i++ {
-				if _, err := m.Apply(uint64(i+1), h.times[i], h.log[i]); err != nil {
+			for i := int(lastChecked.Index); i < len(h.log); i++ {
+				if _, err := m.Apply(uint64(i+1), h.groupTimes[i], h.log[i]); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if !bytes.Equal(m.Snapshot(false), h.machine.Snapshot(false)) {
-				t.Fatalf("seed %d: at index %d, replay from %d gives another state", seed, h.index, last.Index)
+				t.Fatalf("seed %d: at index %d, a replay from the snapshot at index %d gives a different state", seed, h.index, lastChecked.Index)
 			}
 		}
 	}
 	if releases < 200 {
-		t.Fatalf("only %d releases were tried", releases)
+		t.Fatalf("only %d release cursors were checked, want at least 200", releases)
 	}
 }
 
-// invariantViolation compares the counters of a machine with its tasks; empty: they
-// agree.
+// invariantViolation compares the counts that a machine keeps with counts of its jobs, tasks
+// and sessions, and describes the first difference. It returns "" if they agree.
 func invariantViolation(m *Machine) string {
 	waiting, checkedOut, timed := uint32(0), uint32(0), 0
 	for _, j := range m.jobsInOrder() {
@@ -76,15 +76,16 @@
 	counts := m.Counts()
 	switch {
 	case counts.Waiting != waiting || counts.Out != checkedOut || int(counts.Live) != len(m.jobs):
-		return fmt.Sprint("counts ", counts, " for ", waiting, " waiting and ", checkedOut, " checked out")
+		return fmt.Sprint("Counts returns ", counts, ", but ", waiting, " tasks are ready and ", checkedOut, " are checked out")
 	case timed != m.TimedJobs():
-		return fmt.Sprint(m.TimedJobs(), " timed jobs, counted ", timed)
+		return fmt.Sprint("TimedJobs returns ", m.TimedJobs(), ", but ", timed, " jobs have a round that isn't due yet")
 	case pendingEnqueues != m.pendingEnqueues:
-		return fmt.Sprint(m.pendingEnqueues, " pending submissions, counted ", pendingEnqueues)
+		return fmt.Sprint("pendingEnqueues is ", m.pendingEnqueues, ", but ", pendingEnqueues, " submissions are held")
 	}
 	return ""
 }
 
+// jobViolation does the same as invariantViolation for the counts and rounds of one job.
 func jobViolation(m *Machine, j *job) string {
 	checkedOut, unfinishedSteps := 0, 0
 	for s, tasks := range j.tasks {
@@ -102,8 +103,8 @@
 			}
 		}
 		if unfinished != j.unfinishedTasks[s] || stepCheckedOut != j.checkedOutTasks[s] || failures != j.failures[s] {
-			return fmt.Sprint("step ", s, " has ", j.unfinishedTasks[s], " unfinished, ", j.checkedOutTasks[s], " checked out and ", j.failures[s],
-				" failures, counted ", unfinished, ", ", stepCheckedOut, " and ", failures)
+			return fmt.Sprint("step ", s, " keeps counts of ", j.unfinishedTasks[s], " unfinished tasks, ", j.checkedOutTasks[s], " checked-out tasks and ", j.failures[s],
+				" failures, but its tasks show ", unfinished, ", ", stepCheckedOut, " and ", failures)
 		}
 		if unfinished > 0 {
 			unfinishedSteps++
@@ -115,7 +116,7 @@
 	}
 	switch {
 	case checkedOut != j.checkedOutCount || unfinishedSteps != j.unfinishedSteps || unfinishedSteps == 0:
-		return fmt.Sprint(j.checkedOutCount, " checked out and ", j.unfinishedSteps, " steps unfinished, counted ", checkedOut, " and ", unfinishedSteps)
+		return fmt.Sprint("the job keeps counts of ", j.checkedOutCount, " checked-out tasks and ", j.unfinishedSteps, " unfinished steps, but its tasks show ", checkedOut, " and ", unfinishedSteps)
 	case j.openedRounds < j.rounds() && j.state != schema.JobState_JOB_STOPPING && j.nextRoundUs() <= m.now:
 		return "a due round isn't open"
 	}
@@ -126,9 +127,10 @@
 type randomCommands struct {
 	h       *harness
 	rng     *rand.Rand
-	numbers map[string]uint64 // last number, by client
+	numbers map[string]uint64 // latest submission number of each client
 }
 
+// apply applies one random command.
 func (r *randomCommands) apply() {
 	switch r.rng.IntN(15) {
 	case 14:
@@ -166,14 +168,15 @@
 		r.h.tick()
 	case 13:
 		if r.rng.IntN(6) == 0 {
-			r.closeSession()
+			r.endSession()
 			return
 		}
 		r.h.tick()
 	}
 }
 
-// task chooses a task of one of the oldest jobs.
+// task returns the key of a random task in one of the four oldest live jobs. The task may
+// not exist.
 func (r *randomCommands) task() *schema.TaskKey {
 	jobs := r.h.machine.jobsInOrder()
 	if len(jobs) == 0 {
@@ -187,6 +190,7 @@
 	return key(j.id, uint32(s), uint32(r.rng.IntN(len(j.tasks[s]))))
 }
 
+// tasksOfStep returns the tasks of a key's step, or nil if the job isn't live.
 func (r *randomCommands) tasksOfStep(k *schema.TaskKey) []task {
 	if j := r.h.machine.jobs[k.Job]; j != nil {
 		return j.tasks[k.Step]
@@ -194,7 +198,8 @@
 	return nil
 }
 
-// attempt is a task's latest attempt, or now and then the one before: a late report.
+// attempt returns the number of a task's latest attempt or, in one of six cases, of the attempt
+// before it, so that the report is a late one.
 func (r *randomCommands) attempt(k *schema.TaskKey) uint32 {
 	if tasks := r.tasksOfStep(k); len(tasks) > 0 {
 		return max(tasks[k.Task].attempt, 1) - uint32(r.rng.IntN(6)/5)
@@ -207,7 +212,7 @@
 	r.numbers[client]++
 	number := r.numbers[client]
 	if r.rng.IntN(4) == 0 {
-		number += uint64(r.rng.IntN(3)) // out of order, or leaving a gap
+		number += uint64(r.rng.IntN(3)) // runs ahead, so that submissions arrive out of order or leave a gap
 	}
 	job := simpleJob(uint32(1 + r.rng.IntN(3)))
 	job.Text = fmt.Sprint("text", r.rng.IntN(2))
@@ -227,7 +232,7 @@
 	r.h.enqueue(client, number, fmt.Sprint("j", r.rng.IntN(200)), job)
 }
 
-// checkout checks out a task, or its whole gang.
+// checkout checks out a random task, or its whole gang.
 func (r *randomCommands) checkout() {
 	k := r.task()
 	keys := []*schema.TaskKey{k}
@@ -246,7 +251,7 @@
 	}
 }
 
-func (r *randomCommands) closeSession() {
+func (r *randomCommands) endSession() {
 	client := fmt.Sprint("c", r.rng.IntN(3))
 	r.h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_EndSessions{EndSessions: &schema.EndSessions{Sessions: []*schema.Session{sessionOf(client)}}}})
 	r.numbers[client] = 0
--- a/internal/queue/return_test.go
+++ b/internal/queue/return_test.go
@@ -91,7 +91,7 @@
 		So(h.eventOf(key(1, 1, 1)).HasLostAttempt, ShouldBeTrue)
 		h.restart()
 		So(h.eventOf(key(1, 0, 0)).HasLostAttempt, ShouldBeTrue)
-		// A failure that is reported late ends that.
+		// Once the failure of the lost attempt is reported, it no longer counts as lost.
 		h.returnTask(key(1, 0, 0), 1, schema.ReturnCause_RETURN_CAUSE_FAILED)
 		So(h.eventOf(key(1, 0, 0)).Failures, ShouldEqual, 1)
 		So(h.eventOf(key(1, 0, 0)).HasLostAttempt, ShouldBeFalse)
--- a/internal/queue/rounds_test.go
+++ b/internal/queue/rounds_test.go
@@ -19,9 +19,9 @@
 		ready := func() string {
 			events, _ := h.machine.ActiveTasks()
 			text := ""
-			for _, s := range events {
-				if s.Status == Ready {
-					text += fmt.Sprint(s.Spec.Name, s.Key.Task, " ")
+			for _, event := range events {
+				if event.Status == Ready {
+					text += fmt.Sprint(event.Spec.Name, event.Key.Task, " ")
 				}
 			}
 			return text
@@ -60,13 +60,13 @@
 }
 
 func TestRounds(t *testing.T) {
-	// b waits for a, twice over.
-	rounds := func(count uint32, every int64) *schema.Job {
-		return &schema.Job{Text: "x", DelayUs: 1_000_000, Rounds: count, PeriodUs: every, Steps: []*schema.Step{
+	// rounds returns a job of several rounds, in each of which step b depends on step a.
+	rounds := func(count uint32, periodUs int64) *schema.Job {
+		return &schema.Job{Text: "x", DelayUs: 1_000_000, Rounds: count, PeriodUs: periodUs, Steps: []*schema.Step{
 			{Name: "a", Tasks: 2}, {Name: "b", Tasks: 1, Dependencies: []string{"a"}},
 		}}
 	}
-	run := func(h *harness, keys ...*schema.TaskKey) {
+	runTasks := func(h *harness, keys ...*schema.TaskKey) {
 		h.checkout(keys...)
 		for _, k := range keys {
 			h.settle(k, 1)
@@ -97,19 +97,19 @@
 		So(h.eventOf(key(1, 4, 1)).Round, ShouldEqual, 2)
 		So(h.eventOf(key(1, 4, 1)).StepInRound, ShouldEqual, 0)
 		Convey("a step depends on steps of its own round", func() {
-			run(h, key(1, 2, 0), key(1, 2, 1))
+			runTasks(h, key(1, 2, 0), key(1, 2, 1))
 			So(h.activeTasks(), ShouldEqual, "a0.0 a0.1 b1.0 a2.0 a2.1 ")
 			view, _ := h.machine.JobView("j")
 			So(view.Steps[0].State, ShouldEqual, "open")
 			So(view.Steps[1].State, ShouldEqual, "open")
 			So(view.Done, ShouldEqual, 2)
 			Convey("and the job is complete when every round is", func() {
-				run(h, key(1, 3, 0))
-				run(h, key(1, 0, 0), key(1, 0, 1))
-				run(h, key(1, 1, 0))
-				run(h, key(1, 4, 0), key(1, 4, 1))
+				runTasks(h, key(1, 3, 0))
+				runTasks(h, key(1, 0, 0), key(1, 0, 1))
+				runTasks(h, key(1, 1, 0))
+				runTasks(h, key(1, 4, 0), key(1, 4, 1))
 				So(h.state("j"), ShouldEqual, "running")
-				run(h, key(1, 5, 0))
+				runTasks(h, key(1, 5, 0))
 				view, _ := h.machine.JobView("j")
 				So(view.State, ShouldEqual, "complete")
 				So(view.Done, ShouldEqual, 9)
@@ -121,9 +121,9 @@
 		job := rounds(2, 500_000)
 		job.DelayUs = 0
 		h.now = 7_000_000
-		h.enqueue("c", 1, "j", job) // at once: the rounds are counted from here
-		run(h, key(1, 0, 0), key(1, 0, 1))
-		run(h, key(1, 1, 0))
+		h.enqueue("c", 1, "j", job) // starts at once, so the first round is due at this queue time
+		runTasks(h, key(1, 0, 0), key(1, 0, 1))
+		runTasks(h, key(1, 1, 0))
 		So(h.state("j"), ShouldEqual, "running")
 		So(h.activeTasks(), ShouldEqual, "")
 		due, _ := h.machine.NextStart()
@@ -164,30 +164,30 @@
 }
 
 func TestWallClockStarts(t *testing.T) {
-	const day = int64(1_800_000_000_000_000) // of the time of day, at queue time 0
-	job := func(wall, delay int64) *schema.Job {
-		return &schema.Job{Text: "x", StartUnixUs: wall, DelayUs: delay, Rounds: 3, PeriodUs: 1_000_000, Steps: []*schema.Step{{Name: "a", Tasks: 1}}}
+	const wallStart = int64(1_800_000_000_000_000) // wall-clock time at queue time 0, µs since 1970
+	job := func(startUnixUs, delayUs int64) *schema.Job {
+		return &schema.Job{Text: "x", StartUnixUs: startUnixUs, DelayUs: delayUs, Rounds: 3, PeriodUs: 1_000_000, Steps: []*schema.Step{{Name: "a", Tasks: 1}}}
 	}
 	setWallOffset := func(h *harness, offset int64) {
 		h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Tick{Tick: &schema.Tick{WallOffsetUs: offset}}})
 	}
-	enqueue := func(h *harness, number uint64, job *schema.Job, start int64) {
+	enqueue := func(h *harness, number uint64, job *schema.Job, startUs int64) {
 		h.apply(&schema.QueueCommand{Body: &schema.QueueCommand_Enqueue{Enqueue: &schema.Enqueue{
-			Session: sessionOf("c"), Number: number, Name: fmt.Sprint("j", number), Digest: []byte("d"), Job: job, StartUs: start,
+			Session: sessionOf("c"), Number: number, Name: fmt.Sprint("j", number), Digest: []byte("d"), Job: job, StartUs: startUs,
 		}}})
 	}
 	Convey("Rounds keep to the time of day, though queue time stood still", t, func() {
 		h := newHarness()
-		setWallOffset(h, day)
-		enqueue(h, 1, job(day+1_000_000, 0), 1_000_000)
+		setWallOffset(h, wallStart)
+		enqueue(h, 1, job(wallStart+1_000_000, 0), 1_000_000)
 		enqueue(h, 2, job(0, 1_000_000), 1_000_000)
 		h.now = 1_000_000
 		h.tick()
 		So(h.activeTasks(), ShouldEqual, "a0.0 a0.0 ")
-		// Nobody led for 1.6 s.
+		// Queue time stood still for 1.6 s because the queue had no leader.
 		h.now = 1_300_000
-		setWallOffset(h, day+1_600_000)
-		So(h.machine.WallOffset(), ShouldEqual, day+1_600_000)
+		setWallOffset(h, wallStart+1_600_000)
+		So(h.machine.WallOffset(), ShouldEqual, wallStart+1_600_000)
 		So(h.machine.jobs[1].openedRounds, ShouldEqual, 2)
 		h.restart()
 		h.now = 1_399_999
@@ -205,10 +205,10 @@
 	})
 	Convey("A corrected clock delays rounds that aren't open yet and closes none", t, func() {
 		h := newHarness()
-		enqueue(h, 1, job(day+1_000_000, 0), 1_000_000)
+		enqueue(h, 1, job(wallStart+1_000_000, 0), 1_000_000)
 		h.now = 1_000_000
 		h.tick()
-		setWallOffset(h, day-5_000_000)
+		setWallOffset(h, wallStart-5_000_000)
 		So(h.machine.jobs[1].openedRounds, ShouldEqual, 1)
 		next, _ := h.machine.NextStart()
 		So(next, ShouldEqual, 7_000_000)
--- a/internal/queue/snapshot_test.go
+++ b/internal/queue/snapshot_test.go
@@ -18,7 +18,7 @@
 		h.enqueue("c", 1, "A", simpleJob(1))
 		h.enqueue("c", 2, "B", simpleJob(1))
 		h.checkout(key(1, 0, 0), key(2, 0, 0))
-		So(h.settle(key(2, 0, 0), 1).ReleaseCursor, ShouldBeNil) // A is still live below
+		So(h.settle(key(2, 0, 0), 1).ReleaseCursor, ShouldBeNil) // A is still live, and no cached snapshot is below its entry
 		h.enqueue("c", 3, "C", simpleJob(1))
 		effects := h.settle(key(1, 0, 0), 1)
 		So(effects.ReleaseCursor, ShouldNotBeNil)
@@ -33,7 +33,7 @@
 			m, err := Restore("l", 2, effects.ReleaseCursor.Snapshot)
 			So(err, ShouldBeNil)
 			for k := 2; k < len(h.log); k++ {
-				_, err := m.Apply(uint64(k+1), h.times[k], h.log[k])
+				_, err := m.Apply(uint64(k+1), h.groupTimes[k], h.log[k])
 				So(err, ShouldBeNil)
 			}
 			So(bytes.Equal(m.Snapshot(false), h.machine.Snapshot(false)), ShouldBeTrue)
