--- a/internal/queue/checkout.go
+++ b/internal/queue/checkout.go
@@ -11,8 +11,8 @@
 // learns which of them were checked out.
 func (m *Machine) checkout(c *schema.Checkout) {
 	var chosen []chosenTask
-	readyTasks := map[*task]bool{}   // the chosen tasks that are ready
-	readyCounts := map[stepKey]int{} // number of readyTasks in each step
+	readyTasks := map[*task]bool{}   // chosen tasks that are ready and not yet checked out
+	readyCounts := map[stepKey]int{} // number of ready chosen tasks in each step; a task that is named twice counts once
 	for _, placement := range c.Placements {
 		j, s, t := m.findTask(placement.Key)
 		if j == nil {
@@ -44,10 +44,9 @@
 
 // chosenTask is a task that a checkout command names, with the worker to check it out for.
 type chosenTask struct {
-	job       *job
-	step      int
-	task      int
-	placement *schema.Placement
+	job        *job
+	step, task int
+	placement  *schema.Placement
 }
 
 // stepKey identifies one step of one job.
--- a/internal/queue/enqueue.go
+++ b/internal/queue/enqueue.go
@@ -16,7 +16,7 @@
 	if _, isExpired := m.expiredGateways[gatewayKey{key.gateway, key.incarnation}]; isExpired {
 		// The clients of an expired gateway have moved to other gateways. A submission that
 		// the expired gateway still sends may have been submitted through one of those,
-		// have run, and have been forgotten since, so that it would run a second time.
+		// have run, and have been forgotten since. Admitting it could run the job again.
 		m.effects.SubmitResults = append(m.effects.SubmitResults, &schema.SubmitResult{Session: e.Session, Number: e.Number, Code: http.StatusGone})
 		return
 	}
@@ -81,7 +81,8 @@
 	return nil, "", false
 }
 
-// isOthersJob reports whether the live or retained job with a name belongs to another tenant.
+// isOthersJob reports whether the live or retained job with a name belongs to a tenant other
+// than the given one. It returns false if there is no such job.
 func (m *Machine) isOthersJob(name, tenant string) bool {
 	_, owner, _ := m.jobIdentity(name)
 	return IsOtherTenant(owner, tenant)
@@ -91,7 +92,7 @@
 // without a tenant, doesn't differ from any tenant.
 func IsOtherTenant(a, b string) bool { return a != "" && b != "" && a != b }
 
-// addSubmitResult adds the reply to a submission to the effects.
+// addSubmitResult adds the result of a submission to the effects of the command.
 func (m *Machine) addSubmitResult(e *schema.Enqueue, code int32) {
 	result := &schema.SubmitResult{Session: e.Session, Number: e.Number, Code: code}
 	if code == http.StatusConflict {
--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -33,7 +33,7 @@
 	openedRounds    int
 	unfinishedSteps int    // steps with unfinished tasks
 	checkedOutCount int    // checked-out tasks of all steps
-	startedTasks    uint64 // checkouts so far
+	startedTasks    uint64 // checkouts of all tasks so far
 
 	// Indexed by the position of a step within its round.
 	dependencies   [][]int      // positions of the steps that must be done first
--- a/internal/queue/machine.go
+++ b/internal/queue/machine.go
@@ -89,8 +89,8 @@
 	now          int64  // queue time, µs
 	lastJobID    uint64 // id of the latest admitted job
 	lastSequence uint64 // sequence number of the latest event
-	enqueues     uint64 // number of jobs admitted or re-enqueued so far
-	reenqueues   uint64 // number of jobs re-enqueued so far
+	enqueues     uint64 // admissions and re-enqueues of jobs so far
+	reenqueues   uint64 // re-enqueues of jobs so far
 	settings     *schema.ApplySettings
 
 	jobs               map[uint64]*job // live jobs by id
