--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -103,7 +103,7 @@
 
 // WithTolerance sets the failures that each group must survive.
 func (c *Controller) WithTolerance(tolerance membership.FaultTolerance) *Controller {
-	c.tolerance, c.votersPerGroup = tolerance, tolerance.Voters()
+	c.tolerance, c.votersPerGroup = tolerance, tolerance.VoterCount()
 	return c
 }
 
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -21,4 +21,4 @@
 
 // VoterCount returns how many voters each group is to have: a majority survives the tolerated
 // failures. A cluster with fewer storage nodes is bootstrapped with all of them.
-func (c Config) VoterCount() int { return c.Tolerance().Voters() }
+func (c Config) VoterCount() int { return c.Tolerance().VoterCount() }
--- a/internal/membership/topology.go
+++ b/internal/membership/topology.go
@@ -14,8 +14,8 @@
 	RegionByZone             map[string]string
 }
 
-// Voters returns how many voters each group is to have.
-func (t FaultTolerance) Voters() int { return 2*max(1, t.Machines, t.Zones, t.Regions) + 1 }
+// VoterCount returns how many voters each group is to have.
+func (t FaultTolerance) VoterCount() int { return 2*max(1, t.Machines, t.Zones, t.Regions) + 1 }
 
 // RequiresSpread reports whether it matters in which zones the voters are.
 func (t FaultTolerance) RequiresSpread() bool { return t.Zones > 0 || t.Regions > 0 }
@@ -122,12 +122,12 @@
 		zoneByID[fmt.Sprintf("%06d", k)] = zone
 	}
 	var best []string
-	for _, id := range t.SelectVoters(zoneByID, t.Voters()) {
+	for _, id := range t.SelectVoters(zoneByID, t.VoterCount()) {
 		best = append(best, zoneByID[id])
 	}
 	switch {
-	case len(best) < t.Voters():
-		return fmt.Sprintf("%d stores are needed, there are %d", t.Voters(), len(best))
+	case len(best) < t.VoterCount():
+		return fmt.Sprintf("%d stores are needed, there are %d", t.VoterCount(), len(best))
 	case t.ExcessVoters(best) == 0:
 		return ""
 	case sumOfLargest(best, t.Zones) > (len(best)-1)/2:
--- a/internal/membership/topology_test.go
+++ b/internal/membership/topology_test.go
@@ -27,10 +27,10 @@
 	for _, zone := range zoneByID {
 		all = append(all, zone)
 	}
-	for _, id := range tolerance.SelectVoters(zoneByID, tolerance.Voters()) {
+	for _, id := range tolerance.SelectVoters(zoneByID, tolerance.VoterCount()) {
 		chosen = append(chosen, zoneByID[id])
 	}
-	So(chosen, ShouldHaveLength, tolerance.Voters())
+	So(chosen, ShouldHaveLength, tolerance.VoterCount())
 	So(tolerance.ExcessVoters(chosen) == 0, ShouldEqual, isTolerable)
 	So(tolerance.Shortfall(all) == "", ShouldEqual, isTolerable)
 	machines, inZones, inRegions := tolerance.TolerableFailures(chosen, chosen)
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -109,7 +109,7 @@
 
 // WithTolerance sets the failures that the deployment is to tolerate and returns h.
 func (h *Host) WithTolerance(tolerance membership.FaultTolerance) *Host {
-	h.tolerance, h.toleratedLosses = tolerance, tolerance.Voters()/2
+	h.tolerance, h.toleratedLosses = tolerance, tolerance.VoterCount()/2
 	return h
 }
 
