--- a/internal/membership/bootstrap.go
+++ b/internal/membership/bootstrap.go
@@ -11,37 +11,39 @@
 	"sparnotch/internal/schema"
 )
 
-// Bootstrap. The number of storage nodes isn't configured, and seeds may have no disk. So
-// every process reports which storage nodes it knows of, and a storage node votes, durably
-// and only once, for a set S of them: every storage node in S and every seed must have
-// reported exactly the same nodes as the voter, each itself and recently. Once all nodes in S
-// have reported the same vote, the group of the cluster state is created.
+// This file implements the bootstrap of a cluster. The number of storage nodes isn't
+// configured, and a seed may have no disk. Therefore every process reports which storage nodes
+// it knows of, and each storage node votes for a set S of them. It votes only once, and the
+// vote is persisted. It may vote for S only if every storage node in S and every seed has
+// recently and directly reported exactly the same nodes as the voter. Once all nodes in S have
+// reported the same vote, the group that replicates the cluster state is created.
 //
-// Why no two different votes can both succeed: until a process votes, the nodes it knows of
-// only grow (a node is forgotten after a minute without a heartbeat from anybody, while a
-// report older than two seconds doesn't count), and from then on it reports its vote alone.
-// Say P voted for S and Q for T.
-//   - If each is in the other's set, each has reported the other's set before its own vote:
-//     so T is a subset of S and S of T.
-//   - If P isn't in T, some seed reported S, with P, to P, and reported T, without P, to Q. So
-//     the latter came first and T is a subset of S. Then Q is in S and has reported S to P
-//     before it voted for T: the nodes it knew of shrank.
+// Two different votes can't both succeed. Until a process votes, the set of nodes that it knows
+// of only grows: a node is forgotten after a minute without a heartbeat through any process,
+// but a report counts for only two seconds. After its vote a process reports only the nodes
+// in its vote. Assume that P voted for S and Q voted for T.
+//   - If P is in T and Q is in S, each of them reported the other's set before its own vote.
+//     Their known nodes only grew, so T is a subset of S, and S is a subset of T.
+//   - If P isn't in T, some seed reported S, which contains P, to P, and reported T, which
+//     doesn't contain P, to Q. The seed's known nodes only grew, so it reported T first, and T
+//     is a subset of S. Then Q is in S, and Q reported S to P before it voted for T. This is a
+//     contradiction, because the nodes that Q knew of would have shrunk.
 //
-// A process that restarts knows of no nodes, so it may know of fewer than before. All seeds
-// at once would have to forget P for Q to vote without it; even then P's set can't succeed,
-// for its nodes have voted for another.
+// A process that restarts knows of no nodes at first, so its known nodes may shrink. Q can vote
+// without P only if all seeds forget P at the same time. Even then P's vote can't succeed,
+// because the nodes in P's set have voted for another set.
 //
-// A storage node that receives a vote which names it adopts that vote: it was cast by these
-// rules.
+// A storage node that receives a vote for a set that contains it adopts the vote, because the
+// vote was cast by these rules.
 
 const (
-	agreementPeriod        = 700 * eventloop.Millisecond // all must agree for so long before a vote
-	reducedAgreementPeriod = 6 * eventloop.Second        // and for so long if there are fewer nodes than desired
-	reportMaxAge           = 2 * eventloop.Second        // older reports don't count
+	agreementPeriod        = 700 * eventloop.Millisecond // how long all must agree before a vote
+	reducedAgreementPeriod = 6 * eventloop.Second        // how long they must agree if there are fewer nodes than desired
+	reportMaxAge           = 2 * eventloop.Second        // older reports are ignored
 )
 
-// visibleStorageNodes returns the ids of the storage nodes that this process reports to know
-// of, sorted.
+// visibleStorageNodes returns the sorted ids of the storage nodes that this process reports as
+// known. Once it has a vote these are the nodes in the vote.
 func (m *Membership) visibleStorageNodes() []string {
 	if m.identity != nil && len(m.identity.BootstrapVote) > 0 {
 		return m.identity.BootstrapVote
@@ -57,21 +59,22 @@
 	return ids
 }
 
-// mayBootstrap reports whether this process may vote: it is an empty storage node, and this
-// is the first start of the cluster.
+// mayBootstrap reports whether this process may vote: it must be an empty storage node, and
+// this must be the first start of the cluster.
 func (m *Membership) mayBootstrap() bool {
 	return m.identity != nil && !m.identity.Joined && (m.config.Bootstrap || m.isImplicitBootstrap() && m.isSeed())
 }
 
-// isImplicitBootstrap reports whether the settings say neither that this is the first start
-// nor which failures to tolerate: then the storage nodes that are seeds bootstrap. If they
-// say either, only config.Bootstrap allows a bootstrap: without it a node that comes back
-// empty at a seed's address never bootstraps another cluster.
+// isImplicitBootstrap reports whether the settings specify neither that this is the first start
+// nor how many machine failures to tolerate. In that case the storage nodes that are seeds
+// bootstrap the cluster. Otherwise only config.Bootstrap allows a bootstrap, so that a node
+// that comes back empty at a seed's address never bootstraps a second cluster.
 func (m *Membership) isImplicitBootstrap() bool {
 	return !m.config.Bootstrap && m.config.MachineFailures == 0
 }
 
-// bootstrap casts this node's vote, or joins once its vote has succeeded.
+// bootstrap casts this node's vote if it hasn't voted yet. Once the vote has succeeded, it
+// persists that the node has joined and has the cluster state's group created.
 func (m *Membership) bootstrap(now eventloop.Micros, effects eventloop.Effects) {
 	if m.identity == nil || m.identity.Joined || m.pendingIdentity != nil {
 		return
@@ -102,7 +105,8 @@
 	m.persist(PersistIdentity{Identity: next}, effects)
 }
 
-// hasVoteSucceeded reports whether all nodes in this node's vote have cast the same.
+// hasVoteSucceeded reports whether all nodes in the set that this node voted for have cast the
+// same vote.
 func (m *Membership) hasVoteSucceeded() bool {
 	vote := m.identity.BootstrapVote
 	for _, id := range vote {
@@ -113,7 +117,8 @@
 	return true
 }
 
-// adoptedVote returns the vote of another storage node that names this one, or nil.
+// adoptedVote returns the vote of another storage node for a set that contains both nodes. It
+// returns nil if there is no such vote or a cluster already exists.
 func (m *Membership) adoptedVote() []string {
 	if m.clusterExists {
 		return nil
@@ -126,7 +131,8 @@
 	return nil
 }
 
-// settledVoters returns the set to vote for once all have agreed for long enough, else nil.
+// settledVoters returns the set to vote for, or nil until all processes have agreed for long
+// enough.
 func (m *Membership) settledVoters(now eventloop.Micros) []string {
 	voters, desired := m.evaluateAgreement(now)
 	key := strings.Join(voters, " ") + "/" + strings.Join(m.visibleStorageNodes(), " ")
@@ -147,8 +153,8 @@
 	return voters
 }
 
-// evaluateAgreement returns the first voters of the group, if all processes that must agree
-// report the same storage nodes, and how many voters are desired.
+// evaluateAgreement returns the initial voters of the group and how many voters are desired. It
+// returns no voters unless all processes that must agree report the same storage nodes.
 func (m *Membership) evaluateAgreement(now eventloop.Micros) (voters []string, desired int) {
 	if m.clusterExists || !m.mayBootstrap() {
 		return nil, 0
@@ -165,14 +171,15 @@
 	return m.config.Tolerance().SelectVoters(zones, m.config.VoterCount()), desired
 }
 
-// agrees reports whether a report counts for a bootstrap on the storage nodes that are
-// visible here.
+// agrees reports whether a recent report, from a process that hasn't joined a cluster, lists
+// exactly the storage nodes that are visible to this process.
 func (r peerReport) agrees(now eventloop.Micros, visible []string) bool {
 	return r.gossip != nil && now-r.receivedAt < reportMaxAge && !r.gossip.Joined && slices.Equal(r.gossip.KnownStores, visible)
 }
 
-// bootstrapZones returns the zones of the storage nodes that may become voters, by id, if all
-// visible ones agree. Nodes that may not bootstrap must agree too; they join later.
+// bootstrapZones returns the zones, by id, of the storage nodes that may become voters, and
+// whether all visible storage nodes agree. Nodes that may not bootstrap must agree too,
+// although they only join later.
 func (m *Membership) bootstrapZones(now eventloop.Micros, visible []string) (zones map[string]string, agreed bool) {
 	zones = map[string]string{}
 	for _, id := range visible {
@@ -191,6 +198,8 @@
 	return zones, true
 }
 
+// seedsAgree reports whether all seeds report the storage nodes that are visible to this
+// process.
 func (m *Membership) seedsAgree(now eventloop.Micros, visible []string) bool {
 	for _, seed := range m.config.Seeds {
 		if seed == m.self.InternalAddress {
@@ -208,7 +217,7 @@
 	return true
 }
 
-// reportFrom returns the last report from an address; its gossip is nil if there is none.
+// reportFrom returns the latest report from an address. Its gossip is nil if there is no report.
 func (m *Membership) reportFrom(address string) peerReport {
 	var last peerReport
 	for _, report := range m.reports {
--- a/internal/membership/bootstrap_test.go
+++ b/internal/membership/bootstrap_test.go
@@ -10,25 +10,25 @@
 	"sparnotch/internal/schema"
 )
 
-// never is the deadline of a cluster that mustn't be bootstrapped.
+// never is the deadline in a bootstrapCase whose cluster must not be bootstrapped.
 const never eventloop.Micros = -1
 
-// bootstrapCase is a cluster that starts for the first time.
+// bootstrapCase describes a cluster that starts for the first time and the expected outcome.
 type bootstrapCase struct {
 	name            string
-	shape           string
+	shape           string // see addHosts
 	bootstrap       bool
 	machineFailures uint32
-	loss            float64          // of messages in the first 4 s
-	maxDelay        eventloop.Micros // of a message
-	startWithin     eventloop.Micros // all start in this period
-	lastStartDelay  eventloop.Micros // the last storage node starts so much later
-	restarts        int              // of any process in the first 3 s
-	voters          int              // 0: depends on the seed
-	deadline        eventloop.Micros // bootstrapped so long after the start; never: not at all
+	loss            float64          // fraction of messages lost in the first 4 s
+	maxDelay        eventloop.Micros // maximum delay of a message
+	startWithin     eventloop.Micros // all hosts start within this time
+	lastStartDelay  eventloop.Micros // additional delay before the last storage node starts
+	restarts        int              // number of restarts of random hosts in the first 3 s
+	voters          int              // expected number of voters; 0 if it depends on the seed
+	deadline        eventloop.Micros // maximum time from the start to the bootstrap, or never
 }
 
-// run starts the cluster and runs it until some time after the bootstrap.
+// run starts the cluster and simulates it until some time after the bootstrap.
 func (c *bootstrapCase) run(seed uint64) *network {
 	n := newNetwork(seed)
 	n.loss, n.lossEnd, n.maxDelay = c.loss, 5*eventloop.Second, c.maxDelay
@@ -44,14 +44,15 @@
 	for range c.restarts {
 		n.restartAnyHost()
 	}
-	// Messages still in flight after the bootstrap could do harm, so it runs on for a while.
+	// Messages that are still in flight after the bootstrap could still cause another vote,
+	// so the simulation continues for a while.
 	for end := eventloop.Second + max(c.deadline, 8*eventloop.Second); n.now < end && (n.bootstrappedAt == 0 || !n.isBootstrapped() || n.now < n.bootstrappedAt+3*eventloop.Second); {
 		n.runTo(n.now + 250*eventloop.Millisecond)
 	}
 	return n
 }
 
-// violation says what is wrong after a run; empty: nothing is.
+// violation describes what is wrong after a run, or returns an empty string if nothing is.
 func (c *bootstrapCase) violation(n *network) string {
 	if c.deadline == never {
 		if len(n.votes) != 0 {
@@ -66,7 +67,8 @@
 	return ""
 }
 
-// restartAnyHost stops a host within 3 s and starts it again within 500 ms.
+// restartAnyHost schedules a restart of a random host: the host stops within 3 s and starts again
+// within 500 ms.
 func (n *network) restartAnyHost() {
 	h := n.hosts[n.rng.IntN(len(n.hosts))]
 	n.after(n.randomDelay(3*eventloop.Second), func() {
@@ -124,8 +126,8 @@
 				n := newNetwork(seed)
 				n.loss, n.lossEnd = 0.3, 20*eventloop.Second
 				n.addHosts("FsFSSSSfhh", true, 1)
-				// The fourth to the sixth are the cluster; the seed's storage node comes
-				// back empty, and one more is new.
+				// Hosts 3 to 5 form the existing cluster. Host 1, a storage node at a seed's
+				// address, comes back empty, and host 6 is new.
 				for _, k := range []int{3, 4, 5} {
 					n.hosts[k].identity = &schema.StoreIdentity{Id: fmt.Sprintf("old%d", k), Joined: true, BootstrapVote: []string{"old3", "old4", "old5"}}
 				}
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -1,17 +1,17 @@
 package membership
 
-// Config are the settings of a Membership.
+// Config holds the settings of a Membership.
 type Config struct {
-	Seeds           []string // internal addresses to start from
+	Seeds           []string // internal addresses contacted first to discover the cluster
 	Bootstrap       bool     // this is the first start of the cluster
-	MachineFailures uint32   // storage nodes that may be lost at once; 0: one
-	IsAgentNode     bool
+	MachineFailures uint32   // how many storage nodes may be lost at once; 0 means 1
+	IsAgentNode     bool     // this process is an agent node
 
-	ZoneFailures, RegionFailures uint32            // zones and regions that may be lost at once
-	RegionByZone                 map[string]string // the region of each zone
+	ZoneFailures, RegionFailures uint32            // how many zones and regions may be lost at once
+	RegionByZone                 map[string]string // maps each zone to its region
 }
 
-// Tolerance returns the failures to tolerate.
+// Tolerance returns the configured fault tolerance.
 func (c Config) Tolerance() FaultTolerance {
 	return FaultTolerance{
 		Machines: int(c.MachineFailures), Zones: int(c.ZoneFailures), Regions: int(c.RegionFailures),
@@ -19,6 +19,6 @@
 	}
 }
 
-// VoterCount returns how many voters each group is to have: a majority survives the tolerated
-// failures. A cluster with fewer storage nodes is bootstrapped with all of them.
+// VoterCount returns how many voters each group should have so that a majority survives the
+// tolerated failures. A cluster with fewer storage nodes is bootstrapped with all of them.
 func (c Config) VoterCount() int { return c.Tolerance().VoterCount() }
--- a/internal/membership/gossip_message.go
+++ b/internal/membership/gossip_message.go
@@ -10,23 +10,25 @@
 	"sparnotch/internal/schema"
 )
 
-// MaxControllerCandidates is how many agent nodes compete for the controller lease. Processes
-// without storage are told of no other agent nodes: each candidate is polled by all of them.
+// MaxControllerCandidates is the maximum number of agent nodes that compete for the controller
+// lease. Processes without storage are told of no other agent nodes: each candidate is polled
+// by all of them.
 const MaxControllerCandidates = 7
 
-// gossipMaxAge is the age from which a member's status isn't passed on.
+// gossipMaxAge limits which members a gossip message includes: those last heard of longer ago
+// are left out.
 const gossipMaxAge = 10 * eventloop.Second
 
-// gossipDetail is how much a gossip message says of other members.
+// gossipDetail selects how much a gossip message contains about other members.
 type gossipDetail int
 
 const (
-	selfOnly       gossipDetail = iota
-	heartbeatsOnly              // what changes during an incarnation; a receiver requests the rest if it lacks it
-	fullMembers
+	selfOnly       gossipDetail = iota // nothing
+	heartbeatsOnly                     // the fields that change during an incarnation; a receiver requests missing ones
+	fullMembers                        // all fields
 )
 
-// newGossip returns a message about this process and the members it has heard of.
+// newGossip returns a message about this process and the members that it has recently heard of.
 func (m *Membership) newGossip(now eventloop.Micros, detail gossipDetail) *schema.Gossip {
 	gossip := &schema.Gossip{Self: proto.Clone(m.self).(*schema.Member), Joined: m.clusterExists}
 	if m.identity != nil {
@@ -47,6 +49,7 @@
 	return gossip
 }
 
+// gossipEntry returns a member with the fields that a message of this detail contains.
 func gossipEntry(member *schema.Member, detail gossipDetail) *schema.Member {
 	if detail == fullMembers {
 		return member
@@ -57,9 +60,9 @@
 	}
 }
 
-// newGossipToStorageNode returns a message to a storage node or seed. An agent node that
-// reaches a storage node passes on only the members that requested gossip from it, because
-// they may reach no storage node; the others the storage nodes know better.
+// newGossipToStorageNode returns a message to a storage node or seed. An agent node that knows
+// a live storage node includes only the members that requested gossip from it, because they may
+// reach no storage node. The storage nodes have more recent information about all others.
 func (m *Membership) newGossipToStorageNode(now eventloop.Micros, detail gossipDetail) *schema.Gossip {
 	if !m.clusterExists || !m.config.IsAgentNode || len(m.liveStorageNodes(now)) == 0 {
 		return m.newGossip(now, detail)
@@ -69,7 +72,7 @@
 		return gossip
 	}
 	if detail == fullMembers {
-		// A message with a full member is answered with full members.
+		// A receiver replies with full members if the request contains a full member.
 		gossip.Members = append(gossip.Members, gossip.Self)
 	}
 	for _, id := range slices.Sorted(maps.Keys(m.requesters)) {
@@ -80,8 +83,8 @@
 	return gossip
 }
 
-// newGossipReply returns the reply to a request. Only storage nodes need to know of all agent
-// nodes; if every process did, the traffic would grow with the square of their number.
+// newGossipReply returns the reply to a request. Only storage nodes are sent all agent nodes: if
+// every process were, the traffic would grow with the square of the number of processes.
 func (m *Membership) newGossipReply(now eventloop.Micros, detail gossipDetail, request *schema.Gossip) *schema.Gossip {
 	gossip := m.newGossip(now, detail)
 	gossip.IsReply = true
@@ -91,16 +94,16 @@
 	return gossip
 }
 
-// newUnsolicitedGossip returns a message that requests no reply: to receivers that report on
-// their own.
+// newUnsolicitedGossip returns a message that requests no reply. It is for receivers that send
+// their own gossip to this process anyway.
 func (m *Membership) newUnsolicitedGossip(now eventloop.Micros, detail gossipDetail) *schema.Gossip {
 	gossip := m.newGossip(now, detail)
 	gossip.IsReply = true
 	return gossip
 }
 
-// omitAgentNodes removes the agent nodes that aren't candidates for the controller lease from
-// a message.
+// omitAgentNodes removes from a message the agent nodes that aren't candidates for the controller
+// lease.
 func (m *Membership) omitAgentNodes(now eventloop.Micros, gossip *schema.Gossip) {
 	zones := map[string]string{}
 	for id, status := range m.members {
--- a/internal/membership/gossip_receive.go
+++ b/internal/membership/gossip_receive.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	minGossipInterval  = 20 * eventloop.Millisecond // minimum time between two gossip rounds sent between ticks
-	addressReuseMinAge = eventloop.Second           // a member heard from within it isn't replaced by another at its address
+	minGossipInterval  = 20 * eventloop.Millisecond // minimum time between two gossip rounds outside of ticks
+	addressReuseMinAge = eventloop.Second           // a member heard of within this time isn't replaced at its address
 )
 
-// peerReport is the last gossip received from a process itself.
+// peerReport is the last gossip received directly from a process.
 type peerReport struct {
 	receivedAt eventloop.Micros
-	gossip     *schema.Gossip // nil: none was received
+	gossip     *schema.Gossip // nil if none was received
 }
 
 func (m *Membership) handleGossip(now eventloop.Micros, from string, gossip *schema.Gossip, effects eventloop.Effects) {
 	if gossip.Self == nil || gossip.Self.Id != from || from == m.self.Id {
 		return
 	}
-	// A delayed message of a previous incarnation doesn't count any more.
+	// Ignore a delayed message from a previous incarnation.
 	if previous, known := m.members[from]; known && gossip.Self.Incarnation < previous.Member.Incarnation {
 		return
 	}
@@ -38,26 +38,27 @@
 	if content.hasUnknownMember {
 		m.requestUnknownMember(now, gossip.Self.InternalAddress, effects)
 	}
-	// A bootstrap shouldn't wait for the next tick when a storage node is discovered.
+	// Send gossip before the next tick when a storage node is discovered, to speed up a bootstrap.
 	discovered := len(m.seenStorageNodes) != seenBefore || m.clusterExists != clusterExisted
 	if discovered && now-m.lastExtraGossipAt >= minGossipInterval {
 		m.lastExtraGossipAt = now
 		m.sendGossip(now, effects)
 	}
 	if len(m.members) > knownBefore {
-		// New members can be addressed from now on.
+		// Other components can send to the new members from now on.
 		m.publish(now, effects)
 	}
 	m.bootstrap(now, effects)
 }
 
-// gossipContent is what the members in a gossip message were.
+// gossipContent reports which kinds of members a gossip message contained.
 type gossipContent struct {
 	hasFullMember    bool
-	hasUnknownMember bool // the heartbeat of a member that isn't known otherwise
+	hasUnknownMember bool // a heartbeat of a member whose other fields aren't known
 }
 
-// mergeGossip merges a message into this process's state.
+// mergeGossip updates the members and the sender's report from a message. It returns which kinds
+// of members the message contained.
 func (m *Membership) mergeGossip(now eventloop.Micros, from string, gossip *schema.Gossip) gossipContent {
 	m.clusterExists = m.clusterExists || gossip.Joined
 	m.mergeMember(now, gossip.Self)
@@ -77,24 +78,25 @@
 	return content
 }
 
-// replyTo replies to a request, with full members if it has any or the requester may not
-// know the cluster.
+// replyTo replies to a request. The reply has full members if the request contains a full member,
+// or if this process or the requester hasn't learned yet that a cluster exists.
 func (m *Membership) replyTo(now eventloop.Micros, request *schema.Gossip, content gossipContent, effects eventloop.Effects) {
 	detail := heartbeatsOnly
 	if content.hasFullMember || !m.clusterExists || !request.Joined {
 		detail = fullMembers
 	}
 	if m.identity == nil {
-		// A process that polls one without storage may reach no storage node, so its status
-		// is passed on.
+		// A process that polls a process without storage may reach no storage node, so this
+		// process forwards its status to them.
 		m.hasUnsentChanges = m.hasUnsentChanges || m.clusterExists
 		m.requesters[request.Self.Id] = now
 	}
 	effects.SendToAddress(request.Self.InternalAddress, m.newGossipReply(now, detail, request))
 }
 
-// requestUnknownMember requests full members from the sender of an unknown member's
-// heartbeat, at most once a tick; else it is left to the next gossip round.
+// requestUnknownMember requests full members from the process that sent an unknown member's
+// heartbeat. If full members were already requested within the last tick interval, the next
+// gossip round requests them instead.
 func (m *Membership) requestUnknownMember(now eventloop.Micros, address string, effects eventloop.Effects) {
 	if now-m.fullSyncAt < TickInterval {
 		m.hasUnknownMember = true
@@ -104,13 +106,13 @@
 	effects.SendToAddress(address, m.newGossipToStorageNode(now, fullMembers))
 }
 
-// isOlder reports whether one status of a member is older than another.
+// isOlder reports whether a, a member's status, is older than b, another status of that member.
 func isOlder(a, b *schema.Member) bool {
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Heartbeat, b.Heartbeat)) < 0
 }
 
-// mergeMember takes a member's status unless a newer one is known. It returns false if the
-// status is a mere heartbeat and the member isn't known.
+// mergeMember stores a member's status if it is newer than the known one. It returns false if the
+// status contains only a heartbeat and the member's other fields aren't known.
 func (m *Membership) mergeMember(now eventloop.Micros, member *schema.Member) bool {
 	if member.GetId() == "" {
 		return true
@@ -137,7 +139,8 @@
 	return true
 }
 
-// removePredecessors removes members at the address of another that was heard from since.
+// removePredecessors removes other members at the address of a member that has just been heard
+// of, unless they were heard of within addressReuseMinAge.
 func (m *Membership) removePredecessors(now eventloop.Micros, member *schema.Member) {
 	for id, other := range m.members {
 		if id != member.Id && other.Member.InternalAddress == member.InternalAddress && now-other.LastHeard > addressReuseMinAge {
--- a/internal/membership/gossip_send.go
+++ b/internal/membership/gossip_send.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	livenessTimeout  = 2 * eventloop.Second // a member not heard from for longer isn't considered live here
-	fullSyncInterval = 4 * eventloop.Second // between two requests for full members
-	startupTicks     = 40                   // ticks after the start in which all seeds are contacted
+	livenessTimeout  = 2 * eventloop.Second // a member not heard of for longer isn't considered live here
+	fullSyncInterval = 4 * eventloop.Second // time between two requests for full members
+	startupTicks     = 40                   // number of ticks after the start during which all seeds are contacted
 )
 
-// sendGossip counts up the heartbeat and sends gossip to the processes whose turn it is.
+// sendGossip increments the heartbeat and sends a round of gossip.
 func (m *Membership) sendGossip(now eventloop.Micros, effects eventloop.Effects) {
 	m.self.Heartbeat++
 	switch {
 	case len(m.members) == 0:
-		// All seeds may have been replaced while this machine was down, so the peers
-		// of the previous incarnation are contacted too.
+		// All seeds may have been replaced while this machine was down, so the process also
+		// contacts the peers that its previous incarnation persisted.
 		contacts := append(slices.Clone(m.config.Seeds), m.knownAddresses...)
 		m.dialOnce(contacts, map[string]bool{m.self.InternalAddress: true}, m.newGossip(now, fullMembers), effects)
 	case m.clusterExists:
@@ -30,7 +30,7 @@
 	}
 }
 
-// dialOnce sends a message to each address that isn't among the contacted ones yet.
+// dialOnce sends a message to each address that isn't in contacted, and adds the address to it.
 func (m *Membership) dialOnce(addresses []string, contacted map[string]bool, gossip *schema.Gossip, effects eventloop.Effects) {
 	for _, address := range addresses {
 		if !contacted[address] {
@@ -40,8 +40,8 @@
 	}
 }
 
-// discover sends gossip before a cluster exists: seeds and storage nodes send to each other,
-// other processes to a seed.
+// discover sends gossip while no cluster is known to exist. Seeds and storage nodes send to all
+// seeds and storage nodes, and every other process sends to a random seed.
 func (m *Membership) discover(now eventloop.Micros, effects eventloop.Effects) {
 	if m.identity == nil && !m.isSeed() {
 		if seed := m.randomSeed(); seed != "" {
@@ -60,14 +60,14 @@
 	m.dialOnce(storageNodes, contacted, m.newUnsolicitedGossip(now, fullMembers), effects)
 }
 
-// exchange sends gossip within a cluster. At each tick a storage node sends to all others and
-// an agent node polls one of them; at every second tick so do the other processes. A process
-// that got no reply also polls a random member, for it may be partitioned from the storage
-// nodes alone.
+// exchange sends gossip within a cluster. A storage node sends to all other storage nodes at each
+// tick. Of the other processes, an agent node polls one storage node at each tick, and the rest
+// poll one at every second tick. A process that got no reply also polls a random member, because
+// it may be partitioned only from the storage nodes.
 func (m *Membership) exchange(now eventloop.Micros, effects eventloop.Effects) {
 	storageNodes := m.liveStorageNodes(now)
-	// Without a live storage node full members are requested at each tick: the seed that was
-	// asked before may have known none itself, as when all have just started.
+	// Without a live storage node, full members are requested at each tick. The seed asked before
+	// may not have known a storage node itself, for example when all processes have just started.
 	if m.hasUnknownMember || len(storageNodes) == 0 || now-m.fullSyncAt >= fullSyncInterval {
 		m.requestFullMembers(now, storageNodes, effects)
 	}
@@ -100,8 +100,8 @@
 	m.awaitingResponse, m.hasUnsentChanges = true, false
 }
 
-// requestFullMembers asks a random seed for full members. By that, two parts of a cluster
-// that started from different seeds find each other.
+// requestFullMembers requests full members from a random seed. This also lets two parts of a
+// cluster that started from different seeds discover each other.
 func (m *Membership) requestFullMembers(now eventloop.Micros, storageNodes []string, effects eventloop.Effects) {
 	m.hasUnknownMember, m.fullSyncAt = false, now
 	seed := m.randomSeed()
@@ -112,16 +112,18 @@
 		}
 		effects.SendToAddress(seed, gossip)
 	}
-	// All seeds may have been replaced while this process ran on, and heartbeats alone don't
-	// say who a new member is, so a live storage node is asked as well.
+	// All seeds may have been replaced while this process was running, and a heartbeat alone
+	// doesn't identify a new member, so a live storage node is asked if no live member is known
+	// at the seed's address.
 	if len(storageNodes) > 0 && !m.isAliveAt(now, seed) {
 		effects.SendToAddress(storageNodes[m.rng.IntN(len(storageNodes))], m.newGossipToStorageNode(now, fullMembers))
 	}
 }
 
-// contactSeeds sends to the seeds that aren't live members, for some time after the start.
-// They may start after this process, as in a restart of the whole cluster, and processes that
-// know them alone learn of no others until they are contacted.
+// contactSeeds sends gossip to the seeds that aren't live members. It is called during the first
+// startupTicks: seeds may start later than this process, for example when the whole cluster
+// restarts, and processes that know only the seeds discover no others until someone contacts the
+// seeds.
 func (m *Membership) contactSeeds(now eventloop.Micros, effects eventloop.Effects) {
 	contacted := map[string]bool{m.self.InternalAddress: true}
 	for _, status := range m.members {
@@ -132,13 +134,14 @@
 	m.dialOnce(m.config.Seeds, contacted, m.newGossipToStorageNode(now, fullMembers), effects)
 }
 
+// pollRandomMember requests gossip from a random member.
 func (m *Membership) pollRandomMember(now eventloop.Micros, effects eventloop.Effects) {
 	ids := m.memberIDs()
 	address := m.members[ids[m.rng.IntN(len(ids))]].Member.InternalAddress
 	effects.SendToAddress(address, m.newGossip(now, heartbeatsOnly))
 }
 
-// broadcast sends to all live storage nodes without requesting replies.
+// broadcast sends gossip to all other live storage nodes without requesting replies.
 func (m *Membership) broadcast(now eventloop.Micros, detail gossipDetail, effects eventloop.Effects) {
 	gossip := m.newUnsolicitedGossip(now, detail)
 	for _, address := range m.liveStorageNodes(now) {
@@ -146,8 +149,9 @@
 	}
 }
 
-// broadcastChange sends a change of this process's own status out of turn. The heartbeat
-// counts up, or receivers would take it for the status they have.
+// broadcastChange sends a change of this process's own status without waiting for the next tick.
+// It increments the heartbeat, because receivers would otherwise ignore the change as a status
+// that they already have.
 func (m *Membership) broadcastChange(now eventloop.Micros, effects eventloop.Effects) {
 	m.self.Heartbeat++
 	m.broadcast(now, heartbeatsOnly, effects)
@@ -158,7 +162,8 @@
 }
 
 // liveStorageNodes returns the addresses of the other storage nodes that are alive. All
-// processes exchange gossip with them, so a heartbeat takes two hops between any two.
+// processes exchange gossip with storage nodes, so a heartbeat takes two hops between any two
+// processes.
 func (m *Membership) liveStorageNodes(now eventloop.Micros) []string {
 	var addresses []string
 	for _, id := range m.memberIDs() {
@@ -171,7 +176,8 @@
 
 func (m *Membership) isSeed() bool { return slices.Contains(m.config.Seeds, m.self.InternalAddress) }
 
-// randomSeed returns the address of a seed other than this process; empty if there is none.
+// randomSeed returns the address of a random seed other than this process, or an empty string if
+// there is none.
 func (m *Membership) randomSeed() string {
 	var others []string
 	for _, seed := range m.config.Seeds {
@@ -195,8 +201,8 @@
 	return false
 }
 
-// mayBeStorageNode reports whether a storage node, or an unknown process, listens at an
-// address.
+// mayBeStorageNode reports whether the member at an address is a storage node, or no member is
+// known at that address.
 func (m *Membership) mayBeStorageNode(address string) bool {
 	for _, status := range m.members {
 		if status.Member.InternalAddress == address {
--- a/internal/membership/gossip_test.go
+++ b/internal/membership/gossip_test.go
@@ -14,7 +14,7 @@
 	"sparnotch/internal/schema"
 )
 
-// conveyInClusters runs a test in running clusters of several seeds.
+// conveyInClusters runs a test in several running clusters, each with another random seed.
 func conveyInClusters(t *testing.T, name string, test func(n *network)) {
 	Convey(name, t, func() {
 		for seed := range uint64(10) {
@@ -23,7 +23,7 @@
 	})
 }
 
-// controllerCandidates returns the candidates for controller by what a host knows.
+// controllerCandidates returns the candidates for the controller lease according to a host's view.
 func (h *host) controllerCandidates() []string {
 	zones := map[string]string{}
 	for id, status := range h.view.Members {
@@ -34,24 +34,24 @@
 	return SpreadOverZones(zones, MaxControllerCandidates)
 }
 
-// agreedCandidates returns the candidates for controller by what a storage node knows; each
-// agent node must know the same of itself.
+// agreedCandidates returns the candidates for the controller lease according to a storage node's
+// view. It checks that each agent node's own view agrees on whether that node is a candidate.
 func (n *network) agreedCandidates() []string {
 	want := n.hosts[1].controllerCandidates()
 	So(len(want), ShouldEqual, MaxControllerCandidates)
-	for _, by := range n.hosts {
-		if by.incarnation > 0 && by.config.IsAgentNode {
-			got := by.controllerCandidates()
-			So(slices.Contains(got, by.id), ShouldEqual, slices.Contains(want, by.id))
+	for _, observer := range n.hosts {
+		if observer.incarnation > 0 && observer.config.IsAgentNode {
+			got := observer.controllerCandidates()
+			So(slices.Contains(got, observer.id), ShouldEqual, slices.Contains(want, observer.id))
 		}
 	}
 	return want
 }
 
 func TestGossip(t *testing.T) {
-	// Storage nodes hear of all processes, the others not of all agent nodes.
-	isExpected := func(by, of *host) bool { return by.hasDisk || !of.config.IsAgentNode }
-	isStorageNode := func(_, of *host) bool { return of.hasDisk }
+	// Storage nodes hear of all processes; other processes don't hear of every agent node.
+	isExpected := func(observer, observed *host) bool { return observer.hasDisk || !observed.config.IsAgentNode }
+	isStorageNode := func(_, observed *host) bool { return observed.hasDisk }
 	conveyInClusters(t, "In a cluster of eighteen all processes hear of the storage and gateway nodes regularly, and the storage nodes of all processes", func(n *network) {
 		So(n.isBootstrapped(), ShouldBeTrue)
 		So(n.maxSilence(20*eventloop.Second, isStorageNode), ShouldBeLessThan, 1000*eventloop.Millisecond)
@@ -59,7 +59,7 @@
 	})
 	conveyInClusters(t, "also if one message in ten is lost", func(n *network) {
 		n.loss, n.lossEnd = 0.1, n.now+eventloop.Second*60
-		byAgentNode := func(by, of *host) bool { return by.config.IsAgentNode && of.hasDisk }
+		byAgentNode := func(observer, observed *host) bool { return observer.config.IsAgentNode && observed.hasDisk }
 		So(n.maxSilence(20*eventloop.Second, byAgentNode), ShouldBeLessThan, 1500*eventloop.Millisecond)
 	})
 	conveyInClusters(t, "also if an agent node is partitioned from a storage node", func(n *network) {
@@ -75,13 +75,13 @@
 			return from == storageNode && to.hasDisk || from.hasDisk && to == storageNode
 		}
 		n.runTo(n.now + 5*eventloop.Second)
-		So(n.maxSilence(20*eventloop.Second, func(by, of *host) bool { return of == storageNode && by.config.IsAgentNode }), ShouldBeLessThan, 2500*eventloop.Millisecond)
+		So(n.maxSilence(20*eventloop.Second, func(observer, observed *host) bool { return observed == storageNode && observer.config.IsAgentNode }), ShouldBeLessThan, 2500*eventloop.Millisecond)
 	})
 	conveyInClusters(t, "A gateway node that reaches no storage node is heard of indirectly", func(n *network) {
 		gateway := n.hosts[8]
 		n.isPartitioned = func(from, to *host) bool { return from == gateway && to.hasDisk || from.hasDisk && to == gateway }
 		n.runTo(n.now + 5*eventloop.Second)
-		So(n.maxSilence(20*eventloop.Second, func(by, of *host) bool { return of == gateway && by.hasDisk }), ShouldBeLessThan, 4*eventloop.Second)
+		So(n.maxSilence(20*eventloop.Second, func(observer, observed *host) bool { return observed == gateway && observer.hasDisk }), ShouldBeLessThan, 4*eventloop.Second)
 	})
 }
 
@@ -91,29 +91,29 @@
 		storageNode.stop()
 		crashedAt := n.now
 		n.runTo(n.now + 3*eventloop.Second)
-		for _, by := range n.hosts {
-			if by.incarnation > 0 {
-				So(by.membership.members[storageNode.id].LastHeard-crashedAt, ShouldBeLessThan, 600*eventloop.Millisecond)
+		for _, observer := range n.hosts {
+			if observer.incarnation > 0 {
+				So(observer.membership.members[storageNode.id].LastHeard-crashedAt, ShouldBeLessThan, 600*eventloop.Millisecond)
 			}
 		}
-		So(n.maxSilence(20*eventloop.Second, func(_, of *host) bool { return of.hasDisk && of != storageNode }), ShouldBeLessThan, 1500*eventloop.Millisecond)
+		So(n.maxSilence(20*eventloop.Second, func(_, observed *host) bool { return observed.hasDisk && observed != storageNode }), ShouldBeLessThan, 1500*eventloop.Millisecond)
 	})
 	conveyInClusters(t, "A process that starts is soon known everywhere, and so is one that drains", func(n *network) {
 		gateway := n.hosts[8]
 		gateway.stop()
 		gateway.start()
 		n.runTo(n.now + 2500*eventloop.Millisecond)
-		for _, by := range n.hosts {
-			if by != gateway {
-				So(by.view.Members, ShouldContainKey, gateway.id)
-				So(by.addresses.Address(gateway.id), ShouldEqual, gateway.address)
+		for _, observer := range n.hosts {
+			if observer != gateway {
+				So(observer.view.Members, ShouldContainKey, gateway.id)
+				So(observer.addresses.Address(gateway.id), ShouldEqual, gateway.address)
 			}
 		}
 		gateway.step(eventloop.Message{Body: Draining{}})
 		n.runTo(n.now + 600*eventloop.Millisecond)
-		for _, by := range n.hosts {
-			if by != gateway && by.config.IsAgentNode {
-				So(by.membership.members[gateway.id].Member.Draining, ShouldBeTrue)
+		for _, observer := range n.hosts {
+			if observer != gateway && observer.config.IsAgentNode {
+				So(observer.membership.members[gateway.id].Member.Draining, ShouldBeTrue)
 			}
 		}
 	})
@@ -159,7 +159,7 @@
 	Convey("The traffic is bounded", t, func() {
 		n := newRunningCluster(1)
 		n.messages, n.bytes, n.encoders = 0, 0, map[string]*gob.Encoder{}
-		n.runTo(n.now + 5*eventloop.Second) // types are sent over each link once
+		n.runTo(n.now + 5*eventloop.Second) // gob sends the type descriptions once over each link
 		n.messages, n.bytes = 0, 0
 		n.runTo(n.now + 20*eventloop.Second)
 		t.Logf("18 processes: %d messages/s, %d bytes/s", n.messages/20, n.bytes/20)
@@ -195,7 +195,8 @@
 					Id: fmt.Sprintf("old%d", k), Joined: true, BootstrapVote: []string{"old3", "old4", "old5"}, KnownAddresses: []string{"10.0.0.03:1", "10.0.0.04:1", "10.0.0.05:1"},
 				}
 			}
-			// The storage nodes find each other by their known addresses; the seeds start last.
+			// The storage nodes discover each other through their known addresses; the seeds start
+			// last.
 			for _, h := range n.hosts[:3] {
 				h.startDelay = 300*eventloop.Millisecond + n.randomDelay(300*eventloop.Millisecond)
 			}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,14 +1,16 @@
-// Package membership knows which processes belong to the cluster, where they listen and
-// whether they are alive. It is a gossip protocol in the manner of SWIM: each process counts
-// up a heartbeat of its own, and a member's status is superseded by one of a later
-// incarnation or a higher heartbeat. From the seeds of its settings a process finds all
-// others. The package also bootstraps the cluster: it agrees, once, on the storage nodes
-// that create the cluster state's group.
+// Package membership tracks which processes belong to the cluster, where they listen and
+// whether they are alive. It implements a gossip protocol similar to SWIM: each process
+// increments its own heartbeat counter, and a member's status is replaced by one with a later
+// incarnation, or with the same incarnation and a higher heartbeat. A process starts from the
+// seed addresses in its settings and discovers all other processes through them. The package
+// also bootstraps the cluster: the storage nodes agree, once, on which of them create the
+// group that replicates the cluster state.
 //
-// A Membership is the component of one process and owns all of its state. Its subscribers,
-// the other components of the process, get a View at each tick; transports resolve addresses
-// by the AddressBook. What must survive a restart, the StoreIdentity, is persisted by the
-// component "replica" on PersistIdentity.
+// A Membership is an event-loop component. Each process runs one, which owns all membership
+// state of the process. At each tick it sends a View to its subscribers, which are other
+// components of the process; transports look up addresses in the AddressBook. The
+// StoreIdentity must survive a restart, so the component "replica" writes it to disk when it
+// receives PersistIdentity.
 package membership
 
 import (
@@ -21,51 +23,53 @@
 	"sparnotch/internal/schema"
 )
 
-// TickInterval is the period of the component's ticks, and of a process's heartbeats.
+// TickInterval is the time between two ticks of a Membership. A process increments its
+// heartbeat at every tick.
 const TickInterval = 250 * eventloop.Millisecond
 
 const (
-	forgetTimeout  = 60 * eventloop.Second // a member that isn't heard from for so long is removed
-	pauseThreshold = 4 * TickInterval      // a longer time between two ticks means that this process was paused
+	forgetTimeout  = 60 * eventloop.Second // a member is removed when nothing was heard of it for longer
+	pauseThreshold = 4 * TickInterval      // if more time passes between two ticks, this process was paused
 
 	persistPeersInterval = 5 * eventloop.Second
-	persistedPeersMaxAge = 2 * eventloop.Second // members heard from within it are persisted
+	persistedPeersMaxAge = 2 * eventloop.Second // members not heard of for longer aren't persisted
 	maxPersistedPeers    = 12
 )
 
-// Membership is the component of one process. It isn't safe for concurrent use.
+// Membership is the event-loop component that tracks the cluster's members for one process. It
+// isn't safe for concurrent use.
 type Membership struct {
 	self            *schema.Member
 	config          Config
-	identity        *schema.StoreIdentity // as it is on disk; nil without a data directory
-	pendingIdentity *schema.StoreIdentity // being persisted; nil: nothing is
+	identity        *schema.StoreIdentity // the identity on disk; nil without a data directory
+	pendingIdentity *schema.StoreIdentity // the identity being written to disk; nil if none is
 	addresses       *AddressBook
-	subscribers     []string // components that get the View
+	subscribers     []string // names of the components that receive the View
 	rng             *rand.Rand
 
 	members            map[string]MemberStatus     // all other processes, by id
-	reports            map[string]peerReport       // the last gossip received from each process itself, by id
-	requesters         map[string]eventloop.Micros // when each process last requested gossip here; only without storage
+	reports            map[string]peerReport       // the last gossip received directly from each process, by id
+	requesters         map[string]eventloop.Micros // when each process last requested gossip here; empty on a storage node
 	seenStorageNodes   map[string]eventloop.Micros // when each storage node was last heard of, by id
-	frozenStorageNodes []string                    // what is reported while a bootstrap vote is being persisted
+	frozenStorageNodes []string                    // ids to report while a bootstrap vote is being persisted
 	clusterExists      bool
-	knownAddresses     []string // peers persisted by the previous incarnation
+	knownAddresses     []string // addresses of peers that the previous incarnation persisted
 	peersPersistedAt   eventloop.Micros
 
 	ticks             uint64
 	lastTick          eventloop.Micros
 	pollTurn          uint64           // selects the storage node to poll next
-	awaitingResponse  bool             // nobody has replied since the last poll
-	hasUnsentChanges  bool             // the storage nodes may not know yet what is known here
-	hasUnknownMember  bool             // a heartbeat was received of a member that isn't known otherwise
+	awaitingResponse  bool             // no reply has arrived since the last poll
+	hasUnsentChanges  bool             // this process may know changes that the storage nodes don't know yet
+	hasUnknownMember  bool             // a heartbeat has arrived of a member whose other fields aren't known
 	fullSyncAt        eventloop.Micros // when full members were last requested
 	lastExtraGossipAt eventloop.Micros // when gossip was last sent between two ticks
-	agreementKey      string           // what all storage nodes and seeds agree on; empty: they don't
-	agreedSince       eventloop.Micros
+	agreementKey      string           // the voters and visible storage nodes that all agree on; empty if they don't agree
+	agreedSince       eventloop.Micros // when agreementKey was set to its current value
 }
 
-// New returns the component of a process. The identity is nil without a data directory. The
-// subscribers are the components of this process that get the View.
+// New returns the Membership of a process. The identity is nil if the process has no data
+// directory. The subscribers are the components of this process that receive the View.
 func New(self *schema.Member, config Config, identity *schema.StoreIdentity, addresses *AddressBook, subscribers []string, rng *rand.Rand) *Membership {
 	m := &Membership{
 		self: self, config: config, identity: identity, addresses: addresses, subscribers: subscribers, rng: rng,
@@ -97,7 +101,8 @@
 		refusalChanged := (body.Max >= WritesRefusedLatency) != (m.self.LatencyUs >= int64(WritesRefusedLatency))
 		m.self.LatencyUs = int64(body.Max)
 		if refusalChanged {
-			// Leaders and voters are chosen by it, so it doesn't wait for the next tick.
+			// The choice of leaders and voters depends on whether a node refuses writes, so
+			// the change is sent before the next tick.
 			m.broadcastChange(now, effects)
 		}
 	case Draining:
@@ -117,8 +122,9 @@
 	m.publish(now, effects)
 }
 
-// compensatePause gives all members time to be heard from after this process was paused:
-// they look unresponsive, though it was this process that didn't receive.
+// compensatePause corrects the state after a pause of this process. The members look
+// unresponsive only because this process received nothing, so their last heartbeats are moved
+// forward by the length of the pause. Reports from before the pause are discarded.
 func (m *Membership) compensatePause(now eventloop.Micros) {
 	if m.lastTick == 0 || now-m.lastTick <= pauseThreshold {
 		return
@@ -154,8 +160,9 @@
 	delete(m.reports, id)
 }
 
-// persistPeers persists the addresses of some live members, storage nodes first: after a
-// restart they are contacted besides the seeds, which may have been replaced by then.
+// persistPeers persists the addresses of some live members, storage nodes first. After a
+// restart the process contacts them as well as the seeds, because the seeds may have been
+// replaced by then.
 func (m *Membership) persistPeers(now eventloop.Micros, effects eventloop.Effects) {
 	if m.identity == nil || !m.identity.Joined || m.pendingIdentity != nil || now-m.peersPersistedAt < persistPeersInterval {
 		return
@@ -181,8 +188,8 @@
 	m.persist(PersistIdentity{Identity: next}, effects)
 }
 
-// persist requests a change of the identity. It takes effect on IdentityPersisted; until
-// then no other is requested.
+// persist asks the component "replica" to persist a changed identity. The change takes effect
+// when IdentityPersisted arrives; no other change is requested until then.
 func (m *Membership) persist(request PersistIdentity, effects eventloop.Effects) {
 	m.pendingIdentity = request.Identity
 	effects.Notify("replica", request)
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -5,24 +5,26 @@
 	"sparnotch/internal/schema"
 )
 
-// The messages between a Membership and the other components of its process, besides View.
+// This file declares the messages between a Membership and the other components of its process,
+// except View.
 
-// PersistIdentity asks the component "replica" to persist the identity of this process. It is
-// answered with IdentityPersisted.
+// PersistIdentity asks the component "replica" to persist the identity of this process. The
+// component replies with IdentityPersisted once the identity is durable.
 type PersistIdentity struct {
 	Identity        *schema.StoreIdentity
-	BootstrapVoters []string // not empty: also create the cluster state's group with these voters
+	BootstrapVoters []string // if not empty, the cluster state's group is also created with these voters
 }
 
-// IdentityPersisted says that an identity is durable.
+// IdentityPersisted tells a Membership that the identity of its process is durable.
 type IdentityPersisted struct{ Identity *schema.StoreIdentity }
 
-// LatencyReport has the highest recent latency of this process's disk and event loop.
+// LatencyReport tells a Membership the highest recent latency of the disk and the event loop of
+// its process. Max is WritesRefusedLatency if the process accepts no writes.
 type LatencyReport struct{ Max eventloop.Micros }
 
-// Draining says that this process is shutting down gracefully.
+// Draining tells a Membership that its process is shutting down gracefully.
 type Draining struct{}
 
-// ClusterStateObserved says that this process holds a version of the cluster state, so a
-// cluster exists.
+// ClusterStateObserved tells a Membership that its process has received the cluster state. A
+// version above 0 proves that a cluster exists.
 type ClusterStateObserved struct{ Version uint64 }
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -13,30 +13,33 @@
 	"sparnotch/internal/schema"
 )
 
-// host is a machine with one process, of which only the Membership is simulated.
+// host simulates a machine that runs one process, of which only the Membership is simulated. It
+// implements the Membership's eventloop.Effects.
 type host struct {
 	net        *network
 	address    string
 	zone       string
 	config     Config
 	hasDisk    bool
-	identity   *schema.StoreIdentity // on disk
-	startDelay eventloop.Micros      // from startAll on
+	identity   *schema.StoreIdentity // the identity on disk
+	startDelay eventloop.Micros      // minimum delay between startAll and the start
 
-	id           string // of the running process
-	incarnation  int    // of the running process; 0: none runs
-	incarnations int
+	id           string // id of the running process
+	incarnation  int    // incarnation of the running process; 0 if none runs
+	incarnations int    // how often the process was started
 	membership   *Membership
 	addresses    *AddressBook
 	view         *View
 }
 
+// event is an action scheduled at a simulated time.
 type event struct {
 	at     eventloop.Micros
 	seq    int
 	action func()
 }
 
+// events is a heap of events, ordered by time and then by the order in which they were scheduled.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -55,24 +58,24 @@
 	return last
 }
 
-// network is a deterministic simulation of hosts and the links between them. Which messages
-// are lost and how late the others arrive is drawn from its seed.
+// network is a deterministic simulation of hosts and the links between them. Its random seed
+// determines which messages are lost and how long the others are delayed.
 type network struct {
 	rng            *rand.Rand
 	now            eventloop.Micros
 	seq            int
 	queue          events
 	hosts          []*host
-	loss           float64 // of messages, until lossEnd
+	loss           float64 // fraction of messages that are lost until lossEnd
 	lossEnd        eventloop.Micros
-	maxDelay       eventloop.Micros // of a message
+	maxDelay       eventloop.Micros // maximum delay of a message
 	isPartitioned  func(from, to *host) bool
-	votes          map[string]bool  // all that were ever persisted
-	bootstrapped   map[string]bool  // sets of voters the group was created with
+	votes          map[string]bool  // all votes that were ever persisted
+	bootstrapped   map[string]bool  // all sets of voters with which the group was created
 	bootstrappedAt eventloop.Micros // when a node last created the group
 	messages       int
 	bytes          int
-	encoders       map[string]*gob.Encoder // nil: bytes aren't counted
+	encoders       map[string]*gob.Encoder // by link; nil if bytes aren't counted
 	onGossip       func(from, to *host, gossip *schema.Gossip)
 }
 
@@ -83,11 +86,13 @@
 	}
 }
 
+// after schedules an action.
 func (n *network) after(delay eventloop.Micros, action func()) {
 	n.seq++
 	heap.Push(&n.queue, event{n.now + delay, n.seq, action})
 }
 
+// runTo runs all events up to a time, which becomes the current time.
 func (n *network) runTo(end eventloop.Micros) {
 	for len(n.queue) > 0 && n.queue[0].at <= end {
 		next := heap.Pop(&n.queue).(event)
@@ -101,6 +106,7 @@
 	return eventloop.Micros(n.rng.Int64N(int64(maxDelay) + 1))
 }
 
+// start starts a process, which keeps the identity that is on disk.
 func (h *host) start() {
 	n := h.net
 	h.incarnations++
@@ -169,7 +175,7 @@
 	}
 }
 
-// byteCounter is a writer that counts what the network sends.
+// byteCounter is a writer that counts the bytes that the network sends.
 type byteCounter struct{ net *network }
 
 func (c byteCounter) Write(data []byte) (int, error) {
@@ -177,7 +183,7 @@
 	return len(data), nil
 }
 
-// countBytes counts the size of a message in the encoding of the transport, which is gob.
+// countBytes adds the size of a message in the transport's encoding, gob.
 func (n *network) countBytes(link, from string, body any) {
 	encoder := n.encoders[link]
 	if encoder == nil {
@@ -214,7 +220,7 @@
 				n.bootstrapped[strings.Join(body.BootstrapVoters, " ")] = true
 				n.bootstrappedAt = n.now
 			}
-			// The process may end between the sync and its acknowledgement.
+			// The process may stop after the disk sync and before IdentityPersisted arrives.
 			n.after(n.randomDelay(5*eventloop.Millisecond), func() {
 				if h.incarnation == incarnation {
 					h.step(eventloop.Message{Body: IdentityPersisted{Identity: body.Identity}})
@@ -224,9 +230,9 @@
 	}
 }
 
-// addHosts adds a host for each letter of the shape: S a storage node, s one at a seed's
-// address, f a gateway node, F one at a seed's address, h an agent node. They are in three
-// zones in turn.
+// addHosts adds a host for each letter of the shape. S is a storage node, s a storage node at a
+// seed's address, f a gateway node, F a gateway node at a seed's address and h an agent node. The
+// hosts are assigned to three zones in turn.
 func (n *network) addHosts(shape string, bootstrap bool, machineFailures uint32) {
 	var seeds []string
 	for k, kind := range shape {
@@ -242,6 +248,8 @@
 	}
 }
 
+// startAll schedules the start of all hosts that were never started: each starts after its start
+// delay and a random time within the given limit.
 func (n *network) startAll(within eventloop.Micros) {
 	for _, h := range n.hosts {
 		if h.incarnation == 0 && h.incarnations == 0 {
@@ -250,7 +258,8 @@
 	}
 }
 
-// isBootstrapped reports whether there is one cluster and each of its first voters has joined.
+// isBootstrapped reports whether exactly one cluster was created and each of its initial voters
+// has joined.
 func (n *network) isBootstrapped() bool {
 	if len(n.bootstrapped) != 1 {
 		return false
@@ -267,7 +276,7 @@
 	return true
 }
 
-// voterCount is the number of first voters.
+// voterCount returns the number of initial voters, or 0 if no cluster was created.
 func (n *network) voterCount() int {
 	for set := range n.bootstrapped {
 		return len(strings.Split(set, " "))
@@ -275,8 +284,8 @@
 	return 0
 }
 
-// newRunningCluster is a bootstrapped cluster: six storage nodes, one of them a seed, three
-// gateway nodes and nine agent nodes.
+// newRunningCluster returns a bootstrapped cluster with six storage nodes, one of them a seed,
+// three gateway nodes and nine agent nodes.
 func newRunningCluster(seed uint64) *network {
 	n := newNetwork(seed)
 	n.maxDelay = 2 * eventloop.Millisecond
@@ -286,18 +295,19 @@
 	return n
 }
 
-// maxSilence returns the longest time within a period in which a host didn't hear of another
-// that it watches.
-func (n *network) maxSilence(period eventloop.Micros, watches func(by, of *host) bool) eventloop.Micros {
+// maxSilence runs the network for a period and returns the longest time in which a host didn't
+// hear of another one. It considers the pairs of hosts for which watches returns true. If one of
+// them never heard of the other, it returns the whole period.
+func (n *network) maxSilence(period eventloop.Micros, watches func(observer, observed *host) bool) eventloop.Micros {
 	var worst eventloop.Micros
 	for end := n.now + period; n.now < end; {
 		n.runTo(n.now + 50*eventloop.Millisecond)
-		for _, by := range n.hosts {
-			for _, of := range n.hosts {
-				if by == of || by.incarnation == 0 || !watches(by, of) {
+		for _, observer := range n.hosts {
+			for _, observed := range n.hosts {
+				if observer == observed || observer.incarnation == 0 || !watches(observer, observed) {
 					continue
 				}
-				status, found := by.membership.members[of.id]
+				status, found := observer.membership.members[observed.id]
 				if !found {
 					return period
 				}
--- a/internal/membership/seeds_test.go
+++ b/internal/membership/seeds_test.go
@@ -12,8 +12,8 @@
 	"sparnotch/internal/schema"
 )
 
-// fullGossipCounter counts the messages with a full member that a component dials, by address.
-// They are answered with full members.
+// fullGossipCounter implements eventloop.Effects and counts, by address, the sent messages that
+// contain a full member. Such a message requests full members.
 type fullGossipCounter struct{ fullGossips map[string]int }
 
 func (c *fullGossipCounter) Send(string, any)    {}
@@ -42,31 +42,31 @@
 	return storageNodes
 }
 
-// TestReplacedSeeds: processes outlive their seeds, as when all storage nodes are replaced, one
-// after the other, by nodes at other addresses.
+// TestReplacedSeeds covers processes that outlive their seeds, for example because all storage
+// nodes are replaced, one after the other, by nodes at other addresses.
 func TestReplacedSeeds(t *testing.T) {
 	Convey("When no seed is left, processes that have run since the first start learn of a new storage node", t, func() {
 		for seed := range uint64(10) {
 			n := newRunningCluster(seed)
-			currentSeeds := n.stopSeeds() // of settings that are written now
+			currentSeeds := n.stopSeeds() // the seeds in newly written settings
 			n.runTo(n.now + 5*eventloop.Second)
 			joining := &host{net: n, address: "10.0.1.1:1", zone: "c0", hasDisk: true, config: Config{Seeds: currentSeeds, MachineFailures: 1}}
 			n.hosts = append(n.hosts, joining)
 			joining.start()
 			n.runTo(n.now + 3*eventloop.Second)
-			for _, by := range n.hosts {
-				if by.incarnation == 0 || by == joining {
+			for _, observer := range n.hosts {
+				if observer.incarnation == 0 || observer == joining {
 					continue
 				}
-				So(by.view.Members, ShouldContainKey, joining.id)
-				So(by.addresses.Address(joining.id), ShouldEqual, joining.address)
+				So(observer.view.Members, ShouldContainKey, joining.id)
+				So(observer.addresses.Address(joining.id), ShouldEqual, joining.address)
 			}
 		}
 	})
 }
 
-// TestUnknownMemberWithoutSeeds: an agent node whose seeds don't answer receives heartbeats of a
-// member that it doesn't know, always just after it has contacted a seed.
+// TestUnknownMemberWithoutSeeds covers an agent node whose seeds don't reply. It receives heartbeats
+// of a member that it doesn't know, always just after it has contacted a seed.
 func TestUnknownMemberWithoutSeeds(t *testing.T) {
 	Convey("A process that receives the heartbeat of an unknown member asks a storage node for full members if its seeds don't answer", t, func() {
 		self := &schema.Member{Id: "agent", Incarnation: 1, Role: schema.Role_ROLE_CONTROLLER, InternalAddress: "10.0.0.9:1"}
@@ -82,7 +82,7 @@
 			component.Step(now, eventloop.Message{Body: eventloop.Tick{}}, effects)
 			asked += effects.fullGossips[store.InternalAddress]
 			if !hasUnknown {
-				// The heartbeats begin just after a seed was contacted.
+				// The heartbeats of the unknown member begin just after a seed was contacted.
 				hasUnknown, asked = now > 20*eventloop.Second && component.fullSyncAt == now, 0
 			}
 			store.Heartbeat++
--- a/internal/membership/stale_gossip_test.go
+++ b/internal/membership/stale_gossip_test.go
@@ -10,7 +10,7 @@
 	"sparnotch/internal/schema"
 )
 
-// dialCounter counts the messages that a component dials, by address.
+// dialCounter implements eventloop.Effects and counts the messages sent to each address.
 type dialCounter map[string]int
 
 func (c dialCounter) Send(string, any)                    {}
--- a/internal/membership/topology_test.go
+++ b/internal/membership/topology_test.go
@@ -8,7 +8,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// deployment returns the zones of so many storage nodes by id, and the regions of so many zones.
+// deployment assigns storage nodes to zones, and zones to regions, each in turn. It returns the
+// zone of each storage node by id, and the region of each zone.
 func deployment(storageNodes, zones, regions int) (zoneByID, regionByZone map[string]string) {
 	zoneByID, regionByZone = map[string]string{}, map[string]string{}
 	for k := range zones {
@@ -20,8 +21,8 @@
 	return zoneByID, regionByZone
 }
 
-// checkSelectedVoters selects voters from storage nodes, given by zone, which tolerate the
-// wanted failures just if that is possible.
+// checkSelectedVoters selects voters from storage nodes, whose zones are keyed by id, and checks
+// that the voters tolerate the failures if and only if isTolerable.
 func checkSelectedVoters(tolerance FaultTolerance, zoneByID map[string]string, isTolerable bool) {
 	var all, chosen []string
 	for _, zone := range zoneByID {
