--- a/internal/controller/cluster_state.go
+++ b/internal/controller/cluster_state.go
@@ -10,17 +10,19 @@
 	"sparnotch/internal/schema"
 )
 
+// pollInterval is the time between two polls of the cluster state.
 const pollInterval = 250 * eventloop.Millisecond
 
 // storageNodeReport is the last response of a storage node to a poll.
 type storageNodeReport struct {
 	receivedAt eventloop.Micros
-	update     *schema.ClusterStateResponse // nil: none
+	update     *schema.ClusterStateResponse // nil if the storage node never responded
 }
 
 // pollClusterState requests the cluster state. A candidate for the controller lease polls every
-// storage node, for as controller it must know what each of them reports. The other agent nodes
-// poll one in turn: polls of all by all would load the storage nodes too much.
+// storage node, because as controller it needs the reports of all of them. Every other agent node
+// polls the storage nodes in turn, one at a time: the load on the storage nodes would be too high
+// if all agent nodes polled all storage nodes.
 func (c *Controller) pollClusterState(now eventloop.Micros, effects eventloop.Effects) {
 	storageNodes := c.liveStorageNodes(now)
 	if len(storageNodes) == 0 {
@@ -35,12 +37,12 @@
 	}
 }
 
-// handleClusterState takes a storage node's response and acts on what can't wait for the next
-// tick.
+// handleClusterState stores a storage node's response and takes the actions that shouldn't wait for
+// the next tick.
 func (c *Controller) handleClusterState(now eventloop.Micros, from string, update *schema.ClusterStateResponse, effects eventloop.Effects) {
 	state, err := clusterstate.DecodeUpdate(update, c.state.Configuration)
 	if err != nil {
-		return // the next poll requests it again
+		return // the next poll requests the state again
 	}
 	changed := state != nil && state.Version > c.state.Version
 	if state != nil && state.Version >= c.state.Version {
@@ -50,7 +52,7 @@
 	if update.ControllerLeaseExpiresUs > c.leaseExpiryUs {
 		c.leaseExpiryUs, c.leaseExpirySeenAt = update.ControllerLeaseExpiresUs, now
 	}
-	// A response from before a known change is outdated.
+	// A response with an older version than the known state is outdated.
 	if update.Version >= c.state.Version {
 		c.reports[from] = storageNodeReport{receivedAt: now, update: update}
 		c.firstReportAt = cmp.Or(c.firstReportAt, now)
@@ -59,32 +61,32 @@
 	if c.view == nil || !c.holdsLease(now) {
 		return
 	}
-	// The next step of a repair waits for the report that the previous one is done.
+	// The next membership change of a repair waits for a report that the previous one is done.
 	if len(update.QueueStatuses) > 0 {
 		c.reconcileMembers(now, effects)
 	}
-	// Clients wait for queues that were just configured.
+	// Clients wait until newly configured queues are placed.
 	if changed {
 		c.reconcileQueues(now, effects)
 	}
 }
 
-// publish sends the whole state to the subscribers each time, so that one that misses a message
-// gets the next.
+// publish sends the cluster state to the subscribers. It always sends the whole state, so that a
+// subscriber that misses a message is up to date after the next one.
 func (c *Controller) publish(leaders map[string]string, effects eventloop.Effects) {
 	for _, subscriber := range c.subscribers {
 		effects.Notify(subscriber, &schema.ClusterStateResponse{State: c.state, Version: c.state.Version, Leaders: leaders})
 	}
 }
 
-// freshReport returns a storage node's report, unless it is older than the node may be
-// unresponsive.
+// freshReport returns a storage node's last report, and whether the report is at most as old as
+// the timeout after which an unresponsive node is suspected.
 func (c *Controller) freshReport(now eventloop.Micros, id string) (storageNodeReport, bool) {
 	report, found := c.reports[id]
 	return report, found && now-report.receivedAt <= c.timeouts.SuspectTimeout
 }
 
-// groupStatuses returns what the leaders report of their groups, by group.
+// groupStatuses returns the statuses that leaders report of their groups, by group name.
 func (c *Controller) groupStatuses(now eventloop.Micros) map[string]*schema.QueueStatus {
 	statuses := map[string]*schema.QueueStatus{}
 	for _, id := range c.liveStorageNodes(now) {
@@ -99,14 +101,16 @@
 	return statuses
 }
 
-// leaderOf returns the live storage node that reports to lead a group itself, else the one that
-// others name; empty if none is known.
+// leaderOf returns the id of a group's leader: the live storage node that reports itself as the
+// leader, or otherwise the node that other live storage nodes report. It returns an empty string
+// if no leader is known.
 func (c *Controller) leaderOf(now eventloop.Micros, group string) string {
 	return c.leaderAmong(now, c.liveStorageNodes(now), group)
 }
 
+// leaderAmong returns the leader of a group as leaderOf does, given the live storage nodes.
 func (c *Controller) leaderAmong(now eventloop.Micros, storageNodes []string, group string) string {
-	named, selfReported := "", ""
+	reportedByOthers, selfReported := "", ""
 	var selfReportedAt eventloop.Micros
 	for _, id := range storageNodes {
 		report, fresh := c.freshReport(now, id)
@@ -114,22 +118,23 @@
 			continue
 		}
 		leader := report.update.Leaders[group]
-		// If two report to lead, the earlier one may have crashed since.
+		// If two nodes report themselves, the newer report counts: the other node may have crashed
+		// since it sent its report.
 		if leader == id && (selfReported == "" || report.receivedAt > selfReportedAt) {
 			selfReported, selfReportedAt = id, report.receivedAt
 		}
 		if leader != "" {
-			named = leader
+			reportedByOthers = leader
 		}
 	}
 	if selfReported != "" {
 		return selfReported
 	}
-	return named
+	return reportedByOthers
 }
 
-// sendCommand sends a command to the leader of the cluster state's group. It returns the
-// request's id, or 0 if no leader is known.
+// sendCommand sends a command to the leader of the cluster state's group. It returns the id of the
+// request, or 0 if it sent nothing because no leader is known.
 func (c *Controller) sendCommand(now eventloop.Micros, command *schema.ClusterStateCommand, effects eventloop.Effects) uint64 {
 	to := c.leaderOf(now, clusterstate.GroupName)
 	if to == "" {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,15 +1,16 @@
-// Package controller is the cluster's control plane: it reconciles the cluster state with the
-// configuration and with the processes that are alive. It places and removes queues, chooses
-// the storage node that leads the queues and holds the worker leases, replaces lost voters,
-// and ends the sessions of gateway nodes that are gone.
+// Package controller implements the cluster's control plane. It reconciles the cluster state with
+// the configuration and with the processes that are alive: it places and removes queues, chooses
+// the storage node that leads the queues and holds the worker leases, replaces lost voters, and
+// ends the sessions of gateway nodes that are gone.
 //
 // Each agent node runs a Controller, but only the holder of the controller lease acts. The
-// lease is granted by the cluster state, which checks its fencing token on the commands that
-// place queues and assign workers; leaders check it on membership changes and on requests to
-// end sessions.
+// cluster state grants the lease. It checks the lease's fencing token on commands that place
+// queues or assign workers; group leaders check the token on membership changes and on requests
+// to end sessions.
+//
 // A Controller owns no durable state: it works on copies of the cluster state that it polls
-// from the storage nodes. Without any controller the cluster goes on as the cluster state
-// last said.
+// from the storage nodes. While no controller acts, the cluster continues to operate as the
+// cluster state last specified.
 package controller
 
 import (
@@ -23,60 +24,62 @@
 	"sparnotch/internal/timing"
 )
 
-// TickInterval is the period of the component's ticks.
+// TickInterval is the time between two ticks of a Controller.
 const TickInterval = 50 * eventloop.Millisecond
 
-// actionInterval is how long an action isn't repeated: its effect may not be visible yet.
+// actionInterval is the minimum time before an action is repeated, because its effect may not be
+// visible earlier.
 const actionInterval = 200 * eventloop.Millisecond
 
-// Controller is the component of one agent node. It isn't safe for concurrent use.
+// Controller is the event-loop component that runs the control plane on an agent node. It isn't
+// safe for concurrent use.
 type Controller struct {
 	id          string
-	subscribers []string // components that get the cluster state
+	subscribers []string // names of the components that receive the cluster state
 	timeouts    timing.Timeouts
 	tolerance   membership.FaultTolerance
 
 	votersPerGroup int
 
-	// What is known of the cluster.
+	// Knowledge of the cluster.
 	state         *schema.ClusterState
 	values        *clusterstate.Values
-	view          *membership.View // nil until the first one
-	reports       map[string]storageNodeReport
-	missingSince  map[string]eventloop.Micros // when a storage node, or "gateway/" and a gateway node, was first missed
-	lastLocations map[string]lastLocation     // of the storage nodes, also of those that left the view
-	firstReportAt eventloop.Micros            // 0: none has come
-	polledAt      eventloop.Micros
-	pollTurn      int // selects the storage node to poll next
+	view          *membership.View             // nil until the first view arrives
+	reports       map[string]storageNodeReport // the last report of each storage node, by id
+	missingSince  map[string]eventloop.Micros  // when each node was first missed, by storage node id or "gateway/" + gateway node id
+	lastLocations map[string]lastLocation      // of all storage nodes by id, including those that left the view
+	firstReportAt eventloop.Micros             // when the first report arrived; 0 if none has
+	polledAt      eventloop.Micros             // when the cluster state was last polled
+	pollTurn      int                          // selects the storage node to poll next
 
 	// The controller lease.
-	leaseExpiryUs       int64                       // the latest expiry seen, in the cluster state's time; 0: none
-	leaseExpirySeenAt   eventloop.Micros            // when it was first seen
+	leaseExpiryUs       int64                       // the latest expiry seen, in the cluster state's time; 0 if none was seen
+	leaseExpirySeenAt   eventloop.Micros            // when leaseExpiryUs was first seen, by this node's clock
 	pendingClaims       map[uint64]eventloop.Micros // when each unanswered claim was sent, by request id
 	claimedAt           eventloop.Micros            // when the last claim was sent
-	newestAnsweredClaim uint64
-	fencingToken        uint64           // 0: the lease isn't held
-	leaseValidUntil     eventloop.Micros // by this node's clock
+	newestAnsweredClaim uint64                      // the highest request id of a claim with a reply
+	fencingToken        uint64                      // 0 if the lease isn't held
+	leaseValidUntil     eventloop.Micros            // by this node's clock
 
-	// What was done last.
+	// Previous actions.
 	lastRequestID   uint64
-	lastActions     map[string]eventloop.Micros // when each action was taken
-	lastQueueAction string                      // the content of the last placement of queues
-	leadersMovedAt  eventloop.Micros
+	lastActions     map[string]eventloop.Micros // when each action was last taken
+	lastQueueAction string                      // placementKey of the last command sent by reconcileQueues
+	leadersMovedAt  eventloop.Micros            // when queue leaders or worker leases were last moved
 
-	unconfiguredSince    map[string]eventloop.Micros // when a queue's group was first seen without its queue being configured
-	unconfiguredRevision uint64                      // of the configuration that this was seen in last
+	unconfiguredSince    map[string]eventloop.Micros // when each group's queue was first missing from the configuration
+	unconfiguredRevision uint64                      // configuration revision of the last update of unconfiguredSince
 }
 
-// lastLocation is where a storage node was last heard from.
+// lastLocation records where and when a storage node was last heard of.
 type lastLocation struct {
 	address, zone string
 	lastHeard     eventloop.Micros
 }
 
-// New returns the controller of an agent node. The machine failures are the storage nodes that
-// may be lost at once; 0: one. The subscribers are the components of this process that get
-// the cluster state.
+// New returns the controller of an agent node with the given id. machineFailures is the number of
+// storage nodes that may be lost at once; 0 means 1. The subscribers are the components of this
+// process that receive the cluster state.
 func New(id string, machineFailures uint32, subscribers ...string) *Controller {
 	return &Controller{
 		id:             id,
@@ -95,22 +98,24 @@
 	}
 }
 
-// WithBounds sets the timeouts by the bounds of the deployment; nil or zero: the defaults.
+// WithBounds derives the timeouts from the bounds of the deployment. A bound that is zero, or nil
+// bounds, select the defaults.
 func (c *Controller) WithBounds(bounds *schema.Bounds) *Controller {
 	c.timeouts = timing.FromBounds(bounds)
 	return c
 }
 
-// WithTolerance sets the failures that each group must survive.
+// WithTolerance sets the failures that each group must survive, and the number of voters that this
+// requires.
 func (c *Controller) WithTolerance(tolerance membership.FaultTolerance) *Controller {
 	c.tolerance, c.votersPerGroup = tolerance, tolerance.VoterCount()
 	return c
 }
 
-// StateViewRequest asks for a StateView, which is the response to the request of that number.
+// StateViewRequest requests a StateView. Request is the id of the request to respond to.
 type StateViewRequest struct{ Request uint64 }
 
-// StateView is what an agent node knows of the cluster, for operators.
+// StateView shows operators an agent node's knowledge of the cluster.
 type StateView struct {
 	Node         string           `json:"node"`
 	Version      uint64           `json:"cluster_state_version"`
@@ -174,7 +179,7 @@
 	return slices.Sorted(maps.Keys(c.view.Members))
 }
 
-// liveStorageNodes returns the ids of the live storage nodes, sorted.
+// liveStorageNodes returns the sorted ids of the live storage nodes.
 func (c *Controller) liveStorageNodes(now eventloop.Micros) []string {
 	var ids []string
 	for _, id := range c.memberIDs() {
@@ -189,8 +194,8 @@
 	return c.view.IsAlive(id, now, c.timeouts.SuspectTimeout)
 }
 
-// allowAction reports whether an action may be taken, at most once in an interval, and notes
-// that it is.
+// allowAction reports whether an action may be taken now. It allows an action at most once per
+// interval, and records the time when it allows one.
 func (c *Controller) allowAction(now eventloop.Micros, action string, interval eventloop.Micros) bool {
 	if last, found := c.lastActions[action]; found && now-last < interval {
 		return false
--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -5,12 +5,12 @@
 	"sparnotch/internal/eventloop"
 )
 
-// deposedTimeout is how long a storage node must have left polls unanswered before it can
-// count as deposed.
+// deposedTimeout is how long a storage node must have left polls unanswered before the controller
+// may treat it as deposed.
 const deposedTimeout = 600 * eventloop.Millisecond
 
-// observeStorageNodes keeps track of which storage nodes are missing and where they were, also
-// while this node isn't the controller.
+// observeStorageNodes records which storage nodes are missing and where each was last heard of. It
+// does so even while this node doesn't hold the controller lease.
 func (c *Controller) observeStorageNodes(now eventloop.Micros) {
 	for id, status := range c.view.Members {
 		if status.Member.HasStorage {
@@ -23,8 +23,9 @@
 }
 
 // isLost reports whether a storage node has been missing for so long that its votes may be given
-// to another: sooner if a node has newly joined to replace it, at once if it has a successor. It
-// keeps track of when the node was first missed.
+// to another node. The timeout is shorter if another storage node has newly joined, and there is
+// none if the node has a successor at its address. isLost also records when the node was first
+// missed.
 func (c *Controller) isLost(now eventloop.Micros, id string) bool {
 	status, found := c.view.Members[id]
 	if found && now-status.LastHeard < c.timeouts.SuspectTimeout {
@@ -33,15 +34,15 @@
 	}
 	missing := c.trackMissing(now, id)
 	if found {
-		// It is first missed when it has been unresponsive for this timeout.
+		// The node was recorded as missing only after it was unresponsive for this timeout.
 		missing += c.timeouts.SuspectTimeout
 	}
 	return c.hasSuccessor(now, id) || missing > c.timeouts.ReplaceTimeout ||
 		missing > c.timeouts.ReplaceByNewTimeout && c.hasNewlyJoined(now)
 }
 
-// trackMissing returns for how long a key has been missing, and starts the count at its first
-// call.
+// trackMissing returns how long a key of missingSince has been missing. The first call for a key
+// records the current time and returns 0.
 func (c *Controller) trackMissing(now eventloop.Micros, key string) eventloop.Micros {
 	since, found := c.missingSince[key]
 	if !found {
@@ -51,12 +52,12 @@
 	return now - since
 }
 
-// hasSuccessor reports whether another storage node runs at the address of an unresponsive one.
-// Then its disk is gone and it won't come back; to wait for it would only leave its groups a
-// voter short when the next machine fails.
+// hasSuccessor reports whether another storage node runs at the address of an unresponsive one. In
+// that case the disk of the unresponsive node is gone and the node won't come back. Waiting for it
+// would only leave its groups a voter short when the next machine fails.
 //
-// The membership removes a node as soon as another is heard from at its address, so the last
-// locations are kept here.
+// The membership removes a node as soon as another one is heard of at its address, so the
+// controller remembers the last locations itself.
 func (c *Controller) hasSuccessor(now eventloop.Micros, id string) bool {
 	previous, found := c.lastLocations[id]
 	if !found || previous.address == "" {
@@ -72,14 +73,15 @@
 	return false
 }
 
-// hasNewlyJoined reports whether a storage node has newly joined the cluster.
+// hasNewlyJoined reports whether any live storage node has newly joined the cluster, see
+// membership.IsNewlyJoined.
 func (c *Controller) hasNewlyJoined(now eventloop.Micros) bool {
 	return c.view.FindNewlyJoined(now, c.timeouts.ReplaceTimeout, c.clusterAge(now), nil) != ""
 }
 
-// clusterAge returns the age of the cluster, or less: the cluster state's time of the last grant
-// of the controller lease, which stands still without a leader, and the time since then by this
-// node's clock.
+// clusterAge returns a lower bound for the age of the cluster, in µs. It adds the time since the
+// last known grant of the controller lease, by this node's clock, to the time of that grant in the
+// cluster state. The cluster state's time stands still while its group has no leader.
 func (c *Controller) clusterAge(now eventloop.Micros) eventloop.Micros {
 	if c.leaseExpiryUs == 0 {
 		return 0
@@ -87,9 +89,9 @@
 	return eventloop.Micros(c.leaseExpiryUs-clusterstate.ControllerLeaseUs) + now - c.leaseExpirySeenAt
 }
 
-// isDeposed reports whether an unresponsive storage node has lost the leadership of all that it
-// led: other nodes report to lead it since. That is known before the node would be suspected
-// here.
+// isDeposed reports whether an unresponsive storage node has lost the leadership of all groups that
+// it led: since its last report, other nodes have reported that they lead these groups. The
+// controller learns this earlier than the timeout after which it would suspect the node.
 func (c *Controller) isDeposed(now eventloop.Micros, id string) bool {
 	last := c.reports[id]
 	if last.update == nil || now-last.receivedAt <= deposedTimeout {
@@ -108,6 +110,8 @@
 	return wasLeader
 }
 
+// isLedByOtherSince reports whether a storage node other than id has reported after a time that it
+// leads a group.
 func (c *Controller) isLedByOtherSince(group, id string, since eventloop.Micros) bool {
 	for other, report := range c.reports {
 		if other != id && report.receivedAt > since && report.update.Leaders[group] == other {
--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -11,23 +11,25 @@
 	"sparnotch/internal/schema"
 )
 
-// runningMembers are members that have sent a heartbeat at each tick since they started.
+// runningMembers maps ids to members that have incremented their heartbeat at each tick since their
+// start.
 type runningMembers map[string]membership.MemberStatus
 
+// add adds a storage node that started at one time and was last heard of at another.
 func (m runningMembers) add(id string, incarnation uint64, startedAt, lastHeard eventloop.Micros) {
 	heartbeat := uint64((lastHeard - startedAt) / membership.TickInterval)
 	m[id] = membership.MemberStatus{Member: &schema.Member{Id: id, Incarnation: incarnation, Heartbeat: heartbeat, HasStorage: true, Role: schema.Role_ROLE_SERVER}, LastHeard: lastHeard}
 }
 
-// storageNodeLoss is a storage node "c" that becomes unresponsive beside "a" and "b".
+// storageNodeLoss describes the loss of storage node "c" in a cluster of "a", "b" and "c".
 type storageNodeLoss struct {
-	incarnation  uint64           // of a node "d" when it starts; 0: never
-	startDelay   eventloop.Micros // of "d" after the loss
-	isController bool             // the controller has the lease from the start, not since the loss
-	isForgotten  bool             // "c" leaves the view
+	incarnation  uint64           // incarnation of another storage node "d"; 0 if it never starts
+	startDelay   eventloop.Micros // time from the loss to the start of "d"; may be negative
+	isController bool             // the controller holds the lease from the start, not only after the loss
+	isForgotten  bool             // "c" leaves the view after the loss
 }
 
-// members are the members that have been seen.
+// members returns the members in the view at a time.
 func (l storageNodeLoss) members(now, startedAt, failedAt eventloop.Micros) runningMembers {
 	members := runningMembers{}
 	members.add("a", 1, startedAt, now)
@@ -41,7 +43,8 @@
 	return members
 }
 
-// replaceDelay returns how long after the loss "d" becomes a learner; 0: it doesn't.
+// replaceDelay returns the time from the loss until "d" is added as a learner, or 0 if it isn't
+// added within 10 s.
 func (l storageNodeLoss) replaceDelay() eventloop.Micros {
 	f := newControllerFixture()
 	if !l.isController {
@@ -54,7 +57,7 @@
 	for f.now < failedAt+10*eventloop.Second && len(f.memberChanges) == 0 {
 		f.now += TickInterval
 		f.controller.Step(f.now, eventloop.Message{Body: &membership.View{Members: l.members(f.now, startedAt, failedAt)}}, f)
-		// Until it gets the replies to its claims it isn't the controller.
+		// The node becomes the controller only when the replies to its claims are delivered.
 		if l.isController || f.now > failedAt+2*eventloop.Second {
 			for _, reply := range f.replies {
 				f.controller.Step(f.now, eventloop.Message{From: "a", Body: reply}, f)
@@ -72,7 +75,7 @@
 }
 
 func TestLostStorageNodes(t *testing.T) {
-	isForgotten := false // "c" leaves the view
+	isForgotten := false // see storageNodeLoss
 	replaceDelay := func(incarnation uint64, startDelay eventloop.Micros, isController bool) eventloop.Micros {
 		return storageNodeLoss{incarnation, startDelay, isController, isForgotten}.replaceDelay()
 	}
@@ -132,7 +135,8 @@
 	Convey("A storage node whose successor runs at its address is replaced at once, also if it left the view", t, func() {
 		g := newGroupFixture(0, "a", "b", "c")
 		g.run(3 * eventloop.Second)
-		// The membership removes an unresponsive process as soon as another is heard from at its address.
+		// The membership removes an unresponsive process as soon as another one is heard of at its
+		// address.
 		delete(g.members, "c")
 		g.add("d", "10.0.0.c", "")
 		g.run(eventloop.Second)
@@ -150,7 +154,8 @@
 		c.leaseExpiryUs, c.leaseExpirySeenAt = int64(60*eventloop.Second), eventloop.Second
 		So(c.hasNewlyJoined(eventloop.Second), ShouldBeTrue)
 		So(c.clusterAge(eventloop.Second), ShouldEqual, 60*eventloop.Second-clusterstate.ControllerLeaseUs)
-		// Also while nobody renews the lease: else a newly joined node would count as an initial one.
+		// The age also increases while no node renews the lease. Otherwise a newly joined node would
+		// count as an initial one.
 		So(c.clusterAge(10*eventloop.Second), ShouldEqual, 69*eventloop.Second-clusterstate.ControllerLeaseUs)
 	})
 }
--- a/internal/controller/fixture_test.go
+++ b/internal/controller/fixture_test.go
@@ -10,21 +10,21 @@
 	"sparnotch/internal/schema"
 )
 
-// controllerFixture runs a controller beside three storage nodes, of which "a" leads the cluster
-// state's group. It records what the controller sends.
+// controllerFixture runs a controller and simulates three storage nodes, "a", "b" and "c". Node "a"
+// leads the cluster state's group. The fixture records what the controller sends.
 type controllerFixture struct {
-	silentSince   map[string]eventloop.Micros // when storage nodes became unresponsive
-	otherMembers  map[string]*schema.Member
+	silentSince   map[string]eventloop.Micros // when storage nodes became unresponsive, by id
+	otherMembers  map[string]*schema.Member   // additional members, by id
 	memberChanges []*schema.ChangeMembers
 	controller    *Controller
 	now           eventloop.Micros
 	state         *schema.ClusterState
 	commands      []*schema.ClusterStateCommand
 	replies       []*schema.Response // in flight to the controller
-	clusterStart  eventloop.Micros   // 0: no lease expiry is reported
+	clusterStart  eventloop.Micros   // when the cluster started; 0 if no lease expiry is reported
 }
 
-// newControllerFixture returns one whose controller holds the lease, with the fencing token 7.
+// newControllerFixture returns a fixture whose controller holds the lease with fencing token 7.
 func newControllerFixture() *controllerFixture {
 	f := &controllerFixture{controller: New("h", 0), now: 100 * eventloop.Second, state: &schema.ClusterState{Version: 1, Configuration: &schema.Configuration{}}}
 	f.sendView()
@@ -60,7 +60,7 @@
 
 func (f *controllerFixture) Respond(uint64, any) {}
 
-// tick delivers the pending replies, a view and a tick.
+// tick advances the time by one tick and delivers the pending replies, a view and the tick.
 func (f *controllerFixture) tick() {
 	f.now += TickInterval
 	for _, reply := range f.replies {
@@ -71,7 +71,8 @@
 	f.controller.Step(f.now, eventloop.Message{Body: eventloop.Tick{}}, f)
 }
 
-// sendView sends a view in which all members but the unresponsive ones were just heard from.
+// sendView sends the controller a view in which all members except the unresponsive ones were just
+// heard of.
 func (f *controllerFixture) sendView() {
 	view := &membership.View{Members: map[string]membership.MemberStatus{}}
 	for _, id := range []string{"a", "b", "c"} {
@@ -87,7 +88,8 @@
 	f.controller.Step(f.now, eventloop.Message{Body: view}, f)
 }
 
-// sendUpdate sends the response of the cluster state's leader to a poll.
+// sendUpdate delivers the response of storage node "a" to a poll, with the given group statuses and
+// that of the cluster state's group.
 func (f *controllerFixture) sendUpdate(statuses ...*schema.QueueStatus) {
 	statuses = append(statuses, &schema.QueueStatus{Group: clusterstate.GroupName, Leader: "a", Voters: []string{"a", "b", "c"}})
 	expiresUs := int64(0)
@@ -99,7 +101,7 @@
 	}}, f)
 }
 
-// putQueues replaces the configuration by one with these queues.
+// putQueues replaces the configuration with a new revision that contains only these queues.
 func (f *controllerFixture) putQueues(queues ...string) {
 	f.state.Version++
 	f.state.Configuration = &schema.Configuration{Revision: f.state.Configuration.GetRevision() + 1}
@@ -108,7 +110,8 @@
 	}
 }
 
-// placed returns, for each placement command, the queues it places and removes.
+// placed returns, for each PlaceQueues command, the queues that it places and the groups that it
+// removes.
 func (f *controllerFixture) placed() [][]string {
 	var placed [][]string
 	for _, command := range f.commands {
--- a/internal/controller/group_fixture_test.go
+++ b/internal/controller/group_fixture_test.go
@@ -9,18 +9,19 @@
 	"sparnotch/internal/schema"
 )
 
-// groupFixture is a group whose members change as the controller requests. A change has taken
-// effect when the controller is run next.
+// groupFixture simulates a group whose members change as the controller requests. A change takes
+// effect before the controller runs again.
 type groupFixture struct {
 	controller      *Controller
 	now             eventloop.Micros
 	status          *schema.QueueStatus
-	members         map[string]*schema.Member
-	silentSince     map[string]eventloop.Micros // when members became unresponsive
-	steps           []string                    // the changes so far
-	minQuorumMargin int                         // the fewest live voters beyond a quorum that there were
+	members         map[string]*schema.Member   // all storage nodes, by id
+	silentSince     map[string]eventloop.Micros // when members became unresponsive, by id
+	steps           []string                    // the membership changes so far
+	minQuorumMargin int                         // the minimum, over all changes, of live voters beyond a quorum
 }
 
+// newGroupFixture returns a group with these voters, the first of which is the leader.
 func newGroupFixture(machineFailures uint32, voters ...string) *groupFixture {
 	g := &groupFixture{
 		controller: New("h", machineFailures), now: 100 * eventloop.Second, members: map[string]*schema.Member{}, silentSince: map[string]eventloop.Micros{},
@@ -32,8 +33,8 @@
 	return g
 }
 
-// newZonedFixture returns a group with the voters a, b, ... in these zones, which is to tolerate
-// the failures.
+// newZonedFixture returns a group whose voters "a", "b" and so on are in these zones, and whose
+// controller must tolerate the failures.
 func newZonedFixture(tolerance membership.FaultTolerance, zones ...string) *groupFixture {
 	ids := []string{"a", "b", "c", "d", "e"}[:len(zones)]
 	g := newGroupFixture(0, ids...)
@@ -44,7 +45,7 @@
 	return g
 }
 
-// setClusterAge makes the cluster a minute old for the controller.
+// setClusterAge makes the controller derive a cluster age of one minute from the lease.
 func (g *groupFixture) setClusterAge() {
 	g.controller.leaseExpiryUs, g.controller.leaseExpirySeenAt = int64(60*eventloop.Second)+clusterstate.ControllerLeaseUs, g.now
 }
@@ -55,10 +56,12 @@
 	g.members[id].Incarnation, g.members[id].Heartbeat = 1, 4
 }
 
+// add adds a storage node that isn't newly joined.
 func (g *groupFixture) add(id, address, zone string) {
 	g.members[id] = &schema.Member{Id: id, Incarnation: 2, HasStorage: true, Role: schema.Role_ROLE_SERVER, InternalAddress: address, Zone: zone}
 }
 
+// live returns the number of live voters.
 func (g *groupFixture) live() int {
 	live := 0
 	for _, id := range g.status.Voters {
@@ -69,7 +72,8 @@
 	return live
 }
 
-// run advances the time, with a request for a change each 250 ms.
+// run advances the time in steps of 250 ms. At each step it requests the next membership change from
+// the controller and applies it.
 func (g *groupFixture) run(duration eventloop.Micros) {
 	for end := g.now + duration; g.now < end; {
 		g.now += 250 * eventloop.Millisecond
--- a/internal/controller/group_members.go
+++ b/internal/controller/group_members.go
@@ -12,8 +12,9 @@
 	"sparnotch/internal/schema"
 )
 
-// reconcileMembers replaces lost voters of the groups: another storage node becomes a learner,
-// catches up and is promoted.
+// reconcileMembers requests the next membership change of each group that needs one. It replaces
+// lost and departing voters: another storage node is added as a learner, catches up and is
+// promoted.
 func (c *Controller) reconcileMembers(now eventloop.Micros, effects eventloop.Effects) {
 	statuses := c.groupStatuses(now)
 	clusterStateStatus := statuses[clusterstate.GroupName]
@@ -25,7 +26,8 @@
 		if change == nil {
 			continue
 		}
-		// Only the same change waits until its effect can be visible.
+		// An identical change waits until the effect of the previous one can be visible; a
+		// different change doesn't.
 		action := strings.Join([]string{"members", group, change.AddLearner, change.Promote, change.Remove}, "/")
 		if c.allowAction(now, action, actionInterval) {
 			change.Group, change.FencingToken, change.MemberSetIndex = group, c.fencingToken, statuses[group].MemberSetIndex
@@ -34,15 +36,16 @@
 	}
 }
 
-// voterCondition is what is wrong with a group's voters.
+// voterCondition describes the problems of a group's voters.
 type voterCondition struct {
-	lost          []string
-	withSuccessor string // a lost voter that has a successor, so won't come back
-	departing     string // a live voter whose vote another node should get
+	lost          []string // ids of the lost voters
+	withSuccessor string   // a lost voter that won't come back because it has a successor; empty if there is none
+	departing     string   // a live voter whose vote another node should get; empty if there is none
 }
 
 func (v *voterCondition) isHealthy() bool { return len(v.lost) == 0 && v.departing == "" }
 
+// voterCondition returns the condition of a group's voters.
 func (c *Controller) voterCondition(now eventloop.Micros, status *schema.QueueStatus) *voterCondition {
 	condition := &voterCondition{}
 	for _, id := range status.Voters {
@@ -58,15 +61,16 @@
 	return condition
 }
 
-// nextMembershipChange returns the next change of a group's members, or nil. One node changes at
-// a time, as in section 4.1 of the Raft dissertation.
+// nextMembershipChange returns the next change of a group's members, or nil if none is needed or
+// possible. Only one node is added, promoted or removed at a time, as in section 4.1 of the Raft
+// dissertation.
 //
-// A group with an odd number of voters has the same quorum without one of them, so neither order
-// of removing a lost voter and promoting its replacement endangers the quorum or leaves an entry
-// with fewer copies. A lost voter that may come back and count is removed last. One that has a
-// successor won't come back, so it is removed as soon as the replacement has caught up: then the
-// group tolerates its failures again from the promotion on. Never are two removed before a
-// promotion.
+// A group with an odd number of voters needs as many live voters for a quorum after it loses one
+// of them. Therefore a lost voter may be removed before or after its replacement is promoted:
+// neither order endangers the quorum or leaves an entry with fewer copies. A lost voter that may
+// come back and vote again is removed after the promotion. A voter that has a successor won't
+// come back, so it is removed as soon as the replacement has caught up, and the group tolerates
+// its failures again from the promotion on. Two voters are never removed before a promotion.
 func (c *Controller) nextMembershipChange(now eventloop.Micros, status, clusterStateStatus *schema.QueueStatus) *schema.ChangeMembers {
 	condition := c.voterCondition(now, status)
 	switch {
@@ -84,8 +88,9 @@
 	return nil
 }
 
-// nextLearnerChange removes a learner that isn't needed any more, or promotes it once it has
-// caught up.
+// nextLearnerChange returns the next change of a group that has a learner. It removes a learner
+// that is lost or no longer needed, and promotes a learner that has caught up. It returns nil while
+// the learner is catching up.
 func (c *Controller) nextLearnerChange(now eventloop.Micros, status *schema.QueueStatus, condition *voterCondition) *schema.ChangeMembers {
 	id := status.Learners[0]
 	hasAllVoters := len(status.Voters) >= c.votersPerGroup
@@ -93,7 +98,7 @@
 	case c.isLost(now, id):
 		return &schema.ChangeMembers{Remove: id}
 	case condition.isHealthy() && hasAllVoters:
-		return &schema.ChangeMembers{Remove: id} // the voter that it was to replace is back
+		return &schema.ChangeMembers{Remove: id} // the voter that it was meant to replace is back
 	case status.ReplicaLag[id] > raft.MaxLearnerLag:
 		return nil
 	case condition.withSuccessor != "" && hasAllVoters:
@@ -102,8 +107,9 @@
 	return &schema.ChangeMembers{Promote: id}
 }
 
-// nextVoterRemoval removes one of too many voters. If all of them are live one is surplus: a group
-// with an even number tolerates no more failures than with one less.
+// nextVoterRemoval returns the removal of a voter from a group with too many. If all voters are
+// live it removes a surplus one, because an even number of voters tolerates no more failures than
+// one voter less.
 func (c *Controller) nextVoterRemoval(status, clusterStateStatus *schema.QueueStatus, condition *voterCondition) *schema.ChangeMembers {
 	id := cmp.Or(condition.withSuccessor, firstOrEmpty(condition.lost), condition.departing)
 	if id == "" {
@@ -115,12 +121,13 @@
 	return &schema.ChangeMembers{Remove: id}
 }
 
-// departingVoter returns a voter that is to hand its vote over while it is still live, so that
-// the group never has one voter less; empty if there is none. It is one that drains, if a
-// storage node has newly joined that can replace it (else it is assumed to restart), or one in
-// the wrong zone.
+// departingVoter returns a voter that should hand its vote over while it is still live, so that the
+// group never has one voter less, or an empty string if there is none. It returns a draining voter
+// if a newly joined storage node can replace it; otherwise the draining voter is assumed to
+// restart. Failing that it returns a voter in the wrong zone.
 func (c *Controller) departingVoter(now eventloop.Micros, status *schema.QueueStatus) string {
-	// While a change is under way the replacement may be a voter already.
+	// During a replacement the newly joined node may already be a voter, and FindNewlyJoined leaves
+	// out voters.
 	isChanging := len(status.Learners) > 0 || len(status.Voters) > c.votersPerGroup
 	replacement := c.view.FindNewlyJoined(now, c.timeouts.SuspectTimeout, c.clusterAge(now), status.Voters)
 	if isChanging || replacement != "" {
@@ -139,9 +146,10 @@
 		c.isAlive(now, id) && !c.view.Members[id].Member.Draining && !c.view.RefusesWrites(id)
 }
 
-// selectLearner returns the storage node to add next, to replace a leaving voter if there is
-// one; empty if there is none. Queues prefer the voters of the cluster state, so that few
-// machines have all groups; those are spread over the zones.
+// selectLearner returns the storage node to add next as a learner, or an empty string if there is
+// none. If leaving isn't empty, the learner is meant to replace that voter. Queues prefer the
+// voters of the cluster state, which are spread over the zones, so that all groups share few
+// machines.
 func (c *Controller) selectLearner(now eventloop.Micros, status, clusterStateStatus *schema.QueueStatus, leaving string) string {
 	canJoin := func(id string) bool { return c.canLearn(now, status, id) && c.canReplace(status, leaving, id) }
 	for _, id := range clusterStateStatus.Voters {
@@ -164,9 +172,9 @@
 	return best
 }
 
-// surplusVoter returns the voter to do without, never the leader: one whose removal leaves the
-// others best spread, then one that isn't a voter of the cluster state, then one of the zone
-// with the most voters.
+// surplusVoter returns the voter to remove from a group with too many, never the leader. It prefers
+// a voter whose removal leaves the others best spread over zones and regions, then one that isn't a
+// voter of the cluster state, then one in the zone with the most voters.
 func (c *Controller) surplusVoter(status, clusterStateStatus *schema.QueueStatus) string {
 	votersByZone := map[string]int{}
 	for _, id := range status.Voters {
@@ -191,6 +199,7 @@
 	return best
 }
 
+// firstOrEmpty returns the first id, or an empty string if there is none.
 func firstOrEmpty(ids []string) string {
 	if len(ids) == 0 {
 		return ""
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -15,16 +15,17 @@
 	leaseDuration      = eventloop.Micros(clusterstate.ControllerLeaseUs)
 	leaseRenewInterval = 800 * eventloop.Millisecond
 	leaseRetryInterval = 500 * eventloop.Millisecond
-	leaseSafetyMargin  = 300 * eventloop.Millisecond // the lease isn't used for so long before it expires
-	candidateDelay     = 300 * eventloop.Millisecond // between the claims of candidates of consecutive ranks
-	claimTimeout       = 3 * eventloop.Second        // a reply after it is ignored
+	leaseSafetyMargin  = 300 * eventloop.Millisecond // the holder stops using the lease this long before it expires
+	candidateDelay     = 300 * eventloop.Millisecond // delay between the claims of candidates with consecutive ranks
+	claimTimeout       = 3 * eventloop.Second        // later replies are ignored
 )
 
 func (c *Controller) holdsLease(now eventloop.Micros) bool {
 	return c.fencingToken != 0 && now < c.leaseValidUntil
 }
 
-// candidateRank returns this node's rank among the candidates for the lease, if it is one.
+// candidateRank returns this node's rank among the candidates for the lease, and whether it is one
+// of them. The rank counts from 0.
 func (c *Controller) candidateRank(now eventloop.Micros) (rank int, isCandidate bool) {
 	zones := map[string]string{c.id: c.view.Self.GetZone()}
 	for id, status := range c.view.Members {
@@ -36,8 +37,8 @@
 	return rank, rank >= 0
 }
 
-// acquireOrRenewLease claims the lease if it is held here and due for renewal, or if it isn't
-// renewed by anybody and this node is a candidate.
+// acquireOrRenewLease claims the lease if this node holds it and it is due for renewal, or if no
+// node renews it and this node is a candidate.
 func (c *Controller) acquireOrRenewLease(now eventloop.Micros, effects eventloop.Effects) {
 	for id, sentAt := range c.pendingClaims {
 		if now-sentAt > claimTimeout {
@@ -58,16 +59,17 @@
 	}
 }
 
-// shouldClaimLease reports whether this candidate may claim the lease now. Candidates wait by
-// rank, so that seldom two claim at once. The last holder doesn't wait: while the cluster
-// state's group had no leader, nobody could renew.
+// shouldClaimLease reports whether this candidate should claim the lease now. The delay of a
+// candidate increases with its rank, so that two candidates rarely claim at the same time. The
+// last holder doesn't wait, because it may have failed to renew only while the cluster state's
+// group had no leader.
 func (c *Controller) shouldClaimLease(now eventloop.Micros, rank int) bool {
 	if c.state.ControllerLease.GetHolder() == c.id {
 		return true
 	}
 	delay := eventloop.Micros(rank) * candidateDelay
 	if c.leaseExpiryUs == 0 {
-		// No lease was seen yet.
+		// This node hasn't seen a lease yet.
 		return now-c.firstReportAt > delay
 	}
 	unrenewedFor := now - c.leaseExpirySeenAt
@@ -82,15 +84,15 @@
 	}
 }
 
-// handleClaimReply takes the lease, or gives it up if a claim was rejected.
+// handleClaimReply stores the granted lease, or gives the lease up if the claim was rejected.
 func (c *Controller) handleClaimReply(now eventloop.Micros, reply *schema.Response) {
 	sentAt, found := c.pendingClaims[reply.Id]
 	if !found || reply.Code == 0 {
 		return
 	}
 	delete(c.pendingClaims, reply.Id)
-	// Several claims may be pending; the reply to an older one than that answered last is
-	// outdated.
+	// Several claims may be pending. The reply to a claim is outdated if a newer claim was already
+	// answered.
 	if reply.Id < c.newestAnsweredClaim {
 		return
 	}
@@ -103,9 +105,10 @@
 		return
 	}
 	if c.fencingToken == 0 {
-		c.polledAt = 0 // group statuses are reported to the controller alone, so poll at the next tick
+		c.polledAt = 0 // poll at the next tick, because storage nodes report group statuses only to the controller
 	}
 	c.fencingToken = result.Lease
-	// Counted from when the claim was sent, so that it ends here before it expires there.
+	// The duration counts from when the claim was sent, so that this node stops using the lease
+	// before it expires in the cluster state.
 	c.leaseValidUntil = max(c.leaseValidUntil, sentAt+leaseDuration-leaseSafetyMargin)
 }
--- a/internal/controller/lease_test.go
+++ b/internal/controller/lease_test.go
@@ -49,9 +49,10 @@
 	})
 }
 
-// sendCounter counts the polls to each storage node, and the requests.
+// sendCounter implements eventloop.Effects. It counts the polls sent to each storage node, and the
+// requests, which are claims of the controller lease.
 type sendCounter struct {
-	polls  map[string]int
+	polls  map[string]int // by storage node
 	claims int
 }
 
@@ -71,8 +72,8 @@
 func (s *sendCounter) Respond(uint64, any) {}
 
 func TestLeaseCandidates(t *testing.T) {
-	// run counts what agent node "sN" sends in 10 s without a controller, one of twenty agent nodes
-	// in four zones, some of which have crashed.
+	// run returns what one of twenty agent nodes in four zones sends in 10 s while no node holds the
+	// lease. Self is the number of the agent node, and crashed the numbers of those that have crashed.
 	run := func(self int, crashed ...int) *sendCounter {
 		sent := &sendCounter{polls: map[string]int{}}
 		agentNode := func(k int) *schema.Member {
--- a/internal/controller/queues.go
+++ b/internal/controller/queues.go
@@ -9,7 +9,7 @@
 	"sparnotch/internal/schema"
 )
 
-// reconcileQueues places the queues that are configured and removes those that aren't any more.
+// reconcileQueues places newly configured queues and removes queues that are no longer configured.
 func (c *Controller) reconcileQueues(now eventloop.Micros, effects eventloop.Effects) {
 	statuses := c.groupStatuses(now)
 	clusterStateStatus := statuses[clusterstate.GroupName]
@@ -19,24 +19,25 @@
 	command := &schema.PlaceQueues{
 		FencingToken: c.fencingToken,
 		Queues:       c.missingQueues(now, clusterStateStatus),
-		Removed:      c.endedQueues(now, statuses),
+		Removed:      c.removableGroups(now, statuses),
 	}
 	if len(command.Queues)+len(command.Removed) == 0 {
 		return
 	}
-	// Only the same placement waits until its effect can be visible.
+	// An identical command waits until the effect of the previous one can be visible; a different
+	// command doesn't.
 	action := placementKey(command)
 	if action != c.lastQueueAction {
 		delete(c.lastActions, "queues")
 	}
-	// Without a leader to send it to, it is tried again at the next tick.
+	// If no leader is known to send the command to, the next tick tries again.
 	if c.leaderOf(now, clusterstate.GroupName) != "" && c.allowAction(now, "queues", actionInterval) {
 		c.lastQueueAction = action
 		c.sendCommand(now, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: command}}, effects)
 	}
 }
 
-// missingQueues returns placements for the configured queues that have none.
+// missingQueues returns a placement for each configured queue that has none.
 func (c *Controller) missingQueues(now eventloop.Micros, clusterStateStatus *schema.QueueStatus) []*schema.QueuePlacement {
 	var missing []*schema.QueuePlacement
 	leader := ""
@@ -52,15 +53,16 @@
 	return missing
 }
 
-// endedQueues returns the groups of the queues that haven't been configured for as long as a
-// gateway with an older copy may take jobs for them, and have no live or retained jobs.
-func (c *Controller) endedQueues(now eventloop.Micros, statuses map[string]*schema.QueueStatus) []string {
+// removableGroups returns the groups whose queues have no live or retained jobs and have been out
+// of the configuration for at least QueueRemovalDelay. For that long a gateway with an older copy
+// of the configuration may still accept jobs for a queue.
+func (c *Controller) removableGroups(now eventloop.Micros, statuses map[string]*schema.QueueStatus) []string {
 	revision := c.state.Configuration.GetRevision()
 	if revision > c.unconfiguredRevision+1 {
-		// One in between, which wasn't seen, may have had the queues.
+		// A revision in between that this node didn't see may have contained the queues.
 		clear(c.unconfiguredSince)
 	}
-	var ended []string
+	var removable []string
 	unconfigured := map[string]eventloop.Micros{}
 	for _, placement := range c.state.Queues {
 		if c.values.HasQueue(placement.Queue) {
@@ -74,13 +76,14 @@
 		unconfigured[group] = since
 		status := statuses[group]
 		if now-since >= c.timeouts.QueueRemovalDelay && status != nil && status.LiveJobs == 0 && status.RetainedJobs == 0 {
-			ended = append(ended, group)
+			removable = append(removable, group)
 		}
 	}
 	c.unconfiguredSince, c.unconfiguredRevision = unconfigured, revision
-	return ended
+	return removable
 }
 
+// placementKey returns a string that identifies which queues a command places and removes.
 func placementKey(command *schema.PlaceQueues) string {
 	var names []string
 	for _, placement := range command.Queues {
--- a/internal/controller/queues_test.go
+++ b/internal/controller/queues_test.go
@@ -73,8 +73,9 @@
 	})
 }
 
-// An accepted job was lost whose queue was removed from the configuration 20 ms later: the
-// group was ended on a status from before the job.
+// TestQueueIsRemovedOnlyOnceNoGatewayTakesItsJobs guards against the loss of an accepted job. A job
+// was accepted and its queue was removed from the configuration 20 ms later. The job was lost
+// because the controller removed the queue's group based on a status from before the job.
 func TestQueueIsRemovedOnlyOnceNoGatewayTakesItsJobs(t *testing.T) {
 	Convey("A queue without jobs is removed on a status from when no gateway takes jobs for it any more", t, func() {
 		f := newControllerFixture()
@@ -86,7 +87,7 @@
 		f.sendUpdate(status)
 		f.tick()
 		So(f.placed(), ShouldBeEmpty)
-		// A gateway that hadn't heard of it has taken a job meanwhile.
+		// In the meantime a gateway that didn't know of the removal has accepted a job.
 		status.LiveJobs = 1
 		f.sendUpdate(status)
 		for range 400 {
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -8,12 +8,12 @@
 	"sparnotch/internal/schema"
 )
 
-// incarnationMask selects a gateway node's incarnation in that of its sessions; the upper bits
-// count how often it has started its sessions anew.
+// incarnationMask selects the lower 32 bits of a session's incarnation, which contain the gateway
+// node's incarnation. The upper bits count how often the gateway node has restarted its sessions.
 const incarnationMask = 1<<32 - 1
 
-// reconcileSessions ends the sessions of gateway nodes that have been unresponsive for longer
-// than the configured timeout, or have restarted.
+// reconcileSessions requests the end of the sessions of gateway nodes that have restarted, or have
+// been unresponsive for longer than the configured timeout.
 func (c *Controller) reconcileSessions(now eventloop.Micros, effects eventloop.Effects) {
 	timeout := eventloop.Micros(c.values.Fleet("session_timeout_s")) * eventloop.Second
 	statuses := c.groupStatuses(now)
@@ -31,6 +31,7 @@
 	}
 }
 
+// isGatewayExpired reports whether the sessions of a gateway node's incarnation should end.
 func (c *Controller) isGatewayExpired(now eventloop.Micros, gateway *schema.ExpiredGateway, timeout eventloop.Micros) bool {
 	member, found := c.view.Members[gateway.Gateway]
 	if found && member.Member.Incarnation != gateway.Incarnation&incarnationMask {
