--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -5,8 +5,8 @@
 //
 // Each agent node runs a Controller, but only the holder of the controller lease acts. The
 // cluster state grants the lease. It checks the lease's fencing token on commands that place
-// queues or assign workers; group leaders check the token on membership changes and on requests
-// to end sessions.
+// queues or assign workers; the leaders of Raft groups check the token on membership changes and
+// on requests to end sessions.
 //
 // A Controller owns no durable state: it works on copies of the cluster state that it polls
 // from the storage nodes. While no controller acts, the cluster continues to operate as the
@@ -98,8 +98,8 @@
 	}
 }
 
-// WithBounds derives the timeouts from the bounds of the deployment. A bound that is zero, or nil
-// bounds, select the defaults.
+// WithBounds derives the timeouts from the bounds of the deployment. A bound that is zero has its
+// default value; nil stands for bounds that are all zero.
 func (c *Controller) WithBounds(bounds *schema.Bounds) *Controller {
 	c.timeouts = timing.FromBounds(bounds)
 	return c
--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -110,8 +110,8 @@
 	return wasLeader
 }
 
-// isLedByOtherSince reports whether a storage node other than id has reported after a time that it
-// leads a group.
+// isLedByOtherSince reports whether a storage node other than id has reported later than since that
+// it leads a group.
 func (c *Controller) isLedByOtherSince(group, id string, since eventloop.Micros) bool {
 	for other, report := range c.reports {
 		if other != id && report.receivedAt > since && report.update.Leaders[group] == other {
--- a/internal/controller/group_members.go
+++ b/internal/controller/group_members.go
@@ -14,7 +14,7 @@
 
 // reconcileMembers requests the next membership change of each group that needs one. It replaces
 // lost and departing voters: another storage node is added as a learner, catches up and is
-// promoted.
+// promoted. It also adds voters to a group with too few and removes them from one with too many.
 func (c *Controller) reconcileMembers(now eventloop.Micros, effects eventloop.Effects) {
 	statuses := c.groupStatuses(now)
 	clusterStateStatus := statuses[clusterstate.GroupName]
@@ -65,8 +65,8 @@
 // possible. Only one node is added, promoted or removed at a time, as in section 4.1 of the Raft
 // dissertation.
 //
-// A group with an odd number of voters needs as many live voters for a quorum after it loses one
-// of them. Therefore a lost voter may be removed before or after its replacement is promoted:
+// A group with an odd number of voters needs a quorum of the same size after one of them is
+// removed. Therefore a lost voter may be removed before or after its replacement is promoted:
 // neither order endangers the quorum or leaves an entry with fewer copies. A lost voter that may
 // come back and vote again is removed after the promotion. A voter that has a successor won't
 // come back, so it is removed as soon as the replacement has caught up, and the group tolerates
@@ -109,7 +109,7 @@
 
 // nextVoterRemoval returns the removal of a voter from a group with too many. If all voters are
 // live it removes a surplus one, because an even number of voters tolerates no more failures than
-// one voter less.
+// one voter fewer.
 func (c *Controller) nextVoterRemoval(status, clusterStateStatus *schema.QueueStatus, condition *voterCondition) *schema.ChangeMembers {
 	id := cmp.Or(condition.withSuccessor, firstOrEmpty(condition.lost), condition.departing)
 	if id == "" {
@@ -122,7 +122,7 @@
 }
 
 // departingVoter returns a voter that should hand its vote over while it is still live, so that the
-// group never has one voter less, or an empty string if there is none. It returns a draining voter
+// group never has one voter fewer, or an empty string if there is none. It returns a draining voter
 // if a newly joined storage node can replace it; otherwise the draining voter is assumed to
 // restart. Failing that it returns a voter in the wrong zone.
 func (c *Controller) departingVoter(now eventloop.Micros, status *schema.QueueStatus) string {
@@ -147,9 +147,9 @@
 }
 
 // selectLearner returns the storage node to add next as a learner, or an empty string if there is
-// none. If leaving isn't empty, the learner is meant to replace that voter. Queues prefer the
-// voters of the cluster state, which are spread over the zones, so that all groups share few
-// machines.
+// none. If leaving isn't empty, the learner is meant to replace that voter. Voters of the cluster
+// state's group are preferred, so that few machines hold the replicas of all groups; they are
+// spread over the zones.
 func (c *Controller) selectLearner(now eventloop.Micros, status, clusterStateStatus *schema.QueueStatus, leaving string) string {
 	canJoin := func(id string) bool { return c.canLearn(now, status, id) && c.canReplace(status, leaving, id) }
 	for _, id := range clusterStateStatus.Voters {
--- a/internal/membership/bootstrap.go
+++ b/internal/membership/bootstrap.go
@@ -16,7 +16,7 @@
 // it knows of, and each storage node votes for a set S of them. It votes only once, and the
 // vote is persisted. It may vote for S only if every storage node in S and every seed has
 // recently and directly reported exactly the same nodes as the voter. Once all nodes in S have
-// reported the same vote, the group that replicates the cluster state is created.
+// reported the same vote, the Raft group that replicates the cluster state is created.
 //
 // Two different votes can't both succeed. Until a process votes, the set of nodes that it knows
 // of only grows: a node is forgotten after a minute without a heartbeat through any process,
@@ -59,8 +59,8 @@
 	return ids
 }
 
-// mayBootstrap reports whether this process may vote: it must be an empty storage node, and
-// this must be the first start of the cluster.
+// mayBootstrap reports whether this process may vote: it must be a storage node that hasn't joined
+// a cluster, and this must be the first start of the cluster.
 func (m *Membership) mayBootstrap() bool {
 	return m.identity != nil && !m.identity.Joined && (m.config.Bootstrap || m.isImplicitBootstrap() && m.isSeed())
 }
--- a/internal/membership/bootstrap_test.go
+++ b/internal/membership/bootstrap_test.go
@@ -24,7 +24,7 @@
 	startWithin     eventloop.Micros // all hosts start within this time
 	lastStartDelay  eventloop.Micros // additional delay before the last storage node starts
 	restarts        int              // number of restarts of random hosts in the first 3 s
-	voters          int              // expected number of voters; 0 if it depends on the seed
+	voters          int              // expected number of voters; 0 if it depends on the random seed
 	deadline        eventloop.Micros // maximum time from the start to the bootstrap, or never
 }
 
--- a/internal/membership/gossip_message.go
+++ b/internal/membership/gossip_message.go
@@ -23,8 +23,8 @@
 type gossipDetail int
 
 const (
-	selfOnly       gossipDetail = iota // nothing
-	heartbeatsOnly                     // the fields that change during an incarnation; a receiver requests missing ones
+	selfOnly       gossipDetail = iota // nothing about them
+	heartbeatsOnly                     // fields that change during an incarnation; a receiver that lacks the rest requests it
 	fullMembers                        // all fields
 )
 
--- a/internal/membership/gossip_receive.go
+++ b/internal/membership/gossip_receive.go
@@ -51,7 +51,7 @@
 	m.bootstrap(now, effects)
 }
 
-// gossipContent reports which kinds of members a gossip message contained.
+// gossipContent records which kinds of members a gossip message contained.
 type gossipContent struct {
 	hasFullMember    bool
 	hasUnknownMember bool // a heartbeat of a member whose other fields aren't known
@@ -87,7 +87,7 @@
 	}
 	if m.identity == nil {
 		// A process that polls a process without storage may reach no storage node, so this
-		// process forwards its status to them.
+		// process forwards the sender's status to the storage nodes.
 		m.hasUnsentChanges = m.hasUnsentChanges || m.clusterExists
 		m.requesters[request.Self.Id] = now
 	}
@@ -106,7 +106,7 @@
 	effects.SendToAddress(address, m.newGossipToStorageNode(now, fullMembers))
 }
 
-// isOlder reports whether a, a member's status, is older than b, another status of that member.
+// isOlder reports whether status a of a member is older than status b of the same member.
 func isOlder(a, b *schema.Member) bool {
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Heartbeat, b.Heartbeat)) < 0
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -3,7 +3,7 @@
 // increments its own heartbeat counter, and a member's status is replaced by one with a later
 // incarnation, or with the same incarnation and a higher heartbeat. A process starts from the
 // seed addresses in its settings and discovers all other processes through them. The package
-// also bootstraps the cluster: the storage nodes agree, once, on which of them create the
+// also bootstraps the cluster: the storage nodes agree, once, on which of them create the Raft
 // group that replicates the cluster state.
 //
 // A Membership is an event-loop component. Each process runs one, which owns all membership
@@ -24,7 +24,7 @@
 )
 
 // TickInterval is the time between two ticks of a Membership. A process increments its
-// heartbeat at every tick.
+// heartbeat at every tick, and also when it sends gossip between ticks.
 const TickInterval = 250 * eventloop.Millisecond
 
 const (
@@ -123,7 +123,7 @@
 }
 
 // compensatePause corrects the state after a pause of this process. The members look
-// unresponsive only because this process received nothing, so their last heartbeats are moved
+// unresponsive only because this process received nothing, so their LastHeard times are moved
 // forward by the length of the pause. Reports from before the pause are discarded.
 func (m *Membership) compensatePause(now eventloop.Micros) {
 	if m.lastTick == 0 || now-m.lastTick <= pauseThreshold {
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -25,6 +25,6 @@
 // Draining tells a Membership that its process is shutting down gracefully.
 type Draining struct{}
 
-// ClusterStateObserved tells a Membership that its process has received the cluster state. A
-// version above 0 proves that a cluster exists.
+// ClusterStateObserved tells a Membership that its process holds this version of the cluster
+// state. A version above 0 proves that a cluster exists.
 type ClusterStateObserved struct{ Version uint64 }
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -296,8 +296,8 @@
 }
 
 // maxSilence runs the network for a period and returns the longest time in which a host didn't
-// hear of another one. It considers the pairs of hosts for which watches returns true. If one of
-// them never heard of the other, it returns the whole period.
+// hear of another one. It considers the pairs of hosts for which watches returns true. If an
+// observer doesn't know the observed host at all, maxSilence returns the whole period.
 func (n *network) maxSilence(period eventloop.Micros, watches func(observer, observed *host) bool) eventloop.Micros {
 	var worst eventloop.Micros
 	for end := n.now + period; n.now < end; {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -43,8 +43,8 @@
 
 // HasWritableQuorum reports whether a majority of a group's voters accept writes, as far as is
 // known. It returns true if no voter refuses writes, because leader election handles voters that
-// are merely unresponsive. If a voter refuses writes, the unresponsive ones count as well,
-// because together they may leave no majority.
+// are merely unresponsive. If a voter refuses writes, unresponsive voters don't count as accepting
+// writes either, because both together may leave no majority.
 func (v *View) HasWritableQuorum(now eventloop.Micros, voters []string, refusesWrites func(id string) bool) bool {
 	refusing, writable := 0, 0
 	for _, id := range voters {
