--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -47,7 +47,7 @@
 	view          *membership.View             // nil until the first view arrives
 	reports       map[string]storageNodeReport // the last report of each storage node, by id
 	missingSince  map[string]eventloop.Micros  // when each node was first missed, by storage node id or "gateway/" + gateway node id
-	lastLocations map[string]lastLocation      // of all storage nodes by id, including those that left the view
+	lastLocations map[string]lastLocation      // where each storage node was last heard of, by id, even if it left the view
 	firstReportAt eventloop.Micros             // when the first report arrived; 0 if none has
 	polledAt      eventloop.Micros             // when the cluster state was last polled
 	pollTurn      int                          // selects the storage node to poll next
--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -23,9 +23,9 @@
 }
 
 // isLost reports whether a storage node has been missing for so long that its votes may be given
-// to another node. The timeout is shorter if another storage node has newly joined, and there is
-// none if the node has a successor at its address. isLost also records when the node was first
-// missed.
+// to another node. It is lost immediately if it has a successor at its address, after
+// ReplaceByNewTimeout if some storage node has newly joined, and otherwise after ReplaceTimeout.
+// isLost also records when the node was first missed.
 func (c *Controller) isLost(now eventloop.Micros, id string) bool {
 	status, found := c.view.Members[id]
 	if found && now-status.LastHeard < c.timeouts.SuspectTimeout {
@@ -110,8 +110,8 @@
 	return wasLeader
 }
 
-// isLedByOtherSince reports whether a storage node other than id has reported later than since that
-// it leads a group.
+// isLedByOtherSince reports whether a storage node other than id has reported that it leads a
+// group, and did so later than since.
 func (c *Controller) isLedByOtherSince(group, id string, since eventloop.Micros) bool {
 	for other, report := range c.reports {
 		if other != id && report.receivedAt > since && report.update.Leaders[group] == other {
--- a/internal/controller/fixture_test.go
+++ b/internal/controller/fixture_test.go
@@ -20,7 +20,7 @@
 	now           eventloop.Micros
 	state         *schema.ClusterState
 	commands      []*schema.ClusterStateCommand
-	replies       []*schema.Response // in flight to the controller
+	replies       []*schema.Response // replies that are not yet delivered to the controller
 	clusterStart  eventloop.Micros   // when the cluster started; 0 if no lease expiry is reported
 }
 
