--- a/internal/eventloop/link.go
+++ b/internal/eventloop/link.go
@@ -1,8 +1,8 @@
 package eventloop
 
-// SlowestLink is the bandwidth, in bytes a second, of the slowest link between two
+// SlowestLinkBytesPerSecond is the bandwidth, in bytes a second, of the slowest link between two
 // processes over which the system must work: 2 Mbit/s.
-const SlowestLink = 2_000_000 / 8
+const SlowestLinkBytesPerSecond = 2_000_000 / 8
 
 // LinkTime is how long the slowest link takes to carry some bytes.
-func LinkTime(bytes int) Micros { return Micros(bytes) * Second / SlowestLink }
+func LinkTime(bytes int) Micros { return Micros(bytes) * Second / SlowestLinkBytesPerSecond }
--- a/internal/raft/chunks_test.go
+++ b/internal/raft/chunks_test.go
@@ -14,7 +14,7 @@
 func TestLargeEntriesOverSlowLink(t *testing.T) {
 	Convey("Entries of 256 KB reach the only other voter over 2 Mbit/s, and delay no heartbeat past the lease", t, func() {
 		for seed := uint64(1); seed <= 5; seed++ {
-			s := newSlowCluster(seed, eventloop.SlowestLink)
+			s := newSlowCluster(seed, eventloop.SlowestLinkBytesPerSecond)
 			lead := s.leader()
 			others := s.others()
 			s.down[others[1]] = true
@@ -39,7 +39,7 @@
 		}
 	})
 	Convey("So do very many small ones", t, func() {
-		s := newSlowCluster(7, eventloop.SlowestLink)
+		s := newSlowCluster(7, eventloop.SlowestLinkBytesPerSecond)
 		others := s.others()
 		s.down[others[1]] = true
 		s.runSlow(eventloop.Second, nil)
@@ -79,7 +79,7 @@
 		So(s.applied[lagging], ShouldHaveLength, 2)
 		So(s.applied[lagging][0] == state, ShouldBeTrue)
 		So(lead.inflightWindow(lead.peers[lagging]), ShouldEqual, maxWindowFactor*lead.inflightWindow(&progress{}))
-		s.bytesPerSecond = eventloop.SlowestLink
+		s.bytesPerSecond = eventloop.SlowestLinkBytesPerSecond
 		s.propose(randomText(40 << 10))
 		s.runSlow(2*eventloop.Second, nil)
 		So(s.applied[lagging], ShouldHaveLength, 3)
@@ -91,7 +91,7 @@
 		for _, delay := range []eventloop.Micros{0, 140 * eventloop.Millisecond} {
 			s, lead, lagging, state := newLaggingFollower(1, size)
 			if s.linkDelay = delay; delay == 0 {
-				s.bytesPerSecond = eventloop.SlowestLink / 3
+				s.bytesPerSecond = eventloop.SlowestLinkBytesPerSecond / 3
 			}
 			s.runSlow(5*eventloop.Second, nil)
 			So(s.applied[lagging], ShouldHaveLength, 2)
--- a/internal/raft/flowcontrol.go
+++ b/internal/raft/flowcontrol.go
@@ -41,7 +41,7 @@
 
 // minWindow is the bytes that the slowest link carries in a peer's share.
 func (g *Group) minWindow() int {
-	return int(eventloop.SlowestLink * g.linkShare() / eventloop.Second)
+	return int(eventloop.SlowestLinkBytesPerSecond * g.linkShare() / eventloop.Second)
 }
 
 // inflightWindow is how many bytes may be in flight to a peer, and so the size of a
--- a/internal/raft/slowcluster_test.go
+++ b/internal/raft/slowcluster_test.go
@@ -135,7 +135,7 @@
 // newLaggingFollower makes a cluster in which a replica was down while the log was
 // compacted into a snapshot of some size.
 func newLaggingFollower(seed uint64, size int) (s *slowCluster, lead *Group, lagging string, state string) {
-	s = newSlowCluster(seed, eventloop.SlowestLink)
+	s = newSlowCluster(seed, eventloop.SlowestLinkBytesPerSecond)
 	lead, lagging = s.leader(), s.others()[0]
 	s.down[lagging] = true
 	for k := range 20 {
