--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -26,7 +26,7 @@
 // retryDelay is the time from sending to retrying. A large request isn't retried while
 // it may be in transit on the slowest link, or each retry would delay the next.
 func (r *request) retryDelay() eventloop.Micros {
-	return requestRetryDelay + eventloop.LinkTime(len(r.message.Body))
+	return requestRetryDelay + eventloop.SlowestLinkTransferTime(len(r.message.Body))
 }
 
 // handleRequest forwards a request. With isConfirmed, a queue or key that our copy
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -40,7 +40,7 @@
 			h.now += TickInterval
 			h.step(eventloop.Tick{})
 		}
-		So(h.now-began, ShouldBeBetween, eventloop.LinkTime(250_000), eventloop.LinkTime(250_000)+2*requestRetryDelay)
+		So(h.now-began, ShouldBeBetween, eventloop.SlowestLinkTransferTime(250_000), eventloop.SlowestLinkTransferTime(250_000)+2*requestRetryDelay)
 	})
 }
 
--- a/internal/raft/chunks_test.go
+++ b/internal/raft/chunks_test.go
@@ -25,7 +25,7 @@
 			for k := range count {
 				So(s.propose(randomText(size+k)), ShouldBeTrue)
 			}
-			least := eventloop.LinkTime(count * size)
+			least := eventloop.SlowestLinkTransferTime(count * size)
 			s.runSlow(least+least/4+eventloop.Second, func() {
 				if len(s.applied[others[0]]) < count {
 					least = s.now - began
@@ -58,7 +58,7 @@
 		const size = 2 << 20
 		s, lead, lagging, state := newLaggingFollower(1, size)
 		began, took := s.now, eventloop.Micros(0)
-		least := eventloop.LinkTime(size)
+		least := eventloop.SlowestLinkTransferTime(size)
 		s.runSlow(2*least, func() {
 			if took == 0 && len(s.applied[lagging]) == 2 {
 				took = s.now - began
--- a/internal/replica/configuration_rows.go
+++ b/internal/replica/configuration_rows.go
@@ -27,6 +27,6 @@
 		return true
 	}
 	maps.DeleteFunc(h.configurationsSent, func(_ string, sent configurationSent) bool { return now >= sent.inFlightUntil })
-	h.configurationsSent[to] = configurationSent{configuration.Revision, now + 2*eventloop.LinkTime(len(configuration.PackedRows))}
+	h.configurationsSent[to] = configurationSent{configuration.Revision, now + 2*eventloop.SlowestLinkTransferTime(len(configuration.PackedRows))}
 	return false
 }
--- a/internal/sim/configuration_changes_test.go
+++ b/internal/sim/configuration_changes_test.go
@@ -128,7 +128,7 @@
 	if o.Hosts[0].Uplink.BytesPerSecond == 0 {
 		return applyTimeout
 	}
-	return applyTimeout + 4*eventloop.LinkTime(256<<10)
+	return applyTimeout + 4*eventloop.SlowestLinkTransferTime(256<<10)
 }
 
 // inspectMessage counts what each role receives, and checks that no process goes back to an
