--- a/internal/mutation/disk_mutants.go
+++ b/internal/mutation/disk_mutants.go
@@ -33,7 +33,7 @@
 	{Guard: "submissions are rejected while most disks refuse writes", Rule: 0, Scenario: "most disks are full", Seed: 1, Edits: []Edit{{"internal/gateway",
 		"	if !g.canCommit(now, m.Queue) {\n", "	if false {\n"}}},
 	{Guard: "a foreign directory is rejected", Test: "internal/storage TestRejectedDirs", Edits: []Edit{{"internal/storage",
-		"	if err := checkOwned(path); err != nil {\n", "	if err := checkOwned(path); false {\n"}}},
+		"	if err := checkIsStoreDir(path); err != nil {\n", "	if err := checkIsStoreDir(path); false {\n"}}},
 	{Guard: "a command that can't be read isn't proposed", Test: "internal/replica TestUnreadableCommand", Edits: []Edit{{"internal/replica",
 		"		if _, err := clusterstate.DecodeCommand(m.Body); err != nil {\n", "		if false {\n"}}},
 	{Guard: "submissions leave disk space for the next slot", Test: "internal/replica TestSubmissionsStopWhenDiskIsLow", Edits: []Edit{{"internal/replica",
--- a/internal/storage/dir.go
+++ b/internal/storage/dir.go
@@ -8,32 +8,33 @@
 	"syscall"
 )
 
-// lockName is the file that a process locks while it uses the directory.
+// lockName is the name of the file that a process locks while it uses the data directory.
 const lockName = "lock"
 
-// Dir is the Disk of a real data directory. It holds an exclusive lock on the directory
-// until it is closed.
+// Dir implements Disk for a directory of the file system. It holds an exclusive lock on the
+// directory until it is closed.
 type Dir struct {
 	path  string
 	files map[string]*os.File
 	lock  *os.File
 }
 
-// OpenDir creates the directory if it doesn't exist and locks it. If it contains something
-// other than a store, or is in use, the error is DirRejected and nothing is written to it;
-// other failures are IOFailed.
+// OpenDir creates the directory if it doesn't exist, and locks it. It returns a DirRejected
+// error if the path isn't a readable directory, if the directory has files but none of a
+// store, or if another process uses it; no file in it is changed then. Other failures are
+// IOFailed errors.
 func OpenDir(path string) (*Dir, error) {
-	if err := checkOwned(path); err != nil {
+	if err := checkIsStoreDir(path); err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return nil, IOFailed.Wrap(err, "data directory")
+		return nil, IOFailed.Wrap(err, "creating the data directory")
 	}
 	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, IOFailed.Wrap(err, "data directory")
+		return nil, IOFailed.Wrap(err, "opening the lock file of the data directory")
 	}
-	// Two processes on one store would each vote under its id.
+	// If two processes used the same store, both would vote under its id.
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
 		return nil, DirRejected.New("data directory %s is in use by another process", path)
@@ -41,30 +42,32 @@
 	return &Dir{path: path, files: map[string]*os.File{}, lock: lock}, nil
 }
 
-// ownedPrefixes begin the names of a store's files, and of what a file system itself
-// has in its root.
-var ownedPrefixes = []string{lockName, slotPrefix, logPrefix, "lost+found"}
+// storeDirPrefixes are the prefixes of the file names by which a directory is recognized as
+// usable for a store: the names of the store's files, and lost+found, which some file systems
+// have in their root directory.
+var storeDirPrefixes = []string{lockName, slotPrefix, logPrefix, "lost+found"}
 
-// checkOwned rejects a path that isn't a directory, can't be read, or contains files but
-// none of a store.
-func checkOwned(path string) error {
+// checkIsStoreDir returns a DirRejected error if the path isn't a directory, can't be read, or
+// contains files but none that match storeDirPrefixes. A path that doesn't exist is accepted.
+func checkIsStoreDir(path string) error {
 	entries, err := os.ReadDir(path)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 		return nil
 	case errors.Is(err, syscall.ENOTDIR):
-		return DirRejected.New("data directory %s is no directory", path)
+		return DirRejected.New("data directory %s is not a directory", path)
 	case errors.Is(err, os.ErrPermission):
 		return DirRejected.New("data directory %s can't be read: permission denied", path)
 	case err != nil:
-		return IOFailed.Wrap(err, "data directory")
+		return IOFailed.Wrap(err, "reading the data directory")
 	}
-	if len(entries) > 0 && !anyHasPrefix(entries, ownedPrefixes) {
-		return DirRejected.New("data directory %s holds %s and no store: it may belong to another program", path, entries[0].Name())
+	if len(entries) > 0 && !anyHasPrefix(entries, storeDirPrefixes) {
+		return DirRejected.New("data directory %s contains %s but no store: it may belong to another program", path, entries[0].Name())
 	}
 	return nil
 }
 
+// anyHasPrefix reports whether the name of any entry starts with any of the prefixes.
 func anyHasPrefix(entries []os.DirEntry, prefixes []string) bool {
 	for _, entry := range entries {
 		for _, prefix := range prefixes {
@@ -76,7 +79,7 @@
 	return false
 }
 
-// Close closes the files and releases the lock.
+// Close closes the files and releases the lock on the directory.
 func (d *Dir) Close() {
 	for _, file := range d.files {
 		file.Close()
@@ -84,7 +87,8 @@
 	d.lock.Close()
 }
 
-// file opens a file once, and makes it if need be.
+// file returns the open file of a name. The first call for a name opens the file and creates
+// it if it doesn't exist.
 func (d *Dir) file(name string) (*os.File, error) {
 	if file := d.files[name]; file != nil {
 		return file, nil
@@ -93,7 +97,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// The name must be durable as well as the content.
+	// Syncing a new file doesn't make its directory entry durable, so the directory is
+	// synced as well.
 	if err := d.syncDir(); err != nil {
 		file.Close()
 		return nil, err
@@ -142,8 +147,8 @@
 	return file.Sync()
 }
 
-// Quarantine renames the files of a damaged store by appending a suffix, so that the
-// node can start with an empty store as a new member while the evidence is kept.
+// Quarantine appends a suffix to the names of the files of a damaged store. The node can
+// then start with an empty store as a new member, and the damaged files are kept for analysis.
 func (d *Dir) Quarantine(suffix string) error {
 	for name, file := range d.files {
 		file.Close()
--- a/internal/storage/dir_test.go
+++ b/internal/storage/dir_test.go
@@ -11,11 +11,11 @@
 )
 
 func TestRejectedDirs(t *testing.T) {
-	Convey("A directory that isn't a store's is refused by name and isn't changed", t, func() {
+	Convey("A path that isn't a store's directory is rejected with an error that contains it, and isn't changed", t, func() {
 		path := t.TempDir()
 		file := filepath.Join(path, "file")
 		So(os.WriteFile(file, []byte("x"), 0o600), ShouldBeNil)
-		for rejected, reason := range map[string]string{path: "holds file and no store", file: "is no directory"} {
+		for rejected, reason := range map[string]string{path: "contains file but no store", file: "is not a directory"} {
 			_, err := storage.OpenDir(rejected)
 			So(storage.IsDirRejected(err), ShouldBeTrue)
 			So(err.Error(), ShouldContainSubstring, rejected)
@@ -25,7 +25,7 @@
 		So(err, ShouldBeNil)
 		So(len(entries), ShouldEqual, 1)
 	})
-	Convey("An empty directory, one with a file system's own entries, and a store's are accepted", t, func() {
+	Convey("An empty directory, one with lost+found and one with a store are accepted", t, func() {
 		path := t.TempDir()
 		So(os.Mkdir(filepath.Join(path, "lost+found"), 0o700), ShouldBeNil)
 		for range 2 {
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -1,9 +1,10 @@
 package storage
 
-// The files. Epoch e has its snapshot in slot-(e mod 2), one block with a SnapshotSlot,
-// and its log in log-(e mod 2), a sequence of blocks with a LogFrame each. A block is a
-// header of three big-endian 32-bit words (magic number, length of the payload in bytes,
-// CRC-32C of the payload) and the payload, a protobuf message.
+// File format. Snapshots are numbered by epochs. The snapshot of epoch e is in the file
+// slot-(e mod 2), which consists of one block with a SnapshotSlot. The changes since that
+// snapshot are in the file log-(e mod 2), a sequence of blocks that contain one LogFrame
+// each. A block consists of a header of three big-endian 32-bit words (magic number, length
+// of the payload in bytes, CRC-32C of the payload) and the payload, a protobuf message.
 
 import (
 	"encoding/binary"
@@ -31,7 +32,7 @@
 func slotName(epoch uint64) string { return fmt.Sprint(slotPrefix, epoch%2) }
 func logName(epoch uint64) string  { return fmt.Sprint(logPrefix, epoch%2) }
 
-// encodeBlock encodes a message as the payload of a block.
+// encodeBlock encodes a message as a block with the given magic number.
 func encodeBlock(message proto.Message, magic uint32) ([]byte, error) {
 	payload, err := proto.Marshal(message)
 	if err != nil {
@@ -44,8 +45,10 @@
 	return append(data, payload...), nil
 }
 
-// decodeBlock reads the block at the start of data; used are its bytes with the header.
-func decodeBlock(data []byte, magic uint32) (payload []byte, used int, ok bool) {
+// decodeBlock decodes the block at the start of data. It returns the payload and the size
+// of the block in bytes, including the header. ok is false if the block is incomplete, has
+// another magic number or fails its checksum.
+func decodeBlock(data []byte, magic uint32) (payload []byte, size int, ok bool) {
 	if len(data) < headerBytes || binary.BigEndian.Uint32(data) != magic {
 		return nil, 0, false
 	}
@@ -60,9 +63,10 @@
 	return payload, headerBytes + int(length), true
 }
 
-// parseFrame reads the frame at the start of data; used are its bytes.
-func parseFrame(data []byte) (frame *schema.LogFrame, used int, ok bool) {
-	payload, used, ok := decodeBlock(data, frameMagic)
+// parseFrame decodes the log frame at the start of data. It returns the frame and its size
+// in bytes; ok is false if there is no valid frame.
+func parseFrame(data []byte) (frame *schema.LogFrame, size int, ok bool) {
+	payload, size, ok := decodeBlock(data, frameMagic)
 	if !ok {
 		return nil, 0, false
 	}
@@ -70,10 +74,10 @@
 	if proto.Unmarshal(payload, frame) != nil {
 		return nil, 0, false
 	}
-	return frame, used, true
+	return frame, size, true
 }
 
-// readFile returns nil for a file that doesn't exist.
+// readFile returns the content of a file, or nil if the file doesn't exist.
 func readFile(disk Disk, name string) ([]byte, error) {
 	data, err := disk.Read(name)
 	if errors.Is(err, os.ErrNotExist) {
@@ -85,8 +89,9 @@
 	return data, nil
 }
 
-// readSlot returns nil for a slot that is absent or was being written at a crash: then
-// the other one is current.
+// readSlot reads a snapshot slot. It returns nil if the slot doesn't exist or can't be
+// decoded. A crash while a slot is written leaves it undecodable; the other slot is still
+// the current one then.
 func readSlot(disk Disk, name string) (*schema.SnapshotSlot, error) {
 	data, err := readFile(disk, name)
 	if err != nil {
@@ -103,7 +108,7 @@
 	return slot, nil
 }
 
-// newestSlot is the slot of the greatest epoch; nil if there is none.
+// newestSlot returns the readable slot with the highest epoch, or nil if there is none.
 func newestSlot(disk Disk) (*schema.SnapshotSlot, error) {
 	var newest *schema.SnapshotSlot
 	for k := range uint64(2) {
--- a/internal/storage/readonly.go
+++ b/internal/storage/readonly.go
@@ -6,32 +6,32 @@
 	"syscall"
 )
 
-// readOnlyDisk is the Disk of a data directory that isn't changed: what is written, as by
-// the truncation of a torn tail, stays in memory.
+// readOnlyDisk implements Disk for a data directory that must not be changed. Writes, such as
+// the truncation of a torn tail, are kept in memory only.
 type readOnlyDisk struct {
 	path    string
-	changed map[string][]byte // content of files that were written to
+	changed map[string][]byte // content, by name, of the files that were written to or truncated
 }
 
-// OpenReadOnly reads the store in the data directory of a stopped process, and writes
-// nothing there. The error is Corrupted as for Open; it is IOFailed if the directory is in
-// use or holds no store.
+// OpenReadOnly reads the store in the data directory of a stopped process and doesn't write to
+// the directory. It returns a Corrupted error in the same cases as Open, and an IOFailed error
+// if the directory is in use, contains no store or can't be read.
 func OpenReadOnly(path string) (*Store, error) {
 	lock, err := os.Open(filepath.Join(path, lockName))
 	if err != nil {
-		return nil, IOFailed.New("%s is no data directory of a store", path)
+		return nil, IOFailed.New("%s is no data directory of a store: its lock file can't be opened", path)
 	}
 	defer lock.Close()
-	// A shared lock fails while a process holds the exclusive one.
+	// The shared lock can't be acquired while a process holds the exclusive lock.
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_SH|syscall.LOCK_NB); err != nil {
-		return nil, IOFailed.New("data directory %s is in use: stop its process first, or ask it", path)
+		return nil, IOFailed.New("data directory %s is in use: stop the process that uses it, or query that process instead", path)
 	}
 	entries, err := os.ReadDir(path)
 	if err != nil {
-		return nil, IOFailed.Wrap(err, "data directory")
+		return nil, IOFailed.Wrap(err, "reading the data directory")
 	}
 	if !anyHasPrefix(entries, []string{slotPrefix, logPrefix}) {
-		return nil, IOFailed.New("%s holds no store", path)
+		return nil, IOFailed.New("data directory %s contains no store", path)
 	}
 	return Open(&readOnlyDisk{path: path, changed: map[string][]byte{}})
 }
--- a/internal/storage/repair.go
+++ b/internal/storage/repair.go
@@ -1,21 +1,21 @@
 package storage
 
-// tailCondition is what is known of the end of the log.
+// tailCondition describes what is known about the end of the log. Higher values are worse.
 type tailCondition int
 
 const (
 	tailIntact tailCondition = iota
-	// tailTorn: a write failed. What stands after the last good frame must be truncated,
-	// durably, before anything follows it.
+	// tailTorn means that a write failed. The data after the last complete frame must be
+	// truncated, and the truncation synced, before another frame is appended.
 	tailTorn
-	// tailUncertain: a sync failed. The page cache may hold as clean what never reached
-	// the disk, so another sync proves nothing. Nothing more is appended to this
-	// log; the acknowledged state is written anew to the other slot.
+	// tailUncertain means that a sync failed. The page cache may mark data as clean that
+	// never reached the disk, so a later successful sync proves nothing. No frame is
+	// appended to this log any more; the committed state is written to the other slot.
 	tailUncertain
 )
 
-// repair makes the store writable again after a failed commit. It relies on nothing
-// that a failed write or sync left behind.
+// repair makes the store writable again after a failed commit. It doesn't rely on any data
+// that a failed write or sync left in the files.
 func (s *Store) repair() error {
 	if s.tail == tailTorn {
 		if err := s.truncateTail(); err != nil {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// truncateTail removes what follows the last good frame.
+// truncateTail removes the data after the last complete frame of the log and syncs the log.
 func (s *Store) truncateTail() error {
 	if err := s.disk.Truncate(logName(s.epoch), s.logSize); err != nil {
 		return err
@@ -41,8 +41,9 @@
 	return s.disk.Sync(logName(s.epoch))
 }
 
-// noteFailure records that a commit failed. A second failed write in a row may be for
-// want of space, which only a new slot can free.
+// noteFailure records that a commit failed and in which condition it left the tail. After the
+// second failed write in a row it records tailUncertain, because the disk may be full, and
+// only a switch to a new slot can free space.
 func (s *Store) noteFailure(failure tailCondition) {
 	if s.lastCommitFailed && failure == tailTorn {
 		failure = tailUncertain
--- a/internal/storage/state.go
+++ b/internal/storage/state.go
@@ -12,14 +12,14 @@
 type GroupState struct {
 	HardState *schema.HardState
 	Snapshot  *schema.Snapshot
-	Entries   []*schema.Entry // after the snapshot, by index without gaps
+	Entries   []*schema.Entry // the entries after the snapshot, ordered by index without gaps
 }
 
-// State is the durable state of a process. Its messages are shared with the changes
-// that brought them, and never written to.
+// State is the durable state of a process. It shares protobuf messages with the StoreChanges
+// that were applied to it, so these messages must not be modified.
 type State struct {
 	Identity *schema.StoreIdentity
-	Groups   map[string]*GroupState // by the group's name
+	Groups   map[string]*GroupState // by group name
 }
 
 func newState() *State {
@@ -32,7 +32,7 @@
 	}
 }
 
-// Apply makes one change.
+// Apply applies one change to the state.
 func (s *State) Apply(change *schema.StoreChange) {
 	if change.Identity != nil {
 		s.Identity = change.Identity
@@ -68,22 +68,27 @@
 	}
 }
 
+// entriesAfter returns a copy of the entries with a higher index.
 func entriesAfter(entries []*schema.Entry, index uint64) []*schema.Entry {
 	at := sort.Search(len(entries), func(k int) bool { return entries[k].Index > index })
 	return append([]*schema.Entry(nil), entries[at:]...)
 }
 
+// entriesBefore returns the entries with a lower index, as a slice to which new entries can be
+// appended.
 func entriesBefore(entries []*schema.Entry, index uint64) []*schema.Entry {
 	at := sort.Search(len(entries), func(k int) bool { return entries[k].Index >= index })
 	if at == len(entries) {
-		// The common case, a plain append, goes in place rather than copying a long log
-		// for each batch. Nothing else appends to this slice.
+		// In the common case no entry is replaced. The slice is then returned with its
+		// spare capacity, so that appending doesn't copy a long log for each batch. This is
+		// safe because nothing else appends to the slice.
 		return entries
 	}
 	return entries[:at:at]
 }
 
-// asChanges is the state as the fewest changes that make it.
+// asChanges returns the shortest list of changes that produces this state when it is applied
+// to an empty state.
 func (s *State) asChanges() []*schema.StoreChange {
 	changes := []*schema.StoreChange{{Identity: s.Identity}}
 	for _, name := range slices.Sorted(maps.Keys(s.Groups)) {
