--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -6,23 +6,24 @@
 	"sparnotch/internal/schema"
 )
 
-// BenchmarkApply appends one entry to a log of 2,000.
+// BenchmarkApply measures State.Apply for a change that appends one entry to a log of about
+// 2,000 entries. Every 512 entries, a snapshot compacts the log to 2,000.
 func BenchmarkApply(b *testing.B) {
-	content := newState()
+	state := newState()
 	index := uint64(0)
-	add := func() {
+	appendEntry := func() {
 		index++
-		content.Apply(&schema.StoreChange{Group: "g", Entries: []*schema.Entry{{Index: index, Term: 1}}})
+		state.Apply(&schema.StoreChange{Group: "g", Entries: []*schema.Entry{{Index: index, Term: 1}}})
 	}
 	for index < 2000 {
-		add()
+		appendEntry()
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for k := 0; k < b.N; k++ {
 		if index%512 == 0 {
-			content.Apply(&schema.StoreChange{Group: "g", Snapshot: &schema.Snapshot{Index: index - 2000}})
+			state.Apply(&schema.StoreChange{Group: "g", Snapshot: &schema.Snapshot{Index: index - 2000}})
 		}
-		add()
+		appendEntry()
 	}
 }
--- a/internal/storage/encoding_test.go
+++ b/internal/storage/encoding_test.go
@@ -10,8 +10,8 @@
 	"sparnotch/internal/schema"
 )
 
-// BenchmarkEncoding compares the size of a settle's entry on disk in two encodings, each
-// entry readable by itself.
+// BenchmarkEncoding compares protobuf and gob by the size of an encoded log entry with a
+// settle command. Each entry is encoded so that it can be decoded without the others.
 func BenchmarkEncoding(b *testing.B) {
 	settle, err := proto.Marshal(&schema.QueueCommand{Body: &schema.QueueCommand_Settle{Settle: &schema.Settle{Key: &schema.TaskKey{Job: 1234, Step: 1, Task: 7}, Attempt: 1}}})
 	if err != nil {
--- a/internal/storage/repair_test.go
+++ b/internal/storage/repair_test.go
@@ -10,8 +10,8 @@
 	"sparnotch/internal/storage"
 )
 
-// testBatch is the k-th commit of a run; every seventh is large, so that slots are
-// written too.
+// testBatch returns the changes of the k-th commit of a run. Every seventh batch is large, so
+// that the log reaches its limit and slots are written as well.
 func testBatch(k uint64) []*schema.StoreChange {
 	size := 10
 	if k%7 == 0 {
@@ -20,7 +20,7 @@
 	return []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(k, size)}, Snapshot: &schema.Snapshot{Index: max(k, 4) - 4}}}
 }
 
-// lastIndex is the index of the group's last entry, 0 if there is none.
+// lastIndex returns the index of the last entry of group g, or 0 if it has no entries.
 func lastIndex(s *storage.Store) uint64 {
 	group := s.State().Groups["g"]
 	if group == nil || len(group.Entries) == 0 {
@@ -29,18 +29,18 @@
 	return group.Entries[len(group.Entries)-1].Index
 }
 
-const faultyRunLogLimit = 2000 // bytes
+const faultyRunLogLimit = 2000 // lower bound of the log's size limit, in bytes
 
-// faultyRun is a run in which chosen disk operations fail, each commit is retried until
-// it succeeds, and power is lost at the end.
+// faultyRun is a test run in which selected disk operations fail, each failed commit is
+// retried until it succeeds, and power is lost at the end.
 type faultyRun struct {
 	disk         *sim.Disk
 	store        *storage.Store
-	acknowledged uint64
-	failures     int
+	acknowledged uint64 // number of the last commit that succeeded
+	failures     int    // number of calls of Commit that failed
 }
 
-// newFaultyRun begins a run on an empty disk without faults.
+// newFaultyRun starts a run with an empty disk on which no operation fails yet.
 func newFaultyRun(t *testing.T) *faultyRun {
 	t.Helper()
 	run := &faultyRun{disk: sim.NewDisk()}
@@ -48,7 +48,7 @@
 	return run
 }
 
-// restart opens the store anew, with what the page cache holds.
+// restart reopens the store without a loss of power: the content of the page cache is kept.
 func (f *faultyRun) restart(t *testing.T) {
 	t.Helper()
 	store, err := storage.OpenWithLogLimit(f.disk, faultyRunLogLimit)
@@ -58,10 +58,11 @@
 	f.store = store
 }
 
-// commit retries the k-th commit until it succeeds.
+// commit makes the k-th commit of the run, with the changes of testBatch.
 func (f *faultyRun) commit(k uint64) error { return f.commitChanges(k, testBatch(k)) }
 
-// commitChanges retries a commit of these changes as the k-th until it succeeds.
+// commitChanges commits changes as the k-th commit of the run. It retries a failed commit and
+// returns an error after 12 failures.
 func (f *faultyRun) commitChanges(k uint64, changes []*schema.StoreChange) error {
 	for range 12 {
 		if err := f.store.Commit(changes); err == nil {
@@ -70,10 +71,11 @@
 		}
 		f.failures++
 	}
-	return fmt.Errorf("commit %d never succeeded", k)
+	return fmt.Errorf("commit %d failed 12 times", k)
 }
 
-// reopen cuts the power, opens the store and checks what it holds.
+// reopen ends all faults, cuts the power and opens the store. It returns an error if the store
+// lacks an acknowledged entry or has an entry after the last requested one.
 func (f *faultyRun) reopen(rng *rand.Rand, requested uint64) error {
 	f.disk.Fault = sim.DiskFault{}
 	f.disk.PowerCut(rng)
@@ -83,48 +85,50 @@
 	}
 	f.store = store
 	if last := lastIndex(store); last < f.acknowledged || last > requested {
-		return fmt.Errorf("acknowledged up to %d, committed up to %d, found up to %d", f.acknowledged, requested, last)
+		return fmt.Errorf("commits up to %d were acknowledged and up to %d requested, but the last entry found is %d", f.acknowledged, requested, last)
 	}
 	return nil
 }
 
-// TestEachDiskCallFails: whichever call of the Disk fails, once or twice within a
-// commit, the store recovers, and what was acknowledged survives a loss of power.
+// TestEachDiskCallFails checks that the store recovers from the failure of any call of the
+// Disk, and of a second call while the commit is retried, and that acknowledged commits survive
+// a loss of power afterwards.
 func TestEachDiskCallFails(t *testing.T) {
 	failures := 0
-	for at := 1; at < 150; at++ {
-		for gap := range 6 {
+	for failAt := 1; failAt < 150; failAt++ {
+		for retryFailAt := range 6 { // 0: the retry doesn't fail
 			run := newFaultyRun(t)
 			disk := run.disk
-			disk.Fault.FailAt = at
+			disk.Fault.FailAt = failAt
 			requested := uint64(0)
 			for k := uint64(1); k <= 40; k++ {
 				requested = k
-				retried := run.failures == 1 && gap > 0
+				retried := run.failures == 1 && retryFailAt > 0
 				if retried {
-					disk.Fault.FailAt, gap = gap, 0
+					disk.Fault.FailAt, retryFailAt = retryFailAt, 0
 				}
 				if err := run.commit(k); err != nil {
-					t.Fatalf("call %d: %v", at, err)
+					t.Fatalf("disk call %d failed: %v", failAt, err)
 				}
-				// Power is lost soon after the failure, before a later slot would repair it.
-				if run.failures > 0 && disk.Fault.FailAt == 0 && k%3 == uint64(at%3) {
+				// Power is lost soon after the failure, before the switch to a new slot would
+				// hide a faulty repair.
+				if run.failures > 0 && disk.Fault.FailAt == 0 && k%3 == uint64(failAt%3) {
 					break
 				}
 			}
 			failures += run.failures
-			if err := run.reopen(rand.New(rand.NewPCG(uint64(at), uint64(gap))), requested); err != nil {
-				t.Fatalf("call %d failed, then power was lost: %v", at, err)
+			if err := run.reopen(rand.New(rand.NewPCG(uint64(failAt), uint64(retryFailAt))), requested); err != nil {
+				t.Fatalf("disk call %d failed and power was lost later: %v", failAt, err)
 			}
 		}
 	}
 	if failures < 500 {
-		t.Errorf("only %d commits failed", failures)
+		t.Errorf("only %d commits failed in all runs, want at least 500", failures)
 	}
 }
 
-// TestSyncAfterFailedSync: a successful sync doesn't make durable what a failed one
-// before it should have.
+// TestSyncAfterFailedSync checks that the store rewrites data whose sync failed. A later
+// successful sync alone doesn't make this data durable, so it would be lost with the power.
 func TestSyncAfterFailedSync(t *testing.T) {
 	for seed := uint64(0); seed < 40; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -143,8 +147,8 @@
 			}
 		}
 		disk.Fault.SyncFails = false
-		// In this process, or in the next one, which reads from the page cache what the
-		// disk doesn't hold.
+		// For odd seeds the process restarts first. It then reads entries from the page cache
+		// that aren't on the disk.
 		if seed%2 == 1 {
 			run.restart(t)
 			run.acknowledged = max(run.acknowledged, lastIndex(run.store))
@@ -159,8 +163,9 @@
 	}
 }
 
-// TestFullDisk: on a full disk commits fail and nothing is lost; what is durable can be
-// read, and once there is space the same commit is made, and only once.
+// TestFullDisk checks that commits fail on a full disk without a loss of data: durable entries
+// can still be read, and once there is space, the failed batch can be committed and appears
+// only once.
 func TestFullDisk(t *testing.T) {
 	for seed := uint64(0); seed < 40; seed++ {
 		run := newFaultyRun(t)
@@ -176,13 +181,14 @@
 				t.Fatal("a commit succeeded on a full disk")
 			}
 			if lastIndex(run.store) != seed+1 {
-				t.Fatalf("%d of %d durable entries can be read", lastIndex(run.store), seed+1)
+				t.Fatalf("the last entry that can be read is %d, want %d", lastIndex(run.store), seed+1)
 			}
 		}
 		if seed%3 == 0 {
-			// Restarted meanwhile: a store is opened only once its disk takes writes.
+			// The process restarts while the disk is full. Open fails until the disk accepts
+			// writes again.
 			if _, err := storage.OpenWithLogLimit(disk, faultyRunLogLimit); err == nil {
-				t.Fatal("a store was opened on a disk that takes no writes")
+				t.Fatal("a store was opened on a disk that accepts no writes")
 			}
 			disk.Fault.IsFull = false
 			run.restart(t)
@@ -194,7 +200,7 @@
 			}
 		}
 		if entries := run.store.State().Groups["g"].Entries; entries[len(entries)-1].Index-entries[0].Index != uint64(len(entries)-1) {
-			t.Fatalf("records %v", entries)
+			t.Fatalf("the indexes of the entries have gaps or repetitions: %v", entries)
 		}
 		if err := run.reopen(rand.New(rand.NewPCG(seed, 2)), seed+5); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
@@ -202,9 +208,10 @@
 	}
 }
 
-// TestFailedSlotSwitch: while the next slot can't be written, or isn't known to be
-// durable, nothing is appended to the log that it would replace: if that slot was found
-// after a loss of power, all that followed in the old log would be lost.
+// TestFailedSlotSwitch checks that nothing is appended to the current log once a switch to the
+// next slot has failed, because the slot couldn't be written or synced. The new slot may still
+// be found after a loss of power, and then everything that was appended to the old log after
+// the switch would be lost.
 func TestFailedSlotSwitch(t *testing.T) {
 	for seed := uint64(0); seed < 40; seed++ {
 		run := newFaultyRun(t)
@@ -218,7 +225,7 @@
 			}
 		}
 		if run.failures == 0 {
-			t.Fatal("commits went on in the old log")
+			t.Fatal("no commit failed, so the store went on appending to the old log")
 		}
 		if seed%4 > 1 {
 			disk.Fault = sim.DiskFault{}
@@ -232,8 +239,8 @@
 	}
 }
 
-// TestTornTail: what a failed write left behind is truncated before anything follows,
-// so that none of it remains after a shorter frame.
+// TestTornTail checks that the remainder of a failed write is truncated before the next frame
+// is appended. Otherwise, part of the remainder would follow a shorter frame.
 func TestTornTail(t *testing.T) {
 	long := []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(2, 900)}}}
 	short := []*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(2, 1)}}}
@@ -260,13 +267,13 @@
 		sizes[withFailure] = disk.Size("log-0")
 	}
 	if sizes[true] != sizes[false] {
-		t.Errorf("%d bytes after a failed write, %d without one", sizes[true], sizes[false])
+		t.Errorf("the log has %d bytes after a failed write, but %d bytes without one", sizes[true], sizes[false])
 	}
 }
 
-// TestSpaceReservedForNextSlot: on a disk that other programs have filled, a store whose
-// state doesn't grow goes on in the space of its own files: the log of the former epoch
-// is kept until the next slot needs its space.
+// TestSpaceReservedForNextSlot checks that a store whose state doesn't grow can go on when other
+// programs have filled the disk. It then needs no more space than its own files take: the log
+// of the previous epoch is kept until the next slot needs that space.
 func TestSpaceReservedForNextSlot(t *testing.T) {
 	for seed := uint64(0); seed < 20; seed++ {
 		run := newFaultyRun(t)
@@ -287,7 +294,7 @@
 			steady(k)
 		}
 		if run.store.Stats().Slots < slots+3 {
-			t.Fatalf("%d slots were written on a full disk", run.store.Stats().Slots-slots)
+			t.Fatalf("only %d slots were written on a full disk, want at least 3", run.store.Stats().Slots-slots)
 		}
 		if err := run.reopen(rand.New(rand.NewPCG(seed, 4)), k); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
--- a/internal/storage/snapshot_install_test.go
+++ b/internal/storage/snapshot_install_test.go
@@ -12,9 +12,9 @@
 	"sparnotch/internal/storage"
 )
 
-// installSteps are the commits of a replica that is sent snapshots by its leader:
-// entries, a snapshot that replaces them all, entries after it, a snapshot by its own
-// compaction, and a later one of the leader's.
+// installSteps returns the commits of a replica that receives snapshots from its leader:
+// entries, a snapshot from the leader that replaces all of them, entries after it, a snapshot
+// by local compaction, more entries, and another snapshot from the leader.
 func installSteps() [][]*schema.StoreChange {
 	snapshot := func(index uint64) *schema.Snapshot {
 		return &schema.Snapshot{Index: index, Term: 2, Data: fmt.Appendf(nil, "state %d %3000d", index, index)}
@@ -36,7 +36,7 @@
 	}
 }
 
-// dumpState is a store's state as text.
+// dumpState returns the state of a store's groups g and h as text.
 func dumpState(s *storage.Store) string {
 	text := ""
 	for _, name := range []string{"g", "h"} {
@@ -52,11 +52,12 @@
 	return text
 }
 
-// TestInterruptedSnapshotInstall: power is lost at each write, truncation and sync of
-// the installation of snapshots, with slots switched at other points each time. The
-// store then holds what had been acknowledged, or that and all of the commit in
-// progress: never a part of a snapshot, an old one with new entries, or a new one with
-// old entries; and the installation continues from there.
+// TestInterruptedSnapshotInstall checks the installation of snapshots when power is lost at any
+// write, truncation or sync. Different log limits make the switches of slots happen at
+// different steps. Afterwards the store must contain either the acknowledged commits, or these
+// and the whole commit that was in progress. It must never contain a part of a snapshot, an old
+// snapshot with new entries, or a new snapshot with old entries. The remaining commits must
+// then succeed.
 func TestInterruptedSnapshotInstall(t *testing.T) {
 	steps := installSteps()
 	for _, limit := range []int64{100, 1500, 2500, 4000, 9000, 1 << 20} {
@@ -68,9 +69,12 @@
 	}
 }
 
+// interruptInstall commits the steps on a disk that loses power at the given operation, and
+// checks the store after that and after the remaining steps. The seed determines which unsynced
+// data survives the loss of power.
 func interruptInstall(t *testing.T, steps [][]*schema.StoreChange, limit int64, operation int, seed uint64) {
-	fail := func(form string, args ...any) {
-		t.Fatalf("limit %d, power lost at operation %d, seed %d: %s", limit, operation, seed, fmt.Sprintf(form, args...))
+	fail := func(format string, args ...any) {
+		t.Fatalf("limit %d, power lost at operation %d, seed %d: %s", limit, operation, seed, fmt.Sprintf(format, args...))
 	}
 	reference, err := storage.OpenWithLogLimit(sim.NewDisk(), limit)
 	if err != nil {
@@ -103,7 +107,7 @@
 	case expected[min(acknowledged+1, len(steps))]:
 		acknowledged++
 	default:
-		fail("%d steps were acknowledged, and the store holds neither these nor these and the next", acknowledged)
+		fail("%d steps were acknowledged, but the store contains neither exactly these nor these and the next", acknowledged)
 	}
 	for ; acknowledged < len(steps); acknowledged++ {
 		if err := s.Commit(steps[acknowledged]); err != nil {
@@ -111,12 +115,13 @@
 		}
 	}
 	if s, err = storage.OpenWithLogLimit(disk, limit); err != nil || dumpState(s) != expected[len(steps)] {
-		fail("continued it ends in another state: %v", err)
+		fail("the remaining steps led to another state than without an interruption (error: %v)", err)
 	}
 }
 
-// TestSpaceOnDisk: a store takes no more than two slots and two logs, each no larger
-// than its state or the least limit, and what one commit adds.
+// TestSpaceOnDisk checks that a store uses no more disk space than two slots and two logs. A
+// slot is as large as the state. A log may be as large as the state or the log limit,
+// whichever is larger, plus one commit.
 func TestSpaceOnDisk(t *testing.T) {
 	const limit, snapshotBytes, entryBytes = 1 << 20, 700 << 10, 260 << 10
 	disk := sim.NewDisk()
@@ -143,9 +148,9 @@
 	state := snapshotBytes + 4*entryBytes
 	bound := 2*state + 2*(max(limit, state)+snapshotBytes+entryBytes) + 64<<10
 	if peak > bound {
-		t.Errorf("%d bytes on the disk, want at most %d", peak, bound)
+		t.Errorf("the store used up to %d bytes of the disk, want at most %d", peak, bound)
 	}
 	if last != 400 || s.Stats().Slots < 20 {
-		t.Errorf("only %d slots were written", s.Stats().Slots)
+		t.Errorf("the run wrote only %d slots, want at least 20", s.Stats().Slots)
 	}
 }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -19,7 +19,7 @@
 	return &schema.Entry{Index: index, Term: 1, Data: make([]byte, size)}
 }
 
-// describe is the state of the group as text.
+// describe returns the state of group g as text.
 func describe(s *storage.Store) string {
 	group := s.State().Groups["g"]
 	if group == nil {
@@ -32,7 +32,8 @@
 	return text
 }
 
-// checkDiskContract checks what a store needs of every implementation of Disk.
+// checkDiskContract checks the properties of a Disk implementation that a store relies on. open
+// returns an empty disk; reopen returns the same disk after a restart of the process.
 func checkDiskContract(open func() storage.Disk, reopen func(storage.Disk) storage.Disk) {
 	disk := open()
 	s, err := storage.Open(disk)
@@ -46,7 +47,7 @@
 	So(describe(s), ShouldEqual, "term 3 snapshot 0 entries 1 2")
 	So(s.Commit([]*schema.StoreChange{{Group: "g", Snapshot: &schema.Snapshot{Index: 1}}}), ShouldBeNil)
 	So(s.Commit([]*schema.StoreChange{{Group: "h", HardState: &schema.HardState{Term: 1}}, {Group: "h", Removed: true}}), ShouldBeNil)
-	// Enough to switch slots more than once.
+	// These commits are large enough for more than one switch of slots.
 	for k := uint64(3); k < 40; k++ {
 		So(s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(k, 400_000)}, Snapshot: &schema.Snapshot{Index: k - 2}}}), ShouldBeNil)
 	}
@@ -70,13 +71,13 @@
 		}
 		checkDiskContract(open, func(storage.Disk) storage.Disk {
 			_, err := storage.OpenDir(path)
-			So(err, ShouldNotBeNil) // one process at a time
+			So(err, ShouldNotBeNil) // the directory can be opened only once at a time
 			opened.Close()
 			return open()
 		})
 		opened.Close()
 	})
-	Convey("The simulated disk fulfils it, with power lost at each reopening", t, func() {
+	Convey("The simulated disk fulfils the contract of Disk, with a loss of power before each reopening", t, func() {
 		rng := rand.New(rand.NewPCG(1, 1))
 		checkDiskContract(func() storage.Disk { return sim.NewDisk() }, func(d storage.Disk) storage.Disk {
 			d.(*sim.Disk).PowerCut(rng)
@@ -85,8 +86,8 @@
 	})
 }
 
-// TestPowerCutAtEveryWrite: whichever operation power is lost at, the store holds a
-// prefix of the commits, and all that were acknowledged.
+// TestPowerCutAtEveryWrite checks that after a loss of power at any disk operation, the store
+// contains a prefix of the commits that includes every acknowledged commit.
 func TestPowerCutAtEveryWrite(t *testing.T) {
 	for operation := 1; operation < 120; operation++ {
 		for seed := uint64(0); seed < 4; seed++ {
@@ -117,9 +118,9 @@
 			}
 			last := lastIndex(s)
 			if last < acknowledged || last > requested {
-				t.Fatalf("power lost at operation %d, seed %d: %d acknowledged, %d committed, %d found", operation, seed, acknowledged, requested, last)
+				t.Fatalf("power lost at operation %d, seed %d: commits up to %d were acknowledged and up to %d requested, but the last entry found is %d", operation, seed, acknowledged, requested, last)
 			}
-			// The store can be written to again.
+			// The reopened store must accept writes.
 			if err := s.Commit([]*schema.StoreChange{{Group: "g", Entries: []*schema.Entry{testEntry(last+1, 10)}}}); err != nil {
 				t.Fatal(err)
 			}
@@ -127,8 +128,8 @@
 	}
 }
 
-// TestCorruptionIsNotTakenForTornTail: a flipped bit anywhere in what was acknowledged
-// is either reported or harmless.
+// TestCorruptionIsNotTakenForTornTail checks that the corruption of any byte of acknowledged data
+// is either reported or has no effect on the state.
 func TestCorruptionIsNotTakenForTornTail(t *testing.T) {
 	build := func() (*sim.Disk, *storage.Store) {
 		disk := sim.NewDisk()
@@ -143,7 +144,7 @@
 		}
 		return disk, s
 	}
-	disk, whole := build()
+	disk, intact := build()
 	size := disk.Size("log-0")
 	reported := 0
 	for offset := 0; offset < size; offset += 3 {
@@ -157,17 +158,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if describe(s) != describe(whole) {
-			t.Fatalf("corruption at %d of %d wasn't detected: %s", offset, size, describe(s))
+		if describe(s) != describe(intact) {
+			t.Fatalf("the corruption at byte %d of %d changed the state and wasn't reported: %s", offset, size, describe(s))
 		}
 	}
 	if reported < size/3*9/10 {
-		t.Fatalf("only %d of %d corruptions were reported", reported, size/3)
+		t.Fatalf("only %d of %d corruptions were reported, want at least 90%%", reported, size/3)
 	}
 }
 
 func TestCorruptedSlot(t *testing.T) {
-	Convey("A slot that is corrupted after its log has begun is reported", t, func() {
+	Convey("A slot that is corrupted after its log was written to is reported", t, func() {
 		disk := sim.NewDisk()
 		s, err := storage.Open(disk)
 		So(err, ShouldBeNil)
@@ -180,7 +181,7 @@
 		So(storage.IsCorrupted(err), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "slot-1 at offset")
 	})
-	Convey("Quarantine leaves an empty store, and keeps the damaged files", t, func() {
+	Convey("After Quarantine the store is empty, and the damaged files are kept under other names", t, func() {
 		path := t.TempDir()
 		dir, err := storage.OpenDir(path)
 		So(err, ShouldBeNil)
