--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,35 +1,36 @@
-// Package eventloop runs the components of a process. A Component is a step function
-// with state of its own; a Process gives each one a mailbox and a goroutine, so that
-// its state needs no locks. Components share nothing: they communicate by Messages, and
-// what a step is to have outside the component goes through Effects. The same
-// components run under simulated clocks and networks in internal/sim.
+// Package eventloop runs the components of a process. A Component consists of state and a step
+// function that handles one message. A Loop gives each component a mailbox and a goroutine, so
+// the state of a component needs no locks. Components share no memory: they communicate by
+// Messages, and a step affects anything outside its component only through Effects. The
+// package internal/sim runs the same components with simulated clocks and networks.
 package eventloop
 
-// Message is one message to a component.
+// Message is a message to a component.
 type Message struct {
-	From string // id of the process that sent it; empty for this one
+	From string // id of the process that sent the message; empty if it comes from this process
 	Body any    // Tick, or a message type of the schema or of the receiving package
 }
 
-// Tick is the message that comes to a component at its tick interval.
+// Tick is the body of the message that a component gets periodically, at its tick interval.
 type Tick struct{}
 
-// Effects collects the outputs of a step: messages, notifications and responses. None of
-// its methods blocks; delivery isn't guaranteed.
+// Effects is the interface through which a step sends messages, notifications and responses.
+// Its methods don't block and don't guarantee delivery.
 type Effects interface {
-	// Send sends a message to a process by its id.
+	// Send sends a message to the process with an id.
 	Send(to string, body any)
-	// SendToAddress sends a message to whichever process listens at an internal address.
+	// SendToAddress sends a message to an internal address, whichever process listens there.
 	SendToAddress(address string, body any)
-	// Notify sends a message to another component of this process by its name.
+	// Notify sends a message to the component of this process with a name.
 	Notify(component string, body any)
-	// Respond answers a pending request of a client by its number.
+	// Respond sends the response to the pending client request with a number.
 	Respond(request uint64, body any)
 }
 
-// Component is a step function with the state it owns. A step never blocks, reads no
-// clock and draws no random numbers but from what the component was given, so that a
-// simulation can replay it.
+// Component is a part of a process with its own state, which only its step function accesses.
+// A step must not block. It must not read a clock, and it may draw random numbers only from a
+// source that was passed to the component, so that a simulation can replay the steps.
 type Component interface {
+	// Step handles one message at the time now.
 	Step(now Micros, message Message, effects Effects)
 }
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -7,51 +7,52 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// echo responds with each message, and panics on request.
+// echo is a component that responds to each message with its body, and panics if the body is
+// "panic".
 type echo struct{}
 
 func (echo) Step(_ Micros, message Message, effects Effects) {
 	if message.Body == "panic" {
-		panic("requested")
+		panic("requested by the test")
 	}
 	effects.Respond(7, message.Body)
 }
 
-// recordedEffects keeps the responses and drops the rest.
+// recordedEffects passes responses to a channel and drops all other effects.
 type recordedEffects struct{ responses chan any }
 
 func (recordedEffects) Send(string, any)             {}
 func (recordedEffects) SendToAddress(string, any)    {}
 func (recordedEffects) Notify(string, any)           {}
-func (c recordedEffects) Respond(_ uint64, body any) { c.responses <- body }
+func (r recordedEffects) Respond(_ uint64, body any) { r.responses <- body }
 
 func TestProcess(t *testing.T) {
-	Convey("Messages reach their component in order, and a panic is reported", t, func() {
-		p := NewLoop(RealClock())
+	Convey("A component gets its messages in order, and its panic is reported", t, func() {
+		loop := NewLoop(RealClock())
 		effects := recordedEffects{make(chan any, 16)}
 		panicked := make(chan string, 1)
-		p.Outbound, p.OnPanic = effects, func(component string, cause any, stack []byte) { panicked <- component }
-		p.Add("echo", echo{}, 0)
+		loop.Outbound, loop.OnPanic = effects, func(component string, cause any, stack []byte) { panicked <- component }
+		loop.Add("echo", echo{}, 0)
 		ctx, cancel := context.WithCancel(context.Background())
-		So(p.Post("echo", Message{Body: 1}), ShouldBeTrue)
-		So(p.Post("nobody", Message{Body: 1}), ShouldBeFalse)
-		p.Run(ctx)
-		So(p.PostWait("echo", Message{Body: 2}), ShouldBeTrue)
+		So(loop.Post("echo", Message{Body: 1}), ShouldBeTrue)
+		So(loop.Post("nobody", Message{Body: 1}), ShouldBeFalse)
+		loop.Run(ctx)
+		So(loop.PostWait("echo", Message{Body: 2}), ShouldBeTrue)
 		So(<-effects.responses, ShouldEqual, 1)
 		So(<-effects.responses, ShouldEqual, 2)
-		p.Post("echo", Message{Body: "panic"})
+		loop.Post("echo", Message{Body: "panic"})
 		So(<-panicked, ShouldEqual, "echo")
 		cancel()
-		p.Wait()
+		loop.Wait()
 	})
-	Convey("A full queue drops items and counts them", t, func() {
-		q := NewQueue[int](2)
-		So(q.TryPut(1), ShouldBeTrue)
-		So(q.TryPut(2), ShouldBeTrue)
-		So(q.TryPut(3), ShouldBeFalse)
-		So(q.Dropped(), ShouldEqual, 1)
+	Convey("TryPut on a full queue drops and counts the item, and Put fails once the context has ended", t, func() {
+		queue := NewQueue[int](2)
+		So(queue.TryPut(1), ShouldBeTrue)
+		So(queue.TryPut(2), ShouldBeTrue)
+		So(queue.TryPut(3), ShouldBeFalse)
+		So(queue.Dropped(), ShouldEqual, 1)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		So(q.Put(ctx, 4), ShouldBeFalse)
+		So(queue.Put(ctx, 4), ShouldBeFalse)
 	})
 }
--- a/internal/eventloop/process.go
+++ b/internal/eventloop/process.go
@@ -7,126 +7,134 @@
 	"sync/atomic"
 )
 
-// mailboxSize is how many messages wait for a component before further ones are dropped.
+// mailboxSize is the number of messages that can wait for a component; further messages are
+// dropped.
 const mailboxSize = 4096
 
-// Loop runs a set of components, each on its own goroutine. The fields are set before
-// Run.
+// Loop runs the components of a process, each on its own goroutine. Its exported fields must
+// be set before Run is called.
 type Loop struct {
 	Clock Clock
-	// Outbound takes what leaves the process: Send, Dial and Respond. Notify stays here.
+	// Outbound receives the calls of Send, SendToAddress and Respond by the components. The
+	// Loop itself handles Notify.
 	Outbound Effects
-	// OnPanic is called, if given, when a component panics, which ends that component
-	// alone; the caller is expected to end the process.
+	// OnPanic is called if a component panics. The panic ends only that component; the owner
+	// of the Loop is expected to end the process. If OnPanic is nil, the panic goes on and
+	// ends the process itself.
 	OnPanic func(component string, cause any, stack []byte)
 
-	components  map[string]*hosted
-	tickLatency atomic.Int64
-	running     sync.WaitGroup
-	ctx         context.Context // of Run
+	components  map[string]*registeredComponent // by name
+	tickLatency atomic.Int64                    // see TickLatency, in µs
+	running     sync.WaitGroup                  // the goroutines of the components
+	ctx         context.Context                 // the context that was passed to Run
 }
 
-// hosted is a component in its process.
-type hosted struct {
+// registeredComponent is a component that was added to a Loop, with its mailbox.
+type registeredComponent struct {
 	name         string
 	component    Component
 	mailbox      *Queue[Message]
-	tickInterval Micros
+	tickInterval Micros // 0: the component gets no Tick
 }
 
-// NewLoop makes a process without components.
+// NewLoop returns a Loop without components.
 func NewLoop(clock Clock) *Loop {
-	return &Loop{Clock: clock, components: map[string]*hosted{}}
+	return &Loop{Clock: clock, components: map[string]*registeredComponent{}}
 }
 
-// Add adds a component under a name before Run. With a tick interval of 0 it gets no
-// Tick.
-func (p *Loop) Add(name string, component Component, tickInterval Micros) {
-	p.components[name] = &hosted{name, component, NewQueue[Message](mailboxSize), tickInterval}
+// Add adds a component with a name. It must be called before Run. The component gets a Tick at
+// each tick interval, or none if the interval is 0.
+func (l *Loop) Add(name string, component Component, tickInterval Micros) {
+	l.components[name] = &registeredComponent{name, component, NewQueue[Message](mailboxSize), tickInterval}
 }
 
-// Run starts the components and returns; they stop when the context ends.
-func (p *Loop) Run(ctx context.Context) {
-	p.ctx = ctx
-	for _, h := range p.components {
-		p.running.Add(1)
-		go p.run(ctx, h)
+// Run starts the goroutines of the components and returns. They stop when the context ends.
+func (l *Loop) Run(ctx context.Context) {
+	l.ctx = ctx
+	for _, registered := range l.components {
+		l.running.Add(1)
+		go l.run(ctx, registered)
 	}
 }
 
-// Wait returns when all components have stopped.
-func (p *Loop) Wait() { p.running.Wait() }
+// Wait blocks until all components have stopped.
+func (l *Loop) Wait() { l.running.Wait() }
 
-func (p *Loop) run(ctx context.Context, h *hosted) {
-	defer p.running.Done()
-	defer p.recoverPanic(h.name)
+// run passes the messages and ticks of a component to its step function until the context ends.
+func (l *Loop) run(ctx context.Context, registered *registeredComponent) {
+	defer l.running.Done()
+	defer l.recoverPanic(registered.name)
 	var lastTick Micros
-	step := func(message Message) { h.component.Step(p.Clock.Now(), message, p) }
-	h.mailbox.Consume(ctx, h.tickInterval, step, func() {
-		now := p.Clock.Now()
+	step := func(message Message) { registered.component.Step(l.Clock.Now(), message, l) }
+	registered.mailbox.Consume(ctx, registered.tickInterval, step, func() {
+		now := l.Clock.Now()
 		if lastTick > 0 {
-			p.recordTickLatency(now - lastTick - h.tickInterval)
+			l.recordTickLatency(now - lastTick - registered.tickInterval)
 		}
 		lastTick = now
 		step(Message{Body: Tick{}})
 	})
 }
 
-// recoverPanic is deferred by a component's goroutine.
-func (p *Loop) recoverPanic(name string) {
+// recoverPanic, which the goroutine of a component defers, reports a panic to OnPanic. If
+// OnPanic is nil, it panics again.
+func (l *Loop) recoverPanic(name string) {
 	cause := recover()
 	if cause == nil {
 		return
 	}
-	if p.OnPanic == nil {
+	if l.OnPanic == nil {
 		panic(cause)
 	}
-	p.OnPanic(name, cause, debug.Stack())
+	l.OnPanic(name, cause, debug.Stack())
 }
 
-// recordTickLatency keeps the worst lateness, which decays so that it is forgotten some
-// seconds later.
-func (p *Loop) recordTickLatency(late Micros) {
-	recent := Micros(p.tickLatency.Load())
-	p.tickLatency.Store(int64(max(0, late, recent-recent/32)))
+// recordTickLatency updates the tick latency with the delay of one tick. It keeps the largest
+// delay, which decays with each tick, so that an old delay has little weight after some
+// seconds.
+func (l *Loop) recordTickLatency(latency Micros) {
+	previous := Micros(l.tickLatency.Load())
+	l.tickLatency.Store(int64(max(0, latency, previous-previous/32)))
 }
 
-// TickLatency is by how many µs the latest recent tick came late. A process that is
-// short of CPU time or was suspended shows it here, and shouldn't lead.
-func (p *Loop) TickLatency() Micros { return Micros(p.tickLatency.Load()) }
+// TickLatency returns the largest recent delay of a tick in µs; older delays count less. The
+// value is large if the process lacks CPU time or was suspended; such a process shouldn't be
+// a leader.
+func (l *Loop) TickLatency() Micros { return Micros(l.tickLatency.Load()) }
 
-// Post puts a message into a component's mailbox. It returns false if the mailbox is
-// full, or there is no such component; the message is dropped then.
-func (p *Loop) Post(component string, message Message) bool {
-	h := p.components[component]
-	return h != nil && h.mailbox.TryPut(message)
+// Post puts a message into the mailbox of a component without blocking. If the mailbox is full
+// or there is no component with this name, it drops the message and returns false.
+func (l *Loop) Post(component string, message Message) bool {
+	registered := l.components[component]
+	return registered != nil && registered.mailbox.TryPut(message)
 }
 
-// PostWait is Post for messages that must not be dropped: it waits while the mailbox is
-// full, and returns false if Run's context ends before. It must be called after Run, and
-// not from a component.
-func (p *Loop) PostWait(component string, message Message) bool {
-	h := p.components[component]
-	return h != nil && h.mailbox.Put(p.ctx, message)
+// PostWait puts a message that must not be dropped into the mailbox of a component. It blocks
+// while the mailbox is full. It returns false if the context of Run ends first or if there is
+// no component with this name. It must be called after Run, and not by a component.
+func (l *Loop) PostWait(component string, message Message) bool {
+	registered := l.components[component]
+	return registered != nil && registered.mailbox.Put(l.ctx, message)
 }
 
-// Dropped counts, by component, the messages that were dropped at a full mailbox.
-func (p *Loop) Dropped() map[string]uint64 {
+// Dropped returns for each component, by name, how many messages were dropped because its
+// mailbox was full.
+func (l *Loop) Dropped() map[string]uint64 {
 	counts := map[string]uint64{}
-	for name, h := range p.components {
-		counts[name] = h.mailbox.Dropped()
+	for name, registered := range l.components {
+		counts[name] = registered.mailbox.Dropped()
 	}
 	return counts
 }
 
 // Notify implements Effects.
-func (p *Loop) Notify(component string, body any) { p.Post(component, Message{Body: body}) }
+func (l *Loop) Notify(component string, body any) { l.Post(component, Message{Body: body}) }
 
 // Send implements Effects.
-func (p *Loop) Send(to string, body any) { p.Outbound.Send(to, body) }
+func (l *Loop) Send(to string, body any) { l.Outbound.Send(to, body) }
 
 // SendToAddress implements Effects.
-func (p *Loop) SendToAddress(address string, body any) { p.Outbound.SendToAddress(address, body) }
+func (l *Loop) SendToAddress(address string, body any) { l.Outbound.SendToAddress(address, body) }
 
 // Respond implements Effects.
-func (p *Loop) Respond(request uint64, body any) { p.Outbound.Respond(request, body) }
+func (l *Loop) Respond(request uint64, body any) { l.Outbound.Respond(request, body) }
--- a/internal/eventloop/queue.go
+++ b/internal/eventloop/queue.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// Queue is a bounded first-in, first-out queue between goroutines.
+// Queue is a bounded first-in, first-out queue. It may be used by several goroutines
+// concurrently.
 type Queue[T any] struct {
 	items   chan T
 	dropped atomic.Uint64
 }
 
-// NewQueue makes a queue that holds so many items.
+// NewQueue returns an empty queue for up to size items.
 func NewQueue[T any](size int) *Queue[T] { return &Queue[T]{items: make(chan T, size)} }
 
-// TryPut adds an item and returns true. If the queue is full the item is dropped and
-// counted; whoever needs it delivered must resend it.
+// TryPut adds an item without blocking. If the queue is full, it drops and counts the item and
+// returns false; a caller that needs the item to be delivered must send it again later.
 func (q *Queue[T]) TryPut(item T) bool {
 	select {
 	case q.items <- item:
@@ -27,8 +28,9 @@
 	}
 }
 
-// Put adds an item, and waits while the queue is full; it returns false if the context
-// ends before. It is only for goroutines that no component waits for in turn.
+// Put adds an item and blocks while the queue is full. It returns false if the context ends
+// first. A goroutine that a component waits for must not call it, as this may cause a
+// deadlock.
 func (q *Queue[T]) Put(ctx context.Context, item T) bool {
 	select {
 	case q.items <- item:
@@ -38,7 +40,7 @@
 	}
 }
 
-// TryTake removes the first item; false if there is none.
+// TryTake removes and returns the first item. It returns false if the queue is empty.
 func (q *Queue[T]) TryTake() (T, bool) {
 	select {
 	case item := <-q.items:
@@ -49,11 +51,11 @@
 	}
 }
 
-// Dropped is how many items were dropped because the queue was full.
+// Dropped returns the number of items that were dropped because the queue was full.
 func (q *Queue[T]) Dropped() uint64 { return q.dropped.Load() }
 
-// Consume passes each item to handle, and calls onTick at the tick interval unless that
-// is 0, until the context ends.
+// Consume passes each item to handle until the context ends. If the tick interval isn't 0, it
+// also calls onTick at this interval, on the same goroutine.
 func (q *Queue[T]) Consume(ctx context.Context, tickInterval Micros, handle func(T), onTick func()) {
 	var ticks <-chan time.Time
 	if tickInterval > 0 {
--- a/internal/eventloop/time.go
+++ b/internal/eventloop/time.go
@@ -2,33 +2,36 @@
 
 import "time"
 
-// Micros is a duration, or an instant of a monotonic clock whose zero has no meaning,
-// in whole microseconds.
+// Micros is a whole number of microseconds. It represents either a duration or a point in time
+// on a monotonic clock, whose zero point has no meaning.
 type Micros int64
 
-// Units of Micros.
+// Durations in units of Micros.
 const (
 	Millisecond Micros = 1000
 	Second      Micros = 1000 * Millisecond
 )
 
-// Duration is the duration as one of package time.
+// Duration converts a duration in microseconds to a time.Duration.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// Clock is the source of time for a process; simulations have their own.
+// Clock provides the time to a process. Simulations use their own implementations.
 type Clock interface {
-	// Now is a monotonic instant.
+	// Now returns the current time of a monotonic clock.
 	Now() Micros
-	// Wall is the time of day in µs since 1970. It may jump; only the start times of
-	// timed jobs depend on it.
+	// Wall returns the time of day in µs since the start of 1970 (UTC). It may jump, so only
+	// the start times of timed jobs depend on it.
 	Wall() int64
 }
 
+// realClock is a Clock that reads the clocks of the machine.
 type realClock struct{ start time.Time }
 
-// RealClock reads the machine's clocks.
+// RealClock returns a Clock that reads the clocks of the machine.
 func RealClock() Clock { return realClock{time.Now()} }
 
-// Now begins at a second, so that 0 can mean an instant long ago.
+// Now starts at one second, so that 0 can represent a point in time before the start.
 func (c realClock) Now() Micros { return Micros(time.Since(c.start).Microseconds()) + Second }
+
+// Wall implements Clock.
 func (c realClock) Wall() int64 { return time.Now().UnixMicro() }
