--- a/internal/transport/identity.go
+++ b/internal/transport/identity.go
@@ -5,25 +5,28 @@
 	"sync/atomic"
 )
 
-// Identity names one incarnation of a process. gob encodes the names of the fields, so
-// they can't change.
+// Identity identifies one incarnation of a process, that is, the time from one start of the
+// process to the next. gob encodes the names of the fields, so they must not change.
 type Identity struct {
 	ID   string
-	Boot uint64 // the incarnation: it rises with each start under the same id
+	Boot uint64 // number of the incarnation; it increases with each start under the same id
 }
 
-// introduction is sent after the preamble: it says whose messages follow.
+// introduction is sent after the preamble of a connection. It identifies the process that sends
+// the messages that follow.
 type introduction struct{ From Identity }
 
-// sender is the process at the other end of an inbound connection.
+// sender is the process at the other end of an inbound connection. Its Identity is empty until
+// the introduction was received.
 type sender struct {
 	Identity
-	isSuperseded atomic.Bool // a later incarnation has connected
+	isSuperseded atomic.Bool // whether a later incarnation of the process has connected
 }
 
-// admit takes an inbound connection of a process. A process has one incarnation at a
-// time: connections of earlier ones are closed, and what was in transit on them is
-// dropped. It returns false where a later incarnation is known.
+// admit registers the sender of an inbound connection after its introduction. A process has
+// only one incarnation at a time, so admit closes the connections of earlier incarnations, and
+// messages that are still in transit on them are dropped. It returns false, without registering
+// the sender, if a later incarnation has a connection.
 func (t *Transport) admit(conn net.Conn, from Identity) (*sender, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -44,8 +47,8 @@
 	return admitted, true
 }
 
-// isAddressee says whether a message is meant for this process: another may have used
-// the address when it was sent.
+// isAddressee reports whether a message is meant for this process. It may be meant for another
+// process that used the address of this process before.
 func (t *Transport) isAddressee(envelope Envelope) bool {
 	return envelope.To == "" || envelope.To == t.self.ID
 }
--- a/internal/transport/identity_test.go
+++ b/internal/transport/identity_test.go
@@ -10,16 +10,16 @@
 	"sparnotch/internal/schema"
 )
 
-// listenAs makes the transport of one incarnation of a process, and records what
-// arrives there.
+// listenAs returns the transport of one incarnation of a process, and a channel with the
+// messages that it receives.
 func listenAs(id string, boot uint64, address string) (*Transport, chan arrival) {
 	arrivals := make(chan arrival, 4096)
-	n, err := Listen(Identity{ID: id, Boot: boot}, address, func(from string, body any) { arrivals <- arrival{from, body} })
+	transport, err := Listen(Identity{ID: id, Boot: boot}, address, func(from string, body any) { arrivals <- arrival{from, body} })
 	So(err, ShouldBeNil)
-	return n, arrivals
+	return transport, arrivals
 }
 
-// sendUntil sends again and again until isDone.
+// sendUntil calls send repeatedly until isDone returns true, and fails the test after 30 seconds.
 func sendUntil(isDone func() bool, send func()) {
 	for end := time.Now().Add(30 * time.Second); !isDone(); runtime.Gosched() {
 		So(time.Now(), ShouldHappenBefore, end)
@@ -29,13 +29,14 @@
 
 func newReply(number uint64) *schema.Response { return &schema.Response{Id: number, Code: 200} }
 
-// countByNumber drains what has arrived and counts it by number.
+// countByNumber removes the responses that have arrived from a channel and counts them by their
+// number.
 func countByNumber(arrivals chan arrival) map[uint64]int {
 	counts := map[uint64]int{}
 	for {
 		select {
-		case each := <-arrivals:
-			counts[each.body.(*schema.Response).Id]++
+		case received := <-arrivals:
+			counts[received.body.(*schema.Response).Id]++
 		default:
 			return counts
 		}
@@ -43,7 +44,7 @@
 }
 
 func TestReusedAddresses(t *testing.T) {
-	Convey("A message to a process that is gone isn't delivered to the next one at its address", t, func() {
+	Convey("A message to a process that has stopped isn't delivered to the next process at its address", t, func() {
 		a, _ := listenAs("a", 1, "127.0.0.1:0")
 		former, atFormer := listenAs("former", 1, "127.0.0.1:0")
 		address := former.Address()
@@ -58,7 +59,7 @@
 		So(next(atLater).body.(*schema.Response).Id, ShouldEqual, 3)
 		So(countByNumber(atLater), ShouldBeEmpty)
 	})
-	Convey("A message to an address alone reaches whichever process is there", t, func() {
+	Convey("A message without an id is delivered to whichever process listens at the address", t, func() {
 		a, _ := listenAs("a", 1, "127.0.0.1:0")
 		b, atB := listenAs("b", 1, "127.0.0.1:0")
 		Reset(func() { a.Close(); b.Close() })
@@ -78,7 +79,8 @@
 		later.SendTo("b", b.Address(), newReply(5))
 		So(next(atB), ShouldResemble, arrival{"a", newReply(5)})
 		So(b.Counts().Superseded, ShouldEqual, 1)
-		// Its connection is closed, and another isn't admitted.
+		// The first connection of the former incarnation was closed, and its next connections
+		// are rejected.
 		sendUntil(func() bool { return b.Counts().Superseded >= 3 }, func() { former.SendTo("b", b.Address(), newReply(4)) })
 		later.SendTo("b", b.Address(), newReply(6))
 		So(next(atB), ShouldResemble, arrival{"a", newReply(6)})
@@ -97,7 +99,7 @@
 		}
 		So(b.Counts().Superseded, ShouldEqual, 0)
 	})
-	Convey("A connection without an id in its introduction is closed", t, func() {
+	Convey("A connection whose introduction contains no id is closed", t, func() {
 		b, atB := listenAs("b", 1, "127.0.0.1:0")
 		nobody, _ := listenAs("", 1, "127.0.0.1:0")
 		Reset(func() { nobody.Close(); b.Close() })
--- a/internal/transport/inbound.go
+++ b/internal/transport/inbound.go
@@ -11,10 +11,15 @@
 )
 
 const (
-	preambleTimeout     = 2 * time.Second  // from accepting a connection
-	receiverIdleTimeout = 60 * time.Second // longer than the sender's
+	// preambleTimeout is the time from accepting a connection until the preamble and the
+	// introduction must have been received.
+	preambleTimeout = 2 * time.Second
+	// receiverIdleTimeout is the time after which a connection without messages is closed. It
+	// is longer than senderIdleTimeout.
+	receiverIdleTimeout = 60 * time.Second
 )
 
+// acceptLoop starts a receiveLoop for each inbound connection until the listener is closed.
 func (t *Transport) acceptLoop() {
 	defer t.goroutines.Done()
 	for {
@@ -30,11 +35,11 @@
 	}
 }
 
-// receiveLoop delivers the messages that come on a connection until it is closed.
+// receiveLoop delivers the messages of an inbound connection until the connection is closed.
 func (t *Transport) receiveLoop(conn net.Conn) {
 	defer t.goroutines.Done()
 	defer func() {
-		// gob may panic on malicious input: only this connection is closed for it.
+		// gob may panic on malicious input. Such a panic closes this connection only.
 		if recover() != nil {
 			t.malformed.Add(1)
 		}
@@ -44,12 +49,12 @@
 		t.mu.Unlock()
 	}()
 	source := &limitedReader{conn: conn, remaining: maxMessageBytes, bytesRead: &t.bytesIn}
-	decoder, self, err := readIntroduction(conn, source)
+	decoder, peer, err := readIntroduction(conn, source)
 	if err != nil {
 		t.malformed.Add(1)
 		return
 	}
-	from, admitted := t.admit(conn, self)
+	from, admitted := t.admit(conn, peer)
 	if !admitted {
 		return
 	}
@@ -57,17 +62,17 @@
 	}
 }
 
-// readIntroduction reads what comes first on a connection: the preamble, and whose
-// messages will follow.
+// readIntroduction reads the preamble and the introduction of a connection. It returns a decoder
+// for the messages that follow and the identity of their sender.
 func readIntroduction(conn net.Conn, source io.Reader) (*gob.Decoder, Identity, error) {
 	reader := bufio.NewReader(source)
 	conn.SetReadDeadline(time.Now().Add(preambleTimeout))
-	opening := make([]byte, len(preamble))
-	if _, err := io.ReadFull(reader, opening); err != nil {
+	receivedPreamble := make([]byte, len(preamble))
+	if _, err := io.ReadFull(reader, receivedPreamble); err != nil {
 		return nil, Identity{}, connectionFailed.Wrap(err, "reading the preamble")
 	}
-	if string(opening) != preamble {
-		return nil, Identity{}, connectionFailed.New("unknown preamble %q", opening)
+	if string(receivedPreamble) != preamble {
+		return nil, Identity{}, connectionFailed.New("the connection began with an unknown preamble: %q", receivedPreamble)
 	}
 	decoder := gob.NewDecoder(reader)
 	var first introduction
@@ -75,13 +80,13 @@
 		return nil, Identity{}, connectionFailed.Wrap(err, "reading the introduction")
 	}
 	if first.From.ID == "" {
-		return nil, Identity{}, connectionFailed.New("the introduction has no id")
+		return nil, Identity{}, connectionFailed.New("the introduction contains no id")
 	}
 	return decoder, first.From, nil
 }
 
-// receive reads one message and delivers it. It returns false where the connection is to
-// be closed.
+// receive reads one message from a connection and delivers it. It returns false if the
+// connection must be closed.
 func (t *Transport) receive(conn net.Conn, source *limitedReader, decoder *gob.Decoder, from *sender) bool {
 	source.remaining = maxMessageBytes
 	conn.SetReadDeadline(time.Now().Add(receiverIdleTimeout))
@@ -91,7 +96,7 @@
 		return false
 	}
 	if err != nil {
-		// A connection that failed or was idle doesn't mean that its data was bad.
+		// A connection that failed or was idle too long doesn't count as malformed input.
 		var networkErr *net.OpError
 		if !errors.Is(err, io.EOF) && !errors.As(err, &networkErr) {
 			t.malformed.Add(1)
@@ -111,17 +116,18 @@
 	return true
 }
 
-// limitedReader fails a message that is larger than any that is sent, before memory is
-// allocated for it.
+// limitedReader reads from a connection and returns an error for a message that is larger than
+// maxMessageBytes, and so larger than any message that a process sends. The error comes before
+// memory is allocated for the whole message.
 type limitedReader struct {
 	conn      net.Conn
-	remaining int // of the current message
-	bytesRead *atomic.Uint64
+	remaining int            // bytes that may still be read for the current message
+	bytesRead *atomic.Uint64 // total number of bytes read, over all connections
 }
 
 func (l *limitedReader) Read(data []byte) (int, error) {
 	if l.remaining <= 0 {
-		return 0, messageTooLarge.New("over %d bytes", maxMessageBytes)
+		return 0, messageTooLarge.New("a message is larger than %d bytes", maxMessageBytes)
 	}
 	if len(data) > l.remaining {
 		data = data[:l.remaining]
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -10,22 +10,22 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// failingListener is a listener whose first calls fail.
+// failingListener is a listener whose first calls of Accept fail.
 type failingListener struct {
 	net.Listener
-	left int
+	failuresLeft int // number of further calls that fail
 }
 
 func (f *failingListener) Accept() (net.Conn, error) {
-	if f.left > 0 {
-		f.left--
+	if f.failuresLeft > 0 {
+		f.failuresLeft--
 		return nil, &net.OpError{Op: "accept", Err: syscall.ENOBUFS}
 	}
 	return f.Listener.Accept()
 }
 
 func TestRetryingListener(t *testing.T) {
-	Convey("Accept is retried after errors, and ends when the listener is closed", t, func() {
+	Convey("Accept is retried after errors, and returns net.ErrClosed once the listener is closed", t, func() {
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		listener := RetryingListener(context.Background(), &failingListener{inner, 2})
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,13 +1,13 @@
-// Package transport carries messages between the processes of the cluster.
+// Package transport sends and receives messages between the processes of the cluster.
 //
 // Messages are encoded with gob and sent over TCP, on one connection for each direction
-// between two processes. Delivery is best effort: a message may be lost, but those that
-// arrive from one sender arrive in order, and only at the incarnation of the process
-// that they were meant for. Whoever needs a message to arrive resends it.
+// between two processes. Delivery is best effort: a message may be lost. The messages that
+// arrive from one sender arrive in order, and a message for a certain process is delivered to
+// that process only. A sender that needs a message to arrive must resend it.
 //
-// Transport owns the connections, a bounded queue for each address that it sends to, and
-// the goroutines that serve them. RetryingListener helps servers to survive transient
-// errors of the network.
+// A Transport owns the connections, a bounded queue for each address that it sends to, and
+// the goroutines that serve them. RetryingListener keeps servers running after transient
+// network errors.
 package transport
 
 import (
@@ -27,7 +27,8 @@
 var (
 	// Errors is the namespace of the errors of this package.
 	Errors = errorx.NewNamespace("transport")
-	// ListenFailed means that the internal address can't be listened on.
+	// ListenFailed is the type of the error that is returned if the transport can't listen on
+	// its internal address.
 	ListenFailed = Errors.NewType("listen")
 
 	connectionFailed = Errors.NewType("connection")
@@ -35,15 +36,15 @@
 )
 
 const (
-	preamble        = "sparnotch/3\n" // sent first on each connection: the protocol's version
+	preamble        = "sparnotch/3\n" // the first bytes on each connection; contains the version of the protocol
 	maxMessageBytes = 64 << 20
-	queueLength     = 2048 // messages for one address
+	queueLength     = 2048 // maximum number of messages in the queue for an address
 	keepAliveIdle   = 2 * time.Second
-	keepAliveProbes = 3 // a second apart
+	keepAliveProbes = 3 // sent at intervals of a second
 )
 
-// keepAlive has the kernel probe idle connections, as a machine that is down or
-// partitioned closes none.
+// keepAlive makes the kernel probe idle connections. Without probes, the failure or partition of
+// a machine wouldn't be noticed, because such a machine doesn't close its connections.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: time.Second, Count: keepAliveProbes}
 
 func init() {
@@ -57,41 +58,40 @@
 	}
 }
 
-// Envelope is a message on the wire; the introduction has said who sends it. Where To is
-// given, only the process with that id may receive it. gob encodes the names of the
-// fields, so they can't change.
+// Envelope is a message as it is encoded on a connection, whose introduction identifies the
+// sender. gob encodes the names of the fields, so they must not change.
 type Envelope struct {
-	To   string
+	To   string // id of the only process that may receive the message; empty if any process may
 	Body any
 }
 
-// Counts are what a transport has done so far. The JSON keys are part of the HTTP
-// interface.
+// Counts contains the counters of a transport since its start. The JSON keys are part of the
+// HTTP interface.
 type Counts struct {
-	Sent         uint64 `json:"Sent"`     // messages
-	Received     uint64 `json:"Received"` // messages
-	Bytes        uint64 `json:"Bytes"`    // written
-	Writes       uint64 `json:"Writes"`   // system calls, each of which may carry several messages
-	Lost         uint64 `json:"Lost"`     // messages that found no room, became stale or were on a connection that failed
-	Dials        uint64 `json:"Dials"`
-	Malformed    uint64 `json:"Garbage"` // connections closed for what can't be decoded
-	BytesIn      uint64 `json:"BytesIn"` // read
-	Misdelivered uint64 `json:"Strayed"` // messages received for another process
-	Superseded   uint64 `json:"Former"`  // connections closed or rejected, as a later incarnation of the sender is known
+	Sent         uint64 `json:"Sent"`     // messages written to connections
+	Received     uint64 `json:"Received"` // messages received, including misdelivered ones
+	Bytes        uint64 `json:"Bytes"`    // bytes written
+	Writes       uint64 `json:"Writes"`   // write calls on connections, each of which may contain several messages
+	Lost         uint64 `json:"Lost"`     // messages dropped because the queue was full, they were stale or the connection failed
+	Dials        uint64 `json:"Dials"`    // attempts to connect
+	Malformed    uint64 `json:"Garbage"`  // connections closed because their input couldn't be decoded
+	BytesIn      uint64 `json:"BytesIn"`  // bytes read
+	Misdelivered uint64 `json:"Strayed"`  // messages received that were meant for another process
+	Superseded   uint64 `json:"Former"`   // connections closed or rejected because a later incarnation of the sender had connected
 }
 
 // Transport sends and receives the messages of one process. Its methods may be called
 // concurrently.
 type Transport struct {
-	// IsPartitioned, set by tests before the first message, says whether an address is
-	// to be unreachable; nil: none is.
+	// IsPartitioned reports whether messages to an address are dropped. Tests set it before
+	// the first message is sent. If it is nil, every address is reachable.
 	IsPartitioned func(address string) bool
 
 	self       Identity
 	deliver    func(from string, body any)
 	now        func() time.Time
 	listener   net.Listener
-	ctx        context.Context // ends with Close
+	ctx        context.Context // canceled by Close
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 
@@ -102,13 +102,14 @@
 	sent, received, bytes, writes, bytesIn, lost, dials, malformed, misdelivered, superseded atomic.Uint64
 }
 
-// Listen makes a transport that listens on an internal address, IP:PORT. It calls
-// deliver, concurrently, for each message that it receives. Errors: ListenFailed.
+// Listen returns a transport that listens on an internal address, IP:PORT. The transport calls
+// deliver, concurrently, for each message that it receives. It returns a ListenFailed error if
+// it can't listen on the address.
 func Listen(self Identity, address string, deliver func(from string, body any)) (*Transport, error) {
 	config := net.ListenConfig{KeepAliveConfig: keepAlive}
 	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
-		return nil, ListenFailed.Wrap(err, "inner address")
+		return nil, ListenFailed.Wrap(err, "listening on the internal address")
 	}
 	t := &Transport{
 		self: self, deliver: deliver, now: time.Now,
@@ -121,10 +122,10 @@
 	return t, nil
 }
 
-// Address is where this process listens, IP:PORT.
+// Address returns the address that the transport listens on, IP:PORT.
 func (t *Transport) Address() string { return t.listener.Addr().String() }
 
-// Counts returns the current counts.
+// Counts returns the current values of the counters.
 func (t *Transport) Counts() Counts {
 	return Counts{
 		Sent: t.sent.Load(), Received: t.received.Load(), Bytes: t.bytes.Load(), Writes: t.writes.Load(),
@@ -133,12 +134,12 @@
 	}
 }
 
-// Send queues a message for whichever process is at an address. It never blocks: when
-// the queue is full, the message is lost.
+// Send queues a message for an address, whichever process listens there. It never blocks; if the
+// queue is full, the message is lost.
 func (t *Transport) Send(address string, body any) { t.SendTo("", address, body) }
 
-// SendTo is Send for the process with an id, and no other that may have come to use the
-// address.
+// SendTo queues a message for the process with an id at an address. It does the same as Send,
+// except that another process that now uses the address drops the message.
 func (t *Transport) SendTo(id, address string, body any) {
 	if address == "" || t.ctx.Err() != nil {
 		return
@@ -157,7 +158,7 @@
 	}
 }
 
-// Close closes all connections and waits for the goroutines. What is queued is lost.
+// Close closes all connections and waits for the goroutines to end. Queued messages are lost.
 func (t *Transport) Close() {
 	t.stop()
 	t.listener.Close()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -14,22 +14,25 @@
 	"sparnotch/internal/schema"
 )
 
+// arrival is a message that a transport has delivered.
 type arrival struct {
 	from string
 	body any
 }
 
+// listen returns the transport of a process, and a channel with the messages that it receives.
 func listen(id string) (*Transport, chan arrival) {
 	arrivals := make(chan arrival, 4096)
-	n, err := Listen(Identity{ID: id}, "127.0.0.1:0", func(from string, body any) { arrivals <- arrival{from, body} })
+	transport, err := Listen(Identity{ID: id}, "127.0.0.1:0", func(from string, body any) { arrivals <- arrival{from, body} })
 	So(err, ShouldBeNil)
-	return n, arrivals
+	return transport, arrivals
 }
 
+// next returns the next message from a channel, or an empty arrival after 30 seconds.
 func next(arrivals chan arrival) arrival {
 	select {
-	case a := <-arrivals:
-		return a
+	case received := <-arrivals:
+		return received
 	case <-time.After(30 * time.Second):
 		return arrival{}
 	}
@@ -48,22 +51,23 @@
 		So(first.body.(*schema.AppendRequest).Entries[0].MemberSet.Voters[0], ShouldEqual, "a")
 		So(next(atB).body.(*schema.ClusterStateResponse).State.Configuration.Rows[0].Kind, ShouldEqual, "queue")
 		So(next(atB).body.(*schema.WorkerPollRequest).Heartbeat.Running[0].Queue, ShouldEqual, "l")
-		Convey("also after the receiver has restarted", func() {
+		Convey("They also arrive after the receiver has restarted", func() {
 			address := b.Address()
 			b.Close()
-			arrived := make(chan arrival, 4096)
-			again, err := Listen(Identity{ID: "b"}, address, func(from string, body any) { arrived <- arrival{from, body} })
+			arrivals := make(chan arrival, 4096)
+			restarted, err := Listen(Identity{ID: "b"}, address, func(from string, body any) { arrivals <- arrival{from, body} })
 			So(err, ShouldBeNil)
-			Reset(again.Close)
-			// What was lost on the failed connection isn't resent by the transport.
-			stop := time.After(30 * time.Second)
+			Reset(restarted.Close)
+			// The transport doesn't resend messages that were lost on the failed connection,
+			// so the test sends until one arrives.
+			timeout := time.After(30 * time.Second)
 			for {
 				a.Send(address, &schema.TimeoutNow{Group: "g"})
 				select {
-				case got := <-arrived:
-					So(got.from, ShouldEqual, "a")
+				case received := <-arrivals:
+					So(received.from, ShouldEqual, "a")
 					return
-				case <-stop:
+				case <-timeout:
 					So("nothing arrived", ShouldEqual, "")
 					return
 				case <-time.After(20 * time.Millisecond):
@@ -71,7 +75,7 @@
 			}
 		})
 	})
-	Convey("Malformed input closes its connection and nothing else", t, func() {
+	Convey("Malformed input closes only the connection that it came on", t, func() {
 		a, _ := listen("a")
 		b, atB := listen("b")
 		Reset(func() { a.Close(); b.Close() })
@@ -83,15 +87,15 @@
 			conn.SetReadDeadline(time.Now().Add(30 * time.Second))
 			_, err = conn.Read(make([]byte, 1))
 			So(err, ShouldNotBeNil)
-			timeout, isNet := err.(net.Error)
-			So(isNet && timeout.Timeout(), ShouldBeFalse)
+			networkErr, isNetworkErr := err.(net.Error)
+			So(isNetworkErr && networkErr.Timeout(), ShouldBeFalse)
 			conn.Close()
 		}
 		a.Send(b.Address(), &schema.TimeoutNow{Group: "g"})
 		So(next(atB).from, ShouldEqual, "a")
 		So(b.Counts().Malformed, ShouldBeGreaterThan, 0)
 	})
-	Convey("A partitioned address gets nothing", t, func() {
+	Convey("No message is sent to a partitioned address", t, func() {
 		a, _ := listen("a")
 		b, atB := listen("b")
 		Reset(func() { a.Close(); b.Close() })
@@ -109,43 +113,45 @@
 }
 
 func TestUnresponsivePeers(t *testing.T) {
-	Convey("A peer that doesn't read delays no others", t, func() {
+	Convey("A peer that doesn't read doesn't delay messages to other peers", t, func() {
 		a, _ := listen("a")
 		b, atB := listen("b")
-		unread, err := net.Listen("tcp", "127.0.0.1:0")
+		stalledPeer, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
-		Reset(func() { unread.Close(); a.Close(); b.Close() })
+		Reset(func() { stalledPeer.Close(); a.Close(); b.Close() })
 		large := &schema.AppendRequest{Entries: []*schema.Entry{{Data: make([]byte, 1<<20)}}}
 		for range 2 * queueLength {
-			a.Send(unread.Addr().String(), large)
+			a.Send(stalledPeer.Addr().String(), large)
 		}
 		So(a.Counts().Lost, ShouldBeGreaterThan, 0)
 		a.Send(b.Address(), &schema.TimeoutNow{Group: "g"})
 		So(next(atB).from, ShouldEqual, "a")
 	})
-	Convey("Queued messages are sent in one write, and stale ones not at all", t, func() {
+	Convey("Queued messages are sent in one write, and stale messages aren't sent", t, func() {
 		a, _ := listen("a")
 		b, atB := listen("b")
 		start := time.Now()
-		var later atomic.Int64
-		a.now = func() time.Time { return start.Add(time.Duration(later.Load())) }
-		entered, release := make(chan bool), make(chan bool)
-		var isHeld atomic.Bool
-		isHeld.Store(true)
+		var clockOffset atomic.Int64
+		a.now = func() time.Time { return start.Add(time.Duration(clockOffset.Load())) }
+		// The first message is held up in IsPartitioned until all others are queued and the
+		// clock was advanced, which makes the first ones stale.
+		held, release := make(chan bool), make(chan bool)
+		var holdsNext atomic.Bool
+		holdsNext.Store(true)
 		a.IsPartitioned = func(string) bool {
-			if isHeld.CompareAndSwap(true, false) {
-				entered <- true
+			if holdsNext.CompareAndSwap(true, false) {
+				held <- true
 				<-release
 			}
 			return false
 		}
 		Reset(func() { a.Close(); b.Close() })
 		a.Send(b.Address(), &schema.TimeoutNow{Group: "held"})
-		<-entered
+		<-held
 		for range 5 {
 			a.Send(b.Address(), &schema.TimeoutNow{Group: "stale"})
 		}
-		later.Store(int64(maxQueueTime + time.Millisecond))
+		clockOffset.Store(int64(maxQueueTime + time.Millisecond))
 		for range 50 {
 			a.Send(b.Address(), &schema.TimeoutNow{Group: "fresh"})
 		}
@@ -153,14 +159,14 @@
 		for range 50 {
 			So(next(atB).body.(*schema.TimeoutNow).Group, ShouldEqual, "fresh")
 		}
-		// Messages are counted after the write, so they may arrive before.
+		// Messages are counted as sent after the write, so they may arrive before they are counted.
 		for a.Counts().Sent < 50 {
 			runtime.Gosched()
 		}
 		So(a.Counts().Lost, ShouldEqual, 6)
 		So(a.Counts().Writes, ShouldEqual, 1)
 	})
-	Convey("A connection whose peer acknowledges nothing fails", t, func() {
+	Convey("A connection whose peer acknowledges no data fails after 3 seconds", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		Reset(func() { listener.Close() })
