--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,7 +1,7 @@
-// Package timing derives the timeouts of the control side (replicas, controller,
-// scheduler) from the bounds that a deployment promises and asks for. They are derived
-// here alone, so that the inequalities between them hold for any bounds;
-// docs/control/members.md gives the reasons.
+// Package timing derives the timeouts of the control plane (replicas, controller and
+// scheduler) from the bounds in the settings of a deployment. All of them are derived in this
+// package, so that the required inequalities between them hold for any bounds;
+// docs/control/members.md explains the inequalities.
 package timing
 
 import (
@@ -9,45 +9,48 @@
 	"sparnotch/internal/schema"
 )
 
-// Timeouts are the time constants that depend on a deployment, in µs.
+// Timeouts contains the timeouts that depend on the bounds of a deployment, in µs.
 type Timeouts struct {
-	// SuspectTimeout is how long nobody may hear from a process before it counts as
-	// unresponsive: half of the time in which a machine behind a partition still counts
-	// as in contact.
+	// SuspectTimeout is the time without contact after which a process counts as
+	// unresponsive. It is at most half of the contact timeout, during which a partitioned
+	// machine still counts as in contact.
 	SuspectTimeout eventloop.Micros
-	// ReplaceByNewTimeout is how long a storage node must be unresponsive for its replicas
-	// to move to a newly joined one: what the catch-up bound leaves beside a repair.
+	// ReplaceByNewTimeout is the time for which a storage node must be unresponsive before
+	// its replicas move to a newly joined storage node. It is at most the catch-up bound
+	// minus RepairDuration, unless SuspectTimeout is longer than that.
 	ReplaceByNewTimeout eventloop.Micros
-	// ReplaceTimeout is how long a storage node must be unresponsive for its replicas to
-	// move to any other: longer than a restart and its catch-up, so that a reboot doesn't
-	// cost a copy of everything.
+	// ReplaceTimeout is the time for which a storage node must be unresponsive before its
+	// replicas move to any other storage node. It is longer than a restart and the catch-up
+	// after it, so that a reboot doesn't cause a copy of all data.
 	ReplaceTimeout eventloop.Micros
-	// MaxStateAge is how old the cluster state may be for a queue's leader to act on it.
+	// MaxStateAge is the maximum age of the cluster state at which the leader of a queue acts
+	// on it.
 	MaxStateAge eventloop.Micros
-	// FormerLeaseTimeout is how long after a worker lease has moved its former holder may
-	// still have placed work: the cluster state that its leader acted on may have been
-	// MaxStateAge old, and its own status of that leader MaxLeaderStatusAge.
+	// FormerLeaseTimeout is the time after the move of a worker lease during which the former
+	// holder of the lease, a scheduler, may still have placed work. The cluster state that the
+	// leader of its queue acted on may have been MaxStateAge old, and the scheduler's status
+	// of that leader may have been MaxLeaderStatusAge old.
 	FormerLeaseTimeout eventloop.Micros
-	// QueueRemovalDelay is how long after a queue has left the configuration its group may
-	// get jobs: gateways take them until the configuration is in force, what they have
-	// numbered is sent again until it is confirmed, and the report that shows the jobs is
-	// as old as a report may be.
+	// QueueRemovalDelay is the time after the removal of a queue from the configuration during
+	// which its Raft group may still get jobs. Gateways accept jobs until the configuration
+	// is in force, they resend the jobs that have a number until these are confirmed, and
+	// the report by which the jobs become known may have the maximum age of a report.
 	QueueRemovalDelay eventloop.Micros
 }
 
 const (
-	// MaxLeaderStatusAge is how old a scheduler's status of its queue's leader may be for
-	// an order to a worker to be sent.
+	// MaxLeaderStatusAge is the maximum age of a scheduler's status of its queue's leader at
+	// which the scheduler still sends orders to workers.
 	MaxLeaderStatusAge = 250 * eventloop.Millisecond
-	// RepairDuration is what the steps of a repair take: the report of a loss or of a new
-	// node through the membership (two hops of 250 ms), and three membership changes of
-	// the group, each with its commits, the copy of what the new replica lacks, and the
-	// report that it is done.
+	// RepairDuration is the time that a repair takes. The membership reports the loss of a
+	// node or a new node (two hops of 250 ms). Three membership changes of the group follow,
+	// each with its commits, the copy of the data that the new replica lacks, and the
+	// report of its completion.
 	RepairDuration = 1500 * eventloop.Millisecond
 
-	defaultContact = 3 * eventloop.Second
-	defaultCatchUp = 4 * eventloop.Second
-	defaultApply   = 2 * eventloop.Second
+	defaultContactTimeout = 3 * eventloop.Second
+	defaultCatchUp        = 4 * eventloop.Second
+	defaultConfigApply    = 2 * eventloop.Second
 
 	maxSuspectTimeout      = 1500 * eventloop.Millisecond
 	maxReplaceByNewTimeout = 2500 * eventloop.Millisecond
@@ -55,10 +58,11 @@
 	maxStateAge            = eventloop.Second
 )
 
-// FromBounds derives the timeouts. Bounds that are nil or 0 have their defaults; bounds
-// wider than these change nothing, since being sooner than asked does no harm.
+// FromBounds derives the timeouts from the bounds. Defaults apply if bounds is nil, and to each
+// bound that is 0. A contact or catch-up bound longer than its default has no effect, because
+// reacting earlier than required does no harm.
 func FromBounds(bounds *schema.Bounds) Timeouts {
-	contact := orDefault(bounds.GetContactTimeoutUs(), defaultContact)
+	contact := orDefault(bounds.GetContactTimeoutUs(), defaultContactTimeout)
 	catchUp := orDefault(bounds.GetCatchUpUs(), defaultCatchUp)
 	timeouts := Timeouts{
 		SuspectTimeout: min(maxSuspectTimeout, contact/2),
@@ -66,16 +70,18 @@
 	}
 	timeouts.ReplaceByNewTimeout = max(timeouts.SuspectTimeout, min(maxReplaceByNewTimeout, catchUp-RepairDuration))
 	timeouts.ReplaceTimeout = max(timeouts.ReplaceByNewTimeout, min(maxReplaceTimeout, catchUp*3/2))
-	timeouts.QueueRemovalDelay = 2 * orDefault(bounds.GetConfigApplyUs(), defaultApply)
+	timeouts.QueueRemovalDelay = 2 * orDefault(bounds.GetConfigApplyUs(), defaultConfigApply)
 	timeouts.FormerLeaseTimeout = timeouts.MaxStateAge + MaxLeaderStatusAge
 	return timeouts
 }
 
-// CanCatchUp tells whether a repair can be completed within the catch-up bound.
+// CanCatchUp reports whether a replica of an unresponsive storage node can be replaced by one on
+// a newly joined node within the catch-up bound.
 func CanCatchUp(bounds *schema.Bounds) bool {
 	return FromBounds(bounds).ReplaceByNewTimeout+RepairDuration <= orDefault(bounds.GetCatchUpUs(), defaultCatchUp)
 }
 
+// orDefault converts a bound in µs to Micros. It returns the fallback if the bound isn't positive.
 func orDefault(us int64, fallback eventloop.Micros) eventloop.Micros {
 	if us <= 0 {
 		return fallback
