--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -17,13 +17,13 @@
 // Effects is the interface through which a step sends messages, notifications and responses.
 // Its methods don't block and don't guarantee delivery.
 type Effects interface {
-	// Send sends a message to the process with an id.
+	// Send sends a message to the process with the given id.
 	Send(to string, body any)
 	// SendToAddress sends a message to an internal address, whichever process listens there.
 	SendToAddress(address string, body any)
-	// Notify sends a message to the component of this process with a name.
+	// Notify sends a message to the component of this process that has the given name.
 	Notify(component string, body any)
-	// Respond sends the response to the pending client request with a number.
+	// Respond sends the response to the pending client request that has the given number.
 	Respond(request uint64, body any)
 }
 
--- a/internal/eventloop/process.go
+++ b/internal/eventloop/process.go
@@ -42,7 +42,7 @@
 	return &Loop{Clock: clock, components: map[string]*registeredComponent{}}
 }
 
-// Add adds a component with a name. It must be called before Run. The component gets a Tick at
+// Add adds a component under the given name. It must be called before Run. The component gets a Tick at
 // each tick interval, or none if the interval is 0.
 func (l *Loop) Add(name string, component Component, tickInterval Micros) {
 	l.components[name] = &registeredComponent{name, component, NewQueue[Message](mailboxSize), tickInterval}
--- a/internal/eventloop/time.go
+++ b/internal/eventloop/time.go
@@ -6,7 +6,7 @@
 // on a monotonic clock, whose zero point has no meaning.
 type Micros int64
 
-// Durations in units of Micros.
+// Common durations.
 const (
 	Millisecond Micros = 1000
 	Second      Micros = 1000 * Millisecond
@@ -30,7 +30,7 @@
 // RealClock returns a Clock that reads the clocks of the machine.
 func RealClock() Clock { return realClock{time.Now()} }
 
-// Now starts at one second, so that 0 can represent a point in time before the start.
+// Now returns at least one second, so that 0 can represent a point in time before the start.
 func (c realClock) Now() Micros { return Micros(time.Since(c.start).Microseconds()) + Second }
 
 // Wall implements Clock.
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -1,6 +1,6 @@
 package storage
 
-// File format. Snapshots are numbered by epochs. The snapshot of epoch e is in the file
+// File format. The number of a snapshot is called its epoch. The snapshot of epoch e is in the file
 // slot-(e mod 2), which consists of one block with a SnapshotSlot. The changes since that
 // snapshot are in the file log-(e mod 2), a sequence of blocks that contain one LogFrame
 // each. A block consists of a header of three big-endian 32-bit words (magic number, length
@@ -47,7 +47,7 @@
 
 // decodeBlock decodes the block at the start of data. It returns the payload and the size
 // of the block in bytes, including the header. ok is false if the block is incomplete, has
-// another magic number or fails its checksum.
+// a different magic number or doesn't match its checksum.
 func decodeBlock(data []byte, magic uint32) (payload []byte, size int, ok bool) {
 	if len(data) < headerBytes || binary.BigEndian.Uint32(data) != magic {
 		return nil, 0, false
--- a/internal/storage/repair.go
+++ b/internal/storage/repair.go
@@ -1,6 +1,7 @@
 package storage
 
-// tailCondition describes what is known about the end of the log. Higher values are worse.
+// tailCondition describes what is known about the end of the log. The values are ordered from
+// intact to worst, and noteFailure keeps the worst one.
 type tailCondition int
 
 const (
--- a/internal/storage/repair_test.go
+++ b/internal/storage/repair_test.go
@@ -128,7 +128,7 @@
 }
 
 // TestSyncAfterFailedSync checks that the store rewrites data whose sync failed. A later
-// successful sync alone doesn't make this data durable, so it would be lost with the power.
+// successful sync alone doesn't make this data durable, so it would be lost in a power cut.
 func TestSyncAfterFailedSync(t *testing.T) {
 	for seed := uint64(0); seed < 40; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 1))
--- a/internal/storage/state.go
+++ b/internal/storage/state.go
@@ -68,14 +68,14 @@
 	}
 }
 
-// entriesAfter returns a copy of the entries with a higher index.
+// entriesAfter returns a copy of the entries whose index is higher than the given one.
 func entriesAfter(entries []*schema.Entry, index uint64) []*schema.Entry {
 	at := sort.Search(len(entries), func(k int) bool { return entries[k].Index > index })
 	return append([]*schema.Entry(nil), entries[at:]...)
 }
 
-// entriesBefore returns the entries with a lower index, as a slice to which new entries can be
-// appended.
+// entriesBefore returns the entries whose index is lower than the given one, as a slice to which
+// new entries can be appended.
 func entriesBefore(entries []*schema.Entry, index uint64) []*schema.Entry {
 	at := sort.Search(len(entries), func(k int) bool { return entries[k].Index >= index })
 	if at == len(entries) {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -138,8 +138,8 @@
 // queue is full, the message is lost.
 func (t *Transport) Send(address string, body any) { t.SendTo("", address, body) }
 
-// SendTo queues a message for the process with an id at an address. It does the same as Send,
-// except that another process that now uses the address drops the message.
+// SendTo queues a message for the process with the given id at an address. It does the same as
+// Send, except that the message is dropped if another process listens at the address.
 func (t *Transport) SendTo(id, address string, body any) {
 	if address == "" || t.ctx.Err() != nil {
 		return
