--- a/internal/storage/repair_test.go
+++ b/internal/storage/repair_test.go
@@ -200,7 +200,7 @@
 			}
 		}
 		if entries := run.store.State().Groups["g"].Entries; entries[len(entries)-1].Index-entries[0].Index != uint64(len(entries)-1) {
-			t.Fatalf("the indexes of the entries have gaps or repetitions: %v", entries)
+			t.Fatalf("the indexes of the entries have gaps or duplicates: %v", entries)
 		}
 		if err := run.reopen(rand.New(rand.NewPCG(seed, 2)), seed+5); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
