--- a/internal/raft/flowcontrol.go
+++ b/internal/raft/flowcontrol.go
@@ -44,7 +44,7 @@
 // minWindow returns the minimum window in bytes: the number of bytes that the slowest
 // supported link carries during linkShare.
 func (g *Group) minWindow() int {
-	return int(eventloop.SlowestLink * g.linkShare() / eventloop.Second)
+	return int(eventloop.SlowestLinkBytesPerSecond * g.linkShare() / eventloop.Second)
 }
 
 // inflightWindow returns how many bytes may be in flight to a peer, which is also the size
--- a/internal/raft/slowcluster_test.go
+++ b/internal/raft/slowcluster_test.go
@@ -145,7 +145,7 @@
 // just restarted. The result state is the snapshot's data; the command "after" follows it in
 // the log.
 func newLaggingFollower(seed uint64, size int) (s *slowCluster, lead *Group, lagging string, state string) {
-	s = newSlowCluster(seed, eventloop.SlowestLink)
+	s = newSlowCluster(seed, eventloop.SlowestLinkBytesPerSecond)
 	lead, lagging = s.leader(), s.others()[0]
 	s.down[lagging] = true
 	for k := range 20 {
