--- a/internal/replica/state_view.go
+++ b/internal/replica/state_view.go
@@ -37,7 +37,7 @@
 	Term         uint64   `json:"term"`
 	Commit       uint64   `json:"commit"`
 	Applied      uint64   `json:"applied"`
-	Last         uint64   `json:"last"`
+	LastIndex    uint64   `json:"last"`
 	Stable       uint64   `json:"stable"`
 	Released     uint64   `json:"released"`
 	Voters       []string `json:"voters"`
@@ -73,7 +73,7 @@
 	g := r.group
 	view := &GroupStateView{
 		Group: g.Name(), Role: g.Role(), Leader: g.Leader(), Term: g.Term(), Commit: g.CommitIndex(), Applied: g.CommitIndex(),
-		Last: g.LastIndex(), Stable: g.StableIndex(), Released: g.SnapshotIndex(), Voters: g.MemberSet().Voters, Learners: g.MemberSet().Learners,
+		LastIndex: g.LastIndex(), Stable: g.StableIndex(), Released: g.SnapshotIndex(), Voters: g.MemberSet().Voters, Learners: g.MemberSet().Learners,
 	}
 	if r.queue == nil {
 		view.Digest = Digest(h.stateMachine.Snapshot())
