--- a/internal/replica/state_view.go
+++ b/internal/replica/state_view.go
@@ -38,7 +38,7 @@
 	Commit       uint64   `json:"commit"`
 	Applied      uint64   `json:"applied"`
 	LastIndex    uint64   `json:"last"`
-	Stable       uint64   `json:"stable"`
+	StableIndex  uint64   `json:"stable"`
 	Released     uint64   `json:"released"`
 	Voters       []string `json:"voters"`
 	Learners     []string `json:"learners,omitempty"`
@@ -73,7 +73,7 @@
 	g := r.group
 	view := &GroupStateView{
 		Group: g.Name(), Role: g.Role(), Leader: g.Leader(), Term: g.Term(), Commit: g.CommitIndex(), Applied: g.CommitIndex(),
-		LastIndex: g.LastIndex(), Stable: g.StableIndex(), Released: g.SnapshotIndex(), Voters: g.MemberSet().Voters, Learners: g.MemberSet().Learners,
+		LastIndex: g.LastIndex(), StableIndex: g.StableIndex(), Released: g.SnapshotIndex(), Voters: g.MemberSet().Voters, Learners: g.MemberSet().Learners,
 	}
 	if r.queue == nil {
 		view.Digest = Digest(h.stateMachine.Snapshot())
--- a/internal/sim/replacement_test.go
+++ b/internal/sim/replacement_test.go
@@ -160,7 +160,7 @@
 		live := 0
 		for _, r := range list {
 			// What is under way in one sync is no lag.
-			hasCaughtUp := r.Stable+raft.MaxLearnerLag >= leader.Commit
+			hasCaughtUp := r.StableIndex+raft.MaxLearnerLag >= leader.Commit
 			if slices.Contains(leader.Voters, r.host.ID) && !r.host.isDraining && hasCaughtUp {
 				live++
 			}
--- a/internal/sim/verify.go
+++ b/internal/sim/verify.go
@@ -78,8 +78,8 @@
 	}
 	for _, h := range f.StorageNodes() {
 		for _, group := range h.StateView().Groups {
-			if group.Stable+maxReplicaLag < commit[group.Group] {
-				problems = append(problems, fmt.Sprintf("%s holds %s to %d of %d", h.Name, group.Group, group.Stable, commit[group.Group]))
+			if group.StableIndex+maxReplicaLag < commit[group.Group] {
+				problems = append(problems, fmt.Sprintf("%s holds %s to %d of %d", h.Name, group.Group, group.StableIndex, commit[group.Group]))
 			}
 		}
 	}
