--- a/cmd/sparnotch-bench/hollow_measure.go
+++ b/cmd/sparnotch-bench/hollow_measure.go
@@ -113,7 +113,7 @@
 func (s *measureSums) addState(report *processReport) {
 	entries, live, retained := 0.0, 0.0, 0.0
 	for _, group := range report.State.Groups {
-		entries += float64(group.LastIndex - group.Released)
+		entries += float64(group.LastIndex - group.SnapshotIndex)
 		live, retained = live+float64(group.LiveJobs), retained+float64(group.RetainedJobs)
 	}
 	s.whole["records"] = max(s.whole["records"], entries)
--- a/internal/replica/state_view.go
+++ b/internal/replica/state_view.go
@@ -31,22 +31,22 @@
 
 // GroupStateView is this node's view of one Raft group that it has a replica of.
 type GroupStateView struct {
-	Group        string   `json:"group"`
-	Role         string   `json:"role"`
-	Leader       string   `json:"leader"`
-	Term         uint64   `json:"term"`
-	Commit       uint64   `json:"commit"`
-	Applied      uint64   `json:"applied"`
-	LastIndex    uint64   `json:"last"`
-	StableIndex  uint64   `json:"stable"`
-	Released     uint64   `json:"released"`
-	Voters       []string `json:"voters"`
-	Learners     []string `json:"learners,omitempty"`
-	LiveJobs     int      `json:"live_jobs"`
-	RetainedJobs int      `json:"kept_jobs"`
-	Sessions     int      `json:"sessions"`
-	Reenqueues   uint64   `json:"carries"`
-	Digest       string   `json:"digest"` // of the state at Applied; see Digest
+	Group         string   `json:"group"`
+	Role          string   `json:"role"`
+	Leader        string   `json:"leader"`
+	Term          uint64   `json:"term"`
+	Commit        uint64   `json:"commit"`
+	Applied       uint64   `json:"applied"`
+	LastIndex     uint64   `json:"last"`
+	StableIndex   uint64   `json:"stable"`
+	SnapshotIndex uint64   `json:"released"`
+	Voters        []string `json:"voters"`
+	Learners      []string `json:"learners,omitempty"`
+	LiveJobs      int      `json:"live_jobs"`
+	RetainedJobs  int      `json:"kept_jobs"`
+	Sessions      int      `json:"sessions"`
+	Reenqueues    uint64   `json:"carries"`
+	Digest        string   `json:"digest"` // of the state at Applied; see Digest
 }
 
 // stateView takes a view of the present state.
@@ -73,7 +73,7 @@
 	g := r.group
 	view := &GroupStateView{
 		Group: g.Name(), Role: g.Role(), Leader: g.Leader(), Term: g.Term(), Commit: g.CommitIndex(), Applied: g.CommitIndex(),
-		LastIndex: g.LastIndex(), StableIndex: g.StableIndex(), Released: g.SnapshotIndex(), Voters: g.MemberSet().Voters, Learners: g.MemberSet().Learners,
+		LastIndex: g.LastIndex(), StableIndex: g.StableIndex(), SnapshotIndex: g.SnapshotIndex(), Voters: g.MemberSet().Voters, Learners: g.MemberSet().Learners,
 	}
 	if r.queue == nil {
 		view.Digest = Digest(h.stateMachine.Snapshot())
--- a/internal/replica/state_view_test.go
+++ b/internal/replica/state_view_test.go
@@ -15,7 +15,7 @@
 			Node: "a", ClusterStateVersion: 1, ConfigurationRevision: 2, IsClusterStateFresh: true, Controller: "h", ControllerLease: 3,
 			ReadOnlyReason: "no space", HasHandoverPending: true,
 			Groups: []*GroupStateView{{
-				Group: "q#4", Role: "leader", Leader: "a", Term: 5, Commit: 6, Applied: 7, LastIndex: 8, StableIndex: 9, Released: 10,
+				Group: "q#4", Role: "leader", Leader: "a", Term: 5, Commit: 6, Applied: 7, LastIndex: 8, StableIndex: 9, SnapshotIndex: 10,
 				Voters: []string{"a"}, Learners: []string{"b"}, LiveJobs: 11, RetainedJobs: 12, Sessions: 13, Reenqueues: 14, Digest: "d",
 			}},
 			WorkerLeases: []*schema.WorkerLease{{Worker: "w", Scheduler: "a", FencingToken: 15}},
--- a/internal/sim/configuration_changes_test.go
+++ b/internal/sim/configuration_changes_test.go
@@ -194,7 +194,7 @@
 	for _, h := range o.StorageNodes() {
 		o.peakDiskBytes = max(o.peakDiskBytes, h.Disk.usedBytes())
 		if group := clusterStateReplica(h); group != nil {
-			o.peakLogEntries = max(o.peakLogEntries, group.LastIndex-group.Released)
+			o.peakLogEntries = max(o.peakLogEntries, group.LastIndex-group.SnapshotIndex)
 		}
 	}
 }
--- a/internal/sim/day.go
+++ b/internal/sim/day.go
@@ -47,7 +47,7 @@
 		}
 		s.Bytes = max(s.Bytes, h.Disk.usedBytes())
 		for _, group := range view.Groups {
-			s.LogEntries = max(s.LogEntries, group.LastIndex-group.Released)
+			s.LogEntries = max(s.LogEntries, group.LastIndex-group.SnapshotIndex)
 			if group.Role == "leader" {
 				s.LiveJobs, s.RetainedJobs, s.Sessions = s.LiveJobs+group.LiveJobs, s.RetainedJobs+group.RetainedJobs, s.Sessions+group.Sessions
 				leadership = append(leadership, fmt.Sprint(group.Group, " ", group.Leader, " ", group.Term))
--- a/internal/sim/scenarios_control.go
+++ b/internal/sim/scenarios_control.go
@@ -89,7 +89,7 @@
 	var problems []string
 	for _, h := range f.StorageNodes() {
 		for _, group := range h.StateView().Groups {
-			if entries := group.LastIndex - group.Released; strings.HasPrefix(group.Group, "quick#") && entries > 600 {
+			if entries := group.LastIndex - group.SnapshotIndex; strings.HasPrefix(group.Group, "quick#") && entries > 600 {
 				problems = append(problems, fmt.Sprintf("%s holds %d log entries on %s", group.Group, entries, h.Name))
 			}
 		}
--- a/internal/sim/scenarios_log.go
+++ b/internal/sim/scenarios_log.go
@@ -74,7 +74,7 @@
 	for _, h := range f.StorageNodes() {
 		for _, group := range h.StateView().Groups {
 			reenqueues += group.Reenqueues
-			if entries := group.LastIndex - group.Released; entries > 1200 {
+			if entries := group.LastIndex - group.SnapshotIndex; entries > 1200 {
 				problems = append(problems, fmt.Sprintf("%s on %s holds %d log entries", group.Group, h.Name, entries))
 			}
 		}
