--- a/internal/modelcheck/workerpath/world.go
+++ b/internal/modelcheck/workerpath/world.go
@@ -218,7 +218,7 @@
 func (w *World) sendSnapshot(q *raftQueue) {
 	events, last := q.machine.ActiveTasks()
 	w.stepScheduler(q.leader, "", replica.TaskEvents{
-		Queue: q.name, Group: q.group(), Term: q.term, LastSequence: last, Events: events, IsSnapshot: true, Urgency: 5, Running: 1000,
+		Queue: q.name, Group: q.group(), Term: q.term, LastSequence: last, Events: events, IsSnapshot: true, Urgency: 5, MaxRunning: 1000,
 	})
 }
 
@@ -272,7 +272,7 @@
 	effects := w.apply(q, p.command)
 	if count := len(effects.Events); count > 0 {
 		w.stepScheduler(p.node, "", replica.TaskEvents{
-			Queue: q.name, Group: q.group(), Term: q.term, LastSequence: effects.Events[count-1].Sequence, Events: effects.Events, Urgency: 5, Running: 1000,
+			Queue: q.name, Group: q.group(), Term: q.term, LastSequence: effects.Events[count-1].Sequence, Events: effects.Events, Urgency: 5, MaxRunning: 1000,
 		})
 	}
 	if p.report != nil {
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -100,8 +100,8 @@
 func (h *Host) newTaskEvents(r *replica, events []*queue.TaskEvent, lastSequence uint64) TaskEvents {
 	return TaskEvents{
 		Queue: r.queueName, Group: r.group.Name(), Term: r.group.Term(), LastSequence: lastSequence, Events: events,
-		Urgency: h.values.Number("queue", r.queueName, "urgency"),
-		Running: h.values.Number("queue", r.queueName, "running"),
+		Urgency:    h.values.Number("queue", r.queueName, "urgency"),
+		MaxRunning: h.values.Number("queue", r.queueName, "running"),
 	}
 }
 
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -52,7 +52,7 @@
 	Events       []*queue.TaskEvent
 	IsSnapshot   bool
 	Urgency      int64 // the queue's, from the configuration
-	Running      int64 // most tasks of the queue that may run, from the configuration
+	MaxRunning   int64 // most tasks of the queue that may run, from the configuration
 }
 
 // ResyncQueue asks for a snapshot of a queue's tasks: the scheduler saw a gap in the
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -42,7 +42,7 @@
 	s.dropQueue(m.Queue)
 	delete(s.addedQueues, m.Queue)
 	s.queues[m.Queue] = q
-	q.urgency, q.maxRunning = m.Urgency, m.Running
+	q.urgency, q.maxRunning = m.Urgency, m.MaxRunning
 	s.configureQueue(q)
 	for _, event := range m.Events {
 		s.applyEvent(now, q, event)
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -73,7 +73,7 @@
 }
 
 func (h *harness) deliverEvents(isWhole bool, sequence uint64, list ...*queue.TaskEvent) {
-	h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: 1, LastSequence: sequence, Events: list, IsSnapshot: isWhole, Running: 1000})
+	h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: 1, LastSequence: sequence, Events: list, IsSnapshot: isWhole, MaxRunning: 1000})
 }
 
 func (h *harness) placements() []*schema.Placement {
@@ -131,7 +131,7 @@
 // syncQueue delivers the whole list of a queue's tasks.
 func (h *harness) syncQueue(name string, urgency int64, list ...*queue.TaskEvent) {
 	h.deliver(replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 1, "m#1": 1, "k#1": 1}, IsClusterStateFresh: true})
-	h.deliver(replica.TaskEvents{Queue: name, Group: name + "#1", Term: 1, LastSequence: 1, Events: list, IsSnapshot: true, Running: 1000, Urgency: urgency})
+	h.deliver(replica.TaskEvents{Queue: name, Group: name + "#1", Term: 1, LastSequence: 1, Events: list, IsSnapshot: true, MaxRunning: 1000, Urgency: urgency})
 }
 
 // withNames makes a heartbeat one of an agent, which names its tasks by job.
--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -38,7 +38,7 @@
 		h.sendHeartbeat("w", withNames(nil))
 		h.syncQueue("l", 20, newEvent(1, 1, 0, queue.CheckedOut, "w", wide))
 		h.advance(100 * eventloop.Millisecond)
-		h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: 1, LastSequence: 2, Events: []*queue.TaskEvent{newEvent(2, 1, 0, queue.Inactive, "", wide)}, Running: 1000, Urgency: 20})
+		h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: 1, LastSequence: 2, Events: []*queue.TaskEvent{newEvent(2, 1, 0, queue.Inactive, "", wide)}, MaxRunning: 1000, Urgency: 20})
 		h.sendHeartbeat("w", withNames(nil))
 		h.syncQueue("m", 10, withCriticalPath(newEvent(1, 2, 0, queue.Ready, "", long), 0, 6*eventloop.Second))
 		h.sendHeartbeat("w", withNames(nil))
--- a/internal/scheduler/tenant_history_test.go
+++ b/internal/scheduler/tenant_history_test.go
@@ -74,7 +74,7 @@
 	h.leadsAll = isLed
 	h.confirm()
 	if isLed {
-		h.deliver(replica.TaskEvents{Queue: "m", Group: "m#1", Term: 1, IsSnapshot: true, Running: 1000})
+		h.deliver(replica.TaskEvents{Queue: "m", Group: "m#1", Term: 1, IsSnapshot: true, MaxRunning: 1000})
 	} else {
 		h.deliver(replica.LeadershipLost{Queue: "m"})
 	}
@@ -87,7 +87,7 @@
 	for _, key := range keys {
 		list = append(list, h.tasks[key])
 	}
-	h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: h.term, LastSequence: h.sequence, Events: list, IsSnapshot: true, Running: 1000})
+	h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: h.term, LastSequence: h.sequence, Events: list, IsSnapshot: true, MaxRunning: 1000})
 }
 
 // elect has this node lead queue l in a new term. What isn't committed is lost.
@@ -106,7 +106,7 @@
 	} else {
 		h.tasks[key] = event
 	}
-	h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: h.term, LastSequence: h.sequence, Events: []*queue.TaskEvent{event}, Running: 1000})
+	h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: h.term, LastSequence: h.sequence, Events: []*queue.TaskEvent{event}, MaxRunning: 1000})
 }
 
 func (h *history) submit(tenant string, job uint64, step *schema.Step) {
--- a/internal/scheduler/tenant_quota_test.go
+++ b/internal/scheduler/tenant_quota_test.go
@@ -134,7 +134,7 @@
 		h.configure(kind.rows("l"), "w")
 		inNewTerm := replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 2}, IsClusterStateFresh: true}
 		h.deliver(inNewTerm)
-		h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: 2, LastSequence: 1, Events: tasks, IsSnapshot: true, Running: 1000, Urgency: 10})
+		h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: 2, LastSequence: 1, Events: tasks, IsSnapshot: true, MaxRunning: 1000, Urgency: 10})
 		for end := h.now + reservationTimeout + eventloop.Second; h.now < end; h.now += eventloop.Second / 2 {
 			h.deliver(inNewTerm)
 			h.sendHeartbeat("w", wide(nil))
