--- a/internal/modelcheck/workerpath/inflight.go
+++ b/internal/modelcheck/workerpath/inflight.go
@@ -165,8 +165,8 @@
 			q.proposals = append(q.proposals, proposal{p.node, m.Term, m.Command, nil})
 		}
 	case replica.TaskEnded:
-		if q := w.queue(m.End.Queue); p.node == q.leader {
-			q.proposals = append(q.proposals, proposal{p.node, q.term, replica.CommandForEnd(m.End), m.End})
+		if q := w.queue(m.Report.Queue); p.node == q.leader {
+			q.proposals = append(q.proposals, proposal{p.node, q.term, replica.CommandForEnd(m.Report), m.Report})
 		}
 	case replica.ResyncQueue:
 		if q := w.queueOfGroup(m.Group); p.node == q.leader {
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -163,7 +163,7 @@
 	case *schema.TaskEndReport:
 		h.handleTaskEnd(now, message.From, body, effects)
 	case TaskEnded:
-		h.handleTaskEnd(now, "", body.End, effects)
+		h.handleTaskEnd(now, "", body.Report, effects)
 	case Propose:
 		h.handlePropose(now, body, effects)
 	case ResyncQueue:
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -72,7 +72,7 @@
 
 // TaskEnded is a worker's report to the leader of the task's queue. It is acknowledged
 // once it is applied.
-type TaskEnded struct{ End *schema.TaskEndReport }
+type TaskEnded struct{ Report *schema.TaskEndReport }
 
 // Drain begins the graceful shutdown of this node: it hands over leadership, and takes
 // over none.
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -66,10 +66,10 @@
 			s.reportRuns(placement.Worker)
 		}
 	case replica.TaskEnded:
-		s.deliverEvent(m.End.Key.Job, queue.Inactive, "")
-		s.deliver(&schema.TaskEndAck{Queue: "l", Key: m.End.Key, Attempt: m.End.Attempt, Worker: m.End.Worker})
-		s.ended[m.End.Worker] = nil
-		s.reportRuns(m.End.Worker)
+		s.deliverEvent(m.Report.Key.Job, queue.Inactive, "")
+		s.deliver(&schema.TaskEndAck{Queue: "l", Key: m.Report.Key, Attempt: m.Report.Attempt, Worker: m.Report.Worker})
+		s.ended[m.Report.Worker] = nil
+		s.reportRuns(m.Report.Worker)
 	}
 }
 
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -90,7 +90,7 @@
 	var list []*schema.TaskEndReport
 	for _, tell := range h.notified {
 		if e, ok := tell.(replica.TaskEnded); ok {
-			list = append(list, e.End)
+			list = append(list, e.Report)
 		}
 	}
 	return list
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -53,7 +53,7 @@
 		}
 		if end := s.newEndReport(now, w, key, report); end != nil {
 			report.sentAt, report.sentOutcome = now, end.Outcome
-			effects.Notify("replica", replica.TaskEnded{End: end})
+			effects.Notify("replica", replica.TaskEnded{Report: end})
 		}
 	}
 }
--- a/internal/scheduler/workers.go
+++ b/internal/scheduler/workers.go
@@ -214,7 +214,7 @@
 		s.counts.LostTasks++
 	}
 	t.returnedAt = now
-	effects.Notify("replica", replica.TaskEnded{End: &schema.TaskEndReport{
+	effects.Notify("replica", replica.TaskEnded{Report: &schema.TaskEndReport{
 		Queue: t.key.queue, Key: t.key.toSchema(), Attempt: t.attempt,
 		Outcome: outcomeLost, Worker: t.worker, Checkpoint: t.latestCheckpoint(),
 	}})
