--- a/internal/modelcheck/workerpath/world.go
+++ b/internal/modelcheck/workerpath/world.go
@@ -237,7 +237,7 @@
 		w.observer.noteLapse(m)
 	}
 	for _, n := range w.nodes {
-		status := replica.LeadershipStatus{Terms: map[string]uint64{}, IsClusterStateFresh: w.isFresh(n), At: w.now}
+		status := replica.LeadershipStatus{Terms: map[string]uint64{}, IsClusterStateFresh: w.isFresh(n), TakenAt: w.now}
 		for _, q := range w.queues {
 			if n == q.leader && q.isCreated {
 				status.Terms[q.group()] = q.term
--- a/internal/replica/maintenance.go
+++ b/internal/replica/maintenance.go
@@ -55,7 +55,7 @@
 
 // leadershipStatus is what the scheduler may act on until the next tick.
 func (h *Host) leadershipStatus(now eventloop.Micros) LeadershipStatus {
-	status := LeadershipStatus{Terms: map[string]uint64{}, IsClusterStateFresh: h.isClusterStateFresh(now), At: now}
+	status := LeadershipStatus{Terms: map[string]uint64{}, IsClusterStateFresh: h.isClusterStateFresh(now), TakenAt: now}
 	for name, r := range h.groups {
 		if r.queue != nil && r.group.HoldsLeaderLease(now) {
 			status.Terms[name] = r.group.Term()
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -67,7 +67,7 @@
 type LeadershipStatus struct {
 	Terms               map[string]uint64 // by group, of those this node leads
 	IsClusterStateFresh bool
-	At                  eventloop.Micros // when the status was taken, by the process's clock; 0: on receipt
+	TakenAt             eventloop.Micros // when the status was taken, by the process's clock; 0: on receipt
 }
 
 // TaskEnded is a worker's report to the leader of the task's queue. It is acknowledged
--- a/internal/scheduler/leases_test.go
+++ b/internal/scheduler/leases_test.go
@@ -64,7 +64,7 @@
 		}
 		So(h.endReports(), ShouldBeEmpty)
 		// Nor does one whose process was frozen and finds an old status in its mailbox.
-		h.deliver(replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 1}, IsClusterStateFresh: true, At: h.now - 3*eventloop.Second})
+		h.deliver(replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 1}, IsClusterStateFresh: true, TakenAt: h.now - 3*eventloop.Second})
 		h.deliver(eventloop.Tick{})
 		So(h.endReports(), ShouldBeEmpty)
 		h.confirmLeadership(true)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -127,7 +127,7 @@
 	case replica.LeadershipStatus:
 		// A process that was frozen finds statuses from before in its mailbox, so
 		// the age counts from when it was true, not from now.
-		s.leadership, s.leadershipAt = body, cmp.Or(body.At, now)
+		s.leadership, s.leadershipAt = body, cmp.Or(body.TakenAt, now)
 	case replica.TaskEvents:
 		s.applyEvents(now, body, effects)
 	case replica.ProposalDropped:
