--- a/internal/process/components.go
+++ b/internal/process/components.go
@@ -93,7 +93,7 @@
 }
 
 // GatewayNodeComponents makes the components of a gateway node, and with Storage those of a
-// storage node. It panics with replica.Unreadable where the storage holds what can't be
+// storage node. It panics with replica.UndecodableState where the storage holds what can't be
 // decoded.
 func GatewayNodeComponents(cfg *Config) []ComponentSlot {
 	hasStorage := cfg.Storage != nil
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -173,13 +173,13 @@
 	return nil
 }
 
-// buildComponents makes a node's components. It returns replica.Unreadable where the
+// buildComponents makes a node's components. It returns replica.UndecodableState where the
 // store holds what can't be decoded.
 func buildComponents(role schema.Role, cfg *Config) (slots []ComponentSlot, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			unreadable, isError := cause.(error)
-			if !isError || !errorx.IsOfType(unreadable, replica.Unreadable) {
+			if !isError || !errorx.IsOfType(unreadable, replica.UndecodableState) {
 				panic(cause)
 			}
 			err = unreadable
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -15,7 +15,7 @@
 )
 
 // applyEntry applies a committed entry to the group's state machine. It panics with
-// Unreadable if the entry can't be decoded.
+// UndecodableState if the entry can't be decoded.
 func (h *Host) applyEntry(now eventloop.Micros, r *replica, entry *schema.Entry, effects eventloop.Effects) {
 	pending, isPending := r.pendingCommands[entry.Index]
 	delete(r.pendingCommands, entry.Index)
@@ -41,7 +41,7 @@
 func (h *Host) applyClusterStateCommand(now eventloop.Micros, r *replica, entry *schema.Entry, caller *pendingReply, effects eventloop.Effects) {
 	result, err := h.stateMachine.Apply(entry.TimeUs, entry.Data)
 	if err != nil {
-		panic(Unreadable.Wrap(err, "entry of %s", r.group.Name()))
+		panic(UndecodableState.Wrap(err, "entry of %s", r.group.Name()))
 	}
 	h.compactClusterStateLog(r, entry)
 	h.publishClusterState(now, effects)
@@ -55,7 +55,7 @@
 func (h *Host) applyQueueCommand(r *replica, entry *schema.Entry, caller *pendingReply, effects eventloop.Effects) {
 	result, err := r.queue.Apply(entry.Index, entry.TimeUs, entry.Data)
 	if err != nil {
-		panic(Unreadable.Wrap(err, "entry of %s", r.group.Name()))
+		panic(UndecodableState.Wrap(err, "entry of %s", r.group.Name()))
 	}
 	if cursor := result.ReleaseCursor; cursor != nil {
 		r.group.Compact(cursor.Index, cursor.Snapshot)
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -72,7 +72,7 @@
 	if r.group.Name() == clusterstate.GroupName {
 		machine, err := clusterstate.Restore(snapshot.Data)
 		if err != nil {
-			panic(Unreadable.Wrap(err, "snapshot of %s", r.group.Name()))
+			panic(UndecodableState.Wrap(err, "snapshot of %s", r.group.Name()))
 		}
 		h.stateMachine, r.logBytes = machine, 0
 		h.setState(machine.SharedState())
@@ -81,7 +81,7 @@
 	r.queueName = QueueName(r.group.Name())
 	machine, err := queue.Restore(r.queueName, snapshot.Index, snapshot.Data)
 	if err != nil {
-		panic(Unreadable.Wrap(err, "snapshot of %s", r.group.Name()))
+		panic(UndecodableState.Wrap(err, "snapshot of %s", r.group.Name()))
 	}
 	r.queue = machine
 }
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -32,10 +32,10 @@
 var (
 	// Errors is the namespace of the package's error types.
 	Errors = errorx.NewNamespace("replica")
-	// Unreadable is the type of the error with which Host panics when the checksums of
+	// UndecodableState is the type of the error with which Host panics when the checksums of
 	// a snapshot or committed entry are right and its content can't be decoded: another
 	// version wrote it. The replica can't continue from it.
-	Unreadable = Errors.NewType("unreadable")
+	UndecodableState = Errors.NewType("unreadable")
 )
 
 // TickInterval is the time between two ticks that a Host expects, in µs.
@@ -82,7 +82,7 @@
 
 // New returns the host of the replicas in a storage node's durable state. wallClock
 // gives the time of day in µs since 1970. seed and the node's ID determine the random
-// part of its election timeouts. It panics with Unreadable if a snapshot can't be decoded.
+// part of its election timeouts. It panics with UndecodableState if a snapshot can't be decoded.
 func New(id string, state *storage.State, wallClock func() int64, times raft.Timeouts, seed uint64, now eventloop.Micros) *Host {
 	hash := fnv.New64a()
 	hash.Write([]byte(id))
