--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -1,6 +1,6 @@
 package replica
 
-// Applying committed entries, and notifying other components and processes of the
+// This file applies committed entries and notifies other components and processes of the
 // results.
 
 import (
@@ -19,8 +19,8 @@
 func (h *Host) applyEntry(now eventloop.Micros, r *replica, entry *schema.Entry, effects eventloop.Effects) {
 	pending, isPending := r.pendingCommands[entry.Index]
 	delete(r.pendingCommands, entry.Index)
-	// A command that was proposed in another term was overwritten in the log by this
-	// entry. Its caller gets no answer and retries.
+	// If the pending command was proposed in another term, this entry has overwritten it in
+	// the log. Its caller gets no reply and retries.
 	isPending = isPending && pending.term == entry.Term
 	if entry.Kind != schema.EntryKind_ENTRY_COMMAND {
 		return
@@ -36,12 +36,12 @@
 	}
 }
 
-// applyClusterStateCommand applies a command of the cluster state; caller is nil if
-// nobody waits for it here.
+// applyClusterStateCommand applies a command to the cluster state. caller is nil if no
+// request that this node accepted waits for the result.
 func (h *Host) applyClusterStateCommand(now eventloop.Micros, r *replica, entry *schema.Entry, caller *pendingReply, effects eventloop.Effects) {
 	result, err := h.stateMachine.Apply(entry.TimeUs, entry.Data)
 	if err != nil {
-		panic(UndecodableState.Wrap(err, "entry of %s", r.group.Name()))
+		panic(UndecodableState.Wrap(err, "failed to decode a committed entry of group %s", r.group.Name()))
 	}
 	h.compactClusterStateLog(r, entry)
 	h.publishClusterState(now, effects)
@@ -50,12 +50,13 @@
 	}
 }
 
-// applyQueueCommand applies a command of a queue; the effects that concern others are
-// carried out by the leader alone. caller is nil if nobody waits for it here.
+// applyQueueCommand applies a command to a queue's state machine. Only the leader notifies
+// the scheduler and replies to gateways and callers. caller is nil if no request or task
+// report that this node accepted waits for the result.
 func (h *Host) applyQueueCommand(r *replica, entry *schema.Entry, caller *pendingReply, effects eventloop.Effects) {
 	result, err := r.queue.Apply(entry.Index, entry.TimeUs, entry.Data)
 	if err != nil {
-		panic(UndecodableState.Wrap(err, "entry of %s", r.group.Name()))
+		panic(UndecodableState.Wrap(err, "failed to decode a committed entry of group %s", r.group.Name()))
 	}
 	if cursor := result.ReleaseCursor; cursor != nil {
 		r.group.Compact(cursor.Index, cursor.Snapshot)
@@ -78,8 +79,8 @@
 	}
 }
 
-// addSubmitResult collects the result of a submission, so that each gateway gets one message
-// a step and queue.
+// addSubmitResult adds the result of a submission to the response for its gateway, so that
+// a step sends each gateway only one message per queue.
 func (h *Host) addSubmitResult(r *replica, result *schema.SubmitResult) {
 	key := result.Session.Gateway + "/" + r.queueName
 	if h.submitResponses[key] == nil {
@@ -88,7 +89,7 @@
 	h.submitResponses[key].Results = append(h.submitResponses[key].Results, result)
 }
 
-// sendSubmitResponses sends the results of this step to their gateways.
+// sendSubmitResponses sends the submission results of this step to their gateways.
 func (h *Host) sendSubmitResponses(effects eventloop.Effects) {
 	for _, key := range slices.Sorted(maps.Keys(h.submitResponses)) {
 		response := h.submitResponses[key]
@@ -105,15 +106,16 @@
 	}
 }
 
-// handleResyncQueue has the scheduler sent a snapshot at the end of this step.
+// handleResyncQueue causes notifyScheduler to send the scheduler a new snapshot of the
+// queue's tasks at the end of this step.
 func (h *Host) handleResyncQueue(m ResyncQueue) {
 	if r := h.groups[m.Group]; r != nil && r.queue != nil {
 		r.notifiedTerm = 0
 	}
 }
 
-// notifyScheduler sends the scheduler a snapshot of each queue that this node has come
-// to lead, and reports those it no longer leads.
+// notifyScheduler sends the scheduler a snapshot of the tasks of each queue that this node
+// has started to lead, and LeadershipLost for each queue that it no longer leads.
 func (h *Host) notifyScheduler(now eventloop.Micros, effects eventloop.Effects) {
 	for _, name := range h.groupNames() {
 		r := h.groups[name]
@@ -134,8 +136,8 @@
 	}
 }
 
-// endLeadership forgets what only the leader of a queue keeps. Callers that still wait
-// retry with the new leader.
+// endLeadership discards the state that only the leader of a queue keeps. Callers that
+// still wait get no reply and retry with the new leader.
 func (h *Host) endLeadership(r *replica, effects eventloop.Effects) {
 	if r.notifiedTerm != 0 {
 		r.notifiedTerm = 0
@@ -153,9 +155,10 @@
 	}
 }
 
-// publishClusterState passes a new version of the cluster state to the components of
-// this process and, where this node leads it, to those that should have it at once.
-// An installed snapshot has already replaced the copy when this is called.
+// publishClusterState passes a new version of the cluster state to the components of this
+// process. If this node leads the cluster state's group, it also sends the version to the
+// processes that need it at once. After a snapshot was installed, sharedState has already
+// been replaced when this is called.
 func (h *Host) publishClusterState(now eventloop.Micros, effects eventloop.Effects) {
 	if h.stateMachine.Version() != h.sharedState.Version || h.sharedState.Version == 0 {
 		h.setState(h.stateMachine.SharedState())
@@ -169,8 +172,9 @@
 	}
 	effects.Notify("membership", membership.ClusterStateObserved{Version: h.sharedState.Version})
 	if old.Configuration != h.sharedState.Configuration {
-		// A queue's urgency and limit may have changed. They are sent with its snapshot,
-		// which is long while many tasks wait, so other changes don't cause one.
+		// The urgency or the running limit of a queue may have changed. The scheduler
+		// receives them with the snapshot of the queue's tasks. That snapshot is large while
+		// many tasks wait, so other changes of the cluster state don't cause one.
 		for _, r := range h.groups {
 			r.notifiedTerm = 0
 		}
@@ -180,18 +184,18 @@
 	}
 }
 
-// pushClusterState sends a new version at once where waiting for the next query would
-// delay work.
+// pushClusterState sends a new version of the cluster state at once to those processes
+// whose work would be delayed if they received it only with their next query.
 func (h *Host) pushClusterState(now eventloop.Micros, r *replica, old *schema.ClusterState, effects eventloop.Effects) {
 	if len(old.Queues) != len(h.sharedState.Queues) {
-		// The initial voters of a new queue create its replicas once they know of it,
-		// so they learn the commit index without waiting for the next heartbeat.
+		// The initial voters of a new queue create its replicas when they apply this entry.
+		// This sends them the commit index, so that they needn't wait for the next heartbeat.
 		r.group.BroadcastCommit(now)
 	}
 	known := &schema.ClusterStateRequest{Version: old.Version}
 	if h.membership != nil && anyLeaseMoved(old.WorkerLeases, h.sharedState.WorkerLeases) {
 		// A worker whose lease has moved gets no orders until its agent knows the new
-		// scheduler.
+		// scheduler, so every live agent node is sent the new version.
 		for _, id := range slices.Sorted(maps.Keys(h.membership.Members)) {
 			if h.membership.Members[id].Member.Role == schema.Role_ROLE_CONTROLLER && h.membership.IsAlive(id, now, livenessTimeout) {
 				h.sendClusterState(now, id, known, effects)
@@ -204,7 +208,8 @@
 	}
 }
 
-// anyLeaseMoved reports whether a worker's lease has gone from one scheduler to another.
+// anyLeaseMoved reports whether the lease of any worker has moved from one scheduler to
+// another.
 func anyLeaseMoved(before, after []*schema.WorkerLease) bool {
 	schedulers := map[string]string{}
 	for _, lease := range before {
--- a/internal/replica/cluster_state_updates.go
+++ b/internal/replica/cluster_state_updates.go
@@ -1,6 +1,7 @@
 package replica
 
-// Copies of the cluster state for other processes, with the status of the groups.
+// This file sends copies of the cluster state and the status of the groups to other
+// processes.
 
 import (
 	"cmp"
@@ -13,9 +14,12 @@
 	"sparnotch/internal/schema"
 )
 
-// sendClusterState answers a process that keeps a copy of the cluster state.
+// sendClusterState sends a process that keeps a copy of the cluster state what is newer than
+// the version in m, together with the known leaders and the expiry of the controller lease.
+// m is the query of that process, or says which version it is assumed to have. Nothing is
+// sent while this node's copy may be stale.
 func (h *Host) sendClusterState(now eventloop.Micros, to string, m *schema.ClusterStateRequest, effects eventloop.Effects) {
-	// A stale copy would only set the process back. It asks another node then.
+	// A stale copy would only set the process back. Without a reply it queries another node.
 	if !h.isClusterStateFresh(now) {
 		return
 	}
@@ -26,28 +30,29 @@
 	if h.sharedState.Version > m.Version {
 		update.State, update.ConfigurationOmitted = h.stateMachine.EncodeUpdate(h.sharedState, m.HeldRevision)
 		if !update.ConfigurationOmitted && h.suppressResend(now, to, update.State.Configuration) {
-			// An agent node can use the leaders and the controller's lease alone. A
-			// gateway node is ready only with the whole state, so it waits for that.
+			// An agent node can use the leaders and the controller lease without the state. A
+			// gateway node is ready only with the whole state, so it is sent nothing until the
+			// state may be sent again.
 			if update.State = nil; !h.isAgentNode(to) {
 				return
 			}
 		}
 	}
-	// Agent nodes ask often and there is a status for every queue; of them only the
-	// controller's node reads it.
+	// Agent nodes query often, and there is a status for every queue. Among the agent nodes
+	// only the one that runs the controller reads them, so the others aren't sent them.
 	if to == h.sharedState.ControllerLease.GetHolder() || !h.isAgentNode(to) {
 		update.QueueStatuses = h.groupStatuses()
 	}
 	effects.Send(to, update)
 }
 
-// encodeClusterState is the reply to a gateway node's read: the cluster state if the
-// caller has an older version, else the version alone. A configuration that is still
-// in flight to the caller isn't sent again.
+// encodeClusterState returns the body of the reply to a gateway node's read. It contains the
+// leaders, the version and, if the caller has an older version, the cluster state. The state
+// is left out while the rows of its configuration may still be in flight to the caller.
 func (h *Host) encodeClusterState(now eventloop.Micros, pending pendingReply) []byte {
-	known, update := &schema.ClusterStateRequest{}, &schema.ClusterStateResponse{Version: h.sharedState.Version, Leaders: h.leaders()}
-	if proto.Unmarshal(pending.request.Body, known) != nil || known.Version < h.sharedState.Version {
-		update.State, update.ConfigurationOmitted = h.stateMachine.EncodeUpdate(h.sharedState, known.HeldRevision)
+	query, update := &schema.ClusterStateRequest{}, &schema.ClusterStateResponse{Version: h.sharedState.Version, Leaders: h.leaders()}
+	if proto.Unmarshal(pending.request.Body, query) != nil || query.Version < h.sharedState.Version {
+		update.State, update.ConfigurationOmitted = h.stateMachine.EncodeUpdate(h.sharedState, query.HeldRevision)
 		if !update.ConfigurationOmitted && h.suppressResend(now, pending.from, update.State.Configuration) {
 			update.State = nil
 		}
@@ -55,7 +60,8 @@
 	return mustMarshal(update)
 }
 
-// leaders names the leader of each group that has a replica here, by queue name.
+// leaders returns the known leader of each group that has a replica on this node, by the
+// queue's name. The cluster state's group has the key clusterstate.GroupName.
 func (h *Host) leaders() map[string]string {
 	leaders := map[string]string{}
 	for _, r := range h.groups {
@@ -64,12 +70,12 @@
 	return leaders
 }
 
-// isAgentNode reports whether a process is known to be an agent node.
+// isAgentNode reports whether the membership view lists a process as an agent node.
 func (h *Host) isAgentNode(id string) bool {
 	return h.membership != nil && h.membership.Members[id].Member.GetRole() == schema.Role_ROLE_CONTROLLER
 }
 
-// groupStatuses is the status of each group that this node leads.
+// groupStatuses returns the status of each group that this node leads.
 func (h *Host) groupStatuses() []*schema.QueueStatus {
 	var statuses []*schema.QueueStatus
 	for _, name := range h.groupNames() {
@@ -80,8 +86,8 @@
 	return statuses
 }
 
-// groupStatus is what the controller needs to know of a group for repairs and for
-// removing the sessions of gateways that are gone.
+// groupStatus returns the status of a group that this node leads. The controller uses it to
+// repair the group and to remove the sessions of gateways that are gone.
 func (h *Host) groupStatus(r *replica) *schema.QueueStatus {
 	g := r.group
 	members := g.MemberSet()
@@ -109,7 +115,7 @@
 	return status
 }
 
-// gatewaysOf lists the gateway incarnations that sessions belong to, each once.
+// gatewaysOf returns the gateway incarnations that own the sessions, without duplicates.
 func gatewaysOf(sessions []*schema.Session) []*schema.ExpiredGateway {
 	type incarnation struct {
 		gateway string
--- a/internal/replica/configuration_rows.go
+++ b/internal/replica/configuration_rows.go
@@ -1,6 +1,6 @@
 package replica
 
-// Rows of a large configuration that are in flight to other processes.
+// This file tracks the rows of a large configuration that are in flight to other processes.
 
 import (
 	"maps"
@@ -9,15 +9,16 @@
 	"sparnotch/internal/schema"
 )
 
-// configurationSent is the configuration whose rows were last sent to a process.
+// configurationSent records the configuration whose rows were last sent to a process.
 type configurationSent struct {
 	revision      uint64
-	inFlightUntil eventloop.Micros // the rows may arrive until then
+	inFlightUntil eventloop.Micros // the rows may still arrive until this time
 }
 
-// suppressResend reports whether a configuration's packed rows may still be in flight to
-// a process. If they aren't, it records that they are sent now. Without it a process
-// that asks often over a slow link would be sent the same rows again and again.
+// suppressResend reports whether a configuration's packed rows may still be in flight to a
+// process, so that they must not be sent again. Otherwise it records that they are sent now.
+// Without this check a process that queries often over a slow link would be sent the same
+// rows again and again.
 func (h *Host) suppressResend(now eventloop.Micros, to string, configuration *schema.Configuration) bool {
 	if len(configuration.PackedRows) == 0 || to == h.id {
 		return false
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -1,6 +1,7 @@
 package replica
 
-// The replica of one group: opening it, restoring its state machine, naming it.
+// This file opens and removes the replicas of groups, restores their state machines, and
+// maps the names of groups to those of queues.
 
 import (
 	"maps"
@@ -22,35 +23,36 @@
 	queueName string         // empty for the cluster state
 	queue     *queue.Machine // nil for the cluster state
 
-	pendingCommands map[uint64]pendingReply // by log index
-	pendingReads    map[uint64]pendingReply // by read ID
+	pendingCommands map[uint64]pendingReply // replies due when a command is applied, by its log index
+	pendingReads    map[uint64]pendingReply // replies due when a read is confirmed, by its ID
 
-	notifiedTerm uint64 // term whose complete task list the scheduler has; 0: none
+	notifiedTerm uint64 // term in which the scheduler was sent a snapshot of the tasks; 0: a new snapshot is due
 
-	tickProposedAt eventloop.Micros
-	tickIndex      uint64 // log index of the last proposed tick
-	reenqueueIndex uint64
-	settingsIndex  uint64
+	tickProposedAt eventloop.Micros // when the last tick was proposed
+	tickIndex      uint64           // log index of the last proposed tick
+	reenqueueIndex uint64           // log index of the last proposed re-enqueueing of a job
+	settingsIndex  uint64           // log index of the last proposed settings
 
-	logBytes int // of the cluster state's entries applied since its snapshot
+	logBytes int // size of the entries applied since the snapshot; counted for the cluster state only
 
-	transferredAt       eventloop.Micros // when leadership was last handed over or taken over
+	transferredAt       eventloop.Micros // when this node last handed over or took over the leadership
 	preferredAtTransfer string           // the preferred leader at that time
-	failedTransfers     int              // handovers in a row by which this node didn't lose the leadership
+	failedTransfers     int              // consecutive handovers after which this node led all the same; the latest may still succeed
 
-	leadingTerm   uint64           // in which this node led when last looked at
-	leadingSince  eventloop.Micros // by an election of that term
-	lastLeader    string           // the last other leader that this node knew
-	deposedLeader string           // lastLeader at leadingSince
+	leadingTerm   uint64           // term in which observeLeadership last saw this node lead; 0: another node has led since
+	leadingSince  eventloop.Micros // when observeLeadership first saw this node lead in leadingTerm
+	lastLeader    string           // last known leader other than this node
+	deposedLeader string           // lastLeader at the time leadingSince
 
-	notifiedMemberSetIndex uint64 // last member set that was reported to the controller
-	notifiedLearner        string // last caught-up learner that was reported
+	notifiedMemberSetIndex uint64 // log index of the last member set that was reported to the controller
+	notifiedLearner        string // last caught-up learner that was reported to the controller
 }
 
-// openGroup adds the replica of a group with its durable state.
+// openGroup creates this node's replica of a group from its durable state. It panics with
+// UndecodableState if the snapshot can't be decoded.
 func (h *Host) openGroup(now eventloop.Micros, name string, state *storage.GroupState) *replica {
 	r := &replica{
-		group:           raft.New(name, h.id, state, h.raftTimes, h.electionJitter, now),
+		group:           raft.New(name, h.id, state, h.raftTimeouts, h.electionJitter, now),
 		pendingCommands: map[uint64]pendingReply{}, pendingReads: map[uint64]pendingReply{},
 	}
 	r.group.SetWritable(!h.isReadOnly())
@@ -59,7 +61,7 @@
 	return r
 }
 
-// dropGroup removes the replica of a queue that was deleted, and its durable state.
+// dropGroup removes the replica of a deleted queue, together with its durable state.
 func (h *Host) dropGroup(name string) {
 	delete(h.groups, name)
 	h.sortedNames = nil
@@ -67,12 +69,13 @@
 	delete(h.nextWrite.syncPoints, name)
 }
 
-// restoreGroup replaces a group's state machine by the state of a snapshot.
+// restoreGroup replaces a group's state machine with the state in a snapshot. It panics with
+// UndecodableState if the snapshot can't be decoded.
 func (h *Host) restoreGroup(r *replica, snapshot *schema.Snapshot) {
 	if r.group.Name() == clusterstate.GroupName {
 		machine, err := clusterstate.Restore(snapshot.Data)
 		if err != nil {
-			panic(UndecodableState.Wrap(err, "snapshot of %s", r.group.Name()))
+			panic(UndecodableState.Wrap(err, "failed to decode a snapshot of group %s", r.group.Name()))
 		}
 		h.stateMachine, r.logBytes = machine, 0
 		h.setState(machine.SharedState())
@@ -81,13 +84,14 @@
 	r.queueName = QueueName(r.group.Name())
 	machine, err := queue.Restore(r.queueName, snapshot.Index, snapshot.Data)
 	if err != nil {
-		panic(UndecodableState.Wrap(err, "snapshot of %s", r.group.Name()))
+		panic(UndecodableState.Wrap(err, "failed to decode a snapshot of group %s", r.group.Name()))
 	}
 	r.queue = machine
 }
 
-// stepGroup passes a message to a group's replica. A leader that replicates to this
-// node counts it as a member, so a missing replica is created first.
+// stepGroup passes a message to this node's replica of a group. A leader that sends log
+// entries or a snapshot counts this node as a member, so these messages create the replica
+// if it is missing.
 func (h *Host) stepGroup(now eventloop.Micros, from, name string, body any) {
 	r := h.groups[name]
 	if r == nil {
@@ -101,8 +105,8 @@
 	}
 }
 
-// groupNames lists the groups in order. The result is cached, as every step needs it
-// and groups change seldom.
+// groupNames returns the sorted names of this node's groups. The result is cached because
+// every step needs it and groups change seldom.
 func (h *Host) groupNames() []string {
 	if h.sortedNames == nil {
 		h.sortedNames = slices.Sorted(maps.Keys(h.groups))
@@ -110,8 +114,8 @@
 	return h.sortedNames
 }
 
-// queueReplica returns this node's replica of a queue in the cluster state; nil if there
-// is none.
+// queueReplica returns this node's replica of the queue that the cluster state lists under a
+// name. It returns nil if there is none.
 func (h *Host) queueReplica(name string) *replica {
 	if placement := clusterstate.FindQueue(h.sharedState, name); placement != nil {
 		return h.groups[GroupName(placement)]
@@ -119,13 +123,14 @@
 	return nil
 }
 
-// GroupName names the Raft group of a queue. The generation is part of it, so a queue
-// that is created again under an old name is another group.
+// GroupName returns the name of a queue's Raft group. It contains the queue's generation, so
+// a queue that is deleted and created again under the same name gets a new group.
 func GroupName(placement *schema.QueuePlacement) string {
 	return placement.Queue + "#" + strconv.FormatUint(placement.Generation, 10)
 }
 
-// QueueName is the queue's name in a group's name, empty for the cluster state's group.
+// QueueName returns the name of the queue that a group's name contains. It returns an empty
+// string for the cluster state's group.
 func QueueName(group string) string {
 	queue, _, isQueue := strings.Cut(group, "#")
 	if !isQueue {
@@ -134,8 +139,8 @@
 	return queue
 }
 
-// isObsolete reports whether the cluster state lists a newer queue of the same name, or
-// has deleted this one.
+// isObsolete reports whether a group's queue was deleted, or replaced by a newer queue of the
+// same name, according to this node's copy of the cluster state.
 func (h *Host) isObsolete(group string) bool {
 	if placement := clusterstate.FindQueue(h.sharedState, QueueName(group)); placement != nil {
 		return GroupName(placement) != group
@@ -144,8 +149,8 @@
 }
 
 // isDeleted reports whether a queue that the cluster state doesn't list was deleted.
-// Generations come from one counter: a queue whose generation was already assigned is
-// in the cluster state or was deleted, a later one is only unknown here so far.
+// Generations are assigned from one counter, so a queue whose generation was already assigned
+// is either listed or deleted. A queue with a later generation is just not known here yet.
 func (h *Host) isDeleted(group string) bool {
 	generation, err := strconv.ParseUint(group[len(QueueName(group))+1:], 10, 64)
 	return err == nil && generation < h.sharedState.NextToken
--- a/internal/replica/heartbeats.go
+++ b/internal/replica/heartbeats.go
@@ -1,7 +1,7 @@
 package replica
 
-// Messages between the replicas of a group; the heartbeats of all groups to one node go
-// into one message.
+// This file sends and receives the messages between the replicas of a group. The heartbeats
+// of all groups to one node are sent as one message.
 
 import (
 	"maps"
@@ -12,9 +12,10 @@
 	"sparnotch/internal/schema"
 )
 
-// heartbeatBatches collects heartbeats and their replies, by receiver.
+// heartbeatBatches collects heartbeats and their responses by the ID of the receiving node.
 type heartbeatBatches map[string]*schema.HeartbeatBatch
 
+// to returns the batch for a node and creates it if necessary.
 func (b heartbeatBatches) to(id string) *schema.HeartbeatBatch {
 	if b[id] == nil {
 		b[id] = &schema.HeartbeatBatch{}
@@ -28,7 +29,8 @@
 	}
 }
 
-// sendGroupMessage sends a message of a group, or adds it to the batch of heartbeats.
+// sendGroupMessage sends a message of a group to another replica. It adds heartbeats and
+// their responses to the receiver's batch instead.
 func (h *Host) sendGroupMessage(message raft.Message, heartbeats heartbeatBatches, effects eventloop.Effects) {
 	switch body := message.Body.(type) {
 	case *schema.Heartbeat:
@@ -43,13 +45,14 @@
 	}
 }
 
-// handleHeartbeats passes a batch of heartbeats and replies to the groups.
+// handleHeartbeats passes the heartbeats and responses in a batch to the replicas of their
+// groups.
 func (h *Host) handleHeartbeats(now eventloop.Micros, from string, m *schema.HeartbeatBatch) {
 	for _, heartbeat := range m.Heartbeats {
 		r := h.groups[heartbeat.GetGroup()]
 		if r == nil {
-			// The first append to a new member may have been lost, and the leader sends
-			// no second one before it gets an answer.
+			// The first append to a new member may have been lost, and the leader sends no
+			// second one before it gets a response. So a heartbeat creates the replica too.
 			r = h.joinGroup(now, heartbeat.GetGroup())
 		}
 		if r != nil {
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -6,8 +6,9 @@
 // to the state machines (packages clusterstate and queue), writes the changes of all
 // groups as one batch, so that a single sync serves all of them, and carries out the
 // effects of applied commands where this node leads. On the leader of a queue it also
-// proposes what time and the configuration require: ticks, queue settings, and the
-// re-enqueueing of old jobs that would keep the log from being compacted.
+// proposes the commands that the passage of time or the configuration requires: ticks,
+// queue settings, and the re-enqueueing of old jobs that would keep the log from being
+// compacted.
 //
 // Consensus is in package raft ("In Search of an Understandable Consensus Algorithm",
 // Ongaro and Ousterhout). Compaction of a queue's log by release cursors follows
@@ -32,13 +33,13 @@
 var (
 	// Errors is the namespace of the package's error types.
 	Errors = errorx.NewNamespace("replica")
-	// UndecodableState is the type of the error with which Host panics when the checksums of
-	// a snapshot or committed entry are right and its content can't be decoded: another
-	// version wrote it. The replica can't continue from it.
-	UndecodableState = Errors.NewType("unreadable")
+	// UndecodableState is the type of the error with which Host panics if it can't decode a
+	// snapshot or committed entry whose checksum is right. Another version of the software
+	// has written it, and the replica can't continue without it.
+	UndecodableState = Errors.NewType("undecodable_state")
 )
 
-// TickInterval is the time between two ticks that a Host expects, in µs.
+// TickInterval is the interval at which a Host must receive eventloop.Tick, in µs.
 const TickInterval = 25 * eventloop.Millisecond
 
 // Host owns the replicas of this node. It isn't safe for concurrent use: the event
@@ -48,46 +49,47 @@
 	identity        *schema.StoreIdentity
 	timeouts        timing.Timeouts
 	tolerance       membership.FaultTolerance
-	toleratedLosses int // storage nodes whose simultaneous loss is to be tolerated
-	wallClock       func() int64
-	raftTimes       raft.Timeouts
+	toleratedLosses int          // number of storage nodes whose simultaneous loss must be tolerated
+	wallClock       func() int64 // returns the time of day in µs since 1970
+	raftTimeouts    raft.Timeouts
 	electionJitter  *electionJitter
 
 	groups      map[string]*replica // by group name
-	sortedNames []string            // cached keys of groups; nil after a change
+	sortedNames []string            // cached result of groupNames; nil after groups has changed
 
 	stateMachine  *clusterstate.StateMachine
-	values        *clusterstate.Values
-	sharedState   *schema.ClusterState  // copy of stateMachine that other components may hold
-	published     *schema.ClusterState  // the copy that they were notified of last
-	queueSettings *schema.ApplySettings // from the configuration, for every queue
+	values        *clusterstate.Values  // parsed configuration of stateMachine
+	sharedState   *schema.ClusterState  // immutable copy of stateMachine's state, shared with other components
+	published     *schema.ClusterState  // the sharedState that the other components were last notified of
+	queueSettings *schema.ApplySettings // settings of every queue, from the configuration
 
-	controllerLeaseUntil  int64            // as last seen, µs of the cluster state's time
-	controllerLeaseSeenAt eventloop.Micros // when that value was first seen
+	controllerLeaseUntil  int64            // last seen expiry of the controller lease, in µs of the cluster state's time; 0: none
+	controllerLeaseSeenAt eventloop.Micros // when this expiry was first seen
 
-	membership *membership.View // nil before the first report
-	isDraining bool
+	membership *membership.View // nil until the membership component has sent its first view
+	isDraining bool             // the node is shutting down; see Drain
 
-	nextWrite      pendingWrite  // collects until currentWrite is durable
-	currentWrite   *pendingWrite // handed to the storage; nil: none
-	writeNumber    uint64
-	writeStartedAt eventloop.Micros
+	nextWrite      pendingWrite     // changes collected while currentWrite isn't durable
+	currentWrite   *pendingWrite    // batch that the storage is writing; nil: none
+	writeNumber    uint64           // number of the last batch
+	writeStartedAt eventloop.Micros // when the last batch was handed to the storage
 	readOnly       readOnlyState
 	disk           diskCapacity
 
 	lastReadID         uint64
-	submitResponses    map[string]*schema.SubmitResponse // of this step, by gateway and queue
-	configurationsSent map[string]configurationSent      // by process
+	submitResponses    map[string]*schema.SubmitResponse // responses to send at the end of this step, by gateway and queue
+	configurationsSent map[string]configurationSent      // by process ID
 }
 
-// New returns the host of the replicas in a storage node's durable state. wallClock
-// gives the time of day in µs since 1970. seed and the node's ID determine the random
-// part of its election timeouts. It panics with UndecodableState if a snapshot can't be decoded.
-func New(id string, state *storage.State, wallClock func() int64, times raft.Timeouts, seed uint64, now eventloop.Micros) *Host {
+// New returns a Host with the replicas that are in a storage node's durable state. wallClock
+// returns the time of day in µs since 1970. seed and the node's ID determine the random
+// part of its election timeouts. New panics with UndecodableState if a snapshot can't be
+// decoded.
+func New(id string, state *storage.State, wallClock func() int64, raftTimeouts raft.Timeouts, seed uint64, now eventloop.Micros) *Host {
 	hash := fnv.New64a()
 	hash.Write([]byte(id))
 	h := &Host{
-		id: id, identity: state.Identity, toleratedLosses: 1, timeouts: timing.FromBounds(nil), wallClock: wallClock, raftTimes: times,
+		id: id, identity: state.Identity, toleratedLosses: 1, timeouts: timing.FromBounds(nil), wallClock: wallClock, raftTimeouts: raftTimeouts,
 		electionJitter: newElectionJitter(rand.New(rand.NewPCG(seed, hash.Sum64()))),
 		groups:         map[string]*replica{}, stateMachine: clusterstate.New(), nextWrite: newPendingWrite(),
 		submitResponses: map[string]*schema.SubmitResponse{}, configurationsSent: map[string]configurationSent{},
@@ -100,20 +102,20 @@
 	return h
 }
 
-// WithBounds sets the deployment's time bounds and returns h; nil or zero values
-// stand for the defaults.
+// WithBounds sets the deployment's time bounds and returns h. A bound of zero stands for its
+// default, and nil for all defaults.
 func (h *Host) WithBounds(bounds *schema.Bounds) *Host {
 	h.timeouts = timing.FromBounds(bounds)
 	return h
 }
 
-// WithTolerance sets the failures that the deployment is to tolerate and returns h.
+// WithTolerance sets the failures that the deployment must tolerate and returns h.
 func (h *Host) WithTolerance(tolerance membership.FaultTolerance) *Host {
 	h.tolerance, h.toleratedLosses = tolerance, tolerance.Voters()/2
 	return h
 }
 
-// setState replaces the copy of the cluster state, and what is derived from it.
+// setState replaces the shared copy of the cluster state and the values derived from it.
 func (h *Host) setState(state *schema.ClusterState) {
 	h.sharedState, h.values = state, h.stateMachine.Values()
 	h.queueSettings = &schema.ApplySettings{
@@ -123,7 +125,8 @@
 	}
 }
 
-// Step handles one message of the event loop; it implements eventloop.Component.
+// Step handles one message and then flushes the output of the groups. It implements
+// eventloop.Component.
 func (h *Host) Step(now eventloop.Micros, message eventloop.Message, effects eventloop.Effects) {
 	switch body := message.Body.(type) {
 	case eventloop.Tick:
