--- a/internal/replica/maintenance.go
+++ b/internal/replica/maintenance.go
@@ -1,7 +1,8 @@
 package replica
 
-// What happens at each tick: elections, repairs, and what the leader of a queue
-// proposes because time has passed or the configuration has changed.
+// This file does the work of each tick: elections, reports to the controller and the
+// scheduler, and the commands that the leader of a queue proposes because time has passed or
+// the configuration has changed.
 
 import (
 	"google.golang.org/protobuf/proto"
@@ -12,40 +13,43 @@
 )
 
 const (
-	timedTickInterval    = eventloop.Second            // between ticks of a queue with timed jobs
-	retainedTickInterval = 5 * eventloop.Second        // between ticks of a queue that only retains ended jobs
-	maxWallDrift         = 100 * eventloop.Millisecond // of queue time against the time of day
-	maxStateLogEntries   = 512                         // of the cluster state's log, before it is compacted
-	maxStateLogBytes     = 1 << 20                     // the same in bytes, if its snapshot is smaller
+	timedTickInterval    = eventloop.Second            // between idle ticks of a queue with timed jobs
+	retainedTickInterval = 5 * eventloop.Second        // between idle ticks of a queue that only retains ended jobs
+	maxWallDrift         = 100 * eventloop.Millisecond // largest uncorrected error of a queue's offset from the time of day
+	maxStateLogEntries   = 512                         // entries in the cluster state's log before it is compacted
+	maxStateLogBytes     = 1 << 20                     // bytes in that log before it is compacted, unless its snapshot is larger
 )
 
+// handleTick passes the tick to every group and does the periodic work of the Host.
 func (h *Host) handleTick(now eventloop.Micros, effects eventloop.Effects) {
 	h.recordControllerLease(now)
 	if h.published.Version != h.sharedState.Version {
-		// This process has just started from a snapshot, with no entry behind it.
+		// This process has just started from a snapshot. No entry after the snapshot was
+		// applied, so the cluster state hasn't been published yet.
 		h.publishClusterState(now, effects)
 	}
-	hasCampaigned, hasChanged := false, false
+	hasCampaigned, hasMembershipChange := false, false
 	for _, name := range h.groupNames() {
 		r := h.groups[name]
-		campaigns := r.group.PreVoteCount()
+		countBefore := r.group.PreVoteCount()
 		r.group.Tick(now)
-		hasCampaigned = hasCampaigned || r.group.PreVoteCount() != campaigns
+		hasCampaigned = hasCampaigned || r.group.PreVoteCount() != countBefore
 		r.observeLeadership(now, h.id)
 		if r.group.IsLeader() {
 			r.group.UpdateWallOffset(now, h.wallClock())
 			h.maintainQueue(now, r)
 			h.transferIfNeeded(now, r)
-			hasChanged = r.takeMembershipChange() || hasChanged
+			hasMembershipChange = r.takeMembershipChange() || hasMembershipChange
 		}
 	}
-	if controller := h.sharedState.ControllerLease.GetHolder(); hasChanged && controller != "" {
-		// Each step of a repair waits for this report, which would come later with the
-		// controller's next query.
+	if controller := h.sharedState.ControllerLease.GetHolder(); hasMembershipChange && controller != "" {
+		// The controller takes each step of a repair only after this report. Without it the
+		// step would wait for the controller's next query.
 		h.sendClusterState(now, controller, &schema.ClusterStateRequest{Version: h.sharedState.Version}, effects)
 	}
 	if hasCampaigned {
-		// Two nodes with the same jitter must not campaign at the same time again.
+		// Two nodes that happened to draw the same jitter must not keep campaigning at the
+		// same time.
 		h.electionJitter.redraw()
 	}
 	h.reconcileQueues(now, effects)
@@ -53,7 +57,7 @@
 	effects.Notify("scheduler", h.leadershipStatus(now))
 }
 
-// leadershipStatus is what the scheduler may act on until the next tick.
+// leadershipStatus returns the status on which the scheduler may act until the next tick.
 func (h *Host) leadershipStatus(now eventloop.Micros) LeadershipStatus {
 	status := LeadershipStatus{Terms: map[string]uint64{}, IsClusterStateFresh: h.isClusterStateFresh(now), TakenAt: now}
 	for name, r := range h.groups {
@@ -64,15 +68,15 @@
 	return status
 }
 
-// isClusterStateFresh reports whether this node's copy of the cluster state contained, a
-// moment ago, all that was committed.
+// isClusterStateFresh reports whether this node's copy of the cluster state is fresh: less
+// than timeouts.MaxStateAge ago it contained everything that was committed.
 func (h *Host) isClusterStateFresh(now eventloop.Micros) bool {
 	r := h.groups[clusterstate.GroupName]
 	return r != nil && r.group.FreshAsOf() > 0 && now-r.group.FreshAsOf() < h.timeouts.MaxStateAge
 }
 
-// maintainQueue proposes what time and the configuration require of a queue. Of each
-// kind of command one is pending at most.
+// maintainQueue proposes the commands that the passage of time or the configuration requires
+// for a queue. At most one command of each kind is pending.
 func (h *Host) maintainQueue(now eventloop.Micros, r *replica) {
 	if r.queue == nil || !r.group.HoldsLeaderLease(now) {
 		return
@@ -89,7 +93,7 @@
 	r.tickProposedAt = now
 }
 
-// proposeDueTick starts the next round of a job when it is due.
+// proposeDueTick proposes a tick when the next round of a job is due, which starts the round.
 func (h *Host) proposeDueTick(now eventloop.Micros, r *replica) {
 	groupTime := r.group.GroupTime(now)
 	if next, found := r.queue.NextStart(); found && next <= groupTime && r.tickIndex <= r.group.CommitIndex() {
@@ -97,8 +101,8 @@
 	}
 }
 
-// proposeIdleTick lets time pass in a queue that gets no other commands. Without it a
-// new leader would continue from an old time.
+// proposeIdleTick proposes a tick that advances queue time if the queue gets no other
+// commands. Without it a new leader would continue from an old time.
 func (h *Host) proposeIdleTick(now eventloop.Micros, r *replica) {
 	hasTimed := r.queue.TimedJobs() > 0
 	interval := retainedTickInterval
@@ -111,8 +115,8 @@
 	}
 }
 
-// proposeWallClockTick keeps jobs that start at a time of day to it: queue time stands
-// still while the queue has no leader.
+// proposeWallClockTick corrects the queue's offset from the time of day, so that timed jobs
+// start at their time of day although queue time stands still while the queue has no leader.
 func (h *Host) proposeWallClockTick(now eventloop.Micros, r *replica) {
 	if r.queue.TimedJobs() == 0 || r.tickIndex > r.group.CommitIndex() {
 		return
@@ -124,16 +128,17 @@
 	}
 }
 
-// proposeSettings brings the configuration's settings into the queue.
+// proposeSettings proposes the settings of the configuration if they differ from those that
+// the queue has applied.
 func (h *Host) proposeSettings(now eventloop.Micros, r *replica) {
 	if r.settingsIndex <= r.group.CommitIndex() && !proto.Equal(h.queueSettings, r.queue.Settings()) {
 		r.settingsIndex = h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_ApplySettings{ApplySettings: h.queueSettings}})
 	}
 }
 
-// proposeReenqueue appends the oldest live job again, so that it doesn't keep the log
-// from being compacted ("Quorum Queues Implementation Notes", section "Avoiding
-// Unbounded Log Growth").
+// proposeReenqueue proposes to append the oldest live job to a long log again, so that its
+// old entry doesn't keep the log from being compacted ("Quorum Queues Implementation Notes",
+// section "Avoiding Unbounded Log Growth").
 func (h *Host) proposeReenqueue(now eventloop.Micros, r *replica) {
 	g, limit := r.group, uint64(h.values.Fleet("carry_records"))
 	if g.LastIndex()-g.SnapshotIndex() <= limit || r.reenqueueIndex > g.CommitIndex() {
@@ -144,10 +149,11 @@
 	}
 }
 
-// compactClusterStateLog replaces the cluster state's log by a snapshot of the whole
-// state, on every replica. The log may hold maxStateLogEntries, and as many bytes as the
-// snapshot that a lagging replica would be sent instead. So at most twice the logged
-// bytes are written, and a replica that receives faster than that catches up.
+// compactClusterStateLog replaces the cluster state's log with a snapshot of the whole state
+// if the log has grown too long. Every replica does so. The log may hold maxStateLogEntries
+// entries, and as many bytes as the snapshot that a lagging replica would be sent instead.
+// So at most twice the logged bytes are written, and a replica that receives faster than
+// that catches up.
 func (h *Host) compactClusterStateLog(r *replica, entry *schema.Entry) {
 	g := r.group
 	r.logBytes += len(entry.Data)
--- a/internal/replica/member_changes.go
+++ b/internal/replica/member_changes.go
@@ -1,7 +1,7 @@
 package replica
 
-// Changes of a group's members that the controller asks for, and the handover of this
-// node's vote when it leaves.
+// This file handles the member changes that the controller requests, and determines whether
+// this node must still hand over leadership or a vote before it leaves.
 
 import (
 	"slices"
@@ -14,19 +14,20 @@
 	"sparnotch/internal/schema"
 )
 
-// responseTimeout is how long ago a learner may have answered last to be promoted.
+// responseTimeout is the time since a learner's last response after which it isn't promoted.
 const responseTimeout = 500 * eventloop.Millisecond
 
-// handleChangeMembers proposes one change of a group's members. A request that can't be
-// carried out is dropped: the controller works from the groups' status and asks again.
+// handleChangeMembers proposes a requested change of a group's members. A request that can't
+// be carried out is dropped: the controller works from the status of the groups and sends
+// another request.
 func (h *Host) handleChangeMembers(now eventloop.Micros, m *schema.ChangeMembers) {
 	r := h.groups[m.Group]
-	// A stale copy of the cluster state can't tell whether the controller's lease has
-	// gone to another.
+	// A stale copy of the cluster state doesn't show whether another process has acquired
+	// the controller lease.
 	if r == nil || !r.group.IsLeader() || !h.isClusterStateFresh(now) || !h.stateMachine.HoldsControllerLease(m.FencingToken) {
 		return
 	}
-	// A late request was decided on other members.
+	// If the member set has changed since, the request was decided on outdated members.
 	if m.MemberSetIndex != r.group.MemberSetIndex() {
 		return
 	}
@@ -34,18 +35,18 @@
 	if memberSet == nil {
 		return
 	}
-	// The controller's view may be stale or its request late. No change makes the quorum
-	// less fault-tolerant than required, unless it is so already.
+	// The controller's view may be stale or its request late. A change is rejected if the
+	// group would then tolerate fewer failures than required, and fewer than at present.
 	margin := r.group.FailureTolerance(now, memberSet.Voters)
 	if margin < h.toleratedLosses && margin < r.group.FailureTolerance(now, r.group.MemberSet().Voters) {
 		return
 	}
-	// An error means that another change is in progress.
+	// An error means that another change is in progress. The request is dropped then.
 	_ = r.group.ProposeMemberSet(now, memberSet)
 }
 
-// changedMemberSet is a group's member set after the requested change; nil: the change
-// isn't possible.
+// changedMemberSet returns a group's member set after the requested change, or nil if the
+// change isn't possible.
 func (h *Host) changedMemberSet(now eventloop.Micros, group *raft.Group, m *schema.ChangeMembers) *schema.MemberSet {
 	memberSet := proto.Clone(group.MemberSet()).(*schema.MemberSet)
 	isVoter := func(id string) bool { return slices.Contains(memberSet.Voters, id) }
@@ -60,7 +61,8 @@
 		memberSet.Learners = removeID(memberSet.Learners, m.Promote)
 		memberSet.Voters = append(memberSet.Voters, m.Promote)
 	case m.Remove == h.id:
-		// The leader hands over leadership first, so that the group keeps a leader.
+		// This node leads the group. It must hand over the leadership before it is removed,
+		// so that the group keeps a leader.
 		return nil
 	case m.Remove != "" && (isVoter(m.Remove) || isLearner(m.Remove)):
 		memberSet.Voters, memberSet.Learners = removeID(memberSet.Voters, m.Remove), removeID(memberSet.Learners, m.Remove)
@@ -73,9 +75,9 @@
 	return memberSet
 }
 
-// canPromote reports whether a learner may become a voter: it has caught up and answers.
-// Otherwise four voters, of which one is lost and one doesn't answer, would have no
-// majority.
+// canPromote reports whether a learner may become a voter: it must have caught up and have
+// responded within responseTimeout. If an unresponsive learner became the fourth voter while
+// another voter is lost, the group would have no majority.
 func canPromote(now eventloop.Micros, group *raft.Group, id string) bool {
 	_, lastHeard := group.PeerProgress(id)
 	return now-lastHeard < responseTimeout && group.IsCaughtUp(id)
@@ -91,8 +93,8 @@
 	return kept
 }
 
-// takeMembershipChange reports, once each, a committed change of members and a
-// learner that has caught up.
+// takeMembershipChange reports whether a change of members was committed or a learner has
+// caught up since the previous call. Each of these is reported only once.
 func (r *replica) takeMembershipChange() bool {
 	g, changed := r.group, false
 	if index := g.MemberSetIndex(); index <= g.CommitIndex() && index != r.notifiedMemberSetIndex {
@@ -106,8 +108,8 @@
 	return changed
 }
 
-// hasHandoverPending reports whether this node must not end yet: it leads a group that
-// another voter could lead or, while it is draining, its vote is being replaced.
+// hasHandoverPending reports whether this node must not shut down yet: it leads a group that
+// has other voters or, while it is draining, its vote in a group is being replaced.
 func (h *Host) hasHandoverPending(now eventloop.Micros) bool {
 	age := h.clusterAge(now)
 	for _, r := range h.groups {
@@ -121,8 +123,8 @@
 	return false
 }
 
-// isBeingReplaced reports whether this node's vote in a group goes to another node: a
-// change of members is in progress, or a storage node that joined lately is to get it.
+// isBeingReplaced reports whether this node's vote in a group is moving to another node: a
+// change of members is in progress, or a newly joined storage node can receive the vote.
 func (h *Host) isBeingReplaced(now eventloop.Micros, g *raft.Group, age eventloop.Micros) bool {
 	members := g.MemberSet()
 	if g.Leader() == "" || !slices.Contains(members.Voters, h.id) {
@@ -132,16 +134,17 @@
 	return isChanging || h.membership != nil && h.membership.FindNewlyJoined(now, livenessTimeout, age, members.Voters) != ""
 }
 
-// recordControllerLease notes when the controller's lease was last seen renewed.
+// recordControllerLease records the expiry of the controller lease, and when this node first
+// saw it.
 func (h *Host) recordControllerLease(now eventloop.Micros) {
 	if until := h.stateMachine.ControllerLeaseExpiry(); until != h.controllerLeaseUntil {
 		h.controllerLeaseUntil, h.controllerLeaseSeenAt = until, now
 	}
 }
 
-// clusterAge returns a lower bound of the cluster's age: the cluster state's time of the
-// last renewal of the controller lease, which is ControllerLeaseUs before its expiry, plus
-// the time since it was seen. It is 0 if no lease was seen yet.
+// clusterAge returns a lower bound of the cluster's age, or 0 if no controller lease has been
+// seen yet. The bound is the cluster state's time at the last renewal of the controller
+// lease, ControllerLeaseUs before its expiry, plus the time since this node first saw it.
 func (h *Host) clusterAge(now eventloop.Micros) eventloop.Micros {
 	if h.controllerLeaseUntil == 0 {
 		return 0
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -1,6 +1,7 @@
 package replica
 
-// The messages that other components of the process exchange with the Host.
+// This file declares the messages that the Host exchanges with other components of the
+// process.
 
 import (
 	"sparnotch/internal/eventloop"
@@ -8,75 +9,79 @@
 	"sparnotch/internal/schema"
 )
 
-// Batch is written to the storage; Written or WriteFailed answers it. The Host sends
-// the next batch after Written only.
+// Batch asks the storage to write changes durably. The storage answers with Written or
+// WriteFailed. The Host sends the next batch only after Written.
 type Batch struct {
 	Number  uint64
 	Changes []*schema.StoreChange
 }
 
-// Written reports that the batch of this number is durable.
+// Written reports that the batch with this number is durable.
 type Written struct {
 	Number uint64
 }
 
-// WriteFailed reports that the storage couldn't write the batch of this number. The
-// storage retries until it can; nothing that depends on the batch is sent before.
+// WriteFailed reports that the storage couldn't write the batch with this number, and why.
+// The storage retries until it succeeds. Until then the Host sends nothing that depends on
+// the batch.
 type WriteFailed struct {
 	Number uint64
 	Reason string
 }
 
-// Propose is a command of this node's scheduler for a queue. One that isn't added to the log
-// is answered with ProposalDropped, unless the term has changed since. One that is added is
-// applied in this term, or the term ends.
+// Propose asks the Host to add a command of this node's scheduler to a queue's log. If the
+// command isn't added, the Host answers with ProposalDropped, unless the group's term is no
+// longer Term. A command that is added is applied in this term, unless the term ends first.
 type Propose struct {
 	Group   string
 	Term    uint64
 	Command *schema.QueueCommand
 }
 
-// ProposalDropped reports that a command of the scheduler wasn't added to its queue's log.
+// ProposalDropped reports to the scheduler that its command wasn't added to the queue's log.
 type ProposalDropped struct {
 	Queue   string
 	Term    uint64
 	Command *schema.QueueCommand
 }
 
-// TaskEvents report to the scheduler what a queue's commands changed. A snapshot lists
-// all tasks that concern the scheduler and replaces what it knew of the queue.
+// TaskEvents reports to the scheduler what a queue's commands have changed. If IsSnapshot is
+// set, Events contains all tasks that the scheduler must know, and replaces what it knew of
+// the queue.
 type TaskEvents struct {
 	Queue, Group string
 	Term         uint64
-	LastSequence uint64 // of Events; for a snapshot, the number it was taken at
+	LastSequence uint64 // sequence number of the last event in Events, or before the snapshot
 	Events       []*queue.TaskEvent
 	IsSnapshot   bool
-	Urgency      int64 // the queue's, from the configuration
-	MaxRunning   int64 // most tasks of the queue that may run, from the configuration
+	Urgency      int64 // urgency of the queue, from the configuration
+	MaxRunning   int64 // most tasks of the queue that may be checked out at once, from the configuration
 }
 
-// ResyncQueue asks for a snapshot of a queue's tasks: the scheduler saw a gap in the
-// sequence numbers.
+// ResyncQueue asks for a snapshot of a queue's tasks. The scheduler sends it when it finds a
+// gap in the sequence numbers of the events.
 type ResyncQueue struct{ Group string }
 
-// LeadershipLost reports that this node no longer leads a queue.
+// LeadershipLost reports to the scheduler that this node no longer leads a queue.
 type LeadershipLost struct{ Queue string }
 
-// LeadershipStatus reports which queues this node may act for as leader, and whether
-// its copy of the cluster state is fresh. It is sent at each tick.
+// LeadershipStatus reports to the scheduler which queues this node may act for as leader, and
+// whether its copy of the cluster state is fresh. It is sent at each tick.
 type LeadershipStatus struct {
-	Terms               map[string]uint64 // by group, of those this node leads
+	Terms               map[string]uint64 // terms of the groups of these queues, by group name
 	IsClusterStateFresh bool
-	TakenAt             eventloop.Micros // when the status was taken, by the process's clock; 0: on receipt
+	TakenAt             eventloop.Micros // when the status was taken, by the process's clock; 0: when it was received
 }
 
-// TaskEnded is a worker's report to the leader of the task's queue. It is acknowledged
-// once it is applied.
+// TaskEnded passes a worker's report from this node's scheduler to the Host, which adds it to
+// the log of the task's queue or forwards it to the queue's leader. The report is
+// acknowledged once it is applied.
 type TaskEnded struct{ Report *schema.TaskEndReport }
 
-// Drain begins the graceful shutdown of this node: it hands over leadership, and takes
-// over none.
+// Drain starts the graceful shutdown of this node: it hands over the groups that it leads and
+// no longer takes over any.
 type Drain struct{}
 
-// StateViewRequest asks for a *NodeStateView, which answers the request of this number.
+// StateViewRequest asks for a *NodeStateView, which is the response to the client request with
+// this number.
 type StateViewRequest struct{ Request uint64 }
--- a/internal/replica/persistence.go
+++ b/internal/replica/persistence.go
@@ -1,7 +1,8 @@
 package replica
 
-// Writing to the storage, and sending what must wait until that is durable (Raft,
-// section 5: a server updates its persistent state before it responds).
+// This file writes changes to the storage, and sends the messages that must wait until the
+// changes are durable (Raft, section 5: a server updates its persistent state before it
+// responds).
 
 import (
 	"maps"
@@ -13,15 +14,16 @@
 	"sparnotch/internal/schema"
 )
 
-// pendingWrite is a batch of changes, and what is done once it is durable.
+// pendingWrite is a batch of changes together with the messages and reports that must wait
+// until it is durable.
 type pendingWrite struct {
 	changes    []*schema.StoreChange
-	messages   []raft.Message
-	syncPoints map[string]raft.SyncPoint // by group
-	identities []*schema.StoreIdentity   // reported to the membership
+	messages   []raft.Message            // sent once the batch is durable
+	syncPoints map[string]raft.SyncPoint // passed to the groups once the batch is durable, by group name
+	identities []*schema.StoreIdentity   // reported to the membership once the batch is durable
 
-	bytes          int // of changes
-	compactedBytes int // of changes when they were last compacted
+	bytes          int // approximate size of the groups' changes
+	compactedBytes int // value of bytes after the last compactPending
 }
 
 func newPendingWrite() pendingWrite {
@@ -32,7 +34,8 @@
 	return len(w.changes)+len(w.messages)+len(w.identities) == 0
 }
 
-// flush carries out what the groups have produced, until they produce nothing more.
+// flush ends a step. It processes the output of the groups until they produce no more, sends
+// what this step has collected, and starts the next write.
 func (h *Host) flush(now eventloop.Micros, effects eventloop.Effects) {
 	heartbeats := heartbeatBatches{}
 	for hasMore := true; hasMore; {
@@ -50,8 +53,9 @@
 	h.startWrite(now, effects)
 }
 
-// processReady carries out what one group has produced; it reports whether that was
-// anything.
+// processReady processes the output of one group: it sends or stores messages, collects
+// changes to write, restores a snapshot, applies committed entries and answers confirmed
+// reads. It reports whether there was any output.
 func (h *Host) processReady(now eventloop.Micros, name string, heartbeats heartbeatBatches, effects eventloop.Effects) bool {
 	r := h.groups[name]
 	r.group.FlushReads(now)
@@ -87,8 +91,9 @@
 	return true
 }
 
-// startWrite hands all pending changes to the storage as one batch, so that one sync
-// serves every group. What comes meanwhile goes into the next batch.
+// startWrite hands all pending changes to the storage as one batch, so that a single sync
+// serves every group. Changes that arise during the write go into the next batch. Messages
+// without changes are sent at once.
 func (h *Host) startWrite(now eventloop.Micros, effects eventloop.Effects) {
 	if h.currentWrite != nil || h.nextWrite.isEmpty() {
 		return
@@ -106,7 +111,8 @@
 	effects.Notify("storage", Batch{Number: h.writeNumber, Changes: write.changes})
 }
 
-// handleWritten sends what waited for the batch and reports it to the groups.
+// handleWritten sends the messages that waited for the batch, and reports to the membership
+// and to the groups that it is durable.
 func (h *Host) handleWritten(now eventloop.Micros, m Written, effects eventloop.Effects) {
 	if h.currentWrite == nil || m.Number != h.writeNumber {
 		return
--- a/internal/replica/read_only.go
+++ b/internal/replica/read_only.go
@@ -1,7 +1,8 @@
 package replica
 
-// What a node does while its storage takes no writes, or none in time: it hands over
-// leadership, rejects changes, and bounds what waits for the storage.
+// This file defines what a node does while its storage takes no writes, or takes too long for
+// one: it hands over leadership, rejects changes, and bounds the changes and messages that
+// wait for the storage.
 
 import (
 	"fmt"
@@ -14,31 +15,33 @@
 	"sparnotch/internal/schema"
 )
 
-// readOnlyState is since when the storage has taken no writes, and why; since 0: it does.
+// readOnlyState records since when the storage has taken no writes, and why. If since is 0,
+// the storage takes writes.
 type readOnlyState struct {
 	since  eventloop.Micros
 	reason string
 }
 
 const (
-	stallTimeout       = 600 * eventloop.Millisecond // for one write; a leader whose storage takes longer hands over
-	maxPendingBytes    = 8 << 20                     // of entries and snapshots that wait for a stalled storage
-	maxPendingMessages = 4096                        // that wait for a stalled storage
+	stallTimeout       = 600 * eventloop.Millisecond // longest time for one write; a leader whose storage takes longer hands over
+	maxPendingBytes    = 8 << 20                     // bytes of new changes that wait for a stalled storage before they are compacted
+	maxPendingMessages = 4096                        // messages that wait for a stalled storage before the oldest are dropped
 )
 
 // isReadOnly reports whether the last write failed.
 func (h *Host) isReadOnly() bool { return h.readOnly.since > 0 }
 
-// readOnlyReason is why the storage takes no writes; empty: it does.
+// readOnlyReason returns why the storage takes no writes. It returns an empty string if the
+// storage does take writes.
 func (h *Host) readOnlyReason(now eventloop.Micros) string {
 	if !h.isReadOnly() && h.isStalled(now) {
-		return fmt.Sprintf("no answer for %v", (now - h.writeStartedAt).Duration().Round(time.Millisecond))
+		return fmt.Sprintf("no answer from the storage for %v", (now - h.writeStartedAt).Duration().Round(time.Millisecond))
 	}
 	return h.readOnly.reason
 }
 
-// handleWriteFailed makes every replica read-only, so that none campaigns, and hands
-// over the groups that this node leads.
+// handleWriteFailed makes every replica on this node read-only, so that none campaigns, and
+// hands over the groups that this node leads.
 func (h *Host) handleWriteFailed(now eventloop.Micros, m WriteFailed) {
 	if h.currentWrite == nil || m.Number != h.writeNumber || h.isReadOnly() {
 		return
@@ -52,7 +55,7 @@
 	}
 }
 
-// recordWriteSuccess ends the read-only state after a write and its sync.
+// recordWriteSuccess ends the read-only state after a successful write and sync.
 func (h *Host) recordWriteSuccess() {
 	if h.isReadOnly() {
 		h.readOnly = readOnlyState{}
@@ -66,7 +69,8 @@
 	}
 }
 
-// isStalled reports whether the storage takes no writes, or hasn't finished one in time.
+// isStalled reports whether the storage takes no writes, or hasn't finished the current one
+// within stallTimeout.
 func (h *Host) isStalled(now eventloop.Micros) bool {
 	return h.isReadOnly() || h.currentWrite != nil && now-h.writeStartedAt > stallTimeout
 }
@@ -79,27 +83,27 @@
 	return h.membership != nil && h.membership.RefusesWrites(id)
 }
 
-// canCommit reports whether a majority of a group's voters take writes, as far as this
-// node knows.
+// canCommit reports whether enough of a group's voters take writes to commit an entry, as far
+// as this node knows.
 func (h *Host) canCommit(now eventloop.Micros, r *replica) bool {
 	return h.membership == nil || h.membership.HasWritableQuorum(now, r.group.MemberSet().Voters, h.isNodeReadOnly)
 }
 
-// canElectAnother reports whether the other voters are a majority without this node,
-// whose own vote can't become durable. If they aren't, a handover would leave the group
-// without a leader and with it without reads.
+// canElectAnother reports whether the other voters that can take over and take writes are a
+// majority without this node, whose own vote can't become durable. Otherwise a handover would
+// leave the group without a leader, and so without reads.
 func (h *Host) canElectAnother(now eventloop.Micros, r *replica) bool {
-	voters, able := r.group.MemberSet().Voters, 0
+	voters, eligible := r.group.MemberSet().Voters, 0
 	for _, id := range voters {
 		if id != h.id && h.canTakeOver(now, r, id) && !h.isNodeReadOnly(id) {
-			able++
+			eligible++
 		}
 	}
-	return able > len(voters)/2
+	return eligible > len(voters)/2
 }
 
-// chooseSuccessor is a voter that can take over a group, if possible one whose storage
-// takes writes; empty: there is none.
+// chooseSuccessor returns a voter that can take over a group, if possible one whose storage
+// takes writes. It returns an empty string if there is none.
 func (h *Host) chooseSuccessor(now eventloop.Micros, r *replica) string {
 	successor := ""
 	for _, id := range r.group.MemberSet().Voters {
@@ -113,9 +117,9 @@
 	return successor
 }
 
-// boundPending limits what waits for a stalled storage: the changes of a group are
-// replaced by its whole state, and the oldest messages are dropped, which Raft tolerates
-// as loss on the network.
+// boundPending limits the changes and messages that wait for a stalled storage. It replaces
+// the changes of each group with the group's whole state, and drops the oldest messages,
+// which Raft tolerates like messages that the network loses.
 func (h *Host) boundPending(now eventloop.Micros) {
 	if h.currentWrite == nil || !h.isStalled(now) {
 		return
@@ -128,7 +132,8 @@
 	}
 }
 
-// compactPending replaces the waiting changes by fewer with the same result.
+// compactPending replaces the waiting changes with fewer changes that have the same result:
+// the last identity, and the whole state of each group that has changed.
 func (h *Host) compactPending() {
 	groups := map[string]bool{}
 	var compacted []*schema.StoreChange
@@ -152,8 +157,8 @@
 	h.nextWrite.compactedBytes = h.nextWrite.bytes
 }
 
-// changesSize is the approximate size in bytes of changes: of the data of their entries
-// and snapshots, with an overhead for each.
+// changesSize returns the approximate size of changes in bytes: the data of their entries and
+// snapshots, and an overhead for each change and entry.
 func changesSize(changes []*schema.StoreChange) int {
 	const overhead = 64
 	size := 0
