--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -11,8 +11,8 @@
 	"sparnotch/internal/schema"
 )
 
-// BenchmarkManyQueues is a message that changes nothing, and a tick, on the leader of
-// 50 queues.
+// BenchmarkManyQueues measures how long the leader of 50 queues takes to handle a message that
+// changes nothing, and a tick.
 func BenchmarkManyQueues(b *testing.B) {
 	Convey("Fifty queues led by one node", b, func() {
 		c := newTestCluster()
--- a/internal/replica/cluster_state_updates_test.go
+++ b/internal/replica/cluster_state_updates_test.go
@@ -15,8 +15,8 @@
 func TestStaleClusterStateIsNotServed(t *testing.T) {
 	Convey("A node whose copy of the cluster state may be stale sends it to nobody, and its scheduler may not act on it", t, func() {
 		c := newTestCluster()
-		// Whether the scheduler's last status said that the copy is fresh, and whether a query
-		// is answered.
+		// statusOf reports whether the last status sent to the node's scheduler called the copy
+		// fresh, and whether the node answers a query.
 		statusOf := func(id string) (isFresh, isServed bool) {
 			c.received["h"] = nil
 			c.step(id, "h", &schema.ClusterStateRequest{})
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -1,6 +1,7 @@
 package replica
 
-// The test cluster: three storage nodes with simulated disks, network and clock.
+// This file implements the cluster that the tests run: three storage nodes with simulated
+// disks, network and clock.
 
 import (
 	"encoding/json"
@@ -18,27 +19,27 @@
 )
 
 const (
-	diskSyncTime = 500                   // µs, of every disk
-	networkDelay = eventloop.Millisecond // of every message
-	stepTime     = eventloop.Millisecond // of the simulated clock
+	diskSyncTime = 500                   // duration of a write and its sync on every disk, in µs
+	networkDelay = eventloop.Millisecond // delay of every message between nodes
+	stepTime     = eventloop.Millisecond // interval by which the simulated clock advances
 )
 
 var nodeIDs = []string{"a", "b", "c"}
 
-// testCluster is three storage nodes that hold the cluster state. Other processes and
-// the other components of the nodes only receive.
+// testCluster simulates three storage nodes that hold the cluster state. Messages to other
+// processes and to the other components of the nodes are only recorded in received.
 type testCluster struct {
 	now           eventloop.Micros
-	wallOffset    int64 // time of day at time 0; 0: every clock stands still
+	wallOffset    int64 // time of day at simulated time 0, in µs; 0: every node's wall clock shows 0 all the time
 	hosts         map[string]*Host
 	inFlight      []delayedMessage
-	received      map[string][]any // by process, or by NODE/COMPONENT
+	received      map[string][]any // message bodies, by process or by NODE/COMPONENT
 	isDown        map[string]bool
-	isPartitioned func(from, to string) bool     // nil: nobody is
-	isLost        func(to string, body any) bool // nil: nothing is
-	failedBatches map[string]uint64              // by node whose disk fails: the batch that waits
+	isPartitioned func(from, to string) bool     // whether messages between two processes are lost; nil: none are
+	isLost        func(to string, body any) bool // whether a message is lost; nil: none is
+	failedBatches map[string]uint64              // nodes whose disks fail, each with the number of its waiting batch; 0: none
 	hungDisks     map[string]bool                // nodes whose disks never answer
-	onBatch       func(id string, batch Batch)   // sees what is written; nil: nobody does
+	onBatch       func(id string, batch Batch)   // called with each batch that a node writes; may be nil
 }
 
 type delayedMessage struct {
@@ -47,7 +48,7 @@
 	body     any
 }
 
-// clusterEffects carries out the effects of one node.
+// clusterEffects carries out the effects of one node's steps.
 type clusterEffects struct {
 	cluster *testCluster
 	id      string
@@ -70,7 +71,8 @@
 	e.cluster.received[key] = append(e.cluster.received[key], body)
 }
 
-// writeBatch is the disk of a node.
+// writeBatch simulates a node's disk. It confirms the batch, or reports that the write failed,
+// after diskSyncTime. A hung disk does neither.
 func (c *testCluster) writeBatch(id string, batch Batch) {
 	if c.hungDisks[id] {
 		return
@@ -90,7 +92,7 @@
 	c.inFlight = append(c.inFlight, delayedMessage{c.now + delay, from, to, body})
 }
 
-// newTestCluster bootstraps a cluster and waits until it has a leader.
+// newTestCluster bootstraps a cluster and runs it for 4 s, in which it elects a leader.
 func newTestCluster() *testCluster {
 	c := &testCluster{
 		now: eventloop.Second, hosts: map[string]*Host{}, received: map[string][]any{}, isDown: map[string]bool{},
@@ -113,7 +115,7 @@
 	return c
 }
 
-// newClusterWithQueue is a cluster with a queue "q" that "a" leads.
+// newClusterWithQueue returns a cluster with a queue "q" that node "a" leads.
 func newClusterWithQueue() *testCluster {
 	c := newTestCluster()
 	So(c.putConfiguration(queuesUpdate(1, "", "q")).Code, ShouldEqual, 200)
@@ -168,7 +170,8 @@
 	}
 }
 
-// runWithMembership runs with every node's view of the membership kept up to date.
+// runWithMembership runs the cluster and refreshes every node's view of the membership every
+// 50 ms.
 func (c *testCluster) runWithMembership(duration eventloop.Micros) {
 	for end := c.now + duration; c.now < end; {
 		c.refreshMembership()
@@ -176,7 +179,8 @@
 	}
 }
 
-// refreshMembership gives every node the same view of the three nodes.
+// refreshMembership gives every node a view of the membership in which the three nodes are
+// alive and the read-only ones refuse writes.
 func (c *testCluster) refreshMembership() {
 	members := &membership.View{Members: map[string]membership.MemberStatus{}}
 	for _, id := range nodeIDs {
@@ -191,9 +195,10 @@
 	}
 }
 
-// failDisk makes a node's disk fail from the next batch on; recoverDisk ends that.
+// failDisk makes a node's disk fail from the next batch on.
 func (c *testCluster) failDisk(id string) { c.failedBatches[id] = 0 }
 
+// recoverDisk ends the failure of a node's disk, which then completes the waiting batch.
 func (c *testCluster) recoverDisk(id string) {
 	number := c.failedBatches[id]
 	delete(c.failedBatches, id)
@@ -202,7 +207,8 @@
 	}
 }
 
-// leader is the node that leads a queue, or with an empty name the cluster state.
+// leader returns the running node that leads a queue, or the cluster state's group if the name
+// is empty. It returns an empty string if there is none.
 func (c *testCluster) leader(queue string) string {
 	for _, id := range nodeIDs {
 		for _, r := range c.hosts[id].groups {
@@ -214,7 +220,7 @@
 	return ""
 }
 
-// follower is a node that doesn't lead the cluster state.
+// follower returns a node that doesn't lead the cluster state's group.
 func (c *testCluster) follower() string {
 	for _, id := range nodeIDs {
 		if id != c.leader("") {
@@ -224,12 +230,12 @@
 	return ""
 }
 
-// clusterStateGroup is a node's replica of the cluster state.
+// clusterStateGroup returns a node's replica of the cluster state's group.
 func (c *testCluster) clusterStateGroup(id string) *raft.Group {
 	return c.hosts[id].groups[clusterstate.GroupName].group
 }
 
-// queueGroup is a node's replica of a queue.
+// queueGroup returns a node's replica of a queue's group.
 func (c *testCluster) queueGroup(id, queue string) *raft.Group {
 	return c.hosts[id].groups[c.queueGroupName(queue)].group
 }
@@ -238,8 +244,8 @@
 	return queue + "#" + strconv.FormatUint(clusterstate.FindQueue(c.hosts["c"].sharedState, queue).GetGeneration(), 10)
 }
 
-// request sends the cluster state's leader a request of the process "h" and gives the
-// reply; nil: there was none.
+// request sends the cluster state's leader a request of the process "h" and returns the reply,
+// or nil if none arrives within 20 ms.
 func (c *testCluster) request(kind string, command *schema.ClusterStateCommand) *schema.Response {
 	request := &schema.Request{Id: 1, Kind: kind, Group: clusterstate.GroupName}
 	if command != nil {
@@ -260,7 +266,7 @@
 	return c.request("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: update}}})
 }
 
-// queuesUpdate is a configuration with some queues.
+// queuesUpdate returns an update to a configuration that consists of the given queues.
 func queuesUpdate(version uint64, document string, queues ...string) *schema.ConfigurationUpdate {
 	update := &schema.ConfigurationUpdate{Version: version, BaseVersion: version - 1, Document: []byte(document)}
 	for _, queue := range queues {
@@ -269,7 +275,8 @@
 	return update
 }
 
-// claimController makes "h" the controller and gives its lease's fencing token.
+// claimController claims the controller lease for the process "h" and returns the lease's
+// fencing token.
 func (c *testCluster) claimController() uint64 {
 	reply := c.request("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: "h"}}})
 	var claimed struct{ Lease uint64 }
@@ -277,7 +284,8 @@
 	return claimed.Lease
 }
 
-// placeQueue has the controller place a queue on the three nodes.
+// placeQueue places a queue on the three nodes as the controller would, with a preferred
+// leader.
 func (c *testCluster) placeQueue(queue, leader string) {
 	c.placeQueues(&schema.QueuePlacement{Queue: queue, InitialVoters: nodeIDs, PreferredLeader: leader})
 }
@@ -287,8 +295,8 @@
 	So(c.request("clusterstate", &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_PlaceQueues{PlaceQueues: command}}).Code, ShouldEqual, 200)
 }
 
-// changeMembers has the controller request a change of the cluster state's members and
-// gives what they are afterwards.
+// changeMembers requests a change of the members of the cluster state's group as the controller
+// would, and returns the member set 200 ms later.
 func (c *testCluster) changeMembers(m *schema.ChangeMembers) *schema.MemberSet {
 	m.Group, m.FencingToken = clusterstate.GroupName, c.claimController()
 	leader := c.leader("")
@@ -298,7 +306,7 @@
 	return c.clusterStateGroup(leader).MemberSet()
 }
 
-// submitJob has the gateway "f" submit a job of one task to "q".
+// submitJob sends a node a submission of the gateway "f" to queue "q": a job of one task.
 func (c *testCluster) submitJob(id, name string, number uint64) {
 	job := &schema.Job{Steps: []*schema.Step{{Name: "s", Tasks: 1}}}
 	c.step(id, "f", &schema.SubmitRequest{Queue: "q", Enqueues: []*schema.Enqueue{{
@@ -306,7 +314,7 @@
 	}}})
 }
 
-// confirmedCount counts the submissions that "f" was sent an outcome of.
+// confirmedCount returns how many submission results the gateway "f" has received.
 func (c *testCluster) confirmedCount() int {
 	count := 0
 	for _, body := range c.received["f"] {
--- a/internal/replica/large_updates_test.go
+++ b/internal/replica/large_updates_test.go
@@ -17,7 +17,8 @@
 	"sparnotch/internal/storage"
 )
 
-// memoryDisk is a disk that never fails. peak is the most bytes it has held.
+// memoryDisk keeps files in memory and never fails. peak is the largest number of bytes that
+// it has held.
 type memoryDisk struct {
 	files map[string][]byte
 	peak  int
@@ -50,7 +51,7 @@
 
 func (m *memoryDisk) Sync(string) error { return nil }
 
-// largeUpdate is a configuration of 256 KB that can hardly be compressed.
+// largeUpdate returns an update with a document of 256 KB that can hardly be compressed.
 func largeUpdate(version uint64) *schema.ConfigurationUpdate {
 	rng := rand.New(rand.NewPCG(version, 1))
 	update := queuesUpdate(version, "", "l")
@@ -66,7 +67,8 @@
 	return update
 }
 
-// putLargeConfiguration waits up to 1 s for the reply and gives its code.
+// putLargeConfiguration sends an update, waits up to 1 s for the reply and returns its code. It
+// returns 0 if there is no reply.
 func (c *testCluster) putLargeConfiguration(update *schema.ConfigurationUpdate) int32 {
 	reply := c.putConfiguration(update)
 	for k := 0; reply == nil && k < 100; k++ {
@@ -84,7 +86,7 @@
 		disk := &memoryDisk{files: map[string][]byte{}}
 		store, err := storage.Open(disk)
 		So(err, ShouldBeNil)
-		// The batches of one node go to a real store.
+		// The batches of node "a" are written to a real store.
 		c.onBatch = func(id string, batch Batch) {
 			if id == "a" {
 				So(store.Commit(batch.Changes), ShouldBeNil)
@@ -135,7 +137,7 @@
 		}
 		c.run(2 * eventloop.Second)
 		c.isDown[lagging] = false
-		// For 2 s it receives heartbeats and no entries.
+		// For 2 s after its restart the lagging replica receives heartbeats but no entries.
 		until := c.now + 2*eventloop.Second
 		c.isLost = func(to string, body any) bool {
 			switch body.(type) {
@@ -167,8 +169,8 @@
 	})
 }
 
-// TestInstalledClusterStateIsPublished: what reaches a node in a snapshot alone reaches its
-// components as well.
+// TestInstalledClusterStateIsPublished guards against a node that receives the cluster state
+// only in a snapshot and doesn't notify its components of it.
 func TestInstalledClusterStateIsPublished(t *testing.T) {
 	Convey("A node that was down gets the cluster state by a snapshot, and notifies its components", t, func() {
 		c := newTestCluster()
@@ -191,8 +193,8 @@
 	})
 }
 
-// TestRestoredClusterStateIsPublished: what a node has only in its snapshot when it starts
-// reaches its components without waiting for a change.
+// TestRestoredClusterStateIsPublished guards against a node that starts with the cluster state
+// only in its snapshot and doesn't notify its components before the next change.
 func TestRestoredClusterStateIsPublished(t *testing.T) {
 	Convey("A node that restarts from a snapshot alone notifies its components of the cluster state", t, func() {
 		c := newTestCluster()
@@ -218,7 +220,7 @@
 	})
 }
 
-// lastNotifiedVersion is the version of the last whole cluster state among messages.
+// lastNotifiedVersion returns the version of the last cluster state that the messages contain.
 func lastNotifiedVersion(messages []any) uint64 {
 	var version uint64
 	for _, body := range messages {
--- a/internal/replica/leadership_test.go
+++ b/internal/replica/leadership_test.go
@@ -107,7 +107,7 @@
 			Session: &schema.Session{Gateway: "f", Incarnation: 1, Client: "c"}, Number: 1, Name: "j", Digest: []byte("d"), Job: job,
 		}}})
 		c.run(500 * eventloop.Millisecond)
-		// One node of three is no majority.
+		// With one node of three left, the queue has no majority and so no leader.
 		c.isDown["a"], c.isDown["b"] = true, true
 		c.run(4 * eventloop.Second)
 		c.isDown["b"] = false
--- a/internal/replica/member_changes_test.go
+++ b/internal/replica/member_changes_test.go
@@ -18,7 +18,7 @@
 	Convey("A learner becomes a voter when it has caught up, and not before", t, func() {
 		c := newTestCluster()
 		So(c.changeMembers(&schema.ChangeMembers{AddLearner: "d"}).Learners, ShouldResemble, []string{"d"})
-		// It answers without having any entry.
+		// The learner responds without having any entry.
 		leader := c.leader("")
 		term := c.clusterStateGroup(leader).Term()
 		c.step(leader, "d", &schema.HeartbeatBatch{Responses: []*schema.HeartbeatResponse{{Group: clusterstate.GroupName, Term: term}}})
@@ -35,13 +35,13 @@
 		leader := c.leader("")
 		token, before := c.claimController(), c.clusterStateGroup(leader).MemberSetIndex()
 		So(c.changeMembers(&schema.ChangeMembers{AddLearner: "d"}).Learners, ShouldResemble, []string{"d"})
-		late := func(index uint64) *schema.MemberSet {
+		removeLearner := func(index uint64) *schema.MemberSet {
 			c.step(leader, "h", &schema.ChangeMembers{Group: clusterstate.GroupName, FencingToken: token, Remove: "d", MemberSetIndex: index})
 			c.run(200 * eventloop.Millisecond)
 			return c.clusterStateGroup(leader).MemberSet()
 		}
-		So(late(before).Learners, ShouldResemble, []string{"d"})
-		So(late(c.clusterStateGroup(leader).MemberSetIndex()).Learners, ShouldBeEmpty)
+		So(removeLearner(before).Learners, ShouldResemble, []string{"d"})
+		So(removeLearner(c.clusterStateGroup(leader).MemberSetIndex()).Learners, ShouldBeEmpty)
 	})
 }
 
@@ -73,7 +73,7 @@
 func TestDrainingNodeStaysUntilReplaced(t *testing.T) {
 	Convey("Given a draining node", t, func() {
 		c := newTestCluster()
-		// The cluster's age follows from the renewals of the controller's lease.
+		// The nodes derive the cluster's age from the renewals of the controller lease.
 		for range 20 {
 			c.claimController()
 			c.run(eventloop.Second)
@@ -186,8 +186,8 @@
 			return group.MemberSet().Learners
 		}
 		So(learners("d"), ShouldResemble, []string{"d"})
-		// It still leads the queue with the third node, but receives no entries or
-		// heartbeats of the cluster state.
+		// The queue's leader still reaches the third node and so keeps leading the queue, but
+		// it receives no entries or heartbeats of the cluster state's group.
 		c.isPartitioned = func(from, to string) bool {
 			return from == clusterStateLeader && to == leader || from == leader && to == clusterStateLeader
 		}
--- a/internal/replica/read_only_test.go
+++ b/internal/replica/read_only_test.go
@@ -48,7 +48,8 @@
 		c.runWithMembership(stallTimeout + 150*eventloop.Millisecond)
 		So(c.leader("q"), ShouldBeIn, "b", "c")
 		So(c.hosts["a"].stateView(c.now).ReadOnlyReason, ShouldContainSubstring, "no answer")
-		// It follows its successor, and doesn't respond in a term that isn't durable.
+		// The old leader follows its successor, but sends it no response, because the new term
+		// isn't durable on the hung disk.
 		old := c.queueGroup("a", "q")
 		So(old.Leader(), ShouldEqual, c.leader("q"))
 		match, _ := c.queueGroup(c.leader("q"), "q").PeerProgress("a")
@@ -70,8 +71,8 @@
 			c.step(id, "a", &schema.VoteRequest{Group: c.queueGroupName("q"), Term: 99, LastTerm: 99, LastIndex: 99, LeaderTransfer: true})
 		}
 		granted := 0
-		for _, l := range c.inFlight {
-			if reply, isReply := l.body.(*schema.VoteResponse); isReply && reply.Granted {
+		for _, message := range c.inFlight {
+			if reply, isReply := message.body.(*schema.VoteResponse); isReply && reply.Granted {
 				granted++
 			}
 		}
@@ -88,7 +89,7 @@
 	Convey("What waits for a failing disk is bounded, and compacting it keeps its result", t, func() {
 		c := newClusterWithQueue()
 		c.failDisk("c")
-		// A text that can't be compressed.
+		// The text is random, so that it can't be compressed.
 		text, rng := make([]byte, 64<<10), rand.New(rand.NewPCG(1, 1))
 		for k := range text {
 			text[k] = byte(rng.Uint32())
@@ -96,8 +97,8 @@
 		version := uint64(1)
 		maxPending, maxContent := 0, 0
 		host := c.hosts["c"]
-		// A real leader sends no more than a window beyond what the node has synced. Here
-		// it gets everything.
+		// A real leader limits how many entries it sends beyond those that the node has synced.
+		// Here the node is sent all of them.
 		c.isDown["a"], c.isDown["b"] = true, true
 		group := host.groups[clusterstate.GroupName].group
 		prev, prevTerm, term := group.LastIndex(), group.Term(), group.Term()+1
@@ -118,7 +119,7 @@
 			So(len(waiting.messages), ShouldBeLessThanOrEqualTo, maxPendingMessages)
 		}
 		c.runWithMembership(eventloop.Second)
-		// The compacted state, and what has come since.
+		// The pending write contains the compacted state and the changes since then.
 		So(maxPending, ShouldBeLessThan, maxContent+maxPendingBytes+1<<20)
 		So(maxContent, ShouldBeLessThan, maxPending)
 		So(host.nextWrite.compactedBytes, ShouldBeGreaterThan, 0)
@@ -132,10 +133,10 @@
 			after.Apply(change)
 		}
 		for name := range after.Groups {
-			one, two := before.Groups[name], after.Groups[name]
-			So(proto.Equal(one.HardState, two.HardState), ShouldBeTrue)
-			So(one.Snapshot.GetIndex(), ShouldEqual, two.Snapshot.GetIndex())
-			So(lastIndexOf(one), ShouldEqual, lastIndexOf(two))
+			groupBefore, groupAfter := before.Groups[name], after.Groups[name]
+			So(proto.Equal(groupBefore.HardState, groupAfter.HardState), ShouldBeTrue)
+			So(groupBefore.Snapshot.GetIndex(), ShouldEqual, groupAfter.Snapshot.GetIndex())
+			So(lastIndexOf(groupBefore), ShouldEqual, lastIndexOf(groupAfter))
 		}
 		c.recoverDisk("c")
 		c.runWithMembership(2 * eventloop.Second)
--- a/internal/replica/requests.go
+++ b/internal/replica/requests.go
@@ -1,7 +1,7 @@
 package replica
 
-// Requests of callers: reads of a state machine, cancels, and commands of the cluster
-// state.
+// This file handles the requests of callers: reads of a state machine, cancels, and commands
+// for the cluster state.
 
 import (
 	"encoding/json"
@@ -17,13 +17,13 @@
 	"sparnotch/internal/schema"
 )
 
-// Kinds of requests.
+// Kinds of requests, as schema.Request.Kind names them.
 const (
 	requestJobStatus     = "status"
 	requestJobList       = "list"
 	requestQueueCounts   = "counts"
 	requestConfiguration = "plan"
-	requestHistory       = "history" // of configurations
+	requestHistory       = "history" // the current and previous configurations, without their documents
 	requestClusterState  = "state"
 	requestCancel        = "cancel"
 	requestCommand       = "clusterstate" // changes the cluster state
@@ -43,17 +43,17 @@
 	otherTenantMessage = "the job is another tenant's"
 )
 
-// pendingReply is a request or task report that waits for its reply: until its command is
-// applied, or its read confirmed.
+// pendingReply is a request or task report whose reply waits until its command is applied or
+// its read is confirmed.
 type pendingReply struct {
-	term    uint64 // of the leadership that took it
-	from    string // process to answer; empty: a component of this one
+	term    uint64 // term in which this node accepted it as leader
+	from    string // process to reply to; empty: the scheduler of this process
 	request *schema.Request
 	report  *schema.TaskEndReport
 }
 
-// handleRequest answers a caller's request, or proposes its command, if this node leads
-// the group. If it doesn't, the reply names the leader.
+// handleRequest starts a caller's read or proposes its command if this node leads the
+// group. Otherwise it replies with the leader that this node knows.
 func (h *Host) handleRequest(now eventloop.Micros, from string, m *schema.Request, effects eventloop.Effects) {
 	r := h.replicaFor(m)
 	if r == nil || !r.group.IsLeader() || r.group.Transferee() != "" {
@@ -62,7 +62,7 @@
 	}
 	pending := pendingReply{term: r.group.Term(), from: from, request: m}
 	if isQueueRequest(m.Kind) != (m.Group != clusterstate.GroupName) {
-		h.reply(pending, http.StatusBadRequest, errorJSON(codeBadRequest, "no such request of this group: "+m.Kind), effects)
+		h.reply(pending, http.StatusBadRequest, errorJSON(codeBadRequest, "this group doesn't answer requests of kind "+m.Kind), effects)
 		return
 	}
 	if (m.Kind == requestCancel || m.Kind == requestCommand) && !h.canCommit(now, r) {
@@ -85,22 +85,22 @@
 			r.pendingCommands[index] = pending
 		}
 	case requestCommand:
-		// A command that can't be decoded must not get into the log: no replica could
-		// apply it.
+		// A command that can't be decoded must not be added to the log, because no replica
+		// could apply it.
 		if _, err := clusterstate.DecodeCommand(m.Body); err != nil {
-			h.reply(pending, http.StatusBadRequest, errorJSON(codeBadRequest, "the command can't be read"), effects)
+			h.reply(pending, http.StatusBadRequest, errorJSON(codeBadRequest, "the command can't be decoded"), effects)
 			return
 		}
 		if index, _, err := r.group.Propose(now, m.Body); err == nil {
 			r.pendingCommands[index] = pending
 		}
 	default:
-		h.reply(pending, http.StatusBadRequest, errorJSON(codeBadRequest, "no such request: "+m.Kind), effects)
+		h.reply(pending, http.StatusBadRequest, errorJSON(codeBadRequest, "unknown kind of request: "+m.Kind), effects)
 	}
 }
 
-// isQueueRequest reports whether queues answer requests of a kind; the cluster state answers
-// the others.
+// isQueueRequest reports whether requests of this kind are answered by the groups of queues.
+// The cluster state's group answers all others.
 func isQueueRequest(kind string) bool {
 	switch kind {
 	case requestJobStatus, requestJobList, requestQueueCounts, requestCancel:
@@ -109,7 +109,8 @@
 	return false
 }
 
-// replicaFor is the replica that a request is for; nil: this node has none.
+// replicaFor returns this node's replica of the group that a request addresses. It returns
+// nil if there is none.
 func (h *Host) replicaFor(m *schema.Request) *replica {
 	if m.Group == clusterstate.GroupName {
 		return h.groups[clusterstate.GroupName]
@@ -117,7 +118,7 @@
 	return h.queueReplica(m.Group)
 }
 
-// completeRead answers a read whose index is confirmed and applied.
+// completeRead answers a pending read whose read index is confirmed and applied.
 func (h *Host) completeRead(now eventloop.Micros, r *replica, readID uint64, effects eventloop.Effects) {
 	pending, found := r.pendingReads[readID]
 	if !found {
@@ -141,7 +142,7 @@
 	}
 }
 
-// jobStatus answers a status request: another tenant's job isn't shown.
+// jobStatus returns the reply to a status request. For another tenant's job it is an error.
 func jobStatus(machine *queue.Machine, m *schema.Request) (code int32, body []byte) {
 	view, found := machine.JobView(m.Name)
 	switch {
@@ -153,8 +154,8 @@
 	return http.StatusOK, mustMarshalJSON(view)
 }
 
-// listJobs is a page of a queue's jobs without those of other tenants, so it may hold fewer
-// than its limit.
+// listJobs returns a page of a queue's jobs. It leaves out those of other tenants, so the page
+// may hold fewer jobs than the request's limit.
 func listJobs(machine *queue.Machine, m *schema.Request) *schema.JobList {
 	page := machine.List(m.PageAfter, int(m.Limit))
 	page.Jobs = slices.DeleteFunc(page.Jobs, func(view *schema.JobView) bool {
@@ -167,20 +168,21 @@
 	effects.Send(pending.from, &schema.Response{Id: pending.request.Id, Code: code, Body: body, Leader: h.id, Group: pending.request.Group})
 }
 
-// leaseReply is the body of a reply whose result has neither an error nor a configuration.
-// The token is 0 except after a claim of the controller lease.
+// leaseReply is the body of the reply to a command of the cluster state whose result has
+// neither an error nor a configuration.
 type leaseReply struct {
-	Lease uint64 `json:"lease"`
+	Lease uint64 `json:"lease"` // fencing token; 0 except after a claim of the controller lease
 }
 
-// replyClusterStateResult answers an applied command of the cluster state.
+// replyClusterStateResult sends the caller the result of an applied command of the cluster
+// state.
 func (h *Host) replyClusterStateResult(pending pendingReply, result *clusterstate.Result, effects eventloop.Effects) {
 	var body []byte
 	switch {
 	case result.Error != nil:
 		body = mustMarshalJSON(result.Error)
 	case result.Configuration != nil:
-		// The sender has the document already.
+		// The caller sent the document, so the reply leaves it out.
 		body = clusterstate.Compress(configurationJSON(clusterstate.WithoutDocument(result.Configuration)))
 	default:
 		body = mustMarshalJSON(leaseReply{Lease: result.FencingToken})
@@ -188,8 +190,8 @@
 	h.reply(pending, result.Code, body, effects)
 }
 
-// historyJSON lists the previous configurations and the current one, all without their
-// documents.
+// historyJSON returns the previous configurations and the current one as a JSON array, all
+// without their documents.
 func (h *Host) historyJSON() []byte {
 	history := h.stateMachine.History()
 	parts := make([]json.RawMessage, 0, len(history)+1)
@@ -208,7 +210,7 @@
 	return data
 }
 
-// cancelBody is the body of the reply to an applied cancel.
+// cancelBody returns the body of the reply to an applied cancel command.
 func cancelBody(result *queue.Effects) []byte {
 	switch {
 	case result.CancelCode == http.StatusForbidden:
@@ -223,26 +225,28 @@
 	return mustMarshalJSON(&schema.Error{Code: code, Message: message})
 }
 
-// mustMarshalJSON panics on an error: none of the types that are passed can cause one.
+// mustMarshalJSON encodes a value as JSON. It panics on an error, which none of the types that
+// are passed to it can cause.
 func mustMarshalJSON(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic("replica: " + err.Error())
+		panic("replica: failed to encode a reply as JSON: " + err.Error())
 	}
 	return data
 }
 
-// mustMarshal panics on an error, which a message of ours can only cause by invalid UTF-8.
+// mustMarshal encodes a message. It panics on an error, which a message of the schema can cause
+// only by containing invalid UTF-8.
 func mustMarshal(message proto.Message) []byte {
 	data, err := proto.Marshal(message)
 	if err != nil {
-		panic("replica: " + err.Error())
+		panic("replica: failed to encode a message: " + err.Error())
 	}
 	return data
 }
 
-// EncodeClusterStateCommand encodes a command for the body of a request, compressed if
-// it is large.
+// EncodeClusterStateCommand encodes a command for the body of a request, and compresses it if
+// it is large. It panics if a string in the command contains invalid UTF-8.
 func EncodeClusterStateCommand(command *schema.ClusterStateCommand) []byte {
 	return clusterstate.Compress(mustMarshal(command))
 }
--- a/internal/replica/requests_test.go
+++ b/internal/replica/requests_test.go
@@ -66,7 +66,7 @@
 		for _, id := range nodeIDs {
 			c.isDown[id] = id != leader
 		}
-		// It is still the leader, and its copy counts as fresh.
+		// The node still considers itself the leader, and its copy counts as fresh.
 		So(c.hosts[leader].isClusterStateFresh(c.now), ShouldBeTrue)
 		c.received["h"] = nil
 		c.step(leader, "h", &schema.Request{Id: 1, Kind: "state", Group: clusterstate.GroupName})
@@ -114,7 +114,7 @@
 	})
 }
 
-// Guards against a tenant that sees or cancels another one's jobs.
+// TestOthersJobsAreNotShown guards against a tenant that can see or cancel the jobs of another.
 func TestOthersJobsAreNotShown(t *testing.T) {
 	Convey("Given a job of tenant t, and one of nobody", t, func() {
 		c := newClusterWithQueue()
@@ -172,7 +172,8 @@
 	})
 }
 
-// Guards against a request for a queue's jobs that brings down the leader of the cluster state.
+// TestRequestsMatchTheirGroup guards against a request about a queue's jobs that is sent to the
+// cluster state's group and brings down its leader.
 func TestRequestsMatchTheirGroup(t *testing.T) {
 	Convey("A request of a kind that its group doesn't answer is rejected, and isn't in the log", t, func() {
 		c := newClusterWithQueue()
--- a/internal/replica/state_view.go
+++ b/internal/replica/state_view.go
@@ -1,6 +1,7 @@
 package replica
 
-// The state view: this node's possibly stale view of the cluster, for operators.
+// This file builds the state view: this node's possibly stale view of the cluster, for
+// operators.
 
 import (
 	"crypto/sha256"
@@ -11,25 +12,26 @@
 	"sparnotch/internal/schema"
 )
 
-// NodeStateView is this node's view of the cluster, as GET /v1/belief shows it. It may
-// be stale; IsClusterStateFresh shows how far it can be relied on.
+// NodeStateView is this node's view of the cluster, as GET /v1/belief returns it. The view may
+// be stale. IsClusterStateFresh reports whether its copy of the cluster state is fresh.
 type NodeStateView struct {
 	Node                  string                   `json:"node"`
 	ClusterStateVersion   uint64                   `json:"cluster_state_version"`
 	ConfigurationRevision uint64                   `json:"plan_generation"`
 	IsClusterStateFresh   bool                     `json:"cluster_state_fresh"`
 	Controller            string                   `json:"controller"`
-	ControllerLease       uint64                   `json:"controller_lease"`        // its fencing token
-	ReadOnlyReason        string                   `json:"store_refuses,omitempty"` // why the storage takes no writes
+	ControllerLease       uint64                   `json:"controller_lease"`        // fencing token of the controller lease
+	ReadOnlyReason        string                   `json:"store_refuses,omitempty"` // why the storage takes no writes; empty if it does
 	Groups                []*GroupStateView        `json:"groups"`
 	WorkerLeases          []*schema.WorkerLease    `json:"wards"`
 	Queues                []*schema.QueuePlacement `json:"queues"`
 	Members               []*schema.Member         `json:"members"`
 	FaultTolerance        *FaultToleranceView      `json:"bears"`
-	HasHandoverPending    bool                     `json:"needed"` // leadership or a vote is to be handed over before it may leave
+	HasHandoverPending    bool                     `json:"needed"` // the node must hand over leadership or a vote before it may shut down
 }
 
-// GroupStateView is this node's view of one Raft group that it has a replica of.
+// GroupStateView is this node's view of a Raft group of which it has a replica. Commit, Applied,
+// LastIndex, StableIndex and SnapshotIndex are log indexes.
 type GroupStateView struct {
 	Group         string   `json:"group"`
 	Role          string   `json:"role"`
@@ -46,10 +48,10 @@
 	RetainedJobs  int      `json:"kept_jobs"`
 	Sessions      int      `json:"sessions"`
 	Reenqueues    uint64   `json:"carries"`
-	Digest        string   `json:"digest"` // of the state at Applied; see Digest
+	Digest        string   `json:"digest"` // digest of the state at Applied, as the function Digest returns it
 }
 
-// stateView takes a view of the present state.
+// stateView returns this node's current view of the cluster.
 func (h *Host) stateView(now eventloop.Micros) *NodeStateView {
 	view := &NodeStateView{
 		Node: h.id, ClusterStateVersion: h.sharedState.Version, ConfigurationRevision: h.sharedState.Configuration.GetRevision(),
@@ -61,8 +63,8 @@
 		view.Groups = append(view.Groups, h.groupStateView(h.groups[name]))
 	}
 	if h.membership != nil {
-		for _, known := range h.membership.Members {
-			view.Members = append(view.Members, known.Member)
+		for _, status := range h.membership.Members {
+			view.Members = append(view.Members, status.Member)
 		}
 		sort.Slice(view.Members, func(a, b int) bool { return view.Members[a].Id < view.Members[b].Id })
 	}
@@ -85,8 +87,8 @@
 	return view
 }
 
-// Digest is the digest of an encoded state that the state view shows: the first 8 bytes
-// of its SHA-256, in hex.
+// Digest returns the digest of an encoded state as the state view shows it: the first 8 bytes
+// of the state's SHA-256 hash, in hexadecimal.
 func Digest(state []byte) string {
 	sum := sha256.Sum256(state)
 	return hex.EncodeToString(sum[:8])
--- a/internal/replica/submissions.go
+++ b/internal/replica/submissions.go
@@ -1,7 +1,7 @@
 package replica
 
-// Commands for the queues that this node leads: submissions, task reports, and those of
-// the scheduler.
+// This file proposes commands for the queues that this node leads: submissions, task reports,
+// and the commands of the scheduler.
 
 import (
 	"slices"
@@ -13,19 +13,20 @@
 	"sparnotch/internal/schema"
 )
 
-// maxUncommitted is how many entries of a group may be uncommitted before more are
-// rejected.
+// maxUncommitted is how many entries of a queue's log may be uncommitted before the Host
+// rejects submissions, task reports and commands of the scheduler.
 const maxUncommitted = 8192
 
-// Outcomes of task reports.
+// Outcomes in task reports.
 const (
 	outcomeDone   = "done"
 	outcomeFailed = "failed"
-	outcomeLost   = "lost"   // by the scheduler's word: its worker is gone
-	outcomeLapsed = "lapsed" // the worker's hold ended without being extended
+	outcomeLost   = "lost"   // reported by the scheduler, because the task's worker is gone
+	outcomeLapsed = "lapsed" // the time for which the worker held the task ended without being extended
 )
 
-// proposeQueue proposes a command and gives its log index; 0: it wasn't proposed.
+// proposeQueue proposes a command to a queue's group and returns its log index. It returns 0 if
+// the command couldn't be proposed.
 func (h *Host) proposeQueue(now eventloop.Micros, r *replica, command *schema.QueueCommand) uint64 {
 	data, err := proto.Marshal(command)
 	if err != nil {
@@ -38,14 +39,13 @@
 	return index
 }
 
-// isBacklogFull reports whether a group has too many uncommitted entries to accept
-// more.
+// isBacklogFull reports whether a group has too many uncommitted entries to accept more.
 func (h *Host) isBacklogFull(r *replica) bool {
 	return r.group.LastIndex()-r.group.CommitIndex() > maxUncommitted
 }
 
-// handleSubmit proposes the submissions of a gateway. Those that are rejected are
-// dropped: the gateway has numbered them and sends them again.
+// handleSubmit proposes the submissions of a gateway. It drops rejected submissions without a
+// reply: the gateway has numbered its submissions and sends unconfirmed ones again.
 func (h *Host) handleSubmit(now eventloop.Micros, from string, m *schema.SubmitRequest, effects eventloop.Effects) {
 	placement := clusterstate.FindQueue(h.sharedState, m.Queue)
 	if placement == nil {
@@ -59,20 +59,20 @@
 	if h.isBacklogFull(r) || h.disk.isLow {
 		return
 	}
-	for _, e := range m.Enqueues {
-		if e.Session == nil || e.Job == nil {
+	for _, submitted := range m.Enqueues {
+		if submitted.Session == nil || submitted.Job == nil {
 			continue
 		}
 		stamped := &schema.Enqueue{
-			Session: e.Session, Number: e.Number, Name: e.Name, Digest: e.Digest, LowestUnconfirmed: e.LowestUnconfirmed,
-			Job: e.Job, StartUs: h.startTime(now, r, e.Job), Tenant: e.Tenant,
+			Session: submitted.Session, Number: submitted.Number, Name: submitted.Name, Digest: submitted.Digest, LowestUnconfirmed: submitted.LowestUnconfirmed,
+			Job: submitted.Job, StartUs: h.startTime(now, r, submitted.Job), Tenant: submitted.Tenant,
 		}
 		h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Enqueue{Enqueue: stamped}})
 	}
 }
 
-// startTime is when a job starts, in µs of queue time; 0: when it is admitted. It is
-// fixed by the leader, so that every replica applies the same.
+// startTime returns when a job starts, in µs of queue time, or 0 if it starts when it is
+// admitted. The leader determines the time, so that every replica applies the same one.
 func (h *Host) startTime(now eventloop.Micros, r *replica, job *schema.Job) int64 {
 	at := r.group.GroupTime(now)
 	switch {
@@ -80,8 +80,8 @@
 		return at + job.DelayUs
 	case job.StartUnixUs > 0:
 		start := at + job.StartUnixUs - r.group.WallTime(now, h.wallClock())
-		// The rounds of a job count from its start even where that is past, except for
-		// zero, which means its admission.
+		// The rounds of a job are counted from its start, even if the start has passed. A start
+		// of exactly 0 can't be used, because 0 stands for the job's admission.
 		if job.Rounds > 1 && start != 0 {
 			return start
 		}
@@ -90,8 +90,9 @@
 	return 0
 }
 
-// handleEndSessions proposes to remove sessions, or all those of gateways that are gone. A
-// gateway ends its own; whoever ends those of others must hold the controller lease.
+// handleEndSessions proposes to remove some sessions, and all sessions of gateways that are
+// gone. A gateway may end its own sessions. To end those of others, the sender must hold the
+// controller lease.
 func (h *Host) handleEndSessions(now eventloop.Micros, from string, m *schema.EndSessionsRequest) {
 	isAllowed := concernsOnly(m, from)
 	if m.FencingToken != 0 {
@@ -102,15 +103,15 @@
 	}
 }
 
-// concernsOnly reports whether all sessions of a request are those of one gateway.
+// concernsOnly reports whether all sessions that a request ends belong to the given gateway.
 func concernsOnly(m *schema.EndSessionsRequest, gateway string) bool {
 	isOther := func(name string) bool { return name != gateway }
 	return !slices.ContainsFunc(m.Sessions, func(s *schema.Session) bool { return isOther(s.Gateway) }) &&
 		!slices.ContainsFunc(m.Gateways, func(g *schema.ExpiredGateway) bool { return isOther(g.Gateway) })
 }
 
-// handlePropose proposes a command of this node's scheduler. One that acts for an older
-// term may have decided on stale tasks.
+// handlePropose proposes a command of this node's scheduler. A command for an older term is
+// dropped, because the scheduler may have based it on an outdated view of the tasks.
 func (h *Host) handlePropose(now eventloop.Micros, m Propose, effects eventloop.Effects) {
 	r := h.groups[m.Group]
 	if r == nil || r.queue == nil || r.group.Term() != m.Term {
@@ -122,13 +123,14 @@
 	effects.Notify("scheduler", ProposalDropped{Queue: r.queueName, Term: m.Term, Command: m.Command})
 }
 
-// handleTaskEnd proposes a worker's report; from is empty if the scheduler of this node
-// passes it on. What isn't acknowledged is reported again.
+// handleTaskEnd proposes a worker's task report. from is empty if the scheduler of this node
+// passes the report on; such a report is forwarded if another node leads the queue. A report
+// that isn't acknowledged is sent again.
 func (h *Host) handleTaskEnd(now eventloop.Micros, from string, m *schema.TaskEndReport, effects eventloop.Effects) {
 	placement := clusterstate.FindQueue(h.sharedState, m.Queue)
 	if placement == nil {
-		// Nobody needs the report of a deleted queue's task. A stale copy of the cluster
-		// state doesn't show that the queue is deleted.
+		// A report on a task of a deleted queue is no longer needed. A stale copy of
+		// the cluster state doesn't show whether the queue was deleted or isn't listed yet.
 		if h.isClusterStateFresh(now) {
 			h.acknowledgeEnd(from, m, effects)
 		}
@@ -149,9 +151,10 @@
 	}
 }
 
-// CommandForEnd is the queue command for a worker's report. Outcomes other than done and
-// failed aren't the task's fault and don't count as failures. Where the worker was lost or
-// its hold lapsed it may yet report that the attempt had failed before, which then counts.
+// CommandForEnd returns the queue command for a worker's task report. Outcomes other than done
+// and failed aren't the task's fault and don't count as failures. A worker that was lost, or
+// whose hold on the task lapsed, may still report later that the attempt had failed before.
+// That failure then counts.
 func CommandForEnd(m *schema.TaskEndReport) *schema.QueueCommand {
 	cause := schema.ReturnCause_RETURN_CAUSE_PREEMPTED
 	switch m.Outcome {
@@ -165,7 +168,8 @@
 	return &schema.QueueCommand{Body: &schema.QueueCommand_Return{Return: &schema.Return{Key: m.Key, Attempt: m.Attempt, Cause: cause, Checkpoint: m.Checkpoint}}}
 }
 
-// acknowledgeEnd answers a report; from is empty for the scheduler of this node.
+// acknowledgeEnd acknowledges a task report to its sender. from is empty if the scheduler of
+// this node sent it.
 func (h *Host) acknowledgeEnd(from string, m *schema.TaskEndReport, effects eventloop.Effects) {
 	ack := &schema.TaskEndAck{Queue: m.Queue, Key: m.Key, Attempt: m.Attempt, Worker: m.Worker, Outcome: m.Outcome}
 	if from == "" {
