--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -73,7 +73,7 @@
 	switch {
 	case caller == nil:
 	case caller.report != nil:
-		h.acknowledgeEnd(caller.from, caller.report, effects)
+		h.acknowledgeTaskEnd(caller.from, caller.report, effects)
 	case caller.request != nil:
 		h.reply(*caller, result.CancelCode, cancelBody(result), effects)
 	}
--- a/internal/replica/cluster_state_updates.go
+++ b/internal/replica/cluster_state_updates.go
@@ -14,12 +14,13 @@
 	"sparnotch/internal/schema"
 )
 
-// sendClusterState sends a process that keeps a copy of the cluster state what is newer than
-// the version in m, together with the known leaders and the expiry of the controller lease.
-// m is the query of that process, or says which version it is assumed to have. Nothing is
-// sent while this node's copy may be stale.
+// sendClusterState sends the known leaders, the expiry of the controller lease and, if it is
+// newer than the version in m, the cluster state to a process that keeps a copy of it. m is
+// the query of that process, or contains the version that the process is assumed to have.
+// Nothing is sent while this node's copy may be stale.
 func (h *Host) sendClusterState(now eventloop.Micros, to string, m *schema.ClusterStateRequest, effects eventloop.Effects) {
-	// A stale copy would only set the process back. Without a reply it queries another node.
+	// A stale copy would only give the process outdated information. Without a reply it
+	// queries another node.
 	if !h.isClusterStateFresh(now) {
 		return
 	}
@@ -32,7 +33,7 @@
 		if !update.ConfigurationOmitted && h.suppressResend(now, to, update.State.Configuration) {
 			// An agent node can use the leaders and the controller lease without the state. A
 			// gateway node is ready only with the whole state, so it is sent nothing until the
-			// state may be sent again.
+			// rows of the configuration may be sent again.
 			if update.State = nil; !h.isAgentNode(to) {
 				return
 			}
--- a/internal/replica/configuration_rows.go
+++ b/internal/replica/configuration_rows.go
@@ -9,8 +9,8 @@
 	"sparnotch/internal/schema"
 )
 
-// configurationSent records the configuration whose rows were last sent to a process.
-type configurationSent struct {
+// sentConfiguration records the configuration whose rows were last sent to a process.
+type sentConfiguration struct {
 	revision      uint64
 	inFlightUntil eventloop.Micros // the rows may still arrive until this time
 }
@@ -23,11 +23,11 @@
 	if len(configuration.PackedRows) == 0 || to == h.id {
 		return false
 	}
-	last := h.configurationsSent[to]
+	last := h.sentConfigurations[to]
 	if last.revision == configuration.Revision && now < last.inFlightUntil {
 		return true
 	}
-	maps.DeleteFunc(h.configurationsSent, func(_ string, sent configurationSent) bool { return now >= sent.inFlightUntil })
-	h.configurationsSent[to] = configurationSent{configuration.Revision, now + 2*eventloop.LinkTime(len(configuration.PackedRows))}
+	maps.DeleteFunc(h.sentConfigurations, func(_ string, sent sentConfiguration) bool { return now >= sent.inFlightUntil })
+	h.sentConfigurations[to] = sentConfiguration{configuration.Revision, now + 2*eventloop.LinkTime(len(configuration.PackedRows))}
 	return false
 }
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -42,7 +42,7 @@
 	leadingTerm   uint64           // term in which observeLeadership last saw this node lead; 0: another node has led since
 	leadingSince  eventloop.Micros // when observeLeadership first saw this node lead in leadingTerm
 	lastLeader    string           // last known leader other than this node
-	deposedLeader string           // lastLeader at the time leadingSince
+	deposedLeader string           // value that lastLeader had at leadingSince
 
 	notifiedMemberSetIndex uint64 // log index of the last member set that was reported to the controller
 	notifiedLearner        string // last caught-up learner that was reported to the controller
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -59,7 +59,7 @@
 
 	stateMachine  *clusterstate.StateMachine
 	values        *clusterstate.Values  // parsed configuration of stateMachine
-	sharedState   *schema.ClusterState  // immutable copy of stateMachine's state, shared with other components
+	sharedState   *schema.ClusterState  // immutable copy of the part of stateMachine that every process holds
 	published     *schema.ClusterState  // the sharedState that the other components were last notified of
 	queueSettings *schema.ApplySettings // settings of every queue, from the configuration
 
@@ -78,7 +78,7 @@
 
 	lastReadID         uint64
 	submitResponses    map[string]*schema.SubmitResponse // responses to send at the end of this step, by gateway and queue
-	configurationsSent map[string]configurationSent      // by process ID
+	sentConfigurations map[string]sentConfiguration      // by process ID
 }
 
 // New returns a Host with the replicas that are in a storage node's durable state. wallClock
@@ -92,7 +92,7 @@
 		id: id, identity: state.Identity, toleratedLosses: 1, timeouts: timing.FromBounds(nil), wallClock: wallClock, raftTimeouts: raftTimeouts,
 		electionJitter: newElectionJitter(rand.New(rand.NewPCG(seed, hash.Sum64()))),
 		groups:         map[string]*replica{}, stateMachine: clusterstate.New(), nextWrite: newPendingWrite(),
-		submitResponses: map[string]*schema.SubmitResponse{}, configurationsSent: map[string]configurationSent{},
+		submitResponses: map[string]*schema.SubmitResponse{}, sentConfigurations: map[string]sentConfiguration{},
 	}
 	h.setState(h.stateMachine.SharedState())
 	h.published = h.sharedState
--- a/internal/replica/leadership.go
+++ b/internal/replica/leadership.go
@@ -25,7 +25,7 @@
 )
 
 // electionJitter gives all groups of a node the same random part of the election
-// timeout. When a node that led many groups fails, the first other node whose timeout ends
+// timeout. When a node that led many groups fails, the first node whose timeout expires
 // campaigns in all of them at once, so that this one node comes to lead all of them.
 type electionJitter struct {
 	rng      *rand.Rand
--- a/internal/replica/maintenance.go
+++ b/internal/replica/maintenance.go
@@ -15,7 +15,7 @@
 const (
 	timedTickInterval    = eventloop.Second            // between idle ticks of a queue with timed jobs
 	retainedTickInterval = 5 * eventloop.Second        // between idle ticks of a queue that only retains ended jobs
-	maxWallDrift         = 100 * eventloop.Millisecond // largest uncorrected error of a queue's offset from the time of day
+	maxWallDrift         = 100 * eventloop.Millisecond // error of a queue's offset from the time of day above which it is corrected
 	maxStateLogEntries   = 512                         // entries in the cluster state's log before it is compacted
 	maxStateLogBytes     = 1 << 20                     // bytes in that log before it is compacted, unless its snapshot is larger
 )
@@ -115,8 +115,9 @@
 	}
 }
 
-// proposeWallClockTick corrects the queue's offset from the time of day, so that timed jobs
-// start at their time of day although queue time stands still while the queue has no leader.
+// proposeWallClockTick proposes a tick that corrects the queue's offset from the time of day,
+// so that timed jobs start at the right time of day. The offset changes because queue time
+// stands still while the queue has no leader.
 func (h *Host) proposeWallClockTick(now eventloop.Micros, r *replica) {
 	if r.queue.TimedJobs() == 0 || r.tickIndex > r.group.CommitIndex() {
 		return
--- a/internal/replica/persistence.go
+++ b/internal/replica/persistence.go
@@ -23,7 +23,7 @@
 	identities []*schema.StoreIdentity   // reported to the membership once the batch is durable
 
 	bytes          int // approximate size of the groups' changes
-	compactedBytes int // value of bytes after the last compactPending
+	compactedBytes int // value of bytes when compactPending last ran
 }
 
 func newPendingWrite() pendingWrite {
--- a/internal/replica/submissions.go
+++ b/internal/replica/submissions.go
@@ -132,7 +132,7 @@
 		// A report on a task of a deleted queue is no longer needed. A stale copy of
 		// the cluster state doesn't show whether the queue was deleted or isn't listed yet.
 		if h.isClusterStateFresh(now) {
-			h.acknowledgeEnd(from, m, effects)
+			h.acknowledgeTaskEnd(from, m, effects)
 		}
 		return
 	}
@@ -168,9 +168,9 @@
 	return &schema.QueueCommand{Body: &schema.QueueCommand_Return{Return: &schema.Return{Key: m.Key, Attempt: m.Attempt, Cause: cause, Checkpoint: m.Checkpoint}}}
 }
 
-// acknowledgeEnd acknowledges a task report to its sender. from is empty if the scheduler of
+// acknowledgeTaskEnd acknowledges a task report to its sender. from is empty if the scheduler of
 // this node sent it.
-func (h *Host) acknowledgeEnd(from string, m *schema.TaskEndReport, effects eventloop.Effects) {
+func (h *Host) acknowledgeTaskEnd(from string, m *schema.TaskEndReport, effects eventloop.Effects) {
 	ack := &schema.TaskEndAck{Queue: m.Queue, Key: m.Key, Attempt: m.Attempt, Worker: m.Worker, Outcome: m.Outcome}
 	if from == "" {
 		effects.Notify("scheduler", ack)
