--- a/internal/replica/large_updates_test.go
+++ b/internal/replica/large_updates_test.go
@@ -137,7 +137,7 @@
 		}
 		c.run(2 * eventloop.Second)
 		c.isDown[lagging] = false
-		// For 2 s after its restart the lagging replica receives heartbeats but no entries.
+		// For 2 s after it is up again the lagging replica receives heartbeats but no entries.
 		until := c.now + 2*eventloop.Second
 		c.isLost = func(to string, body any) bool {
 			switch body.(type) {
