--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -79,7 +79,7 @@
 
 // deliverEvents delivers events of queue l, or a snapshot of all its tasks.
 func (h *harness) deliverEvents(isSnapshot bool, sequence uint64, list ...*queue.TaskEvent) {
-	h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: 1, LastSequence: sequence, Events: list, IsSnapshot: isSnapshot, Running: 1000})
+	h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: 1, LastSequence: sequence, Events: list, IsSnapshot: isSnapshot, MaxRunning: 1000})
 }
 
 // placements returns the placements of all checkouts that the scheduler has proposed.
@@ -98,7 +98,7 @@
 	var list []*schema.TaskEndReport
 	for _, tell := range h.notified {
 		if e, ok := tell.(replica.TaskEnded); ok {
-			list = append(list, e.End)
+			list = append(list, e.Report)
 		}
 	}
 	return list
@@ -139,7 +139,7 @@
 // syncQueue confirms this node's leadership and delivers a snapshot of a queue's tasks.
 func (h *harness) syncQueue(name string, urgency int64, list ...*queue.TaskEvent) {
 	h.deliver(replica.LeadershipStatus{Terms: map[string]uint64{"l#1": 1, "m#1": 1, "k#1": 1}, IsClusterStateFresh: true})
-	h.deliver(replica.TaskEvents{Queue: name, Group: name + "#1", Term: 1, LastSequence: 1, Events: list, IsSnapshot: true, Running: 1000, Urgency: urgency})
+	h.deliver(replica.TaskEvents{Queue: name, Group: name + "#1", Term: 1, LastSequence: 1, Events: list, IsSnapshot: true, MaxRunning: 1000, Urgency: urgency})
 }
 
 // withNames makes a heartbeat one of an agent, which identifies tasks by job name, and applies change.
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -129,7 +129,7 @@
 	case replica.LeadershipStatus:
 		// A process that was frozen finds old statuses in its mailbox, so the age of a
 		// status counts from the time at which it was true, not from its arrival.
-		s.leadership, s.leadershipConfirmedAt = body, cmp.Or(body.At, now)
+		s.leadership, s.leadershipConfirmedAt = body, cmp.Or(body.TakenAt, now)
 	case replica.TaskEvents:
 		s.applyEvents(now, body, effects)
 	case replica.ProposalDropped:
--- a/internal/scheduler/tenant_history_test.go
+++ b/internal/scheduler/tenant_history_test.go
@@ -75,7 +75,7 @@
 	h.leadsAll = isLed
 	h.confirm()
 	if isLed {
-		h.deliver(replica.TaskEvents{Queue: "m", Group: "m#1", Term: 1, IsSnapshot: true, Running: 1000})
+		h.deliver(replica.TaskEvents{Queue: "m", Group: "m#1", Term: 1, IsSnapshot: true, MaxRunning: 1000})
 	} else {
 		h.deliver(replica.LeadershipLost{Queue: "m"})
 	}
@@ -89,7 +89,7 @@
 	for _, key := range keys {
 		list = append(list, h.tasks[key])
 	}
-	h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: h.term, LastSequence: h.sequence, Events: list, IsSnapshot: true, Running: 1000})
+	h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: h.term, LastSequence: h.sequence, Events: list, IsSnapshot: true, MaxRunning: 1000})
 }
 
 // elect makes this node lead queue l in a new term. Proposals that aren't committed are lost.
@@ -108,7 +108,7 @@
 	} else {
 		h.tasks[key] = event
 	}
-	h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: h.term, LastSequence: h.sequence, Events: []*queue.TaskEvent{event}, Running: 1000})
+	h.deliver(replica.TaskEvents{Queue: "l", Group: "l#1", Term: h.term, LastSequence: h.sequence, Events: []*queue.TaskEvent{event}, MaxRunning: 1000})
 }
 
 // submit commits the ready tasks of a new job.
