--- a/internal/gateway/backpressure.go
+++ b/internal/gateway/backpressure.go
@@ -1,6 +1,7 @@
 package gateway
 
-// Load shedding: which submissions are rejected, and when their clients should retry.
+// This file decides which submissions are rejected because of overload, and when their
+// clients should retry.
 
 import (
 	"net/http"
@@ -9,26 +10,28 @@
 )
 
 const (
-	minRateWindow        = eventloop.Second // over which a rate is measured
-	minRate              = 0.2              // per second; a lower one predicts nothing
-	unknownRateWait      = 5 * eventloop.Second
+	minRateWindow        = eventloop.Second     // shortest time over which a rate is measured
+	minRate              = 0.2                  // per second; a lower rate can't predict the next completion
+	unknownRateWait      = 5 * eventloop.Second // between two retries if the rate is at most minRate
 	maxRetryAfterSeconds = 30
 
-	// gatewayThroughput is the key of all submissions of this gateway.
+	// gatewayThroughput is the key, in Gateway.throughputs, of the rate at which all
+	// submissions through this gateway are confirmed.
 	gatewayThroughput = ""
 )
 
-// endedJobsKey is the key of the throughput of jobs that a queue ends. That of its
-// confirmed submissions is the queue's name.
+// endedJobsKey returns the key, in Gateway.throughputs, of the rate at which a queue's
+// jobs end. The rate at which its submissions are confirmed has the queue's name as key.
 func endedJobsKey(queue string) string { return "live/" + queue }
 
-// overload is the reason to reject a submission for now.
+// overload describes why a submission is rejected for now.
 type overload struct {
 	code, message string
-	throughputKey string // of what must make progress before a retry can succeed
+	throughputKey string // key of the throughput that determines when a retry can succeed
 }
 
-// overloadOf returns why a submission can't be accepted now; nil: it can.
+// overloadOf returns the reason why a submission in session s can't be accepted now, or nil
+// if it can. s is nil if the client has no session with the queue yet.
 func (g *Gateway) overloadOf(queue string, s *session) *overload {
 	status := g.queueStatus[queue]
 	switch {
@@ -46,21 +49,22 @@
 	return nil
 }
 
-// rejectOverloaded rejects a submission with a time to retry. Each rejected client is
-// given a time of its own, one after another at the measured rate, so that they don't
-// come back all at once.
+// rejectOverloaded rejects a submission and tells the client when to retry. Rejected
+// clients get successive retry times, spaced at the measured rate, so that they don't all
+// retry at the same time.
 func (g *Gateway) rejectOverloaded(now eventloop.Micros, requestID uint64, reason *overload, effects eventloop.Effects) {
 	retryAfter := g.throughputOf(reason.throughputKey).nextRetryAfter(now)
 	g.reject(requestID, http.StatusTooManyRequests, reason.code, reason.message, retryAfter, effects)
 }
 
-// throughput measures how fast something gets done, and schedules retries by it.
+// throughput measures the rate of confirmed submissions or ended jobs, and schedules the
+// retries of rejected clients at this rate.
 type throughput struct {
-	done         uint64 // in all
-	previousDone uint64 // when the rate was last measured
-	measuredAt   eventloop.Micros
+	done         uint64           // total count
+	previousDone uint64           // value of done when the rate was last measured
+	measuredAt   eventloop.Micros // when the rate was last measured
 	rate         float64          // per second, exponentially smoothed
-	nextRetryAt  eventloop.Micros // the latest that was given to a client
+	nextRetryAt  eventloop.Micros // the latest retry time that was given to a client
 }
 
 func (g *Gateway) throughputOf(key string) *throughput {
@@ -70,7 +74,8 @@
 	return g.throughputs[key]
 }
 
-// record takes the total that is done by now, and measures the rate once a window.
+// record updates the total count, and measures the rate again if at least minRateWindow has
+// passed since the last measurement.
 func (t *throughput) record(now eventloop.Micros, done uint64) {
 	t.done = max(t.done, done)
 	if t.measuredAt == 0 {
@@ -84,7 +89,8 @@
 	}
 }
 
-// nextRetryAfter schedules one more retry, and returns the seconds until then.
+// nextRetryAfter schedules one more retry, and returns the number of seconds until it, at
+// least 1 and at most maxRetryAfterSeconds.
 func (t *throughput) nextRetryAfter(now eventloop.Micros) int {
 	wait := unknownRateWait
 	if t.rate > minRate {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,14 +1,15 @@
-// Package gateway is the entry point of a node for clients, workers and operators.
+// Package gateway implements the component through which clients, workers and operators
+// reach the cluster.
 //
-// Gateway is the component that serves them. It numbers the submissions of each
-// client session and resends those that aren't confirmed, so that each takes effect
-// exactly once; it forwards other requests to the leader of their group and retries
-// them until their deadline; and it forwards worker heartbeats to the scheduler that
-// holds the worker's lease.
+// Gateway numbers the submissions of each client session and resends those that aren't
+// confirmed, so that each submission takes effect exactly once. It forwards other
+// requests to the leader of a group (a queue or the cluster state) and retries them
+// until their deadline. It forwards worker heartbeats to the scheduler that holds the
+// worker's lease.
 //
-// A Gateway owns no durable state. It answers from a copy of the cluster state that it
-// polls from storage nodes, for as long as its read lease on that copy lasts
-// (stateLease); routing, rejection and retry hints all derive from this copy.
+// A Gateway stores nothing on disk. It polls the cluster state from storage nodes and
+// serves requests from its copy while its read lease on the copy is valid (stateLease).
+// Routes, rejections and retry times are all derived from this copy.
 package gateway
 
 import (
@@ -24,40 +25,40 @@
 	"sparnotch/internal/schema"
 )
 
-// TickInterval is how often the component expects an eventloop.Tick.
+// TickInterval is the interval at which Gateway expects an eventloop.Tick.
 const TickInterval = 50 * eventloop.Millisecond
 
 const (
 	// Resending and redirecting.
-	resendInterval      = 700 * eventloop.Millisecond // of an unconfirmed submission
-	minRedirectInterval = 40 * eventloop.Millisecond  // between two redirects of a queue or request
-	requestRetryDelay   = 400 * eventloop.Millisecond // of a request without a response
+	resendInterval      = 700 * eventloop.Millisecond // after which an unconfirmed submission is resent
+	minRedirectInterval = 40 * eventloop.Millisecond  // between two redirects of one queue or one request
+	requestRetryDelay   = 400 * eventloop.Millisecond // after which a request without a response is retried
 	maxResendBatch      = 64                          // submissions resent per queue and tick
 
 	// Polling the cluster state.
 	maxStateQueryInterval = 250 * eventloop.Millisecond
-	storageNodeTimeout    = 1200 * eventloop.Millisecond // since the last gossip, until others are preferred
-	storageNodesPerQuery  = 2                            // polled at once while the read lease needs renewal
-	fastPollPeriod        = 2 * eventloop.Second         // of faster polling after a queue lost its leader
-	leaderlessGracePeriod = 300 * eventloop.Millisecond  // until submissions to a leaderless queue are rejected
+	storageNodeTimeout    = 1200 * eventloop.Millisecond // without gossip from a storage node, until other nodes are preferred
+	storageNodesPerQuery  = 2                            // nodes polled at the same time while the read lease needs renewal
+	fastPollPeriod        = 2 * eventloop.Second         // polling is faster for this long after a queue loses its leader
+	leaderlessGracePeriod = 300 * eventloop.Millisecond  // without a known leader, until submissions to a queue are rejected
 
 	// Sessions.
 	sessionIdleTimeout      = 30 * eventloop.Second
 	endedSessionInterval    = 10 * eventloop.Second // between two reports of ended sessions to a queue
-	maxEndedSessions        = 64                    // per queue; more are reported at once
-	maxTickGap              = 20 * eventloop.Second // after a longer pause all sessions are restarted
-	incarnationRestartShift = 32                    // restarts count in the upper half of the incarnation
+	maxEndedSessions        = 64                    // of one queue; this many are reported without waiting for the interval
+	maxTickGap              = 20 * eventloop.Second // a longer gap between two ticks restarts all sessions
+	incarnationRestartShift = 32                    // the upper 32 bits of the incarnation count the restarts of all sessions
 
-	// Limits of pending work, and for how long it is remembered.
-	maxPending              = 4096 // of submissions, of requests and of announcements
-	listedGatewayTimeout    = 5 * eventloop.Second
-	bootstrapRequestTimeout = 900 * eventloop.Millisecond // clients wait a second
+	// Limits and timeouts of pending work.
+	maxPending              = 4096                        // submissions, and as many requests and heartbeats
+	listedGatewayTimeout    = 5 * eventloop.Second        // gateways without gossip for longer aren't listed
+	bootstrapRequestTimeout = 900 * eventloop.Millisecond // less than the second that clients wait
 	registrationInterval    = eventloop.Second            // between two registrations of one worker
-	registrationMemory      = 10 * eventloop.Second
+	registrationMemory      = 10 * eventloop.Second       // after which the registration of a worker is forgotten
 )
 
-// Gateway is the component. It is driven by Step alone and isn't safe for concurrent
-// use.
+// Gateway is an eventloop.Component that serves clients, workers and operators. It acts
+// only in calls of Step, and isn't safe for concurrent use.
 type Gateway struct {
 	id          string
 	incarnation uint64
@@ -68,44 +69,44 @@
 	// The copy of the cluster state.
 	state             *schema.ClusterState
 	values            *clusterstate.Values // parsed from the configuration in state
-	lease             stateLease           // on state
-	hasLocalReplica   bool                 // this node stores a replica of the cluster state
-	stateQueriedAt    eventloop.Micros
-	storageNodeCursor int  // round-robin position among the storage nodes
-	wasInContact      bool // the lease hadn't expired at the last tick
+	lease             stateLease           // read lease on state
+	hasLocalReplica   bool                 // whether this node stores a replica of the cluster state
+	stateQueriedAt    eventloop.Micros     // when the cluster state was last polled
+	storageNodeCursor int                  // round-robin position among the storage nodes
+	wasInContact      bool                 // whether the lease or its grace period still ran at the last tick
 
-	// What is known of nodes and queues.
-	membership         *membership.View // nil until the first one came
-	leaders            map[string]string
-	leaderlessSince    map[string]eventloop.Micros // by queue
-	queueStatus        map[string]*schema.QueueStatus
+	// Nodes and queues.
+	membership         *membership.View               // nil until the first view arrives
+	leaders            map[string]string              // node ID by group
+	leaderlessSince    map[string]eventloop.Micros    // by queue
+	queueStatus        map[string]*schema.QueueStatus // by queue
 	redirectedAt       map[string]eventloop.Micros    // by queue
-	redirectDue        map[string]bool                // queues to be redirected at the next tick
-	leadershipDeniedAt map[queueNode]eventloop.Micros // when a node last rejected submissions as no leader
-	throughputs        map[string]*throughput
+	redirectDue        map[string]bool                // queues whose submissions are redirected at the next tick
+	leadershipDeniedAt map[queueNode]eventloop.Micros // when a node last reported that it doesn't lead a queue
+	throughputs        map[string]*throughput         // by gatewayThroughput, queue or endedJobsKey
 
 	// Submissions.
 	sessions             map[queueClient]*session
-	sessionsByID         map[string]*session // by sessionKey
-	lastSession          uint64              // makes the names of sessions unique within the incarnation
-	endedSessions        map[string][]*schema.Session
-	submissionsByRequest map[uint64]*submission // those whose client still waits
-	unconfirmedCount     int
+	sessionsByID         map[string]*session          // by sessionKey
+	lastSession          uint64                       // number of the newest session; makes session names unique within an incarnation
+	endedSessions        map[string][]*schema.Session // by queue; not reported to it yet
+	submissionsByRequest map[uint64]*submission       // by request ID; only submissions whose client still waits
+	unconfirmedCount     int                          // submissions to all queues
 	unconfirmedByQueue   map[string]int
 
 	// Requests of other kinds.
-	requests           map[uint64]*request
+	requests           map[uint64]*request // by request ID
 	confirmation       confirmation
 	refusedKeys        refusedKeys
-	pendingHeartbeats  map[uint64]ForwardHeartbeat
+	pendingHeartbeats  map[uint64]ForwardHeartbeat // by request ID
 	registrationSentAt map[string]eventloop.Micros // by worker
 }
 
-// queueNode is a queue and a node that may lead it.
+// queueNode identifies a queue and a node that may lead it.
 type queueNode struct{ queue, node string }
 
-// New makes the gateway of the node with this id. The incarnation must be higher than
-// in each former process with the same id. The gateway owns rng.
+// New returns the gateway of the node with the given ID. The incarnation must be higher
+// than that of every former process with the same ID. The gateway takes ownership of rng.
 func New(id string, incarnation uint64, hasLocalReplica bool, rng *rand.Rand) *Gateway {
 	return &Gateway{
 		id:          id,
@@ -137,8 +138,8 @@
 	}
 }
 
-// WithBounds sets the deadline by which a new configuration must be in force; without
-// one the default stays. It returns the gateway itself.
+// WithBounds sets how soon after its commit a new configuration must be in force. If
+// bounds don't state this, the default (defaultApplyBound) stays. It returns g.
 func (g *Gateway) WithBounds(bounds *schema.Bounds) *Gateway {
 	if apply := eventloop.Micros(bounds.GetConfigApplyUs()); apply > 0 {
 		g.lease.maxStaleness = apply
@@ -180,8 +181,8 @@
 
 func (g *Gateway) handleTick(now eventloop.Micros, effects eventloop.Effects) {
 	if g.lastTick > 0 && now-g.lastTick > maxTickGap {
-		// The queues may have declared this gateway dead meanwhile, and its clients
-		// have stopped waiting.
+		// During a gap this long the queues may have declared this gateway dead, and
+		// its clients have stopped waiting.
 		g.restartSessions(now, effects)
 	}
 	g.lastTick = now
@@ -198,7 +199,8 @@
 	g.dropExpired(now)
 }
 
-// checkContact fails what is pending once the read lease expires.
+// checkContact fails all pending calls once the read lease and its grace period have
+// ended.
 func (g *Gateway) checkContact(now eventloop.Micros, effects eventloop.Effects) {
 	isInContact := !g.lease.isGracePeriodOver(now)
 	if g.wasInContact && !isInContact {
@@ -207,9 +209,9 @@
 	g.wasInContact = isInContact
 }
 
-// failPending answers all clients that wait, as this gateway can't reach a leader any
-// more. Submissions are numbered and go on being resent, and commands may have been
-// forwarded, so the outcome of these is unknown.
+// failPending answers all waiting clients because this gateway can no longer reach a
+// leader. It answers submissions and commands with an unknown outcome: submissions are
+// already numbered and continue to be resent, and commands may have been forwarded.
 func (g *Gateway) failPending(now eventloop.Micros, effects eventloop.Effects) {
 	for _, id := range slices.Sorted(maps.Keys(g.submissionsByRequest)) {
 		g.submissionsByRequest[id].requestID = 0
@@ -232,11 +234,12 @@
 	}
 }
 
-// dropExpired removes announcements past their deadline, and what is remembered for a
-// while only. The process answers clients whose deadline has passed by itself.
+// dropExpired removes heartbeats past their deadline, and denials of leadership and
+// worker registrations that are too old to matter. It sends no responses: the process
+// itself answers clients whose deadline has passed.
 func (g *Gateway) dropExpired(now eventloop.Micros) {
-	maps.DeleteFunc(g.pendingHeartbeats, func(_ uint64, announcement ForwardHeartbeat) bool {
-		return now > announcement.Deadline
+	maps.DeleteFunc(g.pendingHeartbeats, func(_ uint64, heartbeat ForwardHeartbeat) bool {
+		return now > heartbeat.Deadline
 	})
 	maps.DeleteFunc(g.leadershipDeniedAt, func(_ queueNode, at eventloop.Micros) bool {
 		return now-at > resendInterval
@@ -255,8 +258,8 @@
 	}
 }
 
-// listGateways answers with the gateways that were alive lately, so that a client that
-// knows one of them finds the others.
+// listGateways responds with the gateways that were heard from recently, so that a client
+// that knows one gateway finds the others.
 func (g *Gateway) listGateways(now eventloop.Micros, m ListGateways, effects eventloop.Effects) {
 	list := &schema.GatewayList{Gateways: []*schema.GatewayEndpoint{}}
 	if g.membership != nil {
@@ -278,7 +281,7 @@
 	effects.Respond(m.RequestID, Response{Code: http.StatusOK, Body: data})
 }
 
-// checkReadiness answers whether this gateway accepts and can forward requests.
+// checkReadiness responds whether this gateway accepts requests and can forward them.
 func (g *Gateway) checkReadiness(now eventloop.Micros, m CheckReadiness, effects eventloop.Effects) {
 	switch {
 	case g.isDraining:
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -1,7 +1,7 @@
 package gateway
 
-// Requests that the leader of a group answers: forwarded, retried until a deadline, and
-// answered once.
+// This file forwards requests to the leader of a group, retries them until their deadline,
+// and passes exactly one response to the client.
 
 import (
 	"maps"
@@ -13,38 +13,41 @@
 	"sparnotch/internal/schema"
 )
 
-// request is a forwarded request that has no response yet.
+// request is a request to a group's leader that has no response yet.
 type request struct {
 	message      LeaderRequest
-	tenant       string // whose key the call carries; empty: none
+	tenant       string // owner of the key that the call carries; empty if it carries none
 	sentAt       eventloop.Micros
-	sentTo       string // empty: nobody, or one that has denied to be the leader
+	sentTo       string // node ID; empty if unsent, or if that node has denied that it leads the group
 	redirectedAt eventloop.Micros
-	isResendDue  bool // at the next tick
+	isResendDue  bool // whether the request is resent at the next tick
 }
 
-// retryDelay is the time from sending to retrying. A large request isn't retried while
-// it may be in transit on the slowest link, or each retry would delay the next.
+// retryDelay returns the time after which an unanswered request is retried. It includes
+// the time that the request may take on the slowest link: otherwise the retries of a large
+// request would delay one another.
 func (r *request) retryDelay() eventloop.Micros {
 	return requestRetryDelay + eventloop.LinkTime(len(r.message.Body))
 }
 
-// handleRequest forwards a request. With isConfirmed, a queue or key that our copy
-// of the cluster state lacks doesn't exist.
+// handleRequest forwards a request or rejects it. If isConfirmed is true, the gateway's
+// copy of the cluster state was confirmed to be the newest after the request arrived, so
+// a queue or key that the copy lacks doesn't exist.
 func (g *Gateway) handleRequest(now eventloop.Micros, m LeaderRequest, isConfirmed bool, effects eventloop.Effects) {
 	if len(g.requests) >= maxPending {
 		effects.Respond(m.RequestID, Overloaded(g.throughputOf(gatewayThroughput).nextRetryAfter(now)))
 		return
 	}
 	if !g.lease.isValid(now) {
-		// While the cluster is being bootstrapped, operators' requests wait a moment.
+		// Before the first lease the cluster may still be bootstrapping. Operators'
+		// requests then wait a moment instead of being rejected.
 		if g.lease.confirmedAt > 0 || m.Group != clusterstate.GroupName {
 			g.rejectNotReady(now, m.RequestID, effects)
 			return
 		}
 		m.Deadline = min(m.Deadline, now+bootstrapRequestTimeout)
 	}
-	unrouted := m // routed anew when it is resumed
+	unrouted := m // the route is looked up again if the request is deferred and resumed
 	if m.Group == "" {
 		m.Group, m.Name, _ = g.values.MatchRoute(m.Host, m.Path)
 	}
@@ -62,8 +65,9 @@
 	g.sendRequest(now, pending, effects)
 }
 
-// isForUnknownQueue reports whether our copy of the cluster state lacks a request's queue.
-// The group of the cluster state is none.
+// isForUnknownQueue reports whether the gateway's copy of the cluster state lacks a
+// request's queue. For requests of clients, the group of the cluster state counts as an
+// unknown queue.
 func (g *Gateway) isForUnknownQueue(m LeaderRequest) bool {
 	if m.Group == clusterstate.GroupName {
 		return isClientKind(m.Kind)
@@ -83,8 +87,8 @@
 	})
 }
 
-// handleResponse takes a response; one without a code is a redirect to the leader that it
-// names.
+// handleResponse handles a response from a storage node. A response without a code is a
+// redirect to the leader that it names.
 func (g *Gateway) handleResponse(now eventloop.Micros, m *schema.Response, effects eventloop.Effects) {
 	pending := g.requests[m.Id]
 	switch {
@@ -117,7 +121,8 @@
 
 func (g *Gateway) redirectRequest(now eventloop.Micros, pending *request, m *schema.Response, effects eventloop.Effects) {
 	if m.Leader == pending.sentTo || !g.isPlausibleLeader(now, m.Leader) {
-		// The node that denied may come to lead: then it is sent there again.
+		// If the node that denied its leadership becomes the leader later, the cleared
+		// sentTo lets updateLeaders resend the request to it.
 		pending.sentTo = ""
 		g.clearLeader(now, m.Group)
 		return
@@ -134,15 +139,15 @@
 	delete(g.requests, id)
 	delete(g.pendingHeartbeats, id)
 	if pending := g.submissionsByRequest[id]; pending != nil {
-		// The submission itself is numbered and goes on being resent: a gap would
-		// hold up all later ones of its session.
+		// The submission is already numbered and continues to be resent: a gap in the
+		// numbers would block all later submissions of its session.
 		pending.requestID = 0
 		delete(g.submissionsByRequest, id)
 	}
 }
 
-// retryRequests fails requests past their deadline, and sends those again whose
-// response is overdue or that are to be redirected.
+// retryRequests fails requests past their deadline, and resends requests whose response
+// is overdue or whose redirect was postponed.
 func (g *Gateway) retryRequests(now eventloop.Micros, effects eventloop.Effects) {
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
 		pending := g.requests[id]
@@ -154,7 +159,7 @@
 			continue
 		case pending.isResendDue:
 		case isOverdue:
-			g.clearLeader(now, pending.message.Group) // it may be gone
+			g.clearLeader(now, pending.message.Group) // the leader may have failed
 		default:
 			continue
 		}
--- a/internal/gateway/sessions.go
+++ b/internal/gateway/sessions.go
@@ -1,7 +1,7 @@
 package gateway
 
-// Client sessions: the submissions of one client to one queue, numbered without gaps, so
-// that the queue can tell resends from new ones.
+// This file manages client sessions. A session numbers the submissions of one client to one
+// queue without gaps, so that the queue can tell resends from new submissions.
 
 import (
 	"maps"
@@ -13,19 +13,20 @@
 	"sparnotch/internal/schema"
 )
 
+// queueClient identifies a session by its queue and its client.
 type queueClient struct{ queue, client string }
 
-// session is one client's submissions to one queue. It ends when it has been idle for a
-// while, so that the queue's leader can forget it too.
+// session holds one client's unconfirmed submissions to one queue. It ends after
+// sessionIdleTimeout without new submissions, so that the queue's leader can forget it too.
 type session struct {
 	queue       string
 	id          *schema.Session
-	nextNumber  uint64
-	unconfirmed []*submission // by number
-	lastUsed    eventloop.Micros
+	nextNumber  uint64           // number of the next submission
+	unconfirmed []*submission    // in ascending order of number
+	lastUsed    eventloop.Micros // when the last submission was numbered
 }
 
-// lowestUnconfirmed is the number below which the queue needn't remember outcomes.
+// lowestUnconfirmed returns the lowest number whose outcome the queue must remember.
 func (s *session) lowestUnconfirmed() uint64 {
 	if len(s.unconfirmed) > 0 {
 		return s.unconfirmed[0].enqueue.Number
@@ -33,8 +34,9 @@
 	return s.nextNumber
 }
 
-// confirm removes a submission from the unconfirmed ones, and returns it with those of
-// lower numbers, which must have been lost in transit; nil: there is none of the number.
+// confirm removes the submission with the given number from the unconfirmed ones and returns
+// it, or nil if there is none. It also returns the unconfirmed submissions with lower
+// numbers, which must have been lost in transit.
 func (s *session) confirm(number uint64) (confirmed *submission, lost []*submission) {
 	index := sort.Search(len(s.unconfirmed), func(k int) bool { return s.unconfirmed[k].enqueue.Number >= number })
 	if index == len(s.unconfirmed) || s.unconfirmed[index].enqueue.Number != number {
@@ -46,10 +48,11 @@
 	return confirmed, lost
 }
 
-// sessionKey is the key of a session by the name that the queue knows it by.
+// sessionKey returns the key of a session in Gateway.sessionsByID. client is the name under
+// which the queue knows the session: schema.Session.Client.
 func sessionKey(queue, client string) string { return queue + "/" + client }
 
-// openSession returns a client's session with a queue, a new one if there is none.
+// openSession returns a client's session with a queue, and creates it if there is none.
 func (g *Gateway) openSession(key queueClient) *session {
 	if s := g.sessions[key]; s != nil {
 		return s
@@ -71,8 +74,8 @@
 	delete(g.sessionsByID, sessionKey(s.queue, s.id.Client))
 }
 
-// restartSessions gives all sessions up and goes on in a new incarnation. The outcome of
-// what is unconfirmed is unknown.
+// restartSessions abandons all sessions and continues in a new incarnation. It reports an
+// unknown outcome to the clients of all unconfirmed submissions.
 func (g *Gateway) restartSessions(now eventloop.Micros, effects eventloop.Effects) {
 	queues := map[string]bool{}
 	for _, s := range g.sessions {
@@ -93,8 +96,8 @@
 	g.incarnation += 1 << incarnationRestartShift
 }
 
-// endIdleSessions ends sessions that have been idle, and reports them to their queues in
-// batches.
+// endIdleSessions ends sessions without unconfirmed submissions that have been idle for
+// sessionIdleTimeout, and reports them to their queues in batches.
 func (g *Gateway) endIdleSessions(now eventloop.Micros, effects eventloop.Effects) {
 	for key, s := range g.sessions {
 		if len(s.unconfirmed) == 0 && now-s.lastUsed > sessionIdleTimeout {
--- a/internal/gateway/submissions.go
+++ b/internal/gateway/submissions.go
@@ -1,6 +1,7 @@
 package gateway
 
-// Job submissions: numbered in their client's session, and resent until confirmed.
+// This file numbers job submissions within their client's session, and resends them until
+// their queue confirms them.
 
 import (
 	"encoding/json"
@@ -20,16 +21,17 @@
 // submission is a job that its queue hasn't confirmed yet.
 type submission struct {
 	enqueue   *schema.Enqueue
-	requestID uint64 // of the client that waits; 0: none does any more
+	requestID uint64 // of the client's call; 0 if the client no longer waits
 	sentAt    eventloop.Micros
 	sentTo    string
 }
 
-// handleSubmit accepts a job or rejects it. With isConfirmed, a queue or key that our
-// copy of the cluster state lacks doesn't exist. A rejection is final, and so comes before the
-// job has a number.
+// handleSubmit accepts a job or rejects it. A rejected job gets no number, as a numbered
+// job may take effect later and a rejection must be final. If isConfirmed is true, the
+// gateway's copy of the cluster state was confirmed to be the newest after the job arrived,
+// so a queue or key that the copy lacks doesn't exist.
 func (g *Gateway) handleSubmit(now eventloop.Micros, m SubmitJob, isConfirmed bool, effects eventloop.Effects) {
-	unrouted := m // routed anew when it is resumed
+	unrouted := m // the route is looked up again if the submission is deferred and resumed
 	if m.Queue == "" {
 		m.Queue, m.Name, _ = g.values.MatchRoute(m.Host, m.Path)
 	}
@@ -50,7 +52,7 @@
 		effects.Respond(m.RequestID, Unprocessable(&schema.Error{Code: codeBadName, Message: NameRule, Field: "name"}))
 		return
 	}
-	if fault := exceedsLargestWorker(g.values, m.Queue, m.Job); fault != nil {
+	if fault := validateTaskSizes(g.values, m.Queue, m.Job); fault != nil {
 		effects.Respond(m.RequestID, Unprocessable(fault))
 		return
 	}
@@ -70,7 +72,7 @@
 	g.enqueue(now, g.openSession(key), m, tenant, effects)
 }
 
-// enqueue numbers a tenant's job in its session and sends it.
+// enqueue assigns the next number of the session to a job and sends the job to its queue.
 func (g *Gateway) enqueue(now eventloop.Micros, s *session, m SubmitJob, tenant string, effects eventloop.Effects) {
 	pending := &submission{
 		requestID: m.RequestID,
@@ -88,9 +90,10 @@
 	g.sendSubmissions(now, s.queue, []*submission{pending}, effects)
 }
 
-// applyDefaultAttempts sets the queue's number of attempts where a step states none. The
-// digest is of the job as the client gave it, so a resend is recognised whatever the
-// configuration has become.
+// applyDefaultAttempts returns the job with the queue's configured number of attempts in
+// each step that allows no failures. The job's digest is computed before this, from the
+// job as the client sent it, so that a resend is recognised even if the configuration has
+// changed in between.
 func applyDefaultAttempts(values *clusterstate.Values, queue string, job *schema.Job) *schema.Job {
 	attempts := values.Number("queue", queue, "attempts")
 	if !values.IsSet("queue", queue, "attempts") || attempts <= 1 {
@@ -105,16 +108,17 @@
 	return job
 }
 
-// exceedsLargestWorker finds a task that fits on no worker of the configuration; nil:
-// none. The workers of a pool aren't configured, so for a queue with one the scheduler
-// decides.
-func exceedsLargestWorker(values *clusterstate.Values, queue string, job *schema.Job) *schema.Error {
+// validateTaskSizes returns an error that names the first step whose tasks need more
+// cores or memory than the largest configured worker has, or nil if there is none. The
+// workers of a pool aren't configured, so for a queue with a pool it returns nil, and the
+// scheduler decides.
+func validateTaskSizes(values *clusterstate.Values, queue string, job *schema.Job) *schema.Error {
 	if values.Text("queue", queue, "pool") != "" {
 		return nil
 	}
 	cores, memory := values.Fleet("worker_cores_milli"), values.Fleet("worker_memory_mb")
-	for k, step := range job.Steps {
-		field := "steps[" + strconv.Itoa(k) + "]."
+	for index, step := range job.Steps {
+		field := "steps[" + strconv.Itoa(index) + "]."
 		if step.CoresMilli > cores {
 			return &schema.Error{
 				Code: codeNeverFits, Field: field + "cores_milli",
@@ -131,7 +135,8 @@
 	return nil
 }
 
-// sendSubmissions sends submissions of one queue to its leader in one message.
+// sendSubmissions sends submissions to one queue in a single message to its leader, or,
+// if none is known, to a storage node that may know it.
 func (g *Gateway) sendSubmissions(now eventloop.Micros, queue string, submissions []*submission, effects eventloop.Effects) {
 	to := g.target(now, queue)
 	m := &schema.SubmitRequest{Queue: queue}
@@ -149,7 +154,8 @@
 	}
 }
 
-// sendDueRedirects sends queues' submissions to leaders that became known since.
+// sendDueRedirects sends the submissions of queues whose redirect is due to the queues'
+// new leaders.
 func (g *Gateway) sendDueRedirects(now eventloop.Micros, effects eventloop.Effects) {
 	for _, queue := range slices.Sorted(maps.Keys(g.redirectDue)) {
 		delete(g.redirectDue, queue)
@@ -160,8 +166,9 @@
 	}
 }
 
-// resendOverdue sends submissions again that weren't confirmed in time. Their leader may
-// be gone, so they go to whichever node may know a new one.
+// resendOverdue resends submissions that weren't confirmed within resendInterval. The
+// queue's leader may have failed, so it is cleared, and they are sent to a storage node
+// that may know the new leader.
 func (g *Gateway) resendOverdue(now eventloop.Micros, effects eventloop.Effects) {
 	queues := map[string]bool{}
 	for key, s := range g.sessions {
@@ -178,8 +185,9 @@
 	}
 }
 
-// misrouted returns a queue's submissions that were last sent to another node than the
-// one believed to lead it now, or to that one before it came to lead.
+// misrouted returns the unconfirmed submissions of a queue that its present leader hasn't
+// accepted: they were last sent to another node, or to the leader before it last denied
+// that it leads the queue.
 func (g *Gateway) misrouted(queue string) []*submission {
 	leader := g.leaders[queue]
 	deniedAt, wasDenied := g.leadershipDeniedAt[queueNode{queue, leader}]
@@ -188,8 +196,8 @@
 	})
 }
 
-// selectUnconfirmed returns a batch of a queue's unconfirmed submissions, ordered by
-// client and number.
+// selectUnconfirmed returns at most maxResendBatch of a queue's unconfirmed submissions
+// for which isWanted returns true, ordered by client and number.
 func (g *Gateway) selectUnconfirmed(queue string, isWanted func(*submission) bool) []*submission {
 	var clients []string
 	for key, s := range g.sessions {
@@ -209,8 +217,9 @@
 	return selected
 }
 
-// handleSubmitResponse takes the outcomes of submissions from a queue's leader. A response
-// without outcomes is a redirect to the leader that it names, if it names one.
+// handleSubmitResponse handles the outcomes of submissions from a queue's leader. A
+// response without outcomes is a redirect: its sender doesn't lead the queue, and names the
+// leader if it knows one.
 func (g *Gateway) handleSubmitResponse(now eventloop.Micros, from string, m *schema.SubmitResponse, effects eventloop.Effects) {
 	if len(m.Results) == 0 {
 		g.redirectSubmissions(now, from, m, effects)
@@ -222,7 +231,8 @@
 	for _, outcome := range m.Results {
 		lost = append(lost, g.handleSubmitResult(now, m.Queue, outcome, effects)...)
 	}
-	// An outcome may have ended all sessions: their submissions were answered then.
+	// An outcome may have restarted all sessions, in a new incarnation. The clients of the
+	// old sessions were answered then, so the lost submissions aren't resent.
 	if len(lost) > 0 && g.incarnation == incarnation {
 		g.sendSubmissions(now, m.Queue, lost, effects)
 	}
@@ -237,8 +247,8 @@
 		return
 	}
 	g.setLeader(m.Queue, m.Leader)
-	// While a leader is being elected, two nodes may name each other: the interval
-	// keeps submissions from looping between them.
+	// During an election two nodes may each name the other as the leader. The minimum
+	// interval keeps submissions from looping between them.
 	if now-g.redirectedAt[m.Queue] <= minRedirectInterval {
 		g.redirectDue[m.Queue] = true
 		return
@@ -249,7 +259,8 @@
 	}
 }
 
-// handleSubmitResult confirms one submission, and returns those of its session to be resent.
+// handleSubmitResult confirms one submission, and returns the submissions of its session
+// that were lost in transit and must be resent.
 func (g *Gateway) handleSubmitResult(now eventloop.Micros, queue string, outcome *schema.SubmitResult, effects eventloop.Effects) []*submission {
 	// Sessions and numbers of other gateways may be equal to ours.
 	if outcome.Session == nil || outcome.Session.Gateway != g.id || outcome.Session.Incarnation != g.incarnation {
@@ -272,7 +283,7 @@
 		effects.Respond(confirmed.requestID, outcomeResponse(outcome))
 	}
 	if outcome.Code == http.StatusGone {
-		// The queue had declared this gateway dead and forgotten its sessions.
+		// The queue has declared this gateway dead and dropped its sessions.
 		g.restartSessions(now, effects)
 		return nil
 	}
