--- a/internal/gateway/authorization.go
+++ b/internal/gateway/authorization.go
@@ -1,6 +1,7 @@
 package gateway
 
-// Which tenant makes a client's call, by the key that the call carries.
+// This file determines which tenant makes a client's call, by the key that the call
+// carries, and refuses calls without a valid key.
 
 import (
 	"net/http"
@@ -10,13 +11,14 @@
 	"sparnotch/internal/eventloop"
 )
 
-// unreadableKey stands for the hash of a key that can't be read. It is no hash, so no
-// configuration holds it.
+// unreadableKey replaces the hash of a key that can't be read. It doesn't have the form of
+// a hash, so no configuration contains it.
 const unreadableKey = "unreadable"
 
-// KeyHashOf returns the KeyHash of a call with these Authorization headers. A header holds
-// one of the schemes and a key, with blanks between them; the scheme's case doesn't count.
-// Whatever else it holds counts as an unknown key, not as none.
+// KeyHashOf returns the KeyHash of a call with these Authorization headers, or "" if there
+// are none. A valid header holds one of the schemes, in upper or lower case, then blanks and
+// the key. Any other header, or more than one, counts as an unknown key rather than as a
+// missing one.
 func KeyHashOf(headers []string, schemes ...string) string {
 	if len(headers) == 0 {
 		return ""
@@ -35,8 +37,9 @@
 	return unreadableKey
 }
 
-// authorize returns the tenant whose key a client's call for a queue carries, and whether
-// the call is allowed. Without a tenant it is nobody's.
+// authorize reports whether a client's call for a queue is allowed, and returns the tenant
+// whose key the call carries. The tenant is empty if the configuration doesn't require keys,
+// or if the call carries none.
 func authorize(values *clusterstate.Values, queue, keyHash string) (tenant string, isAllowed bool) {
 	if !values.RequiresKeys() {
 		return "", true
@@ -47,7 +50,8 @@
 	return values.TenantOfKey(keyHash)
 }
 
-// isClientKind reports whether clients make requests of a kind, so that they need a key.
+// isClientKind reports whether requests of a kind are made by clients, which need a key.
+// The other kinds are requests of operators.
 func isClientKind(kind string) bool {
 	switch kind {
 	case KindStatus, KindCancel, KindCounts, KindList:
@@ -56,7 +60,8 @@
 	return false
 }
 
-// authorizeRequest is authorize for a request of any kind.
+// authorizeRequest does the same as authorize for a request of any kind. Requests of
+// operators are always allowed.
 func (g *Gateway) authorizeRequest(m LeaderRequest) (tenant string, isAllowed bool) {
 	if !isClientKind(m.Kind) {
 		return "", true
@@ -64,20 +69,23 @@
 	return authorize(g.values, m.Group, m.KeyHash)
 }
 
-// handleUnauthorized refuses a call that our copy of the cluster state doesn't allow, once
-// that is confirmed: its key may just have been added, or its queue become public. Calls
-// like one that was refused so under the same configuration aren't confirmed again. The
-// caller has checked the lease on the copy: without one nothing is refused for good.
+// handleUnauthorized refuses a call that the gateway's copy of the cluster state doesn't
+// allow, after a confirmation that the newest configuration doesn't allow it either: the
+// key may just have been added, or the queue have become public. A call with the same queue
+// and key as one that was refused under the same configuration is refused without another
+// confirmation. The caller must have checked that the lease on the copy is valid, as
+// nothing may be refused for good without it.
 func (g *Gateway) handleUnauthorized(now eventloop.Micros, refused refusedCall, call deferredCall, isConfirmed bool, effects eventloop.Effects) {
 	switch {
 	case isConfirmed:
 		g.refusedKeys.add(g.state.Configuration.GetRevision(), refused)
 		g.rejectUnauthorized(call.id(), effects)
 	case g.refusedKeys.contains(g.state.Configuration.GetRevision(), refused):
-		// The call may be refused by the copy as it is. A configuration that allows it has
-		// a higher revision, which the copy lacks. Under its lease the copy holds all that
-		// was committed three quarters of config_apply ago (stateLease), so that one was
-		// acknowledged later, and needn't be in force yet when this call was sent.
+		// No confirmation is needed. A configuration that allows the call would have a
+		// higher revision, which the copy lacks. While the lease is valid, the copy holds
+		// everything that was committed until three quarters of Bounds.ConfigApplyUs ago
+		// (stateLease). Such a configuration was therefore acknowledged later than that,
+		// and needn't have been in force yet when this call was sent.
 		g.rejectUnauthorized(call.id(), effects)
 	case !g.awaitConfirmation(now, keyCall{call}, effects):
 		g.rejectUnavailable(call.id(), "too many requests are waiting for the list of keys", effects)
@@ -85,5 +93,5 @@
 }
 
 func (g *Gateway) rejectUnauthorized(requestID uint64, effects eventloop.Effects) {
-	g.reject(requestID, http.StatusUnauthorized, codeUnknownKey, "the call needs the key of a tenant, and carries none that is known", 0, effects)
+	g.reject(requestID, http.StatusUnauthorized, codeUnknownKey, "the call must carry the key of a tenant, but carries no known key", 0, effects)
 }
--- a/internal/gateway/cluster_state.go
+++ b/internal/gateway/cluster_state.go
@@ -1,7 +1,6 @@
 package gateway
 
-// The gateway's copy of the cluster state: polled from storage nodes, and served under
-// a read lease.
+// This file polls the cluster state from storage nodes, and keeps the gateway's copy of it.
 
 import (
 	"maps"
@@ -12,18 +11,20 @@
 	"sparnotch/internal/schema"
 )
 
-// newStateQuery asks for what is newer than our copy.
+// newStateQuery returns a request for the changes since the gateway's copy of the cluster
+// state.
 func (g *Gateway) newStateQuery() *schema.ClusterStateRequest {
 	return &schema.ClusterStateRequest{Version: g.state.Version, HeldRevision: g.state.Configuration.GetRevision()}
 }
 
-// refreshClusterState polls the cluster state when it is time to.
+// refreshClusterState polls the cluster state if stateQueryInterval has passed since the
+// last poll.
 func (g *Gateway) refreshClusterState(now eventloop.Micros, effects eventloop.Effects) {
 	if now-g.stateQueriedAt < g.stateQueryInterval(now) {
 		return
 	}
-	// The local replica may be no voter, as after the loss of its disk, or be
-	// partitioned from the others: then other storage nodes are polled.
+	// Only a fresh local replica is polled. It may be partitioned from the others, or may
+	// not be a voter, for example after the loss of its disk: then other nodes are polled.
 	isLocalFresh := g.hasLocalReplica && !g.lease.needsRenewal(now) && g.state.Version > 0 && len(g.leaders) > 0
 	g.stateQueriedAt = now
 	switch {
@@ -40,8 +41,9 @@
 	}
 }
 
-// stateQueryInterval is the interval of polling. It is shorter without a fresh copy, as
-// nothing can be served then, and for a while after a queue lost its leader.
+// stateQueryInterval returns the polling interval. It is shorter while the lease needs
+// renewal, as nothing can be served once it ends, and for fastPollPeriod after a queue has
+// lost its leader.
 func (g *Gateway) stateQueryInterval(now eventloop.Micros) eventloop.Micros {
 	if g.lease.needsRenewal(now) {
 		return 2 * TickInterval
@@ -60,8 +62,9 @@
 	effects.Send(node, query)
 }
 
-// nextStorageNodes returns the next storage nodes in turn, whether they seem alive or
-// not: those that do may be partitioned together with this node.
+// nextStorageNodes returns the next storageNodesPerQuery storage nodes in round-robin
+// order. It includes nodes that don't seem to be alive: those that do may be in the same
+// network partition as this node.
 func (g *Gateway) nextStorageNodes() []string {
 	if g.membership == nil {
 		return nil
@@ -80,19 +83,19 @@
 	return selected
 }
 
-// handleClusterState takes an update of the cluster state from a storage node.
+// handleClusterState handles an update of the cluster state from a storage node.
 func (g *Gateway) handleClusterState(now eventloop.Micros, m *schema.ClusterStateResponse, effects eventloop.Effects) {
 	state, err := clusterstate.DecodeUpdate(m, g.state.Configuration)
 	if err != nil {
-		return // the next poll repeats it, and the lease isn't renewed until then
+		return // the lease isn't renewed, and the next poll requests the update again
 	}
 	if state != nil && state.Version >= g.state.Version {
 		g.state, g.values = state, g.values.ForConfiguration(state.Configuration)
 		g.updateLeaderless(now)
 		g.endRemovedQueues(now, effects)
 	}
-	// The local replica notifies of each change, also while it catches up after a
-	// start. Only responses to queries renew the lease.
+	// The local replica sends each change without a query, even while it catches up after
+	// a start and its state is stale. Only responses to queries renew the lease.
 	if m.Version >= g.state.Version {
 		g.lease.renew(m.Sequence, eventloop.Micros(m.AgeUs))
 	}
@@ -105,8 +108,8 @@
 	}
 }
 
-// updateLeaders takes the leaders by group, and schedules what is pending at others to
-// be sent to the new ones.
+// updateLeaders records the given leaders by group. What is pending at a former leader is
+// scheduled to be sent to the new one at the next tick.
 func (g *Gateway) updateLeaders(now eventloop.Micros, leaders map[string]string) {
 	hasChanged := false
 	for group, leader := range leaders {
--- a/internal/gateway/confirmation.go
+++ b/internal/gateway/confirmation.go
@@ -1,7 +1,7 @@
 package gateway
 
-// Linearizable reads of which queues and keys there are, for requests to a queue or with a
-// key that the gateway's copy of the configuration lacks.
+// This file reads the newest configuration from the leader of the cluster state, with a
+// linearizable read, for requests to a queue or with a key that the gateway's copy lacks.
 
 import (
 	"net/http"
@@ -17,20 +17,20 @@
 const (
 	confirmationTimeout     = 500 * eventloop.Millisecond
 	maxAwaitingConfirmation = 256
-	maxAwaitingForKey       = maxAwaitingConfirmation / 2 // the rest is left to calls to new queues
-	// Confirmations are requests of the gateway's own, numbered above those of the
-	// process.
+	maxAwaitingForKey       = maxAwaitingConfirmation / 2 // the other half is reserved for calls to new queues
+	// The gateway sends confirmations on its own account. Their request IDs are above
+	// those that the process assigns to calls.
 	firstConfirmationID = 1 << 63
 )
 
-// deferredCall is a client's request that waits until its queue and key are confirmed to
-// exist or not.
+// deferredCall is a client's request that waits until the newest configuration has been
+// read, which shows whether its queue and key exist.
 type deferredCall interface {
 	id() uint64
 	resume(g *Gateway, now eventloop.Micros, effects eventloop.Effects)
 }
 
-// keyCall is a deferred call that waits because of its key.
+// keyCall is a deferred call whose key the gateway's copy of the configuration lacks.
 type keyCall struct{ deferredCall }
 
 func (m SubmitJob) id() uint64     { return m.RequestID }
@@ -44,21 +44,21 @@
 	g.handleRequest(now, m, true, effects)
 }
 
-// confirmation holds requests to queues that our copy of the configuration lacks, until
-// the leader of the cluster state has confirmed, after they came, what the newest
-// configuration is. So a new configuration can be used at once, and no client is
-// answered from a stale copy that a queue doesn't exist. One confirmation is in flight
-// at a time; it decides the calls that came before it was sent.
+// confirmation holds requests with a queue or key that the gateway's copy of the
+// configuration lacks, until the leader of the cluster state has returned the newest
+// configuration. Clients can therefore use a new configuration immediately, and are never
+// told because of a stale copy that a queue doesn't exist. Only one confirmation is in
+// flight at a time; it decides the calls that arrived before it was sent.
 type confirmation struct {
-	requestID  uint64 // of the one in flight; 0: none
+	requestID  uint64 // of the confirmation in flight; 0 if there is none
 	sentAt     eventloop.Micros
-	inFlight   []deferredCall // that it decides
-	queued     []deferredCall // for the next one
-	lastNumber uint64
+	inFlight   []deferredCall // decided by the confirmation in flight
+	queued     []deferredCall // decided by the next confirmation
+	lastNumber uint64         // of the newest confirmation
 }
 
-// awaitConfirmation holds a call until its queue and key are confirmed to exist or not. It
-// returns false where too many calls are waiting already.
+// awaitConfirmation holds a call until the newest configuration shows whether its queue and
+// key exist. It returns false if too many calls are already waiting.
 func (g *Gateway) awaitConfirmation(now eventloop.Micros, call deferredCall, effects eventloop.Effects) bool {
 	c := &g.confirmation
 	if !c.hasRoomFor(call) {
@@ -71,7 +71,8 @@
 	return true
 }
 
-// hasRoomFor reports whether few enough calls wait for another one to wait.
+// hasRoomFor reports whether another call may wait without exceeding the limits on waiting
+// calls.
 func (c *confirmation) hasRoomFor(call deferredCall) bool {
 	if _, isForKey := call.(keyCall); isForKey && c.keyCallCount() >= maxAwaitingForKey {
 		return false
@@ -91,7 +92,7 @@
 	return count
 }
 
-// sendConfirmation sends the next confirmation if calls wait for one.
+// sendConfirmation sends the next confirmation if any calls are queued for it.
 func (g *Gateway) sendConfirmation(now eventloop.Micros, effects eventloop.Effects) {
 	c := &g.confirmation
 	if len(c.queued) == 0 {
@@ -106,7 +107,8 @@
 	g.sendRequest(now, pending, effects)
 }
 
-// finishConfirmation takes the leader's response, and resumes the calls that it decides.
+// finishConfirmation handles the leader's response to the confirmation in flight, and
+// resumes the calls that it decides.
 func (g *Gateway) finishConfirmation(now eventloop.Micros, m *schema.Response, effects eventloop.Effects) {
 	update := &schema.ClusterStateResponse{}
 	if m.Code != http.StatusOK || proto.Unmarshal(m.Body, update) != nil {
@@ -115,7 +117,8 @@
 	}
 	g.handleClusterState(now, update, effects)
 	if g.state.Version < update.Version {
-		// The response omitted a newer state, as it is being sent already.
+		// The leader omitted the newer state from its response because it is already
+		// sending that state to this gateway.
 		g.failConfirmation(now, effects)
 		return
 	}
@@ -126,7 +129,8 @@
 	g.sendConfirmation(now, effects)
 }
 
-// failConfirmation rejects the calls in flight: whether their queues and keys exist is unknown.
+// failConfirmation rejects the calls that wait for the confirmation in flight, as it is
+// unknown whether their queues and keys exist.
 func (g *Gateway) failConfirmation(now eventloop.Micros, effects eventloop.Effects) {
 	for _, call := range g.takeInFlight() {
 		g.rejectNotReady(now, call.id(), effects)
@@ -142,15 +146,17 @@
 	return calls
 }
 
-// expireConfirmation fails a confirmation that the leader doesn't answer in time.
+// expireConfirmation fails the confirmation in flight if the leader hasn't answered it
+// within confirmationTimeout.
 func (g *Gateway) expireConfirmation(now eventloop.Micros, effects eventloop.Effects) {
 	if g.confirmation.requestID != 0 && now-g.confirmation.sentAt > confirmationTimeout {
 		g.failConfirmation(now, effects)
 	}
 }
 
-// handleUnknownQueue rejects a call to a queue that our copy of the cluster state
-// lacks, once that is confirmed. The queue is empty where no route matched.
+// handleUnknownQueue rejects a call to a queue that the gateway's copy of the cluster state
+// lacks, after a confirmation that the newest state lacks it too. The queue is empty if no
+// route matched.
 func (g *Gateway) handleUnknownQueue(now eventloop.Micros, queue string, call deferredCall, isConfirmed bool, effects eventloop.Effects) {
 	switch {
 	case !g.lease.isValid(now):
@@ -159,7 +165,7 @@
 		if !g.awaitConfirmation(now, call, effects) {
 			g.rejectUnavailable(call.id(), "too many requests are waiting for the list of queues", effects)
 		}
-	// Before the first configuration nobody knows which queues there will be.
+	// Without a first configuration it is unknown which queues there will be.
 	case g.state.Configuration.GetRevision() == 0 || g.values.HasQueue(queue):
 		g.rejectUnavailable(call.id(), "there is no configuration yet, or the queue is being created", effects)
 	case queue == "":
--- a/internal/gateway/leaders.go
+++ b/internal/gateway/leaders.go
@@ -1,6 +1,6 @@
 package gateway
 
-// Which storage node leads a group, as far as is known.
+// This file tracks which storage node leads each group, as far as this gateway knows.
 
 import (
 	"maps"
@@ -22,8 +22,8 @@
 	}
 }
 
-// updateLeaderless adds queues that are new in the cluster state, and drops those that
-// were removed.
+// updateLeaderless starts to track new queues in the cluster state as leaderless, and stops
+// tracking removed ones.
 func (g *Gateway) updateLeaderless(now eventloop.Micros) {
 	for _, placement := range g.state.Queues {
 		if _, found := g.leaderlessSince[placement.Queue]; !found && g.leaders[placement.Queue] == "" {
@@ -37,21 +37,22 @@
 	}
 }
 
-// isLeaderless says whether a queue has been without a known leader for so long that
-// its submissions are rejected. Accepted ones can't be rejected any more.
+// isLeaderless reports whether a queue has had no known leader for longer than
+// leaderlessGracePeriod, so that new submissions to it are rejected. Accepted submissions
+// can no longer be rejected.
 func (g *Gateway) isLeaderless(now eventloop.Micros, queue string) bool {
 	since, found := g.leaderlessSince[queue]
 	return found && now-since > leaderlessGracePeriod
 }
 
-// canCommit says whether a quorum of a queue's voters accepts writes, as far as is
-// known.
+// canCommit reports whether a quorum of a queue's voters accepts writes, as far as this
+// gateway knows.
 func (g *Gateway) canCommit(now eventloop.Micros, queue string) bool {
 	if g.membership == nil {
 		return true
 	}
-	// The leader reports the voters now and then; until its first report the initial
-	// ones count.
+	// The queue's leader reports its voters periodically. Until the first report the
+	// initial voters count.
 	voters := clusterstate.FindQueue(g.state, queue).GetInitialVoters()
 	if status := g.queueStatus[queue]; status != nil {
 		voters = status.Voters
@@ -59,8 +60,8 @@
 	return g.membership.HasWritableQuorum(now, voters, g.membership.RefusesWrites)
 }
 
-// target returns the node to send a group's requests to: its leader, or some storage
-// node that may know the leader; empty: none is known.
+// target returns the ID of the node to send a group's requests to: its leader, or a storage
+// node that may know the leader. It returns "" if no storage node is known.
 func (g *Gateway) target(now eventloop.Micros, group string) string {
 	if id := g.leaders[group]; id != "" {
 		return id
@@ -68,8 +69,8 @@
 	return g.anyStorageNode(now)
 }
 
-// isPlausibleLeader says whether a node that was named as a leader may be one. Whoever
-// names a node that is draining or silent has stale information.
+// isPlausibleLeader reports whether a node that was named as a leader may be one. If the
+// node is draining or hasn't been heard from, the information is stale.
 func (g *Gateway) isPlausibleLeader(now eventloop.Micros, id string) bool {
 	if id == "" {
 		return false
@@ -81,8 +82,8 @@
 	return !found || !status.Member.Draining && g.membership.IsAlive(id, now, storageNodeTimeout)
 }
 
-// anyStorageNode returns a random storage node, one that is alive and not draining if
-// there is one.
+// anyStorageNode returns the ID of a random storage node, preferably one that is alive and
+// not draining. It returns "" if no storage node is known.
 func (g *Gateway) anyStorageNode(now eventloop.Micros) string {
 	if g.membership == nil {
 		return ""
--- a/internal/gateway/refused_keys.go
+++ b/internal/gateway/refused_keys.go
@@ -1,23 +1,25 @@
 package gateway
 
-// maxRefusedKeys is how many refused calls are remembered.
+// maxRefusedKeys is the maximum number of refusedCall values that are remembered.
 const maxRefusedKeys = 1024
 
-// refusedCall is what calls have in common that are refused for the same reason.
+// refusedCall identifies the calls to one queue with one key, which are all refused for the
+// same reason.
 type refusedCall struct {
 	queue   string
-	keyHash string // empty: they carry no key
+	keyHash string // empty if the calls carry no key
 }
 
-// refusedKeys remembers which calls were refused, once the configuration's present revision
+// refusedKeys remembers which calls were refused after one revision of the configuration
 // was confirmed to be the newest.
 type refusedKeys struct {
-	revision uint64 // of the configuration
+	revision uint64 // revision of the configuration under which calls were refused
 	calls    map[refusedCall]bool
 }
 
-// add forgets what was refused under another revision. A full set is emptied: what fills it
-// is calls whose keys differ, of which none may come again.
+// add remembers a refused call, and forgets the calls that were refused under another
+// revision. A full set is emptied, because only calls with many different keys can fill it,
+// and none of these keys may be used again.
 func (r *refusedKeys) add(revision uint64, call refusedCall) {
 	if r.revision != revision || len(r.calls) >= maxRefusedKeys {
 		r.revision, r.calls = revision, map[refusedCall]bool{}
@@ -25,6 +27,7 @@
 	r.calls[call] = true
 }
 
+// contains reports whether a call was refused under a revision of the configuration.
 func (r *refusedKeys) contains(revision uint64, call refusedCall) bool {
 	return r.revision == revision && r.calls[call]
 }
--- a/internal/gateway/removed_queues.go
+++ b/internal/gateway/removed_queues.go
@@ -1,6 +1,7 @@
 package gateway
 
-// Work that is pending for queues that were removed from the configuration.
+// This file ends the work that is pending for queues that were removed from the
+// configuration.
 
 import (
 	"cmp"
@@ -11,8 +12,8 @@
 	"sparnotch/internal/eventloop"
 )
 
-// endRemovedQueues answers what is pending for queues that were removed: they have no
-// leader any more that would.
+// endRemovedQueues answers what is pending for queues that were removed, as they no longer
+// have a leader that would answer.
 func (g *Gateway) endRemovedQueues(now eventloop.Micros, effects eventloop.Effects) {
 	byName := func(a, b queueClient) int {
 		return cmp.Or(cmp.Compare(a.queue, b.queue), cmp.Compare(a.client, b.client))
@@ -36,8 +37,8 @@
 	}
 }
 
-// endSession drops a session whose queue was removed. Whether its submissions were
-// applied before is unknown.
+// endSession drops a session whose queue was removed. It reports an unknown outcome to the
+// waiting clients, as the queue may have applied their submissions before its removal.
 func (g *Gateway) endSession(key queueClient, effects eventloop.Effects) {
 	s := g.sessions[key]
 	for _, pending := range s.unconfirmed {
--- a/internal/gateway/state_lease.go
+++ b/internal/gateway/state_lease.go
@@ -3,59 +3,63 @@
 import "sparnotch/internal/eventloop"
 
 const (
-	// defaultApplyBound is the deadline for a new configuration to be in force on
-	// each gateway, where the deployment gives none.
+	// defaultApplyBound is how soon after its commit a new configuration must be in
+	// force on each gateway, unless the deployment sets Bounds.ConfigApplyUs.
 	defaultApplyBound = 2 * eventloop.Second
-	// The lease lasts three quarters of that bound. The rest is for the lag of the
-	// follower that answers a query, and for the response's way.
+	// The lease lasts three quarters of the bound. The rest covers the lag of the
+	// follower that answers a query, and the transmission of its response.
 	leaseNumerator, leaseDenominator = 3, 4
-	queriesPerLease                  = 6  // at least
-	maxTrackedQueries                = 32 // responses to older ones renew nothing
+	queriesPerLease                  = 6  // minimum number of queries sent while a lease lasts
+	maxTrackedQueries                = 32 // responses to older queries don't renew the lease
 )
 
-// stateLease is the read lease on the gateway's copy of the cluster state: it says how
-// long the copy may be served (a bounded-staleness read). It runs from when the query
-// was sent, less the age that the response states, so a response that was delayed, in
-// a buffer of ours or by the network, is worth no more than it was.
+// stateLease is the read lease on the gateway's copy of the cluster state. It determines
+// how long requests may be served from the copy (bounded staleness). The lease starts when
+// the query was sent, minus the age that the response states for its data, so a response
+// that was delayed by the network or in a local buffer doesn't extend it.
 type stateLease struct {
-	maxStaleness eventloop.Micros // after a configuration is committed, until it must be in force
-	confirmedAt  eventloop.Micros // the copy held all that was committed by then; 0: never
+	maxStaleness eventloop.Micros // how soon after its commit a configuration must be in force
+	confirmedAt  eventloop.Micros // the copy holds everything committed by this time; 0 if not known for any time
 	lastQueryID  uint64
-	queries      []stateQuery // the newest last
+	queries      []stateQuery // in ascending order of ID; at most maxTrackedQueries
 }
 
+// stateQuery is a query for the cluster state whose response may renew the lease.
 type stateQuery struct {
 	id     uint64
 	sentAt eventloop.Micros
 }
 
-// newStateLease numbers queries above those of the process's former incarnations.
+// newStateLease returns an invalid lease. Its query IDs are above those of the process's
+// former incarnations.
 func newStateLease(incarnation uint64) stateLease {
 	return stateLease{maxStaleness: defaultApplyBound, lastQueryID: incarnation << 32}
 }
 
+// duration returns how long the lease lasts after confirmedAt.
 func (l *stateLease) duration() eventloop.Micros {
 	return l.maxStaleness * leaseNumerator / leaseDenominator
 }
 
-// isValid says whether the copy may be served.
+// isValid reports whether requests may be served from the copy.
 func (l *stateLease) isValid(now eventloop.Micros) bool {
 	return l.confirmedAt > 0 && now-l.confirmedAt <= l.duration()
 }
 
-// needsRenewal says whether half of the lease is over, so that several storage nodes
-// are to be polled.
+// needsRenewal reports whether half of the lease is over. Several storage nodes are then
+// polled at the same time.
 func (l *stateLease) needsRenewal(now eventloop.Micros) bool {
 	return l.confirmedAt == 0 || now-l.confirmedAt > l.duration()/2
 }
 
-// isGracePeriodOver says whether pending requests are to be failed: a while after the lease has
-// ended, so that a late response doesn't cost them.
+// isGracePeriodOver reports whether pending requests must be failed. They aren't failed as
+// soon as the lease ends, since a late response may still renew it, but only when
+// maxStaleness is over.
 func (l *stateLease) isGracePeriodOver(now eventloop.Micros) bool {
 	return l.confirmedAt == 0 || now-l.confirmedAt > l.maxStaleness
 }
 
-// newQuery returns the number of a query that is sent now.
+// newQuery returns the ID of a new query, and records that it is sent now.
 func (l *stateLease) newQuery(now eventloop.Micros) uint64 {
 	l.lastQueryID++
 	l.queries = append(l.queries, stateQuery{l.lastQueryID, now})
@@ -65,8 +69,8 @@
 	return l.lastQueryID
 }
 
-// renew takes the response to a query: it held all that was committed that long before
-// the query was sent.
+// renew extends the lease upon the response to a query. The response holds everything that
+// was committed by the time age before the query was sent.
 func (l *stateLease) renew(queryID uint64, age eventloop.Micros) {
 	for _, query := range l.queries {
 		if query.id == queryID {
