--- a/internal/gateway/faults.go
+++ b/internal/gateway/faults.go
@@ -1,6 +1,6 @@
 package gateway
 
-// Error responses.
+// This file builds error responses.
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"sparnotch/internal/schema"
 )
 
-// Error codes in the bodies of responses.
+// Error codes in the bodies of error responses.
 const (
 	codeBadJob       = "bad_job"
 	codeBadName      = "bad_name"
@@ -28,16 +28,16 @@
 	codeWindowFull   = "window_full"
 )
 
-// NameRule explains to clients what IsValidName accepts.
-const NameRule = "letters, digits, '.', '_', ':' and '-', at most 128"
+// NameRule is the error message for names that IsValidName rejects.
+const NameRule = "a name has at most 128 characters: letters, digits, '.', '_', ':' and '-'; the first is a letter or digit"
 
 const (
 	gatewayFullMessage    = "this gateway has too many pending requests"
 	maxNotReadyRetryAfter = 10 // seconds
 )
 
-// ErrorBody is the JSON body of an error response; field names the part of the request
-// that is at fault, if one is.
+// ErrorBody returns the JSON body of an error response. The field names the part of the
+// request that caused the error; it is empty if no single part did.
 func ErrorBody(code, message, field string) []byte {
 	data, err := json.Marshal(&schema.Error{Code: code, Message: message, Field: field})
 	if err != nil {
@@ -46,24 +46,25 @@
 	return data
 }
 
-// Overloaded is the response where the gateway has no room for another request.
-// RetryAfter is given in seconds.
+// Overloaded returns the response for a request that the gateway rejects because too many
+// requests are pending. retryAfter is in seconds.
 func Overloaded(retryAfter int) Response {
 	return Response{
 		Code: http.StatusTooManyRequests, Body: ErrorBody(codeGatewayFull, gatewayFullMessage, ""), RetryAfter: retryAfter,
 	}
 }
 
-// Unprocessable is the response to a request that can't be accepted as it is.
+// Unprocessable returns the response to a request that is invalid, so that a retry without
+// a change would fail too.
 func Unprocessable(fault *schema.Error) Response {
 	body, _ := json.Marshal(fault)
 	return Response{Code: http.StatusUnprocessableEntity, Body: body}
 }
 
-// outcomeUnknown is the response where a command may or may not have taken effect.
+// outcomeUnknown returns the response to a request that may or may not have taken effect.
 func outcomeUnknown() Response {
 	return Response{
-		Code: http.StatusGatewayTimeout, Body: ErrorBody(codeUnknown, "whether this took effect is not known: send it again under the same name", ""), RetryAfter: 1,
+		Code: http.StatusGatewayTimeout, Body: ErrorBody(codeUnknown, "it is not known whether the request took effect; send it again under the same name", ""), RetryAfter: 1,
 	}
 }
 
@@ -71,17 +72,17 @@
 	effects.Respond(requestID, Response{Code: status, Body: ErrorBody(code, message, ""), RetryAfter: retryAfter})
 }
 
-// rejectUnavailable rejects a request that may succeed in a second.
+// rejectUnavailable rejects a request for now, and tells the client to retry after a second.
 func (g *Gateway) rejectUnavailable(requestID uint64, message string, effects eventloop.Effects) {
 	g.reject(requestID, http.StatusServiceUnavailable, codeNotReady, message, 1, effects)
 }
 
-// rejectNotReady rejects a request for want of a valid read lease. The longer the lease
-// is over, the later a retry here is worthwhile.
+// rejectNotReady rejects a request because the gateway has no valid read lease. The longer
+// ago the copy was last confirmed, the later the client is told to retry at this gateway.
 func (g *Gateway) rejectNotReady(now eventloop.Micros, requestID uint64, effects eventloop.Effects) {
 	retryAfter := 1
 	if since := g.lease.confirmedAt; since > 0 {
 		retryAfter = min(max(int((now-since)/(2*eventloop.Second)), 1), maxNotReadyRetryAfter)
 	}
-	g.reject(requestID, http.StatusServiceUnavailable, codeNotReady, "this gateway's copy of the cluster state is stale: try another gateway", retryAfter, effects)
+	g.reject(requestID, http.StatusServiceUnavailable, codeNotReady, "this gateway's copy of the cluster state is stale; try another gateway", retryAfter, effects)
 }
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -1,65 +1,66 @@
 package gateway
 
-// The messages that the rest of the process posts to the gateway. Each that carries a
-// RequestID is answered with a Response to that request, unless a ForgetRequest comes
-// first. Deadlines are instants of the process's clock.
+// This file defines the messages that other components of the process post to the gateway.
+// The gateway answers each message that has a RequestID with a Response to that request,
+// unless a ForgetRequest arrives first. Deadlines are points in time of the process's
+// monotonic clock.
 
 import (
 	"sparnotch/internal/eventloop"
 	"sparnotch/internal/schema"
 )
 
-// Kinds of requests, as they are sent to the leader of a group.
+// Kinds of requests that are sent to the leader of a group.
 const (
-	// KindStatus reads a job, KindCancel cancels it.
+	// KindStatus reads a job. KindCancel cancels a job.
 	KindStatus = "status"
 	KindCancel = "cancel"
-	// KindList reads a page of a queue's jobs, KindCounts how many there are.
+	// KindList reads a page of a queue's jobs. KindCounts reads the number of its jobs.
 	KindList   = "list"
 	KindCounts = "counts"
-	// KindConfiguration reads the configuration, KindHistory its former revisions.
+	// KindConfiguration reads the configuration. KindHistory reads its former revisions.
 	KindConfiguration = "plan"
 	KindHistory       = "history"
-	// KindReadClusterState reads the whole cluster state, KindProposeClusterState proposes a command to
-	// it.
+	// KindReadClusterState reads the whole cluster state. KindProposeClusterState proposes
+	// a command that changes it.
 	KindReadClusterState    = "state"
 	KindProposeClusterState = "clusterstate"
 )
 
-// SubmitJob submits a job for a client. Where Queue is empty, host and path are matched
-// with the configuration's routes: the route gives the queue, and the rest of the path
-// the job's name.
+// SubmitJob submits a job for a client. If Queue is empty, Host and Path are matched
+// against the configuration's routes: the route determines the queue, and the rest of the
+// path is the job's name.
 type SubmitJob struct {
 	RequestID uint64
 	Queue     string
 	Host      string
 	Path      string
-	Client    string // names the session
-	KeyHash   string // clusterstate.HashKey of the key that the call carries; empty: it carries none
+	Client    string // name of the client; its submissions to one queue form a session
+	KeyHash   string // clusterstate.HashKey of the key that the call carries; empty if it carries none
 	Name      string
-	Digest    []byte // of the job as the client gave it
+	Digest    []byte // digest of the job as the client sent it
 	Job       *schema.Job
 	Deadline  eventloop.Micros
 }
 
-// LeaderRequest is any other request to the leader of a group. Where Group is empty,
-// host and path are matched with the configuration's routes, as for SubmitJob.
+// LeaderRequest is a request, other than a submission, to the leader of a group. If Group
+// is empty, Host and Path are matched against the configuration's routes, as for SubmitJob.
 type LeaderRequest struct {
 	RequestID uint64
-	Kind      string
-	Group     string // a queue, or clusterstate.Group
+	Kind      string // KindStatus, KindCancel and so on
+	Group     string // name of a queue, or clusterstate.GroupName
 	Host      string
 	Path      string
-	Name      string // of a job
-	KeyHash   string // as in SubmitJob; for calls of clients
-	After     string // the last job of the page before; for KindList
-	Limit     uint32 // jobs on a page; for KindList
-	Body      []byte // a marshalled command; for KindProposeClusterState
+	Name      string // name of a job
+	KeyHash   string // as in SubmitJob; for requests of clients
+	After     string // name of the last job on the previous page; for KindList
+	Limit     uint32 // maximum number of jobs on a page; for KindList
+	Body      []byte // marshalled command; for KindProposeClusterState
 	Deadline  eventloop.Micros
 }
 
-// ForwardHeartbeat passes a worker's heartbeat on to the scheduler that holds the
-// worker's lease. The response's body holds the scheduler's orders.
+// ForwardHeartbeat forwards a worker's heartbeat to the scheduler that holds the worker's
+// lease. The body of the response contains the scheduler's orders.
 type ForwardHeartbeat struct {
 	RequestID uint64
 	Worker    string
@@ -67,21 +68,22 @@
 	Deadline  eventloop.Micros
 }
 
-// CheckReadiness asks whether the gateway accepts requests.
+// CheckReadiness requests whether the gateway accepts requests.
 type CheckReadiness struct{ RequestID uint64 }
 
-// ListGateways asks for the addresses of all gateways that are known to be alive.
+// ListGateways requests the addresses of all gateways that are known to be alive.
 type ListGateways struct{ RequestID uint64 }
 
-// ForgetRequest says that nobody waits for a response any more.
+// ForgetRequest reports that the client no longer waits for the response to a request.
 type ForgetRequest struct{ RequestID uint64 }
 
-// StartDraining makes the gateway report itself as not ready. It goes on serving.
+// StartDraining makes the gateway report that it isn't ready, although it continues to serve
+// requests.
 type StartDraining struct{}
 
 // Response is an HTTP response.
 type Response struct {
 	Code       int32 // HTTP status
 	Body       []byte
-	RetryAfter int // seconds; 0: none
+	RetryAfter int // seconds; 0 if the client isn't told when to retry
 }
--- a/internal/gateway/worker_polls.go
+++ b/internal/gateway/worker_polls.go
@@ -1,6 +1,6 @@
 package gateway
 
-// Worker heartbeats, forwarded to the scheduler that holds the worker's lease.
+// This file forwards worker heartbeats to the scheduler that holds the worker's lease.
 
 import (
 	"encoding/json"
@@ -32,8 +32,8 @@
 	effects.Send(lease.Scheduler, &schema.WorkerPollRequest{Id: m.RequestID, Worker: m.Worker, Heartbeat: m.Heartbeat})
 }
 
-// registerWorker has a worker that has no lease yet added to the cluster state. Nobody
-// waits for the response: the worker's next heartbeats repeat it.
+// registerWorker proposes to add a worker without a lease to the cluster state. It doesn't
+// wait for a response: if the proposal is lost, the worker's next heartbeats repeat it.
 func (g *Gateway) registerWorker(now eventloop.Micros, worker string, effects eventloop.Effects) {
 	if g.state.Version == 0 || now-g.registrationSentAt[worker] <= registrationInterval {
 		return
