--- a/internal/httpcall/client.go
+++ b/internal/httpcall/client.go
@@ -1,11 +1,12 @@
-// Package httpcall is an HTTP/1.1 client that never retries a request on its own.
+// Package httpcall implements an HTTP/1.1 client that never sends a request twice.
 //
-// The client of net/http decides by itself when a request is sent again on another
-// connection (Request.GetBody, RFC 9110 section 9.2.2), and reuses a connection
-// without checking whether more has arrived on it than the response. Here a request is
-// retried only where no byte of it was written, and a connection is reused only after
-// exactly one complete response to each of its requests. Errors say which case it was:
-// NotSent or Unanswered. Client owns the connections.
+// The client of net/http decides by itself when to send a request again on another
+// connection (Request.GetBody, RFC 9110 section 9.2.2). It also reuses a connection
+// without checking whether bytes other than the response have arrived on it. Client
+// retries a request only if no byte of it was written, and reuses a connection only if
+// each request on it was answered with exactly one complete response. The error of a
+// failed request is NotSent or Unanswered, and so tells whether the peer may have
+// received the request.
 package httpcall
 
 import (
@@ -23,27 +24,27 @@
 var (
 	// Errors is the namespace of this package's errors.
 	Errors = errorx.NewNamespace("httpcall")
-	// NotSent means that no byte of the request was written: a retry is safe.
+	// NotSent means that no byte of the request was written, so that a retry is safe.
 	NotSent = Errors.NewType("not_sent")
-	// Unanswered means that the request was written, at least in part, and no complete
-	// response was read: it may have been processed, or still may be.
+	// Unanswered means that at least a part of the request was written, and no complete
+	// response was read. The peer may have processed the request, or may still do so.
 	Unanswered = Errors.NewType("unanswered")
 
-	responseTooLong = Errors.NewType("too_long")
-	badHeader       = Errors.NewType("bad_header")
+	responseTooLong = Errors.NewType("response_too_long")
+	badHeader       = Errors.NewType("invalid_header_value")
 )
 
-// Limits bound a client's use of connections.
+// Limits holds the limits of a client's connections and responses.
 type Limits struct {
-	MaxConnections   int           // to one address; further requests wait
-	MaxIdle          int           // connections to one address
-	IdleTimeout      time.Duration // after the last response
+	MaxConnections   int           // to one address; further requests wait for one of them
+	MaxIdle          int           // idle connections to one address; further ones are closed
+	IdleTimeout      time.Duration // after the last response, until an idle connection is no longer used
 	DialTimeout      time.Duration
-	MaxResponseBytes int64 // of a body
+	MaxResponseBytes int64 // in the body of a response
 	KeepAlive        net.KeepAliveConfig
 }
 
-// Request is one HTTP request.
+// Request is an HTTP request.
 type Request struct {
 	Address string // host:port
 	Method  string
@@ -52,9 +53,9 @@
 	Body    []byte
 }
 
-// Response is a complete response.
+// Response is an HTTP response that was read completely.
 type Response struct {
-	Code int
+	Code int // HTTP status
 	Body []byte
 }
 
@@ -63,33 +64,33 @@
 type Client struct {
 	limits Limits
 	now    func() time.Time
-	mu     sync.Mutex
+	mu     sync.Mutex // guards peers and the idle connections of each peer
 	peers  map[string]*peer
 }
 
-// New returns a client without connections.
+// New returns a client that has no connections yet.
 func New(limits Limits) *Client {
 	return &Client{limits: limits, now: time.Now, peers: map[string]*peer{}}
 }
 
-// Do sends a request and reads the response. The context bounds all of it, including the
-// wait for a connection. Errors: NotSent and Unanswered.
+// Do sends a request and returns the response. The context also limits the wait for a
+// connection. An error is of the type NotSent or Unanswered.
 func (c *Client) Do(ctx context.Context, request Request) (Response, error) {
 	message, parsed, err := encode(request)
 	if err != nil {
-		return Response{}, NotSent.Wrap(err, "encoding the request")
+		return Response{}, NotSent.Wrap(err, "encoding the request failed")
 	}
 	p := c.peer(request.Address)
 	select {
 	case p.slots <- struct{}{}:
 	case <-ctx.Done():
-		return Response{}, NotSent.Wrap(ctx.Err(), "waiting for a connection")
+		return Response{}, NotSent.Wrap(ctx.Err(), "the context ended while the request waited for a connection")
 	}
 	defer func() { <-p.slots }()
 	for {
 		conn, err := c.connection(ctx, p)
 		if err != nil {
-			return Response{}, NotSent.Wrap(err, "dialing %s", request.Address)
+			return Response{}, NotSent.Wrap(err, "dialing %s failed", request.Address)
 		}
 		response, err := conn.exchange(ctx, message, parsed, c.limits.MaxResponseBytes)
 		if err == nil {
@@ -97,16 +98,17 @@
 			return response, nil
 		}
 		conn.Close()
-		// The peer may have closed an idle connection just after it was checked. Each
-		// attempt uses one up, so the last one is on a new connection.
+		// The request is retried if it wasn't sent and the connection was an idle one: the
+		// peer may have closed it just after it was checked. Each attempt uses up one idle
+		// connection, so the last attempt is on a new one.
 		if !errorx.IsOfType(err, NotSent) || conn.responses == 0 || ctx.Err() != nil {
 			return Response{}, err
 		}
 	}
 }
 
-// encode returns a request's bytes, which are sent in one write, and the form in which
-// http.ReadResponse needs it.
+// encode returns the bytes of a request, which are sent in one write, and the request in the
+// form that http.ReadResponse needs.
 func encode(request Request) ([]byte, *http.Request, error) {
 	parsed, err := http.NewRequest(request.Method, "http://"+request.Address+request.Path, bytes.NewReader(request.Body))
 	if err != nil {
@@ -116,7 +118,7 @@
 		for _, value := range values {
 			// net/http would silently replace these characters.
 			if strings.ContainsFunc(value, isControl) {
-				return nil, nil, badHeader.New("%s: %q", name, value)
+				return nil, nil, badHeader.New("header %s has a value with control characters: %q", name, value)
 			}
 		}
 		parsed.Header[name] = values
@@ -128,9 +130,10 @@
 	return message.Bytes(), parsed, nil
 }
 
+// isControl reports whether a character isn't allowed in the value of a header.
 func isControl(char rune) bool { return char < ' ' && char != '\t' || char == 0x7f }
 
-// Close closes the idle connections. The client may be used again.
+// Close closes the idle connections. The client may still be used after that.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/httpcall/peer.go
+++ b/internal/httpcall/peer.go
@@ -8,10 +8,11 @@
 // peer holds the connections to one address.
 type peer struct {
 	address string
-	slots   chan struct{} // one for each request in progress
-	idle    []*connection // the last used one last; guarded by Client.mu
+	slots   chan struct{} // semaphore of MaxConnections; holds one element per request in progress
+	idle    []*connection // the most recently used last; guarded by Client.mu
 }
 
+// peer returns the peer with an address, and creates it if there is none.
 func (c *Client) peer(address string) *peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -23,7 +24,8 @@
 	return p
 }
 
-// connection returns a clean idle connection or a new one.
+// connection returns an idle connection that can be used for another request, or a new one.
+// It closes idle connections that can't be used any more.
 func (c *Client) connection(ctx context.Context, p *peer) (*connection, error) {
 	for {
 		conn := c.takeIdle(p)
@@ -43,6 +45,8 @@
 	return newConnection(dialed), nil
 }
 
+// takeIdle removes and returns the most recently used idle connection to a peer, or returns
+// nil if there is none.
 func (c *Client) takeIdle(p *peer) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,8 +59,8 @@
 	return conn
 }
 
-// release returns a connection to the idle ones, or closes it where it isn't reusable or
-// enough are idle.
+// release puts a connection among the idle ones of a peer, or closes it if it isn't reusable
+// or MaxIdle connections are idle already.
 func (c *Client) release(p *peer, conn *connection) {
 	conn.lastUsed = c.now()
 	if !conn.isReusable {
