--- a/internal/httpapi/connections_test.go
+++ b/internal/httpapi/connections_test.go
@@ -16,6 +16,7 @@
 	"sparnotch/internal/schema"
 )
 
+// freeAddress returns a local address with a port that is free at the moment.
 func freeAddress() string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	So(err, ShouldBeNil)
@@ -38,7 +39,8 @@
 			_, err := io.WriteString(client, text)
 			So(err, ShouldBeNil)
 		}
-		// nextResponse returns the next response; code 0: the connection has ended.
+		// nextResponse returns the status and body of the next response, or 0 and "" if the
+		// connection has ended.
 		nextResponse := func() (int, string) {
 			response, err := http.ReadResponse(reader, nil)
 			if err != nil {
@@ -66,7 +68,7 @@
 			}
 		})
 		Convey("after each error the next request has its own response, and a request inside a body has none", func() {
-			for _, each := range []struct {
+			for _, step := range []struct {
 				request string
 				code    int
 			}{
@@ -74,9 +76,9 @@
 				{put("/v1/queues/l/jobs/"+strings.Repeat("x", 200), counts), 422}, {put("/v1/plan", counts), 400},
 				{put("/v1/queues/l/jobs/j", `{"text":"t","steps":[{"name":"s","tasks":1,"cores_milli":1,"memory_mb":1}]}`), 503},
 			} {
-				send(each.request + alive)
+				send(step.request + alive)
 				code, _ := nextResponse()
-				So(code, ShouldEqual, each.code)
+				So(code, ShouldEqual, step.code)
 				mustBeAlive()
 			}
 		})
--- a/internal/httpapi/handlers.go
+++ b/internal/httpapi/handlers.go
@@ -32,30 +32,32 @@
 
 	clientHeader = "Sparnotch-Client"
 
-	// Schemes of the header Authorization.
+	// Accepted schemes in the Authorization header.
 	keyScheme    = "Token"
 	bearerScheme = "Bearer"
 
-	workerNameRule = "lower-case letters, digits, '.', '_' and '-', at most 63"
+	workerNameRule = "a name has at most 63 characters: lower-case letters, digits, '.', '_' and '-'; the first is a letter or digit"
 )
 
-// messageFactory makes the message of a request, for the id and the deadline that
-// process.Node.Call gives it.
+// messageFactory returns the message that posts a request to a component, with the request
+// ID and the deadline that process.Node.Call assigns to it.
 type messageFactory = func(id uint64, deadline eventloop.Micros) any
 
-// callGateway posts a request to the gateway and writes its response.
+// callGateway posts a request to the gateway and writes the gateway's response. If there is
+// none before the timeout, it reports an unknown outcome.
 func (s *Server) callGateway(ctx iris.Context, timeout eventloop.Micros, newMessage messageFactory) {
 	response, responded := s.node.Call(ctx.Request().Context(), process.GatewayComponent, timeout, newMessage).(gateway.Response)
 	if !responded {
 		response = gateway.Response{
 			Code: http.StatusGatewayTimeout, RetryAfter: 1,
-			Body: gateway.ErrorBody("unknown", "no answer in time: whether this took effect is not known; send it again", ""),
+			Body: gateway.ErrorBody("unknown", "the request timed out and it is not known whether it took effect; send it again", ""),
 		}
 	}
 	writeResponse(ctx, response)
 }
 
-// requestLeader has the gateway forward a request to the leader of its group.
+// requestLeader lets the gateway forward a request to the leader of the request's group, and
+// writes the response.
 func (s *Server) requestLeader(ctx iris.Context, timeout eventloop.Micros, request gateway.LeaderRequest) {
 	s.callGateway(ctx, timeout, func(id uint64, deadline eventloop.Micros) any {
 		request.RequestID, request.Deadline = id, deadline
@@ -63,18 +65,19 @@
 	})
 }
 
-// writeStateView writes what a component of this node knows, for debugging.
+// writeStateView writes the state of one of this node's components, for debugging.
 func (s *Server) writeStateView(ctx iris.Context, component string, newMessage messageFactory) {
 	view := s.node.Call(ctx.Request().Context(), component, readTimeout, newMessage)
 	if _, isRejected := view.(gateway.Response); view == nil || isRejected {
-		writeError(ctx, http.StatusNotFound, "nothing_here", "this process holds no replicas", "")
+		writeError(ctx, http.StatusNotFound, "nothing_here", "the component whose state was requested isn't part of this process, or it didn't respond", "")
 		return
 	}
 	writeJSON(ctx, view)
 }
 
-// clientName returns the name that the client gives itself, or else its address. False:
-// the name is invalid, and an error was written.
+// clientName returns the client's name from the Sparnotch-Client header, or the client's IP
+// address if it sends none. If the name is invalid, clientName writes an error response and
+// returns false.
 func clientName(ctx iris.Context) (string, bool) {
 	name := ctx.GetHeader(clientHeader)
 	if name == "" {
@@ -91,7 +94,7 @@
 	return name, true
 }
 
-// keyHash is the hash of the tenant's key that a call carries.
+// keyHash returns the hash of the tenant's key that a request carries.
 func keyHash(ctx iris.Context) string {
 	return gateway.KeyHashOf(ctx.Request().Header.Values("Authorization"), keyScheme, bearerScheme)
 }
@@ -134,8 +137,8 @@
 
 func (s *Server) listJobs(ctx iris.Context) {
 	limit := defaultPageSize
-	if given := ctx.URLParam("most"); given != "" {
-		number, err := strconv.Atoi(given)
+	if limitParam := ctx.URLParam("most"); limitParam != "" {
+		number, err := strconv.Atoi(limitParam)
 		if err != nil || number < 1 || number > maxPageSize {
 			writeError(ctx, http.StatusBadRequest, "bad_value", "must lie between 1 and "+strconv.Itoa(maxPageSize), "most")
 			return
@@ -148,7 +151,8 @@
 	})
 }
 
-// readUpdate reads an update of the configuration from a body. False: an error was written.
+// readUpdate decodes an update of the configuration from the body of a request. If the body
+// is invalid, readUpdate writes an error response and returns false.
 func readUpdate(ctx iris.Context) (*schema.ConfigurationUpdate, bool) {
 	data, isRead := readBody(ctx, maxConfigurationBytes)
 	if !isRead {
@@ -158,6 +162,7 @@
 	return update, decodeProtoJSON(ctx, data, update)
 }
 
+// putConfiguration replaces all rows of the configuration.
 func (s *Server) putConfiguration(ctx iris.Context) {
 	update, isRead := readUpdate(ctx)
 	if !isRead {
@@ -171,7 +176,8 @@
 	s.proposeUpdate(ctx, update)
 }
 
-// patchConfiguration sets and removes rows of the configuration that the patch is based on.
+// patchConfiguration sets and removes single rows of the configuration. The patch names the
+// revision or version that it is based on.
 func (s *Server) patchConfiguration(ctx iris.Context) {
 	update, isRead := readUpdate(ctx)
 	if !isRead {
@@ -181,7 +187,7 @@
 	s.proposeUpdate(ctx, update)
 }
 
-// proposeUpdate has the cluster state decide on an update of the configuration.
+// proposeUpdate proposes an update of the configuration to the leader of the cluster state.
 func (s *Server) proposeUpdate(ctx iris.Context, update *schema.ConfigurationUpdate) {
 	command := &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{
 		UpdateConfiguration: &schema.UpdateConfiguration{Update: update},
@@ -214,22 +220,22 @@
 	})
 }
 
-// validateHeartbeat returns the first thing that is wrong with a worker's heartbeat;
-// nil: nothing is.
-func validateHeartbeat(announce *schema.WorkerHeartbeat) *schema.Error {
+// validateHeartbeat returns the first error in a worker's heartbeat, or nil if the heartbeat
+// is valid.
+func validateHeartbeat(heartbeat *schema.WorkerHeartbeat) *schema.Error {
 	badValue := func(field, message string) *schema.Error {
 		return &schema.Error{Code: "bad_value", Message: message, Field: field}
 	}
 	switch {
-	case announce.Incarnation == 0:
-		return badValue("incarnation", "must be 1 or more and grow with each start of the worker")
-	case announce.Seq == 0:
-		return badValue("seq", "must be 1 or more and grow with each announce")
-	case announce.CoresMilli < 0:
+	case heartbeat.Incarnation == 0:
+		return badValue("incarnation", "must be at least 1 and increase with each start of the worker")
+	case heartbeat.Seq == 0:
+		return badValue("seq", "must be at least 1 and increase with each heartbeat")
+	case heartbeat.CoresMilli < 0:
 		return badValue("cores_milli", "must not be negative")
-	case announce.MemoryMb < 0:
+	case heartbeat.MemoryMb < 0:
 		return badValue("memory_mb", "must not be negative")
-	case announce.Rack != "" && !clusterstate.IsValidName(announce.Rack):
+	case heartbeat.Rack != "" && !clusterstate.IsValidName(heartbeat.Rack):
 		return &schema.Error{Code: "bad_name", Message: workerNameRule, Field: "rack"}
 	}
 	return nil
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -1,8 +1,9 @@
-// Package httpapi is the HTTP interface of a node, for clients, workers and operators.
+// Package httpapi implements the HTTP interface of a node, for clients, workers and
+// operators.
 //
-// Server checks and decodes requests and posts them to the node's components, which own
-// all state; docs/interface.md describes paths, JSON and error codes. The bodies of
-// responses come from the gateway, or from the component whose state view is asked for.
+// Server decodes and validates requests and posts them to the node's components, which own
+// all state. docs/interface.md describes paths, JSON and error codes. The body of a response
+// comes from the gateway, or from the component whose state view is requested.
 package httpapi
 
 import (
@@ -28,7 +29,7 @@
 	"sparnotch/internal/transport"
 )
 
-// Limits of connections.
+// Timeouts and limits of connections.
 const (
 	headerTimeout      = 5 * time.Second
 	requestReadTimeout = 15 * time.Second
@@ -43,8 +44,8 @@
 	httpServer *http.Server
 }
 
-// Serve starts to listen on the node's HTTP address. An error of the server later goes to
-// the node's Failed channel.
+// Serve starts to listen on the node's HTTP address, and serves requests in the background.
+// If the server fails later, it sends the error to the node's Failed channel.
 func Serve(node *process.Node, _ *zap.Logger) (*Server, error) {
 	s := &Server{node: node}
 	app := iris.New()
@@ -76,12 +77,12 @@
 	return s, nil
 }
 
-// StartDraining implements daemon.Server. The server goes on; the node's gateway reports
-// itself as not ready.
+// StartDraining implements daemon.Server. The server continues to serve requests; it is the
+// node's gateway that reports that it isn't ready.
 func (s *Server) StartDraining() {}
 
-// Shutdown accepts no more requests, and waits for those in progress until the context
-// ends.
+// Shutdown stops accepting requests, and waits for the requests in progress until the
+// context ends.
 func (s *Server) Shutdown(ctx context.Context) error { return s.httpServer.Shutdown(ctx) }
 
 func (s *Server) routes(app *iris.Application) {
