--- a/internal/gateway/authorization_test.go
+++ b/internal/gateway/authorization_test.go
@@ -12,7 +12,8 @@
 	"sparnotch/internal/schema"
 )
 
-// keyedRows require keys, and give the tenant "t" these ones.
+// keyedRows returns configuration rows that require keys, and give the tenant "t" the given
+// keys.
 func keyedRows(keys ...string) []*schema.ConfigurationRow {
 	rows := []*schema.ConfigurationRow{
 		{Kind: "fleet", Key: "require_keys", Value: "1"},
@@ -28,7 +29,7 @@
 	return rows
 }
 
-// keyedState is a cluster state with the queue "l" and keyedRows.
+// keyedState returns a cluster state whose configuration has the queue "l" and keyedRows.
 func keyedState(version uint64, keys ...string) *schema.ClusterState {
 	rows := append(keyedRows(keys...), &schema.ConfigurationRow{Kind: "queue", Name: "l", Key: "urgency", Value: "1"})
 	return &schema.ClusterState{
@@ -36,7 +37,7 @@
 	}
 }
 
-// hashOf is the hash of a key as calls carry it; a call without a key has none.
+// hashOf returns the KeyHash of a call that carries a key, or "" if the key is "".
 func hashOf(key string) string {
 	if key == "" {
 		return ""
@@ -44,7 +45,8 @@
 	return clusterstate.HashKey(key)
 }
 
-// submitWithKey submits a job with a key, "" for none.
+// submitWithKey submits a job in a call that carries a key, or none if the key is "". It
+// returns the request ID.
 func (h *harness) submitWithKey(key, name string) uint64 {
 	h.lastRequestID++
 	job := &schema.Job{Text: name, Steps: []*schema.Step{{Name: "s", Tasks: 1, CoresMilli: 1}}}
@@ -52,18 +54,19 @@
 	return h.lastRequestID
 }
 
-// askWithKey makes another call of a client.
-func (h *harness) askWithKey(kind, key string) uint64 {
+// requestWithKey makes a client's call of another kind, which carries a key, or none if the
+// key is "". It returns the request ID.
+func (h *harness) requestWithKey(kind, key string) uint64 {
 	h.lastRequestID++
 	h.step(LeaderRequest{RequestID: h.lastRequestID, Kind: kind, Group: "l", KeyHash: hashOf(key), Name: "j", Deadline: h.now + 9*eventloop.Second})
 	return h.lastRequestID
 }
 
-// forwardedCalls counts what was sent to the leader of the queue "l".
+// forwardedCalls counts the calls that were sent to the leader of the queue "l".
 func (h *harness) forwardedCalls() int {
 	count := 0
-	for _, each := range h.sent {
-		switch body := each.body.(type) {
+	for _, message := range h.sent {
+		switch body := message.body.(type) {
 		case *schema.SubmitRequest:
 			count++
 		case *schema.Request:
@@ -75,7 +78,8 @@
 	return count
 }
 
-// errorCode is the code of an error response; "": it isn't there, or no error.
+// errorCode returns the code in an error response. It returns "" if there is no response yet
+// or the response isn't an error.
 func (h *harness) errorCode(id uint64) string {
 	fault := &schema.Error{}
 	if json.Unmarshal(h.responses[id].Body, fault) != nil {
@@ -86,14 +90,14 @@
 
 var clientKinds = []string{KindStatus, KindCancel, KindCounts, KindList}
 
-// Guards against requests that run with a key that no configuration holds.
+// Guards against requests that are forwarded although no configuration contains their key.
 func TestUnknownKeysAreRefused(t *testing.T) {
 	for _, key := range []string{"guessed", ""} {
 		Convey("A call with the key '"+key+"' is refused with 401, and reaches no leader", t, func() {
 			h := newHarness(keyedRows("given")...)
 			ids := []uint64{h.submitWithKey(key, "j")}
 			for _, kind := range clientKinds {
-				ids = append(ids, h.askWithKey(kind, key))
+				ids = append(ids, h.requestWithKey(kind, key))
 			}
 			for h.gateway.confirmation.requestID != 0 {
 				h.confirmState(nil)
@@ -108,7 +112,7 @@
 	Convey("On a public queue a call needs no key, but one that it carries must be known", t, func() {
 		h := newHarness(append(keyedRows("given"), &schema.ConfigurationRow{Kind: "queue", Name: "l", Key: "public", Value: "1"})...)
 		h.submitWithKey("", "j")
-		h.askWithKey(KindStatus, "")
+		h.requestWithKey(KindStatus, "")
 		h.submitWithKey("given", "j")
 		So(h.forwardedCalls(), ShouldEqual, 3)
 		refused := h.submitWithKey("guessed", "j")
@@ -127,7 +131,7 @@
 		h.step(eventloop.Tick{})
 		_, submit = h.lastSubmit()
 		So(submit.Enqueues[0].Tenant, ShouldEqual, "t")
-		h.askWithKey(KindCancel, "given")
+		h.requestWithKey(KindCancel, "given")
 		So(h.sent[len(h.sent)-1].body.(*schema.Request).Tenant, ShouldEqual, "t")
 	})
 	Convey("Operators' requests need no key", t, func() {
@@ -142,12 +146,13 @@
 		h := newHarness(keyedRows("given")[1:]...)
 		h.submitWithKey("guessed", "j")
 		h.submitWithKey("", "j")
-		h.askWithKey(KindStatus, "guessed")
+		h.requestWithKey(KindStatus, "guessed")
 		So(h.forwardedCalls(), ShouldEqual, 3)
 	})
 }
 
-// Guards against requests that run with a key that was taken away.
+// Guards against requests that are forwarded although their key was removed from the
+// configuration.
 func TestRevokedKeysAreRefused(t *testing.T) {
 	Convey("Given two gateways that know a key, which is then taken away", t, func() {
 		current, lagging := newHarness(keyedRows("given")...), newHarness(keyedRows("given")...)
@@ -168,8 +173,8 @@
 			lagging.now += lagging.gateway.lease.duration() + 1
 			id := lagging.submitWithKey("given", "after")
 			unknown := lagging.submitWithKey("guessed", "after")
-			asked := lagging.askWithKey(KindStatus, "guessed")
-			So([]int32{lagging.responses[id].Code, lagging.responses[unknown].Code, lagging.responses[asked].Code}, ShouldResemble, []int32{503, 503, 503})
+			statusID := lagging.requestWithKey(KindStatus, "guessed")
+			So([]int32{lagging.responses[id].Code, lagging.responses[unknown].Code, lagging.responses[statusID].Code}, ShouldResemble, []int32{503, 503, 503})
 			So(lagging.forwardedCalls(), ShouldEqual, 1)
 		})
 		Convey("a call that waits while its key goes is checked anew", func() {
@@ -194,11 +199,12 @@
 	})
 }
 
-// Guards against the refusal of a key that was just added, by a gateway that hasn't heard of it.
+// Guards against the refusal of a key that was just added to the configuration, by a gateway
+// whose copy of the configuration is older.
 func TestNewKeysWorkAtOnce(t *testing.T) {
 	Convey("A key that the copy lacks is confirmed to be unknown before it is refused", t, func() {
 		h := newHarness(keyedRows("given")...)
-		submitted, asked := h.submitWithKey("new", "j"), h.askWithKey(KindStatus, "new")
+		submitted, statusID := h.submitWithKey("new", "j"), h.requestWithKey(KindStatus, "new")
 		So(h.forwardedCalls(), ShouldEqual, 0)
 		So(h.responses, ShouldBeEmpty)
 		Convey("it was added: the calls go on, as the tenant's", func() {
@@ -210,21 +216,21 @@
 			So(submit.Enqueues[0].Tenant, ShouldEqual, "t")
 		})
 		Convey("the queue has become public: a call without a key goes on", func() {
-			without := h.askWithKey(KindStatus, "")
+			without := h.requestWithKey(KindStatus, "")
 			state := keyedState(2, "given")
 			state.Configuration.Rows = append(state.Configuration.Rows, &schema.ConfigurationRow{Kind: "queue", Name: "l", Key: "public", Value: "1"})
 			h.confirmState(state)
 			h.confirmState(nil)
 			So(h.responses, ShouldNotContainKey, without)
 			So(h.forwardedCalls(), ShouldEqual, 1)
-			So([]int32{h.responses[submitted].Code, h.responses[asked].Code}, ShouldResemble, []int32{401, 401})
+			So([]int32{h.responses[submitted].Code, h.responses[statusID].Code}, ShouldResemble, []int32{401, 401})
 		})
 		Convey("nobody confirms: 503 with a time to retry", func() {
 			for range 2 {
 				h.now += confirmationTimeout + eventloop.Millisecond
 				h.step(eventloop.Tick{})
 			}
-			So([]int32{h.responses[submitted].Code, h.responses[asked].Code}, ShouldResemble, []int32{503, 503})
+			So([]int32{h.responses[submitted].Code, h.responses[statusID].Code}, ShouldResemble, []int32{503, 503})
 			So(h.responses[submitted].RetryAfter, ShouldEqual, 1)
 			So(h.forwardedCalls(), ShouldEqual, 0)
 		})
@@ -237,6 +243,7 @@
 	})
 }
 
+// Guards against invalid Authorization headers that count as a call without a key.
 func TestKeyHashOf(t *testing.T) {
 	Convey("A call's key is read from one header with one of the schemes", t, func() {
 		So(KeyHashOf(nil, "Token"), ShouldEqual, "")
@@ -250,9 +257,10 @@
 	})
 }
 
-// Guards against a client with a revoked key that crowds out calls to new queues.
+// Guards against a client with a revoked key whose calls take up all the room for calls that
+// wait for a confirmation, so that calls to new queues are rejected.
 func TestUnknownKeysLeaveRoomForNewQueues(t *testing.T) {
-	askNewQueue := func(h *harness) uint64 {
+	requestNewQueue := func(h *harness) uint64 {
 		h.lastRequestID++
 		h.step(LeaderRequest{RequestID: h.lastRequestID, Kind: KindStatus, Group: "new", KeyHash: hashOf("given"), Name: "j"})
 		return h.lastRequestID
@@ -261,32 +269,33 @@
 		h := newHarness(keyedRows("given")...)
 		refused := 0
 		for range 3 * maxAwaitingConfirmation {
-			id := h.askWithKey(KindStatus, "guessed")
+			id := h.requestWithKey(KindStatus, "guessed")
 			if response, isAnswered := h.responses[id]; isAnswered {
 				So(response.Code, ShouldEqual, 503)
 				refused++
 			}
 		}
 		So(refused, ShouldEqual, 3*maxAwaitingConfirmation-maxAwaitingConfirmation/2)
-		first := askNewQueue(h)
+		first := requestNewQueue(h)
 		So(h.responses, ShouldNotContainKey, first)
 		for range maxAwaitingConfirmation/2 - 1 {
-			So(h.responses, ShouldNotContainKey, askNewQueue(h))
+			So(h.responses, ShouldNotContainKey, requestNewQueue(h))
 		}
-		So(h.responses[askNewQueue(h)].Code, ShouldEqual, 503)
+		So(h.responses[requestNewQueue(h)].Code, ShouldEqual, 503)
 		Convey("and their room is free again when they are answered", func() {
 			h.confirmState(nil)
 			h.confirmState(nil)
 			So(h.responses[first].Code, ShouldEqual, 404)
-			So(h.responses, ShouldNotContainKey, h.askWithKey(KindStatus, "another"))
+			So(h.responses, ShouldNotContainKey, h.requestWithKey(KindStatus, "another"))
 		})
 	})
 }
 
-// Guards against a flood with a revoked key that asks the cluster state's leader each time.
+// Guards against a flood of calls with a revoked key, each of which sends a confirmation to
+// the leader of the cluster state.
 func TestConfirmedUnknownKeysAreRefusedAtOnce(t *testing.T) {
 	confirmUnknown := func(h *harness, key string) {
-		id := h.askWithKey(KindStatus, key)
+		id := h.requestWithKey(KindStatus, key)
 		So(h.responses, ShouldNotContainKey, id)
 		h.confirmState(nil)
 		So(h.responses[id].Code, ShouldEqual, 401)
@@ -296,7 +305,7 @@
 		confirmUnknown(h, "guessed")
 		h.sent = nil
 		Convey("further calls with it are refused at once, those with another one confirmed", func() {
-			So(h.responses[h.askWithKey(KindStatus, "guessed")].Code, ShouldEqual, 401)
+			So(h.responses[h.requestWithKey(KindStatus, "guessed")].Code, ShouldEqual, 401)
 			So(h.responses[h.submitWithKey("guessed", "j")].Code, ShouldEqual, 401)
 			So(h.sent, ShouldBeEmpty)
 			confirmUnknown(h, "another")
@@ -304,12 +313,12 @@
 		})
 		Convey("not without a lease on the copy", func() {
 			h.now += h.gateway.lease.duration() + 1
-			So(h.responses[h.askWithKey(KindStatus, "guessed")].Code, ShouldEqual, 503)
+			So(h.responses[h.requestWithKey(KindStatus, "guessed")].Code, ShouldEqual, 503)
 			So(h.responses[h.submitWithKey("guessed", "j")].Code, ShouldEqual, 503)
 		})
 		Convey("a new configuration forgets it: the key may be in the next one", func() {
 			h.step(&schema.ClusterStateResponse{Version: 2, State: keyedState(2, "given"), Leaders: map[string]string{"l": "a", clusterstate.GroupName: "a"}})
-			id := h.askWithKey(KindStatus, "guessed")
+			id := h.requestWithKey(KindStatus, "guessed")
 			So(h.responses, ShouldNotContainKey, id)
 			h.confirmState(keyedState(3, "given", "guessed"))
 			So(h.responses, ShouldNotContainKey, id)
@@ -319,13 +328,13 @@
 			state := keyedState(2, "given")
 			state.Configuration.Revision = 1
 			h.step(&schema.ClusterStateResponse{Version: 2, State: state, Leaders: map[string]string{"l": "a", clusterstate.GroupName: "a"}})
-			So(h.responses[h.askWithKey(KindStatus, "guessed")].Code, ShouldEqual, 401)
+			So(h.responses[h.requestWithKey(KindStatus, "guessed")].Code, ShouldEqual, 401)
 		})
 	})
 	Convey("The set of such keys is bounded", t, func() {
 		h := newHarness(keyedRows("given")...)
 		for number := range 2 * maxRefusedKeys {
-			h.askWithKey(KindStatus, strconv.Itoa(number))
+			h.requestWithKey(KindStatus, strconv.Itoa(number))
 			h.confirmState(nil)
 		}
 		So(len(h.gateway.refusedKeys.calls), ShouldBeBetweenOrEqual, 1, maxRefusedKeys)
--- a/internal/gateway/backpressure_test.go
+++ b/internal/gateway/backpressure_test.go
@@ -67,15 +67,15 @@
 	})
 }
 
-// submitTimes submits a job so many times as one client.
+// submitTimes submits a job count times as the same client.
 func (h *harness) submitTimes(count int, name string) {
 	for range count {
 		h.submit("c", name)
 	}
 }
 
-// rejectedRetryAfters submits a job so many times, which is rejected each time, and returns
-// the times after which to retry.
+// rejectedRetryAfters submits a job count times, checks that each submission is rejected,
+// and returns the seconds after which each rejection tells the client to retry.
 func (h *harness) rejectedRetryAfters(count int, name string) []int {
 	var seconds []int
 	for range count {
@@ -86,12 +86,12 @@
 	return seconds
 }
 
-// polledNodes are the nodes to which queries of the cluster state were sent.
+// polledNodes returns the nodes to which queries of the cluster state were sent.
 func (h *harness) polledNodes() map[string]bool {
 	nodes := map[string]bool{}
-	for _, each := range h.sent {
-		if _, isQuery := each.body.(*schema.ClusterStateRequest); isQuery {
-			nodes[each.to] = true
+	for _, message := range h.sent {
+		if _, isQuery := message.body.(*schema.ClusterStateRequest); isQuery {
+			nodes[message.to] = true
 		}
 	}
 	return nodes
@@ -101,7 +101,7 @@
 	window := &schema.ConfigurationRow{Kind: "fleet", Key: "window", Value: "8"}
 	Convey("Each rejected client is given a retry time of its own, at the queue's throughput", t, func() {
 		h := newHarness(window)
-		// Four are confirmed per second.
+		// Four submissions are confirmed per second.
 		for k := 0; k < 12; k++ {
 			h.submit("c", "n")
 			_, submit := h.lastSubmit()
@@ -114,7 +114,7 @@
 		retryAfters := h.rejectedRetryAfters(12, "more")
 		So(retryAfters[0], ShouldEqual, 1)
 		So(retryAfters[11], ShouldBeBetweenOrEqual, 3, 4)
-		// Retry times that have passed are given again.
+		// Scheduled retry times that have passed no longer delay the next one.
 		h.now += 4 * eventloop.Second
 		h.step(&schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{"l": "a"}})
 		So(h.responses[h.submit("c", "more")].RetryAfter, ShouldEqual, 1)
@@ -161,11 +161,11 @@
 	Convey("A gateway whose local replica isn't fresh polls other storage nodes", t, func() {
 		h := newHarness()
 		h.gateway.hasLocalReplica = true
-		known := map[string]membership.MemberStatus{}
+		members := map[string]membership.MemberStatus{}
 		for _, id := range []string{"me", "a", "b"} {
-			known[id] = membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true}, LastHeard: h.now}
+			members[id] = membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true}, LastHeard: h.now}
 		}
-		h.step(&membership.View{Members: known})
+		h.step(&membership.View{Members: members})
 		h.step(&schema.ClusterStateResponse{Version: h.gateway.state.Version, Leaders: map[string]string{"l": "a"}})
 		h.sent = nil
 		h.now += maxStateQueryInterval
@@ -186,7 +186,8 @@
 		h.step(LeaderRequest{RequestID: 901, Kind: KindCancel, Group: "l", Name: "one", Deadline: h.now + 60*eventloop.Second})
 		h.now += defaultApplyBound + eventloop.Millisecond
 		h.step(eventloop.Tick{})
-		// It is numbered, so its outcome is unknown and it goes on being resent.
+		// The submission is already numbered, so its outcome is reported as unknown and it
+		// continues to be resent.
 		So(h.responses[id].Code, ShouldEqual, 504)
 		So(h.responses[900].Code, ShouldEqual, 503)
 		So(h.responses[901].Code, ShouldEqual, 504)
--- a/internal/gateway/confirmation_test.go
+++ b/internal/gateway/confirmation_test.go
@@ -81,24 +81,26 @@
 	}
 	Convey("Host and path are routed to a queue, and the rest of the path is the name", t, func() {
 		h := newHarness(rows()...)
-		given := job()
-		h.step(SubmitJob{RequestID: 1, Host: "ONE.example:80", Path: "/p/j1", Client: "c", Digest: Digest(given), Job: given})
+		submitted := job()
+		h.step(SubmitJob{RequestID: 1, Host: "ONE.example:80", Path: "/p/j1", Client: "c", Digest: Digest(submitted), Job: submitted})
 		_, submit := h.lastSubmit()
 		So(submit.Queue, ShouldEqual, "l")
 		So(submit.Enqueues[0].Name, ShouldEqual, "j1")
-		So(proto.Equal(submit.Enqueues[0].Job, given), ShouldBeTrue)
+		So(proto.Equal(submit.Enqueues[0].Job, submitted), ShouldBeTrue)
 		for kind, path := range map[string]string{"status": "/p/j1", "cancel": "/p/j1", "counts": "/p/"} {
 			h.lastRequestID = 100
 			h.step(LeaderRequest{RequestID: h.lastRequestID, Kind: kind, Host: "one.example", Path: path})
 			sent := h.sent[len(h.sent)-1].body.(*schema.Request)
 			So([]string{sent.Kind, sent.Group, "/p/" + sent.Name}, ShouldResemble, []string{kind, "l", path})
 		}
-		h.step(SubmitJob{RequestID: 2, Host: "one.example", Path: "/p/", Client: "c", Job: given})
+		h.step(SubmitJob{RequestID: 2, Host: "one.example", Path: "/p/", Client: "c", Job: submitted})
 		So(h.responses[2].Code, ShouldEqual, 422)
 	})
 	Convey("A route that the copy lacks is confirmed, and matched again", t, func() {
 		h := newHarness()
-		fresh := func(rows []*schema.ConfigurationRow) {
+		// confirmRows lets the leader respond with a configuration of these rows to the
+		// confirmation in flight, and confirm the same state to any further confirmation.
+		confirmRows := func(rows []*schema.ConfigurationRow) {
 			h.confirmState(&schema.ClusterState{Version: 2, Configuration: &schema.Configuration{Revision: 2, Rows: rows}, Queues: []*schema.QueuePlacement{{Queue: "l", Generation: 1}}})
 			for h.gateway.confirmation.requestID != 0 {
 				h.confirmState(nil)
@@ -108,20 +110,20 @@
 		h.step(LeaderRequest{RequestID: 2, Kind: KindStatus, Host: "one.example", Path: "/p/j1"})
 		So(h.responses, ShouldBeEmpty)
 		Convey("there now: it goes on", func() {
-			fresh(rows())
+			confirmRows(rows())
 			So(h.responses, ShouldBeEmpty)
 			_, submit := h.lastSubmit()
 			So(submit.Enqueues[0].Name, ShouldEqual, "j1")
 			So(h.sent[len(h.sent)-1].body.(*schema.Request).Name, ShouldEqual, "j1")
 		})
 		Convey("not there: 404", func() {
-			fresh([]*schema.ConfigurationRow{{Kind: "queue", Name: "l", Key: "urgency", Value: "1"}})
+			confirmRows([]*schema.ConfigurationRow{{Kind: "queue", Name: "l", Key: "urgency", Value: "1"}})
 			So(h.responses[1].Code, ShouldEqual, 404)
 			So(h.responses[2].Code, ShouldEqual, 404)
 			So(string(h.responses[1].Body), ShouldContainSubstring, "unknown_queue")
 		})
 		Convey("a removed queue accepts nothing, once its removal is confirmed", func() {
-			fresh([]*schema.ConfigurationRow{})
+			confirmRows([]*schema.ConfigurationRow{})
 			So(h.responses[1].Code, ShouldEqual, 404)
 			h.step(SubmitJob{RequestID: 3, Queue: "l", Client: "c", Name: "j", Job: job()})
 			So(h.responses, ShouldNotContainKey, uint64(3))
@@ -143,14 +145,14 @@
 	})
 	Convey("The queue's attempts are the default of a step, and the digest stays the client's", t, func() {
 		h := newHarness(rows(&schema.ConfigurationRow{Kind: "queue", Name: "l", Key: "attempts", Value: "4"})...)
-		given := job()
-		digest := Digest(given)
-		h.step(SubmitJob{RequestID: 1, Host: "one.example", Path: "/p/j1", Client: "c", Digest: digest, Job: given})
+		submitted := job()
+		digest := Digest(submitted)
+		h.step(SubmitJob{RequestID: 1, Host: "one.example", Path: "/p/j1", Client: "c", Digest: digest, Job: submitted})
 		_, submit := h.lastSubmit()
-		e := submit.Enqueues[0]
-		So([]uint32{e.Job.Steps[0].AllowedFailures, e.Job.Steps[1].AllowedFailures}, ShouldResemble, []uint32{3, 9})
-		So(e.Digest, ShouldResemble, digest)
-		So(given.Steps[0].AllowedFailures, ShouldEqual, 0)
+		enqueue := submit.Enqueues[0]
+		So([]uint32{enqueue.Job.Steps[0].AllowedFailures, enqueue.Job.Steps[1].AllowedFailures}, ShouldResemble, []uint32{3, 9})
+		So(enqueue.Digest, ShouldResemble, digest)
+		So(submitted.Steps[0].AllowedFailures, ShouldEqual, 0)
 	})
 	Convey("Jobs for a pool's queue aren't checked against the configured workers", t, func() {
 		large := job()
--- a/internal/gateway/leaders_test.go
+++ b/internal/gateway/leaders_test.go
@@ -10,7 +10,7 @@
 	"sparnotch/internal/schema"
 )
 
-// setQueues delivers a cluster state with just these queues, which have no leaders.
+// setQueues delivers a cluster state that has only these queues, without leaders.
 func (h *harness) setQueues(version uint64, queues ...string) {
 	state := &schema.ClusterState{Version: version, Configuration: &schema.Configuration{Revision: version}}
 	for _, queue := range queues {
@@ -24,7 +24,7 @@
 	Convey("Submissions to a leaderless queue are rejected before they have a number", t, func() {
 		h := newHarness()
 		first := h.submit("c", "one")
-		// It has stepped down and knows no successor.
+		// The leader has stepped down and knows no successor.
 		h.step(&schema.SubmitResponse{Queue: "l"})
 		second := h.submit("c", "two")
 		h.now += leaderlessGracePeriod + eventloop.Millisecond
@@ -32,7 +32,7 @@
 		So(h.responses[third].Code, ShouldEqual, 503)
 		So(h.responses[third].RetryAfter, ShouldEqual, 1)
 		So(string(h.responses[third].Body), ShouldContainSubstring, "not_ready")
-		// What has a number is never rejected.
+		// Submissions that have a number are never rejected.
 		So(h.responses, ShouldNotContainKey, first)
 		So(h.responses, ShouldNotContainKey, second)
 		So(h.gateway.sessions[queueClient{"l", "c"}].unconfirmed, ShouldHaveLength, 2)
@@ -47,38 +47,40 @@
 	})
 	Convey("The cluster state is polled faster then, and pending requests go to the new leader", t, func() {
 		h := newHarness()
-		known := func(id string) membership.MemberStatus {
+		aliveNode := func(id string) membership.MemberStatus {
 			return membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true}, LastHeard: h.now}
 		}
-		h.step(&membership.View{Members: map[string]membership.MemberStatus{"b": known("b")}})
+		h.step(&membership.View{Members: map[string]membership.MemberStatus{"b": aliveNode("b")}})
 		h.step(LeaderRequest{RequestID: 1, Kind: KindStatus, Group: "l", Name: "j", Deadline: h.now + 9*eventloop.Second})
-		requests, looks := 0, 0
-		pass := func() {
+		requests, polls := 0, 0
+		// passTick lets one tick pass, in which "b" stays alive, and counts the requests and the
+		// polls of the cluster state that the gateway sends.
+		passTick := func() {
 			before := len(h.sent)
 			h.now += TickInterval
-			h.step(&membership.View{Members: map[string]membership.MemberStatus{"b": known("b")}})
+			h.step(&membership.View{Members: map[string]membership.MemberStatus{"b": aliveNode("b")}})
 			h.step(eventloop.Tick{})
-			requests, looks = 0, 0
-			for _, each := range h.sent[before:] {
-				switch each.body.(type) {
+			requests, polls = 0, 0
+			for _, message := range h.sent[before:] {
+				switch message.body.(type) {
 				case *schema.Request:
 					requests++
-					So(each.to, ShouldEqual, "b")
+					So(message.to, ShouldEqual, "b")
 				case *schema.ClusterStateRequest:
-					looks++
+					polls++
 				}
 			}
 		}
-		pass()
-		// It has stepped down and knows no successor.
+		passTick()
+		// The leader has stepped down and knows no successor.
 		h.step(&schema.Response{Id: 1, Group: "l"})
-		pass()
-		So(looks, ShouldEqual, 1)
-		pass()
-		So([]int{looks, requests}, ShouldResemble, []int{1, 0})
+		passTick()
+		So(polls, ShouldEqual, 1)
+		passTick()
+		So([]int{polls, requests}, ShouldResemble, []int{1, 0})
 		h.step(&schema.ClusterStateResponse{Version: 1, Leaders: map[string]string{"l": "b"}})
-		pass()
-		So([]int{looks, requests}, ShouldResemble, []int{0, 1})
+		passTick()
+		So([]int{polls, requests}, ShouldResemble, []int{0, 1})
 	})
 	Convey("A submission that a node denied before it came to lead is sent there again at once", t, func() {
 		h := newHarness()
@@ -93,9 +95,9 @@
 			h.step(eventloop.Tick{})
 		}
 		count := 0
-		for _, each := range h.sent[before:] {
-			if submit, isSubmit := each.body.(*schema.SubmitRequest); isSubmit {
-				So([]string{each.to, submit.Enqueues[0].Name}, ShouldResemble, []string{"a", "one"})
+		for _, message := range h.sent[before:] {
+			if submit, isSubmit := message.body.(*schema.SubmitRequest); isSubmit {
+				So([]string{message.to, submit.Enqueues[0].Name}, ShouldResemble, []string{"a", "one"})
 				count++
 			}
 		}
--- a/internal/gateway/removed_queues_test.go
+++ b/internal/gateway/removed_queues_test.go
@@ -16,9 +16,9 @@
 		id := h.submit("c", "one")
 		h.step(LeaderRequest{RequestID: 100, Kind: KindStatus, Group: "l", Name: "one", Deadline: h.now + 9*eventloop.Second})
 		h.step(LeaderRequest{RequestID: 101, Kind: KindCancel, Group: "l", Name: "one", Deadline: h.now + 9*eventloop.Second})
-		gone := &schema.ClusterState{Version: 2, Configuration: &schema.Configuration{Revision: 2}}
-		h.step(&schema.ClusterStateResponse{Version: 2, State: gone, Leaders: map[string]string{clusterstate.GroupName: "a"}})
-		// It may have been applied before.
+		removed := &schema.ClusterState{Version: 2, Configuration: &schema.Configuration{Revision: 2}}
+		h.step(&schema.ClusterStateResponse{Version: 2, State: removed, Leaders: map[string]string{clusterstate.GroupName: "a"}})
+		// The submission and the cancellation may have been applied before the removal.
 		So([]int32{h.responses[id].Code, h.responses[101].Code}, ShouldResemble, []int32{504, 504})
 		So(h.responses, ShouldNotContainKey, uint64(100))
 		h.confirmState(nil)
--- a/internal/gateway/replies_test.go
+++ b/internal/gateway/replies_test.go
@@ -32,7 +32,7 @@
 }
 
 func TestLateReplies(t *testing.T) {
-	handle := func(h *harness, number uint64) {
+	requestConfiguration := func(h *harness, number uint64) {
 		h.step(LeaderRequest{RequestID: number, Kind: KindConfiguration, Group: clusterstate.GroupName, Deadline: h.now + eventloop.Second})
 	}
 	reply := func(h *harness, number uint64, body string) {
@@ -40,8 +40,8 @@
 	}
 	Convey("Given two requests", t, func() {
 		h := newHarness()
-		handle(h, 1)
-		handle(h, 2)
+		requestConfiguration(h, 1)
+		requestConfiguration(h, 2)
 		Convey("each gets its own response, and the first of duplicates", func() {
 			reply(h, 2, "two")
 			reply(h, 2, "two again")
@@ -74,11 +74,12 @@
 		document := []byte("a configuration")
 		h.step(LeaderRequest{RequestID: 900, Kind: KindProposeClusterState, Group: clusterstate.GroupName, Body: document, Deadline: h.now + eventloop.Second})
 		submitted := h.submit("c", "one")
-		// arrivals counts what was sent since its last call, by number.
-		arrivals := func() (requests, submissions map[uint64]int) {
+		// takeSent counts the sent requests by request ID, and the sent submissions by number,
+		// since its last call.
+		takeSent := func() (requests, submissions map[uint64]int) {
 			requests, submissions = map[uint64]int{}, map[uint64]int{}
-			for _, each := range h.sent {
-				switch body := each.body.(type) {
+			for _, message := range h.sent {
+				switch body := message.body.(type) {
 				case *schema.Request:
 					So(string(body.Body), ShouldEqual, string(document))
 					requests[body.Id]++
@@ -92,15 +93,16 @@
 			h.sent = nil
 			return requests, submissions
 		}
-		pass := func() {
+		// passTicks lets enough time pass for several resends.
+		passTicks := func() {
 			for range 18 {
 				h.now += TickInterval
 				h.step(eventloop.Tick{})
 			}
 		}
 		h.step(&membership.View{Members: map[string]membership.MemberStatus{"a": {Member: &schema.Member{Id: "a", HasStorage: true}, LastHeard: h.now}}})
-		pass()
-		requests, submissions := arrivals()
+		passTicks()
+		requests, submissions := takeSent()
 		So(requests, ShouldHaveLength, 1)
 		So(requests[900], ShouldBeGreaterThan, 1)
 		So(submissions, ShouldHaveLength, 1)
@@ -110,8 +112,8 @@
 		h.step(&schema.SubmitResponse{Queue: "l", Leader: "a", Results: []*schema.SubmitResult{{
 			Session: &schema.Session{Gateway: "me", Incarnation: 1, Client: "c~1"}, Number: 1, Code: 201, View: &schema.JobView{Name: "one"}}}})
 		So(h.responses[submitted].Code, ShouldEqual, 201)
-		pass()
-		requests, submissions = arrivals()
+		passTicks()
+		requests, submissions = takeSent()
 		So(requests, ShouldBeEmpty)
 		So(submissions, ShouldBeEmpty)
 	})
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -35,7 +35,8 @@
 		h.gateway.leaders["clusterstate"] = "a"
 		h.step(LeaderRequest{RequestID: 1, Kind: KindProposeClusterState, Group: "clusterstate", Body: make([]byte, 250_000), Deadline: h.now + 4*eventloop.Second})
 		began := h.now
-		// A retry clears the leader, which may be gone.
+		// A retry clears the leader, which may have failed. As no storage node is known here,
+		// nothing is sent then, and the retry shows only in sentAt.
 		for h.gateway.requests[1].sentAt == began && h.now < began+3*eventloop.Second {
 			h.now += TickInterval
 			h.step(eventloop.Tick{})
@@ -67,15 +68,16 @@
 	})
 }
 
-// Guards against a client's call that reaches the cluster state under a queue's path.
+// Guards against a client's call to a queue's path that names the cluster state's group
+// instead of a queue, and is forwarded to that group.
 func TestClusterStateIsNoQueue(t *testing.T) {
 	Convey("A client's call for the group of the cluster state is one for an unknown queue", t, func() {
 		h := newHarness()
 		for number, kind := range []string{KindStatus, KindCancel, KindCounts, KindList} {
 			id := uint64(10 + number)
 			h.step(LeaderRequest{RequestID: id, Kind: kind, Group: clusterstate.GroupName, Name: "j", Deadline: h.now + eventloop.Second})
-			for _, each := range h.sent {
-				So(each.body.(*schema.Request).Kind, ShouldEqual, KindReadClusterState)
+			for _, message := range h.sent {
+				So(message.body.(*schema.Request).Kind, ShouldEqual, KindReadClusterState)
 			}
 			h.confirmState(nil)
 			So(h.responses[id].Code, ShouldEqual, 404)
--- a/internal/gateway/state_lease_test.go
+++ b/internal/gateway/state_lease_test.go
@@ -16,7 +16,8 @@
 	Convey("The lease runs from the query, not from its response", t, func() {
 		h := newHarness()
 		number := h.gateway.lease.newQuery(h.now)
-		// As after a pause of the process, or where the response was buffered.
+		// The response is delivered late, for example because the process was paused or the
+		// response was buffered.
 		h.now += h.gateway.lease.duration() + eventloop.Millisecond
 		h.step(update(number, 0))
 		So(h.isReady(), ShouldBeFalse)
@@ -69,9 +70,9 @@
 			h.sent = nil
 			h.now += 2 * TickInterval
 			h.step(eventloop.Tick{})
-			for _, each := range h.sent {
-				if _, isQuery := each.body.(*schema.ClusterStateRequest); isQuery {
-					polled[each.to]++
+			for _, message := range h.sent {
+				if _, isQuery := message.body.(*schema.ClusterStateRequest); isQuery {
+					polled[message.to]++
 				}
 			}
 		}
--- a/internal/gateway/submissions_test.go
+++ b/internal/gateway/submissions_test.go
@@ -62,9 +62,9 @@
 		So(h.responses[first].Code, ShouldEqual, 504)
 		So(h.responses[second].Code, ShouldEqual, 504)
 		h.submit("c", "three")
-		_, fresh := h.lastSubmit()
-		So(fresh.Enqueues[0].Number, ShouldEqual, 1)
-		So(fresh.Enqueues[0].Session.Incarnation, ShouldNotEqual, submit.Enqueues[0].Session.Incarnation)
+		_, restarted := h.lastSubmit()
+		So(restarted.Enqueues[0].Number, ShouldEqual, 1)
+		So(restarted.Enqueues[0].Session.Incarnation, ShouldNotEqual, submit.Enqueues[0].Session.Incarnation)
 	})
 	Convey("One response may hold a gap and then that declaration: nothing is resent in the ended session", t, func() {
 		h := newHarness()
