--- a/internal/httpcall/client_test.go
+++ b/internal/httpcall/client_test.go
@@ -17,13 +17,14 @@
 	"sparnotch/internal/standin"
 )
 
-// testTimeout ends a test that would block; no test depends on it.
+// testTimeout ends a test that would block forever. The result of no test depends on its
+// length.
 const testTimeout = 20 * time.Second
 
 var testLimits = Limits{MaxConnections: 4, MaxIdle: 4, IdleTimeout: time.Hour, DialTimeout: 30 * time.Second, MaxResponseBytes: 1 << 10}
 
-// scripted makes the server behave in one way after another, and respond normally after
-// the last.
+// scripted returns a script with which the server shows one of the behaviours per request, in
+// this order, and responds normally to all later requests.
 func scripted(behaviours ...standin.Behaviour) func(int) standin.Behaviour {
 	return func(number int) standin.Behaviour {
 		if number > len(behaviours) {
@@ -33,21 +34,24 @@
 	}
 }
 
-// echo responds with the request's body, so that a response shows which request it
-// belongs to.
+// echo responds with the body of the request, so that a response shows to which request it
+// belongs.
 func echo(arrival standin.Arrival) (int, string) { return http.StatusOK, string(arrival.Body) }
 
+// serve starts a server that echoes requests, except as its script says.
 func serve(script func(int) standin.Behaviour) *standin.Server {
 	server, err := standin.Serve("127.0.0.1:0", script, echo)
 	So(err, ShouldBeNil)
 	return server
 }
 
+// post returns a POST request with a text as its body.
 func post(server *standin.Server, text string) Request {
 	return Request{Address: server.Address(), Method: http.MethodPost, Path: "/order", Body: []byte(text)}
 }
 
-// arrivalCount counts how often a body has arrived, at least in part.
+// arrivalCount counts how often a request with this body has arrived, at least with a part of
+// the body.
 func arrivalCount(server *standin.Server, text string) int {
 	count := 0
 	for _, arrival := range server.Arrivals() {
@@ -58,7 +62,7 @@
 	return count
 }
 
-// mustRespond sends a request and checks that the response belongs to it.
+// mustRespond sends a request, and checks that it arrives once and gets its own response.
 func mustRespond(client *Client, server *standin.Server, text string) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -68,14 +72,15 @@
 	So(arrivalCount(server, text), ShouldEqual, 1)
 }
 
-// checkSentOnce sends a request whose connection ends before the response is complete; on
-// a reused connection another request came before.
+// checkSentOnce sends a request whose connection ends before the response is complete, and
+// checks that it isn't sent restarted. If isReused is true, the connection has carried another
+// request before.
 func checkSentOnce(failure standin.Behaviour, isReused bool) {
-	var before []standin.Behaviour
+	var earlier []standin.Behaviour
 	if isReused {
-		before = append(before, standin.Respond)
+		earlier = append(earlier, standin.Respond)
 	}
-	server := serve(scripted(append(before, failure)...))
+	server := serve(scripted(append(earlier, failure)...))
 	client := New(testLimits)
 	Reset(func() { client.Close(); server.Close() })
 	if isReused {
@@ -84,12 +89,12 @@
 	_, err := client.Do(context.Background(), post(server, "request that fails"))
 	So(errorx.IsOfType(err, Unanswered), ShouldBeTrue)
 	mustRespond(client, server, "request after")
-	So(len(server.Arrivals()), ShouldEqual, len(before)+2)
+	So(len(server.Arrivals()), ShouldEqual, len(earlier)+2)
 	So(server.Connections(), ShouldEqual, 2)
 }
 
 func TestRequestIsSentOnce(t *testing.T) {
-	for _, each := range []struct {
+	for _, failure := range []struct {
 		name      string
 		behaviour standin.Behaviour
 	}{
@@ -98,9 +103,9 @@
 		{"half of the response's body", standin.CloseInBody}, {"half of the response's header", standin.CloseInHeader},
 	} {
 		for _, isReused := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, on a used connection: %v", each.name, isReused), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, on a used connection: %v", failure.name, isReused), func(t *testing.T) {
 				Convey("The request arrives once and gets no response, and the next one is on another connection", t, func() {
-					checkSentOnce(each.behaviour, isReused)
+					checkSentOnce(failure.behaviour, isReused)
 				})
 			})
 		}
@@ -152,16 +157,16 @@
 }
 
 func TestUnreusableConnections(t *testing.T) {
-	for _, each := range []struct {
+	for _, response := range []struct {
 		name      string
 		behaviour standin.Behaviour
 	}{
 		{"two responses", standin.RespondTwice}, {"more bytes than announced", standin.RespondWithExtraBytes},
 		{"Connection: close", standin.RespondAndClose}, {"no length", standin.RespondUnframed},
 	} {
-		t.Run(each.name, func(t *testing.T) {
+		t.Run(response.name, func(t *testing.T) {
 			Convey("The response counts, and the connection isn't reused", t, func() {
-				server := serve(scripted(each.behaviour, each.behaviour))
+				server := serve(scripted(response.behaviour, response.behaviour))
 				client := New(testLimits)
 				Reset(func() { client.Close(); server.Close() })
 				mustRespond(client, server, "first")
@@ -197,7 +202,7 @@
 
 func TestUnsolicitedBytesOnIdleConnections(t *testing.T) {
 	Convey("Unsolicited bytes on an idle connection are no response to the next request", t, func() {
-		strays := make(chan net.Conn, 1)
+		accepted := make(chan net.Conn, 1)
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		server := serve(scripted())
@@ -206,17 +211,17 @@
 		go func() {
 			conn, err := listener.Accept()
 			if err == nil {
-				strays <- conn
+				accepted <- conn
 			}
 		}()
 		p := client.peer(server.Address())
-		stray, err := net.Dial("tcp", listener.Addr().String())
+		dialed, err := net.Dial("tcp", listener.Addr().String())
 		So(err, ShouldBeNil)
-		idle := newConnection(stray)
+		idle := newConnection(dialed)
 		idle.isReusable, idle.lastUsed = true, client.now()
 		So(idle.isClean(), ShouldBeTrue)
 		client.release(p, idle)
-		peer := <-strays
+		peer := <-accepted
 		defer peer.Close()
 		_, err = peer.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"))
 		So(err, ShouldBeNil)
@@ -234,14 +239,14 @@
 		mustRespond(client, server, "to the first incarnation")
 		idle := client.peer(server.Address()).idle[0]
 		server.Close()
-		again, err := standin.Serve(server.Address(), scripted(), echo)
+		restarted, err := standin.Serve(server.Address(), scripted(), echo)
 		So(err, ShouldBeNil)
-		Reset(func() { client.Close(); again.Close() })
+		Reset(func() { client.Close(); restarted.Close() })
 		for idle.isClean() {
 			runtime.Gosched()
 		}
-		mustRespond(client, again, "to the second incarnation")
-		So(len(again.Arrivals()), ShouldEqual, 1)
+		mustRespond(client, restarted, "to the second incarnation")
+		So(len(restarted.Arrivals()), ShouldEqual, 1)
 	})
 	Convey("So is one where the idle connection was closed by the peer, or idle for too long", t, func() {
 		server := serve(scripted(standin.RespondThenClose))
@@ -270,23 +275,23 @@
 		})
 		client := New(testLimits)
 		Reset(func() { client.Close(); server.Close() })
-		const many = 200
-		wrong := make([]string, many)
-		var all sync.WaitGroup
-		for k := range many {
-			all.Add(1)
+		const requestCount = 200
+		wrongBodies := make([]string, requestCount)
+		var group sync.WaitGroup
+		for k := range requestCount {
+			group.Add(1)
 			go func() {
-				defer all.Done()
+				defer group.Done()
 				text := fmt.Sprintf("request %d.", k)
 				response, err := client.Do(context.Background(), post(server, text))
 				if err == nil && string(response.Body) != text {
-					wrong[k] = string(response.Body)
+					wrongBodies[k] = string(response.Body)
 				}
 			}()
 		}
-		all.Wait()
-		So(strings.Join(wrong, ""), ShouldEqual, "")
-		So(len(server.Arrivals()), ShouldEqual, many)
+		group.Wait()
+		So(strings.Join(wrongBodies, ""), ShouldEqual, "")
+		So(len(server.Arrivals()), ShouldEqual, requestCount)
 		So(len(client.peer(server.Address()).idle), ShouldBeLessThanOrEqualTo, testLimits.MaxIdle)
 	})
 }
@@ -296,7 +301,7 @@
 		server := serve(scripted())
 		client := New(testLimits)
 		Reset(func() { client.Close(); server.Close() })
-		for _, spoil := range []func(*Request){
+		for _, makeInvalid := range []func(*Request){
 			func(request *Request) { request.Address = "no address" },
 			func(request *Request) { request.Method = "PO ST" },
 			func(request *Request) {
@@ -304,7 +309,7 @@
 			},
 		} {
 			request := post(server, "never")
-			spoil(&request)
+			makeInvalid(&request)
 			_, err := client.Do(context.Background(), request)
 			So(errorx.IsOfType(err, NotSent), ShouldBeTrue)
 		}
