--- a/internal/gateway/authorization_test.go
+++ b/internal/gateway/authorization_test.go
@@ -29,7 +29,8 @@
 	return rows
 }
 
-// keyedState returns a cluster state whose configuration has the queue "l" and keyedRows.
+// keyedState returns a cluster state whose configuration consists of the queue "l" and the
+// rows of keyedRows.
 func keyedState(version uint64, keys ...string) *schema.ClusterState {
 	rows := append(keyedRows(keys...), &schema.ConfigurationRow{Kind: "queue", Name: "l", Key: "urgency", Value: "1"})
 	return &schema.ClusterState{
@@ -54,8 +55,8 @@
 	return h.lastRequestID
 }
 
-// requestWithKey makes a client's call of another kind, which carries a key, or none if the
-// key is "". It returns the request ID.
+// requestWithKey makes a client's call of a kind such as KindStatus, which carries a key, or
+// none if the key is "". It returns the request ID.
 func (h *harness) requestWithKey(kind, key string) uint64 {
 	h.lastRequestID++
 	h.step(LeaderRequest{RequestID: h.lastRequestID, Kind: kind, Group: "l", KeyHash: hashOf(key), Name: "j", Deadline: h.now + 9*eventloop.Second})
--- a/internal/gateway/cluster_state.go
+++ b/internal/gateway/cluster_state.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// updateLeaders records the given leaders by group. What is pending at a former leader is
-// scheduled to be sent to the new one at the next tick.
+// updateLeaders records the leaders, by group. Requests and submissions that are pending at
+// a former leader are scheduled to be sent to the new one at the next tick.
 func (g *Gateway) updateLeaders(now eventloop.Micros, leaders map[string]string) {
 	hasChanged := false
 	for group, leader := range leaders {
--- a/internal/gateway/confirmation.go
+++ b/internal/gateway/confirmation.go
@@ -26,7 +26,9 @@
 // deferredCall is a client's request that waits until the newest configuration has been
 // read, which shows whether its queue and key exist.
 type deferredCall interface {
+	// id returns the request ID.
 	id() uint64
+	// resume handles the call again, with the newest configuration.
 	resume(g *Gateway, now eventloop.Micros, effects eventloop.Effects)
 }
 
@@ -80,6 +82,7 @@
 	return len(c.inFlight)+len(c.queued) < maxAwaitingConfirmation
 }
 
+// keyCallCount returns the number of waiting calls that are a keyCall.
 func (c *confirmation) keyCallCount() int {
 	count := 0
 	for _, calls := range [][]deferredCall{c.inFlight, c.queued} {
@@ -138,6 +141,7 @@
 	g.sendConfirmation(now, effects)
 }
 
+// takeInFlight ends the confirmation in flight and returns the calls that it decides.
 func (g *Gateway) takeInFlight() []deferredCall {
 	c := &g.confirmation
 	calls := c.inFlight
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -50,7 +50,7 @@
 	incarnationRestartShift = 32                    // the upper 32 bits of the incarnation count the restarts of all sessions
 
 	// Limits and timeouts of pending work.
-	maxPending              = 4096                        // submissions, and as many requests and heartbeats
+	maxPending              = 4096                        // limit each on submissions, on other requests and on heartbeats
 	listedGatewayTimeout    = 5 * eventloop.Second        // gateways without gossip for longer aren't listed
 	bootstrapRequestTimeout = 900 * eventloop.Millisecond // less than the second that clients wait
 	registrationInterval    = eventloop.Second            // between two registrations of one worker
@@ -281,7 +281,7 @@
 	effects.Respond(m.RequestID, Response{Code: http.StatusOK, Body: data})
 }
 
-// checkReadiness responds whether this gateway accepts requests and can forward them.
+// checkReadiness tells the client whether this gateway accepts requests and can forward them.
 func (g *Gateway) checkReadiness(now eventloop.Micros, m CheckReadiness, effects eventloop.Effects) {
 	switch {
 	case g.isDraining:
--- a/internal/gateway/leaders.go
+++ b/internal/gateway/leaders.go
@@ -10,11 +10,14 @@
 	"sparnotch/internal/eventloop"
 )
 
+// setLeader records which node leads a group.
 func (g *Gateway) setLeader(group, id string) {
 	g.leaders[group] = id
 	delete(g.leaderlessSince, group)
 }
 
+// clearLeader records that the leader of a group is unknown. If the group is a queue, the
+// time without a known leader starts now, unless it has started before.
 func (g *Gateway) clearLeader(now eventloop.Micros, group string) {
 	delete(g.leaders, group)
 	if _, found := g.leaderlessSince[group]; !found && clusterstate.FindQueue(g.state, group) != nil {
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -75,6 +75,8 @@
 	return clusterstate.FindQueue(g.state, m.Group) == nil
 }
 
+// sendRequest sends a request to its target. If there is no target, it sends nothing, and the
+// request is retried after retryDelay.
 func (g *Gateway) sendRequest(now eventloop.Micros, pending *request, effects eventloop.Effects) {
 	m := pending.message
 	pending.sentAt, pending.sentTo = now, g.target(now, m.Group)
@@ -102,6 +104,7 @@
 	}
 }
 
+// finishRequest passes the response of a group's leader to the client.
 func (g *Gateway) finishRequest(m *schema.Response, effects eventloop.Effects) {
 	delete(g.requests, m.Id)
 	if m.Leader != "" {
@@ -119,6 +122,8 @@
 	effects.Respond(m.Id, response)
 }
 
+// redirectRequest sends a request to the leader that a response names, or postpones this to
+// the next tick if minRedirectInterval hasn't passed since the last redirect.
 func (g *Gateway) redirectRequest(now eventloop.Micros, pending *request, m *schema.Response, effects eventloop.Effects) {
 	if m.Leader == pending.sentTo || !g.isPlausibleLeader(now, m.Leader) {
 		// If the node that denied its leadership becomes the leader later, the cleared
--- a/internal/gateway/state_lease.go
+++ b/internal/gateway/state_lease.go
@@ -14,12 +14,12 @@
 )
 
 // stateLease is the read lease on the gateway's copy of the cluster state. It determines
-// how long requests may be served from the copy (bounded staleness). The lease starts when
-// the query was sent, minus the age that the response states for its data, so a response
-// that was delayed by the network or in a local buffer doesn't extend it.
+// how long requests may be served from the copy (bounded staleness). The lease starts at the
+// time the query was sent, minus the age that the response states for its data. A delay of
+// the response, by the network or in a local buffer, therefore doesn't prolong the lease.
 type stateLease struct {
 	maxStaleness eventloop.Micros // how soon after its commit a configuration must be in force
-	confirmedAt  eventloop.Micros // the copy holds everything committed by this time; 0 if not known for any time
+	confirmedAt  eventloop.Micros // time up to which the copy holds everything committed; 0 before the first confirmation
 	lastQueryID  uint64
 	queries      []stateQuery // in ascending order of ID; at most maxTrackedQueries
 }
@@ -46,8 +46,8 @@
 	return l.confirmedAt > 0 && now-l.confirmedAt <= l.duration()
 }
 
-// needsRenewal reports whether half of the lease is over. Several storage nodes are then
-// polled at the same time.
+// needsRenewal reports whether more than half of the lease is over, or there was none yet.
+// Several storage nodes are then polled at the same time.
 func (l *stateLease) needsRenewal(now eventloop.Micros) bool {
 	return l.confirmedAt == 0 || now-l.confirmedAt > l.duration()/2
 }
@@ -69,8 +69,8 @@
 	return l.lastQueryID
 }
 
-// renew extends the lease upon the response to a query. The response holds everything that
-// was committed by the time age before the query was sent.
+// renew extends the lease when a query is answered. age is the age of the response's data,
+// so the response holds at least everything that was committed by the time sentAt-age.
 func (l *stateLease) renew(queryID uint64, age eventloop.Micros) {
 	for _, query := range l.queries {
 		if query.id == queryID {
--- a/internal/gateway/submissions.go
+++ b/internal/gateway/submissions.go
@@ -238,6 +238,9 @@
 	}
 }
 
+// redirectSubmissions sends the misrouted submissions of a queue to the leader that a response
+// names, or postpones this to the next tick if minRedirectInterval hasn't passed since the
+// last redirect.
 func (g *Gateway) redirectSubmissions(now eventloop.Micros, from string, m *schema.SubmitResponse, effects eventloop.Effects) {
 	if from != "" && m.Leader != from {
 		g.leadershipDeniedAt[queueNode{m.Queue, from}] = now
@@ -262,7 +265,8 @@
 // handleSubmitResult confirms one submission, and returns the submissions of its session
 // that were lost in transit and must be resent.
 func (g *Gateway) handleSubmitResult(now eventloop.Micros, queue string, outcome *schema.SubmitResult, effects eventloop.Effects) []*submission {
-	// Sessions and numbers of other gateways may be equal to ours.
+	// Sessions of other gateways and of former incarnations may have the same client names
+	// and numbers as sessions of this one.
 	if outcome.Session == nil || outcome.Session.Gateway != g.id || outcome.Session.Incarnation != g.incarnation {
 		return nil
 	}
@@ -290,6 +294,8 @@
 	return lost
 }
 
+// outcomeResponse returns the response to the client of a confirmed submission. The outcome is
+// unknown if the queue reports neither an error nor a job.
 func outcomeResponse(outcome *schema.SubmitResult) Response {
 	var body []byte
 	switch {
--- a/internal/gateway/submissions_test.go
+++ b/internal/gateway/submissions_test.go
@@ -17,7 +17,7 @@
 		So(to, ShouldEqual, "a")
 		So(submit.Enqueues[0].Number, ShouldEqual, 3)
 		So(submit.Enqueues[0].LowestUnconfirmed, ShouldEqual, 1)
-		So(len(h.responses), ShouldEqual, 0) // nothing is confirmed before it is applied
+		So(len(h.responses), ShouldEqual, 0) // no submission is confirmed before the queue has applied it
 		count := len(h.sent)
 		h.deliverApplied("a", 3)
 		So(h.responses[third].Code, ShouldEqual, 201)
--- a/internal/gateway/validate.go
+++ b/internal/gateway/validate.go
@@ -20,7 +20,7 @@
 	MaxDelayUs    = 400 * 24 * 3600 * 1_000_000 // 400 days
 	maxDurationUs = 30 * 24 * 3600 * 1_000_000  // 30 days
 	maxFailures   = 1000
-	maxAmount     = 1_000_000_000 // of millicores, MB of memory, accelerators, and tasks per worker
+	maxAmount     = 1_000_000_000 // limit each on thousandths of a core, MB of memory, accelerators, and tasks per worker
 	maxLabels     = 16
 	minUnixUs     = 1_000_000_000_000_000 // in September 2001
 )
--- a/internal/httpapi/handlers.go
+++ b/internal/httpapi/handlers.go
@@ -50,7 +50,7 @@
 	if !responded {
 		response = gateway.Response{
 			Code: http.StatusGatewayTimeout, RetryAfter: 1,
-			Body: gateway.ErrorBody("unknown", "the request timed out and it is not known whether it took effect; send it again", ""),
+			Body: gateway.ErrorBody("unknown", "the request timed out, and it is not known whether it took effect; send it again", ""),
 		}
 	}
 	writeResponse(ctx, response)
--- a/internal/httpcall/client.go
+++ b/internal/httpcall/client.go
@@ -38,7 +38,7 @@
 type Limits struct {
 	MaxConnections   int           // to one address; further requests wait for one of them
 	MaxIdle          int           // idle connections to one address; further ones are closed
-	IdleTimeout      time.Duration // after the last response, until an idle connection is no longer used
+	IdleTimeout      time.Duration // longest time after the last response for which an idle connection is reused
 	DialTimeout      time.Duration
 	MaxResponseBytes int64 // in the body of a response
 	KeepAlive        net.KeepAliveConfig
--- a/internal/httpcall/client_test.go
+++ b/internal/httpcall/client_test.go
@@ -157,16 +157,16 @@
 }
 
 func TestUnreusableConnections(t *testing.T) {
-	for _, response := range []struct {
+	for _, defect := range []struct {
 		name      string
 		behaviour standin.Behaviour
 	}{
 		{"two responses", standin.RespondTwice}, {"more bytes than announced", standin.RespondWithExtraBytes},
 		{"Connection: close", standin.RespondAndClose}, {"no length", standin.RespondUnframed},
 	} {
-		t.Run(response.name, func(t *testing.T) {
+		t.Run(defect.name, func(t *testing.T) {
 			Convey("The response counts, and the connection isn't reused", t, func() {
-				server := serve(scripted(response.behaviour, response.behaviour))
+				server := serve(scripted(defect.behaviour, defect.behaviour))
 				client := New(testLimits)
 				Reset(func() { client.Close(); server.Close() })
 				mustRespond(client, server, "first")
