--- a/internal/gateway/authorization.go
+++ b/internal/gateway/authorization.go
@@ -51,7 +51,7 @@
 }
 
 // isClientKind reports whether requests of a kind are made by clients, which need a key.
-// The other kinds are requests of operators.
+// The other kinds are requests of operators and of the gateway itself.
 func isClientKind(kind string) bool {
 	switch kind {
 	case KindStatus, KindCancel, KindCounts, KindList:
@@ -60,8 +60,8 @@
 	return false
 }
 
-// authorizeRequest does the same as authorize for a request of any kind. Requests of
-// operators are always allowed.
+// authorizeRequest does the same as authorize for a request of any kind. Requests of kinds
+// that aren't made by clients are always allowed.
 func (g *Gateway) authorizeRequest(m LeaderRequest) (tenant string, isAllowed bool) {
 	if !isClientKind(m.Kind) {
 		return "", true
--- a/internal/gateway/cluster_state.go
+++ b/internal/gateway/cluster_state.go
@@ -23,8 +23,9 @@
 	if now-g.stateQueriedAt < g.stateQueryInterval(now) {
 		return
 	}
-	// Only a fresh local replica is polled. It may be partitioned from the others, or may
-	// not be a voter, for example after the loss of its disk: then other nodes are polled.
+	// If the local replica is fresh, only it is polled. It isn't fresh if it is partitioned
+	// from the others, or isn't a voter, for example after the loss of its disk. Other
+	// storage nodes are polled then.
 	isLocalFresh := g.hasLocalReplica && !g.lease.needsRenewal(now) && g.state.Version > 0 && len(g.leaders) > 0
 	g.stateQueriedAt = now
 	switch {
--- a/internal/gateway/sessions.go
+++ b/internal/gateway/sessions.go
@@ -74,8 +74,8 @@
 	delete(g.sessionsByID, sessionKey(s.queue, s.id.Client))
 }
 
-// restartSessions abandons all sessions and continues in a new incarnation. It reports an
-// unknown outcome to the clients of all unconfirmed submissions.
+// restartSessions abandons all sessions, tells their queues to end them, and continues in a
+// new incarnation. It reports an unknown outcome to all clients that wait for a submission.
 func (g *Gateway) restartSessions(now eventloop.Micros, effects eventloop.Effects) {
 	queues := map[string]bool{}
 	for _, s := range g.sessions {
--- a/internal/gateway/submissions.go
+++ b/internal/gateway/submissions.go
@@ -185,9 +185,9 @@
 	}
 }
 
-// misrouted returns the unconfirmed submissions of a queue that its present leader hasn't
-// accepted: they were last sent to another node, or to the leader before it last denied
-// that it leads the queue.
+// misrouted returns the unconfirmed submissions of a queue that must be sent to its present
+// leader: they were last sent to another node, or to this node before it last denied that it
+// leads the queue.
 func (g *Gateway) misrouted(queue string) []*submission {
 	leader := g.leaders[queue]
 	deniedAt, wasDenied := g.leadershipDeniedAt[queueNode{queue, leader}]
--- a/internal/httpapi/handlers.go
+++ b/internal/httpapi/handlers.go
@@ -75,9 +75,9 @@
 	writeJSON(ctx, view)
 }
 
-// clientName returns the client's name from the Sparnotch-Client header, or the client's IP
-// address if it sends none. If the name is invalid, clientName writes an error response and
-// returns false.
+// clientName returns the client's name from the Sparnotch-Client header. If there is none, it
+// returns the client's IP address, with dots instead of colons. If the name is invalid,
+// clientName writes an error response and returns false.
 func clientName(ctx iris.Context) (string, bool) {
 	name := ctx.GetHeader(clientHeader)
 	if name == "" {
