--- a/internal/gateway/submissions_test.go
+++ b/internal/gateway/submissions_test.go
@@ -17,7 +17,7 @@
 		So(to, ShouldEqual, "a")
 		So(submit.Enqueues[0].Number, ShouldEqual, 3)
 		So(submit.Enqueues[0].LowestUnconfirmed, ShouldEqual, 1)
-		So(len(h.responses), ShouldEqual, 0) // nothing is confirmed before it is applied
+		So(len(h.responses), ShouldEqual, 0) // no submission is confirmed before the queue has applied it
 		count := len(h.sent)
 		h.deliverApplied("a", 3)
 		So(h.responses[third].Code, ShouldEqual, 201)
@@ -62,9 +62,9 @@
 		So(h.responses[first].Code, ShouldEqual, 504)
 		So(h.responses[second].Code, ShouldEqual, 504)
 		h.submit("c", "three")
-		_, fresh := h.lastSubmit()
-		So(fresh.Enqueues[0].Number, ShouldEqual, 1)
-		So(fresh.Enqueues[0].Session.Incarnation, ShouldNotEqual, submit.Enqueues[0].Session.Incarnation)
+		_, restarted := h.lastSubmit()
+		So(restarted.Enqueues[0].Number, ShouldEqual, 1)
+		So(restarted.Enqueues[0].Session.Incarnation, ShouldNotEqual, submit.Enqueues[0].Session.Incarnation)
 	})
 	Convey("One response may hold a gap and then that declaration: nothing is resent in the ended session", t, func() {
 		h := newHarness()
