--- a/internal/clusterstate/tenants.go
+++ b/internal/clusterstate/tenants.go
@@ -32,11 +32,11 @@
 type Tenant struct {
 	Name        string
 	WeightMilli int64     // thousandths; above 0
-	Max         Resources // that its tasks may use at once over all workers; 0: no limit
+	Limit         Resources // that its tasks may use at once over all workers; 0: no limit
 }
 
 // HasLimit reports whether any amount is limited.
-func (t *Tenant) HasLimit() bool { return t.Max != Resources{} }
+func (t *Tenant) HasLimit() bool { return t.Limit != Resources{} }
 
 func (v *Values) parseTenants(rows []*schema.ConfigurationRow) {
 	v.tenants, v.tenantByKey = map[string]*Tenant{}, map[string]string{}
@@ -55,7 +55,7 @@
 	}
 	for name, tenant := range v.tenants {
 		tenant.WeightMilli = v.Number("tenant", name, "weight_milli")
-		tenant.Max = v.limitOf(name)
+		tenant.Limit = v.limitOf(name)
 	}
 }
 
@@ -128,6 +128,6 @@
 		}
 	}
 	for name, tenant := range v.formerLimits {
-		tenant.Max = v.limitOf(name)
+		tenant.Limit = v.limitOf(name)
 	}
 }
--- a/internal/clusterstate/tenants_test.go
+++ b/internal/clusterstate/tenants_test.go
@@ -137,7 +137,7 @@
 			row("tenant", "south", "weight_milli", "2000")).Code, ShouldEqual, 200)
 		values := m.Values()
 		So(values.Tenants(), ShouldResemble, []string{"north", "south"})
-		So(values.Tenant("north"), ShouldResemble, &Tenant{Name: "north", WeightMilli: 500, Max: Resources{CoresMilli: 64000}})
+		So(values.Tenant("north"), ShouldResemble, &Tenant{Name: "north", WeightMilli: 500, Limit: Resources{CoresMilli: 64000}})
 		So(values.Tenant("south").HasLimit(), ShouldBeFalse)
 		So(values.Tenant("west"), ShouldBeNil)
 		for _, key := range []string{"n1", "n2"} {
--- a/internal/modelcheck/workerpath/observer.go
+++ b/internal/modelcheck/workerpath/observer.go
@@ -102,7 +102,7 @@
 		o.jobs[scenario.Jobs[k].name] = &scenario.Jobs[k]
 	}
 	for _, tenant := range scenario.Tenants {
-		o.limits[tenant.Name] = tenant.Max
+		o.limits[tenant.Name] = tenant.Limit
 	}
 	return o
 }
--- a/internal/modelcheck/workerpath/tenants.go
+++ b/internal/modelcheck/workerpath/tenants.go
@@ -28,7 +28,7 @@
 		}
 	}
 	for _, tenant := range s.Tenants {
-		rows = append(rows, limitRows(tenant.Name, tenant.Max)...)
+		rows = append(rows, limitRows(tenant.Name, tenant.Limit)...)
 	}
 	return rows
 }
--- a/internal/modelcheck/workerpath/tenants_test.go
+++ b/internal/modelcheck/workerpath/tenants_test.go
@@ -9,9 +9,9 @@
 
 // Limits that the two workers together could exceed.
 var limitedTenants = []clusterstate.Tenant{
-	{Name: "of-cores", Max: clusterstate.Resources{CoresMilli: 700}},
-	{Name: "of-memory", Max: clusterstate.Resources{MemoryMB: 100}},
-	{Name: "of-accelerators", Max: clusterstate.Resources{Accelerators: 1}},
+	{Name: "of-cores", Limit: clusterstate.Resources{CoresMilli: 700}},
+	{Name: "of-memory", Limit: clusterstate.Resources{MemoryMB: 100}},
+	{Name: "of-accelerators", Limit: clusterstate.Resources{Accelerators: 1}},
 }
 
 // tenantJobs are of two queues, so that two nodes may each lead one.
--- a/internal/scheduler/tenants.go
+++ b/internal/scheduler/tenants.go
@@ -129,7 +129,7 @@
 	account := &tenantAccount{used: p.tenantUse.byTenant[name], isUncertain: !p.knowsAllRuns, hasOpenCheckouts: s.hasOpenCheckouts()}
 	account.used.add(p.tenantUse.unassigned)
 	if tenant := s.tenantOf(name); tenant != nil {
-		account.limit = resources{tenant.Max.CoresMilli, tenant.Max.MemoryMB, tenant.Max.Accelerators}
+		account.limit = resources{tenant.Limit.CoresMilli, tenant.Limit.MemoryMB, tenant.Limit.Accelerators}
 		account.overrun = float64(s.bounds.GetQuotaOverrunMilli()) / 1000
 	}
 	p.accounts[name] = account
