--- a/cmd/sparnotch-bench/fleet_faults.go
+++ b/cmd/sparnotch-bench/fleet_faults.go
@@ -216,7 +216,7 @@
 	f.recordFault("a flood of jobs that can never run, for " + fault.duration.String())
 	f.addLoad(ctx, fault.duration, "flood", func(t *deployments.JobType) {
 		t.MeanInterval = 0.02
-		t.Steps = []*schema.Step{{Name: "huge", Tasks: 1, CoresMilli: f.deployment.Cores + 1, MemoryMb: 1}}
+		t.Steps = []*schema.Step{{Name: "huge", Tasks: 1, CoresMilli: f.deployment.WorkerCoresMilli + 1, MemoryMb: 1}}
 	})
 }
 
