--- a/cmd/sparnotch-bench/fleet.go
+++ b/cmd/sparnotch-bench/fleet.go
@@ -151,7 +151,7 @@
 	f.cancels[name] = cancel
 	f.lastIncarnation++
 	incarnation := uint64(f.lastIncarnation)
-	w := fakeworker.NewPollingWorker(f.history.now(), name, fmt.Sprintf("r%d", k/3+1), f.deployment.WorkerCoresMilli, f.deployment.Memory, incarnation,
+	w := fakeworker.NewPollingWorker(f.history.now(), name, fmt.Sprintf("r%d", k/3+1), f.deployment.WorkerCoresMilli, f.deployment.WorkerMemoryMB, incarnation,
 		rand.New(rand.NewPCG(uint64(k), incarnation)), f.history.add)
 	runner := &workerRunner{balancer: f.balancer, history: f.history, zone: zoneName(k), worker: w}
 	f.workers[name] = runner
--- a/internal/deployments/deployments.go
+++ b/internal/deployments/deployments.go
@@ -24,8 +24,8 @@
 	Name             string
 	JobTypes         []JobType
 	SyncUs           int64   // duration of a disk sync
-	WorkerCoresMilli            int64   // of a worker, thousandths
-	Memory           int64   // of a worker, MB
+	WorkerCoresMilli int64   // of a worker, thousandths
+	WorkerMemoryMB   int64   // of a worker, MB
 	Gateways         int     // including the storage nodes
 	Agents           int     // agent nodes
 	Workers          int     // three to a rack
@@ -64,7 +64,7 @@
 // All are the known deployments. They must not be changed.
 var All = []*Deployment{
 	{
-		Name: "bank", SyncUs: 500, WorkerCoresMilli: 64_000, Memory: 128_000, Gateways: 7, Agents: 11, Workers: 11, StorageNodeCores: 1, GatewayCores: 0.45, AgentCores: 0.25,
+		Name: "bank", SyncUs: 500, WorkerCoresMilli: 64_000, WorkerMemoryMB: 128_000, Gateways: 7, Agents: 11, Workers: 11, StorageNodeCores: 1, GatewayCores: 0.45, AgentCores: 0.25,
 		JobTypes: []JobType{
 			{"quote", "quotes", 80, 1 / 4.5, "run_us=30000", []*schema.Step{newStep("rates", 4, 500, 256), newStep("sum", 1, 500, 256, "rates")}},
 			{"penalty", "penalties", 70, 1 / 3.0, "run_us=40000", []*schema.Step{newStep("terms", 3, 500, 256)}},
@@ -81,7 +81,7 @@
 		},
 	},
 	{
-		Name: "skema", SyncUs: 5000, WorkerCoresMilli: 16_000, Memory: 32_000, Gateways: 7, Agents: 11, Workers: 11, StorageNodeCores: 1, GatewayCores: 0.16, AgentCores: 0.25,
+		Name: "skema", SyncUs: 5000, WorkerCoresMilli: 16_000, WorkerMemoryMB: 32_000, Gateways: 7, Agents: 11, Workers: 11, StorageNodeCores: 1, GatewayCores: 0.16, AgentCores: 0.25,
 		JobTypes: []JobType{
 			{"submission", "submissions", 60, 1 / 7.0, "run_us=30000", []*schema.Step{newStep("parse", 2, 250, 128), newStep("store", 1, 250, 128, "parse")}},
 			{"draft", "drafts", 80, 1, "run_us=40000", []*schema.Step{newStep("check", 3, 250, 128)}},
@@ -114,7 +114,7 @@
 func (d *Deployment) ConfigRows() []*schema.ConfigurationRow {
 	rows := []*schema.ConfigurationRow{
 		{Kind: "fleet", Key: "worker_cores_milli", Value: fmt.Sprint(d.WorkerCoresMilli)},
-		{Kind: "fleet", Key: "worker_memory_mb", Value: fmt.Sprint(d.Memory)},
+		{Kind: "fleet", Key: "worker_memory_mb", Value: fmt.Sprint(d.WorkerMemoryMB)},
 	}
 	for _, k := range d.JobTypes {
 		rows = append(rows, &schema.ConfigurationRow{Kind: "queue", Name: k.Queue, Key: "urgency", Value: fmt.Sprint(k.Urgency)})
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -79,7 +79,7 @@
 // jobs, which touch the other rules, are rare.
 func DeploymentSpec(d *deployments.Deployment) FleetSpec {
 	spec := FleetSpec{
-		Name: d.Name, Gateways: d.Gateways, AgentNodes: d.Agents, Workers: d.Workers, WorkersPerRack: 3, Cores: d.WorkerCoresMilli, Memory: d.Memory,
+		Name: d.Name, Gateways: d.Gateways, AgentNodes: d.Agents, Workers: d.Workers, WorkersPerRack: 3, Cores: d.WorkerCoresMilli, Memory: d.WorkerMemoryMB,
 		SyncDelay: eventloop.Micros(d.SyncUs), GatewayCPUShare: d.GatewayCores, AgentCPUShare: d.AgentCores,
 	}
 	for _, k := range d.JobTypes {
