--- a/internal/clusterstate/clusterstate.go
+++ b/internal/clusterstate/clusterstate.go
@@ -1,14 +1,19 @@
-// Package clusterstate is the replicated state machine of the cluster's own Raft group.
-// It holds the operators' configuration with its history, the placement of the queues,
-// the worker leases (which scheduler alone may command a worker; they don't expire, the
-// controller reassigns them) and the controller lease (which controller alone may act).
+// Package clusterstate implements the replicated state machine of the cluster state group,
+// the Raft group that holds the state of the cluster as a whole:
 //
-// A StateMachine applies the group's committed entries in log order and is deterministic:
-// its only clock is the time that the entries carry. Each replica of the group owns one;
-// internal/replica feeds it and persists its snapshots. Everybody else works on copies of
-// SharedState, which are sent by EncodeUpdate and read by DecodeUpdate. Each command is
-// validated when it is applied, against the fencing token of its lease or the version it is
-// based on, so that a sender with a stale view is rejected by the log itself.
+//   - the operators' configuration with its history;
+//   - the placement of the queues;
+//   - the worker leases, each of which allows exactly one scheduler to command a worker; they
+//     don't expire, but the controller reassigns them;
+//   - the controller lease, which allows exactly one controller to act.
+//
+// A StateMachine applies the group's committed entries in log order and is deterministic: its
+// only clock is the time that the entries carry. Each replica of the group owns one
+// StateMachine; internal/replica applies entries to it and persists its snapshots. All other
+// processes work on copies of SharedState, which EncodeUpdate prepares for sending and
+// DecodeUpdate decodes. Each command is validated when it is applied, against the fencing
+// token of its lease or the configuration version it is based on. A command from a sender
+// with a stale view is therefore rejected when its log entry is applied.
 package clusterstate
 
 import (
@@ -19,15 +24,15 @@
 	"sparnotch/internal/schema"
 )
 
-// GroupName is the name of the cluster's own Raft group.
+// GroupName is the name of the cluster state group.
 const GroupName = "clusterstate"
 
-// Result is the outcome of a command, with HTTP's status codes.
+// Result is the outcome of a command.
 type Result struct {
-	Code          int32
-	Error         *schema.Error         // why the command was rejected; nil if it was applied
-	FencingToken  uint64                // of the controller lease, after a granted claim
-	Configuration *schema.Configuration // the current one, after a configuration update; not to be changed
+	Code          int32                 // HTTP status code
+	Error         *schema.Error         // reason for the rejection; nil if the command was applied
+	FencingToken  uint64                // token of the controller lease; set when a claim is granted
+	Configuration *schema.Configuration // current configuration; set after a configuration update; must not be modified
 }
 
 func succeeded() *Result { return &Result{Code: http.StatusOK} }
@@ -35,14 +40,16 @@
 // StateMachine is one replica of the cluster state. It isn't safe for concurrent use.
 type StateMachine struct {
 	state   *schema.ClusterState
-	changed bool // by the command being applied; lease renewals don't count
+	changed bool // whether the command being applied changed the state; lease renewals don't count
 
-	// Derived from the current configuration, and rebuilt when that is replaced.
+	// The following fields are derived from parsedFrom, the current configuration, and are
+	// rebuilt when it is replaced.
 	parsedFrom      *schema.Configuration
 	values          *Values
 	withoutDocument *schema.Configuration
 
-	// The compressed rows of the configuration that was encoded last.
+	// compressedRows caches the compressed rows of compressedFrom, the configuration that
+	// EncodeUpdate encoded last.
 	compressedFrom *schema.Configuration
 	compressedRows []byte
 }
@@ -54,8 +61,8 @@
 	}}
 }
 
-// Restore returns the cluster state of a snapshot, compressed or not; no data is an empty
-// state.
+// Restore decodes a snapshot, compressed or not, into a state machine. Empty data gives an
+// empty cluster state.
 func Restore(data []byte) (*StateMachine, error) {
 	m := New()
 	if len(data) == 0 {
@@ -68,8 +75,8 @@
 	return m, proto.Unmarshal(decompressed, m.state)
 }
 
-// Snapshot encodes the whole state. The bytes are deterministic: replicas that have applied
-// the same entries encode alike.
+// Snapshot encodes the whole state. The encoding is deterministic: replicas that have applied
+// the same entries return the same bytes.
 func (m *StateMachine) Snapshot() []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m.state)
 	if err != nil {
@@ -83,11 +90,12 @@
 	return proto.Clone(m.state).(*schema.ClusterState)
 }
 
-// Configuration returns the current configuration with its document; not to be changed.
+// Configuration returns the current configuration with its document. The caller must not
+// modify it.
 func (m *StateMachine) Configuration() *schema.Configuration { return m.state.Configuration }
 
-// History returns the previous configurations that are kept, the oldest first, without
-// their documents; not to be changed.
+// History returns the previous configurations that are still kept, oldest first, without
+// their documents. The caller must not modify them.
 func (m *StateMachine) History() []*schema.Configuration { return m.state.PreviousConfigurations }
 
 // Values returns the parsed settings of the current configuration.
@@ -96,10 +104,11 @@
 	return m.values
 }
 
-// SharedState returns a copy of the part of the state that every process holds. It is sent
-// on each change, so it leaves out what is only served on request: the configuration's
-// document, the history and the accepted versions. Its Configuration is the same pointer
-// until the configuration is replaced; it is shared and not to be changed.
+// SharedState returns a copy of the part of the state that every process holds. The copy is
+// sent on each change, so it omits the parts that are only served on request: the
+// configuration's document, the history and the accepted versions. Its Configuration isn't
+// copied: all calls return the same pointer until the configuration is replaced, and callers
+// must not modify it.
 func (m *StateMachine) SharedState() *schema.ClusterState {
 	m.refreshDerived()
 	shared := withConfiguration(m.state, m.withoutDocument)
@@ -114,8 +123,8 @@
 	return shared
 }
 
-// withConfiguration returns the shared part of a state with another configuration in it.
-// All the rest is shared with the given state.
+// withConfiguration returns the part of a state that SharedState contains, with the given
+// configuration instead of its own. Everything else points into the given state.
 func withConfiguration(state *schema.ClusterState, configuration *schema.Configuration) *schema.ClusterState {
 	return &schema.ClusterState{
 		Version: state.Version, Configuration: configuration, Queues: state.Queues, WorkerLeases: state.WorkerLeases,
@@ -123,6 +132,8 @@
 	}
 }
 
+// refreshDerived rebuilds the fields that are derived from the configuration if the
+// configuration has been replaced.
 func (m *StateMachine) refreshDerived() {
 	if m.values != nil && m.parsedFrom == m.state.Configuration {
 		return
@@ -132,7 +143,8 @@
 	m.withoutDocument = WithoutDocument(m.parsedFrom)
 }
 
-// WithoutDocument returns a configuration without its document; the rows are shared.
+// WithoutDocument returns a copy of a configuration without its document. The copy shares the
+// rows with the original.
 func WithoutDocument(configuration *schema.Configuration) *schema.Configuration {
 	return &schema.Configuration{
 		Revision: configuration.GetRevision(), Rows: configuration.GetRows(), Version: configuration.GetVersion(),
@@ -140,12 +152,13 @@
 	}
 }
 
-// Version counts the applied changes; a renewal of the controller lease is none.
+// Version returns the number of changes applied so far. Renewals of the controller lease
+// don't count as changes.
 func (m *StateMachine) Version() uint64 { return m.state.Version }
 
-// Apply applies the command of one committed entry, compressed or not, at the entry's time
-// in µs. A rejected command is a Result with an error code; an error means that the command
-// can't be decoded.
+// Apply applies the command of one committed entry, compressed or not, at the entry's time in
+// µs. A rejected command yields a Result with an HTTP error code and no error; Apply returns
+// an error only if the command can't be decoded.
 func (m *StateMachine) Apply(timeUs int64, data []byte) (*Result, error) {
 	command, err := DecodeCommand(data)
 	if err != nil {
@@ -178,8 +191,8 @@
 	return &Result{Code: http.StatusBadRequest}
 }
 
-// nextToken returns a number that was never used before: a fencing token or the generation
-// of a queue.
+// nextToken returns a number that has never been used before, to serve as a fencing token or
+// as the generation of a queue.
 func (m *StateMachine) nextToken() uint64 {
 	m.state.NextToken++
 	return m.state.NextToken - 1
--- a/internal/clusterstate/compression.go
+++ b/internal/clusterstate/compression.go
@@ -11,26 +11,26 @@
 	"sparnotch/internal/schema"
 )
 
-// The rows of a configuration repeat the same few strings thousands of times. Large
-// commands are compressed once, where they enter the system, and stay so in the log, in
-// snapshots and on every link.
+// The rows of a configuration repeat the same few strings thousands of times. Large commands
+// are therefore compressed once, by the process that receives them, and stay compressed in
+// the log, in snapshots and on the network.
 
 const (
-	compressionThreshold = 4 << 10  // bytes; less isn't worth it
-	maxDecompressedBytes = 64 << 20 // bounds what a small input can expand to
-	compressedMarker     = 0x00     // no encoded message of the schema and no JSON begins with it
+	compressionThreshold = 4 << 10  // bytes; compressing smaller data isn't worth it
+	maxDecompressedBytes = 64 << 20 // limits how far a small input can expand
+	compressedMarker     = 0x00     // first byte of compressed data; neither an encoded message nor JSON begins with it
 )
 
 var (
 	// Errors is the namespace of this package's errors.
 	Errors = errorx.NewNamespace("clusterstate")
-	// InvalidEncoding is the type of errors for data that can't be decompressed or decoded,
-	// and for updates without a configuration that the receiver doesn't hold.
+	// InvalidEncoding is the type of two kinds of errors: data can't be decompressed or
+	// decoded, or an update omits the configuration although the receiver doesn't hold it.
 	InvalidEncoding = Errors.NewType("invalid_encoding")
 )
 
-// Compress compresses data unless it is small or doesn't shrink: then it is returned as it
-// is.
+// Compress returns data in compressed form. Data that is small or doesn't shrink is returned
+// unchanged.
 func Compress(data []byte) []byte {
 	if len(data) < compressionThreshold {
 		return data
@@ -47,8 +47,8 @@
 	return compressed.Bytes()
 }
 
-// Decompress undoes Compress. Data without the marker is returned as it is. The error is
-// InvalidEncoding.
+// Decompress reverses Compress. Data without the marker is returned unchanged. Errors are of
+// type InvalidEncoding.
 func Decompress(data []byte) ([]byte, error) {
 	if len(data) == 0 || data[0] != compressedMarker {
 		return data, nil
@@ -58,12 +58,12 @@
 		return nil, InvalidEncoding.Wrap(err, "decompressing")
 	}
 	if len(decompressed) > maxDecompressedBytes {
-		return nil, InvalidEncoding.New("more than %d bytes when decompressed", maxDecompressedBytes)
+		return nil, InvalidEncoding.New("the decompressed data is larger than %d bytes", maxDecompressedBytes)
 	}
 	return decompressed, nil
 }
 
-// DecodeCommand decodes a command, compressed or not.
+// DecodeCommand decodes a command of the cluster state group, compressed or not.
 func DecodeCommand(data []byte) (*schema.ClusterStateCommand, error) {
 	decompressed, err := Decompress(data)
 	if err != nil {
--- a/internal/clusterstate/patch.go
+++ b/internal/clusterstate/patch.go
@@ -10,16 +10,16 @@
 	"sparnotch/internal/schema"
 )
 
-// A patch changes the configuration it is based on, where a whole update replaces it. It is
-// applied to the rows and to the document when the log entry is, so that every replica
-// makes the same bytes of it.
+// A patch changes the configuration that it is based on, whereas a whole update replaces it.
+// Each replica applies the patch to the rows and to the document when it applies the log
+// entry. The result is deterministic, so all replicas store the same bytes.
 
-// A documentPatch is a patch of a document, which must be a JSON object. Lists of the document
-// are changed by their items' names; all other members of the patch replace those of the
-// document.
+// documentPatch holds the list changes of a document's patch. The document must be a JSON
+// object. Items of its lists are added, replaced and removed by name; all other members of
+// the patch replace the document's members of the same name.
 type documentPatch struct {
-	Upsert map[string][]json.RawMessage `json:"upsert"` // by list: items to add, or to replace
-	Remove map[string][]string          `json:"remove"` // by list: names of the items to remove
+	Upsert map[string][]json.RawMessage `json:"upsert"` // items to add or replace, by list
+	Remove map[string][]string          `json:"remove"` // names of the items to remove, by list
 }
 
 const (
@@ -27,8 +27,8 @@
 	removeMember = "remove"
 )
 
-// applyPatch returns the whole update that a patch of the current configuration stands for.
-// Removing an item that doesn't exist changes nothing.
+// applyPatch converts a patch of the current configuration into the equivalent whole update.
+// Removing an item that doesn't exist has no effect.
 func applyPatch(current *schema.Configuration, patch *schema.ConfigurationUpdate) (*schema.ConfigurationUpdate, *schema.Error) {
 	document := current.Document
 	if len(patch.Document) > 0 {
@@ -44,9 +44,9 @@
 	}, nil
 }
 
-// patchRows returns rows without those of the removed items and with the patch's rows set:
-// in the place of the row with the same key, or at the end. A row that a patch sets twice
-// stands twice, which validation rejects.
+// patchRows returns rows without the rows of removed items and with the rows of the patch.
+// A row of the patch takes the place of the row with the same kind, name and key, or is
+// appended. If the patch sets a row twice, the result contains both, which validation rejects.
 func patchRows(rows []*schema.ConfigurationRow, patch *schema.ConfigurationUpdate) []*schema.ConfigurationRow {
 	removed := map[[2]string]bool{}
 	for _, item := range patch.Removed {
@@ -78,12 +78,13 @@
 	return merged
 }
 
-// patchDocument returns a document with a patch applied. The result is deterministic: its
-// members are sorted, and items keep their bytes and their places; new ones follow.
+// patchDocument returns a document with a patch applied. The result is deterministic: members
+// are sorted by name, unchanged items keep their bytes and their positions in their list, and
+// new items are appended.
 func patchDocument(document, patch []byte) ([]byte, error) {
 	members, err := decodeMembers(document)
 	if err != nil {
-		return nil, fmt.Errorf("the current document can't be patched: %w", err)
+		return nil, fmt.Errorf("the current document is not a JSON object and can't be patched: %w", err)
 	}
 	changes, err := decodeMembers(patch)
 	if err != nil {
@@ -100,19 +101,19 @@
 	}
 	for _, list := range lists.names() {
 		if len(members[list]) == 0 && len(lists.Upsert[list]) == 0 {
-			// A document without a list may mean something else than one with an empty list.
+			// A document that lacks a list may differ in meaning from one with an empty list.
 			continue
 		}
 		patched, err := patchList(members[list], lists.Upsert[list], lists.Remove[list])
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", list, err)
+			return nil, fmt.Errorf("list %s can't be patched: %w", list, err)
 		}
 		members[list] = patched
 	}
 	return encodeCompact(members)
 }
 
-// names lists the lists that a patch changes, sorted.
+// names returns the sorted names of the lists that the patch changes.
 func (p documentPatch) names() []string {
 	var names []string
 	for name := range p.Upsert {
@@ -125,8 +126,8 @@
 	return slices.Compact(names)
 }
 
-// patchList returns a list of named items, as JSON, with some replaced, added or removed.
-// No list is an empty one.
+// patchList replaces, adds and removes items of a JSON list, which it identifies by name, and
+// returns the resulting JSON. A list that is missing counts as empty.
 func patchList(list json.RawMessage, upserted []json.RawMessage, removed []string) (json.RawMessage, error) {
 	var items []json.RawMessage
 	if len(list) > 0 {
@@ -142,7 +143,7 @@
 			return nil, err
 		}
 		if _, isDouble := replacements[name]; isDouble || slices.Contains(removed, name) {
-			return nil, fmt.Errorf("the patch names %q twice", name)
+			return nil, fmt.Errorf("the patch names item %q more than once", name)
 		}
 		replacements[name] = item
 		order = append(order, name)
@@ -168,7 +169,7 @@
 	return encodeCompact(patched)
 }
 
-// itemName returns the name of an item of a list.
+// itemName returns the name of a list item. An item without a name is an error.
 func itemName(item json.RawMessage) (string, error) {
 	named := struct {
 		Name string `json:"name"`
@@ -177,24 +178,25 @@
 		return "", err
 	}
 	if named.Name == "" {
-		return "", fmt.Errorf("an item has no name")
+		return "", fmt.Errorf("a list item has no name")
 	}
 	return named.Name, nil
 }
 
-// decodeMembers decodes a JSON object.
+// decodeMembers returns the members of a JSON object, still encoded. Other JSON is an error.
 func decodeMembers(data []byte) (map[string]json.RawMessage, error) {
 	var members map[string]json.RawMessage
 	if err := json.Unmarshal(data, &members); err != nil {
 		return nil, err
 	}
 	if members == nil {
-		return nil, fmt.Errorf("it is no object")
+		return nil, fmt.Errorf("expected a JSON object, got null")
 	}
 	return members, nil
 }
 
-// encodeCompact encodes a value without white space, and with '<', '>' and '&' as they are.
+// encodeCompact encodes a value as JSON without white space and without escaping '<', '>' and
+// '&'.
 func encodeCompact(value any) ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := json.NewEncoder(&buffer)
@@ -205,8 +207,9 @@
 	return bytes.TrimSuffix(buffer.Bytes(), []byte("\n")), nil
 }
 
-// hashPatch adds to an update's digest what makes it a patch: the same change on another base
-// is another change. Whole updates keep the digest that they had before there were patches.
+// hashPatch adds the base and the removed items of a patch to its digest, because the same
+// patch on another base is a different update. It adds nothing for whole updates, which keep
+// the digest that they had before patches were introduced.
 func hashPatch(hash io.Writer, update *schema.ConfigurationUpdate) {
 	if !update.IsPatch {
 		return
--- a/internal/clusterstate/queues.go
+++ b/internal/clusterstate/queues.go
@@ -8,7 +8,8 @@
 	"sparnotch/internal/schema"
 )
 
-// FindQueue returns a queue's placement, or nil. A state lists them sorted by queue.
+// FindQueue returns the placement of a queue, or nil if the queue has none. It relies on the
+// placements of a state being sorted by queue name.
 func FindQueue(state *schema.ClusterState, queue string) *schema.QueuePlacement {
 	placements := state.GetQueues()
 	if at, found := searchQueue(placements, queue); found {
@@ -17,12 +18,13 @@
 	return nil
 }
 
-// searchQueue returns where a queue's placement stands, or belongs if it isn't there.
+// searchQueue returns the index of a queue's placement, or the index to insert it at if it
+// isn't found.
 func searchQueue(placements []*schema.QueuePlacement, queue string) (at int, found bool) {
 	return slices.BinarySearchFunc(placements, queue, func(p *schema.QueuePlacement, name string) int { return strings.Compare(p.Queue, name) })
 }
 
-// placeQueues removes and places queues as the controller decided.
+// placeQueues applies the controller's decision to remove and to place queues.
 func (m *StateMachine) placeQueues(command *schema.PlaceQueues) *Result {
 	if !m.HoldsControllerLease(command.FencingToken) {
 		return staleTokenResult()
@@ -36,8 +38,8 @@
 	return succeeded()
 }
 
-// removeQueue removes the placement of a queue that isn't configured. One that has rows was
-// configured again after the controller decided.
+// removeQueue removes the placement of a queue that isn't configured. A queue that is
+// configured stays: it was configured again after the controller decided to remove it.
 func (m *StateMachine) removeQueue(name string) {
 	for k, placement := range m.state.Queues {
 		if matchesQueue(placement, name) && !m.Values().HasQueue(placement.Queue) {
@@ -48,15 +50,16 @@
 	}
 }
 
-// matchesQueue reports whether a name is that of this very queue: "queue#generation". The
-// command may be delayed until a queue of the same name has been created anew, which must
-// stay. Logs written by older versions name the queue alone.
+// matchesQueue reports whether name refers to the placed queue. A name has the form
+// "queue#generation", because a command may be delayed until a new queue of the same name
+// has been created, which must stay. Logs written by older versions contain the queue's name
+// without a generation.
 func matchesQueue(placement *schema.QueuePlacement, name string) bool {
 	return name == placement.Queue || name == placement.Queue+"#"+strconv.FormatUint(placement.Generation, 10)
 }
 
-// placeQueue creates a configured queue with its first voters, or changes the preferred
-// leader of an existing one.
+// placeQueue creates a configured queue with its initial voters, or changes the preferred
+// leader if the queue already exists.
 func (m *StateMachine) placeQueue(wanted *schema.QueuePlacement) {
 	if placement := FindQueue(m.state, wanted.Queue); placement != nil {
 		m.changed = m.changed || placement.PreferredLeader != wanted.PreferredLeader
--- a/internal/clusterstate/replace.go
+++ b/internal/clusterstate/replace.go
@@ -13,36 +13,39 @@
 	"sparnotch/internal/schema"
 )
 
-// Replacing the configuration is a compare-and-set on its number: the version that its
-// author gave it or, for edits without one, the revision. Both only rise, so a final answer
-// to an update holds whenever another copy of the update is applied:
+// Replacing the configuration is a compare-and-set on its version, which its author assigns,
+// or, for edits without a version, on its revision. Both numbers only increase. Three results
+// are final, that is, they also hold when another copy of the update is applied later:
 //
-//   - 200: this very update was accepted, now or before;
-//   - 412: a number above its base is current and another update brought it, so this one
-//     can't be accepted any more;
-//   - 422: it is invalid by itself, whatever is current; a patch (patch.go) is judged
-//     together with its base.
+//   - 200: this update was accepted, now or earlier;
+//   - 412: another update has replaced the base of this one, which therefore can't be
+//     accepted any more;
+//   - 422: the update is invalid whatever the current configuration is; a patch (patch.go)
+//     is validated together with its base.
 //
-// Else the outcome is said to be open, and the update may be sent again:
+// The other results leave the outcome open, and the update may be sent again:
 //
-//   - 503: its base hasn't been accepted yet, as when updates are sent one after the other
-//     without waiting; once it has, this one may be;
-//   - 504: its base is older than what is remembered, so it may have been accepted.
+//   - 503: the base of the update hasn't been accepted yet, as happens when a client sends
+//     updates one after the other without waiting for the responses; the update may be
+//     accepted once its base is;
+//   - 504: the base is older than the remembered updates, so it isn't known whether this
+//     update was accepted.
 //
-// In the API's fields and messages the version is called edition, the revision generation,
-// and the configuration plan or, in an update, sheet.
+// In the fields of the API the version is called edition and the revision generation; the
+// path of the configuration's endpoint calls the configuration plan.
 
-// The state has a bounded size, for each snapshot contains the whole of it: previous
-// configurations are kept without their documents, accepted updates as digests.
+// These limits bound the size of the state, because each snapshot contains the whole state.
+// For the same reason previous configurations are kept without their documents, and accepted
+// updates as digests.
 const (
 	maxHistory           = 20        // previous configurations
-	maxHistoryBytes      = 512 << 10 // of previous configurations, without the last one
+	maxHistoryBytes      = 512 << 10 // total of the previous configurations, not counting the latest one
 	maxRememberedUpdates = 1024      // accepted updates that are recognized when they are sent again
 	maxDocumentBytes     = 256 << 10
 	digestBytes          = 16
 )
 
-// replaceConfiguration replaces the configuration by an update that is based on it.
+// replaceConfiguration replaces the current configuration with an update that is based on it.
 func (m *StateMachine) replaceConfiguration(update *schema.ConfigurationUpdate) *Result {
 	if update.Version > 0 {
 		return m.replaceByVersion(update)
@@ -50,27 +53,28 @@
 	return m.replaceByRevision(update)
 }
 
-// replaceByRevision takes an edit without a version of its author.
+// replaceByRevision applies an edit without a version, which is based on a revision.
 func (m *StateMachine) replaceByRevision(update *schema.ConfigurationUpdate) *Result {
 	current := m.state.Configuration
 	if update.BaseRevision == nil {
 		return &Result{Code: http.StatusPreconditionRequired, Error: &schema.Error{
-			Code: "generation_missing", Message: "the sheet must say which generation it was built on",
+			Code: "generation_missing", Message: "the update must give the generation that it is based on",
 			Field: "generation", Current: current.Revision,
 		}}
 	}
-	given, digest := update.GetBaseRevision(), revisionDigest(update)
+	base, digest := update.GetBaseRevision(), revisionDigest(update)
 	if m.isAccepted(0, digest) {
 		return &Result{Code: http.StatusOK, Configuration: current}
 	}
-	if given < current.Revision {
-		return baseSuperseded("generation", given, current.Revision, given >= m.oldestRememberedRevision())
+	if base < current.Revision {
+		return baseSuperseded("generation", base, current.Revision, base >= m.oldestRememberedRevision())
 	}
-	complete, rejection := m.completeUpdate(update, baseReference{field: "generation", given: given, current: current.Revision})
+	complete, rejection := m.completeUpdate(update, baseReference{field: "generation", base: base, current: current.Revision})
 	if rejection != nil {
 		return rejection
 	}
-	// The version and its document stay: the edit is made on top of them.
+	// The edit is made on top of the current version, which stays; so does the document, unless
+	// the edit has its own.
 	document := complete.Document
 	if len(document) == 0 {
 		document = current.Document
@@ -78,12 +82,12 @@
 	return m.applyUpdate(complete, current.Version, document, &schema.AcceptedVersion{Digest: digest})
 }
 
-// replaceByVersion takes an update whose author numbers the versions.
+// replaceByVersion applies an update whose author numbers the versions.
 func (m *StateMachine) replaceByVersion(update *schema.ConfigurationUpdate) *Result {
 	current := m.state.Configuration
 	digest := versionDigest(update)
 	if m.isAccepted(update.Version, digest) {
-		// A retry after a timeout; others may have been accepted since.
+		// This is a retry after a timeout; other updates may have been accepted since.
 		return &Result{Code: http.StatusOK, Configuration: current}
 	}
 	if update.BaseVersion < current.Version {
@@ -91,32 +95,34 @@
 	}
 	if update.Version <= update.BaseVersion {
 		return &Result{Code: http.StatusUnprocessableEntity, Error: &schema.Error{
-			Code: "bad_edition", Message: "an edition's number must be higher than that of the one before",
+			Code: "bad_edition", Message: "the edition must be higher than base_edition, the one that it is based on",
 			Field: "edition", Given: update.Version, Current: current.Version,
 		}}
 	}
-	complete, rejection := m.completeUpdate(update, baseReference{field: "base_edition", given: update.BaseVersion, current: current.Version})
+	complete, rejection := m.completeUpdate(update, baseReference{field: "base_edition", base: update.BaseVersion, current: current.Version})
 	if rejection != nil {
 		return rejection
 	}
 	return m.applyUpdate(complete, update.Version, complete.Document, &schema.AcceptedVersion{Version: update.Version, Digest: digest})
 }
 
-// baseReference is what an update names as its base, beside what is current.
+// baseReference compares the base of an update with the current configuration. Both numbers
+// are versions or both are revisions.
 type baseReference struct {
-	field          string // of the update
-	given, current uint64
+	field         string // field of the update that names the base
+	base, current uint64
 }
 
-func (r baseReference) isAhead() bool { return r.given > r.current }
+// isAhead reports whether the base hasn't been accepted yet.
+func (r baseReference) isAhead() bool { return r.base > r.current }
 
-// completeUpdate returns a valid update with the rows and the document that will be in force:
-// the update itself, or for a patch the current configuration with the patch applied. Else
-// it returns the rejection.
+// completeUpdate returns the whole update that will replace the configuration: the update
+// itself or, for a patch, the current configuration with the patch applied. If the update is
+// invalid or its base hasn't been accepted yet, completeUpdate returns the rejection instead.
 func (m *StateMachine) completeUpdate(update *schema.ConfigurationUpdate, base baseReference) (*schema.ConfigurationUpdate, *Result) {
 	if update.IsPatch && base.isAhead() {
-		// Whether a patch is valid depends on its base.
-		return nil, baseNotAccepted(base.field, base.given, base.current)
+		// Whether a patch is valid depends on its base, which isn't known yet.
+		return nil, baseNotAccepted(base.field, base.base, base.current)
 	}
 	complete, invalid := update, (*schema.Error)(nil)
 	if update.IsPatch {
@@ -129,45 +135,47 @@
 	case invalid != nil:
 		return nil, &Result{Code: http.StatusUnprocessableEntity, Error: invalid}
 	case base.isAhead():
-		return nil, baseNotAccepted(base.field, base.given, base.current)
+		return nil, baseNotAccepted(base.field, base.base, base.current)
 	}
 	return complete, nil
 }
 
-// baseSuperseded rejects an update whose base has been replaced: 412, or 504 if it isn't
-// remembered whether by this very update.
-func baseSuperseded(field string, given, current uint64, remembered bool) *Result {
+// baseSuperseded returns the rejection of an update whose base has been replaced: 412, or 504
+// if the update that replaced the base isn't remembered, since it may have been this one.
+func baseSuperseded(field string, base, current uint64, remembered bool) *Result {
 	if !remembered {
 		return &Result{Code: http.StatusGatewayTimeout, Error: &schema.Error{
-			Code: "unknown", Message: "so much has followed that whether this took effect is not known any more: get the plan and see",
-			Field: field, Given: given, Current: current,
+			Code: "unknown", Message: "too many updates have followed to know whether this one was accepted: get the current configuration and compare",
+			Field: field, Given: base, Current: current,
 		}}
 	}
 	return &Result{Code: http.StatusPreconditionFailed, Error: &schema.Error{
-		Code: "outdated", Message: "the plan has changed since this sheet was made: get it anew and repeat the edit",
-		Field: field, Given: given, Current: current,
+		Code: "outdated", Message: "the configuration has changed since the one that this update is based on: get the current one and repeat the edit",
+		Field: field, Given: base, Current: current,
 	}}
 }
 
-// baseNotAccepted answers an update whose base hasn't been accepted yet. That is no final
-// rejection: a copy of it that is still in flight may be applied after its base.
-func baseNotAccepted(field string, given, current uint64) *Result {
+// baseNotAccepted returns the response to an update whose base hasn't been accepted yet. It
+// isn't a final rejection, because a copy of the update that is still in flight may be applied
+// after the base.
+func baseNotAccepted(field string, base, current uint64) *Result {
 	return &Result{Code: http.StatusServiceUnavailable, Error: &schema.Error{
-		Code: "base_ahead", Message: "what this sheet was built on has not been taken yet: send it again as it is",
-		Field: field, Given: given, Current: current,
+		Code: "base_ahead", Message: "the base of this update has not been accepted yet: send the update again unchanged",
+		Field: field, Given: base, Current: current,
 	}}
 }
 
-// validateUpdate returns why an update is invalid by itself, whatever is current; nil if it
-// is valid.
+// validateUpdate returns the reason why an update is invalid whatever the current
+// configuration is, or nil if it is valid.
 func validateUpdate(update *schema.ConfigurationUpdate) *schema.Error {
 	if len(update.Document) > maxDocumentBytes {
-		return &schema.Error{Code: "bad_document", Message: fmt.Sprintf("at most %d bytes", maxDocumentBytes), Field: "document"}
+		return &schema.Error{Code: "bad_document", Message: fmt.Sprintf("the document must have at most %d bytes", maxDocumentBytes), Field: "document"}
 	}
 	return ValidateRows(update.Rows)
 }
 
-// applyUpdate makes an update the current configuration, and remembers that it was accepted.
+// applyUpdate makes a valid, whole update the current configuration, moves the previous
+// configuration to the history and remembers the update as accepted.
 func (m *StateMachine) applyUpdate(update *schema.ConfigurationUpdate, version uint64, document []byte, accepted *schema.AcceptedVersion) *Result {
 	previous := m.state.Configuration
 	m.state.PreviousConfigurations = trimHistory(append(m.state.PreviousConfigurations, WithoutDocument(previous)))
@@ -183,8 +191,8 @@
 	return &Result{Code: http.StatusOK, Configuration: m.state.Configuration}
 }
 
-// trimHistory returns the previous configurations to keep: the last one however large it is,
-// so that a change can be undone, and older ones within the bounds.
+// trimHistory returns the previous configurations to keep: always the latest one, whatever its
+// size, so that a change can be undone, and older ones within maxHistory and maxHistoryBytes.
 func trimHistory(history []*schema.Configuration) []*schema.Configuration {
 	size := 0
 	for k := len(history) - 2; k >= 0; k-- {
@@ -196,8 +204,8 @@
 	return history
 }
 
-// isAccepted reports whether an update is among the remembered ones; edits without a version
-// have version 0.
+// isAccepted reports whether an update is among the remembered accepted updates. The version
+// is 0 for edits without a version.
 func (m *StateMachine) isAccepted(version uint64, digest []byte) bool {
 	for _, accepted := range m.state.AcceptedVersions {
 		if accepted.Version == version && bytes.Equal(accepted.Digest, digest) {
@@ -207,27 +215,27 @@
 	return false
 }
 
-// oldestRememberedRevision returns the lowest revision of which it is remembered which update
-// replaced it: each accepted update makes one revision and one entry.
+// oldestRememberedRevision returns the lowest revision whose replacing update is remembered.
+// Each accepted update adds one revision and one entry to AcceptedVersions.
 func (m *StateMachine) oldestRememberedRevision() uint64 {
 	return m.state.Configuration.Revision - min(uint64(len(m.state.AcceptedVersions)), m.state.Configuration.Revision)
 }
 
-// remembersVersionsAbove reports whether every accepted version above a base is remembered.
+// remembersVersionsAbove reports whether all accepted versions above base are remembered.
 func (m *StateMachine) remembersVersionsAbove(base uint64) bool {
 	if m.oldestRememberedRevision() == 0 {
 		return true
 	}
-	for _, applied := range m.state.AcceptedVersions {
-		if applied.Version > 0 {
-			return base >= applied.Version
+	for _, accepted := range m.state.AcceptedVersions {
+		if accepted.Version > 0 {
+			return base >= accepted.Version
 		}
 	}
 	return false
 }
 
-// versionDigest distinguishes updates of the same version by their document, for that is what
-// the author gave, or by their rows if they have none.
+// versionDigest returns a digest that distinguishes updates of the same version. It hashes the
+// document, which is what the author submitted, or the rows if there is no document.
 func versionDigest(update *schema.ConfigurationUpdate) []byte {
 	hash := sha256.New()
 	hash.Write(update.Document)
@@ -238,7 +246,8 @@
 	return hash.Sum(nil)[:digestBytes]
 }
 
-// revisionDigest distinguishes edits without a version by their base and all their content.
+// revisionDigest returns a digest that distinguishes edits without a version. It hashes the
+// base and all content of the edit.
 func revisionDigest(update *schema.ConfigurationUpdate) []byte {
 	hash := sha256.New()
 	hash.Write([]byte(strconv.FormatUint(update.GetBaseRevision(), 10) + "\n"))
--- a/internal/clusterstate/routes.go
+++ b/internal/clusterstate/routes.go
@@ -8,13 +8,14 @@
 	"sparnotch/internal/schema"
 )
 
-// A route matches the requests for a queue by host and path prefix.
+// route directs requests with a host and a path prefix to a queue.
 type route struct {
 	queue  string
-	host   string // in lower case; empty: any
-	prefix string // empty: any path
+	host   string // in lower case; empty matches any host
+	prefix string // as configured; empty matches any path
 }
 
+// pathPrefix returns the path prefix that the route matches, which is "/" by default.
 func (r *route) pathPrefix() string {
 	if r.prefix == "" {
 		return "/"
@@ -22,17 +23,19 @@
 	return r.prefix
 }
 
-// A routeSet has the routes that the rows of a configuration define.
+// routeSet holds the routes that the rows of a configuration define, at most one per queue.
 type routeSet struct {
 	byQueue map[string]*definedRoute
 	queues  []string // in the order of their first rows
 }
 
+// definedRoute is a route with the position of its definition, for error messages.
 type definedRoute struct {
 	route
-	lastRow int // index of the last row that defines it
+	lastRow int // index of the last row that defines the route
 }
 
+// newRouteSet collects the routes from the host and prefix rows of queues.
 func newRouteSet(rows []*schema.ConfigurationRow) *routeSet {
 	set := &routeSet{byQueue: map[string]*definedRoute{}}
 	for at, row := range rows {
@@ -55,7 +58,8 @@
 	return set
 }
 
-// byHost lists the routes of each host, the longest prefix first, else by queue.
+// byHost returns the routes by host. The routes of a host are sorted by descending length of
+// their prefix, then by queue.
 func (s *routeSet) byHost() map[string][]route {
 	routes := map[string][]route{}
 	for _, queue := range slices.Sorted(slices.Values(s.queues)) {
@@ -68,8 +72,9 @@
 	return routes
 }
 
-// MatchRoute returns the queue that a request's host and path lead to, and what follows the
-// route's prefix in the path. Routes of that very host take precedence over those of any.
+// MatchRoute returns the queue of the route that matches the host and the path of a request,
+// and the rest of the path after the route's prefix. Routes for the request's host take
+// precedence over routes for any host; among these, the longest prefix wins.
 func (v *Values) MatchRoute(host, path string) (queue, rest string, found bool) {
 	for _, name := range []string{normalizeHost(host), ""} {
 		for _, candidate := range v.routesByHost[name] {
@@ -84,7 +89,8 @@
 	return "", "", false
 }
 
-// normalizeHost returns a host as routes have it: without a port, in lower case.
+// normalizeHost returns a host in the form that routes use: in lower case, without a port and
+// without a trailing dot.
 func normalizeHost(host string) string {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:at]
--- a/internal/clusterstate/shared_state.go
+++ b/internal/clusterstate/shared_state.go
@@ -6,9 +6,10 @@
 	"sparnotch/internal/schema"
 )
 
-// EncodeUpdate prepares a shared state for a process that holds the configuration of a
-// revision (0: none). If it is the current one, its rows are omitted; else they are included,
-// compressed if they are many. The result shares its parts with the given state.
+// EncodeUpdate prepares a shared state for sending to a process that holds the configuration
+// of revision heldRevision (0: none). If that is the current revision, the rows are omitted.
+// Otherwise they are included, compressed if their size reaches compressionThreshold. The
+// result shares its parts with the given state.
 func (m *StateMachine) EncodeUpdate(shared *schema.ClusterState, heldRevision uint64) (update *schema.ClusterState, omitted bool) {
 	current := shared.Configuration
 	configuration := &schema.Configuration{Revision: current.GetRevision(), Version: current.GetVersion()}
@@ -26,7 +27,7 @@
 	return update, false
 }
 
-// compressRows returns nil for rows that are few.
+// compressRows encodes and compresses rows. It returns nil if they are too small to compress.
 func compressRows(rows []*schema.ConfigurationRow) []byte {
 	data, err := proto.Marshal(&schema.Configuration{Rows: rows})
 	if err != nil || len(data) < compressionThreshold {
@@ -35,10 +36,11 @@
 	return Compress(data)
 }
 
-// DecodeUpdate completes a state from EncodeUpdate with the configuration that the receiver
-// holds; a message without a state gives nil. The error is InvalidEncoding: the rows can't be
-// decoded, or they were omitted and the receiver doesn't hold that revision, as when the
-// message was meant for its previous incarnation.
+// DecodeUpdate returns the state of a message that EncodeUpdate prepared, completed with held,
+// the configuration that the receiver holds. It returns nil if the message contains no state.
+// Errors are of type InvalidEncoding: either the rows can't be decoded, or they were omitted
+// although the receiver doesn't hold their revision, which happens when the message was
+// addressed to the receiver's previous incarnation.
 func DecodeUpdate(message *schema.ClusterStateResponse, held *schema.Configuration) (*schema.ClusterState, error) {
 	state := message.State
 	if state == nil {
@@ -47,14 +49,14 @@
 	configuration := state.Configuration
 	switch {
 	case configuration.GetRevision() > 0 && configuration.GetRevision() == held.GetRevision():
-		// Keep the pointer, by which readers know that nothing has changed.
+		// Readers compare the pointer to detect that the configuration hasn't changed.
 		return withConfiguration(state, held), nil
 	case message.ConfigurationOmitted:
-		return nil, InvalidEncoding.New("revision %d of the configuration is omitted but isn't held here", configuration.GetRevision())
+		return nil, InvalidEncoding.New("the message omits revision %d of the configuration, which this process doesn't hold", configuration.GetRevision())
 	case len(configuration.GetPackedRows()) > 0:
 		rows, err := decompressRows(configuration.PackedRows)
 		if err != nil {
-			return nil, InvalidEncoding.Wrap(err, "rows of revision %d", configuration.Revision)
+			return nil, InvalidEncoding.Wrap(err, "the rows of revision %d of the configuration can't be decoded", configuration.Revision)
 		}
 		complete := &schema.Configuration{Revision: configuration.Revision, Version: configuration.Version, Rows: rows}
 		return withConfiguration(state, complete), nil
@@ -62,6 +64,7 @@
 	return state, nil
 }
 
+// decompressRows reverses compressRows.
 func decompressRows(compressed []byte) ([]*schema.ConfigurationRow, error) {
 	data, err := Decompress(compressed)
 	if err != nil {
--- a/internal/clusterstate/tenants.go
+++ b/internal/clusterstate/tenants.go
@@ -11,33 +11,35 @@
 	"sparnotch/internal/schema"
 )
 
-// keyHashBytes is how much of a key's SHA-256 is kept: enough that no two keys share it.
+// keyHashBytes is the number of bytes of an API key's SHA-256 that are kept. They are enough
+// for no two keys to have the same hash.
 const keyHashBytes = 16
 
-// HashKey returns the hash that stands for a tenant's key in rows and in messages, as hex
-// digits. The key itself is neither stored in rows, nor sent between processes, nor logged.
+// HashKey returns the hash, in hex digits, that represents a tenant's API key in rows and in
+// messages. The key itself is neither stored in rows, nor sent between processes, nor logged.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:keyHashBytes])
 }
 
-// Resources is an amount of each kind that tasks use.
+// Resources holds an amount of each resource that tasks use.
 type Resources struct {
 	CoresMilli   int64 // thousandths of a core
 	MemoryMB     int64
 	Accelerators int64
 }
 
-// Tenant is what the configuration says of a tenant.
+// Tenant holds the configuration of a tenant.
 type Tenant struct {
 	Name        string
-	WeightMilli int64     // thousandths; above 0
-	Limit         Resources // that its tasks may use at once over all workers; 0: no limit
+	WeightMilli int64     // weight of the tenant's share, in thousandths; positive
+	Limit       Resources // most that its tasks may use at once on all workers together; 0: no limit
 }
 
-// HasLimit reports whether any amount is limited.
+// HasLimit reports whether any resource of the tenant is limited.
 func (t *Tenant) HasLimit() bool { return t.Limit != Resources{} }
 
+// parseTenants reads the tenants and their API keys. The number keys must have been parsed.
 func (v *Values) parseTenants(rows []*schema.ConfigurationRow) {
 	v.tenants, v.tenantByKey = map[string]*Tenant{}, map[string]string{}
 	for _, row := range rows {
@@ -59,7 +61,7 @@
 	}
 }
 
-// limitOf returns the limit of a tenant whose rows were parsed.
+// limitOf returns the limit that the parsed rows set for a tenant.
 func (v *Values) limitOf(tenant string) Resources {
 	return Resources{
 		CoresMilli:   v.Number("tenant", tenant, "max_cores_milli"),
@@ -71,36 +73,41 @@
 // Tenants returns the names of the configured tenants, sorted.
 func (v *Values) Tenants() []string { return slices.Sorted(maps.Keys(v.tenants)) }
 
-// HasTenants reports whether any tenant is or was configured.
-func (v *Values) HasTenants() bool { return len(v.tenants)+len(v.formerLimits) > 0 }
+// HasTenants reports whether any tenant is configured, or any former tenant has a limit that
+// is kept.
+func (v *Values) HasTenants() bool { return len(v.tenants)+len(v.formerTenants) > 0 }
 
-// FormerTenant returns the limit of a tenant that isn't configured any more but was, nil if it
-// isn't known; not to be changed. It has no keys, and the lowest weight.
-func (v *Values) FormerTenant(name string) *Tenant { return v.formerLimits[name] }
+// FormerTenant returns a tenant that was configured but isn't any more, with its last limit,
+// the lowest weight and no API keys. It returns nil if no limit is kept under this name. The
+// caller must not modify the result.
+func (v *Values) FormerTenant(name string) *Tenant { return v.formerTenants[name] }
 
-// Tenant returns what is configured of a tenant, nil if nothing is; not to be changed.
+// Tenant returns the configuration of a tenant, or nil if the tenant isn't configured. The
+// caller must not modify the result.
 func (v *Values) Tenant(name string) *Tenant { return v.tenants[name] }
 
-// TenantOfKey returns the tenant that holds the key with a hash (HashKey).
+// TenantOfKey returns the tenant that holds the API key with the given hash (see HashKey).
 func (v *Values) TenantOfKey(hash string) (tenant string, found bool) {
 	tenant, found = v.tenantByKey[hash]
 	return tenant, found
 }
 
-// RequiresKeys reports whether calls must carry keys, those for public queues aside.
+// RequiresKeys reports whether requests must carry an API key, except for public queues.
 func (v *Values) RequiresKeys() bool { return v.Fleet("require_keys") != 0 }
 
-// IsPublic reports whether the calls for a queue need no key.
+// IsPublic reports whether requests for a queue need no API key.
 func (v *Values) IsPublic(queue string) bool { return v.Number("queue", queue, "public") != 0 }
 
-// maxFormerTenants is how many removed tenants' limits are kept, the latest.
+// maxFormerTenants is the number of removed tenants whose limits are kept. The limits of those
+// removed earlier are dropped.
 const maxFormerTenants = 256
 
-// limitKeys are the keys of a tenant's rows that are kept when it is removed.
+// limitKeys lists the keys whose rows are kept when a tenant is removed.
 var limitKeys = []string{"max_cores_milli", "max_memory_mb", "max_accelerators"}
 
-// formerTenants returns the limits of the tenants that a configuration or those before it had,
-// and that the next one's rows don't have, oldest first.
+// formerTenants returns the rows with the limits of former tenants: tenants that previous or a
+// configuration before it contains, but the rows of the next configuration don't. Tenants
+// removed earlier come first.
 func formerTenants(previous *schema.Configuration, next []*schema.ConfigurationRow) []*schema.ConfigurationRow {
 	isConfigured := map[string]bool{}
 	for _, row := range next {
@@ -119,15 +126,17 @@
 	return kept[max(0, len(kept)-maxFormerTenants*len(limitKeys)):]
 }
 
+// parseFormerTenants reads the limits of former tenants from the rows that formerTenants
+// returned.
 func (v *Values) parseFormerTenants(rows []*schema.ConfigurationRow) {
-	v.formerLimits = map[string]*Tenant{}
+	v.formerTenants = map[string]*Tenant{}
 	for _, row := range rows {
 		if value, err := strconv.ParseInt(row.Value, 10, 64); err == nil {
 			v.numbers[rowID{row.Kind, row.Name, row.Key}] = value
-			v.formerLimits[row.Name] = &Tenant{Name: row.Name, WeightMilli: 1}
+			v.formerTenants[row.Name] = &Tenant{Name: row.Name, WeightMilli: 1}
 		}
 	}
-	for name, tenant := range v.formerLimits {
+	for name, tenant := range v.formerTenants {
 		tenant.Limit = v.limitOf(name)
 	}
 }
--- a/internal/clusterstate/validate.go
+++ b/internal/clusterstate/validate.go
@@ -9,7 +9,7 @@
 	"sparnotch/internal/schema"
 )
 
-// maxRows is enough for 2000 queues that set every key.
+// maxRows is the most rows of a configuration: enough for 2000 queues that set every key.
 const maxRows = 40_000
 
 var (
@@ -17,17 +17,17 @@
 	poolPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 )
 
-// IsValidName reports whether a queue, rack, tenant or worker may have a name.
+// IsValidName reports whether a string is a valid name for a queue, rack, tenant or worker.
 func IsValidName(name string) bool { return namePattern.MatchString(name) }
 
-// IsValidPoolName reports whether a pool may have a name.
+// IsValidPoolName reports whether a string is a valid name for a pool.
 func IsValidPoolName(name string) bool { return poolPattern.MatchString(name) }
 
-// ValidateRows returns the error of the first invalid row of a configuration, with the
-// index and the field of the row; nil if all are valid.
+// ValidateRows checks the rows of a configuration. It returns an error that names the index
+// and the field of the first invalid row it finds, or nil if all rows are valid.
 func ValidateRows(rows []*schema.ConfigurationRow) *schema.Error {
 	if len(rows) > maxRows {
-		return rowError(maxRows, "kind", "a plan has at most %d rows", maxRows)
+		return rowError(maxRows, "kind", "a configuration may have at most %d rows", maxRows)
 	}
 	seen := map[rowID]bool{}
 	pools := map[string]bool{}
@@ -43,7 +43,7 @@
 		}
 		id := rowID{row.Kind, row.Name, row.Key}
 		if seen[id] {
-			return rowError(at, "key", "%s/%s/%s stands twice", row.Kind, row.Name, row.Key)
+			return rowError(at, "key", "%s/%s/%s is set by more than one row", row.Kind, row.Name, row.Key)
 		}
 		seen[id] = true
 	}
@@ -53,6 +53,7 @@
 	return validateKeys(rows)
 }
 
+// rowError returns a bad_row error for a field of the row at an index.
 func rowError(at int, field, format string, args ...any) *schema.Error {
 	return &schema.Error{
 		Code: "bad_row", Field: fmt.Sprintf("rows[%d].%s", at, field),
@@ -60,42 +61,43 @@
 	}
 }
 
-// validateName checks a row's kind, and its name by the rules of that kind.
+// validateName checks the kind of a row, and its name against the rules for that kind.
 func validateName(at int, row *schema.ConfigurationRow) *schema.Error {
 	switch row.GetKind() {
 	case "fleet":
 		if row.Name != "" {
-			return rowError(at, "name", "a fleet row has no name, this one says %q", row.Name)
+			return rowError(at, "name", "a row of kind fleet must have no name, but this one has the name %q", row.Name)
 		}
 	case "queue", "rack", "tenant":
 		if !IsValidName(row.Name) {
-			return rowError(at, "name", "%q is no name: lower-case letters, digits, '.', '_' and '-', at most 63", row.Name)
+			return rowError(at, "name", "%q is not a valid name: use at most 63 lower-case letters, digits, '.', '_' and '-', with a letter or digit first", row.Name)
 		}
 		if row.Kind == "queue" && row.Name == GroupName {
-			return rowError(at, "name", "%q is the system's own group", row.Name)
+			return rowError(at, "name", "%q is reserved: it is the name of the cluster state group", row.Name)
 		}
 	case "pool":
 		if !IsValidPoolName(row.Name) {
-			return rowError(at, "name", "%q is no name of a pool: letters, digits, '.', '_' and '-', at most 63", row.Name)
+			return rowError(at, "name", "%q is not a valid pool name: use at most 63 letters, digits, '.', '_' and '-', with a letter or digit first", row.Name)
 		}
 	default:
-		return rowError(at, "kind", "%q is neither fleet, queue, rack, pool nor tenant", row.GetKind())
+		return rowError(at, "kind", "%q is not a valid kind: use fleet, queue, rack, pool or tenant", row.GetKind())
 	}
 	return nil
 }
 
-// validateValue checks that a row's key exists and its value is within the key's bounds.
+// validateValue checks that the key of a row exists for its kind and that the key allows the
+// value.
 func validateValue(at int, row *schema.ConfigurationRow) *schema.Error {
 	if text := findTextKey(row.Kind, row.Key); text != nil {
 		return validateText(at, row, text)
 	}
 	number := findNumberKey(row.Kind, row.Key)
 	if number == nil {
-		return rowError(at, "key", "%q is no key of kind %s", row.Key, row.Kind)
+		return rowError(at, "key", "%q is not a key of rows of kind %s", row.Key, row.Kind)
 	}
 	value, err := strconv.ParseInt(row.Value, 10, 64)
 	if err != nil {
-		return rowError(at, "value", "%q is no whole number", row.Value)
+		return rowError(at, "value", "%q is not an integer", row.Value)
 	}
 	if value < number.min || value > number.max {
 		return rowError(at, "value", "%s must lie between %d and %d", row.Key, number.min, number.max)
@@ -103,7 +105,8 @@
 	return nil
 }
 
-// validateText checks a value that is a text. The error shows it, unless it may be secret.
+// validateText checks the value of a text key. The error contains the value unless the key is
+// secret.
 func validateText(at int, row *schema.ConfigurationRow, text *textKey) *schema.Error {
 	if len(row.Value) <= text.maxBytes && text.pattern.MatchString(row.Value) {
 		return nil
@@ -112,15 +115,15 @@
 	if text.isSecret {
 		shown = "the value"
 	}
-	return rowError(at, "value", "%s is not %s, at most %d bytes", shown, text.format, text.maxBytes)
+	return rowError(at, "value", "%s is invalid: it must be %s, at most %d bytes long", shown, text.format, text.maxBytes)
 }
 
-// validateReferences checks what rows say of each other: the pools that queues name exist,
-// and no two queues have the same route.
+// validateReferences checks the relations between rows: the pools that queues refer to must
+// exist, and no two queues may have the same route.
 func validateReferences(rows []*schema.ConfigurationRow, pools map[string]bool) *schema.Error {
 	for at, row := range rows {
 		if row.Kind == "queue" && row.Key == "pool" && !pools[row.Value] {
-			return rowError(at, "value", "no row names a pool %q", row.Value)
+			return rowError(at, "value", "the pool %q doesn't exist: no row of kind pool has this name", row.Value)
 		}
 	}
 	routes := newRouteSet(rows)
@@ -129,14 +132,15 @@
 		found := routes.byQueue[queue]
 		match := route{host: found.host, prefix: found.pathPrefix()}
 		if other, duplicate := seen[match]; duplicate {
-			return rowError(found.lastRow, "value", "queues %s and %s have the same host and prefix", other, queue)
+			return rowError(found.lastRow, "value", "queues %s and %s have the same route: the same host and prefix", other, queue)
 		}
 		seen[match] = queue
 	}
 	return nil
 }
 
-// validateKeys checks that no two tenants share a key. The error names the tenants alone.
+// validateKeys checks that no two tenants have the same API key. The error names the tenants
+// but doesn't show the key or its hash.
 func validateKeys(rows []*schema.ConfigurationRow) *schema.Error {
 	tenantByHash := map[string]string{}
 	for at, row := range rows {
@@ -145,7 +149,7 @@
 		}
 		for _, hash := range strings.Fields(row.Value) {
 			if other, isHeld := tenantByHash[hash]; isHeld && other != row.Name {
-				return rowError(at, "value", "tenants %s and %s share a key", other, row.Name)
+				return rowError(at, "value", "tenants %s and %s have the same API key", other, row.Name)
 			}
 			tenantByHash[hash] = row.Name
 		}
--- a/internal/clusterstate/values.go
+++ b/internal/clusterstate/values.go
@@ -8,24 +8,24 @@
 	"sparnotch/internal/schema"
 )
 
-// A rowID names a row of a configuration; no two rows of a valid one have the same.
+// rowID identifies a row of a configuration. In a valid configuration it is unique.
 type rowID struct{ kind, name, key string }
 
-// Values are the parsed rows of a configuration. They are immutable and may be shared.
+// Values holds the parsed rows of a configuration. It is immutable and may be shared.
 type Values struct {
-	numbers      map[rowID]int64
-	texts        map[rowID]string
-	queueSet     map[string]bool
-	queueNames   []string           // sorted
-	routesByHost map[string][]route // the longest prefix first
-	tenants      map[string]*Tenant
-	formerLimits map[string]*Tenant // of tenants that aren't configured any more
-	tenantByKey  map[string]string  // by the hash of the key
-	revision     uint64             // of the configuration; 0: unknown
+	numbers       map[rowID]int64
+	texts         map[rowID]string
+	queueSet      map[string]bool
+	queueNames    []string           // sorted
+	routesByHost  map[string][]route // longest prefix first
+	tenants       map[string]*Tenant
+	formerTenants map[string]*Tenant // tenants that aren't configured any more
+	tenantByKey   map[string]string  // by the hash of the API key
+	revision      uint64             // revision of the configuration; 0: unknown
 }
 
-// ParseValues parses a configuration; nil gives the defaults. Number keys whose value isn't a
-// whole number keep their default.
+// ParseValues parses a configuration. A nil configuration gives the defaults. Number keys whose
+// value isn't an integer keep their default.
 func ParseValues(configuration *schema.Configuration) *Values {
 	v := &Values{
 		numbers: map[rowID]int64{}, texts: map[rowID]string{}, queueSet: map[string]bool{},
@@ -50,9 +50,9 @@
 	return v
 }
 
-// ForConfiguration returns the values of a configuration: v itself if the revision is the
-// same, else newly parsed ones. The cluster state changes more often than the configuration
-// in it.
+// ForConfiguration returns the values of a configuration: v itself if the revision hasn't
+// changed, otherwise newly parsed values. This avoids parsing the same configuration again on
+// each change of the cluster state, which changes more often than the configuration in it.
 func (v *Values) ForConfiguration(configuration *schema.Configuration) *Values {
 	if v.revision > 0 && v.revision == configuration.GetRevision() {
 		return v
@@ -60,8 +60,8 @@
 	return ParseValues(configuration)
 }
 
-// Number returns the value of a number key: its default where no row sets it. It panics if
-// there is no such key.
+// Number returns the value of a number key, or the key's default if no row sets it. It panics
+// if the kind has no such number key.
 func (v *Values) Number(kind, name, key string) int64 {
 	if value, found := v.numbers[rowID{kind, name, key}]; found {
 		return value
@@ -73,11 +73,11 @@
 	return definition.defaultValue
 }
 
-// Fleet returns the value of a number key of the fleet.
+// Fleet returns the value of a number key of kind fleet.
 func (v *Values) Fleet(key string) int64 { return v.Number("fleet", "", key) }
 
-// Text returns the value of a text key, empty where no row sets it. It panics if there is no
-// such key.
+// Text returns the value of a text key, or an empty string if no row sets it. It panics if the
+// kind has no such text key.
 func (v *Values) Text(kind, name, key string) string {
 	if findTextKey(kind, key) == nil {
 		panic("cluster state: no such text key: " + kind + "/" + key)
@@ -85,29 +85,31 @@
 	return v.texts[rowID{kind, name, key}]
 }
 
-// IsSet reports whether a row sets a number key.
+// IsSet reports whether a row sets the given number key.
 func (v *Values) IsSet(kind, name, key string) bool {
 	_, found := v.numbers[rowID{kind, name, key}]
 	return found
 }
 
-// Queues returns the names of the configured queues, sorted; not to be changed.
+// Queues returns the sorted names of the configured queues. The caller must not modify the
+// slice.
 func (v *Values) Queues() []string { return v.queueNames }
 
-// HasQueue reports whether a queue is configured: it has at least one row.
+// HasQueue reports whether a queue is configured, that is, has at least one row.
 func (v *Values) HasQueue(name string) bool { return v.queueSet[name] }
 
-// QueueNames returns the names of a configuration's queues, sorted.
+// QueueNames returns the sorted names of the queues of a configuration.
 func QueueNames(configuration *schema.Configuration) []string {
 	return ParseValues(configuration).Queues()
 }
 
-// EqualRows reports whether two configurations have the same rows, in whatever order.
+// EqualRows reports whether two lists contain the same rows, in any order.
 func EqualRows(a, b []*schema.ConfigurationRow) bool {
 	return len(a) == len(b) && slices.Equal(canonicalRows(a), canonicalRows(b))
 }
 
-// canonicalRows encodes rows as sorted strings.
+// canonicalRows encodes each row as a string and sorts the strings, so that equal sets of rows
+// give equal results.
 func canonicalRows(rows []*schema.ConfigurationRow) []string {
 	var encoded []string
 	for _, row := range rows {
--- a/internal/clusterstate/workers.go
+++ b/internal/clusterstate/workers.go
@@ -7,7 +7,8 @@
 	"sparnotch/internal/schema"
 )
 
-// FindWorkerLease returns a worker's lease, or nil. A state lists them sorted by worker.
+// FindWorkerLease returns the lease of a worker, or nil if it has none. It relies on the
+// worker leases of a state being sorted by worker.
 func FindWorkerLease(state *schema.ClusterState, worker string) *schema.WorkerLease {
 	leases := state.GetWorkerLeases()
 	if at, found := searchWorkerLease(leases, worker); found {
@@ -16,13 +17,14 @@
 	return nil
 }
 
-// searchWorkerLease returns where a worker's lease stands, or belongs if it isn't there.
+// searchWorkerLease returns the index of a worker's lease, or the index to insert it at if it
+// isn't found.
 func searchWorkerLease(leases []*schema.WorkerLease, worker string) (at int, found bool) {
 	return slices.BinarySearchFunc(leases, worker, func(l *schema.WorkerLease, name string) int { return strings.Compare(l.Worker, name) })
 }
 
-// assignWorkers gives worker leases to schedulers as the controller decided. Each move gets
-// a new fencing token.
+// assignWorkers applies the controller's decision to give worker leases to schedulers. A
+// lease that moves to another scheduler gets a new fencing token.
 func (m *StateMachine) assignWorkers(command *schema.AssignWorkers) *Result {
 	if !m.HoldsControllerLease(command.FencingToken) {
 		return staleTokenResult()
@@ -40,8 +42,8 @@
 	return succeeded()
 }
 
-// registerWorker gives the lease of a new worker to the scheduler that holds the most, so
-// that the worker can be used before a controller assigns it.
+// registerWorker gives the lease of a new worker to the scheduler that holds the most worker
+// leases, so that the worker can be used before a controller assigns it.
 func (m *StateMachine) registerWorker(worker string) *Result {
 	if FindWorkerLease(m.state, worker) != nil {
 		return succeeded()
@@ -58,6 +60,7 @@
 	return succeeded()
 }
 
+// insertWorkerLease adds a lease with a new fencing token at its place in the sorted list.
 func (m *StateMachine) insertWorkerLease(worker, scheduler string) {
 	m.changed = true
 	lease := &schema.WorkerLease{Worker: worker, Scheduler: scheduler, FencingToken: m.nextToken()}
