--- a/internal/schema/gen/main.go
+++ b/internal/schema/gen/main.go
@@ -1,6 +1,6 @@
-// Command gen makes the Go code of the schema: it reads the .proto files and
-// drives protoc-gen-go at the version go.mod names, so no outside compiler is
-// needed. Run it from the repository's top: go run ./internal/schema/gen
+// Command gen generates the Go code of the schema. It parses the .proto files itself and runs
+// protoc-gen-go in the version that go.mod specifies, so protoc needn't be installed. Run it
+// in the root directory of the repository: go run ./internal/schema/gen
 package main
 
 import (
@@ -35,7 +35,7 @@
 	}
 }
 
-// Generate makes the code of every .proto file in a folder, by file name.
+// Generate returns the Go code generated from all .proto files of a directory, by file name.
 func Generate(folder string) (map[string]string, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.proto"))
 	if err != nil {
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	request := &pluginpb.CodeGeneratorRequest{FileToGenerate: names, Parameter: proto.String("paths=source_relative")}
-	// The plugin wants each file after those it imports.
+	// The plugin requires each file to come after the files that it imports.
 	done := map[string]bool{}
 	var add func(name string)
 	add = func(name string) {
@@ -88,7 +88,7 @@
 	return generated, nil
 }
 
-// runPlugin hands the request to protoc-gen-go.
+// runPlugin runs protoc-gen-go with a request and returns its response.
 func runPlugin(request *pluginpb.CodeGeneratorRequest) (*pluginpb.CodeGeneratorResponse, error) {
 	raw, err := proto.Marshal(request)
 	if err != nil {
@@ -96,12 +96,12 @@
 	}
 	plugin := exec.Command("go", "tool", "protoc-gen-go")
 	plugin.Stdin, plugin.Stderr = bytes.NewReader(raw), os.Stderr
-	answer, err := plugin.Output()
+	output, err := plugin.Output()
 	if err != nil {
 		return nil, fmt.Errorf("protoc-gen-go: %w", err)
 	}
 	var response pluginpb.CodeGeneratorResponse
-	if err := proto.Unmarshal(answer, &response); err != nil {
+	if err := proto.Unmarshal(output, &response); err != nil {
 		return nil, err
 	}
 	if response.Error != nil {
@@ -110,8 +110,9 @@
 	return &response, nil
 }
 
-// jsonTags rewrites the struct tags that encoding/json reads. protoc-gen-go fills them with a
-// field's name in the schema; where a field gives a json_name, that is its name in JSON.
+// jsonTags returns a replacer for the struct tags that encoding/json reads. protoc-gen-go
+// generates them with the names in the schema; the replacer substitutes the json_name of each
+// field that has one.
 func jsonTags(files linker.Files) *strings.Replacer {
 	var pairs []string
 	for _, file := range files {
@@ -123,6 +124,7 @@
 				if !hasJSONName(field) {
 					continue
 				}
+				// The generated tags of a field have this form:
 				// `protobuf:"varint,9,opt,name=fencing_token,json=ward,proto3" json:"fencing_token,omitempty"`
 				tag := fmt.Sprintf(`name=%s,json=%s,proto3`, field.Name(), field.JSONName())
 				if field.HasOptionalKeyword() {
@@ -137,13 +139,14 @@
 	return strings.NewReplacer(pairs...)
 }
 
-// hasJSONName tells whether the schema names the field in JSON, rather than leaving it to the
-// default, which is the field's name in lower camel case.
+// hasJSONName reports whether a field has a json_name that differs from the default, which is
+// the name in the schema in lower camel case.
 func hasJSONName(field protoreflect.FieldDescriptor) bool {
 	return field.JSONName() != defaultJSONName(string(field.Name()))
 }
 
-// defaultJSONName is the JSON name that the protobuf language gives a field.
+// defaultJSONName returns the JSON name that protobuf derives from a field's name by default,
+// in lower camel case.
 func defaultJSONName(name string) string {
 	words := strings.Split(name, "_")
 	for i, word := range words[1:] {
--- a/internal/schema/gen/main_test.go
+++ b/internal/schema/gen/main_test.go
@@ -9,14 +9,14 @@
 )
 
 func TestGeneratedCodeIsCurrent(t *testing.T) {
-	Convey("The generated code is what the schema makes today: else run go run ./internal/schema/gen", t, func() {
+	Convey("The generated code is up to date with the schema; if it isn't, run: go run ./internal/schema/gen", t, func() {
 		files, err := Generate("..")
 		So(err, ShouldBeNil)
 		So(len(files), ShouldEqual, 4)
 		for name, content := range files {
-			stands, err := os.ReadFile(filepath.Join("..", name))
+			existing, err := os.ReadFile(filepath.Join("..", name))
 			So(err, ShouldBeNil)
-			So(string(stands) == content, ShouldBeTrue)
+			So(string(existing) == content, ShouldBeTrue)
 		}
 	})
 }
--- a/internal/schema/json.go
+++ b/internal/schema/json.go
@@ -9,9 +9,9 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// UnmarshalJSON reads a message from JSON as protojson does. A field that gives a json_name in
-// the schema is also known by that name in lower camel case, which protojson derives only from
-// names in the schema. Errors are those of protojson.
+// UnmarshalJSON decodes a message from JSON like protojson.Unmarshal, whose errors it returns.
+// In addition it accepts the json_name of a field in lower camel case. protojson accepts only
+// the json_name and the field's name in the schema.
 func UnmarshalJSON(data []byte, message proto.Message) error {
 	err := protojson.Unmarshal(data, message)
 	if err == nil {
@@ -24,8 +24,9 @@
 	return protojson.Unmarshal(renamed, message)
 }
 
-// withJSONNames replaces object keys in lower camel case by the json_name that they stand for;
-// nil if there are none. A string's content can't match, as quotes are escaped in it.
+// withJSONNames replaces object keys in lower camel case with the json_name of the field that
+// they refer to. It returns nil if data contains no such keys. The contents of strings can't
+// match, because quotes are escaped in them.
 func withJSONNames(data []byte, descriptor protoreflect.MessageDescriptor) []byte {
 	renamed := data
 	for camel, name := range camelCaseNames(descriptor) {
@@ -38,8 +39,9 @@
 	return renamed
 }
 
-// camelCaseNames maps names in lower camel case to the json_name of the fields of a message and
-// of the messages in it.
+// camelCaseNames returns the json_name of each field of a message and of the messages nested
+// in it, by the json_name in lower camel case. Fields whose json_name is the same in lower
+// camel case are omitted.
 func camelCaseNames(descriptor protoreflect.MessageDescriptor) map[string]string {
 	names := map[string]string{}
 	fields := descriptor.Fields()
@@ -57,7 +59,7 @@
 	return names
 }
 
-// lowerCamelCase turns snake case into lower camel case.
+// lowerCamelCase converts a name from snake case to lower camel case.
 func lowerCamelCase(name string) string {
 	words := strings.Split(name, "_")
 	for i, word := range words[1:] {
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -11,9 +11,9 @@
 	"sparnotch/internal/schema"
 )
 
-// jsonNames are the names that fields have in JSON, by field number: those of the callers',
-// workers' and operators' interface, of settings files and of the state view. Fields may be
-// renamed in the schema; these stay.
+// jsonNames lists the JSON names of fields, by field number, for the messages of the clients',
+// workers' and operators' interfaces, of settings files and of the state view. These names must
+// not change, even if a field is renamed in the schema.
 var jsonNames = []struct {
 	message any
 	names   map[int]string
@@ -41,31 +41,32 @@
 	{&schema.WorkerOrders{}, map[int]string{1: "ward", 2: "lease_us", 3: "noted", 4: "orders", 5: "scheduler", 6: "inspection_pause_us"}},
 }
 
-// TestJSONNames: encoding/json writes and reads each field under the name of the interface.
+// TestJSONNames checks that encoding/json writes and reads each field under its JSON name.
 func TestJSONNames(t *testing.T) {
-	for _, each := range jsonNames {
-		message := reflect.TypeOf(each.message).Elem()
+	for _, expected := range jsonNames {
+		message := reflect.TypeOf(expected.message).Elem()
 		Convey(message.Name(), t, func() {
-			So(namesInJSON(message), ShouldResemble, each.names)
+			So(namesInJSON(message), ShouldResemble, expected.names)
 		})
 	}
 }
 
-// TestUnmarshalJSON: each form of a name that was accepted before a field was renamed still is.
+// TestUnmarshalJSON checks that all spellings of a field's name that were accepted before the
+// field was renamed are still accepted.
 func TestUnmarshalJSON(t *testing.T) {
 	for _, test := range []struct {
-		what, json  string
-		baseVersion uint64
-		err         string // empty: none
+		description, json string
+		baseVersion       uint64
+		err               string // expected part of the error; empty: no error
 	}{
 		{"the name in JSON", `{"base_edition":7}`, 7, ""},
 		{"the name in lower camel case", `{"baseEdition" : "7"}`, 7, ""},
 		{"the name in the schema", `{"base_version":7}`, 7, ""},
-		{"a name in a value is left alone", `{"base_edition":7,"rows":[{"value":"\"baseEdition\":"}]}`, 7, ""},
+		{"a name inside a value isn't replaced", `{"base_edition":7,"rows":[{"value":"\"baseEdition\":"}]}`, 7, ""},
 		{"an unknown name", `{"baseEdition":7,"bogus":1}`, 0, `unknown field "bogus"`},
 		{"a name given twice", `{"baseEdition":7,"base_edition":8}`, 0, `duplicate field "base_edition"`},
 	} {
-		Convey(test.what, t, func() {
+		Convey(test.description, t, func() {
 			update := &schema.ConfigurationUpdate{}
 			err := schema.UnmarshalJSON([]byte(test.json), update)
 			if test.err != "" {
@@ -79,14 +80,15 @@
 	}
 }
 
-// namesInJSON reads the struct tags of a generated message.
+// namesInJSON returns the JSON names of the fields of a generated message, by field number, as
+// read from the struct tags.
 func namesInJSON(message reflect.Type) map[int]string {
 	names := map[int]string{}
 	for i := range message.NumField() {
 		tag := message.Field(i).Tag
 		parts := strings.Split(tag.Get("protobuf"), ",")
 		if len(parts) < 2 {
-			continue // not a field of the schema
+			continue // the struct field isn't a field of the schema
 		}
 		number, err := strconv.Atoi(parts[1])
 		So(err, ShouldBeNil)
