--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -22,7 +22,7 @@
 
 func TestOptions(t *testing.T) {
 	good := []string{"-cell", "c1", "-inner", "127.0.0.1:7001", "-outer", "127.0.0.1:8001", "-seeds", "127.0.0.1:7001,127.0.0.2:7001,127.0.0.3:7001"}
-	Convey("Flags override the file, and both can set first and losses", t, func() {
+	Convey("Flags override the file, and both the file and the flags can set first and losses", t, func() {
 		file := filepath.Join(t.TempDir(), "options.json")
 		So(os.WriteFile(file, []byte(`{"first":true,"losses":2,"bounds":{"gatherUs":"5000","beat_us":7}}`), 0o600), ShouldBeNil)
 		loaded, err := load(append(good, "-options", file)...)
@@ -36,12 +36,12 @@
 		So(loaded.InitialBootstrap, ShouldBeFalse)
 		So(loaded.MachineFailures, ShouldEqual, 1)
 	})
-	Convey("An invalid setting is named", t, func() {
+	Convey("The error for an invalid setting names the setting", t, func() {
 		base, err := load(good...)
 		So(err, ShouldBeNil)
 		for _, test := range []struct {
 			change func(o *schema.Settings)
-			named  string // empty: valid
+			named  string // part of the error that names the setting; empty: the settings are valid
 		}{
 			{func(o *schema.Settings) {}, ""},
 			{func(o *schema.Settings) { o.Seeds = o.Seeds[:1] }, ""},
--- a/internal/deployments/deployments.go
+++ b/internal/deployments/deployments.go
@@ -1,5 +1,5 @@
-// Package deployments describes the deployments that the simulator and the benchmarks
-// run: their nodes, disks, workers and jobs.
+// Package deployments describes the deployments that the simulator and the benchmarks run:
+// their nodes, disks, workers, jobs and tenants.
 package deployments
 
 import (
@@ -9,59 +9,61 @@
 	"sparnotch/internal/schema"
 )
 
-// JobType is a kind of job that a deployment's clients submit.
+// JobType is a kind of job that the clients of a deployment submit.
 type JobType struct {
 	Name         string
 	Queue        string
-	Urgency      int     // of the queue, 0 to 100
-	MeanInterval float64 // seconds between two submissions
-	Text         string
+	Urgency      int     // urgency of the queue, 0 to 100
+	MeanInterval float64 // mean time between two submissions, seconds
+	Text         string  // text of the jobs, which is passed to the workers
 	Steps        []*schema.Step
 }
 
 // Deployment describes one deployment.
 type Deployment struct {
 	Name             string
-	JobTypes         []JobType
-	SyncUs           int64   // duration of a disk sync
-	WorkerCoresMilli int64   // of a worker, thousandths
-	WorkerMemoryMB   int64   // of a worker, MB
-	Gateways         int     // including the storage nodes
-	Agents           int     // agent nodes
-	Workers          int     // three to a rack
-	StorageNodeCores float64 // of one node, cores
-	GatewayCores     float64 // of one node without a disk
-	AgentCores       float64
+	JobTypes         []JobType // jobs for workers that poll the scheduler
+	SyncUs           int64     // duration of a disk sync, µs
+	WorkerCoresMilli int64     // cores of each worker, thousandths
+	WorkerMemoryMB   int64     // memory of each worker, MB
+	Gateways         int       // number of gateways, including those on storage nodes
+	Agents           int       // number of agent nodes
+	Workers          int       // number of workers, three to a rack
+	StorageNodeCores float64   // cores of each storage node
+	GatewayCores     float64   // cores of each gateway node without storage
+	AgentCores       float64   // cores of each agent node
 
-	// For workers that take calls: the jobs, how often a failing task is attempted, and
-	// the bounds that the deployment promises.
+	// The following fields apply to called workers, which an agent calls instead of their
+	// polling the scheduler.
 	CalledJobTypes []JobType
-	MaxAttempts    uint32
-	Bounds         *schema.Bounds
+	MaxAttempts    uint32         // number of attempts after which a failing task fails its job
+	Bounds         *schema.Bounds // timeouts and intervals that the deployment guarantees
 
-	Tenants []Tenant // that may share the deployment; it is run with them only where that is asked for
+	Tenants []Tenant // tenants that may share the deployment; runs include them only on request
 }
 
-// newStep is a step of tasks with resources in thousandths of a core and MB.
+// newStep returns a step for polling workers. The tasks need cores in thousandths and memory
+// in MB; the steps named by after must be done before.
 func newStep(name string, tasks uint32, cores, memory int64, after ...string) *schema.Step {
 	return &schema.Step{Name: name, Tasks: tasks, CoresMilli: cores, MemoryMb: memory, Dependencies: after, AllowedFailures: 2}
 }
 
-// newCalledStep is a step for called workers, with the estimated run time of a task in µs.
+// newCalledStep is like newStep, but for called workers. The estimated run time of a task is in
+// µs.
 func newCalledStep(name string, tasks uint32, cores, memory, runUs int64, after ...string) *schema.Step {
 	return &schema.Step{Name: name, Tasks: tasks, CoresMilli: cores, MemoryMb: memory, Dependencies: after, EstimatedRunUs: runUs}
 }
 
-// newBounds takes the worker lease, the stop timeout, the checkpoint interval and the
-// restore delay in milliseconds.
-func newBounds(lease, stop, checkpoint, restore int64) *schema.Bounds {
+// newBounds returns bounds with the given worker lease, stop timeout, checkpoint interval and
+// restore delay in milliseconds. The other bounds are the same in all deployments.
+func newBounds(leaseMs, stopMs, checkpointMs, restoreMs int64) *schema.Bounds {
 	return &schema.Bounds{
-		MaxWorkerLeaseUs: lease * 1000, StopTimeoutUs: stop * 1000, GangTimeoutUs: 3_000_000, JobRetentionUs: 120_000_000, ConfigApplyUs: 2_000_000, RemoteSlowdownMilli: 1500,
-		CheckpointIntervalUs: checkpoint * 1000, RestoreDelayUs: restore * 1000, HeartbeatIntervalUs: 1_500_000, DrainTimeoutUs: 2_000_000,
+		MaxWorkerLeaseUs: leaseMs * 1000, StopTimeoutUs: stopMs * 1000, GangTimeoutUs: 3_000_000, JobRetentionUs: 120_000_000, ConfigApplyUs: 2_000_000, RemoteSlowdownMilli: 1500,
+		CheckpointIntervalUs: checkpointMs * 1000, RestoreDelayUs: restoreMs * 1000, HeartbeatIntervalUs: 1_500_000, DrainTimeoutUs: 2_000_000,
 	}
 }
 
-// All are the known deployments. They must not be changed.
+// All lists the known deployments. They must not be modified.
 var All = []*Deployment{
 	{
 		Name: "bank", SyncUs: 500, WorkerCoresMilli: 64_000, WorkerMemoryMB: 128_000, Gateways: 7, Agents: 11, Workers: 11, StorageNodeCores: 1, GatewayCores: 0.45, AgentCores: 0.25,
@@ -71,7 +73,8 @@
 			{"schedule", "schedules", 20, 6, "run_us=250000", []*schema.Step{newStep("load", 8, 1000, 1024), newStep("months", 48, 1000, 1024, "load"), newStep("print", 1, 1000, 2048, "months")}},
 		},
 		MaxAttempts: 4, Bounds: newBounds(10_000, 900, 1000, 250), Tenants: newTenants(11*64_000, 11*128_000),
-		// Half of the quotes have a second step, as have three in ten of the schedules.
+		// Half of the jobs in the queue quotes have a second step, and so do three in ten of the
+		// jobs in the queue schedules.
 		CalledJobTypes: []JobType{
 			{"quote", "quotes", 80, 2 / 4.51, "quote", []*schema.Step{newCalledStep("rates", 14, 6000, 512, 380_000)}},
 			{"quotes", "quotes", 80, 2 / 4.51, "quotes", []*schema.Step{newCalledStep("rates", 14, 6000, 512, 380_000), newCalledStep("sums", 14, 6000, 512, 380_000, "rates")}},
@@ -98,7 +101,7 @@
 	},
 }
 
-// Find returns the deployment of a name. The error lists the names.
+// Find returns the deployment with a name. If there is none, the error lists the known names.
 func Find(name string) (*Deployment, error) {
 	var names []string
 	for _, d := range All {
@@ -107,17 +110,17 @@
 		}
 		names = append(names, d.Name)
 	}
-	return nil, fmt.Errorf("profile: %q is none of %s", name, strings.Join(names, ", "))
+	return nil, fmt.Errorf("profile: %q is not a known deployment: use one of %s", name, strings.Join(names, ", "))
 }
 
-// ConfigRows is the configuration of the deployment's workers and queues.
+// ConfigRows returns the configuration rows of the deployment's workers and queues.
 func (d *Deployment) ConfigRows() []*schema.ConfigurationRow {
 	rows := []*schema.ConfigurationRow{
 		{Kind: "fleet", Key: "worker_cores_milli", Value: fmt.Sprint(d.WorkerCoresMilli)},
 		{Kind: "fleet", Key: "worker_memory_mb", Value: fmt.Sprint(d.WorkerMemoryMB)},
 	}
-	for _, k := range d.JobTypes {
-		rows = append(rows, &schema.ConfigurationRow{Kind: "queue", Name: k.Queue, Key: "urgency", Value: fmt.Sprint(k.Urgency)})
+	for _, jobType := range d.JobTypes {
+		rows = append(rows, &schema.ConfigurationRow{Kind: "queue", Name: jobType.Queue, Key: "urgency", Value: fmt.Sprint(jobType.Urgency)})
 	}
 	return rows
 }
--- a/internal/deployments/tenants.go
+++ b/internal/deployments/tenants.go
@@ -11,12 +11,12 @@
 // Tenant is a customer of a shared deployment.
 type Tenant struct {
 	Name            string
-	WeightMilli     int64
-	MaxCoresMilli   int64 // that its tasks may use at once; 0: no limit
-	MaxMemoryMB     int64
-	MaxAccelerators int64
-	Keys            []string // that its clients hold, in clear
-	CallShare       float64  // of the clients' calls, relative to the other tenants'
+	WeightMilli     int64    // weight of the tenant's share, thousandths
+	MaxCoresMilli   int64    // most cores that its tasks may use at once, thousandths; 0: no limit
+	MaxMemoryMB     int64    // most memory that its tasks may use at once; 0: no limit
+	MaxAccelerators int64    // most accelerators that its tasks may use at once; 0: no limit
+	Keys            []string // API keys of its clients, not hashed
+	CallShare       float64  // weight of its share in the clients' requests
 }
 
 const (
@@ -25,12 +25,12 @@
 	largeWeightMilli = 8000
 	smallWeightMilli = 1000
 	keysPerTenant    = 2
-	quotaFactorMilli = 2600 // a limit is this many times the tenant's share of the deployment
+	quotaFactorMilli = 2600 // limit of a tenant in relation to its share of the deployment, thousandths
 )
 
-// newTenants makes the tenants of a deployment whose workers have so much together: a few
-// large ones and many small ones.
-func newTenants(cores, memory int64) []Tenant {
+// newTenants returns a few large and many small tenants for a deployment. The parameters are
+// the total cores, in thousandths, and the total memory, in MB, of the deployment's workers.
+func newTenants(totalCoresMilli, totalMemoryMB int64) []Tenant {
 	const weightSum = largeTenants*largeWeightMilli + (tenantCount-largeTenants)*smallWeightMilli
 	var list []Tenant
 	for k := range tenantCount {
@@ -41,14 +41,14 @@
 		limitOf := func(capacity int64) int64 { return capacity * weight / weightSum * quotaFactorMilli / 1000 }
 		name := fmt.Sprintf("tenant-%02d", k+1)
 		list = append(list, Tenant{
-			Name: name, WeightMilli: weight, MaxCoresMilli: limitOf(cores), MaxMemoryMB: limitOf(memory),
+			Name: name, WeightMilli: weight, MaxCoresMilli: limitOf(totalCoresMilli), MaxMemoryMB: limitOf(totalMemoryMB),
 			Keys: NewKeys(name, keysPerTenant), CallShare: float64(weight),
 		})
 	}
 	return list
 }
 
-// NewKeys makes keys of a tenant.
+// NewKeys returns a number of distinct API keys for a tenant.
 func NewKeys(tenant string, count int) []string {
 	keys := make([]string, count)
 	for k := range keys {
@@ -57,7 +57,8 @@
 	return keys
 }
 
-// TenantRows is the configuration of tenants, whose calls must carry their keys.
+// TenantRows returns the configuration rows of tenants. They include the requirement that
+// requests carry an API key.
 func TenantRows(tenants []Tenant) []*schema.ConfigurationRow {
 	rows := []*schema.ConfigurationRow{{Kind: "fleet", Key: "require_keys", Value: "1"}}
 	for _, tenant := range tenants {
--- a/internal/deployments/tenants_test.go
+++ b/internal/deployments/tenants_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestTenantRows(t *testing.T) {
-	Convey("The tenants of each deployment make a valid configuration, which knows their keys by their hashes alone", t, func() {
+	Convey("The tenants of each deployment form a valid configuration, in which their API keys are found by hash", t, func() {
 		for _, d := range All {
 			rows := append(d.ConfigRows(), TenantRows(d.Tenants)...)
 			So(clusterstate.ValidateRows(rows), ShouldBeNil)
@@ -26,7 +26,7 @@
 			}
 		}
 	})
-	Convey("A few tenants are large, and each may have a multiple of its share", t, func() {
+	Convey("A few tenants are large, and the limit of each tenant is a multiple of its share", t, func() {
 		tenants := newTenants(41_000, 82_000)
 		So(tenants[0].MaxCoresMilli, ShouldEqual, 20_800)
 		So(tenants[largeTenants].MaxCoresMilli, ShouldEqual, 2600)
--- a/internal/logring/logring.go
+++ b/internal/logring/logring.go
@@ -1,6 +1,6 @@
-// Package logring keeps the last lines of a process's log in memory, and writes them out
-// when an error is logged: what led to it is then on record, and a process without
-// errors writes nothing.
+// Package logring keeps the latest lines of a process's log in memory and writes them to a file
+// or to standard error when an error is logged. The lines that led to an error are thus
+// recorded, while a process without errors writes nothing.
 package logring
 
 import (
@@ -14,22 +14,23 @@
 
 const maxLines = 2048
 
-// Ring holds the last lines. It implements zapcore.WriteSyncer and is safe for
-// concurrent use.
+// Ring is a ring buffer of the latest maxLines log lines. It implements zapcore.WriteSyncer and
+// is safe for concurrent use.
 type Ring struct {
 	mu    sync.Mutex
 	lines [][]byte
-	next  int // the oldest line, once the ring is full
-	path  string
+	next  int    // index of the oldest line, once the ring is full
+	path  string // file that Flush appends to; empty: standard error
 }
 
-// Reports is the name of loggers whose entries are written out at once: operators watch them
-// while the process runs.
+// Reports is the name of loggers whose entries flush the ring at once whatever their level,
+// because operators watch them while the process runs.
 const Reports = "reports"
 
-// New makes a logger of all levels that writes JSON lines to a ring. Each entry of level
-// error or above, and each of a logger named Reports, flushes the ring to the end of the file at path, or to standard error
-// if path is empty or can't be opened.
+// New returns a logger that writes entries of all levels as JSON lines to a ring, and the ring.
+// Each entry of level error or above, and each entry of a logger named Reports, flushes the
+// ring. Flushed lines are appended to the file at path, or written to standard error if path is
+// empty or the file can't be opened.
 func New(path string) (*zap.Logger, *Ring) {
 	ring := &Ring{path: path}
 	config := zap.NewProductionEncoderConfig()
@@ -44,7 +45,7 @@
 	return logger, ring
 }
 
-// Write adds one line, of which it keeps a copy.
+// Write adds a copy of one line to the ring, replacing the oldest line if the ring is full.
 func (r *Ring) Write(line []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,11 +59,11 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer; a ring in memory needs none.
+// Sync implements zapcore.WriteSyncer. It does nothing, because the ring is in memory.
 func (r *Ring) Sync() error { return nil }
 
-// Flush writes the lines out, the oldest first, and empties the ring. After an error the
-// lines are kept.
+// Flush writes the lines, oldest first, to the file or to standard error, and empties the ring.
+// If writing fails, it returns the error and keeps the lines.
 func (r *Ring) Flush() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/logring/logring_test.go
+++ b/internal/logring/logring_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// TestFlushOnError: nothing is written until an error is logged; then the last maxLines
-// lines are, the oldest first, and only once.
+// TestFlushOnError checks that nothing is written until an error is logged, and that the last
+// maxLines lines are then written once, oldest first.
 func TestFlushOnError(t *testing.T) {
 	for _, test := range []struct {
 		name      string
-		lines     int // logged before the error
-		wantFirst int // the oldest of them that is kept
+		lines     int // number of lines logged before the error
+		wantFirst int // number of the oldest of these lines that is still in the ring
 	}{
 		{"a ring that isn't full", 3, 0},
 		{"a ring that has dropped its oldest lines", maxLines + 10, 11},
