--- a/internal/clusterstate/clusterstate_test.go
+++ b/internal/clusterstate/clusterstate_test.go
@@ -9,6 +9,7 @@
 	"sparnotch/internal/schema"
 )
 
+// apply encodes a command and applies it at a time in µs.
 func apply(m *StateMachine, at int64, command *schema.ClusterStateCommand) *Result {
 	data, err := proto.Marshal(command)
 	So(err, ShouldBeNil)
@@ -27,9 +28,9 @@
 		claim := func(at int64, id string) *Result {
 			return apply(m, at, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{ClaimControllerLease: &schema.ClaimControllerLease{Holder: id}}})
 		}
-		assign := func(at int64, lease uint64, scheduler string) int32 {
+		assign := func(at int64, fencingToken uint64, scheduler string) int32 {
 			return apply(m, at, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_AssignWorkers{AssignWorkers: &schema.AssignWorkers{
-				FencingToken: lease, WorkerLeases: []*schema.WorkerLease{{Worker: "w", Scheduler: scheduler}}}}}).Code
+				FencingToken: fencingToken, WorkerLeases: []*schema.WorkerLease{{Worker: "w", Scheduler: scheduler}}}}}).Code
 		}
 		first := claim(1, "h1")
 		So(first.Code, ShouldEqual, 200)
@@ -48,7 +49,7 @@
 			So(err, ShouldBeNil)
 			So(proto.Equal(restored.State(), m.State()), ShouldBeTrue)
 		})
-		Convey("and a renewal of the lease is no new version of the state", func() {
+		Convey("and a renewal of the lease doesn't raise the version of the state", func() {
 			version := m.Version()
 			claim(6+ControllerLeaseUs, "h2")
 			So(m.Version(), ShouldEqual, version)
--- a/internal/clusterstate/compression_test.go
+++ b/internal/clusterstate/compression_test.go
@@ -12,6 +12,7 @@
 	"sparnotch/internal/schema"
 )
 
+// manyRows returns a number of valid rows, one for each of as many queues.
 func manyRows(count int) []*schema.ConfigurationRow {
 	var rows []*schema.ConfigurationRow
 	for k := range count {
@@ -21,7 +22,7 @@
 }
 
 func TestCompression(t *testing.T) {
-	Convey("Data survives compression and decompression, and small data stays as it is", t, func() {
+	Convey("Compressed data is restored by decompression, and compression never makes data larger", t, func() {
 		for _, size := range []int{0, 1, compressionThreshold - 1, compressionThreshold, 300_000} {
 			data := []byte(strings.Repeat("abc ", size/4+1))[:size]
 			compressed := Compress(data)
@@ -60,7 +61,7 @@
 		state, omitted := m.EncodeUpdate(m.SharedState(), heldRevision)
 		return &schema.ClusterStateResponse{State: state, ConfigurationOmitted: omitted, Version: state.Version}
 	}
-	Convey("A process that holds the configuration isn't sent its rows again, and one that doesn't gets them, compressed if they are many", t, func() {
+	Convey("An update omits the rows for a process that holds the configuration, and otherwise includes them, compressed if they are many", t, func() {
 		m := New()
 		So(putVersion(m, 1, 0, "one", manyRows(2000)...).Code, ShouldEqual, 200)
 		first := encode(m, 0)
@@ -85,7 +86,7 @@
 		So(err, ShouldBeNil)
 		So(last.Configuration.Rows, ShouldHaveLength, 3)
 	})
-	Convey("An update without rows that was meant for an earlier incarnation is an error", t, func() {
+	Convey("An update that omits the rows is an error for a process that doesn't hold them, such as a new incarnation of the receiver", t, func() {
 		m := New()
 		So(putVersion(m, 1, 0, "one", manyRows(3)...).Code, ShouldEqual, 200)
 		delayed := encode(m, 1)
--- a/internal/clusterstate/patch_test.go
+++ b/internal/clusterstate/patch_test.go
@@ -20,6 +20,7 @@
 	}))
 }
 
+// updateCommand returns the command that submits an update.
 func updateCommand(update *schema.ConfigurationUpdate) *schema.ClusterStateCommand {
 	return &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: update}}}
 }
@@ -31,10 +32,10 @@
 const patchedDocument = `{"version":5,"routes":[{"name":"a","n":1.50},{"name":"b"}],"limits":{"x":"<&>"}}`
 
 func TestPatch(t *testing.T) {
-	Convey("A patch changes what it names of the configuration that it is based on", t, func() {
+	Convey("A patch changes the rows and items that it names in the configuration that it is based on", t, func() {
 		m := New()
 		So(putVersion(m, 5, 0, patchedDocument, row("queue", "a", "urgency", "1"), row("queue", "a", "attempts", "3"), row("queue", "b", "urgency", "2"), row("pool", "p", "guards", "1")).Code, ShouldEqual, 200)
-		Convey("rows are set, items removed, and all else stays as it is", func() {
+		Convey("it sets rows, removes items and leaves everything else unchanged", func() {
 			result := patchVersion(m, 9, 5, `{"version":9,"upsert":{"routes":[{"name":"c"},{"name":"a","n":2}]},"remove":{"routes":["b","gone"]}}`,
 				[]*schema.ConfigurationItem{item("queue", "b"), item("queue", "gone"), item("queue", "a")}, row("queue", "a", "urgency", "7"), row("queue", "c", "pool", "p"))
 			So(result.Code, ShouldEqual, 200)
@@ -44,13 +45,13 @@
 			So(string(result.Configuration.Document), ShouldEqual, `{"limits":{"x":"<&>"},"routes":[{"name":"a","n":2},{"name":"c"}],"version":9}`)
 			So(result.Configuration.Version, ShouldEqual, 9)
 		})
-		Convey("a row that is set keeps its place", func() {
+		Convey("a row that it changes keeps its position", func() {
 			So(patchVersion(m, 6, 5, "", nil, row("queue", "a", "attempts", "4")).Code, ShouldEqual, 200)
 			So(m.Configuration().Rows[1].Value, ShouldEqual, "4")
 			So(len(m.Configuration().Rows), ShouldEqual, 4)
 			So(string(m.Configuration().Document), ShouldEqual, patchedDocument)
 		})
-		Convey("a retry is acknowledged, also after later updates; the same patch on another base is another update", func() {
+		Convey("a retry is acknowledged; the same patch on another base is a different update", func() {
 			change := `{"version":8,"upsert":{"routes":[{"name":"z"}]}}`
 			So(patchVersion(m, 6, 5, `{"version":6}`, nil).Code, ShouldEqual, 200)
 			So(patchVersion(m, 8, 5, change, nil).Code, ShouldEqual, 412)
@@ -59,10 +60,10 @@
 			So(patchVersion(m, 8, 5, change, nil).Code, ShouldEqual, 412)
 			So(m.Configuration().Revision, ShouldEqual, 3)
 		})
-		Convey("one ahead of its base may be sent again, whatever it contains", func() {
+		Convey("a patch whose base hasn't been accepted yet may be sent again, whatever it contains", func() {
 			So(patchVersion(m, 9, 7, `{"version":9}`, nil, row("queue", "a", "pool", "q")).Code, ShouldEqual, 503)
 		})
-		Convey("one that makes the configuration invalid is rejected and changes nothing", func() {
+		Convey("a patch that makes the configuration invalid is rejected and changes nothing", func() {
 			for name, result := range map[string]*Result{
 				"unknown pool":       patchVersion(m, 6, 5, "", nil, row("queue", "a", "pool", "q")),
 				"row set twice":      patchVersion(m, 6, 5, "", nil, row("queue", "a", "urgency", "3"), row("queue", "a", "urgency", "4")),
@@ -80,7 +81,7 @@
 			So(string(m.Configuration().Document), ShouldEqual, patchedDocument)
 			So(m.Configuration().Revision, ShouldEqual, 1)
 		})
-		Convey("an edit without a version may be a patch too", func() {
+		Convey("an edit without a version may also be a patch", func() {
 			update := &schema.ConfigurationUpdate{BaseRevision: proto.Uint64(1), IsPatch: true, Rows: []*schema.ConfigurationRow{row("queue", "b", "urgency", "9")}}
 			So(apply(m, 1, updateCommand(update)).Code, ShouldEqual, 200)
 			So(apply(m, 1, updateCommand(update)).Code, ShouldEqual, 200)
@@ -91,14 +92,15 @@
 			So(apply(m, 1, updateCommand(update)).Code, ShouldEqual, 412)
 		})
 	})
-	Convey("A document that is no object can't be patched", t, func() {
+	Convey("A document that isn't a JSON object can't be patched", t, func() {
 		m := New()
 		So(putVersion(m, 5, 0, "text").Code, ShouldEqual, 200)
 		So(patchVersion(m, 6, 5, `{"version":6}`, nil).Code, ShouldEqual, 422)
 	})
 }
 
-// TestPatchIsCompareAndSet: patches among whole updates are answered like them.
+// TestPatchIsCompareAndSet checks a mix of patches and whole updates against the model of
+// TestReplaceIsCompareAndSet: patches get the same results as whole updates.
 func TestPatchIsCompareAndSet(t *testing.T) {
 	fixSeed()
 	rapid.Check(t, func(t *rapid.T) {
@@ -131,8 +133,8 @@
 	})
 }
 
-// TestPatchContent: after any sequence of patches, rows and document hold what a map by name
-// would, and two replicas hold the same bytes.
+// TestPatchContent checks that after any sequence of patches, the rows and the document equal a
+// map that was changed in the same way, and that two replicas hold the same bytes.
 func TestPatchContent(t *testing.T) {
 	fixSeed()
 	rapid.Check(t, func(t *rapid.T) {
@@ -146,7 +148,7 @@
 			}
 			for _, replica := range replicas {
 				if result, err := replica.Apply(1, data); err != nil || result.Code != 200 {
-					t.Fatalf("answered %v, %v", result, err)
+					t.Fatalf("the update got the result %v and the error %v", result, err)
 				}
 			}
 		}
@@ -177,10 +179,12 @@
 	})
 }
 
+// checkPatched compares the rows and the document with the wanted weights by rack, and the two
+// replicas with each other.
 func checkPatched(t *rapid.T, replicas []*StateMachine, wanted map[string]string, version uint64) {
 	configuration := replicas[0].Configuration()
 	if string(replicas[0].Snapshot()) != string(replicas[1].Snapshot()) {
-		t.Fatal("two replicas differ")
+		t.Fatal("the snapshots of the two replicas differ")
 	}
 	rows := map[string]string{}
 	for _, row := range configuration.Rows {
--- a/internal/clusterstate/queue_removal_test.go
+++ b/internal/clusterstate/queue_removal_test.go
@@ -9,8 +9,10 @@
 	"sparnotch/internal/schema"
 )
 
+// TestDelayedQueueRemoval guards against a delayed removal command that deletes a queue which was
+// created after the command under the same name.
 func TestDelayedQueueRemoval(t *testing.T) {
-	Convey("Given a queue that was removed and created anew under the same name", t, func() {
+	Convey("Given a queue that was removed and created again under the same name", t, func() {
 		m := New()
 		now := int64(0)
 		run := func(command *schema.ClusterStateCommand) *Result {
@@ -47,15 +49,15 @@
 		place(created())
 		generation := FindQueue(m.State(), "l").Generation
 		configure("k")
-		Convey("the removal of the former one, when it is delayed, leaves the new one, whose jobs still run", func() {
+		Convey("a delayed removal of the former queue leaves the new one, whose jobs still run", func() {
 			place(first)
 			So(FindQueue(m.State(), "l").GetGeneration(), ShouldEqual, generation)
-			Convey("and the new one is removed by its own name", func() {
+			Convey("and a removal that names the new queue's generation removes it", func() {
 				place(removed())
 				So(FindQueue(m.State(), "l"), ShouldBeNil)
 			})
 		})
-		Convey("a log of an older version, which names the queue alone, is applied as before", func() {
+		Convey("a removal from the log of an older version, which gives no generation, is still applied", func() {
 			place(&schema.PlaceQueues{Removed: []string{"l"}})
 			So(FindQueue(m.State(), "l"), ShouldBeNil)
 		})
--- a/internal/clusterstate/replace_model_test.go
+++ b/internal/clusterstate/replace_model_test.go
@@ -11,20 +11,22 @@
 	"sparnotch/internal/schema"
 )
 
-// replaceModel is the reference of TestReplaceIsCompareAndSet: every update that
-// was ever sent, how each was answered, and which were accepted.
+// replaceModel is the reference model of TestReplaceIsCompareAndSet. It remembers all updates
+// that were ever sent and their results, and predicts the result of the next update. The maps
+// are keyed by updateKey, unless stated otherwise.
 type replaceModel struct {
-	machine         *StateMachine
+	machine         *StateMachine // the state machine under test
 	sent            []*schema.ConfigurationUpdate
 	wasSent         map[string]bool
-	rejected        map[string]bool   // by update
-	applied         map[string]uint64 // by update: the revision it made
-	appliedOnBase   map[string]string // by base: the update that was accepted
-	version         uint64            // the current one
-	appliedVersions []uint64          // of all accepted updates in order; 0: an edit without a version
-	serial          int
+	rejected        map[string]bool   // updates that got a final rejection
+	applied         map[string]uint64 // revision that each accepted update created
+	appliedOnBase   map[string]string // update that was accepted on each base, by baseKey
+	version         uint64            // current version
+	appliedVersions []uint64          // versions of all accepted updates in order; 0: an edit without a version
+	serial          int               // makes documents and rows distinct
 }
 
+// newReplaceModel returns a model with an empty state machine.
 func newReplaceModel() *replaceModel {
 	return &replaceModel{machine: New(), wasSent: map[string]bool{}, rejected: map[string]bool{}, applied: map[string]uint64{}, appliedOnBase: map[string]string{}}
 }
@@ -40,6 +42,7 @@
 	return fmt.Sprintf("%d on %d: %s", update.Version, update.BaseVersion, update.Document)
 }
 
+// baseKey identifies the base of an update.
 func baseKey(update *schema.ConfigurationUpdate) string {
 	if update.Version == 0 {
 		return fmt.Sprint("revision ", update.GetBaseRevision())
@@ -47,21 +50,24 @@
 	return fmt.Sprint("version ", update.BaseVersion)
 }
 
+// appliedCount returns the number of accepted updates, which is also the current revision.
 func (o *replaceModel) appliedCount() uint64 { return uint64(len(o.appliedVersions)) }
 
+// newDocument returns a document that differs from all earlier ones.
 func (o *replaceModel) newDocument() []byte {
 	o.serial++
 	return []byte(fmt.Sprint("content ", o.serial))
 }
 
+// newRows returns valid rows that change with each new document.
 func (o *replaceModel) newRows() []*schema.ConfigurationRow {
 	return []*schema.ConfigurationRow{row("queue", "quotes", "urgency", fmt.Sprint(o.serial%100))}
 }
 
-// expectedCode is the code that an update would have to get now.
+// expectedCode returns the result code that the update must get if it is applied now.
 func (o *replaceModel) expectedCode(update *schema.ConfigurationUpdate) int32 {
-	if at, accepted := o.applied[updateKey(update)]; accepted {
-		if at+maxRememberedUpdates > o.appliedCount() {
+	if revision, accepted := o.applied[updateKey(update)]; accepted {
+		if revision+maxRememberedUpdates > o.appliedCount() {
 			return 200
 		}
 		return 504
@@ -86,7 +92,8 @@
 	return 200
 }
 
-// oldestRememberedVersion is the lowest version among the remembered updates.
+// oldestRememberedVersion returns the lowest version among the remembered updates, or the next
+// version if none of them has a version.
 func (o *replaceModel) oldestRememberedVersion() uint64 {
 	for _, version := range o.appliedVersions[max(0, len(o.appliedVersions)-maxRememberedUpdates):] {
 		if version > 0 {
@@ -96,7 +103,8 @@
 	return o.version + 1
 }
 
-// apply applies a copy of an update and compares the answer with the model's.
+// apply applies a copy of an update to the state machine and compares the result with the
+// expected one.
 func (o *replaceModel) apply(t *rapid.T, update *schema.ConfigurationUpdate) {
 	key, wanted := updateKey(update), o.expectedCode(update)
 	data, err := proto.Marshal(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: update}}})
@@ -108,7 +116,7 @@
 		t.Fatal(err)
 	}
 	if result.Code != wanted {
-		t.Fatalf("%s is answered %d, want %d", key, result.Code, wanted)
+		t.Fatalf("update %s got code %d, want %d", key, result.Code, wanted)
 	}
 	if !o.wasSent[key] {
 		o.wasSent[key] = true
@@ -117,21 +125,22 @@
 	o.recordResult(t, update, result.Code)
 }
 
-// recordResult checks an answer against all that were given before it.
+// recordResult checks that the result of an update doesn't contradict earlier results, and
+// records it.
 func (o *replaceModel) recordResult(t *rapid.T, update *schema.ConfigurationUpdate, code int32) {
 	key := updateKey(update)
 	_, accepted := o.applied[key]
 	switch {
 	case code == 412 || code == 422:
 		if accepted {
-			t.Fatalf("%s was accepted and is rejected with %d", key, code)
+			t.Fatalf("update %s was accepted earlier but is now rejected with code %d", key, code)
 		}
 		o.rejected[key] = true
 	case code == 200 && o.rejected[key]:
-		t.Fatalf("%s was rejected and is accepted", key)
+		t.Fatalf("update %s was rejected earlier but is now accepted", key)
 	case code == 200 && !accepted:
 		if other, exists := o.appliedOnBase[baseKey(update)]; exists {
-			t.Fatalf("%s and %s were both accepted", other, key)
+			t.Fatalf("updates %s and %s of the same base were both accepted", other, key)
 		}
 		o.appliedOnBase[baseKey(update)] = key
 		o.appliedVersions = append(o.appliedVersions, update.Version)
@@ -139,17 +148,17 @@
 	}
 }
 
-// checkState compares the machine's state with the accepted updates.
+// checkState compares the state of the state machine with the accepted updates.
 func (o *replaceModel) checkState(t *rapid.T) {
 	if configuration := o.machine.Configuration(); configuration.Revision != o.appliedCount() || configuration.Version != o.version {
 		t.Fatalf("revision %d and version %d, want %d and %d", configuration.Revision, configuration.Version, o.appliedCount(), o.version)
 	}
 	if len(o.machine.state.AcceptedVersions) > maxRememberedUpdates {
-		t.Fatalf("%d updates are remembered", len(o.machine.state.AcceptedVersions))
+		t.Fatalf("the state machine remembers %d updates, more than maxRememberedUpdates", len(o.machine.state.AcceptedVersions))
 	}
 }
 
-// drawSent draws an update that was sent before; without one the action is skipped.
+// drawSent draws one of the updates sent so far. If there is none, it skips the action.
 func (o *replaceModel) drawSent(t *rapid.T) *schema.ConfigurationUpdate {
 	if len(o.sent) == 0 {
 		t.Skip()
@@ -157,14 +166,14 @@
 	return rapid.SampledFrom(o.sent).Draw(t, "update")
 }
 
-// TestReplaceIsCompareAndSet: for any sequence of updates, with retries and restarts from
-// snapshots, the machine answers like a compare-and-set that remembers every update, or says
-// that it doesn't remember.
+// TestReplaceIsCompareAndSet checks that for any sequence of updates, with retries and restarts
+// from snapshots, the results are those of a compare-and-set that remembers all updates, or 504
+// for an update that may have been forgotten.
 func TestReplaceIsCompareAndSet(t *testing.T) {
 	fixSeed()
 	rapid.Check(t, func(t *rapid.T) {
 		o := newReplaceModel()
-		// Also more updates than are remembered.
+		// In some runs more updates are accepted than the state machine remembers.
 		for range rapid.SampledFrom([]int{0, 3, maxRememberedUpdates - 2, maxRememberedUpdates + 3}).Draw(t, "accepted before") {
 			o.apply(t, &schema.ConfigurationUpdate{Version: o.version + 2, BaseVersion: o.version, Document: o.newDocument(), Rows: o.newRows()})
 		}
@@ -187,7 +196,7 @@
 				o.apply(t, other)
 			},
 			"edit without a version": func(t *rapid.T) {
-				// Each edit differs, or two would be the same update.
+				// Each edit must differ from the others, because edits with the same content are the same update.
 				o.serial++
 				revision := draw(o.appliedCount()-min(o.appliedCount(), 3), o.appliedCount()+2)
 				o.apply(t, &schema.ConfigurationUpdate{BaseRevision: &revision, Rows: []*schema.ConfigurationRow{row("rack", fmt.Sprint("r", o.serial), "weight", "50")}})
@@ -209,7 +218,7 @@
 	})
 }
 
-// fixSeed makes runs repeatable, unless -rapid.seed asks for another seed.
+// fixSeed sets a fixed seed, which makes runs repeatable, unless -rapid.seed gives another one.
 func fixSeed() {
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
 		_ = seed.Value.Set("1")
--- a/internal/clusterstate/replace_test.go
+++ b/internal/clusterstate/replace_test.go
@@ -11,19 +11,20 @@
 	"sparnotch/internal/schema"
 )
 
-// putRows applies an edit without a version, which is based on a revision.
+// putRows applies an edit without a version that is based on a revision, or on none if
+// baseRevision is nil.
 func putRows(m *StateMachine, baseRevision *uint64, rows ...*schema.ConfigurationRow) *Result {
 	return apply(m, 1, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: &schema.ConfigurationUpdate{BaseRevision: baseRevision, Rows: rows}}}})
 }
 
-// putVersion applies an update whose author numbers the versions.
+// putVersion applies a whole update whose author numbers the versions.
 func putVersion(m *StateMachine, version, base uint64, document string, rows ...*schema.ConfigurationRow) *Result {
 	return apply(m, 1, &schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{
 		Update: &schema.ConfigurationUpdate{Version: version, BaseVersion: base, Document: []byte(document), Rows: rows}}}})
 }
 
 func TestReplaceByRevision(t *testing.T) {
-	Convey("A configuration is replaced as a whole, and only if the update is based on the current revision", t, func() {
+	Convey("An update replaces the whole configuration, but only if it is based on the current revision", t, func() {
 		m := New()
 		good := row("queue", "quotes", "urgency", "50")
 		So(putRows(m, nil, good).Code, ShouldEqual, 428)
@@ -34,14 +35,14 @@
 			So(result.Configuration.Revision, ShouldEqual, 1)
 			So(m.State().Configuration.Revision, ShouldEqual, 1)
 		})
-		Convey("an outdated update is rejected with both revisions", func() {
+		Convey("an outdated update is rejected, and the error gives its base and the current revision", func() {
 			result := putRows(m, proto.Uint64(0), row("queue", "quotes", "urgency", "51"))
 			So(result.Code, ShouldEqual, 412)
 			So(result.Error.Given, ShouldEqual, 0)
 			So(result.Error.Current, ShouldEqual, 1)
 			So(ParseValues(m.State().Configuration).Number("queue", "quotes", "urgency"), ShouldEqual, 50)
 		})
-		Convey("an invalid row is named and nothing of the update is applied", func() {
+		Convey("an error names the invalid row and field, and nothing of the update is applied", func() {
 			for field, bad := range map[string]*schema.ConfigurationRow{
 				"rows[1].kind":  row("robot", "x", "urgency", "1"),
 				"rows[1].name":  row("queue", "No Name", "urgency", "1"),
@@ -60,7 +61,7 @@
 }
 
 func TestReplaceByVersion(t *testing.T) {
-	Convey("An author who numbers the versions needs no revision", t, func() {
+	Convey("An author who numbers the versions needn't give a revision", t, func() {
 		m := New()
 		quotes := row("queue", "quotes", "urgency", "50")
 		So(putVersion(m, 3, 0, "three", quotes).Code, ShouldEqual, 200)
@@ -68,7 +69,7 @@
 		So(m.Configuration().Revision, ShouldEqual, 1)
 		So(string(m.Configuration().Document), ShouldEqual, "three")
 		So(putVersion(m, 7, 3, "seven", quotes).Code, ShouldEqual, 200)
-		Convey("a retry of an accepted update succeeds, also after another update", func() {
+		Convey("a retry of an accepted update succeeds, even after another update", func() {
 			So(putVersion(m, 7, 3, "seven", quotes).Code, ShouldEqual, 200)
 			result := putVersion(m, 3, 0, "three", quotes)
 			So(result.Code, ShouldEqual, 200)
@@ -78,7 +79,7 @@
 			So(err, ShouldBeNil)
 			So(putVersion(restored, 3, 0, "three", quotes).Code, ShouldEqual, 200)
 		})
-		Convey("of two updates with one base the second is rejected, with both versions", func() {
+		Convey("of two updates with the same base the second is rejected, and the error gives its base and the current version", func() {
 			result := putVersion(m, 8, 3, "eight", quotes)
 			So(result.Code, ShouldEqual, 412)
 			So(result.Error.Code, ShouldEqual, "outdated")
@@ -95,7 +96,7 @@
 			}
 			So(m.Configuration().Revision, ShouldEqual, 2)
 		})
-		Convey("an invalid row or too large a document changes nothing, and isn't remembered as accepted", func() {
+		Convey("an update with an invalid row or too large a document changes nothing and isn't remembered as accepted", func() {
 			for k := 0; k < 2; k++ {
 				So(putVersion(m, 9, 7, "nine", row("queue", "x", "pool", "none")).Code, ShouldEqual, 422)
 			}
@@ -116,7 +117,7 @@
 			So(shared.Configuration.Document, ShouldBeEmpty)
 			So(shared.PreviousConfigurations, ShouldBeEmpty)
 			So(shared.AcceptedVersions, ShouldBeEmpty)
-			// The pointer stays until the configuration is replaced.
+			// The pointer stays the same until the configuration is replaced.
 			So(m.SharedState().Configuration == shared.Configuration, ShouldBeTrue)
 		})
 		Convey("updates without a document are distinguished by their rows", func() {
@@ -125,7 +126,7 @@
 			So(putVersion(m, 9, 7, "", row("queue", "quotes", "urgency", "51")).Code, ShouldEqual, 412)
 		})
 	})
-	Convey("What is kept of previous configurations is bounded, however many and large they were", t, func() {
+	Convey("The history is bounded, however many and however large the previous configurations were", t, func() {
 		m := New()
 		var rows []*schema.ConfigurationRow
 		for k := 0; k < 10_000; k++ {
@@ -144,7 +145,7 @@
 }
 
 func TestLateUpdates(t *testing.T) {
-	Convey("An update whose base hasn't been accepted yet isn't rejected for good, for it may be accepted later", t, func() {
+	Convey("An update whose base hasn't been accepted yet gets no final rejection, because it may be accepted later", t, func() {
 		m := New()
 		quotes := row("queue", "quotes", "urgency", "50")
 		So(putVersion(m, 1, 0, "one", quotes).Code, ShouldEqual, 200)
@@ -154,12 +155,12 @@
 		So([]uint64{early.Error.Given, early.Error.Current}, ShouldResemble, []uint64{2, 1})
 		So(putVersion(m, 2, 1, "two", quotes).Code, ShouldEqual, 200)
 		So(putVersion(m, 3, 2, "three", quotes).Code, ShouldEqual, 200)
-		Convey("nor is an edit without a version", func() {
+		Convey("the same holds for an edit without a version", func() {
 			So(putRows(m, proto.Uint64(4), quotes).Code, ShouldEqual, 503)
 			So(putRows(m, proto.Uint64(3), quotes).Code, ShouldEqual, 200)
 			So(putRows(m, proto.Uint64(4), quotes).Code, ShouldEqual, 200)
 		})
-		Convey("unless it is invalid by itself", func() {
+		Convey("it is rejected if it is invalid whatever its base is", func() {
 			So(putVersion(m, 9, 8, "nine", row("queue", "x", "pool", "none")).Code, ShouldEqual, 422)
 			So(putVersion(m, 8, 8, "eight", quotes).Code, ShouldEqual, 422)
 			So(putRows(m, proto.Uint64(9), row("queue", "x", "pool", "none")).Code, ShouldEqual, 422)
@@ -174,7 +175,7 @@
 		So(result.Configuration.Revision, ShouldEqual, 2)
 		So(putRows(m, proto.Uint64(0), row("queue", "quotes", "urgency", "52")).Code, ShouldEqual, 412)
 	})
-	Convey("An update older than what is remembered isn't rejected for good either, and what is remembered is small", t, func() {
+	Convey("An update older than the remembered ones gets no final rejection either, and the remembered updates take little space", t, func() {
 		m := New()
 		quotes := row("queue", "quotes", "urgency", "50")
 		send := func(version uint64, document string) *Result {
@@ -183,7 +184,7 @@
 		const last = maxRememberedUpdates + 100
 		for k := uint64(1); k <= last; k++ {
 			if send(k, fmt.Sprint("document ", k)).Code != 200 {
-				t.Fatalf("version %d is rejected", k)
+				t.Fatalf("the update to version %d was rejected", k)
 			}
 		}
 		for k := uint64(1); k <= last; k++ {
@@ -191,12 +192,13 @@
 			if k <= last-maxRememberedUpdates {
 				retryCode = 504
 			}
-			// Of the updates with the oldest remembered base only the accepted one is known.
+			// Accepted versions are remembered without their bases. A rival of the oldest remembered update
+			// may therefore have been accepted before it and forgotten, as far as the state machine knows.
 			if k <= last-maxRememberedUpdates+1 {
 				rivalCode = 504
 			}
 			if retry, rival := send(k, fmt.Sprint("document ", k)).Code, send(k, "other").Code; retry != retryCode || rival != rivalCode {
-				t.Fatalf("version %d is answered %d and its rival %d, want %d and %d", k, retry, rival, retryCode, rivalCode)
+				t.Fatalf("the retry of version %d got code %d and its rival %d, want %d and %d", k, retry, rival, retryCode, rivalCode)
 			}
 		}
 		So(len(m.Snapshot()), ShouldBeLessThan, 64*maxRememberedUpdates)
--- a/internal/clusterstate/routes_test.go
+++ b/internal/clusterstate/routes_test.go
@@ -37,14 +37,14 @@
 			So([]any{request.host, request.path, queue, rest, found}, ShouldResemble, []any{request.host, request.path, request.queue, request.rest, request.queue != ""})
 		}
 	})
-	Convey("Two queues with the same route are named, also if it is spelled differently", t, func() {
+	Convey("Two queues with the same route are an error that names them, even if the routes are spelled differently", t, func() {
 		fault := ValidateRows(append(routeRows("x", "one.example", "/a/"), routeRows("y", "ONE.example", "/a/")...))
 		So(fault.Field, ShouldEqual, "rows[3].value")
 		So(fault.Message, ShouldContainSubstring, "queues x and y")
 		So(ValidateRows(append(routeRows("x", "one.example", "/"), row("queue", "y", "host", "one.example"))).Field, ShouldEqual, "rows[2].value")
 		So(ValidateRows(append(routeRows("x", "one.example", "/a/"), routeRows("y", "two.example", "/a/")...)), ShouldBeNil)
 	})
-	Convey("Texts and pools are validated", t, func() {
+	Convey("Values of text keys and the pools that queues refer to are validated", t, func() {
 		pool := row("pool", "P.1_x", "guards", "0")
 		So(ValidateRows([]*schema.ConfigurationRow{row("queue", "x", "pool", "P.1_x"), pool}), ShouldBeNil)
 		for _, invalid := range []struct {
--- a/internal/clusterstate/tenants_test.go
+++ b/internal/clusterstate/tenants_test.go
@@ -11,7 +11,7 @@
 	"sparnotch/internal/schema"
 )
 
-// keyRow is a tenant's row with the hashes of keys.
+// keyRow returns a row that gives a tenant the API keys, as hashes.
 func keyRow(tenant string, keys ...string) *schema.ConfigurationRow {
 	hashes := make([]string, len(keys))
 	for k, key := range keys {
@@ -20,8 +20,8 @@
 	return row("tenant", tenant, "key_hashes", strings.Join(hashes, " "))
 }
 
-// TestTenantsSharingAKeyAreInvalid guards against a configuration that is taken although the
-// tenant of a call with one of its keys isn't certain.
+// TestTenantsSharingAKeyAreInvalid guards against accepting a configuration in which an API key
+// doesn't identify a single tenant.
 func TestTenantsSharingAKeyAreInvalid(t *testing.T) {
 	Convey("Two tenants that share a key", t, func() {
 		shared := HashKey("shared")
@@ -31,7 +31,7 @@
 			So(fault.Message, ShouldContainSubstring, "south")
 			So(fault.String(), ShouldNotContainSubstring, shared)
 		}
-		Convey("are invalid in whole configurations", func() {
+		Convey("are rejected in a whole configuration", func() {
 			rows := []*schema.ConfigurationRow{
 				row("tenant", "north", "weight_milli", "1000"), keyRow("north", "own", "shared"), keyRow("south", "shared", "other"),
 			}
@@ -40,7 +40,7 @@
 			So(putRows(New(), proto.Uint64(0), rows...).Code, ShouldEqual, 422)
 			So(putVersion(New(), 5, 0, "{}", rows...).Code, ShouldEqual, 422)
 		})
-		Convey("are invalid after a patch is applied to its base", func() {
+		Convey("are rejected if a patch adds one of them to its base", func() {
 			m := New()
 			So(putVersion(m, 5, 0, "{}", keyRow("north", "shared")).Code, ShouldEqual, 200)
 			result := patchVersion(m, 6, 5, "", nil, keyRow("south", "shared"))
@@ -48,7 +48,7 @@
 			rejectsBoth(result.Error)
 			So(m.Configuration().Version, ShouldEqual, 5)
 		})
-		Convey("are valid once one of them has given it up, in the same patch", func() {
+		Convey("are accepted if the same patch takes the key from one of them", func() {
 			m := New()
 			So(putVersion(m, 5, 0, "{}", keyRow("north", "shared")).Code, ShouldEqual, 200)
 			So(patchVersion(m, 6, 5, "", nil, keyRow("north", "new"), keyRow("south", "shared")).Code, ShouldEqual, 200)
@@ -57,15 +57,15 @@
 			So(found, ShouldBeTrue)
 		})
 	})
-	Convey("A tenant may list a key twice, and tenants may have no keys", t, func() {
+	Convey("A tenant may list the same key twice, and several tenants may have no keys", t, func() {
 		So(ValidateRows([]*schema.ConfigurationRow{keyRow("north", "own", "own"), row("tenant", "south", "weight_milli", "1"), row("tenant", "west", "weight_milli", "1")}), ShouldBeNil)
 	})
 }
 
-// TestErrorsDoNotShowKeys guards against keys in answers and logs, also where a key stands in
-// place of its hash.
+// TestErrorsDoNotShowKeys guards against errors that show API keys or their hashes in responses
+// and logs, for example if an author wrote a key where its hash belongs.
 func TestErrorsDoNotShowKeys(t *testing.T) {
-	Convey("The error of an invalid row of keys has none of them", t, func() {
+	Convey("The error for an invalid row of key hashes contains neither the keys nor the hashes", t, func() {
 		fault := ValidateRows([]*schema.ConfigurationRow{row("tenant", "north", "key_hashes", "a-key-in-clear "+HashKey("b"))})
 		So(fault.GetField(), ShouldEqual, "rows[0].value")
 		So(fault.String(), ShouldNotContainSubstring, "a-key-in-clear")
@@ -73,10 +73,11 @@
 	})
 }
 
-// TestPatchMakesNoEmptyLists guards against a document that has tenants, of which there are
-// none, after a patch that removes one: read as a whole, it would ask every call for a key.
+// TestPatchMakesNoEmptyLists guards against a patch that adds an empty list of tenants to a
+// document without one, when it removes a tenant that doesn't exist. If the author submitted the
+// resulting document as a whole update, all requests would have to carry an API key.
 func TestPatchMakesNoEmptyLists(t *testing.T) {
-	Convey("A list that a patch neither finds nor adds to isn't made", t, func() {
+	Convey("A patch doesn't create a list that the document lacks unless it adds items to it", t, func() {
 		for _, change := range []string{
 			`{"version":6,"remove":{"tenants":["north"]}}`, `{"version":6,"upsert":{"tenants":[]}}`, `{"version":6,"upsert":{"tenants":null}}`,
 		} {
@@ -84,7 +85,7 @@
 			So(err, ShouldBeNil)
 			So(string(patched), ShouldEqual, `{"routes":[],"version":6}`)
 		}
-		Convey("one that it empties stays", func() {
+		Convey("a list that it empties stays in the document", func() {
 			patched, err := patchDocument([]byte(`{"tenants":[{"name":"north"}]}`), []byte(`{"version":6,"remove":{"tenants":["north"]}}`))
 			So(err, ShouldBeNil)
 			So(string(patched), ShouldEqual, `{"tenants":[],"version":6}`)
@@ -92,10 +93,10 @@
 	})
 }
 
-// TestKeysStandInTheDocumentAlone guards against keys in clear outside of the document: in what
-// other processes hold, in the history, and in a snapshot's other parts.
+// TestKeysStandInTheDocumentAlone guards against API keys, not hashed, outside of the current
+// document: in the state that other processes hold, in the history, and elsewhere in a snapshot.
 func TestKeysStandInTheDocumentAlone(t *testing.T) {
-	Convey("A key that a document has", t, func() {
+	Convey("An API key in a document", t, func() {
 		const key = "a-key-in-clear"
 		document := func(version int) string {
 			return fmt.Sprintf(`{"version":%d,"tenants":[{"name":"north","api_keys":["%s"]}]}`, version, key)
@@ -108,7 +109,7 @@
 			So(err, ShouldBeNil)
 			return string(data)
 		}
-		Convey("isn't in the shared state, as it is held and as it is sent", func() {
+		Convey("isn't in the shared state, neither in memory nor as sent", func() {
 			update, _ := m.EncodeUpdate(m.SharedState(), 0)
 			for _, state := range []proto.Message{m.SharedState(), update} {
 				So(encode(state), ShouldContainSubstring, HashKey(key))
@@ -121,16 +122,17 @@
 				So(encode(previous), ShouldNotContainSubstring, key)
 			}
 		})
-		Convey("is in a snapshot once, in the document in force", func() {
+		Convey("is in a snapshot once, in the current document", func() {
 			So(strings.Count(string(m.Snapshot()), key), ShouldEqual, 1)
 			So(string(m.Configuration().Document), ShouldEqual, document(6))
 		})
 	})
 }
 
-// TestTenantsInForce guards against tenants of a configuration that calls and tasks don't find.
+// TestTenantsInForce checks that requests and tasks find the tenants of the current
+// configuration.
 func TestTenantsInForce(t *testing.T) {
-	Convey("The values of a configuration have its tenants, their limits and whose each key is", t, func() {
+	Convey("The values of a configuration contain its tenants, their limits and the tenant of each API key", t, func() {
 		m := New()
 		So(putVersion(m, 5, 0, "{}", row("fleet", "", "require_keys", "1"), row("queue", "open", "public", "1"), row("queue", "closed", "urgency", "1"),
 			keyRow("north", "n1", "n2"), row("tenant", "north", "weight_milli", "500"), row("tenant", "north", "max_cores_milli", "64000"),
