--- a/internal/clusterstate/patch_test.go
+++ b/internal/clusterstate/patch_test.go
@@ -104,30 +104,30 @@
 func TestPatchIsCompareAndSet(t *testing.T) {
 	fixSeed()
 	rapid.Check(t, func(t *rapid.T) {
-		o := newReplaceModel()
+		model := newReplaceModel()
 		draw := func(low, high uint64) uint64 { return rapid.Uint64Range(low, high).Draw(t, "number") }
 		patch := func(version, base uint64) *schema.ConfigurationUpdate {
 			return &schema.ConfigurationUpdate{Version: version, BaseVersion: base, IsPatch: true, Rows: []*schema.ConfigurationRow{row("rack", "r", "weight", fmt.Sprint(draw(1, 3)))}}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"": o.checkState,
+			"": model.checkState,
 			"patch of the current version": func(t *rapid.T) {
-				o.apply(t, patch(o.version+draw(1, 3), o.version))
+				model.apply(t, patch(model.version+draw(1, 3), model.version))
 			},
 			"patch of any version": func(t *rapid.T) {
-				base := draw(0, o.version+5)
-				o.apply(t, patch(max(1, base+draw(0, 3)), base))
+				base := draw(0, model.version+5)
+				model.apply(t, patch(max(1, base+draw(0, 3)), base))
 			},
 			"whole update": func(t *rapid.T) {
-				o.apply(t, &schema.ConfigurationUpdate{Version: o.version + draw(1, 3), BaseVersion: o.version, Document: o.newDocument(), Rows: o.newRows()})
+				model.apply(t, &schema.ConfigurationUpdate{Version: model.version + draw(1, 3), BaseVersion: model.version, Document: model.newDocument(), Rows: model.newRows()})
 			},
-			"retried": func(t *rapid.T) { o.apply(t, o.drawSent(t)) },
+			"retried": func(t *rapid.T) { model.apply(t, model.drawSent(t)) },
 			"restart from the snapshot": func(t *rapid.T) {
-				restored, err := Restore(o.machine.Snapshot())
+				restored, err := Restore(model.machine.Snapshot())
 				if err != nil {
 					t.Fatal(err)
 				}
-				o.machine = restored
+				model.machine = restored
 			},
 		})
 	})
--- a/internal/clusterstate/replace_model_test.go
+++ b/internal/clusterstate/replace_model_test.go
@@ -51,32 +51,32 @@
 }
 
 // appliedCount returns the number of accepted updates, which is also the current revision.
-func (o *replaceModel) appliedCount() uint64 { return uint64(len(o.appliedVersions)) }
+func (model *replaceModel) appliedCount() uint64 { return uint64(len(model.appliedVersions)) }
 
 // newDocument returns a document that differs from all earlier ones.
-func (o *replaceModel) newDocument() []byte {
-	o.serial++
-	return []byte(fmt.Sprint("content ", o.serial))
+func (model *replaceModel) newDocument() []byte {
+	model.serial++
+	return []byte(fmt.Sprint("content ", model.serial))
 }
 
 // newRows returns valid rows that change with each new document.
-func (o *replaceModel) newRows() []*schema.ConfigurationRow {
-	return []*schema.ConfigurationRow{row("queue", "quotes", "urgency", fmt.Sprint(o.serial%100))}
+func (model *replaceModel) newRows() []*schema.ConfigurationRow {
+	return []*schema.ConfigurationRow{row("queue", "quotes", "urgency", fmt.Sprint(model.serial%100))}
 }
 
 // expectedCode returns the result code that the update must get if it is applied now.
-func (o *replaceModel) expectedCode(update *schema.ConfigurationUpdate) int32 {
-	if revision, accepted := o.applied[updateKey(update)]; accepted {
-		if revision+maxRememberedUpdates > o.appliedCount() {
+func (model *replaceModel) expectedCode(update *schema.ConfigurationUpdate) int32 {
+	if revision, accepted := model.applied[updateKey(update)]; accepted {
+		if revision+maxRememberedUpdates > model.appliedCount() {
 			return 200
 		}
 		return 504
 	}
-	base, current := update.BaseVersion, o.version
-	forgotten := o.appliedCount() > maxRememberedUpdates && base < o.oldestRememberedVersion()
+	base, current := update.BaseVersion, model.version
+	forgotten := model.appliedCount() > maxRememberedUpdates && base < model.oldestRememberedVersion()
 	if update.Version == 0 {
-		base, current = update.GetBaseRevision(), o.appliedCount()
-		forgotten = base+maxRememberedUpdates < o.appliedCount()
+		base, current = update.GetBaseRevision(), model.appliedCount()
+		forgotten = base+maxRememberedUpdates < model.appliedCount()
 	}
 	invalid := ValidateRows(update.Rows) != nil || update.Version > 0 && update.Version <= update.BaseVersion
 	switch {
@@ -94,76 +94,76 @@
 
 // oldestRememberedVersion returns the lowest version among the remembered updates, or the next
 // version if none of them has a version.
-func (o *replaceModel) oldestRememberedVersion() uint64 {
-	for _, version := range o.appliedVersions[max(0, len(o.appliedVersions)-maxRememberedUpdates):] {
+func (model *replaceModel) oldestRememberedVersion() uint64 {
+	for _, version := range model.appliedVersions[max(0, len(model.appliedVersions)-maxRememberedUpdates):] {
 		if version > 0 {
 			return version
 		}
 	}
-	return o.version + 1
+	return model.version + 1
 }
 
 // apply applies a copy of an update to the state machine and compares the result with the
 // expected one.
-func (o *replaceModel) apply(t *rapid.T, update *schema.ConfigurationUpdate) {
-	key, wanted := updateKey(update), o.expectedCode(update)
+func (model *replaceModel) apply(t *rapid.T, update *schema.ConfigurationUpdate) {
+	key, wanted := updateKey(update), model.expectedCode(update)
 	data, err := proto.Marshal(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: update}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	result, err := o.machine.Apply(1, data)
+	result, err := model.machine.Apply(1, data)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if result.Code != wanted {
 		t.Fatalf("update %s got code %d, want %d", key, result.Code, wanted)
 	}
-	if !o.wasSent[key] {
-		o.wasSent[key] = true
-		o.sent = append(o.sent, update)
+	if !model.wasSent[key] {
+		model.wasSent[key] = true
+		model.sent = append(model.sent, update)
 	}
-	o.recordResult(t, update, result.Code)
+	model.recordResult(t, update, result.Code)
 }
 
 // recordResult checks that the result of an update doesn't contradict earlier results, and
 // records it.
-func (o *replaceModel) recordResult(t *rapid.T, update *schema.ConfigurationUpdate, code int32) {
+func (model *replaceModel) recordResult(t *rapid.T, update *schema.ConfigurationUpdate, code int32) {
 	key := updateKey(update)
-	_, accepted := o.applied[key]
+	_, accepted := model.applied[key]
 	switch {
 	case code == 412 || code == 422:
 		if accepted {
 			t.Fatalf("update %s was accepted earlier but is now rejected with code %d", key, code)
 		}
-		o.rejected[key] = true
-	case code == 200 && o.rejected[key]:
+		model.rejected[key] = true
+	case code == 200 && model.rejected[key]:
 		t.Fatalf("update %s was rejected earlier but is now accepted", key)
 	case code == 200 && !accepted:
-		if other, exists := o.appliedOnBase[baseKey(update)]; exists {
+		if other, exists := model.appliedOnBase[baseKey(update)]; exists {
 			t.Fatalf("updates %s and %s of the same base were both accepted", other, key)
 		}
-		o.appliedOnBase[baseKey(update)] = key
-		o.appliedVersions = append(o.appliedVersions, update.Version)
-		o.applied[key], o.version = o.appliedCount(), max(o.version, update.Version)
+		model.appliedOnBase[baseKey(update)] = key
+		model.appliedVersions = append(model.appliedVersions, update.Version)
+		model.applied[key], model.version = model.appliedCount(), max(model.version, update.Version)
 	}
 }
 
 // checkState compares the state of the state machine with the accepted updates.
-func (o *replaceModel) checkState(t *rapid.T) {
-	if configuration := o.machine.Configuration(); configuration.Revision != o.appliedCount() || configuration.Version != o.version {
-		t.Fatalf("revision %d and version %d, want %d and %d", configuration.Revision, configuration.Version, o.appliedCount(), o.version)
+func (model *replaceModel) checkState(t *rapid.T) {
+	if configuration := model.machine.Configuration(); configuration.Revision != model.appliedCount() || configuration.Version != model.version {
+		t.Fatalf("revision %d and version %d, want %d and %d", configuration.Revision, configuration.Version, model.appliedCount(), model.version)
 	}
-	if len(o.machine.state.AcceptedVersions) > maxRememberedUpdates {
-		t.Fatalf("the state machine remembers %d updates, more than maxRememberedUpdates", len(o.machine.state.AcceptedVersions))
+	if len(model.machine.state.AcceptedVersions) > maxRememberedUpdates {
+		t.Fatalf("the state machine remembers %d updates, more than maxRememberedUpdates", len(model.machine.state.AcceptedVersions))
 	}
 }
 
 // drawSent draws one of the updates sent so far. If there is none, it skips the action.
-func (o *replaceModel) drawSent(t *rapid.T) *schema.ConfigurationUpdate {
-	if len(o.sent) == 0 {
+func (model *replaceModel) drawSent(t *rapid.T) *schema.ConfigurationUpdate {
+	if len(model.sent) == 0 {
 		t.Skip()
 	}
-	return rapid.SampledFrom(o.sent).Draw(t, "update")
+	return rapid.SampledFrom(model.sent).Draw(t, "update")
 }
 
 // TestReplaceIsCompareAndSet checks that for any sequence of updates, with retries and restarts
@@ -172,47 +172,47 @@
 func TestReplaceIsCompareAndSet(t *testing.T) {
 	fixSeed()
 	rapid.Check(t, func(t *rapid.T) {
-		o := newReplaceModel()
+		model := newReplaceModel()
 		// In some runs more updates are accepted than the state machine remembers.
 		for range rapid.SampledFrom([]int{0, 3, maxRememberedUpdates - 2, maxRememberedUpdates + 3}).Draw(t, "accepted before") {
-			o.apply(t, &schema.ConfigurationUpdate{Version: o.version + 2, BaseVersion: o.version, Document: o.newDocument(), Rows: o.newRows()})
+			model.apply(t, &schema.ConfigurationUpdate{Version: model.version + 2, BaseVersion: model.version, Document: model.newDocument(), Rows: model.newRows()})
 		}
 		draw := func(low, high uint64) uint64 { return rapid.Uint64Range(low, high).Draw(t, "number") }
 		t.Repeat(map[string]func(*rapid.T){
-			"": o.checkState,
+			"": model.checkState,
 			"based on the current version": func(t *rapid.T) {
-				o.apply(t, &schema.ConfigurationUpdate{Version: o.version + draw(1, 3), BaseVersion: o.version, Document: o.newDocument(), Rows: o.newRows()})
+				model.apply(t, &schema.ConfigurationUpdate{Version: model.version + draw(1, 3), BaseVersion: model.version, Document: model.newDocument(), Rows: model.newRows()})
 			},
 			"based on any version": func(t *rapid.T) {
-				base := draw(0, o.version+5)
-				o.apply(t, &schema.ConfigurationUpdate{Version: max(1, base+draw(0, 3)), BaseVersion: base, Document: o.newDocument(), Rows: o.newRows()})
+				base := draw(0, model.version+5)
+				model.apply(t, &schema.ConfigurationUpdate{Version: max(1, base+draw(0, 3)), BaseVersion: base, Document: model.newDocument(), Rows: model.newRows()})
 			},
 			"the same version with other content": func(t *rapid.T) {
-				other := proto.Clone(o.drawSent(t)).(*schema.ConfigurationUpdate)
+				other := proto.Clone(model.drawSent(t)).(*schema.ConfigurationUpdate)
 				if other.Version == 0 {
 					t.Skip()
 				}
-				other.Document = o.newDocument()
-				o.apply(t, other)
+				other.Document = model.newDocument()
+				model.apply(t, other)
 			},
 			"edit without a version": func(t *rapid.T) {
 				// Each edit must differ from the others, because edits with the same content are the same update.
-				o.serial++
-				revision := draw(o.appliedCount()-min(o.appliedCount(), 3), o.appliedCount()+2)
-				o.apply(t, &schema.ConfigurationUpdate{BaseRevision: &revision, Rows: []*schema.ConfigurationRow{row("rack", fmt.Sprint("r", o.serial), "weight", "50")}})
+				model.serial++
+				revision := draw(model.appliedCount()-min(model.appliedCount(), 3), model.appliedCount()+2)
+				model.apply(t, &schema.ConfigurationUpdate{BaseRevision: &revision, Rows: []*schema.ConfigurationRow{row("rack", fmt.Sprint("r", model.serial), "weight", "50")}})
 			},
 			"invalid": func(t *rapid.T) {
-				o.apply(t, &schema.ConfigurationUpdate{Version: o.version + 1, BaseVersion: draw(o.version-min(o.version, 1), o.version+1), Document: o.newDocument(), Rows: []*schema.ConfigurationRow{row("queue", "x", "pool", "none")}})
+				model.apply(t, &schema.ConfigurationUpdate{Version: model.version + 1, BaseVersion: draw(model.version-min(model.version, 1), model.version+1), Document: model.newDocument(), Rows: []*schema.ConfigurationRow{row("queue", "x", "pool", "none")}})
 			},
 			"retried": func(t *rapid.T) {
-				o.apply(t, o.drawSent(t))
+				model.apply(t, model.drawSent(t))
 			},
 			"restart from the snapshot": func(t *rapid.T) {
-				restored, err := Restore(o.machine.Snapshot())
+				restored, err := Restore(model.machine.Snapshot())
 				if err != nil {
 					t.Fatal(err)
 				}
-				o.machine = restored
+				model.machine = restored
 			},
 		})
 	})
