--- a/internal/clusterstate/replace.go
+++ b/internal/clusterstate/replace.go
@@ -69,7 +69,7 @@
 	if base < current.Revision {
 		return baseSuperseded("generation", base, current.Revision, base >= m.oldestRememberedRevision())
 	}
-	complete, rejection := m.completeUpdate(update, baseReference{field: "generation", base: base, current: current.Revision})
+	complete, rejection := m.completeUpdate(update, baseReference{field: "generation", number: base, current: current.Revision})
 	if rejection != nil {
 		return rejection
 	}
@@ -99,22 +99,23 @@
 			Field: "edition", Given: update.Version, Current: current.Version,
 		}}
 	}
-	complete, rejection := m.completeUpdate(update, baseReference{field: "base_edition", base: update.BaseVersion, current: current.Version})
+	complete, rejection := m.completeUpdate(update, baseReference{field: "base_edition", number: update.BaseVersion, current: current.Version})
 	if rejection != nil {
 		return rejection
 	}
 	return m.applyUpdate(complete, update.Version, complete.Document, &schema.AcceptedVersion{Version: update.Version, Digest: digest})
 }
 
-// baseReference compares the base of an update with the current configuration. Both numbers
-// are versions or both are revisions.
+// baseReference compares the base of an update with the current configuration, by their
+// versions or by their revisions.
 type baseReference struct {
-	field         string // field of the update that names the base
-	base, current uint64
+	field   string // field of the update that names the base
+	number  uint64 // version or revision of the base
+	current uint64 // version or revision of the current configuration
 }
 
 // isAhead reports whether the base hasn't been accepted yet.
-func (r baseReference) isAhead() bool { return r.base > r.current }
+func (r baseReference) isAhead() bool { return r.number > r.current }
 
 // completeUpdate returns the whole update that will replace the configuration: the update
 // itself or, for a patch, the current configuration with the patch applied. If the update is
@@ -122,7 +123,7 @@
 func (m *StateMachine) completeUpdate(update *schema.ConfigurationUpdate, base baseReference) (*schema.ConfigurationUpdate, *Result) {
 	if update.IsPatch && base.isAhead() {
 		// Whether a patch is valid depends on its base, which isn't known yet.
-		return nil, baseNotAccepted(base.field, base.base, base.current)
+		return nil, baseNotAccepted(base.field, base.number, base.current)
 	}
 	complete, invalid := update, (*schema.Error)(nil)
 	if update.IsPatch {
@@ -135,7 +136,7 @@
 	case invalid != nil:
 		return nil, &Result{Code: http.StatusUnprocessableEntity, Error: invalid}
 	case base.isAhead():
-		return nil, baseNotAccepted(base.field, base.base, base.current)
+		return nil, baseNotAccepted(base.field, base.number, base.current)
 	}
 	return complete, nil
 }
--- a/internal/clusterstate/tenants_test.go
+++ b/internal/clusterstate/tenants_test.go
@@ -93,8 +93,8 @@
 	})
 }
 
-// TestKeysStandInTheDocumentAlone guards against API keys, not hashed, outside of the current
-// document: in the state that other processes hold, in the history, and elsewhere in a snapshot.
+// TestKeysStandInTheDocumentAlone guards against unhashed API keys outside the current document:
+// in the state that other processes hold, in the history, and elsewhere in a snapshot.
 func TestKeysStandInTheDocumentAlone(t *testing.T) {
 	Convey("An API key in a document", t, func() {
 		const key = "a-key-in-clear"
--- a/internal/clusterstate/validate.go
+++ b/internal/clusterstate/validate.go
@@ -31,19 +31,19 @@
 	}
 	seen := map[rowID]bool{}
 	pools := map[string]bool{}
-	for at, row := range rows {
-		if err := validateName(at, row); err != nil {
+	for index, row := range rows {
+		if err := validateName(index, row); err != nil {
 			return err
 		}
 		if row.Kind == "pool" {
 			pools[row.Name] = true
 		}
-		if err := validateValue(at, row); err != nil {
+		if err := validateValue(index, row); err != nil {
 			return err
 		}
 		id := rowID{row.Kind, row.Name, row.Key}
 		if seen[id] {
-			return rowError(at, "key", "%s/%s/%s is set by more than one row", row.Kind, row.Name, row.Key)
+			return rowError(index, "key", "%s/%s/%s is set by more than one row", row.Kind, row.Name, row.Key)
 		}
 		seen[id] = true
 	}
@@ -54,60 +54,60 @@
 }
 
 // rowError returns a bad_row error for a field of the row at an index.
-func rowError(at int, field, format string, args ...any) *schema.Error {
+func rowError(index int, field, format string, args ...any) *schema.Error {
 	return &schema.Error{
-		Code: "bad_row", Field: fmt.Sprintf("rows[%d].%s", at, field),
-		Message: fmt.Sprintf("row %d: ", at+1) + fmt.Sprintf(format, args...),
+		Code: "bad_row", Field: fmt.Sprintf("rows[%d].%s", index, field),
+		Message: fmt.Sprintf("row %d: ", index+1) + fmt.Sprintf(format, args...),
 	}
 }
 
 // validateName checks the kind of a row, and its name against the rules for that kind.
-func validateName(at int, row *schema.ConfigurationRow) *schema.Error {
+func validateName(index int, row *schema.ConfigurationRow) *schema.Error {
 	switch row.GetKind() {
 	case "fleet":
 		if row.Name != "" {
-			return rowError(at, "name", "a row of kind fleet must have no name, but this one has the name %q", row.Name)
+			return rowError(index, "name", "a row of kind fleet must have no name, but this one has the name %q", row.Name)
 		}
 	case "queue", "rack", "tenant":
 		if !IsValidName(row.Name) {
-			return rowError(at, "name", "%q is not a valid name: use at most 63 lower-case letters, digits, '.', '_' and '-', with a letter or digit first", row.Name)
+			return rowError(index, "name", "%q is not a valid name: use at most 63 lower-case letters, digits, '.', '_' and '-', with a letter or digit first", row.Name)
 		}
 		if row.Kind == "queue" && row.Name == GroupName {
-			return rowError(at, "name", "%q is reserved: it is the name of the cluster state group", row.Name)
+			return rowError(index, "name", "%q is reserved: it is the name of the cluster state group", row.Name)
 		}
 	case "pool":
 		if !IsValidPoolName(row.Name) {
-			return rowError(at, "name", "%q is not a valid pool name: use at most 63 letters, digits, '.', '_' and '-', with a letter or digit first", row.Name)
+			return rowError(index, "name", "%q is not a valid pool name: use at most 63 letters, digits, '.', '_' and '-', with a letter or digit first", row.Name)
 		}
 	default:
-		return rowError(at, "kind", "%q is not a valid kind: use fleet, queue, rack, pool or tenant", row.GetKind())
+		return rowError(index, "kind", "%q is not a valid kind: use fleet, queue, rack, pool or tenant", row.GetKind())
 	}
 	return nil
 }
 
 // validateValue checks that the key of a row exists for its kind and that the key allows the
 // value.
-func validateValue(at int, row *schema.ConfigurationRow) *schema.Error {
+func validateValue(index int, row *schema.ConfigurationRow) *schema.Error {
 	if text := findTextKey(row.Kind, row.Key); text != nil {
-		return validateText(at, row, text)
+		return validateText(index, row, text)
 	}
 	number := findNumberKey(row.Kind, row.Key)
 	if number == nil {
-		return rowError(at, "key", "%q is not a key of rows of kind %s", row.Key, row.Kind)
+		return rowError(index, "key", "%q is not a key of rows of kind %s", row.Key, row.Kind)
 	}
 	value, err := strconv.ParseInt(row.Value, 10, 64)
 	if err != nil {
-		return rowError(at, "value", "%q is not an integer", row.Value)
+		return rowError(index, "value", "%q is not an integer", row.Value)
 	}
 	if value < number.min || value > number.max {
-		return rowError(at, "value", "%s must lie between %d and %d", row.Key, number.min, number.max)
+		return rowError(index, "value", "%s must lie between %d and %d", row.Key, number.min, number.max)
 	}
 	return nil
 }
 
 // validateText checks the value of a text key. The error contains the value unless the key is
 // secret.
-func validateText(at int, row *schema.ConfigurationRow, text *textKey) *schema.Error {
+func validateText(index int, row *schema.ConfigurationRow, text *textKey) *schema.Error {
 	if len(row.Value) <= text.maxBytes && text.pattern.MatchString(row.Value) {
 		return nil
 	}
@@ -115,15 +115,15 @@
 	if text.isSecret {
 		shown = "the value"
 	}
-	return rowError(at, "value", "%s is invalid: it must be %s, at most %d bytes long", shown, text.format, text.maxBytes)
+	return rowError(index, "value", "%s is invalid: it must be %s, at most %d bytes long", shown, text.format, text.maxBytes)
 }
 
 // validateReferences checks the relations between rows: the pools that queues refer to must
 // exist, and no two queues may have the same route.
 func validateReferences(rows []*schema.ConfigurationRow, pools map[string]bool) *schema.Error {
-	for at, row := range rows {
+	for index, row := range rows {
 		if row.Kind == "queue" && row.Key == "pool" && !pools[row.Value] {
-			return rowError(at, "value", "the pool %q doesn't exist: no row of kind pool has this name", row.Value)
+			return rowError(index, "value", "the pool %q doesn't exist: no row of kind pool has this name", row.Value)
 		}
 	}
 	routes := newRouteSet(rows)
@@ -143,13 +143,13 @@
 // but doesn't show the key or its hash.
 func validateKeys(rows []*schema.ConfigurationRow) *schema.Error {
 	tenantByHash := map[string]string{}
-	for at, row := range rows {
+	for index, row := range rows {
 		if row.Kind != "tenant" || row.Key != keyHashesKey {
 			continue
 		}
 		for _, hash := range strings.Fields(row.Value) {
 			if other, isHeld := tenantByHash[hash]; isHeld && other != row.Name {
-				return rowError(at, "value", "tenants %s and %s have the same API key", other, row.Name)
+				return rowError(index, "value", "tenants %s and %s have the same API key", other, row.Name)
 			}
 			tenantByHash[hash] = row.Name
 		}
--- a/internal/mutation/replace_mutants.go
+++ b/internal/mutation/replace_mutants.go
@@ -14,7 +14,7 @@
 	{Guard: "a replace ahead of its base isn't refused", Rule: 11, Test: "internal/sim TestReplaceIsLinearizable", Edits: []Edit{{"internal/clusterstate",
 		"Result{Code: http.StatusServiceUnavailable, Error", "Result{Code: http.StatusPreconditionFailed, Error"}}},
 	{Guard: "a replace ahead of its base isn't applied", Rule: 11, Test: "platform TestReplaceOverHTTP", Edits: []Edit{{"internal/clusterstate",
-		"return r.base > r.current }", "return false }"}}},
+		"return r.number > r.current }", "return false }"}}},
 	{Guard: "the same patch on another base is another update", Rule: 11, Test: "internal/clusterstate TestPatchIsCompareAndSet", Edits: []Edit{{"internal/clusterstate",
 		"	fmt.Fprintf(hash, \"\\npatch of %d\\n\", update.BaseVersion)\n", ""}}},
 	{Guard: "a replaced route loses the settings that it isn't given again", Test: "platform TestModifyOverHTTP", Edits: []Edit{{"platform",
