--- a/internal/deployments/deployments.go
+++ b/internal/deployments/deployments.go
@@ -19,7 +19,7 @@
 	Steps        []*schema.Step
 }
 
-// Deployment describes one deployment.
+// Deployment describes the nodes, workers, jobs and tenants of one deployment.
 type Deployment struct {
 	Name             string
 	JobTypes         []JobType // jobs for workers that poll the scheduler
