--- a/internal/clusterstate/replace.go
+++ b/internal/clusterstate/replace.go
@@ -109,9 +109,8 @@
 // baseReference compares the base of an update with the current configuration, by their
 // versions or by their revisions.
 type baseReference struct {
-	field   string // field of the update that names the base
-	number  uint64 // version or revision of the base
-	current uint64 // version or revision of the current configuration
+	field           string // field of the update that names the base
+	number, current uint64 // versions or revisions of the base and of the current configuration
 }
 
 // isAhead reports whether the base hasn't been accepted yet.
