--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -7,35 +7,37 @@
 	"sparnotch/internal/schema"
 )
 
-// TickInterval is how often the agent's component gets a Tick.
+// TickInterval is the interval between the Ticks that the agent's component receives.
 const TickInterval = 20 * eventloop.Millisecond
 
 const (
-	// registrationInterval is the least time between two requests to the cluster
-	// state to register the worker.
+	// registrationInterval is the minimum time between two requests that register the
+	// worker with the cluster state.
 	registrationInterval = 500 * eventloop.Millisecond
-	// pauseThreshold is a time between two steps that shows that this process was
-	// paused: the worker is inspected before anything is reported of it.
+	// pauseThreshold is the time between two steps above which the agent assumes that
+	// its process was paused. It then inspects the worker before it reports anything
+	// about it.
 	pauseThreshold = eventloop.Second
 )
 
-// Agent is the component that speaks for one worker.
+// Agent is the component that connects one worker to the cluster: it polls the worker's
+// scheduler, and calls the worker.
 type Agent struct {
 	bounds          *schema.Bounds
 	clusterState    *schema.ClusterState
-	leader          string // of the cluster state's group
+	leader          string // ID of the process that leads the cluster state's group
 	worker          *workerState
-	former          []formerIncarnation // newest last
-	replacedWorkers []string            // former incarnations that no scheduler has acknowledged yet
-	pollSequence    uint64              // of the last poll; above those of earlier runs of this process
-	callSequence    uint64              // of calls and of their replies, in the order they were seen
+	former          []formerIncarnation // earlier incarnations of the worker, newest last
+	replacedWorkers []string            // IDs of former incarnations whose replacement no scheduler has acknowledged yet
+	pollSequence    uint64              // sequence number of the last poll; higher than those sent by earlier runs of this process
+	callSequence    uint64              // numbers calls and their replies in the order in which the agent sends and receives them
 	startedAt       eventloop.Micros
 	lastStepAt      eventloop.Micros
 }
 
-// New makes an agent. Bounds are what the deployment promises; nil sets none.
-// firstSequence must be above the sequence number of any poll that an earlier run
-// of this process has sent; the wall clock in microseconds will do.
+// New returns an agent. bounds holds the limits that the deployment guarantees; nil
+// sets none. firstSequence must be higher than the sequence number of any poll that an
+// earlier run of this process sent; the wall clock in microseconds satisfies this.
 func New(bounds *schema.Bounds, firstSequence uint64) *Agent {
 	if bounds == nil {
 		bounds = &schema.Bounds{}
@@ -49,8 +51,9 @@
 		a.startedAt = now
 	}
 	if a.lastStepAt > 0 && now-a.lastStepAt > pauseThreshold && a.worker != nil {
-		// Tasks may have ended during the pause, and the scheduler may have given them
-		// to others. The missed replies were this process's fault, not the worker's.
+		// Tasks may have ended during the pause, and the scheduler may have assigned
+		// them to other workers. Replies that were missed because of the pause don't
+		// count against the worker.
 		a.requireInspection(a.worker)
 		a.worker.missedInspections, a.worker.unansweredSince = 0, 0
 	}
@@ -72,8 +75,9 @@
 	a.runDueActions(now, effects)
 }
 
-// runDueActions does what is due. The order matters: nothing is reported to a
-// scheduler before the worker was inspected under the current fencing token.
+// runDueActions performs the actions that are due. The order matters: the worker must
+// be inspected under the current fencing token before anything is reported to a
+// scheduler.
 func (a *Agent) runDueActions(now eventloop.Micros, effects eventloop.Effects) {
 	w := a.worker
 	if w == nil || w.isReplaced {
@@ -88,21 +92,21 @@
 	a.sendPoll(now, w, effects)
 }
 
-// handleClusterState takes over a newer cluster state, and with it the worker's lease.
-func (a *Agent) handleClusterState(now eventloop.Micros, m *schema.ClusterStateResponse) {
-	if leader := m.Leaders[clusterstate.GroupName]; leader != "" {
+// handleClusterState adopts a newer cluster state, and the worker lease in it.
+func (a *Agent) handleClusterState(now eventloop.Micros, response *schema.ClusterStateResponse) {
+	if leader := response.Leaders[clusterstate.GroupName]; leader != "" {
 		a.leader = leader
 	}
-	if m.State == nil || m.State.Version <= a.clusterState.Version {
+	if response.State == nil || response.State.Version <= a.clusterState.Version {
 		return
 	}
-	a.clusterState = m.State
+	a.clusterState = response.State
 	if a.worker != nil {
 		a.adoptLease(a.worker)
 	}
 }
 
-// register asks the cluster state for a lease of a worker that it doesn't know.
+// register asks the cluster state's leader for a lease for a worker that has none.
 func (a *Agent) register(now eventloop.Micros, w *workerState, effects eventloop.Effects) {
 	if a.clusterState.Version == 0 || a.leader == "" || w.registeredAt > 0 && now-w.registeredAt < registrationInterval || clusterstate.FindWorkerLease(a.clusterState, w.id) != nil {
 		return
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -1,22 +1,27 @@
-// Package agent speaks for one worker that takes calls instead of polling a
-// scheduler itself.
+// Package agent connects one worker to the cluster. The worker accepts calls; it
+// doesn't poll a scheduler itself.
 //
-// The worker sends heartbeats to the agent on its machine. The agent carries the
+// The worker sends heartbeats to the agent on its machine. The agent reports the
 // worker's capacity, running tasks and ended tasks to the scheduler that holds the
-// worker's lease (WorkerPollRequest), and turns the scheduler's orders into calls of
-// the worker: Start, Stop and Inspect. Calls carry the lease's fencing token, so a
-// worker does nothing for a scheduler whose lease has been given to another.
+// worker lease (WorkerPollRequest), and turns the scheduler's orders into calls to the
+// worker: Start, Stop and Inspect. Calls carry the lease's fencing token, so that a
+// worker rejects the calls of a scheduler whose lease has passed to another one.
 //
-// Agent is the component (see eventloop); it alone owns the state of this package
-// and blocks on nothing. A WorkerClient carries calls out on goroutines of their
-// own. Nothing is durable: what an agent loses in a restart, the worker lists again.
+// Calls also extend the worker's hold: the period for which the worker keeps its tasks
+// running. A worker whose hold isn't extended in time kills its tasks (see
+// Call.RunDeadline).
+//
+// Agent is the component (see package eventloop). It alone owns the state of this
+// package, and it never blocks. A WorkerClient makes the calls on separate goroutines.
+// The agent stores nothing durably: after a restart it rebuilds its state from what the
+// worker lists in an inspection.
 package agent
 
 import "sparnotch/internal/eventloop"
 
-// Heartbeat is the worker's report of itself to the agent on its machine.
+// Heartbeat is the report that a worker sends about itself to the agent on its machine.
 type Heartbeat struct {
-	Worker          string // names one incarnation: after a crash it is another
+	Worker          string // ID of one incarnation of the worker; it changes when the worker restarts after a crash
 	Pool            string
 	Zone            string
 	Rack            string
@@ -25,17 +30,18 @@
 	Memory          int64 // MB
 	Accelerators    int64
 	IsDraining      bool
-	DrainRemaining  eventloop.Micros // while draining: the time that is left at least
-	WarmUpRemaining eventloop.Micros // how much longer it is slow from its start
-	Clock           eventloop.Micros // of the worker, monotonic
-	Number          uint64           // rises with each heartbeat of an incarnation
-	Address         string           // where the worker takes calls
+	DrainRemaining  eventloop.Micros // while draining: the minimum time until the worker departs
+	WarmUpRemaining eventloop.Micros // how much longer the worker runs slowly after its start
+	Clock           eventloop.Micros // the worker's monotonic clock
+	Number          uint64           // increases with each heartbeat of an incarnation
+	Address         string           // where the worker accepts calls
 }
 
-// Departed reports that a worker has ended in order and runs nothing any more.
+// Departed reports that a worker departs. A worker that has drained runs nothing any
+// more; for one that hasn't, see handleDeparture.
 type Departed struct{ Worker string }
 
-// Action is what a worker is called for.
+// Action is the kind of a call to a worker.
 type Action int
 
 const (
@@ -43,12 +49,12 @@
 	Start Action = iota + 1
 	// Stop ends a task.
 	Stop
-	// Inspect extends the deadline up to which the worker may run its tasks, and lists
+	// Inspect extends the deadline until which the worker may run its tasks, and lists
 	// running and ended tasks.
 	Inspect
 )
 
-// TaskName is a task as its worker knows it.
+// TaskName identifies a task to its worker.
 type TaskName struct {
 	Job         string
 	Round       uint32
@@ -56,8 +62,8 @@
 	Task        uint32
 }
 
-// Call is one call of a worker. A worker rejects a fencing token that is lower than
-// the highest it has seen.
+// Call is one call to a worker. A worker rejects calls whose fencing token is lower
+// than the highest that it has seen.
 type Call struct {
 	Number     uint64
 	Action     Action
@@ -67,46 +73,51 @@
 	Attempt    uint32
 	Text       string
 	Checkpoint string
-	// RunDeadline is when the worker kills all that runs, by its own clock; 0 leaves
-	// the hold as it is.
+	// RunDeadline is the time, by the worker's clock, at which the worker kills all its
+	// tasks unless a later call extends the deadline; 0 leaves the deadline unchanged.
 	RunDeadline  eventloop.Micros
 	FencingToken uint64
-	// AcknowledgedThrough is the number up to which the worker may forget ended tasks.
+	// AcknowledgedThrough is the EndedTask.Number up to which the worker may forget
+	// ended tasks.
 	AcknowledgedThrough uint64
-	// Wait is how long an Inspect waits for a task to end before it replies.
+	// Wait is the maximum time that an Inspect waits for a task to end before it
+	// replies.
 	Wait eventloop.Micros
-	// ReplyTimeout is how long the reply is waited for, besides Wait. It is short, as
-	// the worker is on the same machine and every call may be retried.
+	// ReplyTimeout is how long the caller waits for the reply, in addition to Wait. It
+	// is short because the worker is on the same machine and every call may be retried.
 	ReplyTimeout eventloop.Micros
 }
 
-// Outcome is how a call ended.
+// Outcome is the result of a call.
 type Outcome int
 
 const (
-	// Succeeded means that it was done, or had been done before.
+	// Succeeded means that the worker has carried out the call, now or earlier.
 	Succeeded Outcome = iota + 1
-	// Rejected means that the worker refuses; the RejectionReason says why.
+	// Rejected means that the worker refuses the call; the RejectionReason tells why.
 	Rejected
 	// Busy means that the worker has done nothing; a retry may succeed.
 	Busy
-	// IncarnationMismatch means that another incarnation than the one called has replied.
+	// IncarnationMismatch means that the reply came from another incarnation of the
+	// worker than the one called.
 	IncarnationMismatch
-	// TimedOut means no reply: the call may have been carried out, or may be later.
+	// TimedOut means that no reply came: the worker may have carried out the call, or
+	// may still do so.
 	TimedOut
 )
 
-// RejectionReason is why a start or stop was rejected.
+// RejectionReason tells why a worker rejected a start or stop.
 type RejectionReason int
 
 const (
-	// NotRejected is the reason of a call that wasn't rejected.
+	// NotRejected is the reason in the reply to a call that wasn't rejected.
 	NotRejected RejectionReason = iota
-	// StaleToken means that a higher fencing token has been seen.
+	// StaleToken means that the worker has seen a higher fencing token.
 	StaleToken
-	// AttemptOver means that the attempt has ended or was stopped there, or that a later one was seen.
+	// AttemptOver means that the attempt has ended or was stopped on this worker, or
+	// that the worker has seen a later attempt.
 	AttemptOver
-	// DeadlinePassed means that the call's RunDeadline was over.
+	// DeadlinePassed means that the call's RunDeadline had already passed.
 	DeadlinePassed
 	// NoCapacity means that the worker's free capacity is too small for the task.
 	NoCapacity
@@ -114,35 +125,36 @@
 	Malformed
 )
 
-// RunningTask is a task that an Inspect has listed as running.
+// RunningTask is a task that the worker listed as running in its reply to an Inspect.
 type RunningTask struct {
 	Task       TaskName
 	Attempt    uint32
 	Checkpoint string
-	Percent    int64 // of its work, as far as the worker knows
+	Percent    int64 // share of the work that is done, as far as the worker knows
 }
 
-// EndedTask is a task that has ended. The worker lists it until it is acknowledged.
+// EndedTask is a task that has ended. The worker lists it until the agent acknowledges
+// it with AcknowledgedThrough.
 type EndedTask struct {
-	Number     uint64 // from 1 in each incarnation, rising
+	Number     uint64 // increases from 1 in each incarnation
 	Task       TaskName
 	Attempt    uint32
 	State      string // done, failed, stopped, lapsed (run deadline passed), broken (another gang member ended), alone (gang incomplete)
 	Checkpoint string
 }
 
-// Reply is the result of a call.
+// Reply is a worker's reply to a call, or a report that no reply came.
 type Reply struct {
-	Number  uint64 // of the call
+	Number  uint64 // number of the call
 	Outcome Outcome
 	Reason  RejectionReason
-	Clock   eventloop.Micros // of the worker; 0 when it gave none
-	Running []RunningTask    // of an Inspect
-	Ended   []EndedTask      // of an Inspect
+	Clock   eventloop.Micros // the worker's clock; 0 when the reply doesn't contain it
+	Running []RunningTask    // in the reply to an Inspect
+	Ended   []EndedTask      // in the reply to an Inspect
 }
 
-// WorkerClient carries calls out and returns their results; Call may block. It
-// must be safe for concurrent use.
+// WorkerClient sends calls to a worker and returns the replies. Call may block.
+// Implementations must be safe for concurrent use.
 type WorkerClient interface {
 	Call(call Call) Reply
 }
--- a/internal/agent/ends.go
+++ b/internal/agent/ends.go
@@ -5,34 +5,36 @@
 	"sparnotch/internal/schema"
 )
 
-// recordEnd takes over an ended task that the worker lists, and reports whether it
-// is new. An end holds whenever the inspection was sent.
-func (w *workerState) recordEnd(m EndedTask) bool {
-	if m.Number <= w.acknowledgedThrough || w.listedEnds[m.Number] != nil {
+// recordEnd records an ended task that the worker lists, and reports whether it is new.
+// Ends are final, so they count even when a later inspection was answered first.
+func (w *workerState) recordEnd(task EndedTask) bool {
+	if task.Number <= w.acknowledgedThrough || w.listedEnds[task.Number] != nil {
 		return false
 	}
-	key := attemptKey{m.Task, m.Attempt}
-	e := &endedAttempt{number: m.Number, status: w.taskStatus(key, m.State, m.Checkpoint)}
-	w.listedEnds[m.Number] = e
-	w.highestEnd = max(w.highestEnd, m.Number)
+	key := attemptKey{task.Task, task.Attempt}
+	end := &endedAttempt{number: task.Number, status: w.taskStatus(key, task.State, task.Checkpoint)}
+	w.listedEnds[task.Number] = end
+	w.highestEnd = max(w.highestEnd, task.Number)
 	if known := w.unacknowledged[key]; known != nil && known.number != 0 {
-		e.isAcknowledged = true
+		end.isAcknowledged = true
 		w.advanceAcknowledged()
 		return true
 	}
-	w.unacknowledged[key] = e
+	w.unacknowledged[key] = end
 	delete(w.runs, key)
 	w.hasChanges = true
 	return true
 }
 
-// handleAcknowledgements drops the ends that the scheduler has recorded, and reports
-// whether there were any.
+// handleAcknowledgements drops the ends that the scheduler acknowledges as recorded,
+// and reports whether it dropped any.
 func (w *workerState) handleAcknowledgements(now eventloop.Micros, acknowledged []*schema.TaskStatus) bool {
 	changed := false
 	for _, status := range acknowledged {
 		key := attemptKey{TaskName{status.Name, status.Round, status.StepInRound, status.Task}, status.Attempt}
-		// An attempt that was declared over may have turned out since to have ended otherwise.
+		// The agent may have declared the attempt ended and learned later that it ended
+		// in another state. An acknowledgement of the declared end doesn't cover the
+		// actual one.
 		if e := w.unacknowledged[key]; e != nil && (status.State == "" || status.State == e.status.State) {
 			e.isAcknowledged, changed = true, true
 			delete(w.unacknowledged, key)
@@ -58,8 +60,8 @@
 	return false
 }
 
-// advanceAcknowledged moves acknowledgedThrough up to the first listed end that isn't
-// acknowledged, and drops the ends below.
+// advanceAcknowledged moves acknowledgedThrough up to the last listed end before the
+// first one that isn't acknowledged, and drops the ends up to there.
 func (w *workerState) advanceAcknowledged() {
 	w.acknowledgedThrough = max(w.acknowledgedThrough, w.highestEnd)
 	for number, e := range w.listedEnds {
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -6,65 +6,66 @@
 	"sparnotch/internal/eventloop"
 )
 
-// maxFormerIncarnations is how many former incarnations are remembered.
+// maxFormerIncarnations is the number of former incarnations that the agent remembers.
 const maxFormerIncarnations = 16
 
-// formerIncarnation is an incarnation that is over.
+// formerIncarnation is an earlier incarnation of the worker, which has ended.
 type formerIncarnation struct {
 	worker        string
 	lastHeartbeat uint64 // number of its last heartbeat
-	isConfirmed   bool   // by itself or by its successor's reply; else a successor's heartbeat alone shows it
+	isConfirmed   bool   // the incarnation itself or its successor's reply has shown its end; if false, only a heartbeat of a successor has
 }
 
-// handleHeartbeat takes over what the worker reports of itself.
-func (a *Agent) handleHeartbeat(now eventloop.Micros, m Heartbeat) {
-	if !a.admitHeartbeat(m) {
+// handleHeartbeat updates the worker's state from its heartbeat.
+func (a *Agent) handleHeartbeat(now eventloop.Micros, heartbeat Heartbeat) {
+	if !a.admitHeartbeat(heartbeat) {
 		return
 	}
 	w := a.worker
-	if w != nil && w.id != m.Worker {
-		// A machine has one worker: the previous incarnation is over, and all that
-		// ran there with it.
+	if w != nil && w.id != heartbeat.Worker {
+		// A machine has one worker: the previous incarnation and all its tasks have
+		// ended.
 		a.replaceWorker(w)
 		w = nil
 	}
 	if w == nil {
-		w = newWorkerState(m.Worker, a.startedAt)
+		w = newWorkerState(heartbeat.Worker, a.startedAt)
 		a.worker = w
 		a.adoptLease(w)
-	} else if m.Number <= w.heartbeat.Number {
+	} else if heartbeat.Number <= w.heartbeat.Number {
 		return
 	}
-	changed := w.heartbeat.Cores != m.Cores || w.heartbeat.Memory != m.Memory || w.heartbeat.Accelerators != m.Accelerators ||
-		w.heartbeat.Pool != m.Pool || w.heartbeat.Rack != m.Rack || !slices.Equal(w.heartbeat.Labels, m.Labels)
-	w.heartbeat, w.lastHeard = m, now
-	a.sampleClock(now, w, m.Clock)
-	if m.IsDraining {
+	changed := w.heartbeat.Cores != heartbeat.Cores || w.heartbeat.Memory != heartbeat.Memory || w.heartbeat.Accelerators != heartbeat.Accelerators ||
+		w.heartbeat.Pool != heartbeat.Pool || w.heartbeat.Rack != heartbeat.Rack || !slices.Equal(w.heartbeat.Labels, heartbeat.Labels)
+	w.heartbeat, w.lastHeard = heartbeat, now
+	a.sampleClock(now, w, heartbeat.Clock)
+	if heartbeat.IsDraining {
 		changed = changed || !w.isDraining
 		w.isDraining, w.drainReportedAt = true, now
 	}
 	w.hasChanges = w.hasChanges || changed
 }
 
-// admitHeartbeat reports whether a heartbeat is accepted. One of a former incarnation isn't,
-// with one exception: after a restart of the agent a delayed heartbeat of a former
-// incarnation can replace the live one; the live one takes its place back when the former
-// has never replied to a call.
-func (a *Agent) admitHeartbeat(m Heartbeat) bool {
-	k := a.formerIndex(m.Worker)
+// admitHeartbeat reports whether a heartbeat is accepted. Heartbeats of former
+// incarnations are rejected, with one exception: after a restart of the agent, a
+// delayed heartbeat of a former incarnation can replace the live one. The live
+// incarnation is accepted again as long as the former one has not replied to any call.
+func (a *Agent) admitHeartbeat(heartbeat Heartbeat) bool {
+	k := a.formerIndex(heartbeat.Worker)
 	if k < 0 {
 		return true
 	}
 	former, w := a.former[k], a.worker
-	if former.isConfirmed || m.Number <= former.lastHeartbeat || w == nil || w.hasReplied || w.departedAt > 0 {
+	if former.isConfirmed || heartbeat.Number <= former.lastHeartbeat || w == nil || w.hasReplied || w.departedAt > 0 {
 		return false
 	}
 	a.former = slices.Delete(a.former, k, k+1)
-	a.replacedWorkers = slices.DeleteFunc(a.replacedWorkers, func(worker string) bool { return worker == m.Worker })
+	a.replacedWorkers = slices.DeleteFunc(a.replacedWorkers, func(worker string) bool { return worker == heartbeat.Worker })
 	return true
 }
 
-// replaceWorker records that another incarnation has sent a heartbeat.
+// replaceWorker records that another incarnation, which has sent a heartbeat, replaces
+// this one.
 func (a *Agent) replaceWorker(w *workerState) {
 	a.recordFormer(w.id, w.heartbeat.Number, false)
 	a.replacedWorkers = append(a.replacedWorkers, w.id)
@@ -74,7 +75,7 @@
 }
 
 // markReplaced records that another incarnation has replied at the worker's address.
-// Its heartbeat will show which.
+// The ID of that incarnation will come with its heartbeat.
 func (a *Agent) markReplaced(w *workerState) {
 	w.isReplaced = true
 	a.recordFormer(w.id, w.heartbeat.Number, true)
@@ -95,19 +96,20 @@
 	}
 }
 
-// handleDeparture takes the report of a worker that departs. One that had drained has
-// ended, and nothing runs there any more, so its tasks can be returned at once. One that
-// had not serves on for a while: it drains from now on, and what runs there is known to
-// be over only by the worker's own reports or at the end of its hold.
-func (a *Agent) handleDeparture(now eventloop.Micros, m Departed) {
+// handleDeparture handles the report that a worker departs. A worker that had drained
+// has ended and runs nothing any more, so its tasks can be returned at once. A worker
+// that had not drained keeps running for a while: it counts as draining from now on,
+// and its tasks are known to have ended only when the worker reports so or when its
+// hold ends.
+func (a *Agent) handleDeparture(now eventloop.Micros, departed Departed) {
 	w := a.worker
-	if w != nil && w.id == m.Worker && w.drainReportedAt == 0 {
+	if w != nil && w.id == departed.Worker && w.drainReportedAt == 0 {
 		w.hasChanges = w.hasChanges || !w.isDraining
 		w.isDraining = true
 		return
 	}
-	a.recordFormer(m.Worker, 0, true)
-	if w == nil || w.id != m.Worker || w.departedAt > 0 {
+	a.recordFormer(departed.Worker, 0, true)
+	if w == nil || w.id != departed.Worker || w.departedAt > 0 {
 		return
 	}
 	w.isDraining, w.departedAt, w.hasChanges = true, now, true
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// defaultRunLeaseDuration is the assumed duration of the run lease until a scheduler has
-	// granted one.
+	// defaultRunLeaseDuration is the assumed duration of the run lease until a
+	// scheduler has granted one.
 	defaultRunLeaseDuration = 4 * eventloop.Second
-	// maxHoldDuration is how long the worker keeps its runs alive after a call that
-	// extends their deadline. When the worker stops answering, its tasks can be given to others after that time.
+	// maxHoldDuration is the maximum time for which a call extends the worker's hold.
+	// When the worker stops replying, its tasks can be assigned to other workers after
+	// that time.
 	maxHoldDuration = 3 * eventloop.Second
 	// holdMargin covers rounding in the conversion between the two clocks.
 	holdMargin = 20 * eventloop.Millisecond
-	// The worker's clock may run slow by a fiftieth: while that clock advances by
-	// clockRateNumerator, true time advances by clockRateDenominator at most.
+	// The worker's clock may run slow by a fiftieth (2%): while that clock advances by
+	// clockRateNumerator, true time advances by at most clockRateDenominator.
 	clockRateNumerator   = 49
 	clockRateDenominator = 50
 )
 
-// adoptLease takes over the worker's lease from the cluster state.
+// adoptLease adopts the worker's lease from the cluster state.
 func (a *Agent) adoptLease(w *workerState) {
 	lease := clusterstate.FindWorkerLease(a.clusterState, w.id)
 	if lease == nil || lease.FencingToken < w.fencingToken {
@@ -32,24 +33,26 @@
 	}
 }
 
-// raiseToken takes a newer lease's fencing token. The worker is inspected with it
-// first; after that no order under an older lease can be carried out any more.
+// raiseToken adopts the fencing token of a newer lease. The worker is inspected with
+// this token first; after that it carries out no call under an older lease.
 func (w *workerState) raiseToken(token uint64) {
 	if token > w.fencingToken {
 		w.fencingToken, w.callsBlockedUntil, w.pendingPoll, w.hasChanges, w.nextShortInspection = token, 0, nil, true, 0
 	}
 }
 
-// sampleClock keeps a lower bound of the worker's clock. The clock showed that much
-// when the worker replied, so it shows no less now; it may run slow from here on
-// (see minClockAt), so a newer sample replaces an older one where it gives more.
+// sampleClock maintains a lower bound of the worker's clock. That clock showed the
+// given time when the worker sent it, so it shows at least as much now. It may run slow
+// from now on (see minClockAt), so a newer sample replaces an older one only when its
+// bound is at least as high.
 func (a *Agent) sampleClock(now eventloop.Micros, w *workerState, clock eventloop.Micros) {
 	if clock > 0 && clock >= w.minClockAt(now) {
 		w.sampledClock, w.clockSampledAt = clock, now
 	}
 }
 
-// minClockAt is the least that the worker's clock shows; 0 when it isn't known.
+// minClockAt returns the lowest time that the worker's clock can show now, or 0 when
+// nothing is known about that clock.
 func (w *workerState) minClockAt(now eventloop.Micros) eventloop.Micros {
 	if w.clockSampledAt == 0 {
 		return 0
@@ -57,8 +60,8 @@
 	return w.sampledClock + (now-w.clockSampledAt)*clockRateNumerator/clockRateDenominator
 }
 
-// runExtension is how long the worker holds its runs after a call.
-func (a *Agent) runExtension(w *workerState) eventloop.Micros {
+// holdExtension returns for how long a call extends the worker's hold.
+func (a *Agent) holdExtension(w *workerState) eventloop.Micros {
 	duration := min(w.runLeaseDuration, maxHoldDuration)
 	if limit := eventloop.Micros(a.bounds.MaxWorkerLeaseUs); limit > 0 {
 		return min(duration, limit)
@@ -66,32 +69,34 @@
 	return duration
 }
 
-// maxHoldDeadline is until when a call that is sent now may hold the worker's runs,
-// by the agent's clock.
+// maxHoldDeadline returns the end of the hold, by the agent's clock, that a call sent
+// now may ask for.
 func (a *Agent) maxHoldDeadline(now eventloop.Micros, w *workerState) eventloop.Micros {
-	return min(w.runLeaseExpiresAt, now+a.runExtension(w))
+	return min(w.runLeaseExpiresAt, now+a.holdExtension(w))
 }
 
-// holdDeadline is the RunDeadline of a call, by the worker's clock: never later than
-// the end of the lease, except for what that clock may run slow from here on. It is
-// 0 when a call mustn't extend the hold.
+// holdDeadline returns the RunDeadline of a call, by the worker's clock. It is never
+// later than the end of the run lease, except by as much as that clock may run slow
+// until then. It returns 0 when a call must not extend the hold.
 func (a *Agent) holdDeadline(now eventloop.Micros, w *workerState) eventloop.Micros {
-	// An unresponsive worker's hold isn't extended, so that its end is known.
+	// The hold of an unresponsive worker isn't extended, so that the time of its end is
+	// known.
 	if w.clockSampledAt == 0 || now >= w.runLeaseExpiresAt || w.missedInspections > 0 {
 		return 0
 	}
 	return w.minClockAt(now) + a.maxHoldDeadline(now, w) - now
 }
 
-// extendMaxHold records that a call may hold the worker's runs until a time of the
-// worker's clock, which may run slow until then.
+// extendMaxHold records that a call may extend the worker's hold to the time until, by
+// the worker's clock. That clock may run slow, so maxHoldUntil is the latest time by
+// the agent's clock at which the hold can end.
 func (w *workerState) extendMaxHold(until eventloop.Micros) {
 	w.maxHoldUntil = max(w.maxHoldUntil, w.clockSampledAt+(until-w.sampledClock)*clockRateDenominator/clockRateNumerator+holdMargin)
 }
 
-// endLapsedRuns gives up the runs of an unresponsive worker once its hold is over by
-// its own clock: the worker has killed them, and rejects starts that are still in
-// flight as too late.
+// endLapsedRuns declares the runs of an unresponsive worker ended once its hold has
+// ended by the worker's own clock: the worker has killed them by then, and rejects
+// starts that are still in flight because their deadline has passed.
 func (a *Agent) endLapsedRuns(now eventloop.Micros, w *workerState) {
 	if w.inspectedToken == w.fencingToken || w.missedInspections < 2 || now <= w.maxHoldUntil || len(w.runs) == 0 {
 		return
--- a/internal/agent/poll.go
+++ b/internal/agent/poll.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	pollTimeout          = 700 * eventloop.Millisecond // a poll that isn't answered by then is superseded by a new one
-	unansweredTimeout    = 3 * pollTimeout             // after so long without an answer polls say so
-	pollWait             = 400 * eventloop.Millisecond // how long the scheduler may hold its answer back
-	rejectedPollDelay    = 100 * eventloop.Millisecond // after a rejected poll
-	minPollInterval      = 10 * eventloop.Millisecond  // between two polls that report changes
-	idlePollDelay        = 50 * eventloop.Millisecond  // after an early answer without orders
-	departedReportPeriod = 10 * eventloop.Second       // a departed worker's ended tasks are reported for so long
-	rejectionsBeforeJump = 8                           // rejected polls in a row before the sequence number jumps
-	sequenceJump         = 1 << 32
+	pollTimeout          = 700 * eventloop.Millisecond // a poll that isn't answered within this time is superseded by a new one
+	unansweredTimeout    = 3 * pollTimeout             // after this time without an answer, polls report that they are unanswered
+	pollWait             = 400 * eventloop.Millisecond // maximum time for which the scheduler may delay its answer
+	rejectedPollDelay    = 100 * eventloop.Millisecond // delay of the next poll after a rejected one
+	minPollInterval      = 10 * eventloop.Millisecond  // minimum time between two polls that report changes
+	idlePollDelay        = 50 * eventloop.Millisecond  // delay of the next poll after an early answer without orders
+	departedReportPeriod = 10 * eventloop.Second       // how long the ended tasks of a departed worker are reported
+	rejectionsBeforeJump = 8                           // number of consecutive rejected polls before the sequence number jumps
+	sequenceJump         = 1 << 32                     // added to the sequence number in a jump
 )
 
-// The actions of an order.
+// Values of TaskOrder.Action.
 const (
 	actionStart = "start"
 	actionStop  = "stop"
 )
 
-// pendingPoll is the poll that the scheduler hasn't answered.
+// pendingPoll is a poll that the scheduler hasn't answered.
 type pendingPoll struct {
 	sequence        uint64
 	sentAt          eventloop.Micros
@@ -33,13 +33,13 @@
 	replacedWorkers []string
 }
 
-// sendPoll keeps one poll open at the scheduler that holds the worker lease, and
-// sends a new one at once when something has changed.
+// sendPoll keeps one poll open at the scheduler that holds the worker lease, and sends
+// a new one at once when something has changed.
 func (a *Agent) sendPoll(now eventloop.Micros, w *workerState, effects eventloop.Effects) {
 	if w.scheduler == "" || w.fencingToken == 0 || w.inspectedToken != w.fencingToken && w.departedAt == 0 && !w.hasLapsed {
 		return
 	}
-	// Of a departed or unresponsive worker only ended tasks are reported.
+	// For a departed or unresponsive worker, polls report only ended tasks.
 	if w.departedAt > 0 && now-w.departedAt > departedReportPeriod || (w.departedAt > 0 || w.hasLapsed) && len(w.unacknowledged) == 0 {
 		return
 	}
@@ -57,7 +57,8 @@
 	effects.Send(w.scheduler, &schema.WorkerPollRequest{Id: a.pollSequence, Worker: w.id, Heartbeat: heartbeat})
 }
 
-// newHeartbeat reports the worker's capacity, and its running and ended tasks.
+// newHeartbeat returns the heartbeat of a poll: the worker's capacity, and its running
+// and ended tasks.
 func (a *Agent) newHeartbeat(now eventloop.Micros, w *workerState) *schema.WorkerHeartbeat {
 	heartbeat := &schema.WorkerHeartbeat{
 		Incarnation: 1, Seq: a.pollSequence, CoresMilli: w.heartbeat.Cores, MemoryMb: w.heartbeat.Memory, Accelerators: w.heartbeat.Accelerators,
@@ -71,7 +72,7 @@
 		heartbeat.CoresMilli, heartbeat.MemoryMb, heartbeat.Accelerators = 0, 0, 0
 	}
 	if w.runLeaseExpiresAt-now < w.runLeaseDuration/2 {
-		// The lease must be renewed soon, so the answer mustn't be held back.
+		// The lease must be renewed soon, so the scheduler must not delay its answer.
 		heartbeat.MaxWaitUs = 0
 	}
 	if w.isDraining {
@@ -92,19 +93,19 @@
 	return heartbeat
 }
 
-// handlePollResponse takes the answer to the pending poll. Answers to earlier polls
-// are ignored: the scheduler repeats in the next what still holds.
-func (a *Agent) handlePollResponse(now eventloop.Micros, from string, m *schema.WorkerPollResponse) {
+// handlePollResponse handles the answer to the pending poll. Answers to earlier polls
+// are ignored, because the scheduler repeats whatever still applies in its next answer.
+func (a *Agent) handlePollResponse(now eventloop.Micros, from string, response *schema.WorkerPollResponse) {
 	w := a.worker
 	if w != nil && from == w.scheduler {
 		w.unansweredSince = 0
 	}
-	if w == nil || w.isReplaced || w.pendingPoll == nil || m.Id != w.pendingPoll.sequence || from != w.pendingPoll.scheduler {
+	if w == nil || w.isReplaced || w.pendingPoll == nil || response.Id != w.pendingPoll.sequence || from != w.pendingPoll.scheduler {
 		return
 	}
-	p := w.pendingPoll
+	poll := w.pendingPoll
 	w.pendingPoll = nil
-	if m.Orders == nil || m.Orders.FencingToken < w.fencingToken {
+	if response.Orders == nil || response.Orders.FencingToken < w.fencingToken {
 		w.nextPollAt = now + rejectedPollDelay
 		if w.rejections++; w.rejections%rejectionsBeforeJump == 0 {
 			// An earlier run of this process may have sent a higher sequence number.
@@ -113,23 +114,25 @@
 		return
 	}
 	w.rejections = 0
-	if m.Orders.FencingToken > w.fencingToken {
-		// What was reported dates from before the worker was fenced with this token.
-		w.raiseToken(m.Orders.FencingToken)
+	if response.Orders.FencingToken > w.fencingToken {
+		// The poll reported the worker's state from before the worker was fenced with
+		// this token.
+		w.raiseToken(response.Orders.FencingToken)
 		return
 	}
-	a.acceptOrders(now, w, p, m.Orders)
+	a.acceptOrders(now, w, poll, response.Orders)
 }
 
-// acceptOrders takes an answer under the current fencing token.
-func (a *Agent) acceptOrders(now eventloop.Micros, w *workerState, p *pendingPoll, orders *schema.WorkerOrders) {
-	for _, worker := range p.replacedWorkers {
+// acceptOrders applies an answer that carries the current fencing token: it renews the
+// run lease, drops acknowledged ends and applies the orders.
+func (a *Agent) acceptOrders(now eventloop.Micros, w *workerState, poll *pendingPoll, orders *schema.WorkerOrders) {
+	for _, worker := range poll.replacedWorkers {
 		if k := slices.Index(a.replacedWorkers, worker); k >= 0 {
 			a.replacedWorkers = slices.Delete(a.replacedWorkers, k, k+1)
 		}
 	}
 	if duration := eventloop.Micros(orders.LeaseUs); duration > 0 {
-		w.runLeaseExpiresAt, w.runLeaseDuration = max(w.runLeaseExpiresAt, p.sentAt+duration), duration
+		w.runLeaseExpiresAt, w.runLeaseDuration = max(w.runLeaseExpiresAt, poll.sentAt+duration), duration
 	}
 	w.inspectionPause = eventloop.Micros(orders.InspectionPauseUs)
 	changed := w.handleAcknowledgements(now, orders.Acknowledged)
@@ -137,13 +140,13 @@
 		changed = a.applyOrder(now, w, order) || changed
 	}
 	w.nextPollAt = now
-	if !changed && now-p.sentAt < pollWait/2 {
+	if !changed && now-poll.sentAt < pollWait/2 {
 		w.nextPollAt = now + idlePollDelay
 	}
 }
 
-// applyOrder takes an order and reports whether it was new. The scheduler repeats
-// an order until a poll shows that it is carried out.
+// applyOrder applies an order and reports whether it was new. The scheduler repeats an
+// order until a poll shows that it has been carried out.
 func (a *Agent) applyOrder(now eventloop.Micros, w *workerState, order *schema.TaskOrder) bool {
 	key := attemptKey{TaskName{order.Name, order.Round, order.StepInRound, order.Task}, order.Attempt}
 	if w.unacknowledged[key] != nil || w.departedAt > 0 {
@@ -163,8 +166,9 @@
 		return false
 	}
 	if _, abandoned := w.declaredEnded[key]; abandoned {
-		// The scheduler doesn't know yet that the attempt is over; the task may have
-		// been given to another worker by now.
+		// The scheduler doesn't know yet that the attempt has ended. The task may
+		// already have been assigned to another worker, so the attempt must not start
+		// here.
 		w.unacknowledged[key] = &endedAttempt{status: w.taskStatus(key, "stopped", order.Checkpoint)}
 		w.hasChanges = true
 		return true
@@ -180,7 +184,8 @@
 func (a *Agent) handleStopOrder(now eventloop.Micros, w *workerState, key attemptKey) bool {
 	r := w.runs[key]
 	if r == nil {
-		// Unknown here; the worker must still promise that it never starts.
+		// The agent doesn't know this attempt. The worker must still confirm the stop,
+		// so that the attempt can never start there.
 		w.runs[key] = &run{key: key, state: stopping, firstSeenAt: now, retryAt: now}
 		return true
 	}
@@ -189,7 +194,7 @@
 		return true
 	}
 	if r.state == starting || r.state == running || r.state == unresolved && !r.isStopConfirmed {
-		// A start that is still in flight doesn't matter: after the stop the worker
+		// A start call that is still in flight does no harm: after the stop the worker
 		// rejects it.
 		r.state, r.openCall, r.callAttempts, r.retryAt = stopping, 0, 0, now
 		return true
--- a/internal/agent/tasks.go
+++ b/internal/agent/tasks.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	startTimeout     = 900 * eventloop.Millisecond // a start is retried for so long
-	startRetryDelay  = 50 * eventloop.Millisecond  // between two attempts of it, at least
-	minLeaseForStart = 50 * eventloop.Millisecond  // nothing is started when the lease ends sooner
-	// predecessorCallPeriod is how long calls of an earlier run of this process may
-	// still be carried out.
+	startTimeout     = 900 * eventloop.Millisecond // a start is retried for at most this long
+	startRetryDelay  = 50 * eventloop.Millisecond  // minimum delay between two calls for the same start
+	minLeaseForStart = 50 * eventloop.Millisecond  // nothing is started when the run lease ends sooner than this
+	// predecessorCallPeriod is how long the worker may still carry out calls of an
+	// earlier run of this process.
 	predecessorCallPeriod = 10 * eventloop.Second
 	defaultStopTimeout    = 2 * eventloop.Second
-	// Attempts that the agent alone has declared over are remembered for
-	// abandonedRetention at least, and all of them up to maxAbandoned.
+	// Attempts that the agent has declared ended, without a report by the worker, are
+	// remembered for at least abandonedRetention. Older ones are dropped only when
+	// there are maxAbandoned attempts.
 	abandonedRetention = 60 * eventloop.Second
 	maxAbandoned       = 4096
 )
 
-// sendDueOrders sends the starts and stops that are due.
+// sendDueOrders sends the start and stop calls that are due.
 func (a *Agent) sendDueOrders(now eventloop.Micros, w *workerState, effects eventloop.Effects) {
 	if now < w.callsBlockedUntil || w.fencingToken == 0 {
 		return
@@ -40,11 +41,12 @@
 }
 
 func (a *Agent) sendStart(now eventloop.Micros, w *workerState, r *run, effects eventloop.Effects) {
-	// Whether a start under an older lease was carried out is for an inspection to show.
+	// An inspection must first show whether the worker has carried out a start call
+	// that was sent under an older lease.
 	if w.inspectedToken != w.fencingToken || r.fencingToken != 0 && r.fencingToken != w.fencingToken {
 		return
 	}
-	// An unresponsive worker's hold isn't extended, so it can't take a new run.
+	// The hold of an unresponsive worker isn't extended, so it can't take a new run.
 	if w.missedInspections > 0 {
 		return
 	}
@@ -72,33 +74,34 @@
 	r.lastCall = r.openCall
 }
 
-// busyRetryAt is when a call that the worker was too busy for is retried: spread by
-// the call's number, so that calls rejected together don't come back together.
+// busyRetryAt returns when to retry a call for which the worker was too busy. The delay
+// depends on the call's number, so that calls that were rejected together aren't
+// retried together.
 func busyRetryAt(now eventloop.Micros, number uint64) eventloop.Micros {
 	const spread, prime = 50, 7919
 	return now + startRetryDelay + eventloop.Micros(number*prime%spread)*eventloop.Millisecond
 }
 
-func (a *Agent) handleStartReply(now eventloop.Micros, w *workerState, r *run, m Reply) {
+func (a *Agent) handleStartReply(now eventloop.Micros, w *workerState, r *run, reply Reply) {
 	if r.state != starting {
 		return
 	}
-	switch m.Outcome {
+	switch reply.Outcome {
 	case Succeeded:
 		r.state, r.isConfirmed = running, true
 	case TimedOut:
-		// A single call was lost, most likely, and starts are idempotent: the first
-		// retry goes at once.
+		// Most likely a single call was lost, and starts are idempotent, so the first
+		// retry is sent at once.
 		r.mayStillStart = true
 		if r.retryAt = now; r.callAttempts > 1 {
 			r.retryAt += 2 * startRetryDelay
 		}
 	case Busy:
-		r.retryAt = busyRetryAt(now, m.Number)
+		r.retryAt = busyRetryAt(now, reply.Number)
 	case Rejected:
-		switch m.Reason {
+		switch reply.Reason {
 		case StaleToken:
-			// A newer lease exists, and its holder decides about the task.
+			// A newer lease exists, and its holder decides what happens to the task.
 			delete(w.runs, r.key)
 			w.hasChanges = true
 		case AttemptOver:
@@ -109,26 +112,26 @@
 	}
 }
 
-func (a *Agent) handleStopReply(now eventloop.Micros, w *workerState, r *run, m Reply) {
+func (a *Agent) handleStopReply(now eventloop.Micros, w *workerState, r *run, reply Reply) {
 	if r.state != stopping {
 		return
 	}
 	r.callAttempts++
 	switch {
-	case m.Outcome == Succeeded, m.Outcome == Rejected && m.Reason == AttemptOver:
-		// The capacity is free once the worker lists the end.
+	case reply.Outcome == Succeeded, reply.Outcome == Rejected && reply.Reason == AttemptOver:
+		// The capacity becomes free only when the worker lists the attempt as ended.
 		r.isStopConfirmed, r.stoppedAt, r.callAttempts = true, now, 0
 		a.markUnresolved(w, r)
-	case m.Outcome == Busy:
-		r.retryAt = busyRetryAt(now, m.Number)
+	case reply.Outcome == Busy:
+		r.retryAt = busyRetryAt(now, reply.Number)
 	default:
 		const maxDoublings = 4
 		r.retryAt = now + min(minBackoff<<min(r.callAttempts-1, maxDoublings), maxBackoff)
 	}
 }
 
-// abandonAttempt ends an attempt that isn't to start here. Where a start may yet be
-// carried out, the worker must first promise that it won't be.
+// abandonAttempt gives up an attempt that must not start on this worker. If the worker
+// may still carry out a start call, it must confirm a stop first.
 func (a *Agent) abandonAttempt(now eventloop.Micros, w *workerState, r *run) {
 	if r.mayStillStart || now-a.startedAt < predecessorCallPeriod {
 		r.state, r.callAttempts, r.retryAt = stopping, 0, now
@@ -137,8 +140,8 @@
 	a.markStopped(w, r)
 }
 
-// markUnresolved leaves it to an inspection that is sent from now on whether the
-// run is there, has ended, or never started.
+// markUnresolved marks a run whose state only an inspection that is sent from now on
+// can show: it may be running, have ended, or never have started.
 func (a *Agent) markUnresolved(w *workerState, r *run) {
 	r.state = unresolved
 	if !r.isConfirmed {
@@ -146,11 +149,11 @@
 	}
 }
 
-// markStopped reports a run as stopped that the worker doesn't run, though it lists
-// no end of it.
+// markStopped reports a run as stopped when the worker neither runs it nor lists its
+// end.
 func (a *Agent) markStopped(w *workerState, r *run) { a.markEnded(w, r, "stopped") }
 
-// markEnded reports a run as ended that the worker hasn't listed as ended.
+// markEnded reports a run as ended although the worker hasn't listed its end.
 func (a *Agent) markEnded(w *workerState, r *run, state string) {
 	w.unacknowledged[r.key] = &endedAttempt{status: w.taskStatus(r.key, state, r.checkpoint)}
 	delete(w.runs, r.key)
@@ -161,7 +164,7 @@
 	w.declaredEnded[r.key] = a.lastStepAt
 }
 
-// maxStopDuration is how long a stop takes at most.
+// maxStopDuration returns the maximum time that a stop takes.
 func (a *Agent) maxStopDuration() eventloop.Micros {
 	if a.bounds.StopTimeoutUs > 0 {
 		return eventloop.Micros(a.bounds.StopTimeoutUs)
