--- a/internal/process/commit.go
+++ b/internal/process/commit.go
@@ -1,6 +1,6 @@
 package process
 
-// Writing to the store of a node, and reporting how the disk does.
+// This file writes to the store of a node and reports the latency of its disk.
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"sparnotch/internal/replica"
 )
 
-// DiskHangTimeout is how long a sync may take until the disk counts as failed: far
-// longer than a healthy disk needs, and well after a leader has handed over because of
-// the latency.
+// DiskHangTimeout is the duration of a sync above which the disk counts as hung. It is
+// far longer than a healthy disk needs, and leaders have handed over because of the
+// latency well before.
 const DiskHangTimeout = 2 * eventloop.Second
 
 // storageWriter is the component that queues batches for writeBatches, which may block
@@ -26,7 +26,7 @@
 func (w *storageWriter) Step(_ eventloop.Micros, message eventloop.Message, _ eventloop.Effects) {
 	if batch, isBatch := message.Body.(replica.Batch); isBatch && !w.batches.TryPut(batch) {
 		// The replicas wait for each batch before they send the next.
-		w.log.Error("the queue of batches is full: a batch was dropped")
+		w.log.Error("the queue of batches is full; a batch was dropped")
 	}
 }
 
@@ -34,8 +34,9 @@
 	n.batches.Consume(ctx, 0, func(batch replica.Batch) { n.commit(ctx, batch) }, nil)
 }
 
-// commit writes a batch, and retries until it is durable or the context ends: the
-// replicas go on from it in memory, and acknowledge nothing that depends on it before.
+// commit writes a batch, and retries until the batch is durable or the context ends. In
+// the meantime, the replicas continue in memory as if the batch were written, but
+// acknowledge nothing that depends on it.
 func (n *Node) commit(ctx context.Context, batch replica.Batch) {
 	startedAt := n.Clock.Now()
 	n.syncStartedAt.Store(int64(startedAt))
@@ -62,7 +63,7 @@
 	n.loop.PostWait(ReplicaComponent, eventloop.Message{Body: replica.Written{Number: batch.Number}})
 }
 
-// delayForTest makes a sync take the time that a test wants.
+// delayForTest extends a sync to the duration in the TestSyncUs setting.
 func (n *Node) delayForTest(startedAt eventloop.Micros) {
 	wanted := time.Duration(n.Settings.TestSyncUs) * time.Microsecond
 	if elapsed := (n.Clock.Now() - startedAt).Duration(); wanted > 0 && elapsed < wanted {
@@ -70,16 +71,17 @@
 	}
 }
 
-// reportRefusedWrite tells the replicas and the membership that writes fail.
+// reportRefusedWrite reports to the replicas and the membership component that writes
+// fail.
 func (n *Node) reportRefusedWrite(batch replica.Batch, err error) {
-	n.log.Error("the store refuses writes: leadership is handed over, and nothing is acknowledged or voted for", zap.Error(err))
+	n.log.Error("the store refuses writes; this node hands over leadership, and neither acknowledges entries nor votes", zap.Error(err))
 	n.storeRefuses.Store(true)
 	n.loop.PostWait(ReplicaComponent, eventloop.Message{Body: replica.WriteFailed{Number: batch.Number, Reason: err.Error()}})
 	n.reportLatency()
 }
 
-// watchDisk reports the latency at intervals, and logs when the disk begins or ends to
-// hang.
+// watchDisk reports the latency at regular intervals, and logs when the disk starts or
+// stops hanging.
 func (n *Node) watchDisk(ctx context.Context) {
 	wasHung := false
 	eventloop.NewQueue[int](1).Consume(ctx, latencyReportInterval, nil, func() {
@@ -92,17 +94,18 @@
 	})
 }
 
-// isDiskHung says whether a write has been in progress for too long.
+// isDiskHung reports whether a write has been in progress for longer than
+// DiskHangTimeout.
 func (n *Node) isDiskHung() bool {
 	startedAt := n.syncStartedAt.Load()
 	return startedAt > 0 && n.Clock.Now()-eventloop.Micros(startedAt) > DiskHangTimeout
 }
 
-// reportLatency tells the membership the worst recent latency of this process, by which
-// leaders are placed.
+// reportLatency reports the worst recent latency of this process to the membership
+// component. Leaders are placed by these latencies.
 func (n *Node) reportLatency() {
 	worst := max(n.loop.TickLatency(), eventloop.Micros(n.worstSync.Load()))
-	// A write in progress counts with the time that it has taken so far.
+	// A write in progress counts with its duration so far.
 	if startedAt := n.syncStartedAt.Load(); startedAt > 0 {
 		worst = max(worst, n.Clock.Now()-eventloop.Micros(startedAt))
 	}
--- a/internal/process/commit_test.go
+++ b/internal/process/commit_test.go
@@ -15,10 +15,10 @@
 	"sparnotch/internal/storage"
 )
 
-// failingDisk is a directory whose writes fail on demand.
+// failingDisk is a directory whose writes fail while its failing channel holds a value.
 type failingDisk struct {
 	*storage.Dir
-	failing chan bool // holds something while writes fail
+	failing chan bool
 }
 
 var errDiskFull = errors.New("no room")
@@ -30,7 +30,8 @@
 	return d.Dir.Write(name, offset, data)
 }
 
-// recorder is a component that records its messages.
+// recorder is a component that sends the body of each message that it receives to its
+// channel.
 type recorder chan any
 
 func (r recorder) Step(_ eventloop.Micros, message eventloop.Message, _ eventloop.Effects) {
--- a/internal/process/components.go
+++ b/internal/process/components.go
@@ -1,14 +1,15 @@
-// Package process assembles a node of the cluster from its components: which it has,
-// and which of them each message goes to.
+// Package process assembles a node of the cluster from its components. It determines
+// which components a node has, and which component handles each message.
 //
-// There are two kinds of nodes, by their role: ROLE_SERVER is a gateway node, and with a
-// data directory a storage node too; ROLE_CONTROLLER is an agent node, which runs beside
-// a worker and is a candidate for the controller lease. GatewayNodeComponents and
-// AgentNodeComponents make their components; the simulator runs these on a simulated
-// clock, network and disk.
+// A node has one of two roles. A node with ROLE_SERVER is a gateway node; if it has a data
+// directory, it is a storage node too. A node with ROLE_CONTROLLER is an agent node, which
+// runs beside a worker and is a candidate for the controller lease. GatewayNodeComponents
+// and AgentNodeComponents make the components of these nodes. The simulator runs the same
+// components on a simulated clock, network and disk.
 //
-// Node runs them in a real process. It owns the process's transport, its store and the
-// goroutines; each component owns its own state and is driven by eventloop.Process.
+// Node runs the components in a real process. It owns the process's transport, its store
+// and the goroutines; each component owns its own state and is driven by
+// eventloop.Process.
 package process
 
 import (
@@ -36,32 +37,34 @@
 	MembershipComponent   = "membership"
 	ReplicaComponent      = "replica"
 	SchedulerComponent    = "scheduler"
-	StorageComponent      = "storage" // writes batches; a Node's or the simulator's
-	WorkerCallerComponent = "caller"  // calls the worker; likewise
+	StorageComponent      = "storage" // writes batches to the disk; Node and the simulator each have their own
+	WorkerCallerComponent = "caller"  // calls the worker; Node and the simulator each have their own
 )
 
-// Streams of random numbers: each component that needs one has its own.
+// Streams of the random number generator. Each component that needs random numbers has a
+// stream of its own.
 const (
 	membershipStream = 1
 	gatewayStream    = 2
 )
 
-// ComponentSlot is a component of a process.
+// ComponentSlot is a component of a process, with its name and the interval of its
+// ticks.
 type ComponentSlot struct {
 	Name         string
 	Component    eventloop.Component
 	TickInterval eventloop.Micros // 0: no ticks
 }
 
-// Config is what the components of a process start with.
+// Config holds the initial parameters of a process's components.
 type Config struct {
 	Member          *schema.Member
 	Seeds           []string // internal addresses, IP:PORT
 	Bootstrap       bool     // the whole system starts for the first time
-	DiskBytes       int64    // that the data directory may hold; 0: unlimited
-	MachineFailures uint32   // at once, that must be tolerated; 0: one
-	ZoneFailures    uint32   // of whole zones, likewise
-	RegionFailures  uint32   // of whole regions, likewise
+	DiskBytes       int64    // maximum size of the data directory; 0: unlimited
+	MachineFailures uint32   // simultaneous failures of machines that must be tolerated; 0: one
+	ZoneFailures    uint32   // simultaneous failures of whole zones that must be tolerated
+	RegionFailures  uint32   // simultaneous failures of whole regions that must be tolerated
 	RegionByZone    map[string]string
 	Storage         *storage.State // nil without a data directory
 	AddressBook     *membership.AddressBook
@@ -69,7 +72,7 @@
 	RandomSeed      uint64
 	Now             eventloop.Micros
 	Bounds          *schema.Bounds
-	CallsWorker     bool // of an agent node: it has a WorkerCallerComponent
+	CallsWorker     bool // on an agent node: it calls a worker, so it has an AgentComponent and a WorkerCallerComponent
 }
 
 func (c *Config) newRand(stream uint64) *rand.Rand {
@@ -84,29 +87,29 @@
 	}
 }
 
-// newMembership makes the membership component, which notifies the readers of each new
-// view.
-func (c *Config) newMembership(isAgentNode bool, identity *schema.StoreIdentity, readers []string) ComponentSlot {
+// newMembership returns the membership component, which notifies the components named
+// in subscribers of each new view of the members.
+func (c *Config) newMembership(isAgentNode bool, identity *schema.StoreIdentity, subscribers []string) ComponentSlot {
 	member := proto.Clone(c.Member).(*schema.Member)
-	component := membership.New(member, c.membershipConfig(isAgentNode), identity, c.AddressBook, readers, c.newRand(membershipStream))
+	component := membership.New(member, c.membershipConfig(isAgentNode), identity, c.AddressBook, subscribers, c.newRand(membershipStream))
 	return ComponentSlot{MembershipComponent, component, membership.TickInterval}
 }
 
-// GatewayNodeComponents makes the components of a gateway node, and with Storage those of a
-// storage node. It panics with replica.Unreadable where the storage holds what can't be
-// decoded.
+// GatewayNodeComponents returns the components of a gateway node, and if cfg.Storage is
+// set, also those of a storage node. It panics with replica.Unreadable if the stored
+// state can't be decoded.
 func GatewayNodeComponents(cfg *Config) []ComponentSlot {
 	hasStorage := cfg.Storage != nil
 	var identity *schema.StoreIdentity
-	readers := []string{GatewayComponent}
+	subscribers := []string{GatewayComponent}
 	if hasStorage {
 		identity = cfg.Storage.Identity
-		readers = append(readers, ReplicaComponent)
+		subscribers = append(subscribers, ReplicaComponent)
 	}
 	id := cfg.Member.Id
 	gatewayComponent := gateway.New(id, cfg.Member.Incarnation, hasStorage, cfg.newRand(gatewayStream)).WithBounds(cfg.Bounds)
 	slots := []ComponentSlot{
-		cfg.newMembership(false, identity, readers),
+		cfg.newMembership(false, identity, subscribers),
 		{GatewayComponent, gatewayComponent, gateway.TickInterval},
 	}
 	if !hasStorage {
@@ -122,13 +125,13 @@
 	)
 }
 
-// AgentNodeComponents makes the components of an agent node.
+// AgentNodeComponents returns the components of an agent node.
 func AgentNodeComponents(cfg *Config) []ComponentSlot {
-	var readers []string // of the controller's updates
+	var subscribers []string // components that the controller notifies of cluster states
 	if cfg.CallsWorker {
-		readers = []string{AgentComponent}
+		subscribers = []string{AgentComponent}
 	}
-	controllerComponent := controller.New(cfg.Member.Id, cfg.MachineFailures, readers...).
+	controllerComponent := controller.New(cfg.Member.Id, cfg.MachineFailures, subscribers...).
 		WithTolerance(cfg.membershipConfig(true).Tolerance()).
 		WithBounds(cfg.Bounds)
 	slots := []ComponentSlot{
@@ -141,8 +144,8 @@
 	return slots
 }
 
-// ComponentFor returns the name of the component that a message from another process
-// goes to, in a process of this role.
+// ComponentFor returns the name of the component that handles a message from another
+// process, in a process with the given role.
 func ComponentFor(role schema.Role, body any) string {
 	isAgentNode := role == schema.Role_ROLE_CONTROLLER
 	switch body.(type) {
--- a/internal/process/identity_test.go
+++ b/internal/process/identity_test.go
@@ -13,9 +13,9 @@
 
 func TestWipedDiskGetsNewIdentity(t *testing.T) {
 	Convey("A storage node keeps its identity with its disk, and gets a new one without", t, func() {
-		folder, inner := t.TempDir(), freePort(t)
+		folder, internalAddress := t.TempDir(), freePort(t)
 		identity := func() string {
-			options := &schema.Settings{Zone: "c", InternalAddress: inner, HttpAddress: "127.0.0.1:1", DataDir: folder, Seeds: []string{"127.0.0.1:1"}}
+			options := &schema.Settings{Zone: "c", InternalAddress: internalAddress, HttpAddress: "127.0.0.1:1", DataDir: folder, Seeds: []string{"127.0.0.1:1"}}
 			node, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 			So(err, ShouldBeNil)
 			defer node.Stop()
--- a/internal/process/late_replies_test.go
+++ b/internal/process/late_replies_test.go
@@ -15,21 +15,21 @@
 	"sparnotch/internal/transport"
 )
 
-// pendingCall is a request that a node waits for the response to.
+// pendingCall is a request to a node that awaits its response.
 type pendingCall struct {
 	requestID uint64
 	response  chan any
 }
 
 func requestConfiguration(ctx context.Context, node *Node) pendingCall {
-	numbers, response := make(chan uint64, 1), make(chan any, 1)
+	requestIDs, response := make(chan uint64, 1), make(chan any, 1)
 	go func() {
-		response <- node.Call(ctx, GatewayComponent, 30*eventloop.Second, func(request uint64, deadline eventloop.Micros) any {
-			numbers <- request
-			return gateway.LeaderRequest{RequestID: request, Kind: gateway.KindConfiguration, Group: clusterstate.GroupName, Deadline: deadline}
+		response <- node.Call(ctx, GatewayComponent, 30*eventloop.Second, func(requestID uint64, deadline eventloop.Micros) any {
+			requestIDs <- requestID
+			return gateway.LeaderRequest{RequestID: requestID, Kind: gateway.KindConfiguration, Group: clusterstate.GroupName, Deadline: deadline}
 		})
 	}()
-	return pendingCall{<-numbers, response}
+	return pendingCall{<-requestIDs, response}
 }
 
 func TestRepliesToFormerIncarnation(t *testing.T) {
@@ -50,12 +50,13 @@
 		So(err, ShouldBeNil)
 		Reset(func() { giveUp(); other.Close(); present.Stop() })
 		So(present.Member.Id, ShouldEqual, id)
-		reply := func(number uint64, body string) {
-			other.SendTo(id, present.Settings.InternalAddress, &schema.Response{Id: number, Code: 200, Body: []byte(body), Group: clusterstate.GroupName})
+		reply := func(requestID uint64, body string) {
+			other.SendTo(id, present.Settings.InternalAddress, &schema.Response{Id: requestID, Code: 200, Body: []byte(body), Group: clusterstate.GroupName})
 		}
-		// The late responses come first each time. The gateway may not have the request
-		// yet, so all are sent until it is completed. The duplicate is one to the request
-		// before, as a duplicate to this one might be the first to arrive in time.
+		// The late responses are sent first each time. The gateway may not have received
+		// the request yet, so all responses are sent repeatedly until the request is
+		// completed. The duplicate answers the previous request, because a duplicate of the
+		// response to this request could complete it.
 		last := abandoned.requestID
 		for range 3 {
 			open := requestConfiguration(ctx, present)
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -30,15 +30,15 @@
 )
 
 const (
-	// incarnationShift leaves each incarnation of a process 2^40 request ids.
+	// incarnationShift leaves each incarnation of a process 2^40 request IDs.
 	incarnationShift = 40
 
 	latencyReportInterval = 250 * eventloop.Millisecond
 	partitionReadInterval = 100 * time.Millisecond
-	maxPendingBatches     = 4 // there is never more than one
+	maxPendingBatches     = 4 // never reached: at most one batch is pending, because the replicas wait for it
 
-	// diskStopTimeout is how long Stop waits for a disk that doesn't respond. A write
-	// that is in progress there was acknowledged to nobody.
+	// diskStopTimeout is how long Stop waits for a disk that doesn't respond. Nobody
+	// has been told that a write still in progress is durable.
 	diskStopTimeout = time.Second
 )
 
@@ -48,10 +48,11 @@
 	Settings *schema.Settings
 	Member   *schema.Member
 	Clock    eventloop.Clock
-	// Failed gets errors after which the process must end.
+	// Failed receives errors after which the process must end.
 	Failed chan error
-	// Reopened gets the store of a node that had to start without it. The receiver
-	// owns it, and is to stop this node and start a new one with the store.
+	// StoreOpened receives the store of a node that had to start without it. The
+	// receiver owns the store; it must stop this node and start a new one with the
+	// store.
 	StoreOpened chan *OpenedStore
 
 	log        *zap.Logger
@@ -62,44 +63,46 @@
 	background sync.WaitGroup
 
 	mu            sync.Mutex
-	waiters       map[uint64]chan any // by request id
+	waiters       map[uint64]chan any // by request ID
 	lastRequestID atomic.Uint64
 
 	openedStore   *OpenedStore
-	pendingOpen   openAttempt    // of a store that couldn't be opened yet; nil: none
+	pendingOpen   openAttempt    // attempt to open a store that couldn't be opened at the start; nil: none
 	store         *storage.Store // nil: a node without storage
 	batches       *eventloop.Queue[replica.Batch]
 	storeRefuses  atomic.Bool  // the last write failed
-	worstSync     atomic.Int64 // recently, in µs; decays
-	syncStartedAt atomic.Int64 // of the write in progress; 0: none
+	worstSync     atomic.Int64 // decaying maximum of the recent sync durations, in µs
+	syncStartedAt atomic.Int64 // start of the write in progress, in µs by Clock; 0: none
 	storageStats  atomic.Pointer[storage.Stats]
 }
 
-// Start starts a node; options are taken as valid. An agent node that is given a worker
-// client calls the worker with it. Errors: storage.DirRejected where the data directory
-// isn't ours or can't be decoded, config.Invalid where the internal address can't be
-// listened on.
-func Start(options *schema.Settings, role schema.Role, log *zap.Logger, workerClients ...agent.WorkerClient) (*Node, error) {
-	return StartWithStore(nil, options, role, log, workerClients...)
+// Start starts a node. The settings must be valid. An agent node that is passed a
+// worker client uses it to call the worker. Start returns storage.DirRejected if the
+// data directory belongs to something else or can't be decoded, and config.Invalid if
+// the node can't listen on the internal address.
+func Start(settings *schema.Settings, role schema.Role, log *zap.Logger, workerClients ...agent.WorkerClient) (*Node, error) {
+	return StartWithStore(nil, settings, role, log, workerClients...)
 }
 
-// StartWithStore is Start with a store that is open already; nil: it is opened here. The
-// node owns the store, also after an error.
-func StartWithStore(opened *OpenedStore, options *schema.Settings, role schema.Role, log *zap.Logger, callers ...agent.WorkerClient) (*Node, error) {
-	n := newNode(options, role, log)
-	if options.DataDir != "" {
+// StartWithStore is like Start, but uses a store that is already open; if opened is
+// nil, it opens the store itself. The node owns the store even when StartWithStore
+// returns an error.
+func StartWithStore(opened *OpenedStore, settings *schema.Settings, role schema.Role, log *zap.Logger, workerClients ...agent.WorkerClient) (*Node, error) {
+	n := newNode(settings, role, log)
+	if settings.DataDir != "" {
 		if err := n.attachStore(opened, openTimeout); err != nil {
 			return nil, err
 		}
 	}
-	// Responses are matched with requests by id alone, and a node that kept its id may
-	// get one to a request of a former incarnation.
+	// Responses are matched with requests by ID alone, and a node that has kept its own
+	// ID may receive a response to a request of a former incarnation.
 	n.lastRequestID.Store(n.Member.Incarnation << incarnationShift)
-	if err := n.addComponents(role, callers); err != nil {
+	if err := n.addComponents(role, workerClients); err != nil {
 		n.openedStore.Close()
 		return nil, err
 	}
-	// Messages may come as soon as the transport listens, so the mailboxes exist by now.
+	// Messages may arrive as soon as the transport listens, so the mailboxes must exist
+	// before.
 	if err := n.listen(); err != nil {
 		n.openedStore.Close()
 		return nil, err
@@ -107,16 +110,16 @@
 	n.run()
 	log.Info("node started",
 		zap.String("id", n.Member.Id), zap.Uint64("incarnation", n.Member.Incarnation),
-		zap.String("internal_address", options.InternalAddress), zap.String("http_address", options.HttpAddress))
+		zap.String("internal_address", settings.InternalAddress), zap.String("http_address", settings.HttpAddress))
 	return n, nil
 }
 
-func newNode(options *schema.Settings, role schema.Role, log *zap.Logger) *Node {
+func newNode(settings *schema.Settings, role schema.Role, log *zap.Logger) *Node {
 	n := &Node{
-		Settings: options, Clock: eventloop.RealClock(), Failed: make(chan error, 4), StoreOpened: make(chan *OpenedStore),
+		Settings: settings, Clock: eventloop.RealClock(), Failed: make(chan error, 4), StoreOpened: make(chan *OpenedStore),
 		Member: &schema.Member{
-			Id: newID(), Incarnation: 1, Role: role, Zone: options.Zone,
-			InternalAddress: options.InternalAddress, HttpAddress: options.HttpAddress,
+			Id: newID(), Incarnation: 1, Role: role, Zone: settings.Zone,
+			InternalAddress: settings.InternalAddress, HttpAddress: settings.HttpAddress,
 		},
 		log: log, addresses: &membership.AddressBook{}, waiters: map[uint64]chan any{},
 		batches: eventloop.NewQueue[replica.Batch](maxPendingBatches),
@@ -125,20 +128,20 @@
 	n.loop.Outbound = (*nodeEffects)(n)
 	n.loop.OnPanic = func(component string, cause any, stack []byte) {
 		log.Error("panic", zap.String("component", component), zap.Any("cause", cause), zap.ByteString("stack", stack))
-		n.Failed <- fmt.Errorf("component %s: %v", component, cause)
+		n.Failed <- fmt.Errorf("component %s panicked: %v", component, cause)
 	}
 	return n
 }
 
-// config is what the node's components start with.
+// config returns the initial parameters of the node's components.
 func (n *Node) config(callsWorker bool) *Config {
-	options := n.Settings
+	settings := n.Settings
 	cfg := &Config{
-		Member: n.Member, Seeds: options.Seeds, AddressBook: n.addresses,
+		Member: n.Member, Seeds: settings.Seeds, AddressBook: n.addresses,
 		WallClock: n.Clock.Wall, RandomSeed: randomSeed(), Now: n.Clock.Now(),
-		Bootstrap: options.InitialBootstrap, MachineFailures: options.MachineFailures, ZoneFailures: options.ZoneFailures,
-		RegionFailures: options.RegionFailures, RegionByZone: options.Regions,
-		Bounds: options.Bounds, DiskBytes: options.DiskBytes, CallsWorker: callsWorker,
+		Bootstrap: settings.InitialBootstrap, MachineFailures: settings.MachineFailures, ZoneFailures: settings.ZoneFailures,
+		RegionFailures: settings.RegionFailures, RegionByZone: settings.Regions,
+		Bounds: settings.Bounds, DiskBytes: settings.DiskBytes, CallsWorker: callsWorker,
 	}
 	if n.store != nil {
 		cfg.Storage = n.store.State()
@@ -146,10 +149,10 @@
 	return cfg
 }
 
-func (n *Node) addComponents(role schema.Role, callers []agent.WorkerClient) error {
-	cfg := n.config(role == schema.Role_ROLE_CONTROLLER && len(callers) > 0)
+func (n *Node) addComponents(role schema.Role, workerClients []agent.WorkerClient) error {
+	cfg := n.config(role == schema.Role_ROLE_CONTROLLER && len(workerClients) > 0)
 	if !timing.CanCatchUp(cfg.Bounds) {
-		n.log.Warn("a replica can't be replaced within the bound for catching up")
+		n.log.Warn("a replica can't be replaced within the configured bound for catching up")
 	}
 	if shortfall := cfg.membershipConfig(false).Tolerance().TopologyShortfall(); shortfall != "" {
 		n.log.Warn("the required fault tolerance can't be met", zap.String("why", shortfall))
@@ -166,15 +169,15 @@
 		n.loop.Add(scheduler.ReportComponent, reporter{n.log.Named(logring.Reports)}, 0)
 	}
 	if cfg.CallsWorker {
-		n.loop.Add(WorkerCallerComponent, newWorkerCaller(callers[0], func(reply agent.Reply) {
+		n.loop.Add(WorkerCallerComponent, newWorkerCaller(workerClients[0], func(reply agent.Reply) {
 			n.loop.PostWait(AgentComponent, eventloop.Message{Body: reply})
 		}), 0)
 	}
 	return nil
 }
 
-// buildComponents makes a node's components. It returns replica.Unreadable where the
-// store holds what can't be decoded.
+// buildComponents returns the components of a node. It returns replica.Unreadable if
+// the stored state can't be decoded.
 func buildComponents(role schema.Role, cfg *Config) (slots []ComponentSlot, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -209,7 +212,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	n.loop.Run(ctx)
-	// Discovery of the other nodes needn't wait for the first tick.
+	// The discovery of other nodes need not wait for the first regular tick.
 	n.loop.Post(MembershipComponent, eventloop.Message{Body: eventloop.Tick{}})
 	n.runInBackground(func() { n.writeBatches(ctx) })
 	n.runInBackground(func() { n.watchDisk(ctx) })
@@ -226,8 +229,9 @@
 	}()
 }
 
-// testPartition returns a function that says whether a test wants an address to be
-// unreachable. It reads the test's file again at intervals.
+// testPartition returns a function that reports whether a test has made an address
+// unreachable. The function reads the file in the TestPartitions setting again at
+// regular intervals.
 func (n *Node) testPartition() func(address string) bool {
 	var mu sync.Mutex
 	var readAt time.Time
@@ -248,15 +252,15 @@
 	}
 }
 
-// Counts are what a node has done since it started. The JSON keys are part of the HTTP
+// Counts holds statistics of a node since its start. The JSON keys are part of the HTTP
 // interface.
 type Counts struct {
 	Transport    transport.Counts  `json:"wire"`
 	Storage      storage.Stats     `json:"storage"`
-	LostMessages map[string]uint64 `json:"lost_mails"` // by component, for want of room in its mailbox
+	LostMessages map[string]uint64 `json:"lost_mails"` // by component; messages that were dropped because its mailbox was full
 }
 
-// Counts returns the current counts.
+// Counts returns the node's current statistics.
 func (n *Node) Counts() Counts {
 	counts := Counts{Transport: n.transport.Counts(), LostMessages: n.loop.Dropped()}
 	if latest := n.storageStats.Load(); latest != nil {
@@ -265,15 +269,15 @@
 	return counts
 }
 
-// StartDraining makes the components hand over what they lead and hold, so that the
-// process can end. They go on working until Stop.
+// StartDraining makes the components hand over their leaderships and report the node as
+// not ready, so that the process can end. The components keep working until Stop.
 func (n *Node) StartDraining() {
 	n.loop.Post(GatewayComponent, eventloop.Message{Body: gateway.StartDraining{}})
 	n.loop.Post(MembershipComponent, eventloop.Message{Body: membership.Draining{}})
 	n.loop.Post(ReplicaComponent, eventloop.Message{Body: replica.Drain{}})
 }
 
-// HasHandoverPending says whether a draining node still has something to hand over.
+// HasHandoverPending reports whether a draining node still has something to hand over.
 func (n *Node) HasHandoverPending(ctx context.Context) bool {
 	if n.store == nil {
 		return false
@@ -285,7 +289,8 @@
 	return isView && view.HasHandoverPending
 }
 
-// Stop ends the node's goroutines and closes its store, unless the disk doesn't respond.
+// Stop ends the node's goroutines and closes its store. If the disk doesn't respond, it
+// leaves the store open.
 func (n *Node) Stop() {
 	n.cancel()
 	n.loop.Wait()
@@ -299,14 +304,14 @@
 	case <-done:
 		n.openedStore.Close()
 	case <-time.After(diskStopTimeout):
-		n.log.Error("the disk doesn't respond: the store is left open")
+		n.log.Error("the disk doesn't respond; the store is left open")
 	}
 }
 
 func randomSeed() uint64 {
 	var raw [8]byte
 	if _, err := rand.Read(raw[:]); err != nil {
-		panic("process: no randomness: " + err.Error())
+		panic("process: the system returned no random bytes: " + err.Error())
 	}
 	return binary.BigEndian.Uint64(raw[:])
 }
--- a/internal/process/node_test.go
+++ b/internal/process/node_test.go
@@ -23,7 +23,7 @@
 
 func TestStartUnderTraffic(t *testing.T) {
 	Convey("A node that starts while others already send to it receives the messages, and stops cleanly", t, func() {
-		inner := freePort(t)
+		internalAddress := freePort(t)
 		other, err := transport.Listen(transport.Identity{ID: "other"}, "127.0.0.1:0", func(string, any) {})
 		So(err, ShouldBeNil)
 		Reset(other.Close)
@@ -35,12 +35,12 @@
 				case <-stop:
 					return
 				default:
-					other.Send(inner, &schema.ClusterStateRequest{})
+					other.Send(internalAddress, &schema.ClusterStateRequest{})
 				}
 			}
 		}()
 		for k := 0; k < 15; k++ {
-			options := &schema.Settings{Zone: "c", InternalAddress: inner, HttpAddress: "127.0.0.1:1", DataDir: t.TempDir(), Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
+			options := &schema.Settings{Zone: "c", InternalAddress: internalAddress, HttpAddress: "127.0.0.1:1", DataDir: t.TempDir(), Seeds: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
 			node, err := Start(options, schema.Role_ROLE_SERVER, zap.NewNop())
 			So(err, ShouldBeNil)
 			for node.Counts().Transport.Received < 50 {
--- a/internal/process/store.go
+++ b/internal/process/store.go
@@ -1,6 +1,7 @@
 package process
 
-// Opening the store of a node: at its start, or later where the disk fails then.
+// This file opens the store of a node: at the start of the node, or later if the disk
+// fails at the start.
 
 import (
 	"context"
@@ -14,25 +15,27 @@
 )
 
 const (
-	// openTimeout is how long a start waits for a disk that doesn't respond: waiting
-	// that long costs less than starting twice.
+	// openTimeout is how long a start waits for a disk that doesn't respond. Waiting
+	// that long costs less than starting without the store and restarting with it.
 	openTimeout = 5 * time.Second
 
-	// The backoff of failed writes and opens: short enough that a store is back long
-	// before its groups have replaced it, long enough not to keep a failing disk busy.
+	// The backoff of failed writes and opens is short enough that a store is back long
+	// before its groups have replaced it, and long enough not to keep a failing disk
+	// busy.
 	minWriteRetryDelay = 50 * time.Millisecond
 	maxWriteRetryDelay = 400 * time.Millisecond
 )
 
-// OpenedStore is a data directory that is open for one incarnation of a node.
+// OpenedStore is a data directory that one incarnation of a node has opened.
 type OpenedStore struct {
 	directory *storage.Dir
 	store     *storage.Store
-	identity  *schema.StoreIdentity // the id, and the number of this start
+	identity  *schema.StoreIdentity // ID of the store, and how often it was started, including this start
 }
 
-// openStore opens a data directory. A damaged store is quarantined, and a new one with a
-// new id takes its place: a store that has lost writes must not vote under its old id.
+// openStore opens the store in a data directory. It quarantines a damaged store and
+// creates a new one with a new ID, because a store that has lost writes must not vote
+// under its old ID.
 func openStore(path string, log *zap.Logger) (*OpenedStore, error) {
 	directory, err := storage.OpenDir(path)
 	if err != nil {
@@ -49,7 +52,7 @@
 func openStoreIn(directory *storage.Dir, log *zap.Logger) (*OpenedStore, error) {
 	store, err := storage.Open(directory)
 	if storage.IsCorrupted(err) {
-		log.Error("the store is damaged: it is quarantined, and this machine starts as a new member", zap.Error(err))
+		log.Error("the store is damaged; it is quarantined, and this machine starts as a new member", zap.Error(err))
 		if err := directory.Quarantine("damaged-" + newID()); err != nil {
 			return nil, err
 		}
@@ -63,22 +66,23 @@
 		self.Id = newID()
 	}
 	self.Starts++
-	// The number is durable before it is used, so that no later start uses it again.
+	// The number of starts is made durable before it is used, so that no later start
+	// uses the same number.
 	if err := store.Commit([]*schema.StoreChange{{Identity: self}}); err != nil {
 		return nil, err
 	}
 	return &OpenedStore{directory: directory, store: store, identity: self}, nil
 }
 
-// Close closes the directory; nil is allowed.
+// Close closes the data directory. It does nothing if o is nil.
 func (o *OpenedStore) Close() {
 	if o != nil {
 		o.directory.Close()
 	}
 }
 
-// openAttempt gets the result of an open that runs in the background: a disk that
-// doesn't respond may block it for long.
+// openAttempt receives the result of opening a store in the background, because a disk
+// that doesn't respond may block the attempt for a long time.
 type openAttempt chan openResult
 
 type openResult struct {
@@ -95,10 +99,11 @@
 	return attempt
 }
 
-// attachStore makes this node the one of its store, which is opened here if it isn't
-// yet. Where the disk fails or doesn't respond within the timeout, the node starts as a
-// gateway node without storage, and Reopened gets the store once it could be opened. It
-// returns storage.DirRejected where the directory isn't ours.
+// attachStore gives the node its store, and the store's identity; it opens the store if
+// opened is nil. If the disk fails or doesn't respond within the timeout, the node
+// starts as a gateway node without storage, and StoreOpened receives the store once it
+// can be opened. attachStore returns storage.DirRejected if the directory belongs to
+// something else.
 func (n *Node) attachStore(opened *OpenedStore, timeout time.Duration) error {
 	if opened == nil {
 		attempt := startOpenAttempt(n.Settings.DataDir, n.log)
@@ -108,13 +113,13 @@
 				return result.err
 			}
 			if result.err != nil {
-				n.log.Error("the store can't be opened: starting without storage", zap.Error(result.err))
+				n.log.Error("the store can't be opened; the node starts without storage", zap.Error(result.err))
 				n.pendingOpen = startOpenAttempt(n.Settings.DataDir, n.log)
 				return nil
 			}
 			opened = result.opened
 		case <-time.After(timeout):
-			n.log.Error("the disk doesn't respond: starting without storage")
+			n.log.Error("the disk doesn't respond; the node starts without storage")
 			n.pendingOpen = attempt
 			return nil
 		}
@@ -124,7 +129,7 @@
 	return nil
 }
 
-// retryOpen tries to open the store until it succeeds.
+// retryOpen retries to open the store until it succeeds or the context ends.
 func (n *Node) retryOpen(ctx context.Context) {
 	attempt := n.pendingOpen
 	for delay := minWriteRetryDelay; ; delay = min(2*delay, maxWriteRetryDelay) {
@@ -144,7 +149,7 @@
 	}
 }
 
-// publishStore passes a store on to the receiver of Reopened.
+// publishStore sends a store to StoreOpened, or closes it when the context ends first.
 func (n *Node) publishStore(ctx context.Context, opened *OpenedStore) {
 	select {
 	case n.StoreOpened <- opened:
@@ -153,7 +158,8 @@
 	}
 }
 
-// sleep waits for the delay; false: the context ended before.
+// sleep waits for the delay and returns true; it returns false if the context ends
+// first.
 func sleep(ctx context.Context, delay time.Duration) bool {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
--- a/internal/process/store_test.go
+++ b/internal/process/store_test.go
@@ -18,7 +18,7 @@
 func TestStartWithoutStore(t *testing.T) {
 	Convey("A node whose disk fails at its start has no storage, and gets its store once it can be opened", t, func() {
 		data := t.TempDir()
-		// What can't be read as a file simulates a disk that fails.
+		// A directory in place of a file can't be read, which simulates a failing disk.
 		obstacle := filepath.Join(data, "slot-0")
 		So(os.Mkdir(obstacle, 0o700), ShouldBeNil)
 		options := &schema.Settings{Zone: "c", InternalAddress: freePort(t), HttpAddress: "127.0.0.1:1", DataDir: data, Seeds: []string{"127.0.0.1:1"}}
@@ -42,7 +42,8 @@
 	})
 	Convey("So does one whose disk doesn't respond at its start", t, func() {
 		data := t.TempDir()
-		// Reading a pipe that nobody writes to simulates a disk that hangs.
+		// Opening a pipe blocks until somebody opens it for writing, which simulates a disk
+		// that hangs.
 		pipe := filepath.Join(data, "slot-0")
 		So(syscall.Mkfifo(pipe, 0o600), ShouldBeNil)
 		options := &schema.Settings{Zone: "c", InternalAddress: freePort(t), HttpAddress: "127.0.0.1:1", DataDir: data, Seeds: []string{"127.0.0.1:1"}}
--- a/internal/process/worker_caller.go
+++ b/internal/process/worker_caller.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	maxConcurrentCalls       = 64 // to start and stop tasks
-	maxConcurrentInspections = 4  // long polls, so they have a limit of their own
+	maxConcurrentCalls       = 64 // starts and stops of tasks
+	maxConcurrentInspections = 4  // inspections are long polls, so they have a limit of their own
 )
 
-// workerCaller is the component that carries out the agent's calls to its worker, each
-// in a goroutine, as a call may block. The slots bound how many run at once.
+// workerCaller is the component that carries out the agent's calls to its worker. Each
+// call has a goroutine of its own, because it may block. The slots limit how many calls
+// run at once.
 type workerCaller struct {
 	client          agent.WorkerClient
 	reply           func(agent.Reply)
@@ -39,8 +40,8 @@
 	select {
 	case slots <- struct{}{}:
 	default:
-		// Nothing was sent, so the agent may retry it. The reply may wait for the
-		// agent's mailbox, which this step must not.
+		// Nothing was sent, so the agent may retry the call. Sending the reply may block
+		// on the agent's mailbox, and a step must not block.
 		go c.reply(agent.Reply{Number: call.Number, Outcome: agent.Busy})
 		return
 	}
--- a/internal/process/worker_caller_test.go
+++ b/internal/process/worker_caller_test.go
@@ -11,39 +11,40 @@
 	"sparnotch/internal/schema"
 )
 
-type blockingCaller struct{ open, entered chan agent.Call }
+// blockingClient is a WorkerClient whose calls block until its open channel is closed.
+type blockingClient struct{ open, entered chan agent.Call }
 
-func (g blockingCaller) Call(call agent.Call) agent.Reply {
-	g.entered <- call
-	<-g.open
+func (c blockingClient) Call(call agent.Call) agent.Reply {
+	c.entered <- call
+	<-c.open
 	return agent.Reply{Outcome: agent.Succeeded}
 }
 
 func TestCaller(t *testing.T) {
 	Convey("Inspections don't use up the slots of other calls, and a call without a slot is busy", t, func() {
-		g := blockingCaller{make(chan agent.Call), make(chan agent.Call, maxConcurrentCalls+maxConcurrentInspections)}
+		client := blockingClient{make(chan agent.Call), make(chan agent.Call, maxConcurrentCalls+maxConcurrentInspections)}
 		replies := make(chan agent.Reply, 2*maxConcurrentCalls)
-		caller := newWorkerCaller(g, func(reply agent.Reply) { replies <- reply })
+		caller := newWorkerCaller(client, func(reply agent.Reply) { replies <- reply })
 		number := uint64(0)
-		call := func(act agent.Action) {
+		call := func(action agent.Action) {
 			number++
-			caller.Step(0, eventloop.Message{Body: agent.Call{Number: number, Action: act}}, nil)
+			caller.Step(0, eventloop.Message{Body: agent.Call{Number: number, Action: action}}, nil)
 		}
 		for k := 0; k < maxConcurrentInspections; k++ {
 			call(agent.Inspect)
-			<-g.entered
+			<-client.entered
 		}
 		call(agent.Inspect)
 		So(<-replies, ShouldResemble, agent.Reply{Number: number, Outcome: agent.Busy})
 		call(agent.Start)
-		So((<-g.entered).Number, ShouldEqual, number)
+		So((<-client.entered).Number, ShouldEqual, number)
 		for k := 1; k < maxConcurrentCalls; k++ {
 			call(agent.Stop)
-			<-g.entered
+			<-client.entered
 		}
 		call(agent.Start)
 		So((<-replies).Outcome, ShouldEqual, agent.Busy)
-		close(g.open)
+		close(client.open)
 		seen := map[uint64]bool{}
 		for k := 0; k < maxConcurrentCalls+maxConcurrentInspections; k++ {
 			reply := <-replies
@@ -58,7 +59,7 @@
 		So(err, ShouldBeNil)
 		So(without.ReportHeartbeat(agent.Heartbeat{Worker: "w", Number: 1}), ShouldBeFalse)
 		without.Stop()
-		with, err := Start(options, schema.Role_ROLE_CONTROLLER, zap.NewNop(), blockingCaller{})
+		with, err := Start(options, schema.Role_ROLE_CONTROLLER, zap.NewNop(), blockingClient{})
 		So(err, ShouldBeNil)
 		So(with.ReportHeartbeat(agent.Heartbeat{Worker: "w", Number: 1}), ShouldBeTrue)
 		So(with.ReportDeparture(agent.Departed{Worker: "w"}), ShouldBeTrue)
