--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -22,11 +22,12 @@
 	Role     schema.Role
 }
 
-// checkPrefix precedes a daemon's name in the subcommand that only checks its settings.
+// checkPrefix precedes a daemon's name in the name of the subcommand that only checks
+// the daemon's settings.
 const checkPrefix = "check-"
 
-// Main registers the subcommands of a program's daemons, runs the one that the command
-// line names, and exits with its code.
+// Main registers the subcommands of a program's daemons, runs the subcommand on the
+// command line, and exits with its exit code.
 func Main(program string, commands ...Command) {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(subcommands.FlagsCommand(), "")
@@ -38,7 +39,8 @@
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
 
-// daemonCommand implements subcommands.Command.
+// daemonCommand implements subcommands.Command for a daemon, or for the check of its
+// settings.
 type daemonCommand struct {
 	Command
 	program string
@@ -61,7 +63,7 @@
 }
 
 func (c *daemonCommand) Usage() string {
-	return fmt.Sprintf("%s %s -cell CELL -inner IP:PORT -outer IP:PORT -seeds A,B,C [flags]\n  %s.\n  Exit codes: 0 shut down by a signal, 1 failed, 2 bad settings (the field is named).\n",
+	return fmt.Sprintf("%s %s -cell CELL -inner IP:PORT -outer IP:PORT -seeds A,B,C [flags]\n  %s.\n  Exit codes: 0 if a signal shut the daemon down, 1 if it failed, 2 if a setting is invalid (the error names it) or the data directory can't be used.\n",
 		c.program, c.Name(), c.Synopsis())
 }
 
@@ -70,7 +72,7 @@
 }
 
 func (c *daemonCommand) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	options, err := c.load(set)
+	settings, err := c.load(set)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", c.program, err)
 		return ExitInvalidSettings
@@ -79,18 +81,18 @@
 		fmt.Println("settings are valid")
 		return subcommands.ExitSuccess
 	}
-	return Serve(c.program, options, c.Role, func(node *process.Node, log *zap.Logger) (Server, error) {
+	return Serve(c.program, settings, c.Role, func(node *process.Node, log *zap.Logger) (Server, error) {
 		return httpapi.Serve(node, log)
 	})
 }
 
 func (c *daemonCommand) load(set *flag.FlagSet) (*schema.Settings, error) {
-	options, err := c.flags.Load(set)
+	settings, err := c.flags.Load(set)
 	if err != nil {
 		return nil, err
 	}
-	if c.Role == schema.Role_ROLE_CONTROLLER && options.DataDir != "" {
-		return nil, config.Invalid.New("data: a %s holds nothing durable", c.Command.Name)
+	if c.Role == schema.Role_ROLE_CONTROLLER && settings.DataDir != "" {
+		return nil, config.Invalid.New("data: a %s stores nothing, so it takes no data directory", c.Command.Name)
 	}
-	return options, nil
+	return settings, nil
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,9 +1,9 @@
 // Package daemon runs a node as a process: it reads the settings, starts the node and the
-// servers that take requests for it, handles signals, and shuts down gracefully.
+// server that accepts requests for it, handles signals, and shuts down gracefully.
 //
-// Main makes a program of one or more daemons, each a subcommand. Serve runs one. Signals:
-// SIGTERM and SIGINT begin a graceful shutdown, and a second one ends it at once; SIGUSR1
-// writes the log ring out; SIGHUP is ignored.
+// Main implements the main function of a program whose subcommands are daemons. Serve runs
+// one daemon. SIGTERM and SIGINT begin a graceful shutdown, and a second such signal ends
+// the wait for pending work; SIGUSR1 writes out the log ring; SIGHUP is ignored.
 package daemon
 
 import (
@@ -29,30 +29,32 @@
 // Exit codes of the daemons.
 const (
 	ExitFailed          = subcommands.ExitStatus(1)
-	ExitInvalidSettings = subcommands.ExitStatus(2) // the settings or the data directory can't be used
+	ExitInvalidSettings = subcommands.ExitStatus(2) // the settings or the data directory are invalid
 )
 
 const (
-	// restartDrainTimeout bounds how long requests may take to finish when a node that
-	// started without its store restarts with it.
+	// restartDrainTimeout limits how long requests may take to finish when a node that
+	// started without its store restarts with the store.
 	restartDrainTimeout = 1500 * time.Millisecond
 	drainCheckInterval  = 50 * time.Millisecond
 	signalBuffer        = 4
 )
 
-// Server takes requests from outside for a node.
+// Server accepts requests from clients for a node.
 type Server interface {
-	// StartDraining says that the process will end. Requests are still accepted.
+	// StartDraining tells the server that the process will end. The server still
+	// accepts requests.
 	StartDraining()
-	// Shutdown accepts no more requests, and waits for those in progress until the
-	// context ends.
+	// Shutdown makes the server accept no more requests, and waits for requests in
+	// progress until the context ends.
 	Shutdown(ctx context.Context) error
 }
 
-// ServerFactory makes the server of a node that has started.
+// ServerFactory returns the server for a node that has started.
 type ServerFactory func(node *process.Node, log *zap.Logger) (Server, error)
 
-// daemon is what serve needs to run a node, and to restart it with another store.
+// daemon holds the parameters for running a node, and for restarting it with a store
+// that was opened late.
 type daemon struct {
 	settings      *schema.Settings
 	role          schema.Role
@@ -63,15 +65,15 @@
 	workerClients []agent.WorkerClient
 }
 
-// Serve runs a node until it fails or has shut down after a signal, and returns the exit
-// code; name precedes what is written to standard error. A worker client that is given
-// makes the calls to the worker of an agent node.
-func Serve(name string, options *schema.Settings, role schema.Role, newServer ServerFactory, callers ...agent.WorkerClient) subcommands.ExitStatus {
+// Serve runs a node until it fails or has shut down after a signal, and returns the
+// exit code. It writes errors to standard error, prefixed with name. An agent node uses
+// the worker client, if one is passed, to call its worker.
+func Serve(name string, settings *schema.Settings, role schema.Role, newServer ServerFactory, workerClients ...agent.WorkerClient) subcommands.ExitStatus {
 	signals := make(chan os.Signal, signalBuffer)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
-	// The reader of our output may end before we do.
+	// Whoever reads our output may end before this process does.
 	signal.Ignore(syscall.SIGPIPE)
-	log, ring := logring.New(options.TraceFile)
+	log, ring := logring.New(settings.TraceFile)
 	// A logged error writes the ring out, so a crash is logged before the process ends.
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -80,7 +82,7 @@
 		}
 	}()
 	d := &daemon{
-		settings: options, role: role, signals: signals, log: log, ring: ring, newServer: newServer, workerClients: callers,
+		settings: settings, role: role, signals: signals, log: log, ring: ring, newServer: newServer, workerClients: workerClients,
 	}
 	err := d.serve()
 	if err == nil {
@@ -94,8 +96,8 @@
 	return ExitFailed
 }
 
-// serve runs a node, and a new one with the store each time that a store could be opened
-// late.
+// serve runs a node. If the node started without its store and the store was opened
+// later, serve stops that node and runs a new one with the store.
 func (d *daemon) serve() error {
 	var opened *process.OpenedStore
 	for {
@@ -107,8 +109,8 @@
 	}
 }
 
-// serveOnce runs a node until the process is to end, or returns the store to restart it
-// with.
+// serveOnce runs a node until the process is to end. If the store was opened late, it
+// stops the node and returns the store for the restart.
 func (d *daemon) serveOnce(opened *process.OpenedStore) (*process.OpenedStore, error) {
 	node, err := process.StartWithStore(opened, d.settings, d.role, d.log, d.workerClients...)
 	if err != nil {
@@ -124,7 +126,7 @@
 		case err := <-node.Failed:
 			return nil, err
 		case reopened := <-node.StoreOpened:
-			d.log.Warn("the store could be opened: restarting the node with it")
+			d.log.Warn("the store was opened late; the node restarts with it")
 			ctx, cancel := context.WithTimeout(context.Background(), restartDrainTimeout)
 			d.stop(ctx, node, server)
 			cancel()
@@ -140,24 +142,26 @@
 	}
 }
 
-// isShutdownSignal says whether a signal asks for a shutdown, and handles the others.
+// isShutdownSignal reports whether a signal requests a shutdown. It handles all other
+// signals itself.
 func isShutdownSignal(received os.Signal, log *zap.Logger, flush func() error) bool {
 	switch received {
 	case syscall.SIGUSR1:
 		if err := flush(); err != nil {
-			log.Warn("the log couldn't be written out", zap.Error(err))
+			log.Warn("the log ring couldn't be written out", zap.Error(err))
 		}
 		return false
 	case syscall.SIGHUP:
-		// Supervisors send it to have settings reloaded; by default it would end us.
-		log.Info("ignored: settings are only read at the start", zap.String("signal", received.String()))
+		// Supervisors send SIGHUP to request a reload of the settings; by default it
+		// would end the process.
+		log.Info("ignored a signal, because settings are read only at the start", zap.String("signal", received.String()))
 		return false
 	}
 	return true
 }
 
-// shutDown drains the node, waits for requests in progress, and stops, all within the
-// shutdown timeout of the settings. A second signal ends the waiting.
+// shutDown drains the node, waits for requests in progress, and stops the node, all
+// within the shutdown timeout in the settings. A second signal ends the wait.
 func (d *daemon) shutDown(node *process.Node, server Server) {
 	timeout := time.Duration(d.settings.ShutdownTimeoutUs) * time.Microsecond
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -190,10 +194,10 @@
 	}
 }
 
-// stop shuts the server down and stops the node.
+// stop shuts down the server and stops the node.
 func (d *daemon) stop(ctx context.Context, node *process.Node, server Server) {
 	if err := server.Shutdown(ctx); err != nil {
-		d.log.Warn("requests were still in progress", zap.Error(err))
+		d.log.Warn("the server was shut down while requests were still in progress", zap.Error(err))
 	}
 	node.Stop()
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -13,7 +13,7 @@
 
 func TestSignals(t *testing.T) {
 	Convey("Only some signals shut a process down", t, func() {
-		for _, each := range []struct {
+		for _, test := range []struct {
 			signal     os.Signal
 			isShutdown bool
 			flushes    int
@@ -27,9 +27,9 @@
 			core, logs := observer.New(zap.InfoLevel)
 			flushes := 0
 			flush := func() error { flushes++; return errors.New("full") }
-			So(isShutdownSignal(each.signal, zap.New(core), flush), ShouldEqual, each.isShutdown)
-			So(flushes, ShouldEqual, each.flushes)
-			So(logs.Len(), ShouldEqual, each.logged)
+			So(isShutdownSignal(test.signal, zap.New(core), flush), ShouldEqual, test.isShutdown)
+			So(flushes, ShouldEqual, test.flushes)
+			So(logs.Len(), ShouldEqual, test.logged)
 		}
 	})
 }
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestStartFailures(t *testing.T) {
-	never := func(*process.Node, *zap.Logger) (Server, error) { panic("it has started") }
+	failIfStarted := func(*process.Node, *zap.Logger) (Server, error) { panic("the node started") }
 	logFile := filepath.Join(t.TempDir(), "log")
 	options := func(data string) *schema.Settings {
 		return &schema.Settings{Zone: "c", InternalAddress: "127.0.0.1:0", HttpAddress: "127.0.0.1:1", DataDir: data, Seeds: []string{"127.0.0.1:1"}, TraceFile: logFile}
@@ -41,14 +41,14 @@
 	Convey("A data directory with foreign files: exit code 2, the file is named, nothing is written", t, func() {
 		data := t.TempDir()
 		So(os.WriteFile(filepath.Join(data, "family.jpg"), []byte("x"), 0o600), ShouldBeNil)
-		So(Serve("x", options(data), schema.Role_ROLE_SERVER, never), ShouldEqual, ExitInvalidSettings)
+		So(Serve("x", options(data), schema.Role_ROLE_SERVER, failIfStarted), ShouldEqual, ExitInvalidSettings)
 		So(fileNames(data), ShouldResemble, []string{"family.jpg"})
 		So(log(), ShouldContainSubstring, "family.jpg")
 	})
 	Convey("A data directory that is none: exit code 2, it is named and unchanged", t, func() {
 		data := filepath.Join(t.TempDir(), "file")
 		So(os.WriteFile(data, []byte("x"), 0o600), ShouldBeNil)
-		So(Serve("x", options(data), schema.Role_ROLE_SERVER, never), ShouldEqual, ExitInvalidSettings)
+		So(Serve("x", options(data), schema.Role_ROLE_SERVER, failIfStarted), ShouldEqual, ExitInvalidSettings)
 		text, err := os.ReadFile(data)
 		So(err, ShouldBeNil)
 		So(string(text), ShouldEqual, "x")
@@ -60,10 +60,10 @@
 		So(err, ShouldBeNil)
 		store, err := storage.Open(folder)
 		So(err, ShouldBeNil)
-		point := &schema.Snapshot{Index: 7, Term: 1, Data: []byte("\xff\xff\xff of another system")}
-		So(store.Commit([]*schema.StoreChange{{Group: "mail#4", Snapshot: point}}), ShouldBeNil)
+		snapshot := &schema.Snapshot{Index: 7, Term: 1, Data: []byte("\xff\xff\xff of another system")}
+		So(store.Commit([]*schema.StoreChange{{Group: "mail#4", Snapshot: snapshot}}), ShouldBeNil)
 		folder.Close()
-		So(Serve("x", options(data), schema.Role_ROLE_SERVER, never), ShouldEqual, ExitInvalidSettings)
+		So(Serve("x", options(data), schema.Role_ROLE_SERVER, failIfStarted), ShouldEqual, ExitInvalidSettings)
 		So(log(), ShouldContainSubstring, data)
 		So(log(), ShouldContainSubstring, "mail#4")
 	})
@@ -73,18 +73,18 @@
 		Reset(func() { taken.Close() })
 		settings := options("")
 		settings.InternalAddress = taken.Addr().String()
-		So(Serve("x", settings, schema.Role_ROLE_SERVER, never), ShouldEqual, ExitInvalidSettings)
+		So(Serve("x", settings, schema.Role_ROLE_SERVER, failIfStarted), ShouldEqual, ExitInvalidSettings)
 		So(log(), ShouldContainSubstring, "inner")
 	})
 }
 
-// recordingServer records the calls of Shutdown.
+// recordingServer is a server that records the calls of Shutdown.
 type recordingServer struct{ shutdowns chan bool }
 
-func (c recordingServer) StartDraining() {}
+func (s recordingServer) StartDraining() {}
 
-func (c recordingServer) Shutdown(context.Context) error {
-	c.shutdowns <- true
+func (s recordingServer) Shutdown(context.Context) error {
+	s.shutdowns <- true
 	return nil
 }
 
