--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -25,9 +25,9 @@
 		s.starts[0].Round, s.starts[0].StepInRound, s.starts[0].MemoryMb, s.starts[0].Accelerators = 2, 1, 7, 3
 		h.run(100 * eventloop.Millisecond)
 		So(h.logIndex("call 3 token 5"), ShouldEqual, 0)
-		a := s.heartbeats[0]
-		So(a.TasksByName && a.GangBarrier, ShouldBeTrue)
-		So([]any{a.Pool, a.Rack, a.Labels[0], a.CoresMilli, a.Incarnation, a.FencingToken}, ShouldResemble, []any{"pool", "r1", "a", int64(1000), uint64(1), uint64(5)})
+		heartbeat := s.heartbeats[0]
+		So(heartbeat.TasksByName && heartbeat.GangBarrier, ShouldBeTrue)
+		So([]any{heartbeat.Pool, heartbeat.Rack, heartbeat.Labels[0], heartbeat.CoresMilli, heartbeat.Incarnation, heartbeat.FencingToken}, ShouldResemble, []any{"pool", "r1", "a", int64(1000), uint64(1), uint64(5)})
 		So(h.worker.RunningCount(), ShouldEqual, 1)
 		reported := s.lastHeartbeat().Running[0]
 		So(statusName(reported), ShouldEqual, "j.2.1.0/1")
@@ -39,7 +39,8 @@
 		So(s.ends, ShouldResemble, []string{"j.2.1.0/1 done"})
 		h.run(200 * eventloop.Millisecond)
 		So(s.lastHeartbeat().Ended, ShouldBeEmpty)
-		// An idle worker is told that its ends are acknowledged after a while.
+		// The agent waits for a while before it tells an idle worker that its ends are
+		// acknowledged.
 		h.run(400 * eventloop.Millisecond)
 		So(h.worker.UnacknowledgedCount(), ShouldEqual, 0)
 		So(h.count(agent.Start), ShouldEqual, 1)
@@ -92,7 +93,7 @@
 		So(h.count(agent.Start), ShouldEqual, 1)
 		So(s.ends, ShouldResemble, []string{"j.0.0.1/1 stopped"})
 		So(h.worker.RunningCount(), ShouldEqual, 1)
-		// The last poll may be as old as its answer may be held back.
+		// The last poll may have been sent as long ago as the scheduler may delay its answer.
 		So(s.lastHeartbeat().DepartsInUs, ShouldBeBetween, int64(3*eventloop.Second), int64(3450*eventloop.Millisecond))
 		s.starts = nil
 		h.run(3 * eventloop.Second)
@@ -106,8 +107,8 @@
 	})
 }
 
-// A worker may depart without having drained: it then serves on for as long as a draining
-// one, so what runs there can't be returned yet.
+// A worker may depart without having drained. It then keeps running its tasks for as long
+// as a draining worker does, so they can't be returned yet.
 func TestDepartureWithoutDraining(t *testing.T) {
 	Convey("A departure that no draining came before starts the drain; the runs go on", t, func() {
 		h, s := newDefaultHarness(fakeworker.Config{}, nil)
@@ -141,7 +142,7 @@
 		for k := eventloop.Micros(0); k < 20; k++ {
 			h.run(3*eventloop.Second + k*70*eventloop.Millisecond)
 			h.isPaused = true
-			// Just enough time is left for an inspection, a poll and an inspection.
+			// The pause leaves just enough time for an inspection, a poll and another inspection.
 			remaining := h.worker.HoldUntil() - h.worker.Clock(h.now)
 			h.run(remaining - 10*messageDelay - agent.TickInterval)
 			h.isPaused = false
--- a/internal/agent/chaos_test.go
+++ b/internal/agent/chaos_test.go
@@ -13,7 +13,9 @@
 	"sparnotch/internal/schema"
 )
 
-// runWithAllFaults plays a run under all faults at once. It is deterministic by seed.
+// runWithAllFaults runs an agent, a worker and schedulers with all kinds of faults at
+// once, and returns the violations of the tested properties and the number of reported
+// ends. A seed always gives the same run.
 func runWithAllFaults(seed uint64) (violations []string, ends int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	faultsOver := false
@@ -44,7 +46,7 @@
 		s.losesReply = func() bool { return !faultsOver && rng.IntN(5) == 0 }
 	}
 	configureFaults(s)
-	addViolation := func(format string, given ...any) { violations = append(violations, fmt.Sprintf(format, given...)) }
+	addViolation := func(format string, args ...any) { violations = append(violations, fmt.Sprintf(format, args...)) }
 	attempts := map[uint32]uint32{}
 	lastTask := uint32(0)
 	worker, fencingToken, checked, pausedAt := "w1", uint64(5), 0, 0
@@ -80,7 +82,7 @@
 				h.isPaused, pausedAt = !h.isPaused, step
 			}
 		}
-		// An agent that is paused nearly all the time tests nothing.
+		// A run whose agent is paused nearly all the time would test nothing.
 		if h.isPaused && step-pausedAt > 8_000 {
 			h.isPaused = false
 		}
@@ -97,12 +99,12 @@
 			s.stops = append(s.stops, newOrder("stop", "j", stop.Task, stop.Attempt, ""))
 		}
 		h.run(eventloop.Millisecond)
-		// A run that was reported as ended doesn't run, then or later, and its task is
-		// ordered again as the next attempt.
+		// An attempt that was reported as ended must not run, now or later. Its task is
+		// ordered again as the next attempt unless the state is done.
 		for ; checked < len(s.ends); checked++ {
 			var task, attempt uint32
-			var how string
-			if _, err := fmt.Sscanf(s.ends[checked], "j.0.0.%d/%d %s", &task, &attempt, &how); err != nil {
+			var state string
+			if _, err := fmt.Sscanf(s.ends[checked], "j.0.0.%d/%d %s", &task, &attempt, &state); err != nil {
 				addViolation("%s: %v", s.ends[checked], err)
 			}
 			key := attemptName("j", 0, 0, task, attempt)
@@ -114,15 +116,15 @@
 				addViolation("%s runs at %d though it was reported as ended", key, step)
 			}
 			ends++
-			kept := s.starts[:0:0]
-			for _, o := range s.starts {
-				if o.Task != task || o.Attempt != attempt {
-					kept = append(kept, o)
-				} else if how != "done" && !faultsOver {
-					kept = append(kept, newOrder("start", "j", task, attempt+1, o.Text))
+			remaining := s.starts[:0:0]
+			for _, order := range s.starts {
+				if order.Task != task || order.Attempt != attempt {
+					remaining = append(remaining, order)
+				} else if state != "done" && !faultsOver {
+					remaining = append(remaining, newOrder("start", "j", task, attempt+1, order.Text))
 				}
 			}
-			s.starts = kept
+			s.starts = remaining
 		}
 		if len(violations) > 0 {
 			return violations, ends
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -16,36 +16,38 @@
 	"sparnotch/internal/schema"
 )
 
-const messageDelay = eventloop.Millisecond // every message takes so long
+// messageDelay is the default time that a message takes.
+const messageDelay = eventloop.Millisecond
 
-// fakeScheduler is a scripted scheduler: it orders starts and stops until polls show them done.
+// fakeScheduler is a scripted scheduler. It repeats its orders of starts and stops until
+// polls show that they have been carried out.
 type fakeScheduler struct {
 	id               string
 	fencingToken     uint64
 	lease            eventloop.Micros
-	acknowledgeAfter eventloop.Micros // acknowledges an end so long after it was reported; below 0: never
-	inspectionPause  eventloop.Micros // that it allows
+	acknowledgeAfter eventloop.Micros // time from the first report of an end to its acknowledgement; below 0: ends are never acknowledged
+	inspectionPause  eventloop.Micros // sent with all orders
 	isUnresponsive   bool
-	repeatsOrders    bool        // it orders attempts again whose end it has acknowledged
-	losesReply       func() bool // decides for each answer whether it is lost
+	repeatsOrders    bool        // it orders attempts again even after it has acknowledged their end
+	losesReply       func() bool // reports whether the next answer is lost; nil: none is lost
 	starts           []*schema.TaskOrder
 	stops            []*schema.TaskOrder
 	heartbeats       []*schema.WorkerHeartbeat
 	firstReported    map[string]eventloop.Micros // when each end was first reported
-	ends             []string
-	openPoll         *schema.WorkerPollRequest
-	pollDeadline     eventloop.Micros
-	sequence         uint64
-	rejected         int
-	leaseEndsAt      eventloop.Micros // by the scheduler's clock
+	ends             []string                    // reported ends, each once: attempt name and state
+	openPoll         *schema.WorkerPollRequest   // poll that isn't answered yet; nil: none is open
+	pollDeadline     eventloop.Micros            // when openPoll must be answered
+	sequence         uint64                      // sequence number of the last accepted poll
+	rejected         int                         // number of rejected polls
+	leaseEndsAt      eventloop.Micros            // end of the run lease that the last answer granted, by the scheduler's clock
 }
 
 func newFakeScheduler(id string, token uint64) *fakeScheduler {
 	return &fakeScheduler{id: id, fencingToken: token, lease: 4 * eventloop.Second, firstReported: map[string]eventloop.Micros{}}
 }
 
-func attemptName(job string, round, part, task, attempt uint32) string {
-	return fmt.Sprintf("%s.%d.%d.%d/%d", job, round, part, task, attempt)
+func attemptName(job string, round, stepInRound, task, attempt uint32) string {
+	return fmt.Sprintf("%s.%d.%d.%d/%d", job, round, stepInRound, task, attempt)
 }
 
 func statusName(status *schema.TaskStatus) string {
@@ -59,29 +61,30 @@
 	return &schema.TaskOrder{Action: action, Name: job, Task: task, Attempt: attempt, Text: text, CoresMilli: 100}
 }
 
-// harness joins an agent, a called worker and fake schedulers in virtual time.
+// harness connects an agent, a worker that the agent calls, and fake schedulers. They run
+// in virtual time.
 type harness struct {
 	now                 eventloop.Micros
-	events              []func()
+	events              []func() // pending events in the order of eventTimes
 	eventTimes          []eventloop.Micros
 	agent               *agent.Agent
 	worker              *fakeworker.CalledWorker
 	schedulers          map[string]*fakeScheduler
 	calls               []agent.Call
 	callTimes           []eventloop.Micros
-	log                 []string // calls and polls in the order they were sent
-	registrations       int
-	startCounts         map[string]int
-	startTimes          map[string]eventloop.Micros
+	log                 []string                    // calls and polls in the order they were sent
+	registrations       int                         // number of requests to register the worker
+	startCounts         map[string]int              // number of starts at the worker, by attempt name
+	startTimes          map[string]eventloop.Micros // time of the last start at the worker, by attempt name
 	onStart             func(key string)
-	messageDelay        func(body any) eventloop.Micros // how long a message takes; nil: messageDelay
+	messageDelay        func(body any) eventloop.Micros // returns the time that a message takes; nil: the constant messageDelay for all
 	withholdsHeartbeats bool                            // the worker sends no heartbeats
 	isPaused            bool                            // the agent takes no steps
 	mailbox             []eventloop.Message
 	nextHeartbeat       eventloop.Micros
 	nextTick            eventloop.Micros
 	clusterState        *schema.ClusterState
-	pollTimes           map[uint64]eventloop.Micros // by sequence number
+	pollTimes           map[uint64]eventloop.Micros // when each poll was sent, by sequence number
 }
 
 func newHarness(config fakeworker.Config, bounds *schema.Bounds) *harness {
@@ -107,7 +110,7 @@
 	return h
 }
 
-// newDefaultHarness is a harness with one scheduler that holds the worker's lease.
+// newDefaultHarness returns a harness with one scheduler, which holds the worker's lease.
 func newDefaultHarness(config fakeworker.Config, bounds *schema.Bounds) (*harness, *fakeScheduler) {
 	h := newHarness(config, bounds)
 	s := h.addScheduler("p1", 5, "w1")
@@ -127,7 +130,7 @@
 	state.Version++
 	state.WorkerLeases = slices.DeleteFunc(state.WorkerLeases, func(w *schema.WorkerLease) bool { return w.Worker == worker })
 	state.WorkerLeases = append(state.WorkerLeases, &schema.WorkerLease{Worker: worker, Scheduler: id, FencingToken: token})
-	// Worker leases are sorted by worker, as the lookup is a binary search.
+	// Worker leases must be sorted by worker, because the lookup is a binary search.
 	slices.SortFunc(state.WorkerLeases, func(x, y *schema.WorkerLease) int { return cmp.Compare(x.Worker, y.Worker) })
 	h.clusterState = state
 	h.publishClusterState()
@@ -234,7 +237,8 @@
 	s.openPoll, s.pollDeadline = m, h.now+eventloop.Micros(heartbeat.MaxWaitUs)
 }
 
-// replyToPoll answers the open poll when there are orders or acknowledgements, or at its deadline.
+// replyToPoll answers the open poll as soon as there are orders or acknowledgements, or
+// at the poll's deadline.
 func (h *harness) replyToPoll(s *fakeScheduler) {
 	if s.openPoll == nil || s.isUnresponsive {
 		return
@@ -285,14 +289,15 @@
 	return count
 }
 
-// logIndex is where a line stands in the log; -1 when it doesn't.
+// logIndex returns the index of a line in the log, or -1 if the log doesn't contain it.
 func (h *harness) logIndex(line string) int { return slices.Index(h.log, line) }
 
 func (s *fakeScheduler) lastHeartbeat() *schema.WorkerHeartbeat {
 	return s.heartbeats[len(s.heartbeats)-1]
 }
 
-// faultSequence gives the calls of one action these faults in turn, and none after.
+// faultSequence returns a fault function that applies the faults, one each, to the first
+// calls with the given action. Later calls and calls with other actions have no fault.
 func faultSequence(action agent.Action, faults ...fakeworker.Fault) func(eventloop.Micros, agent.Call) fakeworker.Fault {
 	return func(_ eventloop.Micros, call agent.Call) fakeworker.Fault {
 		if call.Action != action || len(faults) == 0 {
@@ -304,7 +309,7 @@
 	}
 }
 
-// faultWhile loses every request while the flag is set.
+// faultWhile returns a fault function that loses every request while the flag is set.
 func faultWhile(isUnresponsive *bool) func(eventloop.Micros, agent.Call) fakeworker.Fault {
 	return func(eventloop.Micros, agent.Call) fakeworker.Fault {
 		if *isUnresponsive {
@@ -314,6 +319,8 @@
 	}
 }
 
+// faultOn returns a fault function that applies the fault to every call with the given
+// action.
 func faultOn(action agent.Action, fault fakeworker.Fault) func(eventloop.Micros, agent.Call) fakeworker.Fault {
 	return func(_ eventloop.Micros, call agent.Call) fakeworker.Fault {
 		if call.Action == action {
--- a/internal/agent/incarnation_test.go
+++ b/internal/agent/incarnation_test.go
@@ -16,13 +16,13 @@
 		h, s := newDefaultHarness(fakeworker.Config{}, nil)
 		s.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		h.run(2 * eventloop.Second)
-		late := h.worker.Heartbeat(h.now)
-		late.Number += 100
+		delayed := h.worker.Heartbeat(h.now)
+		delayed.Number += 100
 		h.worker.Restart(h.now, "w2")
 		h.withholdsHeartbeats = true
 		sent := len(s.heartbeats)
 		h.run(2 * eventloop.Second)
-		// Another incarnation replies: the old one isn't reported any more.
+		// Another incarnation replies to calls, so the agent stops reporting the old one.
 		So(len(s.heartbeats)-sent, ShouldBeLessThanOrEqualTo, 3)
 		s.starts, s.losesReply = nil, func() bool { return true }
 		h.withholdsHeartbeats = false
@@ -30,15 +30,15 @@
 		s.fencingToken, s.heartbeats = 6, nil
 		h.run(2 * eventloop.Second)
 		So(len(s.heartbeats), ShouldBeGreaterThan, 1)
-		for _, a := range s.heartbeats {
-			So(a.ReplacedWorkers, ShouldResemble, []string{"w1"})
-			So(a.Running, ShouldBeEmpty)
+		for _, heartbeat := range s.heartbeats {
+			So(heartbeat.ReplacedWorkers, ShouldResemble, []string{"w1"})
+			So(heartbeat.Running, ShouldBeEmpty)
 		}
 		s.losesReply = nil
 		h.run(2 * eventloop.Second)
 		So(s.lastHeartbeat().ReplacedWorkers, ShouldBeEmpty)
 		// A delayed heartbeat of the former incarnation changes nothing.
-		h.deliver("", late)
+		h.deliver("", delayed)
 		inspections, calls := h.count(agent.Inspect), len(h.calls)
 		s.starts = []*schema.TaskOrder{newOrder("start", "k", 0, 1, "run_us=60000000")}
 		h.run(2 * eventloop.Second)
@@ -55,8 +55,8 @@
 		s.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		h.run(2 * eventloop.Second)
 		unresponsive = true
-		// When its hold is over, whatever its clock rate, only its ended runs are
-		// reported, and no free capacity.
+		// Once the worker's hold is over, whatever the rate of its clock, the agent reports
+		// only its ended runs, and no free capacity.
 		for k := 0; k < 4000 && len(s.ends) == 0; k++ {
 			h.run(eventloop.Millisecond)
 		}
@@ -88,18 +88,18 @@
 	Convey("A delayed heartbeat of an incarnation that was replaced by a heartbeat alone changes nothing", t, func() {
 		h, s := newDefaultHarness(fakeworker.Config{}, nil)
 		h.run(2 * eventloop.Second)
-		late := h.worker.Heartbeat(h.now)
-		late.Number += 100
+		delayed := h.worker.Heartbeat(h.now)
+		delayed.Number += 100
 		h.worker.Restart(h.now, "w2")
 		h.nextHeartbeat, s.fencingToken = 0, 6
 		h.moveLease("p1", 6, "w2")
 		h.run(eventloop.Second)
 		So(s.lastHeartbeat().FencingToken, ShouldEqual, 6)
 		from, calls := len(s.heartbeats), len(h.calls)
-		h.deliver("", late)
+		h.deliver("", delayed)
 		h.run(3 * eventloop.Second)
-		for _, a := range s.heartbeats[from:] {
-			So(a.ReplacedWorkers, ShouldBeEmpty)
+		for _, heartbeat := range s.heartbeats[from:] {
+			So(heartbeat.ReplacedWorkers, ShouldBeEmpty)
 		}
 		for _, call := range h.calls[calls:] {
 			So(call.Worker, ShouldEqual, "w2")
--- a/internal/agent/inspection_test.go
+++ b/internal/agent/inspection_test.go
@@ -107,7 +107,8 @@
 	Convey("The reply to an inspection from before a start doesn't undo the start", t, func() {
 		h, s := newDefaultHarness(fakeworker.Config{}, nil)
 		h.run(eventloop.Second)
-		// The reply to the open inspection is delayed: its list is out of date.
+		// The reply to the open inspection is delayed, so that its list of running tasks is
+		// out of date when it arrives.
 		inspection := h.calls[len(h.calls)-1]
 		h.messageDelay = func(body any) eventloop.Micros {
 			if reply, found := body.(agent.Reply); found && reply.Number == inspection.Number {
@@ -126,7 +127,8 @@
 		h, s := newDefaultHarness(fakeworker.Config{}, nil)
 		s.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=1400000")}
 		h.run(200 * eventloop.Millisecond)
-		// The first reply that lists the run is delayed until its end is acknowledged.
+		// The first reply that lists the run is delayed until after the end of the run is
+		// acknowledged.
 		delayed := false
 		h.messageDelay = func(body any) eventloop.Micros {
 			if reply, found := body.(agent.Reply); found && !delayed && len(reply.Running) > 0 {
@@ -135,7 +137,7 @@
 			}
 			return messageDelay
 		}
-		s.stops = []*schema.TaskOrder{newOrder("stop", "x", 9, 1, "")} // needs another inspection
+		s.stops = []*schema.TaskOrder{newOrder("stop", "x", 9, 1, "")} // makes the agent send another inspection
 		h.run(1600 * eventloop.Millisecond)
 		s.stops = []*schema.TaskOrder{newOrder("stop", "y", 9, 1, "")}
 		h.run(400 * eventloop.Millisecond)
@@ -143,8 +145,8 @@
 		So(s.ends, ShouldContain, "j.0.0.0/1 done")
 		before := len(s.heartbeats)
 		h.run(2 * eventloop.Second)
-		for _, a := range s.heartbeats[before:] {
-			So(a.Running, ShouldBeEmpty)
+		for _, heartbeat := range s.heartbeats[before:] {
+			So(heartbeat.Running, ShouldBeEmpty)
 		}
 		So(s.ends, ShouldHaveLength, 3)
 	})
--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -21,7 +21,8 @@
 			So(h.worker.RunningCount(), ShouldEqual, 1)
 			for k := 0; k < 1000; k++ {
 				h.run(7 * eventloop.Millisecond)
-				// A slow clock ends the hold later by its error over a lease.
+				// With a slow clock, the hold ends later, by the error of the clock over the
+				// duration of a lease.
 				remaining := eventloop.Micros(float64(h.worker.HoldUntil()-h.worker.Clock(h.now)) / drift)
 				So(h.now+remaining, ShouldBeLessThanOrEqualTo, s.leaseEndsAt+eventloop.Micros(float64(s.lease)*(1/drift-1))+2)
 				So(remaining, ShouldBeGreaterThan, s.lease/3)
@@ -63,7 +64,7 @@
 		So(h.worker.FencingToken(), ShouldEqual, 9)
 		So(h.logIndex("call 3 token 9"), ShouldBeBetween, -1, h.logIndex("poll p2 token 9"))
 		So(second.heartbeats[0].Running, ShouldHaveLength, 1)
-		// Orders of the former holder are ignored.
+		// Orders under the former lease's token are ignored.
 		orders := &schema.WorkerOrders{FencingToken: 5, LeaseUs: int64(9 * eventloop.Second), Orders: []*schema.TaskOrder{newOrder("start", "x", 0, 1, "")}}
 		for id := uint64(1000); id < 1100; id++ {
 			h.deliver("p1", &schema.WorkerPollResponse{Id: id, Code: 200, Orders: orders})
--- a/internal/agent/stale_reply_test.go
+++ b/internal/agent/stale_reply_test.go
@@ -18,15 +18,15 @@
 		h, s := newDefaultHarness(fakeworker.Config{}, nil)
 		s.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 		h.run(3 * eventloop.Second)
-		var over []agent.Call
+		var answered []agent.Call
 		for k, call := range h.calls {
 			if h.now-h.callTimes[k] > 2*eventloop.Second {
-				over = append(over, call)
+				answered = append(answered, call)
 			}
 		}
-		So(over, ShouldNotBeEmpty)
-		again := func(change func(reply *agent.Reply)) {
-			for _, call := range over {
+		So(answered, ShouldNotBeEmpty)
+		redeliver := func(change func(reply *agent.Reply)) {
+			for _, call := range answered {
 				reply := agent.Reply{Number: call.Number, Outcome: agent.Succeeded, Clock: eventloop.Second}
 				change(&reply)
 				h.deliver("", reply)
@@ -34,12 +34,12 @@
 			h.run(eventloop.Second)
 		}
 		Convey("a duplicate reply doesn't change what runs", func() {
-			again(func(*agent.Reply) {})
+			redeliver(func(*agent.Reply) {})
 			So(s.ends, ShouldBeEmpty)
 			So(s.lastHeartbeat().Running, ShouldHaveLength, 1)
 		})
 		Convey("nor does it show that the worker was replaced", func() {
-			again(func(reply *agent.Reply) { reply.Outcome = agent.IncarnationMismatch })
+			redeliver(func(reply *agent.Reply) { reply.Outcome = agent.IncarnationMismatch })
 			polls := len(s.heartbeats)
 			h.run(2 * eventloop.Second)
 			So(len(s.heartbeats), ShouldBeGreaterThan, polls)
@@ -52,7 +52,7 @@
 			s.fencingToken = 6
 			h.run(2 * eventloop.Second)
 			So(s.lastHeartbeat().FencingToken, ShouldEqual, 6)
-			again(func(reply *agent.Reply) {
+			redeliver(func(reply *agent.Reply) {
 				reply.Running = []agent.RunningTask{{Task: agent.TaskName{Job: "j"}, Attempt: 1}}
 				reply.Ended = []agent.EndedTask{{Number: 1, Task: agent.TaskName{Job: "k"}, Attempt: 1, State: "done"}}
 			})
--- a/internal/agent/tasks_test.go
+++ b/internal/agent/tasks_test.go
@@ -12,12 +12,12 @@
 )
 
 func TestStarts(t *testing.T) {
-	long := func(s *fakeScheduler) {
+	orderLongTask := func(s *fakeScheduler) {
 		s.starts = []*schema.TaskOrder{newOrder("start", "j", 0, 1, "run_us=60000000")}
 	}
 	Convey("A start whose reply was lost is found running", t, func() {
 		h, s := newDefaultHarness(fakeworker.Config{Fault: faultSequence(agent.Start, fakeworker.FaultReplyLost)}, nil)
-		long(s)
+		orderLongTask(s)
 		h.run(3 * eventloop.Second)
 		So(h.startCounts["j.0.0.0/1"], ShouldEqual, 1)
 		So(h.worker.RunningCount(), ShouldEqual, 1)
@@ -26,7 +26,7 @@
 	})
 	Convey("A start that times out is stopped and reported, and has no effect when it is carried out later", t, func() {
 		h, s := newDefaultHarness(fakeworker.Config{Fault: faultOn(agent.Start, fakeworker.FaultDelayed), FaultDelay: 3 * eventloop.Second}, nil)
-		long(s)
+		orderLongTask(s)
 		h.run(2 * eventloop.Second)
 		So(s.ends, ShouldResemble, []string{"j.0.0.0/1 stopped"})
 		So(h.count(agent.Stop), ShouldEqual, 1)
@@ -39,7 +39,7 @@
 			Fault:        faultOn(agent.Start, fakeworker.FaultReplyLost),
 			StopDuration: func(agent.TaskName, uint32) eventloop.Micros { return 700 * eventloop.Millisecond },
 		}, &schema.Bounds{StopTimeoutUs: int64(eventloop.Second)})
-		long(s)
+		orderLongTask(s)
 		h.run(1300 * eventloop.Millisecond)
 		So(h.count(agent.Stop), ShouldEqual, 1)
 		So(s.ends, ShouldBeEmpty)
@@ -67,13 +67,13 @@
 	})
 	Convey("A start at a busy worker is retried, and given up after 0.9 s", t, func() {
 		h, s := newDefaultHarness(fakeworker.Config{Fault: faultSequence(agent.Start, fakeworker.FaultBusy, fakeworker.FaultBusy, fakeworker.FaultBusy)}, nil)
-		long(s)
+		orderLongTask(s)
 		h.run(eventloop.Second)
 		So(h.worker.RunningCount(), ShouldEqual, 1)
 		So(h.count(agent.Start), ShouldEqual, 4)
 		h, s = newDefaultHarness(fakeworker.Config{Fault: faultOn(agent.Start, fakeworker.FaultBusy)}, nil)
 		h.run(12 * eventloop.Second)
-		long(s)
+		orderLongTask(s)
 		h.run(1200 * eventloop.Millisecond)
 		So(s.ends, ShouldResemble, []string{"j.0.0.0/1 stopped"})
 		So(h.count(agent.Stop), ShouldEqual, 0)
@@ -89,7 +89,7 @@
 		}}, nil)
 		h.run(12 * eventloop.Second)
 		s.repeatsOrders = true
-		long(s)
+		orderLongTask(s)
 		h.run(1500 * eventloop.Millisecond)
 		busy = false
 		h.run(3 * eventloop.Second)
@@ -104,7 +104,7 @@
 		h, s := newDefaultHarness(fakeworker.Config{}, nil)
 		h.run(100 * eventloop.Millisecond)
 		h.worker.HandleCall(h.now, agent.Call{Action: agent.Stop, Worker: "w1", Task: agent.TaskName{Job: "j"}, Attempt: 1, FencingToken: 5}, func(agent.Reply) {})
-		long(s)
+		orderLongTask(s)
 		h.run(eventloop.Second)
 		So(s.ends, ShouldResemble, []string{"j.0.0.0/1 stopped"})
 		So(h.startCounts, ShouldBeEmpty)
--- a/internal/agent/unanswered_test.go
+++ b/internal/agent/unanswered_test.go
@@ -13,8 +13,8 @@
 	Convey("Polls say when earlier ones weren't answered, until one is", t, func() {
 		h, s := newDefaultHarness(fakeworker.Config{}, nil)
 		h.run(2 * eventloop.Second)
-		for _, a := range s.heartbeats {
-			So(a.Unanswered, ShouldBeFalse)
+		for _, heartbeat := range s.heartbeats {
+			So(heartbeat.Unanswered, ShouldBeFalse)
 		}
 		partitioned := true
 		s.losesReply = func() bool { return partitioned }
