--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -49,7 +49,7 @@
 // admitHeartbeat reports whether a heartbeat is accepted. Heartbeats of former
 // incarnations are rejected, with one exception: after a restart of the agent, a
 // delayed heartbeat of a former incarnation can replace the live one. The live
-// incarnation is accepted again as long as the former one has not replied to any call.
+// incarnation is accepted again if the one that replaced it has not replied to any call.
 func (a *Agent) admitHeartbeat(heartbeat Heartbeat) bool {
 	k := a.formerIndex(heartbeat.Worker)
 	if k < 0 {
--- a/internal/agent/inspection.go
+++ b/internal/agent/inspection.go
@@ -6,14 +6,14 @@
 
 const (
 	inspectWait     = eventloop.Second     // how long an inspection waits for a task to end while tasks are running
-	idleInspectWait = 2 * eventloop.Second // and while none is
+	idleInspectWait = 2 * eventloop.Second // the same while no task is running
 	// lossyInspectWait replaces inspectWait for callLossPeriod after a lost call,
 	// because the loss of an inspection is noticed only after its wait.
 	lossyInspectWait = 80 * eventloop.Millisecond
 	callLossPeriod   = 5 * eventloop.Second
-	// acknowledgeDelay is how long the agent waits before it inspects an idle worker only to
-	// tell it which ends are acknowledged. Inspections of tasks that start in the
-	// meantime tell it anyway.
+	// acknowledgeDelay is how long the agent waits before it inspects an idle worker
+	// only to tell it which ends are acknowledged. If a task starts in the meantime, the
+	// next inspection tells it anyway.
 	acknowledgeDelay = 500 * eventloop.Millisecond
 	// idleInspectionInterval is the maximum time between two inspections of an idle
 	// worker. They verify that the worker still accepts calls.
@@ -77,14 +77,14 @@
 }
 
 // isHoldExpiring reports whether the worker's confirmed hold ends soon and a call now
-// would extend it. The open long inspection may not have extended it far, as the lease
-// may have been about to end when it was sent.
+// would extend it. The open long inspection isn't always enough: when it was sent, the
+// lease may have been about to end, so that it extends the hold only a little.
 func (a *Agent) isHoldExpiring(now eventloop.Micros, w *workerState) bool {
 	duration := a.holdExtension(w)
 	minRemaining := duration / 5
 	if pending := w.pendingCalls[w.longInspection]; pending != nil && pending.wait > inspectWait {
-		// The open inspection waits for as long as one of an idle worker, because
-		// nothing ran there when it was sent.
+		// The open inspection has the longer wait for idle workers, because nothing ran
+		// there when it was sent.
 		minRemaining = 2 * duration / 3
 	}
 	return w.confirmedHoldUntil-now < minRemaining && a.maxHoldDeadline(now, w) > w.confirmedHoldUntil+duration/8 && w.hasStartedRuns()
@@ -214,7 +214,8 @@
 	case e != nil && e.number != 0:
 		return
 	case e != nil:
-		// The agent reported it as ended, but the worker still runs it: stop it.
+		// The agent has reported the attempt as ended, but the worker still runs it, so it
+		// is stopped.
 		delete(w.unacknowledged, key)
 		r = &run{key: key, state: stopping, firstSeenAt: now}
 		w.runs[key] = r
--- a/internal/process/commit.go
+++ b/internal/process/commit.go
@@ -14,8 +14,8 @@
 )
 
 // DiskHangTimeout is the duration of a sync above which the disk counts as hung. It is
-// far longer than a healthy disk needs, and leaders have handed over because of the
-// latency well before.
+// far longer than a healthy disk needs, and well before that time leaders have handed
+// over because of the latency.
 const DiskHangTimeout = 2 * eventloop.Second
 
 // storageWriter is the component that queues batches for writeBatches, which may block
@@ -102,7 +102,7 @@
 }
 
 // reportLatency reports the worst recent latency of this process to the membership
-// component. Leaders are placed by these latencies.
+// component. The cluster uses these latencies to decide where to place leaders.
 func (n *Node) reportLatency() {
 	worst := max(n.loop.TickLatency(), eventloop.Micros(n.worstSync.Load()))
 	// A write in progress counts with its duration so far.
--- a/internal/process/components.go
+++ b/internal/process/components.go
@@ -29,7 +29,7 @@
 	"sparnotch/internal/storage"
 )
 
-// Names of components.
+// Names of the components of a node.
 const (
 	AgentComponent        = "agent"
 	ControllerComponent   = "controller"
--- a/internal/process/node.go
+++ b/internal/process/node.go
@@ -35,7 +35,7 @@
 
 	latencyReportInterval = 250 * eventloop.Millisecond
 	partitionReadInterval = 100 * time.Millisecond
-	maxPendingBatches     = 4 // never reached: at most one batch is pending, because the replicas wait for it
+	maxPendingBatches     = 4 // never reached, because the replicas wait for each batch before they send the next
 
 	// diskStopTimeout is how long Stop waits for a disk that doesn't respond. Nobody
 	// has been told that a write still in progress is durable.
