--- a/internal/agent/poll_test.go
+++ b/internal/agent/poll_test.go
@@ -23,8 +23,8 @@
 		So(h.worker.UnacknowledgedCount(), ShouldEqual, 0)
 		So(s.lastHeartbeat().Ended, ShouldBeEmpty)
 		So(h.count(agent.Start), ShouldEqual, 6)
-		for k, heartbeat := range s.heartbeats[1:] {
-			So(heartbeat.Seq, ShouldBeGreaterThan, s.heartbeats[k].Seq)
+		for previous, heartbeat := range s.heartbeats[1:] {
+			So(heartbeat.Seq, ShouldBeGreaterThan, s.heartbeats[previous].Seq)
 		}
 	})
 	Convey("A poll without an answer is superseded after 0.7 s", t, func() {
