--- a/internal/process/commit.go
+++ b/internal/process/commit.go
@@ -88,7 +88,7 @@
 		n.reportLatency()
 		if isHung := n.isDiskHung() && !n.storeRefuses.Load(); isHung != wasHung {
 			wasHung = isHung
-			n.log.Error("disk hang", zap.Bool("is_hung", isHung))
+			n.log.Error("the disk started or stopped hanging", zap.Bool("is_hung", isHung))
 		}
 		n.worstSync.Store(n.worstSync.Load() * 15 / 16)
 	})
