--- a/cmd/sparnotch-platform/main.go
+++ b/cmd/sparnotch-platform/main.go
@@ -54,10 +54,10 @@
 func (c *command) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	settings, err := platform.Load()
 	if err == nil && set.NArg() > 0 {
-		err = platform.Invalid.New("%s: sparnotch-platform %s takes no arguments", set.Arg(0), c.name)
+		err = platform.InvalidSettings.New("%s: sparnotch-platform %s takes no arguments", set.Arg(0), c.name)
 	}
 	if err == nil && c.role != schema.Role_ROLE_NONE && c.role != settings.Role {
-		err = platform.Invalid.New("serves: doesn't fit sparnotch-platform %s", c.name)
+		err = platform.InvalidSettings.New("serves: doesn't fit sparnotch-platform %s", c.name)
 	}
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "sparnotch-platform: %v\n", err)
