--- a/cmd/sparnotch-platform/main.go
+++ b/cmd/sparnotch-platform/main.go
@@ -1,5 +1,6 @@
-// Command sparnotch-platform runs gateway nodes and agent nodes on the users' platform,
-// with the settings of the file that an environment variable names (package platform).
+// Command sparnotch-platform runs a gateway node or an agent node on the users' platform. It
+// reads its settings from the file whose path is in the environment variable
+// platform.SettingsVariable.
 package main
 
 import (
@@ -21,25 +22,26 @@
 
 const (
 	bytesPerMB = 1_000_000
-	// defaultGCPercent is the Go runtime's own.
+	// defaultGCPercent is the Go runtime's default for GOGC.
 	defaultGCPercent = 100
-	// storageNodeGCPercent is for nodes that may lead; the memory limit bounds their heap all the same.
+	// storageNodeGCPercent is the GOGC value of storage nodes, which may lead a queue. The
+	// memory limit still bounds their heap.
 	storageNodeGCPercent = 400
 )
 
 func main() {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(&command{name: "front", synopsis: "run a gateway node", role: schema.Role_ROLE_SERVER}, "")
-	subcommands.Register(&command{name: "side", synopsis: "run an agent node, with the agent of its worker", role: schema.Role_ROLE_CONTROLLER}, "")
-	subcommands.Register(&command{name: "check", synopsis: "check the settings and start nothing"}, "")
+	subcommands.Register(&command{name: "side", synopsis: "run an agent node, which includes the agent of the worker on this machine", role: schema.Role_ROLE_CONTROLLER}, "")
+	subcommands.Register(&command{name: "check", synopsis: "check the settings without starting a node"}, "")
 	flag.Parse()
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
 
-// command runs a node of a role, or checks the settings.
+// command is a subcommand that runs a node with a role, or only checks the settings.
 type command struct {
 	name, synopsis string
-	role           schema.Role // none: check the settings only
+	role           schema.Role // ROLE_NONE: only check the settings
 }
 
 func (c *command) Name() string             { return c.name }
@@ -47,7 +49,7 @@
 func (c *command) SetFlags(_ *flag.FlagSet) {}
 
 func (c *command) Usage() string {
-	return fmt.Sprintf("sparnotch-platform %s\n  %s, by the settings file that %s names.\n  Exit codes: 0 shut down on request, 1 failed, 2 bad settings (the setting is named).\n",
+	return fmt.Sprintf("sparnotch-platform %s\n  %s. Reads the settings file whose path is in $%s.\n  Exit codes: 0 shut down on request, 1 failed, 2 invalid settings (the error names the setting).\n",
 		c.name, c.synopsis, platform.SettingsVariable)
 }
 
@@ -57,7 +59,7 @@
 		err = platform.InvalidSettings.New("%s: sparnotch-platform %s takes no arguments", set.Arg(0), c.name)
 	}
 	if err == nil && c.role != schema.Role_ROLE_NONE && c.role != settings.Role {
-		err = platform.InvalidSettings.New("serves: doesn't fit sparnotch-platform %s", c.name)
+		err = platform.InvalidSettings.New("serves: the setting gives the process another role than sparnotch-platform %s", c.name)
 	}
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "sparnotch-platform: %v\n", err)
@@ -67,7 +69,7 @@
 		fmt.Println("settings are valid")
 		return subcommands.ExitSuccess
 	}
-	// SIGHUP changes nothing: settings are read at the start only.
+	// SIGHUP is ignored, since the settings are read only at startup.
 	signal.Ignore(syscall.SIGHUP)
 	tuneCollector(settings)
 	var workerClients []agent.WorkerClient
@@ -77,19 +79,20 @@
 	return daemon.Serve("sparnotch-platform", settings.NodeSettings, c.role, platform.Open(settings), workerClients...)
 }
 
-// collectorTuning is how the garbage collector works in a process.
+// collectorTuning holds the settings of a process's garbage collector.
 type collectorTuning struct {
-	memoryLimit int64 // bytes, soft; 0: none
-	percent     int   // by which the heap grows between two collections
+	memoryLimit int64 // soft memory limit in bytes; 0 means no limit
+	percent     int   // GOGC: percentage by which the heap may grow between two collections
 }
 
-// collectorTuningOf chooses the tuning by the limits that the platform sets and by what the
-// process does. A leader's processor is scarcer than its memory: under load each collection
-// delays what it schedules.
+// collectorTuningOf returns the garbage collector settings for a process. They depend on the
+// memory limit that the platform sets and on whether the process is a storage node. A queue's
+// leader runs on a storage node and is short of CPU time rather than of memory, since under
+// load each collection delays the scheduling of tasks.
 func collectorTuningOf(settings *platform.Settings) collectorTuning {
 	tuning := collectorTuning{percent: defaultGCPercent}
-	// The platform kills a process above its memory limit. The collector works against a
-	// soft limit below it: a fifth is left for memory that the runtime doesn't count.
+	// The platform kills a process that exceeds its memory limit. The collector's soft limit
+	// is a fifth below it, which leaves room for memory that the Go runtime doesn't count.
 	if settings.MemoryMB > 0 {
 		tuning.memoryLimit = settings.MemoryMB * bytesPerMB / 5 * 4
 	}
--- a/cmd/sparnotch-platform/main_test.go
+++ b/cmd/sparnotch-platform/main_test.go
@@ -9,7 +9,8 @@
 	"sparnotch/platform"
 )
 
-// A leader under load spent its core on collecting a small heap again and again.
+// TestCollectorTuning guards against a leader that, under load, spends its CPU time on collecting
+// a small heap again and again.
 func TestCollectorTuning(t *testing.T) {
 	const memoryMB = 500
 	Convey("A storage node's heap may grow to several times what is live, within the memory limit", t, func() {
--- a/cmd/sparnotch/main.go
+++ b/cmd/sparnotch/main.go
@@ -1,6 +1,7 @@
-// Command sparnotch runs the nodes of a cluster: servers, which take requests from
-// clients, workers and operators and may hold replicas of the queues, and controller
-// candidates, which watch over the servers and hold nothing durable.
+// Command sparnotch runs a node of a cluster. A server node accepts requests from clients,
+// workers and operators, and stores replicas of the queues if it has a data directory. A
+// controller node monitors the servers, is a candidate for the controller lease, and stores
+// no durable data.
 package main
 
 import (
@@ -12,12 +13,12 @@
 	daemon.Main("sparnotch",
 		daemon.Command{
 			Name:     "server",
-			Synopsis: "run a gateway node; with -data it is a storage node as well",
+			Synopsis: "run a gateway node, which is also a storage node if -data is set",
 			Role:     schema.Role_ROLE_SERVER,
 		},
 		daemon.Command{
 			Name:     "controller",
-			Synopsis: "run an agent node: failure detection, and a candidate for the controller lease",
+			Synopsis: "run an agent node, which detects failures and is a candidate for the controller lease",
 			Role:     schema.Role_ROLE_CONTROLLER,
 		},
 	)
--- a/cmd/sparnotchctl/config.go
+++ b/cmd/sparnotchctl/config.go
@@ -16,7 +16,8 @@
 	"sparnotch/internal/schema"
 )
 
-// loadUpdate reads and validates the one file that a command names.
+// loadUpdate reads the configuration update from the file that is the command's only argument
+// and validates it. It prints an error if this fails.
 func loadUpdate(set *flag.FlagSet) (*schema.ConfigurationUpdate, subcommands.ExitStatus) {
 	update, status := readUpdate(set)
 	if status != subcommands.ExitSuccess {
@@ -29,10 +30,11 @@
 	return update, status
 }
 
-// readUpdate reads the one file that a command names.
+// readUpdate reads the configuration update from the file that is the command's only argument,
+// without validating its rows. It prints an error if this fails.
 func readUpdate(set *flag.FlagSet) (*schema.ConfigurationUpdate, subcommands.ExitStatus) {
 	if set.NArg() != 1 {
-		printError("one file is needed, - for standard input")
+		printError("exactly one file is required (- for standard input)")
 		return nil, exitUsage
 	}
 	data, err := readFile(set.Arg(0))
@@ -48,7 +50,7 @@
 	return update, subcommands.ExitSuccess
 }
 
-// getConfig gets the current configuration.
+// getConfig requests the current configuration from the nodes. It prints an error if this fails.
 func (n *nodeClient) getConfig() (*schema.Configuration, subcommands.ExitStatus) {
 	data, status := n.call("GET", "/v1/plan", nil)
 	if status != subcommands.ExitSuccess {
@@ -57,7 +59,7 @@
 	return parseConfig(data)
 }
 
-// parseConfig decodes a configuration that a node has sent; it prints the error.
+// parseConfig decodes a configuration that a node has sent. It prints an error if this fails.
 func parseConfig(data []byte) (*schema.Configuration, subcommands.ExitStatus) {
 	config := &schema.Configuration{}
 	if err := protojson.Unmarshal(data, config); err != nil {
@@ -67,7 +69,8 @@
 	return config, subcommands.ExitSuccess
 }
 
-// formatVersions prints a configuration's revision, and its author's version if it has one.
+// formatVersions returns a text with a configuration's revision ("generation" in the interface)
+// and, if the configuration has one, its author's version ("edition").
 func formatVersions(config *schema.Configuration) string {
 	if config.Version == 0 {
 		return fmt.Sprintf("generation %d", config.Revision)
@@ -75,7 +78,7 @@
 	return fmt.Sprintf("generation %d, edition %d", config.Revision, config.Version)
 }
 
-// configGetCommand prints the configuration.
+// configGetCommand prints the current configuration as CSV or JSON.
 type configGetCommand struct {
 	nodeClient
 	isJSON bool
@@ -84,7 +87,7 @@
 func (*configGetCommand) Name() string     { return "config-get" }
 func (*configGetCommand) Synopsis() string { return "print the configuration as CSV" }
 func (*configGetCommand) Usage() string {
-	return "sparnotchctl config-get [-json] > config.csv\n  The file names the generation that it shows; edit it and send it back complete with config-apply.\n" + exitHelp
+	return "sparnotchctl config-get [-json] > config.csv\n  The output contains the generation of the configuration. Edit the file and send\n  the whole file back with config-apply.\n" + exitHelp
 }
 func (c *configGetCommand) SetFlags(set *flag.FlagSet) {
 	c.register(set)
@@ -106,7 +109,7 @@
 	return status
 }
 
-// configCheckCommand validates a file without sending it.
+// configCheckCommand validates a configuration file without sending it.
 type configCheckCommand struct{}
 
 func (*configCheckCommand) Name() string           { return "config-check" }
@@ -123,20 +126,20 @@
 		return status
 	}
 	if update.BaseRevision == nil {
-		printError("%s: the line %q is missing: get the file with config-get", set.Arg(0), revisionHeader)
+		printError("%s: the line %q is missing; create the file with config-get", set.Arg(0), revisionHeader)
 		return exitRejected
 	}
 	fmt.Printf("valid: %d rows, built on generation %d, queues %s\n", len(update.Rows), update.GetBaseRevision(), strings.Join(clusterstate.QueueNames(&schema.Configuration{Rows: update.Rows}), " "))
 	return status
 }
 
-// configApplyCommand sends a complete configuration.
+// configApplyCommand replaces the configuration with a complete configuration from a file.
 type configApplyCommand struct{ nodeClient }
 
 func (*configApplyCommand) Name() string     { return "config-apply" }
 func (*configApplyCommand) Synopsis() string { return "send a complete configuration" }
 func (*configApplyCommand) Usage() string {
-	return "sparnotchctl config-apply FILE\n  Rejected when the configuration has changed since the file was made. Sending the\n  file that has just taken effect again does no harm.\n" + exitHelp
+	return "sparnotchctl config-apply FILE\n  The file is rejected if the configuration has changed since the file was created.\n  It is safe to send a file again after it has taken effect.\n" + exitHelp
 }
 func (c *configApplyCommand) SetFlags(set *flag.FlagSet) { c.register(set) }
 func (c *configApplyCommand) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -147,7 +150,8 @@
 	return c.sendUpdate("PUT", update)
 }
 
-// sendUpdate sends an update and prints what is in force after it.
+// sendUpdate sends an update to the nodes and prints the versions and the number of rows of the
+// resulting configuration.
 func (n *nodeClient) sendUpdate(method string, update *schema.ConfigurationUpdate) subcommands.ExitStatus {
 	body, err := protojson.Marshal(update)
 	if err != nil {
@@ -166,13 +170,13 @@
 	return status
 }
 
-// configDiffCommand compares a file with the configuration.
+// configDiffCommand compares a configuration file with the current configuration.
 type configDiffCommand struct{ nodeClient }
 
 func (*configDiffCommand) Name() string     { return "config-diff" }
 func (*configDiffCommand) Synopsis() string { return "show how a file differs from the configuration" }
 func (*configDiffCommand) Usage() string {
-	return "sparnotchctl config-diff FILE\n  Exits with 4 when they differ.\n" + exitHelp
+	return "sparnotchctl config-diff FILE\n  The exit code is 4 if they differ.\n" + exitHelp
 }
 func (c *configDiffCommand) SetFlags(set *flag.FlagSet) { c.register(set) }
 func (c *configDiffCommand) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -196,7 +200,8 @@
 	return status
 }
 
-// diffRows lists removed (-), changed (~) and added (+) rows, by their keys.
+// diffRows returns one line for each row that was removed (-), changed (~) or added (+), sorted
+// by kind, name and key.
 func diffRows(old, updated []*schema.ConfigurationRow) []string {
 	values := func(rows []*schema.ConfigurationRow) map[string]string {
 		m := map[string]string{}
@@ -205,17 +210,17 @@
 		}
 		return m
 	}
-	x, y := values(old), values(updated)
+	oldValues, updatedValues := values(old), values(updated)
 	var lines []string
-	for key, value := range x {
-		if other, found := y[key]; !found {
+	for key, value := range oldValues {
+		if other, found := updatedValues[key]; !found {
 			lines = append(lines, "- "+key+","+value)
 		} else if other != value {
 			lines = append(lines, "~ "+key+": "+value+" -> "+other)
 		}
 	}
-	for key, value := range y {
-		if _, found := x[key]; !found {
+	for key, value := range updatedValues {
+		if _, found := oldValues[key]; !found {
 			lines = append(lines, "+ "+key+","+value)
 		}
 	}
@@ -223,7 +228,8 @@
 	return lines
 }
 
-// configHistoryCommand shows what each retained revision changed.
+// configHistoryCommand prints the retained revisions of the configuration, and the rows that
+// each revision changed.
 type configHistoryCommand struct{ nodeClient }
 
 func (*configHistoryCommand) Name() string                 { return "config-history" }
@@ -257,7 +263,7 @@
 	return status
 }
 
-// configKeysCommand lists the keys of the configuration.
+// configKeysCommand lists all keys that a configuration row may have.
 type configKeysCommand struct{}
 
 func (*configKeysCommand) Name() string { return "config-keys" }
--- a/cmd/sparnotchctl/configcsv.go
+++ b/cmd/sparnotchctl/configcsv.go
@@ -14,10 +14,11 @@
 	"sparnotch/internal/schema"
 )
 
-// The CSV form of a configuration has a first line with its revision ("generation" in
-// the interface), the column names, and the rows. The author's version ("edition")
-// stands beside the revision where there is one, for display only: an update names
-// its base by the revision alone.
+// The CSV form of a configuration consists of a first line with its revision ("generation"
+// in the interface), a line with the column names, and the rows. If the configuration has
+// an author's version ("edition"), the first line also shows it. The version is only for
+// display, since an update identifies the configuration on which it is based by the
+// revision alone.
 const (
 	revisionHeader = "#generation"
 	versionHeader  = "#edition"
@@ -26,7 +27,7 @@
 
 var columns = []string{"kind", "name", "key", "value"}
 
-// writeConfigCSV writes the CSV form.
+// writeConfigCSV writes the CSV form of a configuration.
 func writeConfigCSV(out io.Writer, config *schema.Configuration) error {
 	w := csv.NewWriter(out)
 	first := []string{revisionHeader, strconv.FormatUint(config.Revision, 10), "", ""}
@@ -48,8 +49,8 @@
 	return w.Error()
 }
 
-// parseUpdate reads an update from CSV, as a spreadsheet writes it, or from JSON.
-// Errors of CSV name the line.
+// parseUpdate parses an update from CSV or JSON. The CSV may have been written by a
+// spreadsheet program. Errors in CSV name the line.
 func parseUpdate(data []byte) (*schema.ConfigurationUpdate, error) {
 	data = bytes.TrimPrefix(data, []byte(byteOrderMark))
 	if trimmed := bytes.TrimSpace(data); len(trimmed) > 0 && trimmed[0] == '{' {
@@ -62,8 +63,9 @@
 	update := &schema.ConfigurationUpdate{}
 	err := schema.UnmarshalJSON(data, update)
 	if update.BaseRevision != nil {
-		// An edit of what config-get has printed. With the version printed there it
-		// would be taken for that version sent again, and ignored.
+		// The JSON is an edited copy of the output of config-get. If it kept the version
+		// in that output, the cluster would take the update for a repetition of that
+		// version and ignore it.
 		update.Version, update.BaseVersion, update.Document = 0, 0, nil
 	}
 	return update, err
@@ -73,7 +75,7 @@
 	reader := csv.NewReader(bytes.NewReader(data))
 	reader.FieldsPerRecord = -1
 	if first, _, _ := strings.Cut(string(data), "\n"); strings.Count(first, ";") > strings.Count(first, ",") {
-		reader.Comma = ';' // what spreadsheets write where the comma is the decimal sign
+		reader.Comma = ';' // the separator of spreadsheet programs in locales with a decimal comma
 	}
 	update := &schema.ConfigurationUpdate{}
 	for {
@@ -91,7 +93,8 @@
 	}
 }
 
-// trimFields trims spaces, and the empty fields that spreadsheets add.
+// trimFields removes spaces around fields, and the empty fields that spreadsheet programs add
+// at the end of a line.
 func trimFields(fields []string) []string {
 	for k := range fields {
 		fields[k] = strings.TrimSpace(fields[k])
@@ -102,21 +105,21 @@
 	return fields
 }
 
-// addFields adds one line of CSV to an update.
+// addFields adds the fields of one line of CSV to an update.
 func addFields(update *schema.ConfigurationUpdate, fields []string) error {
 	switch {
 	case strings.Join(fields, "") == "" || strings.Join(fields, ",") == strings.Join(columns, ","):
 	case fields[0] == revisionHeader:
 		if len(fields) < 2 {
-			return errors.New("the generation is missing")
+			return errors.New("the line has no generation")
 		}
 		revision, err := strconv.ParseUint(fields[1], 10, 64)
 		if err != nil {
-			return fmt.Errorf("%q is no generation", fields[1])
+			return fmt.Errorf("%q is not a valid generation number", fields[1])
 		}
 		update.BaseRevision = proto.Uint64(revision)
 	case len(fields) != len(columns):
-		return fmt.Errorf("%d fields, a row has kind, name, key and value", len(fields))
+		return fmt.Errorf("the line has %d fields, but a row has four: kind, name, key and value", len(fields))
 	default:
 		update.Rows = append(update.Rows, &schema.ConfigurationRow{Kind: fields[0], Name: fields[1], Key: fields[2], Value: fields[3]})
 	}
--- a/cmd/sparnotchctl/configpatch.go
+++ b/cmd/sparnotchctl/configpatch.go
@@ -11,7 +11,7 @@
 	"sparnotch/internal/schema"
 )
 
-// configPatchCommand changes some rows of the configuration.
+// configPatchCommand changes some rows of the configuration and keeps all others.
 type configPatchCommand struct {
 	nodeClient
 	removed itemsFlag
@@ -20,7 +20,7 @@
 func (*configPatchCommand) Name() string     { return "config-patch" }
 func (*configPatchCommand) Synopsis() string { return "change some rows of the configuration" }
 func (*configPatchCommand) Usage() string {
-	return "sparnotchctl config-patch [-remove KIND/NAME]... FILE\n  FILE is like that of config-apply, with the rows to set alone; all others stay. First all\n  rows of the removed queues, racks, pools and tenants go. Rejected when the configuration has\n  changed since the generation that the file names.\n" + exitHelp
+	return "sparnotchctl config-patch [-remove KIND/NAME]... FILE\n  FILE has the form that config-apply reads, but holds only the rows to set. All rows of\n  the removed queues, racks, pools and tenants are deleted first; all other rows are kept.\n  The patch is rejected if the configuration has changed since the generation in the file.\n" + exitHelp
 }
 func (c *configPatchCommand) SetFlags(set *flag.FlagSet) {
 	c.register(set)
@@ -35,10 +35,10 @@
 	return c.sendUpdate("PATCH", update)
 }
 
-// itemsFlag is a flag that names items of the configuration.
+// itemsFlag is a repeatable flag. Each use names one item of the configuration.
 type itemsFlag []*schema.ConfigurationItem
 
-// String implements flag.Value.
+// String returns the items as KIND/NAME, separated by spaces. It implements flag.Value.
 func (f *itemsFlag) String() string {
 	var names []string
 	for _, item := range *f {
@@ -47,11 +47,11 @@
 	return strings.Join(names, " ")
 }
 
-// Set implements flag.Value.
+// Set adds the item KIND/NAME. It implements flag.Value.
 func (f *itemsFlag) Set(text string) error {
 	kind, name, found := strings.Cut(text, "/")
 	if !found || kind == "" || name == "" {
-		return fmt.Errorf("%q isn't KIND/NAME", text)
+		return fmt.Errorf("%q does not have the form KIND/NAME", text)
 	}
 	*f = append(*f, &schema.ConfigurationItem{Kind: kind, Name: name})
 	return nil
--- a/cmd/sparnotchctl/datadir.go
+++ b/cmd/sparnotchctl/datadir.go
@@ -19,13 +19,14 @@
 	"sparnotch/internal/storage"
 )
 
-// exitInconsistent is the exit code for data that can be read and doesn't fit together.
+// exitInconsistent is the exit code for data that can be read but is inconsistent.
 const exitInconsistent = 1
 
-// openDataDir opens the data directory of a stopped process, and writes nothing there.
+// openDataDir reads the data directory of a stopped process, without writing to it. The
+// directory must be the only argument of the command. It prints an error if this fails.
 func openDataDir(set *flag.FlagSet, command string) (*storage.State, subcommands.ExitStatus) {
 	if set.NArg() != 1 {
-		fmt.Fprintf(os.Stderr, "sparnotchctl: %s takes one data directory\n", command)
+		fmt.Fprintf(os.Stderr, "sparnotchctl: %s takes exactly one argument, a data directory\n", command)
 		return nil, exitUsage
 	}
 	store, err := storage.OpenReadOnly(set.Arg(0))
@@ -36,7 +37,7 @@
 	return store.State(), subcommands.ExitSuccess
 }
 
-// verifyCommand checks that the content of a data directory is consistent.
+// verifyCommand checks that a data directory is intact and that its content is consistent.
 type verifyCommand struct{}
 
 func (*verifyCommand) Name() string { return "verify" }
@@ -45,10 +46,10 @@
 }
 func (*verifyCommand) Usage() string {
 	return `sparnotchctl verify DIRECTORY
-  Reads the data of a process that is stopped and writes nothing. Checks each
-  group's log: no gaps, terms that don't fall, a snapshot that can be restored,
-  commands that can be applied. Corruption is reported with file and offset.
-  Exit codes: 0 intact, 1 inconsistent, 2 corrupt, foreign, or in use.
+  Reads the data of a stopped process and writes nothing. Checks each group: its log
+  has no gaps, terms never decrease, the snapshot can be restored, and the commands
+  can be applied. Corruption is reported with file and offset.
+  Exit codes: 0 intact, 1 inconsistent, 2 corrupt, in use, or not a data directory.
 `
 }
 func (*verifyCommand) SetFlags(*flag.FlagSet) {}
@@ -75,6 +76,8 @@
 	return subcommands.ExitSuccess
 }
 
+// verifyGroup checks that a group's log has no gaps and no decreasing terms, and that its
+// snapshot and commands can be applied to the group's state machine.
 func verifyGroup(group string, groupContent *storage.GroupState) error {
 	index, term := groupContent.Snapshot.GetIndex(), groupContent.Snapshot.GetTerm()
 	for _, entry := range groupContent.Entries {
@@ -82,12 +85,12 @@
 			return fmt.Errorf("entry %d follows entry %d", entry.Index, index)
 		}
 		if entry.Term < term {
-			return fmt.Errorf("entry %d is of term %d, the one before it of %d", entry.Index, entry.Term, term)
+			return fmt.Errorf("entry %d has term %d, but the entry before it has term %d", entry.Index, entry.Term, term)
 		}
 		index, term = entry.Index, entry.Term
 	}
 	if term > groupContent.HardState.GetTerm() {
-		return fmt.Errorf("entry %d is of term %d, and the hard state of %d", index, term, groupContent.HardState.GetTerm())
+		return fmt.Errorf("entry %d has term %d, but the hard state has term %d, which is lower", index, term, groupContent.HardState.GetTerm())
 	}
 	if group == clusterstate.GroupName {
 		machine, err := clusterstate.Restore(groupContent.Snapshot.GetData())
@@ -104,9 +107,9 @@
 	return err
 }
 
-// replay applies a queue's log to its state machine up to an index, 0 for all, and
-// returns the machine with the index that it has applied. It calls visit, if given,
-// for each command.
+// replay restores a queue's state machine from the snapshot and applies the log to it, up to
+// the entry with index lastIndex, or to the end if lastIndex is 0. It returns the state machine
+// and the index of the last applied entry. If visit is not nil, it is called after each command.
 func replay(group string, groupContent *storage.GroupState, lastIndex uint64, visit func(*schema.Entry, *schema.QueueCommand, *queue.Effects)) (*queue.Machine, uint64, error) {
 	machine, err := queue.Restore(replica.QueueName(group), groupContent.Snapshot.GetIndex(), groupContent.Snapshot.GetData())
 	if err != nil {
@@ -136,7 +139,7 @@
 	return machine, appliedIndex, nil
 }
 
-// replayCommand shows what each entry of a queue's log did.
+// replayCommand prints the commands in a queue's log and their effects on jobs and tasks.
 type replayCommand struct {
 	queue, job string
 	lastIndex  uint64
@@ -144,23 +147,23 @@
 
 func (*replayCommand) Name() string { return "replay" }
 func (*replayCommand) Synopsis() string {
-	return "apply a queue's log to its state machine, and show what each entry did"
+	return "apply a queue's log to its state machine, and show the effects of each entry"
 }
 func (*replayCommand) Usage() string {
 	return `sparnotchctl replay -queue QUEUE [-job NAME] [-to INDEX] DIRECTORY
-  Reads the data of a process that is stopped and writes nothing. Shows each
-  command after the queue's snapshot, and how it changed jobs and tasks; with -job
-  of that job alone. Ends with the digest of the state, which sparnotchctl state
-  shows of a running node at the same index. The last entries may not have been
-  committed.
-  Exit codes: 0 shown, 1 an entry can't be applied, 2 corrupt, foreign, in use, or
-  no such queue or index.
+  Reads the data of a stopped process and writes nothing. Shows each command after
+  the queue's snapshot and its effects on jobs and tasks; with -job, only commands
+  that affect this job. Ends with the digest of the state. On a running node at the
+  same index, sparnotchctl state shows the same digest. The last entries may not have
+  been committed.
+  Exit codes: 0 shown, 1 an entry can't be applied, 2 corrupt, in use, not a data
+  directory, or no such queue or index.
 `
 }
 
 func (c *replayCommand) SetFlags(set *flag.FlagSet) {
-	set.StringVar(&c.queue, "queue", "", "which queue")
-	set.StringVar(&c.job, "job", "", "show this job alone")
+	set.StringVar(&c.queue, "queue", "", "name of the queue")
+	set.StringVar(&c.job, "job", "", "name of a job; show only commands that affect it")
 	set.Uint64Var(&c.lastIndex, "to", 0, "index of the last entry to apply; 0: all")
 }
 
@@ -180,12 +183,12 @@
 		}
 	}
 	if group == "" {
-		fmt.Fprintf(os.Stderr, "sparnotchctl: queue: %q is none of %s\n", c.queue, strings.Join(queues, ", "))
+		fmt.Fprintf(os.Stderr, "sparnotchctl: queue: %q is not one of the queues in the data directory: %s\n", c.queue, strings.Join(queues, ", "))
 		return exitUsage
 	}
 	groupContent := content.Groups[group]
 	if c.lastIndex > 0 && (c.lastIndex < groupContent.Snapshot.GetIndex() || c.lastIndex > groupContent.Snapshot.GetIndex()+uint64(len(groupContent.Entries))) {
-		fmt.Fprintf(os.Stderr, "sparnotchctl: to: the directory has %s from %d to %d\n", group, groupContent.Snapshot.GetIndex(), groupContent.Snapshot.GetIndex()+uint64(len(groupContent.Entries)))
+		fmt.Fprintf(os.Stderr, "sparnotchctl: to: the directory holds the entries of %s from index %d to %d\n", group, groupContent.Snapshot.GetIndex(), groupContent.Snapshot.GetIndex()+uint64(len(groupContent.Entries)))
 		return exitUsage
 	}
 	fmt.Printf("%s from the snapshot at %d\n", group, groupContent.Snapshot.GetIndex())
@@ -198,11 +201,11 @@
 	return subcommands.ExitSuccess
 }
 
-// stateTexts describe the status that an event sets.
-var stateTexts = map[queue.Status]string{queue.Inactive: "is inactive", queue.Ready: "is ready", queue.CheckedOut: "is checked out", queue.Stopping: "is stopping"}
+// statusTexts maps the new status of a task in an event to the text that is printed for it.
+var statusTexts = map[queue.Status]string{queue.Inactive: "is inactive", queue.Ready: "is ready", queue.CheckedOut: "is checked out", queue.Stopping: "is stopping"}
 
-// printEntry prints a command and how it changed jobs and tasks; with a job given,
-// only if it is about that job.
+// printEntry prints a command and its effects on jobs and tasks. If the flag -job is set, it
+// prints only commands that affect this job.
 func (c *replayCommand) printEntry(entry *schema.Entry, command *schema.QueueCommand, effects *queue.Effects) {
 	lines := c.describeEffects(command, effects)
 	if c.job != "" && len(lines) == 0 {
@@ -214,6 +217,7 @@
 	}
 }
 
+// describeCommand returns the type of a command and, for a Return command, its cause.
 func describeCommand(command *schema.QueueCommand) string {
 	description := strings.TrimPrefix(fmt.Sprintf("%T", command.Body), "*schema.QueueCommand_")
 	if returned := command.GetReturn(); returned != nil {
@@ -222,21 +226,22 @@
 	return description
 }
 
+// describeEffects returns one line for each effect of a command on the jobs that are shown.
 func (c *replayCommand) describeEffects(command *schema.QueueCommand, effects *queue.Effects) []string {
 	var lines []string
-	if e := command.GetEnqueue(); e != nil && c.isShown(e.Name) {
-		lines = append(lines, fmt.Sprintf("  %s, number %d of %s", e.Name, e.Number, e.Session.GetClient()))
+	if enqueue := command.GetEnqueue(); enqueue != nil && c.isShown(enqueue.Name) {
+		lines = append(lines, fmt.Sprintf("  %s, number %d of %s", enqueue.Name, enqueue.Number, enqueue.Session.GetClient()))
 	}
-	for _, outcome := range effects.SubmitResults {
-		if view := outcome.View; view != nil && c.isShown(view.Name) {
-			lines = append(lines, fmt.Sprintf("  %s answered %d, %s", view.Name, outcome.Code, view.State))
+	for _, result := range effects.SubmitResults {
+		if view := result.View; view != nil && c.isShown(view.Name) {
+			lines = append(lines, fmt.Sprintf("  %s answered %d, %s", view.Name, result.Code, view.State))
 		}
 	}
 	for _, event := range effects.Events {
 		if !c.isShown(event.Name) {
 			continue
 		}
-		line := fmt.Sprintf("  %s %s/%d %s", event.Name, event.Spec.GetName(), event.Key.Task, stateTexts[event.Status])
+		line := fmt.Sprintf("  %s %s/%d %s", event.Name, event.Spec.GetName(), event.Key.Task, statusTexts[event.Status])
 		if event.Status == queue.CheckedOut || event.Status == queue.Stopping {
 			line += fmt.Sprintf(" on %s, attempt %d", event.Worker, event.Attempt)
 		}
@@ -248,4 +253,5 @@
 	return lines
 }
 
+// isShown reports whether commands that affect a job are shown.
 func (c *replayCommand) isShown(job string) bool { return c.job == "" || c.job == job }
--- a/cmd/sparnotchctl/datadir_test.go
+++ b/cmd/sparnotchctl/datadir_test.go
@@ -18,7 +18,8 @@
 	"sparnotch/internal/storage"
 )
 
-// runCommand calls a command and gives what it prints.
+// runCommand runs a command and returns its exit code and its output, which includes standard
+// error.
 func runCommand(command subcommands.Command, args ...string) (subcommands.ExitStatus, string) {
 	set := flag.NewFlagSet(command.Name(), flag.ContinueOnError)
 	command.SetFlags(set)
@@ -35,7 +36,8 @@
 	return code, string(text)
 }
 
-// writeTestStorage writes the data of one queue, in which one task fails and is retried.
+// writeTestStorage writes a data directory with one queue, in which a task fails and is retried.
+// The function change may change the entries of the log before they are written.
 func writeTestStorage(path string, change func([]*schema.Entry) []*schema.Entry) (*storage.Dir, *queue.Machine) {
 	key := &schema.TaskKey{Job: 1}
 	checkout := &schema.QueueCommand{Body: &schema.QueueCommand_Checkout{Checkout: &schema.Checkout{Placements: []*schema.Placement{{Key: key, Worker: "w1", Incarnation: 1}}}}}
@@ -59,19 +61,21 @@
 		_, err = machine.Apply(entry.Index, entry.TimeUs, entry.Data)
 		So(err, ShouldBeNil)
 	}
-	folder, err := storage.OpenDir(path)
+	dir, err := storage.OpenDir(path)
 	So(err, ShouldBeNil)
-	store, err := storage.Open(folder)
+	store, err := storage.Open(dir)
 	So(err, ShouldBeNil)
 	So(store.Commit([]*schema.StoreChange{
 		{Identity: &schema.StoreIdentity{Id: "a", Starts: 1, Joined: true}},
 		{Group: "quotes#2", HardState: &schema.HardState{Term: 1}, Entries: change(entries)},
 	}), ShouldBeNil)
-	// Another, so that corruption of the first can't be taken for a torn write at the end.
+	// A second commit ensures that corruption of the first one can't be mistaken for a torn
+	// write at the end of the log.
 	So(store.Commit([]*schema.StoreChange{{Identity: &schema.StoreIdentity{Id: "a", Starts: 2, Joined: true}}}), ShouldBeNil)
-	return folder, machine
+	return dir, machine
 }
 
+// readFiles returns the contents of the files in a directory, by name.
 func readFiles(path string) map[string]string {
 	files := map[string]string{}
 	names, err := os.ReadDir(path)
@@ -88,11 +92,11 @@
 	intact := func(entries []*schema.Entry) []*schema.Entry { return entries }
 	Convey("An intact directory is reported as such and replayed to its state, and not written to", t, func() {
 		path := t.TempDir()
-		folder, machine := writeTestStorage(path, intact)
+		dir, machine := writeTestStorage(path, intact)
 		code, text := runCommand(&verifyCommand{}, path)
 		So(code, ShouldEqual, 2)
 		So(text, ShouldContainSubstring, "in use")
-		folder.Close()
+		dir.Close()
 		before := readFiles(path)
 		code, text = runCommand(&verifyCommand{}, path)
 		So(text, ShouldContainSubstring, "quotes#2: term 1, snapshot at 0, 6 entries")
@@ -112,7 +116,7 @@
 		Convey("and bad flags are named", func() {
 			code, text = runCommand(&replayCommand{}, "-queue", "nope", path)
 			So(code, ShouldEqual, 2)
-			So(text, ShouldContainSubstring, `queue: "nope" is none of quotes`)
+			So(text, ShouldContainSubstring, `queue: "nope" is not one of the queues in the data directory: quotes`)
 			code, text = runCommand(&replayCommand{}, "-queue", "quotes", "-to", "99", path)
 			So(code, ShouldEqual, 2)
 			So(text, ShouldContainSubstring, "to:")
@@ -132,17 +136,17 @@
 		})
 	})
 	Convey("Inconsistent entries are found", t, func() {
-		for what, change := range map[string]func([]*schema.Entry) []*schema.Entry{
-			"follows entry":   func(list []*schema.Entry) []*schema.Entry { return append(list[:2:2], list[3:]...) },
-			"entry 4":         func(list []*schema.Entry) []*schema.Entry { list[3].Data = []byte("x"); return list },
-			"hard state of 1": func(list []*schema.Entry) []*schema.Entry { list[5].Term = 9; return list },
+		for message, change := range map[string]func([]*schema.Entry) []*schema.Entry{
+			"follows entry":                         func(list []*schema.Entry) []*schema.Entry { return append(list[:2:2], list[3:]...) },
+			"entry 4":                               func(list []*schema.Entry) []*schema.Entry { list[3].Data = []byte("x"); return list },
+			"hard state has term 1, which is lower": func(list []*schema.Entry) []*schema.Entry { list[5].Term = 9; return list },
 		} {
 			path := t.TempDir()
-			folder, _ := writeTestStorage(path, change)
-			folder.Close()
+			dir, _ := writeTestStorage(path, change)
+			dir.Close()
 			code, text := runCommand(&verifyCommand{}, path)
 			So(code, ShouldEqual, 1)
-			So(text, ShouldContainSubstring, what)
+			So(text, ShouldContainSubstring, message)
 		}
 	})
 	Convey("A foreign directory is reported as such, and left alone", t, func() {
--- a/cmd/sparnotchctl/jobs.go
+++ b/cmd/sparnotchctl/jobs.go
@@ -11,9 +11,9 @@
 	"github.com/google/subcommands"
 )
 
-const keyHelp = "  $SPARNOTCH_KEY is the tenant's key, where one is needed.\n"
+const keyHelp = "  The tenant's key, if one is required, is read from $SPARNOTCH_KEY.\n"
 
-// submitCommand submits a job.
+// submitCommand submits a job from a file.
 type submitCommand struct {
 	nodeClient
 	queue, name string
@@ -22,16 +22,16 @@
 func (*submitCommand) Name() string     { return "submit" }
 func (*submitCommand) Synopsis() string { return "submit a job" }
 func (*submitCommand) Usage() string {
-	return "sparnotchctl submit -queue QUEUE -name NAME JOB.json\n  JOB.json, - for standard input, is a text and steps, as docs/interface.md says.\n  It is retried after a timeout: the name keeps it one job.\n" + keyHelp + exitHelp
+	return "sparnotchctl submit -queue QUEUE -name NAME JOB.json\n  JOB.json (- for standard input) holds a text and steps as described in\n  docs/interface.md. The request is retried after a timeout; the name ensures that\n  the job is created only once.\n" + keyHelp + exitHelp
 }
 func (c *submitCommand) SetFlags(set *flag.FlagSet) {
 	c.registerForJobs(set)
-	set.StringVar(&c.queue, "queue", "", "the queue")
-	set.StringVar(&c.name, "name", "", "the job's name, unique in the queue")
+	set.StringVar(&c.queue, "queue", "", "name of the queue")
+	set.StringVar(&c.name, "name", "", "name of the job, unique in the queue")
 }
 func (c *submitCommand) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.queue == "" || c.name == "" || set.NArg() != 1 {
-		printError("queue, name and one file are needed")
+		printError("-queue, -name and exactly one file are required")
 		return exitUsage
 	}
 	body, err := readFile(set.Arg(0))
@@ -42,15 +42,15 @@
 	return c.printAnswer("PUT", jobPath(c.queue, c.name), body)
 }
 
-// jobPath is the path of a job in the interface.
+// jobPath returns the path of a job in the HTTP interface.
 func jobPath(queue, name string) string {
 	return "/v1/queues/" + url.PathEscape(queue) + "/jobs/" + url.PathEscape(name)
 }
 
-// jobCommand shows or cancels one job, as its verb says.
+// jobCommand cancels a job if its verb is "cancel", and otherwise shows the job's state.
 type jobCommand struct {
 	nodeClient
-	verb        string
+	verb        string // name of the command
 	queue, name string
 }
 
@@ -66,12 +66,12 @@
 }
 func (c *jobCommand) SetFlags(set *flag.FlagSet) {
 	c.registerForJobs(set)
-	set.StringVar(&c.queue, "queue", "", "the queue")
-	set.StringVar(&c.name, "name", "", "the job's name")
+	set.StringVar(&c.queue, "queue", "", "name of the queue")
+	set.StringVar(&c.name, "name", "", "name of the job")
 }
 func (c *jobCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	if c.queue == "" || c.name == "" {
-		printError("queue and name are needed")
+		printError("-queue and -name are required")
 		return exitUsage
 	}
 	method, path := "GET", jobPath(c.queue, c.name)
@@ -81,7 +81,7 @@
 	return c.printAnswer(method, path, nil)
 }
 
-// listJobsCommand lists a queue's jobs.
+// listJobsCommand lists the jobs of a queue, one page at a time.
 type listJobsCommand struct {
 	nodeClient
 	queue, after string
@@ -91,23 +91,23 @@
 func (*listJobsCommand) Name() string     { return "jobs" }
 func (*listJobsCommand) Synopsis() string { return "list a queue's live and retained jobs, by name" }
 func (*listJobsCommand) Usage() string {
-	return "sparnotchctl jobs -queue QUEUE [-after NAME] [-most 100]\n  `next` in the answer is the -after of the next page.\n" + keyHelp + exitHelp
+	return "sparnotchctl jobs -queue QUEUE [-after NAME] [-most 100]\n  To get the next page, set -after to the value of `next` in the response.\n" + keyHelp + exitHelp
 }
 func (c *listJobsCommand) SetFlags(set *flag.FlagSet) {
 	c.registerForJobs(set)
-	set.StringVar(&c.queue, "queue", "", "the queue")
-	set.StringVar(&c.after, "after", "", "only names after this one")
-	set.IntVar(&c.limit, "most", 100, "at most so many, up to 1000")
+	set.StringVar(&c.queue, "queue", "", "name of the queue")
+	set.StringVar(&c.after, "after", "", "list only jobs whose names sort after this name")
+	set.IntVar(&c.limit, "most", 100, "maximum number of jobs to list, up to 1000")
 }
 func (c *listJobsCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	if c.queue == "" {
-		printError("queue is needed")
+		printError("-queue is required")
 		return exitUsage
 	}
 	return c.printAnswer("GET", fmt.Sprintf("/v1/queues/%s/jobs?most=%d&after=%s", url.PathEscape(c.queue), c.limit, url.QueryEscape(c.after)), nil)
 }
 
-// readFile reads a file, or standard input for "-".
+// readFile reads the named file, or standard input if the name is "-".
 func readFile(name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(os.Stdin)
--- a/cmd/sparnotchctl/jobs_test.go
+++ b/cmd/sparnotchctl/jobs_test.go
@@ -9,7 +9,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against a key that isn't sent with a job's call, or is sent with an operator's.
+// TestKeyIsSentWithJobCalls guards against commands for jobs that don't send the tenant's key,
+// and against operators' commands that do.
 func TestKeyIsSentWithJobCalls(t *testing.T) {
 	Convey("The key of the environment is sent with the calls for jobs alone", t, func() {
 		var received []string
--- a/cmd/sparnotchctl/main.go
+++ b/cmd/sparnotchctl/main.go
@@ -1,4 +1,4 @@
-// Command sparnotchctl is the operators' command line. Its commands call the HTTP
+// Command sparnotchctl is the command line of the operators. Its commands call the HTTP
 // interface of running nodes (docs/interface.md), read the data directory of a stopped
 // process, or estimate the capacity that a deployment needs.
 package main
@@ -14,7 +14,7 @@
 	"github.com/google/subcommands"
 )
 
-// groups are the commands under the headings that help gives them.
+// groups lists all commands, in groups under the headings that the help text shows.
 var groups = []struct {
 	name     string
 	commands []subcommands.Command
@@ -24,9 +24,9 @@
 	}},
 	{"jobs", []subcommands.Command{&submitCommand{}, &jobCommand{verb: "job"}, &jobCommand{verb: "cancel"}, &listJobsCommand{}}},
 	{"nodes", []subcommands.Command{
-		&showCommand{name: "state", path: "/v1/belief", synopsis: "print one node's view of the cluster and of its replicas"},
+		&showCommand{name: "state", path: "/v1/belief", synopsis: "print the state of the cluster and of its replicas as one node knows it"},
 		&showCommand{name: "placements", path: "/v1/placements", synopsis: "print where a scheduler has placed tasks, and why"},
-		&showCommand{name: "counters", path: "/v1/counts", synopsis: "print what one process has done so far"},
+		&showCommand{name: "counters", path: "/v1/counts", synopsis: "print the event counters of one process"},
 		&showCommand{name: "ready", path: "/readyz", synopsis: "check whether a node can serve"},
 		&tenantsCommand{},
 		&compareCommand{},
@@ -35,7 +35,7 @@
 	{"capacity", []subcommands.Command{&capacityCommand{}}},
 }
 
-// aliases are earlier names of commands.
+// aliases maps a command's name to an earlier name, under which it can still be called.
 var aliases = map[string]string{
 	"config-get":     "plan-get",
 	"config-check":   "plan-check",
@@ -50,7 +50,7 @@
 	"capacity":       "size",
 }
 
-// newCommander registers all commands and their aliases.
+// newCommander returns a commander with all commands and their aliases registered.
 func newCommander(flags *flag.FlagSet, name string) *subcommands.Commander {
 	commander := subcommands.NewCommander(flags, name)
 	explainGroup := commander.ExplainGroup
@@ -74,7 +74,8 @@
 	return commander
 }
 
-// explainWithAliases lists a group's commands, and their aliases as such.
+// explainWithAliases prints the commands of a group. It shows each alias next to the name of
+// its command, not as a command of its own.
 func explainWithAliases(out io.Writer, name string) {
 	fmt.Fprintf(out, "Subcommands for %s:\n", name)
 	for _, group := range groups {
--- a/cmd/sparnotchctl/main_test.go
+++ b/cmd/sparnotchctl/main_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestAliases(t *testing.T) {
-	// help runs the help command and returns what it prints.
+	// help runs the help command and returns its output.
 	help := func(args ...string) string {
 		flags := flag.NewFlagSet("sparnotchctl", flag.ContinueOnError)
 		commander := newCommander(flags, "sparnotchctl")
--- a/cmd/sparnotchctl/nodes.go
+++ b/cmd/sparnotchctl/nodes.go
@@ -16,7 +16,7 @@
 	"sparnotch/internal/schema"
 )
 
-// showCommand prints what one node answers under a path.
+// showCommand prints the response of one node to a GET request for a path.
 type showCommand struct {
 	nodeClient
 	name, path, synopsis string
@@ -32,7 +32,7 @@
 	return c.printAnswer("GET", c.path, nil)
 }
 
-// compareCommand compares the states of two nodes.
+// compareCommand compares the states that two nodes report, and prints the differences.
 type compareCommand struct {
 	timeout time.Duration
 }
@@ -40,14 +40,14 @@
 func (*compareCommand) Name() string     { return "compare" }
 func (*compareCommand) Synopsis() string { return "show how the states of two nodes differ" }
 func (*compareCommand) Usage() string {
-	return "sparnotchctl compare IP:PORT IP:PORT\n  Nodes are asked a moment apart, so indexes may differ by what happened between;\n  two digests of one group at one applied index must be the same.\n  Exits with 4 when they differ.\n" + exitHelp
+	return "sparnotchctl compare IP:PORT IP:PORT\n  The nodes are asked one after the other, so indexes may differ by the entries that\n  were applied in between. At the same applied index, the digests of a group must be\n  equal. The exit code is 4 if the states differ.\n" + exitHelp
 }
 func (c *compareCommand) SetFlags(set *flag.FlagSet) {
-	set.DurationVar(&c.timeout, "span", 5*time.Second, "how long each may take to answer")
+	set.DurationVar(&c.timeout, "span", 5*time.Second, "timeout for the response of each node")
 }
 func (c *compareCommand) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if set.NArg() != 2 {
-		printError("two addresses are needed")
+		printError("exactly two addresses are required")
 		return exitUsage
 	}
 	var states [2]*replica.NodeStateView
@@ -58,7 +58,7 @@
 			err = json.Unmarshal(data, states[k])
 		}
 		if err != nil || code != 200 {
-			printError("%s: answers %d, %v", set.Arg(k), code, err)
+			printError("the state of node %s could not be read: status %d, error %v", set.Arg(k), code, err)
 			return exitFailed
 		}
 	}
@@ -71,16 +71,17 @@
 	return exitDiffers
 }
 
-// stateDiff collects the lines that differ between two nodes' states.
+// stateDiff collects the differences between two nodes' states, one line for each.
 type stateDiff struct{ lines []string }
 
-func (d *stateDiff) add(what string, x, y any) {
+// add adds a line with a name and both values, if the values differ.
+func (d *stateDiff) add(name string, x, y any) {
 	if fmt.Sprint(x) != fmt.Sprint(y) {
-		d.lines = append(d.lines, fmt.Sprintf("%s: %v | %v", what, x, y))
+		d.lines = append(d.lines, fmt.Sprintf("%s: %v | %v", name, x, y))
 	}
 }
 
-// diffStates lists what differs between two nodes' states, a line each.
+// diffStates returns the differences between two nodes' states, one line for each.
 func diffStates(a, b *replica.NodeStateView) []string {
 	d := &stateDiff{}
 	d.add("cluster state version", a.ClusterStateVersion, b.ClusterStateVersion)
@@ -94,7 +95,8 @@
 	return d.lines
 }
 
-// byKey pairs the values of two nodes by key; where a node has none, it is the zero value.
+// byKey pairs the values of two nodes that have the same key. The function entry returns the
+// key and value of an item. If a node has no item with a key, its value is the zero value.
 func byKey[T, V any](x, y []T, entry func(T) (string, V)) map[string][2]V {
 	pairs := map[string][2]V{}
 	for k, list := range [][]T{x, y} {
--- a/cmd/sparnotchctl/recorded_test.go
+++ b/cmd/sparnotchctl/recorded_test.go
@@ -13,18 +13,20 @@
 	"sparnotch/internal/storage"
 )
 
-// The folders under testdata/recorded were written by commit 355bea5, whose digests of the
-// state machines stand here: 72 jobs of two queues, one of them scheduled, one cancelled, and a
-// configuration of two rows. log-only has everything in its first log; slot-and-log has a
-// snapshot slot and a log that follows it.
+// These constants are digests of the state machines in the data directories under
+// testdata/recorded, which were written by commit 355bea5. The directories hold 72 jobs in two
+// queues, one job of them scheduled and one cancelled, and a configuration with two rows.
+// log-only holds all data in its first log; slot-and-log holds a snapshot slot and a log that
+// follows it.
 const (
 	recordedQuotesDigest       = "706caa84097aa8b1"
 	recordedExportsDigest      = "01acef331d8f8315"
 	recordedClusterStateDigest = "9079846476e2cda9"
 )
 
-// copyRecorded copies a recorded folder, as opening one takes a lock in it. The lock file is
-// empty and isn't recorded.
+// copyRecorded copies a recorded data directory to a temporary one and returns its path. The
+// copy is needed because opening a directory locks a file in it. This lock file is empty and
+// isn't recorded, so copyRecorded creates it.
 func copyRecorded(t *testing.T, name string) string {
 	path := t.TempDir()
 	So(os.CopyFS(path, os.DirFS(filepath.Join("testdata", "recorded", name))), ShouldBeNil)
@@ -32,7 +34,8 @@
 	return path
 }
 
-// TestRecordedDataDirs: data that an earlier version has stored is read to the same state.
+// TestRecordedDataDirs checks that data stored by an earlier version is read back to the same
+// state.
 func TestRecordedDataDirs(t *testing.T) {
 	for _, name := range []string{"log-only", "slot-and-log"} {
 		Convey(name+" is whole, and its queues replay to the recorded digests", t, func() {
--- a/cmd/sparnotchctl/tenants.go
+++ b/cmd/sparnotchctl/tenants.go
@@ -17,25 +17,27 @@
 	"sparnotch/internal/scheduler"
 )
 
-// tenantsCommand prints what each tenant uses, may use and waits for.
+// tenantsCommand prints the resources that each tenant uses, the tenant's limits, and the
+// reason why its tasks wait.
 type tenantsCommand struct {
 	nodeClient
 }
 
 func (*tenantsCommand) Name() string { return "tenants" }
 func (*tenantsCommand) Synopsis() string {
-	return "print what each tenant uses, its limits, and what its tasks wait for"
+	return "print the resource use and limits of each tenant, and the reason why its tasks wait"
 }
 func (*tenantsCommand) Usage() string {
 	return `sparnotchctl tenants -nodes IP:PORT,...
-  Asks all the nodes, which should be the storage nodes, and prints the answer of the
-  one that leads every queue. Without one, tasks of tenants with a limit aren't started,
-  and what each node knows of its own queues is printed.
+  The nodes should be all storage nodes of the cluster. Asks each of them and prints the
+  response of the node that leads all queues. If no node does, tasks of tenants with a
+  limit aren't started, and the command prints the response of each node, which covers
+  only the queues that the node leads.
 ` + exitHelp
 }
 func (c *tenantsCommand) SetFlags(set *flag.FlagSet) { c.register(set) }
 
-// nodePlacements is what one node answers.
+// nodePlacements is the scheduler state that one node reports.
 type nodePlacements struct {
 	address string
 	view    *scheduler.StateView
@@ -44,7 +46,7 @@
 func (c *tenantsCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	addresses := strings.FieldsFunc(c.addresses, func(r rune) bool { return r == ',' })
 	if len(addresses) == 0 {
-		printError("nodes: at least one address is needed (-nodes or $SPARNOTCH_NODES)")
+		printError("nodes: at least one address is required (set -nodes or $SPARNOTCH_NODES)")
 		return exitUsage
 	}
 	var answers []nodePlacements
@@ -64,7 +66,7 @@
 		printTenants(answers[leader].view.Tenants)
 		return subcommands.ExitSuccess
 	}
-	printError("none of the nodes that answer leads every queue: tasks of tenants with a limit aren't started")
+	printError("none of the nodes that responded leads every queue; tasks of tenants with a limit aren't started")
 	for _, answer := range answers {
 		fmt.Println(answer.address + ":")
 		printTenants(answer.view.Tenants)
@@ -72,22 +74,22 @@
 	return subcommands.ExitSuccess
 }
 
-// placements asks one node for its scheduler's state.
+// placements requests the state of one node's scheduler.
 func (c *tenantsCommand) placements(address string) (*scheduler.StateView, error) {
 	code, data, err := sendOnce(min(c.timeout, maxRequestTimeout), "", http.MethodGet, address, "/v1/placements", nil)
 	switch {
 	case err != nil:
 		return nil, err
 	case code == http.StatusNotFound:
-		return nil, fmt.Errorf("it is no storage node")
+		return nil, fmt.Errorf("the node is not a storage node")
 	case code != http.StatusOK:
-		return nil, fmt.Errorf("answers %d: %s", code, strings.TrimSpace(string(data)))
+		return nil, fmt.Errorf("the node responded with status %d: %s", code, strings.TrimSpace(string(data)))
 	}
 	view := &scheduler.StateView{}
 	return view, json.Unmarshal(data, view)
 }
 
-// printTenants prints a table of tenants, a line each.
+// printTenants prints a table with one line for each tenant.
 func printTenants(tenants []*scheduler.TenantView) {
 	writer := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(writer, "TENANT\tWEIGHT\tCORES\tMEMORY_MB\tACCELERATORS\tRUNNING\tREADY\tWAITING\tWAITS FOR")
@@ -104,7 +106,8 @@
 	writer.Flush()
 }
 
-// formatUse is an amount in use, and its limit where there is one.
+// formatUse returns a text with the amount in use and, if there is one, its limit. Both are
+// divided by divisor.
 func formatUse(used, limit int64, divisor float64) string {
 	text := fmt.Sprintf("%g", float64(used)/divisor)
 	if limit > 0 {
--- a/cmd/sparnotchctl/tenants_test.go
+++ b/cmd/sparnotchctl/tenants_test.go
@@ -12,7 +12,8 @@
 	"sparnotch/internal/scheduler"
 )
 
-// servePlacements serves a state view, or 404 for nil, and returns its address.
+// servePlacements starts a server that responds with a scheduler's state, or with 404 if the
+// state is nil, and returns the server's address.
 func servePlacements(t *testing.T, view *scheduler.StateView) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if view == nil || r.URL.Path != "/v1/placements" {
@@ -41,7 +42,7 @@
 		nodes := servePlacements(t, follower) + "," + servePlacements(t, nil) + "," + servePlacements(t, leader)
 		code, text := runCommand(&tenantsCommand{}, "-nodes", nodes)
 		So(code, ShouldEqual, 0)
-		So(text, ShouldContainSubstring, "it is no storage node")
+		So(text, ShouldContainSubstring, "the node is not a storage node")
 		So(text, ShouldEndWith, `TENANT  WEIGHT  CORES    MEMORY_MB  ACCELERATORS  RUNNING  READY  WAITING  WAITS FOR
 acme    2.5     600/600  70         1             31       7      12.3s    its tenant's quota: 600 of 600 cores
 umbra   0       0        0          0             0        0      -        
