--- a/cmd/sparnotchctl/datadir.go
+++ b/cmd/sparnotchctl/datadir.go
@@ -109,7 +109,8 @@
 
 // replay restores a queue's state machine from the snapshot and applies the log to it, up to
 // the entry with index lastIndex, or to the end if lastIndex is 0. It returns the state machine
-// and the index of the last applied entry. If visit is not nil, it is called after each command.
+// and the index of the last applied entry. If visit is not nil, it is called after each
+// command has been applied.
 func replay(group string, groupContent *storage.GroupState, lastIndex uint64, visit func(*schema.Entry, *schema.QueueCommand, *queue.Effects)) (*queue.Machine, uint64, error) {
 	machine, err := queue.Restore(replica.QueueName(group), groupContent.Snapshot.GetIndex(), groupContent.Snapshot.GetData())
 	if err != nil {
