--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -69,7 +69,7 @@
 // firstStep returns the index of a round's first step.
 func (j *job) firstStep(round int) int { return round * j.stepsPerRound() }
 
-// step returns the specification of step s.
+// step returns the spec of step s.
 func (j *job) step(s int) *schema.Step { return j.spec.Steps[s%j.stepsPerRound()] }
 
 // nextRoundUs returns the queue time in µs at which the first round that isn't open is due.
