--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -142,7 +142,7 @@
 			h.run(3*eventloop.Second + k*70*eventloop.Millisecond)
 			h.isPaused = true
 			// Just enough time is left for an inspection, a poll and an inspection.
-			remaining := h.worker.HoldUntil() - h.worker.Clock(h.now)
+			remaining := h.worker.RunDeadline() - h.worker.Clock(h.now)
 			h.run(remaining - 10*messageDelay - agent.TickInterval)
 			h.isPaused = false
 		}
--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -22,7 +22,7 @@
 			for k := 0; k < 1000; k++ {
 				h.run(7 * eventloop.Millisecond)
 				// A slow clock ends the hold later by its error over a lease.
-				remaining := eventloop.Micros(float64(h.worker.HoldUntil()-h.worker.Clock(h.now)) / drift)
+				remaining := eventloop.Micros(float64(h.worker.RunDeadline()-h.worker.Clock(h.now)) / drift)
 				So(h.now+remaining, ShouldBeLessThanOrEqualTo, s.leaseEndsAt+eventloop.Micros(float64(s.lease)*(1/drift-1))+2)
 				So(remaining, ShouldBeGreaterThan, s.lease/3)
 			}
--- a/internal/fakeworker/called_worker.go
+++ b/internal/fakeworker/called_worker.go
@@ -114,8 +114,8 @@
 	return eventloop.Second + eventloop.Micros(float64(now-w.startedAt)*w.config.ClockDrift)
 }
 
-// HoldUntil is when all runs are killed, by the worker's own clock.
-func (w *CalledWorker) HoldUntil() eventloop.Micros { return w.holdUntil }
+// RunDeadline is when all runs are killed, by the worker's own clock.
+func (w *CalledWorker) RunDeadline() eventloop.Micros { return w.holdUntil }
 
 // Heartbeat makes the next heartbeat.
 func (w *CalledWorker) Heartbeat(now eventloop.Micros) agent.Heartbeat {
--- a/internal/fakeworker/called_worker_test.go
+++ b/internal/fakeworker/called_worker_test.go
@@ -90,17 +90,17 @@
 		w := newCalledWorkerTest("w", Config{EnforcesCapacity: true}, nil)
 		clock := w.Clock(now)
 		w.call(now, startCall(0, 1, clock+eventloop.Second, long))
-		So(w.HoldUntil(), ShouldEqual, clock+eventloop.Second)
+		So(w.RunDeadline(), ShouldEqual, clock+eventloop.Second)
 		w.call(now, startCall(1, 1, clock+2*eventloop.Second, "cores=5000"))
-		So(w.HoldUntil(), ShouldEqual, clock+2*eventloop.Second)
+		So(w.RunDeadline(), ShouldEqual, clock+2*eventloop.Second)
 		old := startCall(1, 1, clock+3*eventloop.Second, "")
 		old.FencingToken = 1
 		w.call(now, old)
-		So(w.HoldUntil(), ShouldEqual, clock+2*eventloop.Second)
+		So(w.RunDeadline(), ShouldEqual, clock+2*eventloop.Second)
 		w.call(now, startCall(0, 1, clock+eventloop.Second, long))
-		So(w.HoldUntil(), ShouldEqual, clock+2*eventloop.Second)
+		So(w.RunDeadline(), ShouldEqual, clock+2*eventloop.Second)
 		w.call(now, startCall(0, 1, clock+20*eventloop.Second, long))
-		So(w.HoldUntil(), ShouldEqual, clock+5*eventloop.Second)
+		So(w.RunDeadline(), ShouldEqual, clock+5*eventloop.Second)
 	})
 }
 
--- a/internal/modelcheck/workerpath/observer.go
+++ b/internal/modelcheck/workerpath/observer.go
@@ -163,7 +163,7 @@
 
 // noteLapse records whether a worker's hold is over.
 func (o *observer) noteLapse(m *machine) {
-	if m.worker.Clock(o.world.now) >= m.worker.HoldUntil() {
+	if m.worker.Clock(o.world.now) >= m.worker.RunDeadline() {
 		o.lapsedAt[m] = o.world.now
 	}
 }
--- a/internal/sim/called_worker.go
+++ b/internal/sim/called_worker.go
@@ -181,7 +181,7 @@
 	if w.isUnhealthy() && now >= w.lastUnhealthyAt+unhealthyInterval {
 		w.recordUnhealthy()
 	}
-	if w.worker.Clock(now) >= w.worker.HoldUntil() {
+	if w.worker.Clock(now) >= w.worker.RunDeadline() {
 		w.leaseExpiredAt = now
 	}
 	w.worker.Step(now)
