--- a/internal/checker/called_test.go
+++ b/internal/checker/called_test.go
@@ -29,7 +29,7 @@
 }
 
 func checkpointShown(at eventloop.Micros, who string, task, attempt uint32, saved string) Event {
-	return Event{At: at, Kind: CheckpointShown, Actor: who, Queue: "l", Name: "j", Task: task, Attempt: attempt, Checkpoint: saved, IsCalled: true}
+	return Event{At: at, Kind: CheckpointReported, Actor: who, Queue: "l", Name: "j", Task: task, Attempt: attempt, Checkpoint: saved, IsCalled: true}
 }
 
 func endAcknowledged(at eventloop.Micros, who string, step, task, attempt uint32, state string) Event {
--- a/internal/checker/event.go
+++ b/internal/checker/event.go
@@ -23,13 +23,13 @@
 	WorkerDraining    = "leave"       // a worker says that it drains
 	WorkerAnswered    = "heard"       // a worker was answered; recorded once a second
 
-	Order           = "order"    // a worker takes an order
-	OrderDropped    = "let-go"   // an order is given up without having started
-	TaskStart       = "begin"    // a task starts to run
-	TaskEnd         = "end"      // and ends
-	FailureReported = "reported" // the answer to a worker's report of a failed task has come
-	EndAcknowledged = "noted"    // a worker learns that an end is known; state lapsed: its lease had ended in between
-	CheckpointShown = "kept"     // a worker shows the checkpoint of a run
+	Order              = "order"    // a worker takes an order
+	OrderDropped       = "let-go"   // an order is given up without having started
+	TaskStart          = "begin"    // a task starts to run
+	TaskEnd            = "end"      // and ends
+	FailureReported    = "reported" // the answer to a worker's report of a failed task has come
+	EndAcknowledged    = "noted"    // a worker learns that an end is known; state lapsed: its lease had ended in between
+	CheckpointReported = "kept"     // a worker shows the checkpoint of a run
 
 	ConfigurationSent  = "plan-sent" // an operator sends a configuration
 	ConfigurationReply = "plan-put"  // and is answered
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -265,7 +265,7 @@
 			start: e.At, worker: e.Actor, attempt: e.Attempt, isLate: e.IsLate, text: e.Text, checkpoint: e.Checkpoint,
 		})
 		job.isCalled = job.isCalled || e.IsCalled
-	case CheckpointShown:
+	case CheckpointReported:
 		job := a.job(e)
 		job.checkpoints[e.taskID()] = append(job.checkpoints[e.taskID()], *e)
 	case TaskEnd:
--- a/internal/sim/called_runs.go
+++ b/internal/sim/called_runs.go
@@ -165,7 +165,7 @@
 		return
 	}
 	w.checkpoints[run] = checkpoint
-	e := w.event(checker.CheckpointShown, run)
+	e := w.event(checker.CheckpointReported, run)
 	e.Checkpoint = checkpoint
 	w.sim.Record(e)
 }
