--- a/cmd/sparnotch-bench/check_command.go
+++ b/cmd/sparnotch-bench/check_command.go
@@ -31,7 +31,7 @@
 		fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
 		return 2
 	}
-	violations := checker.Check(events, checker.DefaultBounds)
+	violations := checker.Check(events, checker.DefaultTolerances)
 	printViolations(violations)
 	fmt.Printf("check: %d events, %d rules broken\n", len(events), len(violations))
 	if len(violations) > 0 {
--- a/cmd/sparnotch-bench/fleet_command.go
+++ b/cmd/sparnotch-bench/fleet_command.go
@@ -91,7 +91,7 @@
 	if err := c.prepareFolders(); err != nil {
 		return usage(err)
 	}
-	passed := c.run(ctx, c.newFleet(deployment), faults, checker.DefaultBounds)
+	passed := c.run(ctx, c.newFleet(deployment), faults, checker.DefaultTolerances)
 	if passed && isTemporary {
 		_ = os.RemoveAll(c.folder)
 	} else {
--- a/cmd/sparnotch-bench/fleet_test.go
+++ b/cmd/sparnotch-bench/fleet_test.go
@@ -25,7 +25,7 @@
 // relaxedBounds are for a machine with other load: what happens is checked, and not how
 // fast.
 var relaxedBounds = checker.Tolerances{
-	Retention: 100 * eventloop.Second, EarlyStart: checker.DefaultBounds.EarlyStart, Drain: 120 * eventloop.Second, Cancel: 120 * eventloop.Second, Stop: 120 * eventloop.Second,
+	Retention: 100 * eventloop.Second, EarlyStart: checker.DefaultTolerances.EarlyStart, Drain: 120 * eventloop.Second, Cancel: 120 * eventloop.Second, Stop: 120 * eventloop.Second,
 	Propagation: 120 * eventloop.Second, Recovery: 300 * eventloop.Second, GangStart: 120 * eventloop.Second, LossDetection: eventloop.Second, GatewayReady: 300 * eventloop.Second,
 }
 
--- a/cmd/sparnotch-bench/soak_command.go
+++ b/cmd/sparnotch-bench/soak_command.go
@@ -80,7 +80,7 @@
 		if ctx.Err() != nil {
 			return 1
 		}
-		if !c.runSeed(ctx, c.seed+uint64(k), slackenBounds(checker.DefaultBounds, c.slack)) {
+		if !c.runSeed(ctx, c.seed+uint64(k), slackenBounds(checker.DefaultTolerances, c.slack)) {
 			failed++
 		}
 	}
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -61,8 +61,8 @@
 	MaxIdle       eventloop.Micros // a job starts a task by then if there is capacity; 0: not checked
 }
 
-// DefaultBounds are the bounds of a deployment whose workers poll for their orders.
-var DefaultBounds = Tolerances{
+// DefaultTolerances are the bounds of a deployment whose workers poll for their orders.
+var DefaultTolerances = Tolerances{
 	Retention: 120 * eventloop.Second, EarlyStart: 100 * eventloop.Millisecond, Drain: 2 * eventloop.Second,
 	Cancel: 3 * eventloop.Second, Stop: eventloop.Second, Propagation: 2 * eventloop.Second, Recovery: 12 * eventloop.Second,
 	GangStart: 5 * eventloop.Second, LossDetection: eventloop.Second, GatewayReady: 5 * eventloop.Second,
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -51,14 +51,14 @@
 
 func brokenRules(history []Event) map[int]bool {
 	broken := map[int]bool{}
-	for _, b := range Check(history, DefaultBounds) {
+	for _, b := range Check(history, DefaultTolerances) {
 		broken[b.Rule] = true
 	}
 	return broken
 }
 
 func TestEachRule(t *testing.T) {
-	Convey("A good history breaks nothing", t, func() { So(Check(goodHistory(), DefaultBounds), ShouldBeEmpty) })
+	Convey("A good history breaks nothing", t, func() { So(Check(goodHistory(), DefaultTolerances), ShouldBeEmpty) })
 	closing := Event{At: 200 * s, Kind: Close}
 	for _, test := range []struct {
 		what    string
@@ -226,7 +226,7 @@
 	} {
 		Convey("Found: "+test.what, t, func() {
 			So(brokenRules(test.broken), ShouldResemble, map[int]bool{test.rule: true})
-			So(Check(test.near, DefaultBounds), ShouldBeEmpty)
+			So(Check(test.near, DefaultTolerances), ShouldBeEmpty)
 		})
 	}
 }
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -198,7 +198,7 @@
 	// Clients that wait for the last jobs ask once more.
 	f.Run(f.Now + 3*eventloop.Second)
 	f.Record(checker.Event{Kind: checker.Close})
-	bounds := checker.DefaultBounds
+	bounds := checker.DefaultTolerances
 	if f.Spec.HasCalledWorkers() {
 		bounds = checker.CalledWorkerBounds
 	}
--- a/internal/sim/scenarios_quota.go
+++ b/internal/sim/scenarios_quota.go
@@ -221,7 +221,7 @@
 // verifyFullAgain: it is at its limit again after the fault.
 func verifyFullAgain(f *Fleet) []string {
 	problems := verifyFull(f)
-	if cores := f.fillCores(f.faultAt+checker.DefaultBounds.Recovery, f.LoadEnd+drainAfterLoad); cores < fullTenantCores-fillTaskCores {
+	if cores := f.fillCores(f.faultAt+checker.DefaultTolerances.Recovery, f.LoadEnd+drainAfterLoad); cores < fullTenantCores-fillTaskCores {
 		problems = append(problems, fmt.Sprintf("only %d milli cores of the full tenant ran after the fault", cores))
 	}
 	return problems
--- a/internal/sim/scenarios_workers.go
+++ b/internal/sim/scenarios_workers.go
@@ -119,7 +119,7 @@
 			f.RestartDelay = max(f.RestartDelay, e.At-f.workerLostAt)
 		}
 	}
-	if f.RestartDelay == 0 || len(lost) > 0 || f.RestartDelay > checker.DefaultBounds.Recovery {
+	if f.RestartDelay == 0 || len(lost) > 0 || f.RestartDelay > checker.DefaultTolerances.Recovery {
 		return []string{fmt.Sprintf("%d tasks of the lost worker never started again, the last of the others after %d us", len(lost), f.RestartDelay)}
 	}
 	return nil
