--- a/internal/checker/called_test.go
+++ b/internal/checker/called_test.go
@@ -149,7 +149,7 @@
 			[]Event{{At: 1 * s, Kind: ConfigurationReply, Code: 200, Version: 5, Rows: rows("queue l urgency 1"), Document: "d"}, {At: 2 * s, Kind: ConfigurationRead, Code: 200, Version: 5, Rows: rows("queue l urgency 1"), Document: "d"}, closing}},
 	} {
 		Convey("Found: "+test.what, t, func() {
-			bounds := CalledWorkerBounds
+			bounds := CalledWorkerTolerances
 			if test.what != idle {
 				// In the other histories jobs wait for long.
 				bounds.MaxIdle = 0
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -68,8 +68,8 @@
 	GangStart: 5 * eventloop.Second, LossDetection: eventloop.Second, GatewayReady: 5 * eventloop.Second,
 }
 
-// CalledWorkerBounds are the bounds of a deployment whose workers are called by agents.
-var CalledWorkerBounds = Tolerances{
+// CalledWorkerTolerances are the bounds of a deployment whose workers are called by agents.
+var CalledWorkerTolerances = Tolerances{
 	Retention: 120 * eventloop.Second, EarlyStart: 250 * eventloop.Millisecond, Drain: 2 * eventloop.Second,
 	Cancel: 3 * eventloop.Second, Stop: eventloop.Second, Propagation: 2 * eventloop.Second, Recovery: 12 * eventloop.Second,
 	GangStart: 5 * eventloop.Second, LossDetection: eventloop.Second, GatewayReady: 5 * eventloop.Second,
--- a/internal/checker/tenants_test.go
+++ b/internal/checker/tenants_test.go
@@ -172,7 +172,7 @@
 			}
 		}
 		isIdle := func(history []Event) bool {
-			for _, violation := range Check(history, CalledWorkerBounds) {
+			for _, violation := range Check(history, CalledWorkerTolerances) {
 				if violation.Rule == ruleJobsKept && violation.At < 12*s {
 					return true
 				}
--- a/internal/sim/excess_losses.go
+++ b/internal/sim/excess_losses.go
@@ -68,7 +68,7 @@
 func (s Schedule) ExcessScenario() Scenario {
 	scenario := s.Scenario()
 	inject := scenario.Inject
-	scenario.Name, scenario.Duration = "excessive schedule", scenario.Duration+checker.CalledWorkerBounds.Recovery
+	scenario.Name, scenario.Duration = "excessive schedule", scenario.Duration+checker.CalledWorkerTolerances.Recovery
 	scenario.Inject = func(f *Fleet) {
 		f.trackOutages(false)
 		inject(f)
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -200,7 +200,7 @@
 	f.Record(checker.Event{Kind: checker.Close})
 	bounds := checker.DefaultTolerances
 	if f.Spec.HasCalledWorkers() {
-		bounds = checker.CalledWorkerBounds
+		bounds = checker.CalledWorkerTolerances
 	}
 	return checker.Check(f.History, bounds)
 }
