--- a/internal/checker/called_rules.go
+++ b/internal/checker/called_rules.go
@@ -5,14 +5,14 @@
 	"sparnotch/internal/schema"
 )
 
-// checkCalledJob checks what holds of a job on called workers beyond the other rules: such
-// workers name tasks by their job, list each end until it is acknowledged, and have the
-// members of a gang wait for each other.
+// checkCalledJob checks the additional rules for a job on called workers. Such workers name
+// a task by its job's name, list each end until it is acknowledged, and let the members of a
+// gang wait for each other.
 func (a *analysis) checkCalledJob(job *jobRecord) {
 	for _, id := range job.tasks() {
 		step := job.step(id.step)
 		if step == nil || id.task >= step.Tasks {
-			a.report(ruleRequested, job.runs[id][0].start, "%s runs, which the job doesn't have", id.describe())
+			a.report(ruleRequested, job.runs[id][0].start, "%s runs, but the job has no such task", id.describe())
 			continue
 		}
 		for _, run := range job.runs[id] {
@@ -29,18 +29,19 @@
 	a.checkTerminalStatusHasCause(job)
 }
 
-// checkStartContent: a task starts with the text that was submitted, and from a checkpoint
-// of its own.
+// checkStartContent checks that a task starts with the text that was submitted, and either
+// without a checkpoint or from one that the task or its gang left.
 func (a *analysis) checkStartContent(job *jobRecord, id taskID, step *schema.Step, run *taskRun) {
 	if run.text != job.spec.Text {
-		a.report(ruleRequested, run.start, "%s starts with the text %q", id.describe(), run.text)
+		a.report(ruleRequested, run.start, "%s starts with the text %q instead of the submitted one", id.describe(), run.text)
 	}
 	if run.checkpoint != "" && !job.hasCheckpoint(id, step, run.checkpoint, run.start) {
-		a.report(ruleRequested, run.start, "%s starts from %q, which isn't its checkpoint", id.describe(), run.checkpoint)
+		a.report(ruleRequested, run.start, "%s starts from the checkpoint %q, which neither it nor its gang left", id.describe(), run.checkpoint)
 	}
 }
 
-// hasCheckpoint reports whether a checkpoint was left by a run of the task, or of its gang.
+// hasCheckpoint reports whether a run of the task, or of its gang if that ends as a whole,
+// had left this checkpoint by the given time.
 func (r *jobRecord) hasCheckpoint(id taskID, step *schema.Step, checkpoint string, at eventloop.Micros) bool {
 	for _, member := range r.endingWith(id, step) {
 		for _, e := range r.checkpoints[member] {
@@ -52,7 +53,8 @@
 	return false
 }
 
-// endingWith lists the tasks whose ends count for a task: itself, or all of its gang.
+// endingWith returns the tasks whose ends count as ends of this task: the task itself, or
+// all members of its gang if that ends as a whole.
 func (r *jobRecord) endingWith(id taskID, step *schema.Step) []taskID {
 	if !r.endsAsGang(step) {
 		return []taskID{id}
@@ -64,7 +66,8 @@
 	return members
 }
 
-// checkGangCheckpoint: all members of a gang start an attempt from the same checkpoint.
+// checkGangCheckpoint checks that all members of a gang start the same attempt from the same
+// checkpoint.
 func (a *analysis) checkGangCheckpoint(job *jobRecord, id taskID, run *taskRun) {
 	for t := uint32(0); t < id.task; t++ {
 		for _, peer := range job.runs[id.member(t)] {
@@ -75,57 +78,58 @@
 	}
 }
 
-// checkNoStartAfterEnd: a task doesn't start again after it was done, nor after its last
-// allowed failure. An end counts if it was acknowledged, even if only later; the members
-// of a gang fail together, once an attempt.
+// checkNoStartAfterEnd checks that a task doesn't start again after it completed, nor after
+// its last allowed failure. An end counts only if it was acknowledged, before the start or
+// after it. All failures in one attempt of a gang count as one.
 func (a *analysis) checkNoStartAfterEnd(job *jobRecord, id taskID, step *schema.Step, run *taskRun) {
 	failedAttempts := map[uint32]bool{}
 	for _, member := range job.endingWith(id, step) {
 		for _, other := range job.runs[member] {
-			// The members of one attempt are acknowledged one by one.
+			// Skip the same attempt: the ends of its members are acknowledged one by one.
 			if other.acknowledgedAt == 0 || other.end > run.start || other.attempt == run.attempt {
 				continue
 			}
 			switch other.outcome {
 			case outcomeDone:
-				a.report(ruleRunsOnce, run.start, "%s starts after task %d was done at %d, acknowledged at %d", id.describe(), member.task, other.end, other.acknowledgedAt)
+				a.report(ruleRunsOnce, run.start, "%s starts after task %d completed at %d (acknowledged at %d)", id.describe(), member.task, other.end, other.acknowledgedAt)
 			case outcomeFailed:
 				failedAttempts[other.attempt] = true
 			}
 		}
 	}
 	if len(failedAttempts) > int(step.AllowedFailures) {
-		a.report(ruleFailures, run.start, "%s starts after %d failures, %d were allowed", id.describe(), len(failedAttempts), step.AllowedFailures)
+		a.report(ruleFailures, run.start, "%s starts after %d failures, but only %d are allowed", id.describe(), len(failedAttempts), step.AllowedFailures)
 	}
 }
 
-// checkNoLoneMember: away from faults and cancels no member of a gang ends because its
-// peers never started.
+// checkNoLoneMember checks that no member of a gang ends because another member never
+// started, unless the job was being cancelled or a fault occurred during the run or shortly
+// before it.
 func (a *analysis) checkNoLoneMember(job *jobRecord, id taskID, run *taskRun) {
 	wasCancelled := job.cancelRequestedAt > 0 && job.cancelRequestedAt <= run.end
 	if run.outcome == outcomeAlone && !wasCancelled && !a.isDisturbed(run.start, run.end) {
-		a.report(ruleGangs, run.end, "%s ends alone on %s, and no fault is near", id.describe(), run.worker)
+		a.report(ruleGangs, run.end, "%s ends on %s because another member of its gang never started, and no fault occurred during the run or shortly before it", id.describe(), run.worker)
 	}
 }
 
-// checkTerminalStatusHasCause: a job is shown cancelled only after somebody asked for that,
-// and failed only after a task failed more often than allowed.
+// checkTerminalStatusHasCause checks that a job is reported as cancelled only after a client
+// asked to cancel it, and as failed only after a task failed more often than allowed.
 func (a *analysis) checkTerminalStatusHasCause(job *jobRecord) {
 	for _, status := range job.statuses {
 		switch {
 		case status.Code >= 300:
 		case status.State == stateCancelled && (job.cancelRequestedAt == 0 || job.cancelRequestedAt > status.At):
-			a.report(ruleJobsKept, status.At, "%s is shown cancelled, and nobody asked for that", job.key)
+			a.report(ruleJobsKept, status.At, "%s is reported as cancelled, but no client asked to cancel it", job.key)
 			return
 		case status.State == stateFailed && !job.hasExhaustedFailures(status.At):
-			a.report(ruleJobsKept, status.At, "%s is shown failed, and no task failed more often than allowed", job.key)
+			a.report(ruleJobsKept, status.At, "%s is reported as failed, but no task failed more often than allowed", job.key)
 			return
 		}
 	}
 }
 
-// hasExhaustedFailures reports whether by a moment any task, or gang, had failed more
-// often than its step allows.
+// hasExhaustedFailures reports whether any task or gang of the job had failed more often
+// than its step allows by the given time.
 func (r *jobRecord) hasExhaustedFailures(at eventloop.Micros) bool {
 	failedAttempts := map[taskID]map[uint32]bool{}
 	for _, id := range r.tasks() {
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -1,11 +1,11 @@
-// Package checker decides whether a run kept the rules of the service. A run leaves a
-// history: the events that clients, operators and workers saw, in order of time. Check
-// reads it afterwards and reports a Violation for each rule that was broken, as Jepsen's
-// checkers do. It knows nothing of the implementation, so that no shared code can hide
-// a fault.
+// Package checker decides whether a run of the system obeyed the rules of the service. A
+// run produces a history: the events that clients, operators and workers observed, ordered
+// by time. After the run, Check reads the history and returns a Violation for each breach of
+// a rule, as Jepsen's checkers do. The package doesn't use the scheduler's implementation,
+// because shared code could hide a fault.
 //
-// An analysis owns everything that is derived from the history: a jobRecord for each job
-// and a taskRun for each time a worker ran a task. Each rule is a method of its own.
+// An analysis holds everything that is derived from the history: a jobRecord for each job
+// and a taskRun for each time a worker ran a task. Each rule has methods of its own.
 package checker
 
 import (
@@ -17,25 +17,25 @@
 
 // The numbers of the rules, as docs/proof.md lists them.
 const (
-	ruleJobsKept      = 1 // an accepted job ends, and is known until well after its end
-	ruleRunsOnce      = 2 // one job per name, at most one concurrent run of a task
-	ruleRequested     = 3 // what runs is what was submitted
-	ruleOrder         = 4 // steps after their dependencies, timed jobs after their time
-	ruleFailures      = 5 // no retry after the last allowed failure
-	ruleCapacity      = 6 // what runs on a worker fits it
-	ruleDraining      = 7 // no work for a worker that drains
-	ruleCancel        = 8 // cancelled jobs and stopped tasks stop
-	ruleStatus        = 9 // what is shown of a job is true
-	ruleGangs         = 10
-	ruleConfiguration = 11
-	ruleRecovery      = 12
-	ruleQuota         = 13 // what a tenant runs stays within its limit
-	ruleKeys          = 14 // calls are answered as their keys allow
-	ruleTenants       = 15 // a job is one tenant's and is shown to no other
-	ruleSizes         = 16 // large jobs are served nearly as often as others
+	ruleJobsKept      = 1  // an accepted job ends, and can be queried until its retention time is over
+	ruleRunsOnce      = 2  // a name is one job, and a task never runs twice at the same time
+	ruleRequested     = 3  // the tasks that run are those that were submitted
+	ruleOrder         = 4  // steps start after their dependencies, and timed jobs after their start time
+	ruleFailures      = 5  // a task isn't retried after its last allowed failure
+	ruleCapacity      = 6  // the tasks on a worker fit its capacity, and the worker meets their constraints
+	ruleDraining      = 7  // a draining worker receives no work
+	ruleCancel        = 8  // tasks of cancelled jobs, and tasks that are ordered to stop, stop
+	ruleStatus        = 9  // the reported state of a job is correct
+	ruleGangs         = 10 // the members of a gang start together
+	ruleConfiguration = 11 // accepted configurations are kept, returned and applied
+	ruleRecovery      = 12 // service is available, and returns soon after a fault
+	ruleQuota         = 13 // the running tasks of a tenant stay within its limit
+	ruleKeys          = 14 // a call succeeds only with a key that allows it
+	ruleTenants       = 15 // a job belongs to one tenant, and no other tenant can access it
+	ruleSizes         = 16 // large jobs meet their latency target at least half as often as all jobs
 )
 
-// Violation is one broken rule. At is in µs since the start of the run.
+// Violation represents one breach of a rule. At is in µs since the start of the run.
 type Violation struct {
 	Rule    int
 	At      eventloop.Micros
@@ -48,27 +48,28 @@
 
 // Tolerances are the delays, in µs, that the rules allow.
 type Tolerances struct {
-	Retention     eventloop.Micros // an ended job is known at least this long
-	EarlyStart    eventloop.Micros // a timed job may start at most this early
-	Drain         eventloop.Micros // work reaches a draining worker at most this late
-	Cancel        eventloop.Micros // a cancelled job's tasks are told to stop by then
-	Stop          eventloop.Micros // a task that was told to stop has ended by then
-	Propagation   eventloop.Micros // an accepted configuration is in force by then
-	Recovery      eventloop.Micros // service is back this long after a fault
-	GangStart     eventloop.Micros // the members of a gang start within this
-	LossDetection eventloop.Micros // a loss this close to a gang's first start can't be known to the scheduler
-	GatewayReady  eventloop.Micros // a gateway that is back serves by then
-	MaxIdle       eventloop.Micros // a job starts a task by then if there is capacity; 0: not checked
+	Retention     eventloop.Micros // minimum time for which an ended job can be queried
+	EarlyStart    eventloop.Micros // maximum time by which a timed job may start early
+	Drain         eventloop.Micros // maximum time after which a draining worker may still receive work
+	Cancel        eventloop.Micros // maximum time from a confirmed cancel to the orders to stop the job's tasks
+	Stop          eventloop.Micros // maximum time from the order to stop a task to its end
+	Propagation   eventloop.Micros // maximum time from the acceptance of a configuration until all nodes apply it
+	Recovery      eventloop.Micros // maximum time from a fault until service is available again
+	GangStart     eventloop.Micros // maximum time between the starts of the members of a gang
+	LossDetection eventloop.Micros // the scheduler can't know of the loss of a worker within this time of a gang's start
+	GatewayReady  eventloop.Micros // maximum time from a gateway's return until it serves requests
+	MaxIdle       eventloop.Micros // maximum time for which a ready job may run nothing despite free capacity; 0: not checked
 }
 
-// DefaultTolerances are the bounds of a deployment whose workers poll for their orders.
+// DefaultTolerances holds the tolerances for deployments whose workers poll for orders.
 var DefaultTolerances = Tolerances{
 	Retention: 120 * eventloop.Second, EarlyStart: 100 * eventloop.Millisecond, Drain: 2 * eventloop.Second,
 	Cancel: 3 * eventloop.Second, Stop: eventloop.Second, Propagation: 2 * eventloop.Second, Recovery: 12 * eventloop.Second,
 	GangStart: 5 * eventloop.Second, LossDetection: eventloop.Second, GatewayReady: 5 * eventloop.Second,
 }
 
-// CalledWorkerTolerances are the bounds of a deployment whose workers are called by agents.
+// CalledWorkerTolerances holds the tolerances for deployments in which agents call the
+// workers.
 var CalledWorkerTolerances = Tolerances{
 	Retention: 120 * eventloop.Second, EarlyStart: 250 * eventloop.Millisecond, Drain: 2 * eventloop.Second,
 	Cancel: 3 * eventloop.Second, Stop: eventloop.Second, Propagation: 2 * eventloop.Second, Recovery: 12 * eventloop.Second,
@@ -76,29 +77,29 @@
 	MaxIdle: 3 * eventloop.Second,
 }
 
-// analysis is one history under examination.
+// analysis holds a history, the data that is derived from it, and the violations found.
 type analysis struct {
 	bounds   Tolerances
 	history  []Event
-	closedAt eventloop.Micros // the last event's time
+	closedAt eventloop.Micros // time of the last event
 
 	jobs          map[jobKey]*jobRecord
 	sortedJobs    []*jobRecord                  // by key
-	jobOfTask     map[taskID]*jobRecord         // by taskWithoutName: stop orders don't name the job
-	workerFaults  map[string][]eventloop.Micros // crashes, pauses and partitions, by worker
-	faults        []eventloop.Micros            // faults of the system
-	disturbances  []eventloop.Micros            // faults and drains of any worker
-	clockReadings []Event                       // of correct wall clocks
+	jobOfTask     map[taskID]*jobRecord         // by taskWithoutName, because stop orders lack the job's name
+	workerFaults  map[string][]eventloop.Micros // times of crashes, pauses, partitions and other faults, by worker
+	faults        []eventloop.Micros            // times of faults of the system; markOutages adds those of outages
+	disturbances  []eventloop.Micros            // times of faults and drains of any worker
+	clockReadings []Event                       // Clock events
 	outages       []outage
 
-	tenantConfigurations []*tenantConfiguration // in the order in which they were sent
-	tenantOfJob          map[jobKey]string      // that submitted it, where that is known
+	tenantConfigurations []*tenantConfiguration // in the order of the first answer to each
+	tenantOfJob          map[jobKey]string      // tenant that owns the job, if known
 
 	violations []Violation
 }
 
-// Check returns every violation in a history, whose events must be in order of time.
-// The violations are in order of time, then of rule. The history isn't changed.
+// Check returns all violations in a history, whose events must be ordered by time. The
+// violations are ordered by time, then by rule. Check doesn't modify the history.
 func Check(history []Event, bounds Tolerances) []Violation {
 	a := &analysis{
 		bounds: bounds, history: history,
@@ -135,7 +136,7 @@
 	return a.violations
 }
 
-// checkJob checks the rules that concern one job alone.
+// checkJob checks the rules that need the events of a single job only.
 func (a *analysis) checkJob(job *jobRecord) {
 	a.checkAcceptedJobEnds(job)
 	a.checkAcceptedJobIsKnown(job)
@@ -163,19 +164,20 @@
 	a.violations = append(a.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
 
-// isRecovering reports whether a fault of the system or of the worker lies so near that
-// what is asked of the system may take a whole recovery.
+// isRecovering reports whether a fault of the system or of the worker occurred within the
+// interval or less than a recovery time before it. An action may then take a whole recovery
+// time.
 func (a *analysis) isRecovering(worker string, from, to eventloop.Micros) bool {
 	return anyWithin(a.faults, from-a.bounds.Recovery, to-1) || anyWithin(a.workerFaults[worker], from-a.bounds.Recovery, to-1)
 }
 
 // isDisturbed reports whether a fault of the system, or a fault or drain of any worker,
-// lies near.
+// occurred within the interval or less than a recovery time before it.
 func (a *analysis) isDisturbed(from, to eventloop.Micros) bool {
 	return anyWithin(a.faults, from-a.bounds.Recovery, to) || anyWithin(a.disturbances, from-a.bounds.Recovery, to)
 }
 
-// anyWithin reports whether any of the times lies after one moment and not after another.
+// anyWithin reports whether any of the times is later than after and not later than until.
 func anyWithin(times []eventloop.Micros, after, until eventloop.Micros) bool {
 	for _, at := range times {
 		if at > after && at <= until {
@@ -185,8 +187,8 @@
 	return false
 }
 
-// wallAt is what a correct wall clock showed at a moment, in µs since 1970; false if the
-// history has no reading.
+// wallAt converts the time of an event to wall time, in µs since 1970. It returns false if
+// the history has no reading of a wall clock.
 func (a *analysis) wallAt(at eventloop.Micros) (int64, bool) {
 	if len(a.clockReadings) == 0 {
 		return 0, false
--- a/internal/checker/configuration_effects.go
+++ b/internal/checker/configuration_effects.go
@@ -8,20 +8,21 @@
 	"sparnotch/internal/schema"
 )
 
-// effectsCheck follows what runs where, against the configurations that may be in force.
+// effectsCheck tracks which tasks run on which workers, and compares them with the
+// configurations that may be in force.
 type effectsCheck struct {
 	*analysis
-	accepted []*Event // accepted configurations, by version
-	racks    map[string]string
-	pools    map[string]string
+	accepted []*Event                   // accepted configurations, by version
+	racks    map[string]string          // by worker
+	pools    map[string]string          // by worker
 	running  map[string]map[taskID]bool // by queue
-	// isUnclear: a configuration was sent of which nobody knows whether it was accepted;
-	// queues may then come and go as it says.
+	// isUnclear reports that a configuration got no answer or 504, so it is unknown whether it
+	// was accepted. Its queues may then exist or not.
 	isUnclear bool
 }
 
-// checkConfigurationEffects: what a configuration says is done everywhere soon after it was
-// accepted: the coming and going of queues, racks of weight 0, the queues' pools and limits.
+// checkConfigurationEffects checks that all nodes apply a configuration soon after it was
+// accepted: which queues exist, which racks have weight 0, and the queues' pools and limits.
 func (a *analysis) checkConfigurationEffects() {
 	c := &effectsCheck{analysis: a, racks: map[string]string{}, pools: map[string]string{}, running: map[string]map[taskID]bool{}}
 	c.readConfigurations()
@@ -57,13 +58,15 @@
 		}
 		c.isUnclear = c.isUnclear || e.Code == 0 || e.Code == 504
 	}
-	// Who sends one again may learn late that an older one was accepted.
+	// An operator that resends an older configuration may learn late that it was accepted.
 	sort.SliceStable(c.accepted, func(i, j int) bool { return c.accepted[i].Version < c.accepted[j].Version })
 }
 
-// holdsInEveryConfiguration reports whether something holds in every configuration that may be in force in an
-// interval: those of the last propagation, and the newest before it. A configuration whose
-// answer was late may be in force since it was sent.
+// holdsInEveryConfiguration reports whether the condition is true for every configuration
+// that may be in force during the interval: those accepted within the propagation time before
+// it, and the newest one before those. A configuration may be in force from the time it was
+// sent, because its answer may have been late. The result is false while no configuration must
+// be in force yet.
 func (c *effectsCheck) holdsInEveryConfiguration(from, to eventloop.Micros, condition func(rows []*schema.ConfigurationRow) bool) bool {
 	found := false
 	for k, accepted := range c.accepted {
@@ -81,7 +84,8 @@
 	return found
 }
 
-// checkQueueKnown: a gateway knows the configuration's queues, and no others.
+// checkQueueKnown checks that a gateway accepts jobs for the configuration's queues only, and
+// reports none of those queues as unknown.
 func (c *effectsCheck) checkQueueKnown(e *Event) {
 	if c.isUnclear {
 		return
@@ -89,28 +93,29 @@
 	has := func(rows []*schema.ConfigurationRow) bool { return hasQueue(rows, e.Queue) }
 	hasNot := func(rows []*schema.ConfigurationRow) bool { return !hasQueue(rows, e.Queue) }
 	if e.Code == 404 && c.holdsInEveryConfiguration(e.sentAt(), e.At, has) {
-		c.report(ruleConfiguration, e.At, "%s doesn't know the queue %s, which the configuration has", e.Gateway, e.Queue)
+		c.report(ruleConfiguration, e.At, "%s answers that the queue %s doesn't exist, but the configuration contains it", e.Gateway, e.Queue)
 	}
 	if e.Code == 201 && c.holdsInEveryConfiguration(e.sentAt(), e.At, hasNot) {
-		c.report(ruleConfiguration, e.At, "%s takes a job for the queue %s, which the configuration doesn't have", e.Gateway, e.Queue)
+		c.report(ruleConfiguration, e.At, "%s accepts a job for the queue %s, which the configuration doesn't contain", e.Gateway, e.Queue)
 	}
 }
 
-// checkStartPlace: nothing starts in a rack of weight 0, nor on a called worker of another
-// pool than its queue's.
+// checkStartPlace checks that no task starts in a rack of weight 0, nor on a called worker
+// outside its queue's pool.
 func (c *effectsCheck) checkStartPlace(e *Event) {
 	rack, pool := c.racks[e.Actor], c.pools[e.Actor]
 	isDrained := func(rows []*schema.ConfigurationRow) bool { return rowValue(rows, "rack", rack, "weight") == "0" }
 	isOtherPool := func(rows []*schema.ConfigurationRow) bool { return rowValue(rows, "queue", e.Queue, "pool") != pool }
 	if c.holdsInEveryConfiguration(e.At, e.At, isDrained) {
-		c.report(ruleConfiguration, e.At, "work starts on %s in rack %s, whose weight is 0", e.Actor, rack)
+		c.report(ruleConfiguration, e.At, "a task starts on %s in rack %s, whose weight is 0", e.Actor, rack)
 	}
 	if e.IsCalled && c.holdsInEveryConfiguration(e.At, e.At, isOtherPool) {
-		c.report(ruleConfiguration, e.At, "work of the queue %s starts on %s, whose pool is %q", e.Queue, e.Actor, pool)
+		c.report(ruleConfiguration, e.At, "a task of the queue %s starts on %s, which belongs to the pool %q", e.Queue, e.Actor, pool)
 	}
 }
 
-// checkRunningLimit: no more tasks of a queue run than its limit.
+// checkRunningLimit checks that the number of running tasks of a queue stays within the
+// queue's limit.
 func (c *effectsCheck) checkRunningLimit(e *Event) {
 	if c.running[e.Queue] == nil {
 		c.running[e.Queue] = map[taskID]bool{}
@@ -126,7 +131,8 @@
 	}
 }
 
-// dropEndedRuns removes the tasks that ended with their worker, which nobody reported.
+// dropEndedRuns removes the tasks whose runs ended with the event's worker, because the history
+// has no TaskEnd for them.
 func (c *effectsCheck) dropEndedRuns(e *Event) {
 	for _, tasks := range c.running {
 		for id := range tasks {
--- a/internal/checker/configuration_rules.go
+++ b/internal/checker/configuration_rules.go
@@ -9,29 +9,30 @@
 	"sparnotch/internal/schema"
 )
 
-// acceptedConfiguration is a configuration that was confirmed to its operator.
+// acceptedConfiguration is a configuration whose acceptance was confirmed to the operator.
 type acceptedConfiguration struct {
 	at      eventloop.Micros
 	version uint64
 }
 
-// configurationCheck follows what operators send and read. Contents stand for a document
-// and its rows, whatever the order of the rows.
+// configurationCheck tracks the configurations that operators send and read. A content
+// string, from configurationContent, represents a document and its rows regardless of the
+// order of the rows.
 type configurationCheck struct {
 	*analysis
 	accepted    []acceptedConfiguration
-	sent        map[string]bool             // every content that anybody sent
-	acceptedAt  map[string]eventloop.Micros // by content
-	contentOf   map[uint64]string           // by version
-	successorOf map[uint64]uint64           // by the version it was built on
-	newest      *Event                      // read so far, through any gateway
-	newestRead  map[string]*Event           // by gateway
-	isAvailable map[string]bool             // gateways
+	sent        map[string]bool             // contents that an operator sent
+	acceptedAt  map[string]eventloop.Micros // time of acceptance by content
+	contentOf   map[uint64]string           // content by version
+	successorOf map[uint64]uint64           // version that was accepted on top of each base version
+	newest      *Event                      // newest version read so far, through any gateway
+	newestRead  map[string]*Event           // last read by gateway
+	isAvailable map[string]bool             // by gateway
 }
 
-// checkConfigurations: a configuration that was accepted is soon read through every gateway
-// as it was sent, and no older one after it; of two built on the same version only one is
-// accepted.
+// checkConfigurations checks that every gateway soon returns an accepted configuration with
+// the content that was sent, and no older one from then on. Of two configurations with the
+// same base version only one may be accepted.
 func (a *analysis) checkConfigurations() {
 	c := &configurationCheck{
 		analysis: a, sent: map[string]bool{}, acceptedAt: map[string]eventloop.Micros{}, contentOf: map[uint64]string{},
@@ -56,7 +57,7 @@
 	c.checkFinalReads()
 }
 
-// configurationContent is a configuration's document and rows, in an order of its own.
+// configurationContent returns a text of the configuration's document and sorted rows.
 func configurationContent(e *Event) string {
 	lines := make([]string, 0, len(e.Rows)+1)
 	lines = append(lines, e.Document)
@@ -67,15 +68,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// checkReply checks the answer to an operator who sent a configuration.
+// checkReply checks the answer to a configuration that an operator sent.
 func (c *configurationCheck) checkReply(e *Event) {
 	content := configurationContent(e)
 	if e.State == Invalid && e.Code < 300 {
-		c.report(ruleConfiguration, e.At, "a configuration that is no successor was accepted as version %d", e.Version)
+		c.report(ruleConfiguration, e.At, "a configuration that must be rejected was accepted as version %d", e.Version)
 	}
 	at, wasAccepted := c.acceptedAt[content]
 	if wasAccepted && e.Document != "" && e.sentAt() > at && e.isRefusal() {
-		c.report(ruleConfiguration, e.At, "a configuration that was accepted at %d is refused with %d when it comes again", at, e.Code)
+		c.report(ruleConfiguration, e.At, "a configuration that was accepted at %d is refused with status %d when it is sent again", at, e.Code)
 	}
 	if !wasAccepted && (e.Code == 200 || e.State == AcknowledgementLost) {
 		c.acceptedAt[content] = e.At
@@ -89,7 +90,7 @@
 	}
 }
 
-// checkAcceptedOnce: a version has one content, and a version one successor.
+// checkAcceptedOnce checks that a version has only one content and only one successor.
 func (c *configurationCheck) checkAcceptedOnce(e *Event, content string) {
 	if other, known := c.contentOf[e.Version]; known && other != content {
 		c.report(ruleConfiguration, e.At, "two configurations were both accepted as version %d", e.Version)
@@ -101,26 +102,26 @@
 	c.successorOf[e.BaseVersion] = e.Version
 }
 
-// checkReadVersion: a read shows no version older than one that was accepted a propagation
-// before, or that was read before.
+// checkReadVersion checks that a read returns no version older than one that was accepted
+// more than the propagation time before, or that had already been read.
 func (c *configurationCheck) checkReadVersion(e *Event) {
 	c.newestRead[e.Gateway] = e
 	for _, accepted := range c.accepted {
 		if e.sentAt() > accepted.at+c.bounds.Propagation && e.Version < accepted.version {
-			c.report(ruleConfiguration, e.At, "version %d was accepted at %d, %s shows %d", accepted.version, accepted.at, e.Gateway, e.Version)
+			c.report(ruleConfiguration, e.At, "version %d was accepted at %d, but %s returns version %d", accepted.version, accepted.at, e.Gateway, e.Version)
 			break
 		}
 	}
 	if c.newest != nil && e.sentAt() > c.newest.At && e.Version < c.newest.Version {
-		c.report(ruleConfiguration, e.At, "version %d was shown at %d, and %s shows %d again", c.newest.Version, c.newest.At, e.Gateway, e.Version)
+		c.report(ruleConfiguration, e.At, "version %d was read at %d, but %s returns version %d afterwards", c.newest.Version, c.newest.At, e.Gateway, e.Version)
 	}
 	if c.newest == nil || e.Version >= c.newest.Version {
 		c.newest = e
 	}
 }
 
-// checkReadContent: a version is read as it was accepted, or where its answer was lost as
-// somebody sent it.
+// checkReadContent checks that a version is read with the content that was accepted. If the
+// answer to the operator was lost, any content that an operator sent is correct.
 func (c *configurationCheck) checkReadContent(e *Event) {
 	if e.Rows == nil {
 		return
@@ -129,16 +130,16 @@
 	expected, known := c.contentOf[e.Version]
 	switch {
 	case known && expected != content:
-		c.report(ruleConfiguration, e.At, "version %d is shown with other content than was accepted", e.Version)
+		c.report(ruleConfiguration, e.At, "version %d is read with another content than was accepted", e.Version)
 	case !known && e.Version > 1 && !c.sent[content]:
-		c.report(ruleConfiguration, e.At, "version %d is shown with content that nobody sent", e.Version)
+		c.report(ruleConfiguration, e.At, "version %d is read with a content that no operator sent", e.Version)
 	case !known:
 		c.contentOf[e.Version] = content
 	}
 }
 
-// checkFinalReads: the last accepted version is read at the end, through every gateway that
-// is available.
+// checkFinalReads checks that the last accepted version was read back through every gateway
+// that is available at the end of the history.
 func (c *configurationCheck) checkFinalReads() {
 	if len(c.accepted) == 0 {
 		return
@@ -152,7 +153,7 @@
 	isRead := func(e *Event) bool { return e != nil && e.sentAt() >= final.at && e.Version >= final.version }
 	for gateway, isAvailable := range c.isAvailable {
 		if isAvailable && !isRead(c.newestRead[gateway]) {
-			c.report(ruleConfiguration, final.at, "version %d was accepted and never read back through %s", final.version, gateway)
+			c.report(ruleConfiguration, final.at, "version %d was accepted but never read back through %s", final.version, gateway)
 		}
 	}
 	wasRead := len(c.isAvailable) > 0
@@ -160,11 +161,11 @@
 		wasRead = wasRead || isRead(e)
 	}
 	if !wasRead {
-		c.report(ruleConfiguration, final.at, "version %d was accepted and never read back", final.version)
+		c.report(ruleConfiguration, final.at, "version %d was accepted but never read back", final.version)
 	}
 }
 
-// rowValue finds the value of a configuration's row; empty: it has none.
+// rowValue returns the value of a row, or an empty string if the rows don't contain it.
 func rowValue(rows []*schema.ConfigurationRow, kind, name, key string) string {
 	for _, row := range rows {
 		if row.Kind == kind && row.Name == name && row.Key == key {
--- a/internal/checker/event.go
+++ b/internal/checker/event.go
@@ -5,60 +5,62 @@
 	"sparnotch/internal/schema"
 )
 
-// Kinds of events. The strings are those of recorded histories.
+// Kinds of events. Recorded histories contain these strings.
 const (
 	Submit      = "hand-in"       // a client submits a job
-	SubmitReply = "hand-in-reply" // and is answered; code 0: not in time
-	Status      = "status"        // a client's request for a job's status was answered
-
-	CancelRequest = "cancel-sent"  // a client asks for a cancel
-	CancelReply   = "cancel-reply" // and is answered
-
-	WorkerUp          = "worker-up"     // a worker starts, with its capacity
-	WorkerGone        = "worker-gone"   // its process ended, and its tasks with it
-	WorkerPaused      = "worker-paused" // a worker and its tasks are frozen
-	WorkerResumed     = "worker-resumed"
-	WorkerPartitioned = "worker-cut"  // a worker is partitioned from everybody, or (state Healed) no longer
-	WorkerUnhealthy   = "worker-sick" // a worker was made slow, unresponsive or faulty
-	WorkerDraining    = "leave"       // a worker says that it drains
-	WorkerAnswered    = "heard"       // a worker was answered; recorded once a second
-
-	Order              = "order"    // a worker takes an order
-	OrderDropped       = "let-go"   // an order is given up without having started
+	SubmitReply = "hand-in-reply" // the answer to a submission; code 0: none came in time
+	Status      = "status"        // the answer to a client's request for a job's status
+
+	CancelRequest = "cancel-sent"  // a client asks to cancel a job
+	CancelReply   = "cancel-reply" // the answer to a request to cancel
+
+	WorkerUp          = "worker-up"      // a worker starts, with its capacity
+	WorkerGone        = "worker-gone"    // the process of a worker ended, and its tasks with it
+	WorkerPaused      = "worker-paused"  // a worker and its tasks are frozen
+	WorkerResumed     = "worker-resumed" // a frozen worker and its tasks go on
+	WorkerPartitioned = "worker-cut"     // a worker is partitioned from all nodes; with state Healed, the partition ends
+	WorkerUnhealthy   = "worker-sick"    // a worker was made slow, unresponsive or faulty
+	WorkerDraining    = "leave"          // a worker reports that it is draining
+	WorkerAnswered    = "heard"          // a worker was in contact: a heartbeat was answered, or it replied to a call; at most once a second
+
+	Order              = "order"    // a worker receives an order
+	OrderDropped       = "let-go"   // a worker drops an order without starting a task
 	TaskStart          = "begin"    // a task starts to run
-	TaskEnd            = "end"      // and ends
-	FailureReported    = "reported" // the answer to a worker's report of a failed task has come
-	EndAcknowledged    = "noted"    // a worker learns that an end is known; state lapsed: its lease had ended in between
-	CheckpointReported = "kept"     // a worker shows the checkpoint of a run
+	TaskEnd            = "end"      // a task ends
+	FailureReported    = "reported" // a worker received the answer to its report of a failed task
+	EndAcknowledged    = "noted"    // a worker learns that the end of a task is recorded; state lapsed: its lease had expired in between
+	CheckpointReported = "kept"     // a worker reports the checkpoint of a run
 
 	ConfigurationSent  = "plan-sent" // an operator sends a configuration
-	ConfigurationReply = "plan-put"  // and is answered
-	ConfigurationRead  = "plan-read"
+	ConfigurationReply = "plan-put"  // the answer to a sent configuration
+	ConfigurationRead  = "plan-read" // the answer to a request to read the configuration
 
 	Fault              = "fault"      // a major fault of the system
-	GatewayUnavailable = "front-away" // a gateway that reaches no quorum, or is down
-	GatewayAvailable   = "front-back" // and is up and reaches one
-	Clock              = "clock"      // a reading of a correct wall clock, which ties virtual time to it
-	QuorumLost         = "core-away"  // more storage nodes are away than may be lost; until QuorumRestored service may rest
-	QuorumRestored     = "core-back"  // all storage nodes are back
-	Close              = "close"      // end of the run; what isn't over by now is late
+	GatewayUnavailable = "front-away" // a gateway goes down or loses contact with the quorum
+	GatewayAvailable   = "front-back" // a gateway is up and reaches a quorum
+	Clock              = "clock"      // a reading of a correct wall clock, which maps the times of events to wall time
+	QuorumLost         = "core-away"  // more storage nodes are down than may be lost; service may be unavailable until QuorumRestored
+	QuorumRestored     = "core-back"  // all storage nodes are available again
+	Close              = "close"      // end of the run; every accepted job must have ended by then
 )
 
-// Lister is the actor of pages of jobs, which operators read and which need no key.
+// Lister is the actor of Status events that come from an operator's list of jobs. Such
+// requests need no key.
 const Lister = "lister"
 
 // States of events other than a job's state.
 const (
-	// Healed is the state of a WorkerPartitioned that is over.
+	// Healed is the state of a WorkerPartitioned event that records the end of a partition.
 	Healed = "mended"
-	// AcknowledgementLost is the state of a SubmitReply or ConfigurationReply of code 0 that
-	// stands for an acknowledgement which was lost on its way to the client.
+	// AcknowledgementLost is the state of a SubmitReply or ConfigurationReply event with code 0
+	// that records an acknowledgement which was sent and never reached the client.
 	AcknowledgementLost = "answer-lost"
-	// Invalid is the state of a ConfigurationReply to a configuration that must be refused.
+	// Invalid is the state of a ConfigurationReply event for a configuration that the system
+	// must reject.
 	Invalid = "invalid"
 )
 
-// The states of jobs, the outcomes of runs and the acts of orders that the rules speak of.
+// The states of jobs, the outcomes of runs and the actions of orders that the rules use.
 const (
 	stateComplete  = "complete"
 	stateFailed    = "failed"
@@ -66,24 +68,24 @@
 
 	outcomeDone   = "done"
 	outcomeFailed = "failed"
-	outcomeAlone  = "alone"  // a gang's member whose peers never started
-	outcomeGone   = "gone"   // its worker's process ended
-	outcomePaused = "paused" // its worker is frozen
-	outcomeFrozen = "frozen" // its worker was frozen and resumed: the run goes on as a further taskRun
+	outcomeAlone  = "alone"  // the run belonged to a gang of which another member never started
+	outcomeGone   = "gone"   // the worker's process ended
+	outcomePaused = "paused" // the worker is frozen
+	outcomeFrozen = "frozen" // the worker was frozen and resumed; the run continues as another taskRun
 
 	orderStart   = "start"
 	orderStop    = "stop"
 	orderReserve = "hold"
 
-	leaseExpired = "lapsed" // of an EndAcknowledged
+	leaseExpired = "lapsed" // state of an EndAcknowledged event
 )
 
-// isTerminal reports whether a job in a state has ended for good.
+// isTerminal reports whether a job in this state has ended for good.
 func isTerminal(state string) bool {
 	return state == stateComplete || state == stateFailed || state == stateCancelled
 }
 
-// Event is one thing that a client, an operator or a worker saw. Times are in µs since
+// Event is one observation of a client, an operator or a worker. Times are in µs since
 // the start of the run, memory in MB, cores in thousandths. Which fields are set depends
 // on the kind. The JSON names are those of recorded histories.
 type Event struct {
@@ -91,39 +93,40 @@
 	Kind        string           `json:"kind"`
 	Actor       string           `json:"who,omitempty"`
 	Queue       string           `json:"queue,omitempty"`
-	Name        string           `json:"name,omitempty"` // of the job
+	Name        string           `json:"name,omitempty"` // name of the job
 	Job         uint64           `json:"job,omitempty"`
 	Step        uint32           `json:"step"`
 	Task        uint32           `json:"task"`
 	Attempt     uint32           `json:"attempt,omitempty"`
-	Code        int32            `json:"code,omitempty"`       // HTTP status; 0: no answer
-	State       string           `json:"state,omitempty"`      // of a job, the outcome of a run, or an order's act
-	Version     uint64           `json:"generation,omitempty"` // of a configuration
+	Code        int32            `json:"code,omitempty"`       // HTTP status; 0: no answer came
+	State       string           `json:"state,omitempty"`      // state of a job, outcome of a run, or action of an order
+	Version     uint64           `json:"generation,omitempty"` // version of a configuration
 	Cores       int64            `json:"cores,omitempty"`
 	Memory      int64            `json:"memory,omitempty"`
 	Incarnation uint64           `json:"incarnation,omitempty"`
 	Spec        *schema.Job      `json:"spec,omitempty"`
 
-	Gateway     string                     `json:"front,omitempty"` // through which a request went
-	SentAt      eventloop.Micros           `json:"sent,omitempty"`  // of the request that this answers
+	Gateway     string                     `json:"front,omitempty"` // gateway that received the request
+	SentAt      eventloop.Micros           `json:"sent,omitempty"`  // when the request was sent that this event answers
 	Rack        string                     `json:"rack,omitempty"`
-	BaseVersion uint64                     `json:"built,omitempty"` // the version that a configuration was built on
-	Rows        []*schema.ConfigurationRow `json:"rows,omitempty"`  // of a configuration that was sent or read
+	BaseVersion uint64                     `json:"built,omitempty"` // version that the configuration was derived from
+	Rows        []*schema.ConfigurationRow `json:"rows,omitempty"`  // rows of a configuration that was sent or read
 	WallTime    int64                      `json:"wall,omitempty"`  // µs since 1970
 
-	IsCalled     bool     `json:"called,omitempty"` // of a worker that is called: its gangs gather, its ends are acknowledged
-	IsLate       bool     `json:"late,omitempty"`   // carried out late by the worker
+	IsCalled     bool     `json:"called,omitempty"` // the worker is called by an agent: the members of a gang wait for each other, and ends are acknowledged
+	IsLate       bool     `json:"late,omitempty"`   // the worker carried the order out after the call had timed out
 	Accelerators int64    `json:"accelerators,omitempty"`
 	Pool         string   `json:"pool,omitempty"`
 	Labels       []string `json:"labels,omitempty"`
-	Text         string   `json:"text,omitempty"`     // that a start carried
-	Checkpoint   string   `json:"saved,omitempty"`    // that a start carried, or an end left
-	Document     string   `json:"document,omitempty"` // that came with a configuration
-	KeyHash      string   `json:"key,omitempty"`      // of the key that a client's call carries; empty: it carries none
-	Tenant       string   `json:"tenant,omitempty"`   // that an answer shows as the job's
+	Text         string   `json:"text,omitempty"`     // task text that came with the start
+	Checkpoint   string   `json:"saved,omitempty"`    // checkpoint that came with the start, or that the ended run left
+	Document     string   `json:"document,omitempty"` // document that the configuration was sent or read with
+	KeyHash      string   `json:"key,omitempty"`      // hash of the key in the client's call; empty: the call has no key
+	Tenant       string   `json:"tenant,omitempty"`   // tenant of the job according to the answer
 }
 
-// sentAt is when the request was sent that an event answers.
+// sentAt returns when the request was sent that the event answers, or the time of the
+// event if that is unknown.
 func (e *Event) sentAt() eventloop.Micros {
 	if e.SentAt > 0 {
 		return e.SentAt
@@ -135,13 +138,14 @@
 
 func (e *Event) taskID() taskID { return taskID{e.jobKey(), e.Job, e.Step, e.Task} }
 
-// taskWithoutName is the task without its job's name, which some events lack.
+// taskWithoutName returns the task's ID without the job's name, which some events lack.
 func (e *Event) taskWithoutName() taskID {
 	return taskID{jobKey{queue: e.Queue}, e.Job, e.Step, e.Task}
 }
 
-// isConfirmed reports whether a submission's answer says that the job is accepted.
+// isConfirmed reports whether the answer to a submission says that the job was accepted.
 func (e *Event) isConfirmed() bool { return e.Code == 200 || e.Code == 201 }
 
-// isRefusal reports whether an answer is final: repeating the request can't help.
+// isRefusal reports whether the answer is a final rejection: repeating the request can't
+// succeed.
 func (e *Event) isRefusal() bool { return e.Code >= 400 && e.Code < 500 && e.Code != 429 }
--- a/internal/checker/gang_rules.go
+++ b/internal/checker/gang_rules.go
@@ -2,12 +2,12 @@
 
 import "sparnotch/internal/eventloop"
 
-// quickFailure is how soon a member may fail by itself so that the orders of its peers
-// can't have arrived before.
+// quickFailure is the run time below which a member that fails has ended before the start
+// orders of its peers can have arrived.
 const quickFailure = 100 * eventloop.Millisecond
 
-// checkGangStarts: of a gang on polling workers, each member that starts sees all its
-// peers start.
+// checkGangStarts checks, for gangs on polling workers, that all other members of a gang
+// start whenever one member does.
 func (a *analysis) checkGangStarts(job *jobRecord) {
 	for k := range job.stepCount() {
 		step := job.step(uint32(k))
@@ -27,7 +27,8 @@
 	}
 }
 
-// checkPeersStart checks the start of one member against those of its peers.
+// checkPeersStart checks that all members of the gang start near the start of this run. If
+// they couldn't, the run must end within the recovery time.
 func (a *analysis) checkPeersStart(job *jobRecord, id taskID, run *taskRun, tasks uint32) {
 	for t := uint32(0); t < tasks; t++ {
 		peer := id.member(t)
@@ -35,16 +36,16 @@
 			continue
 		}
 		if !a.isUnavoidable(job, run, job.reservations[peer]) {
-			a.report(ruleGangs, run.start, "%s step %d: task %d starts and task %d doesn't", job.key, id.step, id.task, t)
+			a.report(ruleGangs, run.start, "%s step %d: task %d starts, but task %d of the same gang doesn't", job.key, id.step, id.task, t)
 		} else if until := a.recoveryDeadline(run.start); run.end > until || run.end == 0 && until < a.closedAt {
-			a.report(ruleGangs, run.start, "%s step %d: task %d runs on though task %d never started", job.key, id.step, id.task, t)
+			a.report(ruleGangs, run.start, "%s step %d: task %d keeps running although task %d of the same gang never started", job.key, id.step, id.task, t)
 		}
 	}
 }
 
-// isUnavoidable reports whether no scheduler could have kept the gang complete: the worker
-// that held the peer's reservation was lost when that couldn't be known yet, the job was
-// being cancelled, or the member that did start failed by itself at once.
+// isUnavoidable reports whether no scheduler could have prevented that a peer of the run
+// doesn't start: the worker with the peer's reservation was lost too late for the scheduler
+// to know, the job was being cancelled, or the run itself failed at once.
 func (a *analysis) isUnavoidable(job *jobRecord, run *taskRun, reservations []Event) bool {
 	if job.cancelRequestedAt > 0 && job.cancelRequestedAt < run.start+a.bounds.GangStart {
 		return true
@@ -56,13 +57,14 @@
 		if reservations[k].At > run.start {
 			continue
 		}
-		// The last one before the start counts.
+		// Only the last reservation before the start counts.
 		return anyWithin(a.workerFaults[reservations[k].Actor], run.start-a.bounds.LossDetection, run.start+a.bounds.LossDetection-1)
 	}
 	return false
 }
 
-// hasRunNear reports whether a run of the task started less than a distance away.
+// hasRunNear reports whether a run of the task started less than this distance before or
+// after the given time.
 func (r *jobRecord) hasRunNear(id taskID, at, distance eventloop.Micros) bool {
 	for _, run := range r.runs[id] {
 		if run.start > at-distance && run.start < at+distance {
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -8,63 +8,66 @@
 	"sparnotch/internal/schema"
 )
 
+// jobKey identifies a job by its queue and name.
 type jobKey struct{ queue, name string }
 
 func (k jobKey) String() string { return k.queue + "/" + k.name }
 
+// taskID identifies a task by its job, step and number. job is 0 for tasks of called
+// workers, which name tasks by the job's name alone.
 type taskID struct {
 	jobKey
 	job        uint64
 	step, task uint32
 }
 
-// describe names a task in a violation.
+// describe returns the task's name for the message of a violation.
 func (id taskID) describe() string {
 	return fmt.Sprintf("%s step %d task %d", id.jobKey, id.step, id.task)
 }
 
-// member is another task of the same step.
+// member returns the ID of another task of the same step.
 func (id taskID) member(task uint32) taskID {
 	id.task = task
 	return id
 }
 
-// taskRun is one run of a task on one worker.
+// taskRun represents one run of a task on one worker.
 type taskRun struct {
-	start, end        eventloop.Micros // end 0: still running at the close
+	start, end        eventloop.Micros // end is 0 if the run was still going on at the end of the history
 	worker            string
 	attempt           uint32
 	outcome           string
-	text, checkpoint  string           // that it started with
-	stopOrderedAt     eventloop.Micros // 0: never
-	failureReportedAt eventloop.Micros // when the report of its failure was answered
-	acknowledgedAt    eventloop.Micros // its end, unless the worker's lease had ended in between
-	isResumed         bool             // goes on after its worker was frozen
-	isLate            bool             // its order was carried out late
+	text, checkpoint  string           // text and checkpoint that the run started with
+	stopOrderedAt     eventloop.Micros // when the worker first received an order to stop; 0: never
+	failureReportedAt eventloop.Micros // when the worker received the answer to its report of the failure; 0: never
+	acknowledgedAt    eventloop.Micros // when the worker learned that the end is recorded; 0: never, or its lease had expired in between
+	isResumed         bool             // the run continues one that was frozen with its worker
+	isLate            bool             // the worker started it after the call had timed out
 }
 
-// isRunningAt reports whether the run hasn't ended at a moment after its start.
+// isRunningAt reports whether the run hasn't ended at a time that is after its start.
 func (r *taskRun) isRunningAt(at eventloop.Micros) bool { return r.end == 0 || r.end > at }
 
-// jobRecord is what the history shows of one job.
+// jobRecord holds what the history contains about one job.
 type jobRecord struct {
 	key               jobKey
-	spec              *schema.Job // nil: never submitted
+	spec              *schema.Job // nil if the job was never submitted
 	firstSubmittedAt  eventloop.Micros
 	submissions       int
-	rejections        int // submissions that were finally refused
+	rejections        int // submissions that had no effect according to their answers
 	isAccepted        bool
 	acceptedAt        eventloop.Micros
-	created           int // answers of 201
+	created           int // number of answers with status 201
 	isTerminal        bool
-	terminalAt        eventloop.Micros // first shown so
-	cancelRequestedAt eventloop.Micros // first; 0: never
-	cancelledAt       eventloop.Micros // first confirmed; 0: never
-	isCalled          bool             // ran on called workers
+	terminalAt        eventloop.Micros // when an answer first reported the job as ended
+	cancelRequestedAt eventloop.Micros // when a client first asked to cancel the job; 0: never
+	cancelledAt       eventloop.Micros // when a cancel was first confirmed; 0: never
+	isCalled          bool             // a task of the job ran on a called worker
 	jobIDs            map[uint64]bool
 	runs              map[taskID][]*taskRun
 	reservations      map[taskID][]Event
-	checkpoints       map[taskID][]Event // that were shown or left at an end
+	checkpoints       map[taskID][]Event // events that contain a checkpoint of the task
 	statuses          []Event
 }
 
@@ -75,8 +78,8 @@
 	}
 }
 
-// step is the content of one of the job's steps, nil where it has none of that number;
-// the steps of a round follow those of the rounds before.
+// step returns the job's step with this number, or nil if the job has none. Numbers
+// continue from round to round: those of the first round come first.
 func (r *jobRecord) step(number uint32) *schema.Step {
 	if r.spec == nil || len(r.spec.Steps) == 0 || int(number) >= r.stepCount() {
 		return nil
@@ -84,7 +87,7 @@
 	return r.spec.Steps[int(number)%len(r.spec.Steps)]
 }
 
-// stepCount counts the steps of all rounds.
+// stepCount returns the number of steps of all rounds together.
 func (r *jobRecord) stepCount() int { return len(r.spec.Steps) * int(max(r.spec.Rounds, 1)) }
 
 // stepIndexes maps the names of steps to their numbers within a round.
@@ -96,17 +99,17 @@
 	return index
 }
 
-// stepOfRound is the number of a step in a round.
+// stepOfRound returns the number of a step from its round and its index within the round.
 func (r *jobRecord) stepOfRound(round, index int) uint32 {
 	return uint32(round*len(r.spec.Steps) + index)
 }
 
-// endsAsGang reports whether one end of a member counts for the whole gang.
+// endsAsGang reports whether the end of one member counts as the end of the whole gang.
 func (r *jobRecord) endsAsGang(step *schema.Step) bool {
 	return r.isCalled && step.Gang && step.Tasks > 1
 }
 
-// tasks lists the tasks that ever ran, in order.
+// tasks returns the IDs of all tasks that ever ran, ordered by step and task.
 func (r *jobRecord) tasks() []taskID {
 	ids := make([]taskID, 0, len(r.runs))
 	for id := range r.runs {
@@ -130,7 +133,8 @@
 	return nil
 }
 
-// isDoneBy reports whether a task, or in a gang that ends as one any member, was done.
+// isDoneBy reports whether the task had completed successfully at the given time. For a
+// gang that ends as a whole, the success of any member counts.
 func (r *jobRecord) isDoneBy(id taskID, at eventloop.Micros) bool {
 	step := r.step(id.step)
 	if step == nil || !r.endsAsGang(step) {
@@ -153,8 +157,8 @@
 	return false
 }
 
-// lastEnd is when the job's last task ended, as far as it was seen; without any, when
-// the job was first shown as ended.
+// lastEnd returns the last end of a task that the history contains up to terminalAt, or
+// terminalAt if it contains none.
 func (r *jobRecord) lastEnd() eventloop.Micros {
 	last := eventloop.Micros(0)
 	for _, runs := range r.runs {
@@ -170,9 +174,9 @@
 	return last
 }
 
-// --- reading ---
+// --- Building the records from the history ---
 
-// readHistory derives the records of jobs and the times of faults.
+// readHistory builds the records of the jobs and collects the times of faults.
 func (a *analysis) readHistory() {
 	for k := range a.history {
 		e := &a.history[k]
@@ -196,7 +200,7 @@
 	return job
 }
 
-// recordRequest records what clients ask and are answered.
+// recordRequest records clients' requests about jobs and their answers.
 func (a *analysis) recordRequest(e *Event) {
 	switch e.Kind {
 	case Submit:
@@ -230,7 +234,7 @@
 		}
 		r.recordStatus(e)
 	case e.Code >= 400 && e.Code < 500 || e.Code == 503:
-		// Either says that this submission has no effect.
+		// Both kinds of answer state that the submission had no effect.
 		r.rejections++
 	}
 }
@@ -246,7 +250,7 @@
 	r.recordStatus(e)
 }
 
-// recordStatus records an answer that shows the job's state.
+// recordStatus records an answer that contains the job's state.
 func (r *jobRecord) recordStatus(e *Event) {
 	r.statuses = append(r.statuses, *e)
 	if e.Code < 300 && isTerminal(e.State) && !r.isTerminal {
@@ -254,7 +258,7 @@
 	}
 }
 
-// recordRun records what workers are ordered and do.
+// recordRun records the starts, checkpoints and ends of tasks on workers, and reservations.
 func (a *analysis) recordRun(e *Event) {
 	switch e.Kind {
 	case TaskStart:
@@ -284,8 +288,8 @@
 	}
 }
 
-// recordAcknowledgement records what a worker learns of its runs: that an end or a failure
-// is known, or that it is to stop.
+// recordAcknowledgement records the messages that a worker receives about its runs: the
+// acknowledgement of an end or of a failure, and orders to stop.
 func (a *analysis) recordAcknowledgement(e *Event) {
 	switch {
 	case e.Kind == EndAcknowledged:
@@ -309,10 +313,10 @@
 	}
 }
 
-// isOf reports whether an event is about this worker's run of this attempt.
+// isOf reports whether the event has the worker and the attempt of this run.
 func (r *taskRun) isOf(e *Event) bool { return r.worker == e.Actor && r.attempt == e.Attempt }
 
-// runsWithoutName are the runs of the task of an event that may lack the job's name.
+// runsWithoutName returns the runs of the event's task. The event may lack the job's name.
 func (a *analysis) runsWithoutName(e *Event) []*taskRun {
 	job := a.jobOfTask[e.taskWithoutName()]
 	if job == nil {
@@ -321,7 +325,8 @@
 	return job.runs[taskID{job.key, e.Job, e.Step, e.Task}]
 }
 
-// recordDisturbance records faults, and what they do to the runs of a worker.
+// recordDisturbance records faults, drains and clock readings, and applies the faults of a
+// worker to its runs.
 func (a *analysis) recordDisturbance(e *Event) {
 	switch e.Kind {
 	case Fault:
@@ -354,7 +359,7 @@
 	a.disturbances = append(a.disturbances, e.At)
 }
 
-// endRuns ends all open runs of the event's worker.
+// endRuns ends all open runs of the event's worker with this outcome.
 func (a *analysis) endRuns(e *Event, outcome string) {
 	for _, job := range a.jobs {
 		for _, runs := range job.runs {
@@ -367,8 +372,8 @@
 	}
 }
 
-// resumeRuns lets the frozen runs of a worker go on, each as a run of its own. That is
-// no violation if the worker ends it at once.
+// resumeRuns continues each frozen run of the worker as a new taskRun with isResumed set.
+// A resumed run that the worker ends at once breaks no rule.
 func (a *analysis) resumeRuns(e *Event) {
 	for _, job := range a.jobs {
 		for id, runs := range job.runs {
--- a/internal/checker/idle_rules.go
+++ b/internal/checker/idle_rules.go
@@ -8,13 +8,14 @@
 	"sparnotch/internal/schema"
 )
 
-// idleCheckInterval is how often jobs are looked at for having nothing running.
+// idleCheckInterval is the interval at which open jobs are checked for having no running task.
 const idleCheckInterval = 250 * eventloop.Millisecond
 
-// maxFittingTasks bounds how many tasks without needs count as fitting a worker.
+// maxFittingTasks is the number of tasks that count as fitting a worker if they need no
+// resources.
 const maxFittingTasks = 1 << 20
 
-// workerState is a worker as the history shows it at a moment.
+// workerState is the state of a worker at one point of the history.
 type workerState struct {
 	capacity, used resources
 	pool, rack     string
@@ -22,7 +23,7 @@
 	isUnavailable  bool // partitioned or draining
 }
 
-// fittingTasks counts how many more tasks of a step the worker has capacity for.
+// fittingTasks returns how many more tasks of a step the worker can run.
 func (w *workerState) fittingTasks(step *schema.Step) int64 {
 	if w.isUnavailable {
 		return 0
@@ -48,27 +49,27 @@
 	return count
 }
 
-// idleCheck follows the history and looks at every open job at intervals.
+// idleCheck replays the history and checks every open job at intervals.
 type idleCheck struct {
 	*analysis
-	workers    map[string]*workerState // that are called
-	running    map[jobKey]int
-	usage      *tenantUsage
-	open       []jobKey
-	idleSince  map[jobKey]eventloop.Micros
-	isReported map[jobKey]bool
-	next       eventloop.Micros // time of the next look
+	workers     map[string]*workerState // called workers by name
+	running     map[jobKey]int          // number of running tasks
+	usage       *tenantUsage
+	open        []jobKey // accepted jobs that haven't ended
+	idleSince   map[jobKey]eventloop.Micros
+	isReported  map[jobKey]bool
+	nextCheckAt eventloop.Micros
 
-	// Of the newest configuration:
+	// Values of the newest accepted configuration:
 	changedAt       eventloop.Micros
 	pools           map[string]string // by queue
-	hasRunningLimit map[string]bool   // queues
-	isRackDrained   map[string]bool   // racks of weight 0
+	hasRunningLimit map[string]bool   // by queue
+	isRackDrained   map[string]bool   // by rack; a rack of weight 0 is drained
 }
 
-// checkIdleJobs: when no fault is near, no job stays without a running task for longer than
-// MaxIdle while one of its tasks is ready, there is capacity for that task twice over, and
-// less than half of its pool's capacity is in use.
+// checkIdleJobs checks that no job is without a running task for MaxIdle while one of its
+// tasks is ready, its pool has free capacity for two such tasks (or gangs), and less than half
+// of the pool's cores are in use. Times shortly after a fault don't count.
 func (a *analysis) checkIdleJobs() {
 	if a.bounds.MaxIdle == 0 {
 		return
@@ -79,18 +80,18 @@
 	}
 	for k := range a.history {
 		e := &a.history[k]
-		for ; c.next <= e.At && len(c.workers) > 0; c.next += idleCheckInterval {
-			c.look(c.next)
+		for ; c.nextCheckAt <= e.At && len(c.workers) > 0; c.nextCheckAt += idleCheckInterval {
+			c.checkOpenJobs(c.nextCheckAt)
 		}
 		if len(c.workers) == 0 {
-			c.next = e.At
+			c.nextCheckAt = e.At
 		}
 		c.apply(e)
 	}
 }
 
-// look checks every open job at a moment.
-func (c *idleCheck) look(now eventloop.Micros) {
+// checkOpenJobs checks every open job at one point in time.
+func (c *idleCheck) checkOpenJobs(now eventloop.Micros) {
 	c.open = slices.DeleteFunc(c.open, func(key jobKey) bool { return c.jobs[key].isOver(now) })
 	for _, key := range c.open {
 		if !c.isIdle(c.jobs[key], now) {
@@ -102,17 +103,18 @@
 		}
 		if now-c.idleSince[key] >= c.bounds.MaxIdle {
 			c.isReported[key] = true
-			c.report(ruleJobsKept, now, "%s has had nothing running since %d though there is capacity", key, c.idleSince[key])
+			c.report(ruleJobsKept, now, "%s has had no running task since %d although there is free capacity", key, c.idleSince[key])
 		}
 	}
 }
 
-// isOver reports whether from a moment on nothing more is owed to a job.
+// isOver reports whether the job had ended, or its cancel had been requested, by the given
+// time. No task of it has to start from then on.
 func (r *jobRecord) isOver(at eventloop.Micros) bool {
 	return r.isTerminal && r.terminalAt <= at || r.cancelRequestedAt > 0 && r.cancelRequestedAt <= at
 }
 
-// isIdle reports whether nothing of a job runs at a moment and nothing excuses that.
+// isIdle reports whether no task of the job is running although one could be.
 func (c *idleCheck) isIdle(job *jobRecord, now eventloop.Micros) bool {
 	if c.running[job.key] != 0 || c.hasRunningLimit[job.key.queue] || c.isReported[job.key] {
 		return false
@@ -126,8 +128,8 @@
 	return !job.hasExhaustedFailures(now) && !c.isPoolBusy(job) && c.hasReadyStep(job, now)
 }
 
-// isTenantBusy reports whether the job's tenant has at least half of a limit in use that
-// may be in force.
+// isTenantBusy reports whether the job's tenant uses at least half of one of its limits in any
+// configuration that may be in force.
 func (c *idleCheck) isTenantBusy(job *jobRecord, now eventloop.Micros) bool {
 	tenant := c.tenantOfJob[job.key]
 	if tenant == "" {
@@ -139,7 +141,7 @@
 	})
 }
 
-// poolOf lists the workers that the job's queue may use.
+// poolOf returns the workers that the job's queue may use.
 func (c *idleCheck) poolOf(job *jobRecord) []*workerState {
 	var list []*workerState
 	for _, worker := range c.workers {
@@ -156,7 +158,7 @@
 	return 2*used >= total
 }
 
-// coresOf sums the workers' cores, and those in use, in thousandths.
+// coresOf returns the sum of the workers' cores and of those in use, in thousandths of a core.
 func coresOf(workers []*workerState) (total, used int64) {
 	for _, worker := range workers {
 		total, used = total+worker.capacity.cores, used+worker.used.cores
@@ -164,8 +166,8 @@
 	return total, used
 }
 
-// hasReadyStep reports whether any step has a task that is ready, and there is capacity for
-// that task, or for its gang, twice over.
+// hasReadyStep reports whether any step has a task that is ready, and the pool has free
+// capacity for two such tasks, or for two such gangs.
 func (c *idleCheck) hasReadyStep(job *jobRecord, now eventloop.Micros) bool {
 	pool, index := c.poolOf(job), job.stepIndexes()
 	for number := range job.stepCount() {
@@ -188,7 +190,7 @@
 	return false
 }
 
-// isDue reports whether a round's time has surely come.
+// isDue reports whether the start time of a round has certainly passed.
 func (a *analysis) isDue(job *jobRecord, round int, at eventloop.Micros) bool {
 	offset := int64(round) * job.spec.PeriodUs
 	if job.spec.StartUnixUs > 0 {
@@ -220,7 +222,7 @@
 	return false
 }
 
-// apply follows an event.
+// apply updates the state with the next event of the history.
 func (c *idleCheck) apply(e *Event) {
 	c.usage.apply(e)
 	switch e.Kind {
--- a/internal/checker/job_rules.go
+++ b/internal/checker/job_rules.go
@@ -2,33 +2,35 @@
 
 import "sparnotch/internal/eventloop"
 
-// checkAcceptedJobEnds: a job that was accepted is shown as ended before the close.
+// checkAcceptedJobEnds checks that an accepted job is reported as ended before the end of the
+// history.
 func (a *analysis) checkAcceptedJobEnds(job *jobRecord) {
 	if job.isAccepted && !job.isTerminal {
-		a.report(ruleJobsKept, a.closedAt, "%s was accepted at %d and had not ended at the close", job.key, job.acceptedAt)
+		a.report(ruleJobsKept, a.closedAt, "%s was accepted at %d and had not ended at the end of the history", job.key, job.acceptedAt)
 	}
 }
 
-// checkAcceptedJobIsKnown: no status or cancel request that was sent after the acceptance
-// is answered 404, until the retention is over.
+// checkAcceptedJobIsKnown checks that no status or cancel request that was sent after the job
+// was accepted is answered 404 until the job's retention time is over.
 func (a *analysis) checkAcceptedJobIsKnown(job *jobRecord) {
-	// The retention counts from the last task's end, which may be before anybody asked.
+	// The retention time starts at the end of the last task, which may be long before a client
+	// learns of it.
 	forgettableAt := job.lastEnd() + a.bounds.Retention
 	for _, status := range job.statuses {
 		isRetained := !job.isTerminal || status.At < forgettableAt
 		if status.Code == 404 && status.Kind != SubmitReply && job.isAccepted && status.sentAt() > job.acceptedAt && isRetained {
-			a.report(ruleJobsKept, status.At, "%s was accepted at %d and is unknown to %s", job.key, job.acceptedAt, status.Gateway)
+			a.report(ruleJobsKept, status.At, "%s was accepted at %d, but %s answers that it doesn't exist", job.key, job.acceptedAt, status.Gateway)
 			return
 		}
 	}
 }
 
-// stateRanks order the states that a job passes through before it has ended.
+// stateRanks orders the states that a job passes through before it ends.
 var stateRanks = map[string]int{"timed": 1, "running": 2, "stopping": 3}
 
-// checkStateNeverOlder: a job is never shown in an older state than one that was shown
-// before the request was sent, by whichever node, also while no quorum is there.
-// checkTerminalStatusStays has that for ended ones.
+// checkStateNeverOlder checks that no answer reports an older state of the job than one that
+// any node had reported before the request was sent. This applies without a quorum as well.
+// checkTerminalStatusStays checks the same for ended jobs.
 func (a *analysis) checkStateNeverOlder(job *jobRecord) {
 	for k, shown := range job.statuses {
 		rank := stateRanks[shown.State]
@@ -37,30 +39,30 @@
 		}
 		for _, earlier := range job.statuses[:k] {
 			if earlier.Code < 300 && earlier.At < shown.sentAt() && stateRanks[earlier.State] > rank {
-				a.report(ruleStatus, shown.At, "%s was shown %s at %d and is shown %s by %s", job.key, earlier.State, earlier.At, shown.State, shown.Gateway)
+				a.report(ruleStatus, shown.At, "%s was reported as %s at %d, but is reported as %s by %s afterwards", job.key, earlier.State, earlier.At, shown.State, shown.Gateway)
 				return
 			}
 		}
 	}
 }
 
-// checkCreatedOnce: within the retention a name is created once; a second creation shows
-// that the first one was forgotten.
+// checkCreatedOnce checks that a name is created only once within the retention time. A second
+// creation proves that the first job was forgotten.
 func (a *analysis) checkCreatedOnce(job *jobRecord) {
 	if job.created > 1 && a.closedAt < job.lastEnd()+a.bounds.Retention {
 		a.report(ruleJobsKept, a.closedAt, "%s was created %d times", job.key, job.created)
 	}
 }
 
-// checkOneJobPerName: however often a job is submitted, it runs as one job.
+// checkOneJobPerName checks that a job runs as one job, however often it is submitted.
 func (a *analysis) checkOneJobPerName(job *jobRecord) {
 	if len(job.jobIDs) > 1 {
 		a.report(ruleRunsOnce, job.acceptedAt, "%s ran as %d jobs", job.key, len(job.jobIDs))
 	}
 }
 
-// checkRunWasRequested: nothing runs that nobody submitted, or whose every submission was
-// refused.
+// checkRunWasRequested checks that no job runs that no client submitted, or whose submissions
+// were all refused.
 func (a *analysis) checkRunWasRequested(job *jobRecord) {
 	ids := job.tasks()
 	if len(ids) == 0 {
@@ -68,22 +70,23 @@
 	}
 	first := job.runs[ids[0]][0].start
 	if job.submissions == 0 && job.isCalled {
-		a.report(ruleRequested, first, "%s runs though nobody submitted it", job.key)
+		a.report(ruleRequested, first, "%s runs although no client submitted it", job.key)
 	}
 	if job.submissions > 0 && job.rejections == job.submissions {
-		a.report(ruleRequested, first, "%s ran though every submission was rejected", job.key)
+		a.report(ruleRequested, first, "%s ran although every submission was rejected", job.key)
 	}
 }
 
-// checkTerminalStatus: a job's shown state is true, by whatever answer it is shown.
+// checkTerminalStatus checks that the reported end of a job is correct, whichever kind of
+// request the answer belongs to.
 func (a *analysis) checkTerminalStatus(job *jobRecord) {
 	if a.checkTerminalStatusStays(job) {
 		a.checkCompleteIsTrue(job)
 	}
 }
 
-// checkTerminalStatusStays: a job that was shown as ended stays as it ended. It reports
-// whether that holds.
+// checkTerminalStatusStays checks that a job that was reported as ended never changes its
+// state again, and returns whether that is so.
 func (a *analysis) checkTerminalStatusStays(job *jobRecord) bool {
 	for _, status := range job.statuses {
 		if status.Code >= 300 || !isTerminal(status.State) {
@@ -91,7 +94,7 @@
 		}
 		for _, later := range job.statuses {
 			if later.Code < 300 && later.State != "" && later.sentAt() > status.At && later.State != status.State {
-				a.report(ruleStatus, later.At, "%s was shown %s at %d and is shown %s", job.key, status.State, status.At, later.State)
+				a.report(ruleStatus, later.At, "%s was reported as %s at %d, but is reported as %s afterwards", job.key, status.State, status.At, later.State)
 				return false
 			}
 		}
@@ -100,7 +103,8 @@
 	return true
 }
 
-// checkCompleteIsTrue: a job is shown complete only when every task is done and none runs.
+// checkCompleteIsTrue checks that a job is reported as complete only when every task has
+// completed and none is running.
 func (a *analysis) checkCompleteIsTrue(job *jobRecord) {
 	for _, status := range job.statuses {
 		if status.Code >= 300 || status.State != stateComplete {
@@ -115,7 +119,7 @@
 	}
 }
 
-// checkCompleteTask checks one task of a job that is shown complete.
+// checkCompleteTask checks one task of a job that is reported as complete.
 func (a *analysis) checkCompleteTask(job *jobRecord, shownAt eventloop.Micros, number, task uint32) {
 	endsAsGang := job.endsAsGang(job.step(number))
 	isDone := false
@@ -124,11 +128,11 @@
 		isDone = isDone || job.isDoneBy(id, shownAt)
 		for _, run := range job.runs[id] {
 			if !run.isResumed && !endsAsGang && run.isRunningAt(shownAt) {
-				a.report(ruleStatus, shownAt, "%s is shown complete, step %d task %d runs", job.key, number, task)
+				a.report(ruleStatus, shownAt, "%s is reported as complete, but step %d task %d is running", job.key, number, task)
 			}
 		}
 	}
 	if !isDone {
-		a.report(ruleStatus, shownAt, "%s is shown complete, step %d task %d isn't done", job.key, number, task)
+		a.report(ruleStatus, shownAt, "%s is reported as complete, but step %d task %d hasn't completed", job.key, number, task)
 	}
 }
