--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -25,20 +25,20 @@
 func statusReply(at eventloop.Micros, code int32, state string) Event {
 	return Event{At: at, Kind: Status, Queue: "l", Name: "j", Code: code, State: state}
 }
-func taskStart(at eventloop.Micros, who string, step, task, attempt uint32) Event {
-	return Event{At: at, Kind: TaskStart, Actor: who, Queue: "l", Name: "j", Job: 1, Step: step, Task: task, Attempt: attempt, Cores: 10}
+func taskStart(at eventloop.Micros, worker string, step, task, attempt uint32) Event {
+	return Event{At: at, Kind: TaskStart, Actor: worker, Queue: "l", Name: "j", Job: 1, Step: step, Task: task, Attempt: attempt, Cores: 10}
 }
-func taskEnd(at eventloop.Micros, who string, step, task, attempt uint32, outcome string) Event {
-	return Event{At: at, Kind: TaskEnd, Actor: who, Queue: "l", Name: "j", Job: 1, Step: step, Task: task, Attempt: attempt, State: outcome}
+func taskEnd(at eventloop.Micros, worker string, step, task, attempt uint32, outcome string) Event {
+	return Event{At: at, Kind: TaskEnd, Actor: worker, Queue: "l", Name: "j", Job: 1, Step: step, Task: task, Attempt: attempt, State: outcome}
 }
-func order(at eventloop.Micros, who, act string, attempt uint32) Event {
-	return Event{At: at, Kind: Order, Actor: who, Queue: "l", Name: "j", Job: 1, Attempt: attempt, State: act}
+func order(at eventloop.Micros, worker, action string, attempt uint32) Event {
+	return Event{At: at, Kind: Order, Actor: worker, Queue: "l", Name: "j", Job: 1, Attempt: attempt, State: action}
 }
-func failureReported(at eventloop.Micros, who string, attempt uint32) Event {
-	return Event{At: at, Kind: FailureReported, Actor: who, Queue: "l", Job: 1, Attempt: attempt, State: "failed"}
+func failureReported(at eventloop.Micros, worker string, attempt uint32) Event {
+	return Event{At: at, Kind: FailureReported, Actor: worker, Queue: "l", Job: 1, Attempt: attempt, State: "failed"}
 }
-func workerUp(at eventloop.Micros, who string) Event {
-	return Event{At: at, Kind: WorkerUp, Actor: who, Cores: 25}
+func workerUp(at eventloop.Micros, worker string) Event {
+	return Event{At: at, Kind: WorkerUp, Actor: worker, Cores: 25}
 }
 
 func goodHistory() []Event {
@@ -51,8 +51,8 @@
 
 func brokenRules(history []Event) map[int]bool {
 	broken := map[int]bool{}
-	for _, b := range Check(history, DefaultTolerances) {
-		broken[b.Rule] = true
+	for _, violation := range Check(history, DefaultTolerances) {
+		broken[violation.Rule] = true
 	}
 	return broken
 }
@@ -104,7 +104,7 @@
 	return Event{At: at, SentAt: sentAt, Kind: kind, Queue: "l", Name: "j", Gateway: gateway, Code: code, State: state}
 }
 
-// rows parses rows from "kind name key value".
+// rows parses configuration rows, each written as "kind name key value".
 func rows(texts ...string) (list []*schema.ConfigurationRow) {
 	for _, text := range texts {
 		fields := strings.Fields(text)
@@ -125,8 +125,8 @@
 	return Event{At: at, Kind: kind, Actor: worker}
 }
 
-// TestNearMisses: each history breaks just one rule, and one close to it, which
-// differs in a single event, breaks none.
+// TestNearMisses checks pairs of similar histories. The first breaks exactly one rule; the
+// second, which differs from it only slightly, breaks none.
 func TestNearMisses(t *testing.T) {
 	closing := Event{At: 200 * s, Kind: Close}
 	job := func(list ...Event) []Event {
@@ -143,23 +143,24 @@
 	}
 	reservation := Event{At: 1*s + 5, Kind: Order, Actor: "v", Queue: "l", Name: "j", Job: 1, Task: 1, Attempt: 1, State: "hold"}
 	waiting := []Event{fault, submit(21*s, twoSteps), submitReply(21*s, 201), taskStart(33*s, "w", 0, 0, 1), taskEnd(34*s, "w", 0, 0, 1, "done"), statusReply(35*s, 200, "failed"), closing}
-	// otherJob takes so many of the 25 cores of a worker.
+	// otherJob returns the start of another worker and a task that uses this much of the
+	// worker's 25 thousandths of a core.
 	otherJob := func(cores int64) []Event {
 		return []Event{workerUp(0, "z"), {At: 1 * s, Kind: TaskStart, Actor: "z", Queue: "m", Name: "k", Job: 9, Attempt: 1, Cores: cores}}
 	}
 	replaced := func(at eventloop.Micros, code int32, state string) Event {
 		return Event{At: at, SentAt: at - 5, Kind: ConfigurationReply, Actor: "o", Code: code, Version: 2, BaseVersion: 1, Rows: queue, Document: "d", State: state}
 	}
-	lost := func(again Event) []Event {
+	afterLostAcknowledgement := func(again Event) []Event {
 		return []Event{{At: 1 * s, Kind: ConfigurationSent, Rows: queue, Document: "d"}, replaced(2*s, 0, AcknowledgementLost), again, replaced(4*s, 200, ""), configurationRead(9*s, "f", 2, nil), closing}
 	}
-	part := func(list ...Event) []Event {
+	partialGang := func(list ...Event) []Event {
 		return append([]Event{submit(1*s, gang), submitReply(1*s, 201), reservation, taskStart(2*s, "w", 0, 0, 1)}, list...)
 	}
 	for _, test := range []struct {
-		what         string
-		rule         int
-		broken, near []Event
+		what             string
+		rule             int
+		broken, nearMiss []Event
 	}{
 		{"503 to every submission, and it runs", 3, job(submitReply(2*s, 503), runs[0], taskEnd(3*s, "w", 0, 0, 1, "done")),
 			job(submitReply(2*s, 504), runs[0], taskEnd(3*s, "w", 0, 0, 1, "done"))},
@@ -183,12 +184,12 @@
 			[]Event{{At: 20 * s, Kind: QuorumLost}, {At: 25 * s, Kind: QuorumRestored}, answer(Status, 26*s, 29*s, "f", 504, ""), answer(Status, 35*s, 36*s, "f", 200, "running"), closing}},
 		{"submissions aren't back a recovery after all storage nodes are", 12, []Event{fault, {At: 21 * s, Kind: QuorumLost}, submit(22*s, twoSteps), {At: 40 * s, Kind: QuorumRestored}, submitReply(53*s, 201), statusReply(60*s, 200, "failed"), closing},
 			[]Event{fault, {At: 21 * s, Kind: QuorumLost}, submit(22*s, twoSteps), {At: 40 * s, Kind: QuorumRestored}, submitReply(51*s, 201), statusReply(60*s, 200, "failed"), closing}},
-		{"a gang's member starts, is stopped at once, and no worker was lost", 10, part(taskEnd(3*s, "w", 0, 0, 1, "stopped"), statusReply(10*s, 200, "failed"), closing),
-			part(workerEvent(2*s+900*eventloop.Millisecond, WorkerGone, "v"), taskEnd(3*s, "w", 0, 0, 1, "stopped"), statusReply(10*s, 200, "failed"), closing)},
-		{"a gang's member starts, and its peer's worker is lost only later", 10, part(taskEnd(3*s, "w", 0, 0, 1, "stopped"), workerEvent(4*s, WorkerGone, "v"), statusReply(10*s, 200, "failed"), closing),
-			part(taskEnd(3*s, "w", 0, 0, 1, "stopped"), taskStart(3*s, "v", 0, 1, 1), workerEvent(4*s, WorkerGone, "v"), statusReply(10*s, 200, "failed"), closing)},
-		{"a gang's member runs to its end though its peer was lost before it started", 10, part(workerEvent(2*s+1, WorkerGone, "v"), taskEnd(15*s, "w", 0, 0, 1, "done"), statusReply(16*s, 200, "failed"), closing),
-			part(workerEvent(2*s+1, WorkerGone, "v"), taskEnd(9*s, "w", 0, 0, 1, "stopped"), statusReply(16*s, 200, "failed"), closing)},
+		{"a gang's member starts, is stopped at once, and no worker was lost", 10, partialGang(taskEnd(3*s, "w", 0, 0, 1, "stopped"), statusReply(10*s, 200, "failed"), closing),
+			partialGang(workerEvent(2*s+900*eventloop.Millisecond, WorkerGone, "v"), taskEnd(3*s, "w", 0, 0, 1, "stopped"), statusReply(10*s, 200, "failed"), closing)},
+		{"a gang's member starts, and its peer's worker is lost only later", 10, partialGang(taskEnd(3*s, "w", 0, 0, 1, "stopped"), workerEvent(4*s, WorkerGone, "v"), statusReply(10*s, 200, "failed"), closing),
+			partialGang(taskEnd(3*s, "w", 0, 0, 1, "stopped"), taskStart(3*s, "v", 0, 1, 1), workerEvent(4*s, WorkerGone, "v"), statusReply(10*s, 200, "failed"), closing)},
+		{"a gang's member runs to its end though its peer was lost before it started", 10, partialGang(workerEvent(2*s+1, WorkerGone, "v"), taskEnd(15*s, "w", 0, 0, 1, "done"), statusReply(16*s, 200, "failed"), closing),
+			partialGang(workerEvent(2*s+1, WorkerGone, "v"), taskEnd(9*s, "w", 0, 0, 1, "stopped"), statusReply(16*s, 200, "failed"), closing)},
 		{"a failure that was reported late counts from then on", 5, job(submitReply(1*s, 201), runs[0], taskEnd(3*s, "w", 0, 0, 1, "failed"), taskStart(9*s, "v", 0, 0, 2), failureReported(9*s+5, "w", 1), taskEnd(10*s, "v", 0, 0, 2, "failed"), failureReported(10*s, "v", 2), taskStart(11*s, "v", 0, 0, 3), taskEnd(12*s, "v", 0, 0, 3, "done"), statusReply(13*s, 200, "failed"), closing),
 			job(submitReply(1*s, 201), runs[0], taskEnd(3*s, "w", 0, 0, 1, "failed"), taskStart(9*s, "v", 0, 0, 2), taskEnd(10*s, "v", 0, 0, 2, "failed"), failureReported(10*s, "v", 2), taskStart(11*s, "v", 0, 0, 3), failureReported(11*s+5, "w", 1), taskEnd(12*s, "v", 0, 0, 3, "done"), statusReply(13*s, 200, "failed"), closing)},
 		{"a restarted worker has less capacity", 6, []Event{workerUp(0, "w"), {At: 1 * s, Kind: WorkerGone, Actor: "w"}, {At: 2 * s, Kind: WorkerUp, Actor: "w", Cores: 15, Incarnation: 2}, {At: 3 * s, Kind: TaskStart, Actor: "w", Cores: 20, Incarnation: 2, Queue: "l", Name: "x"}, closing},
@@ -214,7 +215,7 @@
 		{"waiting work isn't started after a fault", 12, []Event{fault, submit(21*s, twoSteps), submitReply(21*s, 201), taskStart(33*s, "w", 0, 0, 1), taskEnd(34*s, "w", 0, 0, 1, "done"), statusReply(35*s, 200, "failed"), closing},
 			[]Event{fault, submit(21*s, twoSteps), submitReply(21*s, 201), taskStart(31*s, "w", 0, 0, 1), taskEnd(34*s, "w", 0, 0, 1, "done"), statusReply(35*s, 200, "failed"), closing}},
 		{"waiting work isn't started after a fault though half of the capacity is free", 12, append(otherJob(12), waiting...), append(otherJob(13), waiting...)},
-		{"a configuration whose acknowledgement was lost is refused when it comes again", 11, lost(replaced(3*s, 412, "")), lost(replaced(3*s, 504, ""))},
+		{"a configuration whose acknowledgement was lost is refused when it comes again", 11, afterLostAcknowledgement(replaced(3*s, 412, "")), afterLostAcknowledgement(replaced(3*s, 504, ""))},
 		{"a configuration that is no successor is accepted", 11, []Event{configurationAccepted(1*s, 2, queue), {At: 2 * s, Kind: ConfigurationReply, Actor: "i", Code: 200, Version: 1, State: Invalid}, configurationRead(9*s, "f", 2, nil), closing},
 			[]Event{configurationAccepted(1*s, 2, queue), configurationRead(9*s, "f", 2, nil), closing}},
 		{"a worker is not answered", 12, []Event{workerUp(0, "w"), workerEvent(1*s, WorkerAnswered, "w"), workerEvent(14*s, WorkerAnswered, "w"), {At: 15 * s, Kind: Close}},
@@ -226,7 +227,7 @@
 	} {
 		Convey("Found: "+test.what, t, func() {
 			So(brokenRules(test.broken), ShouldResemble, map[int]bool{test.rule: true})
-			So(Check(test.near, DefaultTolerances), ShouldBeEmpty)
+			So(Check(test.nearMiss, DefaultTolerances), ShouldBeEmpty)
 		})
 	}
 }
--- a/internal/checker/key_rules.go
+++ b/internal/checker/key_rules.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// keyFinding names what is reported once of each key.
+// keyFinding identifies a problem with a key, so that it is reported only once.
 type keyFinding struct {
 	keyHash string
 	code    int32
 }
 
-// checkKeys: a call succeeds only with a key that a configuration which may be in force
-// holds, and never with one that no configuration has held; no call is refused for its key
-// that all of them allow. Calls for queues that a configuration lacks are those of
-// checkQueueKnown, jobs that are unknown those of checkAcceptedJobIsKnown.
+// checkKeys checks that a call succeeds only if a configuration that may be in force allows
+// its key, and never with a key that no configuration has contained. A call that every such
+// configuration allows must not be refused because of its key. checkQueueKnown checks calls
+// for unknown queues, and checkAcceptedJobIsKnown those for unknown jobs.
 func (a *analysis) checkKeys() {
 	if !a.usesTenants() {
 		return
@@ -28,42 +28,43 @@
 		finding := keyFinding{e.KeyHash, e.Code}
 		if problem := a.keyProblem(e); problem != "" && !reported[finding] {
 			reported[finding] = true
-			a.report(ruleKeys, e.At, "%s of %s with the key %q %s by %s", e.Kind, e.jobKey(), e.KeyHash, problem, e.Gateway)
+			a.report(ruleKeys, e.At, "%s of %s with the key %q, %s by %s", e.Kind, e.jobKey(), e.KeyHash, problem, e.Gateway)
 		}
 	}
 }
 
-// isClientReply reports whether an event is the answer to a client's call, which carries
-// the key of a tenant.
+// isClientReply reports whether the event is the answer to a client's call. Such calls may
+// contain the key of a tenant, unlike the requests of Lister.
 func (e *Event) isClientReply() bool {
 	return e.Kind == SubmitReply || e.Kind == CancelReply || e.Kind == Status && e.Actor != Lister
 }
 
-// isSuccess reports whether a call was carried out, as far as is known.
+// isSuccess reports whether the call is known to have been carried out.
 func (e *Event) isSuccess() bool {
 	return e.Code >= 200 && e.Code < 300 || e.State == AcknowledgementLost
 }
 
-// keyProblem says what is wrong with the answer to a client's call; empty: nothing.
+// keyProblem returns what is wrong with the answer to a client's call, as a part of the
+// sentence that checkKeys reports, or an empty string.
 func (a *analysis) keyProblem(e *Event) string {
 	configurations := a.mayBeInForce(e.sentAt(), e.At)
 	allows := func(c *tenantConfiguration) bool { return c.allows(e.Queue, e.KeyHash) }
 	isAllowedByAll := !slices.ContainsFunc(configurations, func(c *tenantConfiguration) bool { return !allows(c) })
 	switch {
 	case e.isSuccess() && e.KeyHash != "" && a.tenantEverOfKey(e.KeyHash) == "" && a.requiredKeysBefore(e):
-		return "that no configuration has held is served"
+		return "which no configuration has contained, is carried out"
 	case e.isSuccess() && !slices.ContainsFunc(configurations, allows):
-		return "that no configuration in force holds is served"
+		return "which no configuration in force allows, is carried out"
 	case e.Code == http.StatusUnauthorized && isAllowedByAll:
-		return "that every configuration in force allows is refused with 401"
+		return "which every configuration in force allows, is refused with 401"
 	case e.Code == http.StatusForbidden && isAllowedByAll && a.tenantEverOfKey(e.KeyHash) == a.tenantOfJob[e.jobKey()]:
-		return "of the job's own tenant is refused with 403"
+		return "which belongs to the job's own tenant, is refused with 403"
 	}
 	return ""
 }
 
-// requiredKeysBefore reports whether a configuration that requires keys had been accepted
-// when a call was sent, and all since then have required them.
+// requiredKeysBefore reports whether a configuration had been accepted when the call was sent,
+// and every configuration that was sent before the answer requires keys.
 func (a *analysis) requiredKeysBefore(e *Event) bool {
 	found := false
 	for _, c := range a.tenantConfigurations[1:] {
@@ -75,8 +76,8 @@
 	return found
 }
 
-// readTenantsOfJobs finds whose each job is: the tenant whose submission was confirmed
-// first; where none was, the only one that submitted it.
+// readTenantsOfJobs determines the tenant that owns each job: the one whose submission was
+// confirmed first, or else the only one that submitted the job.
 func (a *analysis) readTenantsOfJobs() {
 	if !a.usesTenants() {
 		return
@@ -110,8 +111,8 @@
 	}
 }
 
-// checkTenantsOfJobs: a job is one tenant's. Calls about it with the key of another fail,
-// and what is shown of it names no other tenant.
+// checkTenantsOfJobs checks that a job belongs to one tenant: calls for the job with a key of
+// another tenant fail, and no answer names another tenant as the owner.
 func (a *analysis) checkTenantsOfJobs() {
 	if !a.usesTenants() {
 		return
@@ -127,10 +128,10 @@
 		switch {
 		case e.KeyHash != "" && caller != "" && caller != owner:
 			reported[e.jobKey()] = true
-			a.report(ruleTenants, e.At, "%s of %s, a job of the tenant %s, with a key of %s is served by %s", e.Kind, e.jobKey(), owner, caller, e.Gateway)
+			a.report(ruleTenants, e.At, "%s of %s, a job of the tenant %s, with a key of the tenant %s is carried out by %s", e.Kind, e.jobKey(), owner, caller, e.Gateway)
 		case e.Tenant != "" && e.Tenant != owner:
 			reported[e.jobKey()] = true
-			a.report(ruleTenants, e.At, "%s, a job of the tenant %s, is shown as one of %s by %s", e.jobKey(), owner, e.Tenant, e.Gateway)
+			a.report(ruleTenants, e.At, "%s, a job of the tenant %s, is reported as a job of the tenant %s by %s", e.jobKey(), owner, e.Tenant, e.Gateway)
 		}
 	}
 }
--- a/internal/checker/outages.go
+++ b/internal/checker/outages.go
@@ -7,12 +7,13 @@
 	"sparnotch/internal/eventloop"
 )
 
-// outage is a time in which more storage nodes were away than may be lost at once, up to
-// when all of them were back. Service may rest meanwhile and for a recovery more; nothing
-// that was acknowledged may be lost by it, or shown in an older state.
+// outage is a period that begins when more storage nodes are down than may be lost at once,
+// and ends when all of them are available again. Service may be unavailable during an outage
+// and for a recovery time after it. No acknowledged data may be lost, and no job may be
+// reported in an older state.
 type outage struct{ from, until eventloop.Micros }
 
-// recordOutage records that the quorum is lost, or that all storage nodes are back.
+// recordOutage records that the quorum is lost, or that all storage nodes are available again.
 func (a *analysis) recordOutage(e *Event) {
 	switch last := len(a.outages) - 1; {
 	case e.Kind == QuorumLost:
@@ -22,8 +23,8 @@
 	}
 }
 
-// markOutages makes an outage as good as a fault at each of its moments: what a rule allows
-// near a fault it allows up to a recovery after the outage.
+// markOutages adds fault times throughout each outage. Rules that tolerate a delay near a
+// fault then tolerate it until a recovery time after the outage as well.
 func (a *analysis) markOutages() {
 	for _, o := range a.outages {
 		until := min(o.until, a.closedAt)
@@ -35,8 +36,9 @@
 	slices.Sort(a.faults)
 }
 
-// recoveryDeadline is when service must be back that was disturbed at a moment: a recovery
-// later, or a recovery after the outages that follow before then.
+// recoveryDeadline returns when service must be available again after a disturbance at the
+// given time: a recovery time later, or a recovery time after the last of the outages that
+// begin before that. It returns math.MaxInt64 if such an outage doesn't end.
 func (a *analysis) recoveryDeadline(at eventloop.Micros) eventloop.Micros {
 	deadline := at + a.bounds.Recovery
 	for _, o := range a.outages {
--- a/internal/checker/quota_rules.go
+++ b/internal/checker/quota_rules.go
@@ -1,13 +1,12 @@
 package checker
 
-// quotaOverrunPercent is how far beyond its limit a tenant may be when another task of it
-// starts.
+// quotaOverrunPercent is the percentage by which a tenant may already exceed its limit when
+// another of its tasks starts.
 const quotaOverrunPercent = 10
 
-// checkQuotas: no start lifts what a tenant has running on all workers above its limit and
-// the overrun, and one task more. The highest limit of the configurations that may be in
-// force counts. Of several starts while a tenant stays above that only the first is
-// reported.
+// checkQuotas checks that, when a task starts, the tenant's other running tasks use at most the
+// tenant's limit plus the overrun. The highest limit among the configurations that may be in
+// force applies. While a tenant stays above the limit, only the first start is reported.
 func (a *analysis) checkQuotas() {
 	if !a.usesTenants() {
 		return
@@ -23,15 +22,16 @@
 		used, limit := usage.of(tenant), highestLimit(a.mayBeInForce(e.At, e.At), tenant)
 		exceeds := used.exceedsQuota(limit, e.resources())
 		if exceeds && !isOver[tenant] {
-			a.report(ruleQuota, e.At, "%s of the tenant %s starts on %s and lifts what runs of it to %d of %d milli cores, %d of %d MB, %d of %d accelerators",
+			a.report(ruleQuota, e.At, "%s of the tenant %s starts on %s, so the tenant uses %d of %d milli cores, %d of %d MB, %d of %d accelerators",
 				e.taskID().describe(), tenant, e.Actor, used.cores, limit.cores, used.memory, limit.memory, used.accelerators, limit.accelerators)
 		}
 		isOver[tenant] = exceeds
 	}
 }
 
-// exceedsQuota reports whether the start of a task has lifted what runs above a limit and
-// the overrun, and that task more, in any kind of resources that it uses.
+// exceedsQuota reports whether the resources in use, without those of the task that has just
+// started, exceed the limit plus the overrun. Only the kinds of resources that the task uses
+// and that have a limit count.
 func (r resources) exceedsQuota(limit, task resources) bool {
 	exceeds := func(used, limit, task int64) bool {
 		return limit > 0 && task > 0 && 100*(used-task) > (100+quotaOverrunPercent)*limit
--- a/internal/checker/recovery_rules.go
+++ b/internal/checker/recovery_rules.go
@@ -2,22 +2,22 @@
 
 import "sparnotch/internal/eventloop"
 
-// clientPatience is how long before the end of a recovery a client must ask so that it
-// is surely answered within it.
+// clientPatience is how long before the end of the recovery time a request must be sent so
+// that its answer is certain to come within the recovery time.
 const clientPatience = 3 * eventloop.Second
 
-// service is one kind of request, of one queue where it concerns a queue.
+// service identifies a kind of request, and the queue if the request has one.
 type service struct{ kind, queue string }
 
-// request is a client's or operator's request and how it was answered.
+// request is a request of a client or operator, with the time and success of its answer.
 type request struct {
 	service
 	gateway            string
 	sentAt, answeredAt eventloop.Micros
-	isServed           bool // by what a running system answers
+	isServed           bool // answered without a 5xx status, or only the acknowledgement was lost
 }
 
-// requests lists every request of the history that a running system serves.
+// requests returns the requests of clients and operators whose outcome the history contains.
 func (a *analysis) requests() []request {
 	var list []request
 	for k := range a.history {
@@ -43,8 +43,8 @@
 	return list
 }
 
-// checkSubmissionsRecover: after each fault a submission that was sent since is confirmed
-// within the recovery.
+// checkSubmissionsRecover checks that, within the recovery time after each fault, a submission
+// that was sent after the fault is confirmed.
 func (a *analysis) checkSubmissionsRecover() {
 	for k, e := range a.history {
 		if e.Kind == Fault {
@@ -53,6 +53,7 @@
 	}
 }
 
+// checkSubmissionAfter checks one fault. The history must begin with it.
 func (a *analysis) checkSubmissionAfter(fault *Event, history []Event) {
 	submitted := map[jobKey]bool{}
 	deadline := a.recoveryDeadline(fault.At)
@@ -75,8 +76,8 @@
 	}
 }
 
-// checkServicesRecover: after a fault every service, of every queue, is back within the
-// recovery, unless another fault follows in it.
+// checkServicesRecover checks that every service, of every queue, is available again within
+// the recovery time after a fault, unless another fault follows within that time.
 func (a *analysis) checkServicesRecover() {
 	requests := a.requests()
 	for k, at := range a.faults {
@@ -95,16 +96,16 @@
 		}
 		for s := range requested {
 			if !served[s] {
-				a.report(ruleRecovery, at, "%s %s are not back %d us after a fault", s.kind, s.queue, a.bounds.Recovery)
+				a.report(ruleRecovery, at, "%s %s are still unavailable %d us after a fault", s.kind, s.queue, a.bounds.Recovery)
 			}
 		}
 		a.checkWaitingWorkStarts(at, until)
 	}
 }
 
-// checkUndisturbedRequests: away from faults every request through a gateway that can serve
-// is served. Of several requests that fail in overlapping intervals only the first is
-// reported.
+// checkUndisturbedRequests checks that a request through an available gateway succeeds if no
+// fault occurs from a recovery time before the request until its answer. Of failed requests
+// that overlap in time only the first is reported.
 func (a *analysis) checkUndisturbedRequests() {
 	gateways := a.gatewayAvailability()
 	lastReported := eventloop.Micros(0)
@@ -116,17 +117,17 @@
 			continue
 		}
 		lastReported = r.answeredAt
-		a.report(ruleRecovery, r.sentAt, "%s %s: %s gives no answer or an error, and no fault is near", r.kind, r.queue, r.gateway)
+		a.report(ruleRecovery, r.sentAt, "%s %s: %s gives no answer or an error, but no fault occurred shortly before", r.kind, r.queue, r.gateway)
 	}
 }
 
-// availabilityChange is a gateway's coming to reach a quorum, or ceasing to.
+// availabilityChange is the time at which a gateway becomes available or unavailable.
 type availabilityChange struct {
 	at          eventloop.Micros
 	isAvailable bool
 }
 
-// availability lists the changes of each gateway, in order.
+// availability holds the changes of each gateway, ordered by time.
 type availability map[string][]availabilityChange
 
 func (a *analysis) gatewayAvailability() availability {
@@ -139,7 +140,8 @@
 	return changes
 }
 
-// canServe reports whether a gateway was available all the while, and for a while before.
+// canServe reports whether the gateway was available during the whole interval, and at least
+// for the time ready before it.
 func (v availability) canServe(gateway string, from, to, ready eventloop.Micros) bool {
 	canServe := false
 	for _, change := range v[gateway] {
@@ -156,8 +158,8 @@
 	return canServe
 }
 
-// checkWaitingWorkStarts: in every queue where work waits after a fault, some is started
-// within the recovery, unless the queue's pool is busy all the while.
+// checkWaitingWorkStarts checks that, in every queue that accepts a job after a fault, some
+// task starts within the recovery time, unless the queue's pool is busy throughout.
 func (a *analysis) checkWaitingWorkStarts(faultAt, until eventloop.Micros) {
 	waiting, waitingSince := map[string]string{}, map[string]eventloop.Micros{}
 	started := map[string]bool{}
@@ -176,13 +178,13 @@
 	}
 	for queue, name := range waiting {
 		if !started[queue] && !a.isPoolBusyThroughout(queue, waitingSince[queue], until) {
-			a.report(ruleRecovery, faultAt, "nothing of the queue %s is started within %d us after a fault, though %s waits", queue, a.bounds.Recovery, name)
+			a.report(ruleRecovery, faultAt, "no task of the queue %s starts within %d us after a fault, although %s is waiting", queue, a.bounds.Recovery, name)
 		}
 	}
 }
 
-// startsWithin reports whether any task of the job starts, other than by going on after
-// its worker was frozen.
+// startsWithin reports whether any task of the job starts within the interval. Resumed runs
+// don't count.
 func (r *jobRecord) startsWithin(after, until eventloop.Micros) bool {
 	for _, runs := range r.runs {
 		for _, run := range runs {
@@ -194,8 +196,8 @@
 	return false
 }
 
-// waitsWithin reports whether the job is accepted in an interval, may start at once, and
-// hadn't started before it.
+// waitsWithin reports whether the job is accepted within the interval, may start at once, and
+// hadn't started before the interval.
 func (r *jobRecord) waitsWithin(after, before eventloop.Micros) bool {
 	startsAtOnce := r.spec != nil && r.spec.DelayUs == 0 && r.spec.StartUnixUs == 0 && r.cancelRequestedAt == 0
 	if !startsAtOnce || !r.isAccepted || r.acceptedAt <= after || r.acceptedAt >= before {
@@ -212,9 +214,9 @@
 	return first == 0 || first > after
 }
 
-// isPoolBusyThroughout reports whether at every moment of an interval at least half of the
-// cores of a queue's pool were in use. More urgent work may then leave none to the queue;
-// with less in use nothing excuses that its work isn't started.
+// isPoolBusyThroughout reports whether at least half of the cores of the queue's pool were in
+// use throughout the interval. More urgent jobs may then leave no cores for the queue. With
+// fewer cores in use, there is no reason not to start the queue's jobs.
 func (a *analysis) isPoolBusyThroughout(queue string, from, to eventloop.Micros) bool {
 	usage := poolUsage{queue: queue, workers: map[string]*workerState{}}
 	for k := range a.history {
@@ -224,7 +226,7 @@
 		}
 		usage.record(e)
 		isLast := k+1 == len(a.history)
-		// Only what holds after all events of a moment counts.
+		// Check the state only after the last of several events with the same time.
 		if (isLast || a.history[k+1].At > e.At && a.history[k+1].At > from) && !usage.isBusy() {
 			return false
 		}
@@ -232,10 +234,10 @@
 	return true
 }
 
-// poolUsage follows through a history what is in use of a queue's pool.
+// poolUsage tracks the resources that are in use in a queue's pool.
 type poolUsage struct {
 	queue, pool string
-	workers     map[string]*workerState // of all pools
+	workers     map[string]*workerState // workers of all pools
 }
 
 func (u *poolUsage) record(e *Event) {
@@ -272,14 +274,14 @@
 	return total > 0 && 2*used >= total
 }
 
-// checkWorkersAnswered: a worker that is up and not partitioned is answered at least once
-// in the time of a recovery.
+// checkWorkersAnswered checks that a worker that is up, and neither partitioned nor frozen, is
+// in contact with the system at least once within every recovery time.
 func (a *analysis) checkWorkersAnswered() {
-	lastAnswer := map[string]eventloop.Micros{} // of workers that are up
+	lastAnswer := map[string]eventloop.Micros{} // last contact of the workers that are up
 	isUnreachable := map[string]bool{}
 	checkGap := func(worker string, now eventloop.Micros) {
 		if at, isUp := lastAnswer[worker]; isUp && !isUnreachable[worker] && now > a.recoveryDeadline(at) {
-			a.report(ruleRecovery, at, "the worker %s has no answer for %d us", worker, now-at)
+			a.report(ruleRecovery, at, "the worker %s had no contact for %d us", worker, now-at)
 		}
 		lastAnswer[worker] = now
 	}
@@ -313,7 +315,7 @@
 	}
 }
 
-// recordsAnswers reports whether a worker's answers are in the history at all.
+// recordsAnswers reports whether the history contains any WorkerAnswered event of the worker.
 func (a *analysis) recordsAnswers(worker string) bool {
 	for k := range a.history {
 		if a.history[k].Kind == WorkerAnswered && a.history[k].Actor == worker {
--- a/internal/checker/size_rules.go
+++ b/internal/checker/size_rules.go
@@ -9,38 +9,38 @@
 	"sparnotch/internal/schema"
 )
 
-// The rule on sizes: the largest tenth of a queue's jobs, and the fifth beneath it, are served
-// at least half as often as all of them.
+// Parameters of the rule on sizes: of the largest tenth of a queue's jobs, and of the next
+// fifth by size, at least half as large a share must be served as of all jobs.
 const (
 	largestPart    = 0.1
 	nextPart       = 0.2
 	minServedRatio = 0.5
-	servedFactor   = 3 // times its target, up to which a job counts as served
+	servedFactor   = 3 // a job counts as served up to this multiple of its latency target
 )
 
-// LatencyTarget is how long the jobs of a queue should take: Stretch times their longest chain of
-// work, and Slack besides.
+// LatencyTarget is the target for the time from the submission to the end of a queue's jobs:
+// Stretch times the critical path of the job, plus Slack.
 type LatencyTarget struct {
 	Stretch float64
 	Slack   eventloop.Micros
 }
 
-// SizeClass is how many of the jobs of one class of sizes were served.
+// SizeClass holds the number of jobs in one class of sizes, and how many of them were served.
 type SizeClass struct {
 	Name         string
 	Served, Jobs int
 }
 
-// ratio is the part of the class that was served.
+// ratio returns the share of the jobs that were served.
 func (c SizeClass) ratio() float64 { return float64(c.Served) / float64(max(c.Jobs, 1)) }
 
 func (c SizeClass) String() string {
 	return fmt.Sprintf("%s: %d of %d served", c.Name, c.Served, c.Jobs)
 }
 
-// CheckSizes judges the jobs of a queue that were submitted until a moment by the rule on
-// sizes. It returns all of them as a class, then the largest tenth and the fifth beneath it, and
-// the violations. Jobs that were cancelled, or shown as failed, don't count.
+// CheckSizes checks the rule on sizes for the jobs of a queue that were submitted before until.
+// It returns three classes, which are all jobs, the largest tenth and the next fifth, and the
+// violations. Jobs that were cancelled, or reported as failed, don't count.
 func CheckSizes(history []Event, queue string, target LatencyTarget, until eventloop.Micros) (classes []SizeClass, violations []Violation) {
 	a := &analysis{
 		history: history, jobs: map[jobKey]*jobRecord{}, jobOfTask: map[taskID]*jobRecord{}, workerFaults: map[string][]eventloop.Micros{},
@@ -62,7 +62,7 @@
 	return classes, violations
 }
 
-// finishedBySize lists a queue's accepted jobs that count, the smallest first.
+// finishedBySize returns the queue's accepted jobs that count for the rule, the smallest first.
 func (a *analysis) finishedBySize(queue string, until eventloop.Micros) []*jobRecord {
 	var jobs []*jobRecord
 	for _, job := range a.sortedJobs {
@@ -78,7 +78,7 @@
 	return slices.ContainsFunc(r.statuses, func(e Event) bool { return e.Code < 300 && e.State == state })
 }
 
-// workOf is a job's work in thousandths of a core times µs, by its estimates.
+// workOf returns the estimated work of a job, in thousandths of a core times µs.
 func workOf(job *schema.Job) (work float64) {
 	for _, step := range job.GetSteps() {
 		work += float64(step.Tasks) * float64(step.CoresMilli) * float64(step.EstimatedRunUs)
@@ -96,9 +96,9 @@
 	return class
 }
 
-// isServed reports whether all tasks of the job were done within servedFactor times its target.
-// Its chain of work is the sum of the longest successful runs of its steps, which is right for
-// steps that follow each other.
+// isServed reports whether all tasks of the job completed within servedFactor times its latency
+// target. The critical path is computed as the sum of the longest successful runs of the steps,
+// which is correct only for steps that run one after another.
 func (r *jobRecord) isServed(target LatencyTarget) bool {
 	chain, end := eventloop.Micros(0), eventloop.Micros(0)
 	for k, step := range r.spec.Steps {
@@ -113,8 +113,8 @@
 	return float64(end-r.firstSubmittedAt) <= servedFactor*allowed
 }
 
-// runsDone reports whether every task of a step was done, when the last one was, and how long
-// the longest run took that was.
+// runsDone returns the duration of the longest successful run of a step, the end of the last
+// one, and whether every task of the step has completed.
 func (r *jobRecord) runsDone(number uint32, step *schema.Step) (longest, lastEnd eventloop.Micros, done bool) {
 	runsOf := map[uint32]*taskRun{}
 	for id, runs := range r.runs {
--- a/internal/checker/size_rules_test.go
+++ b/internal/checker/size_rules_test.go
@@ -12,7 +12,8 @@
 
 func TestSizes(t *testing.T) {
 	target := LatencyTarget{Stretch: 1.5, Slack: 500 * eventloop.Millisecond}
-	// Twenty jobs of one task of a second each, of rising size; it ends so long after the submission.
+	// historyOf returns a history of 20 jobs of increasing size. Each job has one task that runs
+	// for a second and ends endOf(job) after the submission.
 	historyOf := func(endOf func(job int) eventloop.Micros) (history []Event) {
 		for k := range 20 {
 			at, name := eventloop.Micros(k+1)*eventloop.Second, fmt.Sprintf("job-%02d", k)
--- a/internal/checker/task_rules.go
+++ b/internal/checker/task_rules.go
@@ -8,7 +8,7 @@
 	"sparnotch/internal/schema"
 )
 
-// checkTask checks the rules that concern the runs of one task.
+// checkTask checks the rules that need the runs of a single task only.
 func (a *analysis) checkTask(job *jobRecord, id taskID) {
 	runs := job.runs[id]
 	sort.SliceStable(runs, func(x, y int) bool { return runs[x].start < runs[y].start })
@@ -23,21 +23,21 @@
 	}
 }
 
-// checkRunsOnce: a task runs only once at a time.
+// checkRunsOnce checks that no earlier run of the task is still going on when this one starts.
 func (a *analysis) checkRunsOnce(id taskID, run *taskRun, earlier []*taskRun) {
 	if run.isResumed && run.end == run.start {
 		return
 	}
 	for _, other := range earlier {
 		if other.isRunningAt(run.start) {
-			a.report(ruleRunsOnce, run.start, "%s runs on %s while it runs on %s since %d", id.describe(), run.worker, other.worker, other.start)
+			a.report(ruleRunsOnce, run.start, "%s starts on %s while it has been running on %s since %d", id.describe(), run.worker, other.worker, other.start)
 		}
 	}
 }
 
-// checkAllowedFailures: a task that failed as often as its step allows isn't run again. A
-// failure counts from the answer to its report on: what a partitioned worker couldn't
-// report, nobody can count.
+// checkAllowedFailures checks that a task doesn't run again after it failed more often than its
+// step allows. A failure counts only from the time its report was answered, because the
+// scheduler can't know of a failure that a partitioned worker couldn't report.
 func (a *analysis) checkAllowedFailures(id taskID, run *taskRun, earlier []*taskRun, step *schema.Step) {
 	if run.isResumed {
 		return
@@ -53,19 +53,20 @@
 		}
 	}
 	if failures > allowed {
-		a.report(ruleFailures, run.start, "%s runs again after %d failures, %d were allowed", id.describe(), failures, allowed)
+		a.report(ruleFailures, run.start, "%s runs again after %d failures, but only %d are allowed", id.describe(), failures, allowed)
 	}
 }
 
-// checkNoStartAfterCancel: no task starts long after its job's cancel was confirmed.
+// checkNoStartAfterCancel checks that no task starts later than the tolerance after the cancel
+// of its job was confirmed.
 func (a *analysis) checkNoStartAfterCancel(job *jobRecord, id taskID, run *taskRun) {
 	if job.cancelledAt > 0 && run.start > job.cancelledAt+a.bounds.Cancel && !run.isResumed && !run.isLate {
 		a.report(ruleCancel, run.start, "%s starts %d us after its job was cancelled", id.describe(), run.start-job.cancelledAt)
 	}
 }
 
-// checkRunningIsCancelled: what runs when the cancel is confirmed is told to stop, and
-// stops. Near a fault that may take a recovery longer.
+// checkRunningIsCancelled checks that a run that is going on when the cancel is confirmed ends
+// within the tolerance. Near a fault it may take a recovery time longer.
 func (a *analysis) checkRunningIsCancelled(job *jobRecord, id taskID, run *taskRun) {
 	wasRunning := run.start <= job.cancelledAt && run.isRunningAt(job.cancelledAt)
 	if job.cancelledAt == 0 || !wasRunning || run.isLate || run.isResumed {
@@ -76,19 +77,19 @@
 		until = a.recoveryDeadline(until)
 	}
 	if run.end > until || run.end == 0 && until < a.closedAt {
-		a.report(ruleCancel, run.start, "%s runs on %d us after its job was cancelled", id.describe(), max(run.end, until)-job.cancelledAt)
+		a.report(ruleCancel, run.start, "%s is still running %d us after its job was cancelled", id.describe(), max(run.end, until)-job.cancelledAt)
 	}
 }
 
-// checkStopIsObeyed: a task that is told to stop stops.
+// checkStopIsObeyed checks that a task ends soon after its worker is ordered to stop it.
 func (a *analysis) checkStopIsObeyed(id taskID, run *taskRun) {
 	if run.stopOrderedAt > 0 && run.isRunningAt(run.stopOrderedAt+a.bounds.Stop) {
-		a.report(ruleCancel, run.stopOrderedAt, "%s runs on after it was told to stop", id.describe())
+		a.report(ruleCancel, run.stopOrderedAt, "%s is still running after its worker was ordered to stop it", id.describe())
 	}
 }
 
-// checkStartTimes: the tasks of a round start no earlier than the round's time, which is
-// given by a delay from the submission or by the wall clock.
+// checkStartTimes checks that the tasks of a round start no earlier than the start time of the
+// round, which the job sets as a delay after the submission or as a wall time.
 func (a *analysis) checkStartTimes(job *jobRecord) {
 	for _, id := range job.tasks() {
 		if job.step(id.step) == nil {
@@ -113,11 +114,12 @@
 	due := job.spec.StartUnixUs + int64(round)*job.spec.PeriodUs
 	wall, known := a.wallAt(run.start)
 	if job.spec.StartUnixUs > 0 && known && wall < due-int64(a.bounds.EarlyStart) {
-		a.report(ruleOrder, run.start, "%s starts round %d %d us before its wall time", job.key, round, due-wall)
+		a.report(ruleOrder, run.start, "%s starts round %d %d us before its start time by the wall clock", job.key, round, due-wall)
 	}
 }
 
-// checkDependencies: a step starts when all tasks that it depends on are done in its round.
+// checkDependencies checks that no task of a step starts before all tasks of the steps that it
+// depends on have completed in the same round.
 func (a *analysis) checkDependencies(job *jobRecord) {
 	index := job.stepIndexes()
 	for _, id := range job.tasks() {
@@ -131,7 +133,7 @@
 				on := index[dependency]
 				for t := uint32(0); t < job.spec.Steps[on].Tasks; t++ {
 					if !job.isDoneBy(taskID{job.key, id.job, job.stepOfRound(round, on), t}, run.start) {
-						a.report(ruleOrder, run.start, "%s step %d starts before task %d of step %q is done", job.key, id.step, t, dependency)
+						a.report(ruleOrder, run.start, "%s step %d starts before task %d of step %q has completed", job.key, id.step, t, dependency)
 					}
 				}
 			}
--- a/internal/checker/tenant_configurations.go
+++ b/internal/checker/tenant_configurations.go
@@ -8,16 +8,16 @@
 	"sparnotch/internal/schema"
 )
 
-// tenantConfiguration is what one configuration says of tenants and their keys.
+// tenantConfiguration holds the settings of one configuration for tenants and their keys.
 type tenantConfiguration struct {
-	sentAt       eventloop.Micros // first
-	acceptedAt   eventloop.Micros // first acknowledged
-	isAccepted   bool             // as its operator knows; otherwise it may or may not be
+	sentAt       eventloop.Micros // when it was first sent
+	acceptedAt   eventloop.Micros // when its acceptance was first recorded
+	isAccepted   bool             // known to be accepted; if false, it may be accepted or not
 	version      uint64
 	baseVersion  uint64
 	requiresKeys bool
 	isPublic     map[string]bool      // by queue
-	tenantOfKey  map[string]string    // by the key's hash
+	tenantOfKey  map[string]string    // by the hash of the key
 	limits       map[string]resources // by tenant; 0: no limit
 }
 
@@ -37,7 +37,7 @@
 	return c
 }
 
-// addTenantRow reads a row of a tenant, whose value may be a number.
+// addTenantRow adds a tenant's row. number is the row's value, or 0 if that isn't a number.
 func (c *tenantConfiguration) addTenantRow(row *schema.ConfigurationRow, number int64) {
 	limit := c.limits[row.Name]
 	switch row.Key {
@@ -55,7 +55,8 @@
 	c.limits[row.Name] = limit
 }
 
-// allows reports whether a call for a queue may carry a key, or none.
+// allows reports whether calls for the queue are allowed with this key, or without one if
+// keyHash is empty.
 func (c *tenantConfiguration) allows(queue, keyHash string) bool {
 	if !c.requiresKeys {
 		return true
@@ -66,8 +67,8 @@
 	return c.tenantOfKey[keyHash] != ""
 }
 
-// readTenantConfigurations lists the configurations that were or may have been accepted,
-// after the empty one that every deployment starts with.
+// readTenantConfigurations collects the configurations that were or may have been accepted. The
+// first one is the empty configuration with which every deployment starts.
 func (a *analysis) readTenantConfigurations() {
 	initial := newTenantConfiguration(nil)
 	initial.isAccepted = true
@@ -91,9 +92,9 @@
 	}
 }
 
-// mayBeInForce lists the configurations that any process may act on at some moment of an
-// interval: those that were sent by its end, and weren't followed by another that was
-// accepted a propagation before its beginning.
+// mayBeInForce returns the configurations that any process may apply at some time in the
+// interval: those that were sent by its end, unless a newer one was accepted at least the
+// propagation time before its beginning.
 func (a *analysis) mayBeInForce(from, to eventloop.Micros) []*tenantConfiguration {
 	var list []*tenantConfiguration
 	for _, c := range a.tenantConfigurations {
@@ -104,10 +105,12 @@
 	return list
 }
 
+// isSuperseded reports whether every process has replaced the configuration by a newer one at
+// the given time.
 func (a *analysis) isSuperseded(c *tenantConfiguration, at eventloop.Micros) bool {
 	version := c.version
 	if !c.isAccepted {
-		// It can't be accepted any more once another stands on top of its base.
+		// It can no longer be accepted once any version newer than its base version is.
 		version = c.baseVersion
 	}
 	for _, other := range a.tenantConfigurations {
@@ -118,7 +121,7 @@
 	return false
 }
 
-// usesTenants reports whether any configuration speaks of tenants or requires keys.
+// usesTenants reports whether any configuration contains tenants or requires keys.
 func (a *analysis) usesTenants() bool {
 	for _, c := range a.tenantConfigurations {
 		if c.requiresKeys || len(c.limits) > 0 {
@@ -128,8 +131,8 @@
 	return false
 }
 
-// tenantEverOfKey is the tenant that held a key in any configuration that was sent; empty:
-// none did.
+// tenantEverOfKey returns the tenant to which any configuration assigns the key, or an empty
+// string if none does.
 func (a *analysis) tenantEverOfKey(keyHash string) string {
 	for _, c := range a.tenantConfigurations {
 		if tenant := c.tenantOfKey[keyHash]; tenant != "" {
@@ -139,8 +142,8 @@
 	return ""
 }
 
-// highestLimit is the highest limit of a tenant, of each kind, among configurations; 0: one
-// of them sets none.
+// highestLimit returns the tenant's highest limit among the configurations, for each kind of
+// resource. It is 0 (no limit) if any configuration sets no limit.
 func highestLimit(configurations []*tenantConfiguration, tenant string) resources {
 	var highest resources
 	for k, c := range configurations {
@@ -156,7 +159,7 @@
 	return highest
 }
 
-// higherLimit is the higher of two limits; 0: no limit.
+// higherLimit returns the higher of two limits, where 0 means no limit.
 func higherLimit(a, b int64) int64 {
 	if a == 0 || b == 0 {
 		return 0
--- a/internal/checker/tenant_usage.go
+++ b/internal/checker/tenant_usage.go
@@ -1,23 +1,23 @@
 package checker
 
-// tenantRun is one run that a worker has.
+// tenantRun identifies a run on a worker.
 type tenantRun struct {
 	worker string
 	attemptKey
 }
 
-// tenantUsage follows what the tenants have running on all workers together.
+// tenantUsage tracks the resources of each tenant's running tasks on all workers.
 type tenantUsage struct {
 	tenantOfJob map[jobKey]string
 	running     map[string]map[tenantRun]resources // by tenant
-	isPaused    map[string]bool                    // workers whose runs stand still
+	isPaused    map[string]bool                    // workers that are frozen, whose runs don't count
 }
 
 func (a *analysis) newTenantUsage() *tenantUsage {
 	return &tenantUsage{tenantOfJob: a.tenantOfJob, running: map[string]map[tenantRun]resources{}, isPaused: map[string]bool{}}
 }
 
-// apply follows an event.
+// apply updates the usage with the next event of the history.
 func (u *tenantUsage) apply(e *Event) {
 	switch e.Kind {
 	case TaskStart:
@@ -45,7 +45,7 @@
 	}
 }
 
-// of is what a tenant has running.
+// of returns the resources that the tenant's running tasks use.
 func (u *tenantUsage) of(tenant string) resources {
 	var sum resources
 	for run, amount := range u.running[tenant] {
@@ -56,7 +56,7 @@
 	return sum
 }
 
-// isHalfUsed reports whether at least half of any limit is in use.
+// isHalfUsed reports whether these resources are at least half of the limit of any kind.
 func (r resources) isHalfUsed(limit resources) bool {
 	isHalf := func(used, limit int64) bool { return limit > 0 && 2*used >= limit }
 	return isHalf(r.cores, limit.cores) || isHalf(r.memory, limit.memory) || isHalf(r.accelerators, limit.accelerators)
--- a/internal/checker/tenants_test.go
+++ b/internal/checker/tenants_test.go
@@ -9,8 +9,8 @@
 	"sparnotch/internal/schema"
 )
 
-// The hashes of keys: two of the tenant one, one of the tenant two, and one that no
-// configuration holds.
+// Hashes of keys: two for the tenant "one", one for the tenant "two", and one that no
+// configuration contains.
 const (
 	keyOne   = "11111111111111111111111111111111"
 	otherKey = "12121212121212121212121212121212"
@@ -18,8 +18,9 @@
 	noKey    = "99999999999999999999999999999999"
 )
 
-// tenantRows are rows of a queue and two tenants, of which the first has a limit of 30
-// thousandths of a core, 100 MB and one accelerator, and some more.
+// tenantRows returns configuration rows with a queue, two tenants and the more rows. Without
+// any more rows, the first tenant has a limit of 30 thousandths of a core, 100 MB and one
+// accelerator.
 func tenantRows(more ...string) []*schema.ConfigurationRow {
 	list := rows("queue l urgency 1", "tenant one key_hashes "+keyOne, "tenant two key_hashes "+keyTwo)
 	list = append(list, &schema.ConfigurationRow{Kind: "fleet", Key: "require_keys", Value: "1"})
@@ -29,19 +30,20 @@
 	return append(list, rows(more...)...)
 }
 
-// withKey is an event of a call with a key.
+// withKey returns the event with the hash of the key that its call carried.
 func withKey(e Event, keyHash string) Event {
 	e.KeyHash = keyHash
 	return e
 }
 
-// reply is the answer to a call with a key, which was sent half a second before.
+// reply returns the answer to a call with a key that was sent half a second before.
 func reply(kind string, at eventloop.Micros, keyHash string, code int32, state string) Event {
 	return withKey(answer(kind, at-s/2, at, "g", code, state), keyHash)
 }
 
-// tenantHistory is a history of a job of five tasks of the tenant one, whose configuration
-// was accepted at the beginning, with some events; the job has ended after 90 s.
+// tenantHistory returns a history in which the tenant "one" submits a job of five tasks, with
+// the events inserted after that. The configuration of tenantRows is accepted at the beginning,
+// and the job is reported as ended after 90 s.
 func tenantHistory(events ...Event) []Event {
 	spec := &schema.Job{Steps: []*schema.Step{{Name: "a", Tasks: 5}}}
 	history := []Event{
@@ -56,14 +58,14 @@
 		answer(ConfigurationRead, 91*s, 91*s+1, "g", 200, ""), Event{At: 300 * s, Kind: Close})
 }
 
-// runOf is the start of a task of the job with some needs.
-func runOf(at eventloop.Micros, who string, task uint32, cores, memory, accelerators int64) Event {
-	e := taskStart(at, who, 0, task, 1)
+// runOf returns the start of a task of the job that uses these resources.
+func runOf(at eventloop.Micros, worker string, task uint32, cores, memory, accelerators int64) Event {
+	e := taskStart(at, worker, 0, task, 1)
 	e.Cores, e.Memory, e.Accelerators = cores, memory, accelerators
 	return e
 }
 
-// brokenTenantRules are those of the rules on tenants that a history breaks.
+// brokenTenantRules returns the rules on quotas, keys and tenants that the history breaks.
 func brokenTenantRules(history []Event) map[int]bool {
 	broken := map[int]bool{}
 	for rule := range brokenRules(history) {
@@ -97,9 +99,9 @@
 		return all
 	}
 	for _, test := range []struct {
-		what         string
-		rule         int
-		broken, near []Event
+		what             string
+		rule             int
+		broken, nearMiss []Event
 	}{
 		{"a tenant runs more than its cores, the overrun and a task", ruleQuota,
 			with(full, []Event{runOf(at+4, "w", 4, 10, 0, 0)}), full},
@@ -144,7 +146,7 @@
 	} {
 		Convey("Found: "+test.what, t, func() {
 			So(brokenTenantRules(tenantHistory(test.broken...)), ShouldResemble, map[int]bool{test.rule: true})
-			So(brokenTenantRules(tenantHistory(test.near...)), ShouldBeEmpty)
+			So(brokenTenantRules(tenantHistory(test.nearMiss...)), ShouldBeEmpty)
 		})
 	}
 	Convey("A key that a configuration holds and no client knows to be accepted may be served and refused", t, func() {
--- a/internal/checker/worker_rules.go
+++ b/internal/checker/worker_rules.go
@@ -6,30 +6,31 @@
 	"sparnotch/internal/eventloop"
 )
 
-// machine is one process of a worker: two that bear one name at a time are two machines,
-// each with its own capacity.
+// machine identifies one process of a worker. Two processes that use the same name at the same
+// time are two machines, each with its own capacity.
 type machine struct {
 	worker      string
 	incarnation uint64
 }
 
-// attemptKey names one attempt of a task among all that a machine has.
+// attemptKey identifies an attempt of a task on a machine.
 type attemptKey struct {
 	queue      string
 	job        uint64
 	step, task uint32
 	attempt    uint32
-	name       string // of the job, only where it has no number
+	name       string // name of the job, only if the job has no number
 }
 
-// machineLoad is what a machine has been given, and its capacity.
+// machineLoad holds the attempts that a machine has received and not ended, their resources,
+// and the capacity of the machine.
 type machineLoad struct {
 	used, capacity resources
-	given          map[attemptKey]*Event
+	attempts       map[attemptKey]*Event // the order or start that added the attempt
 	isReported     bool
 }
 
-// resources are thousandths of cores, MB of memory, and accelerators.
+// resources holds thousandths of a core, MB of memory, and a number of accelerators.
 type resources struct{ cores, memory, accelerators int64 }
 
 func (e *Event) resources() resources { return resources{e.Cores, e.Memory, e.Accelerators} }
@@ -46,15 +47,16 @@
 	return r.cores <= capacity.cores && r.memory <= capacity.memory && r.accelerators <= capacity.accelerators
 }
 
-// checkCapacity: what a worker is given fits it at every moment, whether it takes it or
-// not. A worker that starts again begins empty, with the capacity that it then has.
+// checkCapacity checks that the attempts that a worker receives fit its capacity at all times,
+// including orders that the worker rejects later. A restarted worker begins without attempts and
+// with the capacity of its new WorkerUp event.
 func (a *analysis) checkCapacity() {
 	machines := map[machine]*machineLoad{}
 	for k := range a.history {
 		e := &a.history[k]
 		key := machine{e.Actor, e.Incarnation}
 		if e.Kind == WorkerUp {
-			machines[key] = &machineLoad{capacity: e.resources(), given: map[attemptKey]*Event{}}
+			machines[key] = &machineLoad{capacity: e.resources(), attempts: map[attemptKey]*Event{}}
 			continue
 		}
 		load := machines[key]
@@ -64,12 +66,12 @@
 		switch e.Kind {
 		case Order, TaskStart:
 			if e.State != orderStop {
-				a.give(load, e)
+				a.addAttempt(load, e)
 			}
 		case TaskEnd, OrderDropped:
-			if given := load.given[e.attemptKey()]; given != nil {
-				load.used = load.used.minus(given.resources())
-				delete(load.given, e.attemptKey())
+			if added := load.attempts[e.attemptKey()]; added != nil {
+				load.used = load.used.minus(added.resources())
+				delete(load.attempts, e.attemptKey())
 			}
 		}
 	}
@@ -83,26 +85,27 @@
 	return key
 }
 
-// give adds an attempt to a machine's load, once, and reports the first excess.
-func (a *analysis) give(load *machineLoad, e *Event) {
-	if load.given[e.attemptKey()] != nil {
+// addAttempt adds an attempt to the load of a machine unless it is already there. It reports
+// only the first time that a machine's load exceeds its capacity.
+func (a *analysis) addAttempt(load *machineLoad, e *Event) {
+	if load.attempts[e.attemptKey()] != nil {
 		return
 	}
-	load.given[e.attemptKey()] = e
+	load.attempts[e.attemptKey()] = e
 	load.used = load.used.plus(e.resources())
 	if load.used.fitIn(load.capacity) || load.isReported {
 		return
 	}
 	load.isReported = true
-	a.report(ruleCapacity, e.At, "%s is given %d of %d milli cores, %d of %d MB, %d of %d accelerators", e.Actor,
+	a.report(ruleCapacity, e.At, "the attempts on %s need %d of %d milli cores, %d of %d MB, %d of %d accelerators", e.Actor,
 		load.used.cores, load.capacity.cores, load.used.memory, load.capacity.memory, load.used.accelerators, load.capacity.accelerators)
 }
 
-// checkPlacement: a task runs only on a called worker that has its step's labels, and with
-// no more tasks of its step than the step allows a worker.
+// checkPlacement checks, for called workers, that a task starts only on a worker with all labels
+// of its step, and that the worker runs no more tasks of the step than the step allows.
 func (a *analysis) checkPlacement() {
 	labels := map[string][]string{}
-	running := map[string]map[taskID]int{} // by worker and step
+	running := map[string]map[taskID]int{} // number of running tasks by worker and step
 	for k := range a.history {
 		e := &a.history[k]
 		if !e.IsCalled {
@@ -125,8 +128,8 @@
 	}
 }
 
-// checkPlacedStart checks a start on a worker with these labels, where so many tasks of the
-// step run now.
+// checkPlacedStart checks one start. labels are those of the worker, and running is the number
+// of the step's tasks on the worker including the new one.
 func (a *analysis) checkPlacedStart(e *Event, labels []string, running int) {
 	step := a.jobs[e.jobKey()].step(e.Step)
 	if step == nil {
@@ -138,11 +141,12 @@
 		}
 	}
 	if step.MaxPerWorker > 0 && running > int(step.MaxPerWorker) {
-		a.report(ruleCapacity, e.At, "%s step %d: %d tasks run on %s, %d may", e.jobKey(), e.Step, running, e.Actor, step.MaxPerWorker)
+		a.report(ruleCapacity, e.At, "%s step %d: %d tasks run on %s, but only %d are allowed", e.jobKey(), e.Step, running, e.Actor, step.MaxPerWorker)
 	}
 }
 
-// checkDraining: no work reaches a worker long after it said that it drains.
+// checkDraining checks that a worker receives no work later than the tolerance after it
+// reported that it is draining.
 func (a *analysis) checkDraining() {
 	drainingSince := map[string]eventloop.Micros{}
 	for k := range a.history {
@@ -158,7 +162,7 @@
 		case Order, TaskStart:
 			isWork := e.Kind == TaskStart || e.State == orderStart || e.State == orderReserve
 			if isDraining && isWork && !e.IsLate && e.At > since+a.bounds.Drain {
-				a.report(ruleDraining, e.At, "work reaches %s %d us after it said that it drains", e.Actor, e.At-since)
+				a.report(ruleDraining, e.At, "%s receives work %d us after it reported that it is draining", e.Actor, e.At-since)
 			}
 		}
 	}
