--- a/internal/fakeworker/called_calls.go
+++ b/internal/fakeworker/called_calls.go
@@ -8,27 +8,28 @@
 )
 
 const (
-	replyTimeout         = 400 * eventloop.Millisecond // the caller gives up then
+	replyTimeout         = 400 * eventloop.Millisecond // the caller times out this long after Call.Wait
 	maxInspectionWait    = 2 * eventloop.Second
 	maxEndsPerInspection = 500
-	defaultFaultDelay    = 2 * eventloop.Second
+	defaultFaultDelay    = 2 * eventloop.Second // of calls with FaultDelayed
 )
 
-// waitingInspection is an inspection that waits for a run to end.
+// waitingInspection is an inspection call whose reply waits for the end of a run.
 type waitingInspection struct {
 	call     agent.Call
 	deadline eventloop.Micros
 	reply    func(agent.Reply)
 }
 
-// delayedAction is carried out in a later step.
+// delayedAction is an action that a later Step executes once it is due.
 type delayedAction struct {
 	dueAt     eventloop.Micros
 	apply     func(now eventloop.Micros)
-	isTimeout bool // of the caller, so it outlives the worker
+	isTimeout bool // it is the caller's timeout, so a crash of the worker doesn't discard it
 }
 
-// HandleCall carries a call out. It calls reply once, at once or in a later step.
+// HandleCall carries out a call, subject to the configured faults. It calls reply exactly once,
+// either before it returns or in a later Step.
 func (w *CalledWorker) HandleCall(now eventloop.Micros, call agent.Call, reply func(agent.Reply)) {
 	w.Step(now)
 	fault := NoFault
@@ -64,8 +65,8 @@
 	}
 }
 
-// apply checks a call's incarnation and fencing token, extends the hold, and
-// carries the call out.
+// apply checks the incarnation and fencing token of a call, extends the run deadline, and
+// carries out the call.
 func (w *CalledWorker) apply(now eventloop.Micros, call agent.Call, reply func(agent.Reply)) {
 	result := agent.Reply{Number: call.Number, Outcome: agent.Succeeded, Clock: w.Clock(now)}
 	reject := func(reason agent.RejectionReason) {
@@ -81,7 +82,7 @@
 		return
 	}
 	w.fencingToken = call.FencingToken
-	w.extendHold(now, call.RunDeadline)
+	w.extendRunDeadline(now, call.RunDeadline)
 	switch call.Action {
 	case agent.Start:
 		if reason := w.startRun(now, call); reason != agent.NotRejected {
@@ -102,15 +103,16 @@
 	}
 }
 
-// extendHold extends the hold on all runs, up to the bound; 0 leaves it as it is.
-func (w *CalledWorker) extendHold(now, until eventloop.Micros) {
+// extendRunDeadline moves the deadline of all runs to until, but never back, and no further than
+// MaxWorkerLeaseUs from now. An until of 0 leaves the deadline unchanged.
+func (w *CalledWorker) extendRunDeadline(now, until eventloop.Micros) {
 	if until <= 0 {
 		return
 	}
 	if limit := eventloop.Micros(w.config.Bounds.MaxWorkerLeaseUs); limit > 0 {
 		until = min(until, w.Clock(now)+limit)
 	}
-	w.holdUntil = max(w.holdUntil, until)
+	w.runDeadline = max(w.runDeadline, until)
 }
 
 func (w *CalledWorker) dropAcknowledged(now eventloop.Micros, through uint64) {
--- a/internal/fakeworker/called_gang.go
+++ b/internal/fakeworker/called_gang.go
@@ -4,30 +4,31 @@
 	"sparnotch/internal/eventloop"
 )
 
-// Gangs holds the gangs whose members run at the called workers of one fleet. It
-// isn't safe for concurrent use.
+// Gangs holds the gangs whose members run on the called workers that share it, such as all
+// workers of a simulated cluster. It isn't safe for concurrent use.
 type Gangs struct{ byKey map[gangKey]*gang }
 
-// NewGangs makes an empty set of gangs.
+// NewGangs returns an empty set of gangs.
 func NewGangs() *Gangs { return &Gangs{byKey: map[gangKey]*gang{}} }
 
+// gangKey identifies one attempt of a gang.
 type gangKey struct {
 	job         string
 	round, step uint32
 	attempt     uint32
 }
 
-// gang is a set of tasks that start and end together.
+// gang is a set of runs that begin their work together and end together.
 type gang struct {
-	members    map[uint32]*calledRun // by task
+	members    map[uint32]*calledRun // by task number
 	racks      map[string]bool
-	completeAt eventloop.Micros // when the last member had started; 0: it is incomplete
-	endsAt     eventloop.Micros // all members are done then
+	completeAt eventloop.Micros // when the last member started; 0: not all members have started
+	endsAt     eventloop.Micros // when all members complete
 	isDone     bool
-	isBroken   bool
+	isBroken   bool // a member has ended without completing
 }
 
-// joinGang adds a run to its gang, whose work begins when the last member has started.
+// joinGang adds a run to its gang. The work of all members begins when the last one has joined.
 func (w *CalledWorker) joinGang(now eventloop.Micros, r *calledRun) {
 	key := gangKey{r.id.Task.Job, r.id.Task.Round, r.id.Task.StepInRound, r.id.Attempt}
 	g := w.gangs.byKey[key]
@@ -58,7 +59,8 @@
 	}
 }
 
-// breakGang makes all other members end as broken.
+// breakGang makes all other members of the run's gang end as broken, unless the gang has
+// completed.
 func (w *CalledWorker) breakGang(r *calledRun) {
 	if r.gang != nil && !r.gang.isDone {
 		r.gang.isBroken = true
--- a/internal/fakeworker/called_runs.go
+++ b/internal/fakeworker/called_runs.go
@@ -7,21 +7,22 @@
 	"sparnotch/internal/eventloop"
 )
 
-// calledRun is a run of a called worker.
+// calledRun is an attempt of a task that is running on a called worker.
 type calledRun struct {
 	id           RunID
 	requirements Requirements
 	acceptedAt   eventloop.Micros // when the start was carried out
-	startedAt    eventloop.Micros // when its work began; 0: its gang is incomplete
-	endsAt       eventloop.Micros // when its work is done; 0: never, or not known yet
-	slowdown     float64
-	priorWork    eventloop.Micros // restored from its checkpoint
+	startedAt    eventloop.Micros // when its work began or will begin after a restore; 0: its gang is incomplete
+	endsAt       eventloop.Micros // when its work is done; 0: never, or its gang is incomplete
+	slowdown     float64          // factor by which its run time is multiplied
+	priorWork    eventloop.Micros // work that was restored from its checkpoint
 	willFail     bool
 	gang         *gang
-	stopAt       eventloop.Micros // when the stop is complete; 0: none was ordered
+	stopAt       eventloop.Micros // when the ordered stop completes; 0: no stop was ordered
 }
 
-// startRun starts a run, or says why it is rejected. Starts are idempotent.
+// startRun starts a run, and returns agent.NotRejected or the reason for which the start is
+// rejected. Starts are idempotent.
 func (w *CalledWorker) startRun(now eventloop.Micros, call agent.Call) agent.RejectionReason {
 	key := RunID{call.Task, call.Attempt}
 	if call.Attempt == 0 || call.Task.Job == "" {
@@ -30,10 +31,10 @@
 	if w.runs[key] != nil {
 		return agent.NotRejected
 	}
-	if over, found := w.overAttempts[call.Task]; found && call.Attempt <= over || call.Attempt <= w.startedAttempts[call.Task] {
+	if ended, found := w.endedAttempts[call.Task]; found && call.Attempt <= ended || call.Attempt <= w.startedAttempts[call.Task] {
 		return agent.AttemptOver
 	}
-	if w.Clock(now) >= w.holdUntil || call.RunDeadline > 0 && w.Clock(now) >= call.RunDeadline {
+	if w.Clock(now) >= w.runDeadline || call.RunDeadline > 0 && w.Clock(now) >= call.RunDeadline {
 		return agent.DeadlinePassed
 	}
 	requirements := w.config.ParseTask(call.Task, call.Text)
@@ -59,7 +60,7 @@
 	return agent.NotRejected
 }
 
-// slowdown is the factor on the work of a run that starts now.
+// slowdown returns the factor by which the run time of a run that starts now is multiplied.
 func (w *CalledWorker) slowdown(now eventloop.Micros, requirements Requirements) float64 {
 	slowdown := 1.0
 	if w.config.Slowdown != nil {
@@ -71,7 +72,8 @@
 	return slowdown
 }
 
-// remoteFactor is the slowdown of a task whose data or gang is in another rack.
+// remoteFactor returns the slowdown of a task whose data is in another rack, or whose gang has
+// members in several racks.
 func (w *CalledWorker) remoteFactor() float64 {
 	if milli := w.config.Bounds.RemoteSlowdownMilli; milli > 0 {
 		return float64(milli) / 1000
@@ -79,7 +81,7 @@
 	return 1
 }
 
-// startWork begins a run's work, and sets when it is done.
+// startWork begins the work of a run, and sets when the run ends.
 func (w *CalledWorker) startWork(now eventloop.Micros, r *calledRun) {
 	r.startedAt = now
 	if r.priorWork > 0 {
@@ -93,7 +95,7 @@
 	}
 }
 
-// hasCapacity reports whether the free capacity suffices.
+// hasCapacity reports whether the free capacity is sufficient for the requirements.
 func (w *CalledWorker) hasCapacity(requirements Requirements) bool {
 	cores, memory, accelerators := w.config.Cores-requirements.Cores, w.config.Memory-requirements.Memory, w.config.Accelerators-requirements.Accelerators
 	for _, r := range w.runs {
@@ -102,11 +104,12 @@
 	return cores >= 0 && memory >= 0 && accelerators >= 0
 }
 
-// stopRun makes a run end soon. One that isn't there can't start any more.
+// stopRun makes a run end after its stop duration. If the run doesn't exist, it records the
+// attempt as ended, so that it can't start later.
 func (w *CalledWorker) stopRun(now eventloop.Micros, key RunID) {
 	r := w.runs[key]
 	if r == nil {
-		w.overAttempts[key.Task] = max(w.overAttempts[key.Task], key.Attempt)
+		w.endedAttempts[key.Task] = max(w.endedAttempts[key.Task], key.Attempt)
 		return
 	}
 	if r.stopAt > 0 {
@@ -119,7 +122,7 @@
 	r.stopAt = now + duration
 }
 
-// workDone is how much of its work a run has done.
+// workDone returns the work that a run has done, including the work restored from its checkpoint.
 func (w *CalledWorker) workDone(now eventloop.Micros, r *calledRun) eventloop.Micros {
 	if r.startedAt == 0 || now <= r.startedAt {
 		return r.priorWork
@@ -127,8 +130,9 @@
 	return r.priorWork + eventloop.Micros(float64(now-r.startedAt)/max(r.slowdown, 0.001))
 }
 
-// checkpoint is what is saved of a run's work: whole checkpoint intervals, or all of
-// it when the run is stopped.
+// checkpoint returns the checkpoint of a run, or an empty string if there is none. It contains
+// the work of whole checkpoint intervals, or with all set, which applies to a stopped run, all
+// work done.
 func (w *CalledWorker) checkpoint(now eventloop.Micros, r *calledRun, all bool) string {
 	if !r.requirements.HasCheckpoints {
 		return ""
@@ -144,7 +148,7 @@
 	return fmt.Sprintf("work=%d of=%s.%d.%d.%d", done, task.Job, task.Round, task.StepInRound, task.Task)
 }
 
-// endRun ends a run and lists its end.
+// endRun ends a run and adds its end to the list of unacknowledged ends.
 func (w *CalledWorker) endRun(now eventloop.Micros, r *calledRun, state string) {
 	delete(w.runs, r.id)
 	checkpoint := ""
@@ -152,7 +156,7 @@
 		w.breakGang(r)
 		checkpoint = w.checkpoint(now, r, state == stateStopped)
 	}
-	w.overAttempts[r.id.Task] = max(w.overAttempts[r.id.Task], r.id.Attempt)
+	w.endedAttempts[r.id.Task] = max(w.endedAttempts[r.id.Task], r.id.Attempt)
 	w.endCount++
 	w.ended = append(w.ended, agent.EndedTask{Number: w.endCount, Task: r.id.Task, Attempt: r.id.Attempt, State: state, Checkpoint: checkpoint})
 	w.emit(now, EventEnd, r.id, state)
--- a/internal/fakeworker/called_worker.go
+++ b/internal/fakeworker/called_worker.go
@@ -10,7 +10,7 @@
 	"sparnotch/internal/schema"
 )
 
-// RunID names one attempt at a task.
+// RunID identifies an attempt of a task.
 type RunID struct {
 	Task    agent.TaskName
 	Attempt uint32
@@ -23,32 +23,33 @@
 	)
 }
 
-// CalledWorker is a fake of a worker that takes calls from its agent. It rejects
-// stale fencing tokens, kills its runs when its hold is over, and lists ended runs
-// until they are acknowledged. The times that its methods take are of one true
-// clock; the worker's own clock is derived from that.
+// CalledWorker is a fake worker that receives calls from its agent. It rejects stale fencing
+// tokens, kills its runs when its run deadline passes, and lists ended runs until they are
+// acknowledged. Its methods expect true time, from which the worker's own clock is derived
+// with Config.ClockDrift.
 type CalledWorker struct {
 	config          Config
 	gangs           *Gangs
-	id              string
+	id              string // of the current incarnation
 	startedAt       eventloop.Micros
 	isDead          bool             // it has crashed or departed
-	fencingToken    uint64           // the highest it has seen
-	holdUntil       eventloop.Micros // by the worker's clock
+	fencingToken    uint64           // highest token that it has received
+	runDeadline     eventloop.Micros // when it kills all runs, by its own clock
 	runs            map[RunID]*calledRun
-	overAttempts    map[agent.TaskName]uint32 // highest attempt that ended or was stopped
+	endedAttempts   map[agent.TaskName]uint32 // highest attempt that ended or was stopped before it started
 	startedAttempts map[agent.TaskName]uint32 // highest attempt that started
-	ended           []agent.EndedTask
+	ended           []agent.EndedTask         // unacknowledged ends
 	endCount        uint64
 	heartbeatCount  uint64
-	drainDeadline   eventloop.Micros // it departs then; 0: it isn't draining
+	drainDeadline   eventloop.Micros // when it departs; 0: it isn't draining
 	inspections     []waitingInspection
 	delayed         []delayedAction
-	isDelayed       bool // the call that is being carried out had FaultDelayed
+	isDelayed       bool // the call that is being carried out has FaultDelayed
 }
 
-// NewCalledWorker makes a worker's first incarnation. Nil gangs are of its own.
-func NewCalledWorker(now eventloop.Micros, worker string, config Config, gangs *Gangs) *CalledWorker {
+// NewCalledWorker returns the first incarnation of a worker, which id identifies. If gangs
+// is nil, the worker shares its gangs with no other worker.
+func NewCalledWorker(now eventloop.Micros, id string, config Config, gangs *Gangs) *CalledWorker {
 	if config.Bounds == nil {
 		config.Bounds = &schema.Bounds{}
 	}
@@ -62,19 +63,20 @@
 		gangs = NewGangs()
 	}
 	w := &CalledWorker{config: config, gangs: gangs}
-	w.Restart(now, worker)
+	w.Restart(now, id)
 	return w
 }
 
-// Restart starts another incarnation: nothing runs and no fencing token was seen.
-func (w *CalledWorker) Restart(now eventloop.Micros, worker string) {
+// Restart ends the current incarnation and starts a new one, which id identifies. The new one
+// has no runs and has received no fencing token.
+func (w *CalledWorker) Restart(now eventloop.Micros, id string) {
 	w.Crash(now)
-	w.id, w.startedAt, w.isDead = worker, now, false
-	w.fencingToken, w.holdUntil, w.endCount, w.heartbeatCount, w.drainDeadline = 0, 0, 0, 0, 0
-	w.runs, w.overAttempts, w.startedAttempts, w.ended = map[RunID]*calledRun{}, map[agent.TaskName]uint32{}, map[agent.TaskName]uint32{}, nil
+	w.id, w.startedAt, w.isDead = id, now, false
+	w.fencingToken, w.runDeadline, w.endCount, w.heartbeatCount, w.drainDeadline = 0, 0, 0, 0, 0
+	w.runs, w.endedAttempts, w.startedAttempts, w.ended = map[RunID]*calledRun{}, map[agent.TaskName]uint32{}, map[agent.TaskName]uint32{}, nil
 }
 
-// Crash ends the incarnation and all its runs without a report.
+// Crash ends the incarnation and all its runs. The ends aren't reported to the agent.
 func (w *CalledWorker) Crash(now eventloop.Micros) {
 	for _, id := range w.sortedIDs() {
 		w.emit(now, EventEnd, id, stateGone)
@@ -88,36 +90,36 @@
 	w.inspections = nil
 }
 
-// Drain makes the worker report that it is draining, and depart after a delay.
+// Drain makes the worker report that it is draining, and depart after the delay.
 func (w *CalledWorker) Drain(now, delay eventloop.Micros) { w.drainDeadline = now + delay }
 
-// ID names the incarnation.
+// ID returns the ID of the incarnation.
 func (w *CalledWorker) ID() string { return w.id }
 
 // IsDead reports whether the worker has crashed or departed.
 func (w *CalledWorker) IsDead() bool { return w.isDead }
 
-// RunningCount is the number of runs.
+// RunningCount returns the number of runs.
 func (w *CalledWorker) RunningCount() int { return len(w.runs) }
 
-// IsRunning reports whether a run is there.
+// IsRunning reports whether the worker has this run.
 func (w *CalledWorker) IsRunning(run RunID) bool { return w.runs[run] != nil }
 
-// UnacknowledgedCount is the number of ends that the worker lists.
+// UnacknowledgedCount returns the number of ended runs that the agent hasn't acknowledged.
 func (w *CalledWorker) UnacknowledgedCount() int { return len(w.ended) }
 
-// FencingToken is the highest that the worker has seen.
+// FencingToken returns the highest fencing token that the incarnation has received.
 func (w *CalledWorker) FencingToken() uint64 { return w.fencingToken }
 
-// Clock is the time by the worker's own clock.
+// Clock converts true time to the time of the worker's own clock.
 func (w *CalledWorker) Clock(now eventloop.Micros) eventloop.Micros {
 	return eventloop.Second + eventloop.Micros(float64(now-w.startedAt)*w.config.ClockDrift)
 }
 
-// RunDeadline is when all runs are killed, by the worker's own clock.
-func (w *CalledWorker) RunDeadline() eventloop.Micros { return w.holdUntil }
+// RunDeadline returns when the worker kills all runs, by its own clock.
+func (w *CalledWorker) RunDeadline() eventloop.Micros { return w.runDeadline }
 
-// Heartbeat makes the next heartbeat.
+// Heartbeat returns the next heartbeat.
 func (w *CalledWorker) Heartbeat(now eventloop.Micros) agent.Heartbeat {
 	w.heartbeatCount++
 	c := w.config
@@ -131,16 +133,17 @@
 	return heartbeat
 }
 
-// Step does what is due.
+// Step executes delayed actions, ends runs, and replies to inspections, as far as they are due.
+// A draining worker departs once its drain deadline has passed, with the same effect as a crash.
 func (w *CalledWorker) Step(now eventloop.Micros) {
 	w.runDelayed(now)
 	if w.isDead {
 		return
 	}
-	holdExpired := w.Clock(now) >= w.holdUntil
+	deadlinePassed := w.Clock(now) >= w.runDeadline
 	for _, id := range w.sortedIDs() {
 		r := w.runs[id]
-		if state := w.endState(now, r, holdExpired); state != "" {
+		if state := w.endState(now, r, deadlinePassed); state != "" {
 			w.endRun(now, r, state)
 		}
 	}
@@ -162,11 +165,11 @@
 	}
 }
 
-// endState is how a run ends now; "" when it goes on.
-func (w *CalledWorker) endState(now eventloop.Micros, r *calledRun, holdExpired bool) string {
+// endState returns the state in which a run ends now, or an empty string if it continues.
+func (w *CalledWorker) endState(now eventloop.Micros, r *calledRun, deadlinePassed bool) string {
 	g := r.gang
 	switch {
-	case holdExpired:
+	case deadlinePassed:
 		return stateLapsed
 	case r.stopAt > 0 && now >= r.stopAt:
 		return stateStopped
--- a/internal/fakeworker/called_worker_test.go
+++ b/internal/fakeworker/called_worker_test.go
@@ -15,7 +15,7 @@
 	CheckpointIntervalUs: int64(eventloop.Second), RestoreDelayUs: int64(100 * eventloop.Millisecond),
 }
 
-// calledWorkerTest is a worker with the replies it gave.
+// calledWorkerTest is a called worker that records its replies by the number of the call.
 type calledWorkerTest struct {
 	*CalledWorker
 	lastCall uint64
@@ -27,20 +27,20 @@
 	return &calledWorkerTest{CalledWorker: NewCalledWorker(eventloop.Second, worker, config, gangs), replies: map[uint64]agent.Reply{}}
 }
 
-// send sends a call and returns its number.
-func (p *calledWorkerTest) send(now eventloop.Micros, call agent.Call) uint64 {
-	p.lastCall++
-	call.Number = p.lastCall
+// send makes the worker handle a call, and returns the number of the call.
+func (w *calledWorkerTest) send(now eventloop.Micros, call agent.Call) uint64 {
+	w.lastCall++
+	call.Number = w.lastCall
 	if call.Worker == "" {
-		call.Worker = p.ID()
+		call.Worker = w.ID()
 	}
-	p.HandleCall(now, call, func(reply agent.Reply) { p.replies[reply.Number] = reply })
-	return p.lastCall
+	w.HandleCall(now, call, func(reply agent.Reply) { w.replies[reply.Number] = reply })
+	return w.lastCall
 }
 
-// call sends a call and returns the reply that came at once.
-func (p *calledWorkerTest) call(now eventloop.Micros, call agent.Call) agent.Reply {
-	return p.replies[p.send(now, call)]
+// call makes the worker handle a call, and returns the reply if the worker gave it at once.
+func (w *calledWorkerTest) call(now eventloop.Micros, call agent.Call) agent.Reply {
+	return w.replies[w.send(now, call)]
 }
 
 func startCall(task, attempt uint32, until eventloop.Micros, text string) agent.Call {
@@ -118,9 +118,9 @@
 		So(w.replies[first].Ended, ShouldResemble, []agent.EndedTask{{Number: 1, Task: agent.TaskName{Job: "j", Task: 1}, Attempt: 1, State: "failed"}})
 		w.Step(now + 300*eventloop.Millisecond)
 		So(w.call(now+300*eventloop.Millisecond, inspectCall(0, 0)).Ended, ShouldHaveLength, 2)
-		left := w.call(now+300*eventloop.Millisecond, inspectCall(1, 0)).Ended
-		So(left, ShouldHaveLength, 1)
-		So([]any{left[0].Number, left[0].State}, ShouldResemble, []any{uint64(2), "done"})
+		unacknowledged := w.call(now+300*eventloop.Millisecond, inspectCall(1, 0)).Ended
+		So(unacknowledged, ShouldHaveLength, 1)
+		So([]any{unacknowledged[0].Number, unacknowledged[0].State}, ShouldResemble, []any{uint64(2), "done"})
 		second := w.send(now+eventloop.Second, inspectCall(2, eventloop.Second))
 		w.Step(now + 2*eventloop.Second)
 		So(w.replies[second].Ended, ShouldBeEmpty)
@@ -170,15 +170,15 @@
 	member := func(task uint32, text string) agent.Call {
 		return startCall(task, 1, 6*eventloop.Second, "members=2 run_us=1000000 "+text)
 	}
-	hows := func(at eventloop.Micros, list ...*calledWorkerTest) []string {
+	endStates := func(at eventloop.Micros, list ...*calledWorkerTest) []string {
 		var all []string
-		for _, p := range list {
-			p.Step(at)
+		for _, w := range list {
+			w.Step(at)
 		}
-		for _, p := range list {
-			p.Step(at)
-			for _, e := range p.call(at, inspectCall(0, 0)).Ended {
-				all = append(all, e.State)
+		for _, w := range list {
+			w.Step(at)
+			for _, ended := range w.call(at, inspectCall(0, 0)).Ended {
+				all = append(all, ended.State)
 			}
 		}
 		return all
@@ -188,26 +188,26 @@
 		a, b := newCalledWorkerTest("a", Config{Rack: "r1"}, gangs), newCalledWorkerTest("b", Config{Rack: "r2"}, gangs)
 		a.call(now, member(0, "one_rack=1"))
 		b.call(now+eventloop.Second, member(1, "one_rack=1"))
-		So(hows(now+2499*eventloop.Millisecond, a, b), ShouldBeEmpty)
-		So(hows(now+2500*eventloop.Millisecond, a, b), ShouldResemble, []string{"done", "done"})
+		So(endStates(now+2499*eventloop.Millisecond, a, b), ShouldBeEmpty)
+		So(endStates(now+2500*eventloop.Millisecond, a, b), ShouldResemble, []string{"done", "done"})
 	})
 	Convey("A member that waits too long ends alone, and those that start later are broken", t, func() {
 		gangs := NewGangs()
 		a, b := newCalledWorkerTest("a", Config{}, gangs), newCalledWorkerTest("b", Config{}, gangs)
 		a.call(now, member(0, ""))
-		So(hows(now+1999*eventloop.Millisecond, a, b), ShouldBeEmpty)
-		So(hows(now+2*eventloop.Second, a, b), ShouldResemble, []string{"alone"})
+		So(endStates(now+1999*eventloop.Millisecond, a, b), ShouldBeEmpty)
+		So(endStates(now+2*eventloop.Second, a, b), ShouldResemble, []string{"alone"})
 		b.call(now+2*eventloop.Second, member(1, ""))
-		So(hows(now+2*eventloop.Second, a, b), ShouldResemble, []string{"alone", "broken"})
+		So(endStates(now+2*eventloop.Second, a, b), ShouldResemble, []string{"alone", "broken"})
 	})
 	Convey("When one member ends otherwise, the others are broken", t, func() {
-		for _, how := range []string{"failed", "stopped", "gone"} {
+		for _, outcome := range []string{"failed", "stopped", "gone"} {
 			gangs := NewGangs()
-			fails := func(agent.TaskName, uint32) bool { return how == "failed" }
+			fails := func(agent.TaskName, uint32) bool { return outcome == "failed" }
 			a, b := newCalledWorkerTest("a", Config{Fails: fails}, gangs), newCalledWorkerTest("b", Config{}, gangs)
 			a.call(now, member(0, ""))
 			b.call(now, member(1, ""))
-			switch how {
+			switch outcome {
 			case "stopped":
 				a.call(now, stopCall(0, 1))
 			case "gone":
@@ -215,7 +215,7 @@
 			}
 			b.Step(now + 600*eventloop.Millisecond)
 			a.Step(now + 600*eventloop.Millisecond)
-			So(hows(now+600*eventloop.Millisecond, b), ShouldResemble, []string{"broken"})
+			So(endStates(now+600*eventloop.Millisecond, b), ShouldResemble, []string{"broken"})
 		}
 	})
 }
--- a/internal/fakeworker/parameters.go
+++ b/internal/fakeworker/parameters.go
@@ -8,11 +8,11 @@
 	"sparnotch/internal/eventloop"
 )
 
-// defaultRunUs is how long a task runs whose text doesn't say.
+// defaultRunUs is the run time, in µs, of tasks whose text doesn't specify one.
 const defaultRunUs = 20_000
 
-// parseRequirements reads a task's text, such as "run_us=30000 cores=500 memory=100
-// members=3 saves=1 one_rack=1 rack=r1".
+// parseRequirements parses the text of a task, such as "run_us=30000 cores=500 memory=100
+// members=3 saves=1 one_rack=1 rack=r1". Missing parameters have their defaults.
 func parseRequirements(_ agent.TaskName, text string) Requirements {
 	requirements := Requirements{
 		Work: eventloop.Micros(textParameter(text, "run_us", defaultRunUs)), Cores: int64(textParameter(text, "cores", 0)), Memory: int64(textParameter(text, "memory", 0)),
@@ -27,7 +27,8 @@
 	return requirements
 }
 
-// textParameter is the number after "parameter=" in a task's text.
+// textParameter returns the number after "parameter=" in a task's text, or fallback if there is
+// none.
 func textParameter(text, parameter string, fallback float64) float64 {
 	for _, field := range strings.Fields(text) {
 		if value, found := strings.CutPrefix(field, parameter+"="); found {
--- a/internal/fakeworker/worker.go
+++ b/internal/fakeworker/worker.go
@@ -1,11 +1,12 @@
-// Package fakeworker has fake workers for tests, simulations and benchmarks. They run
-// nothing: a task's text says how long it takes.
+// Package fakeworker provides fake workers for tests, simulations and benchmarks. They
+// execute nothing: the text of a task specifies how long it runs.
 //
-// Worker polls a scheduler itself, under a worker lease. CalledWorker takes calls
-// from an agent (internal/agent). Both are driven by their caller, which passes the
-// time to each method, so a run can be deterministic; neither is safe for concurrent
-// use. Both guard their capacity, honour their lease, reject stale fencing tokens,
-// and report to a hook what they do, for the checker.
+// A PollingWorker polls a scheduler itself and holds a worker lease. A CalledWorker
+// receives calls from an agent (internal/agent). The caller passes the current time to
+// each method of both, so that a run can be deterministic. Neither is safe for concurrent
+// use. Both can reject tasks that exceed their capacity, stop their runs when their lease
+// or run deadline expires, reject stale fencing tokens, and report their events to a hook,
+// from which the checker's history is recorded.
 package fakeworker
 
 import (
@@ -21,20 +22,20 @@
 
 const (
 	heartbeatInterval    = 500 * eventloop.Millisecond
-	minHeartbeatInterval = 20 * eventloop.Millisecond  // between two heartbeats that report changes
-	unansweredDelay      = 100 * eventloop.Millisecond // after a heartbeat that wasn't answered
-	maxAnswerWait        = 400 * eventloop.Millisecond // how long the scheduler may hold its answer back
-	contactEventInterval = eventloop.Second
-	endedRetention       = 120 * eventloop.Second
+	minHeartbeatInterval = 20 * eventloop.Millisecond  // minimum time between two heartbeats that report changes
+	unansweredDelay      = 100 * eventloop.Millisecond // time from an unanswered heartbeat to the next one
+	maxAnswerWait        = 400 * eventloop.Millisecond // maximum time for which the scheduler may delay its answer
+	contactEventInterval = eventloop.Second            // minimum time between two WorkerAnswered events
+	endedRetention       = 120 * eventloop.Second      // how long ended attempts are remembered
 )
 
-// The actions of an order.
+// Actions of an order. All others are starts.
 const (
 	actionStop = "stop"
 	actionHold = "hold"
 )
 
-// runKey names one attempt at a task.
+// runKey identifies an attempt of a task.
 type runKey struct {
 	queue      string
 	job        uint64
@@ -42,33 +43,33 @@
 	attempt    uint32
 }
 
-// run is an attempt that runs or is reserved here.
+// run is an attempt that is running on the worker, or for which capacity is reserved.
 type run struct {
 	key           runKey
 	name          string
 	cores, memory int64
-	isReserved    bool // capacity is reserved, and nothing runs yet
+	isReserved    bool // capacity is reserved, and the task isn't running yet
 	startedAt     eventloop.Micros
 	endsAt        eventloop.Micros
-	outcome       string // how it will end
+	outcome       string // outcome with which it will end
 	isStalled     bool   // it makes no progress and never ends by itself
 }
 
-// endedRun is an attempt that must not start again.
+// endedRun is an attempt that has ended or was rejected, and must not start again.
 type endedRun struct {
 	endedAt eventloop.Micros
 	outcome string
 }
 
-// Behaviour is how a worker misbehaves.
+// Behaviour configures how often tasks fail or stall on a worker, and how slowly they run.
 type Behaviour struct {
-	FailureRate float64 // share of its tasks that fail
-	Slowdown    float64 // factor on run times; 0 is 1
-	StallRate   float64 // share of tasks that stall
+	FailureRate float64 // share of tasks that fail
+	Slowdown    float64 // factor by which run times are multiplied; 0 means 1
+	StallRate   float64 // share of tasks that stall, which means that they make no progress and never end
 }
 
-// PollingWorker is a fake of a worker that polls its scheduler. Behaviour may be changed
-// between calls.
+// PollingWorker is a fake worker that polls its scheduler. Behaviour may be changed between
+// calls.
 type PollingWorker struct {
 	Name                string
 	Incarnation         uint64
@@ -79,43 +80,46 @@
 	rng                 *rand.Rand
 	emit                func(checker.Event)
 	heartbeatSequence   uint64
-	lastReplySequence   uint64 // of the heartbeat with the newest answer taken
+	lastReplySequence   uint64 // sequence number of the newest heartbeat whose answer was applied
 	fencingToken        uint64
 	leaseExpiresAt      eventloop.Micros
 	isDraining          bool
 	runs                map[runKey]*run
-	unacknowledged      map[runKey]*schema.TaskStatus // by the scheduler
-	unconfirmedFailures map[runKey]uint64             // by the first heartbeat that reports each; 0: none yet
+	unacknowledged      map[runKey]*schema.TaskStatus // ends that the scheduler hasn't acknowledged
+	unconfirmedFailures map[runKey]uint64             // sequence number of the first heartbeat that reports the failure; 0: none yet
 	endedRuns           map[runKey]endedRun
 	lastHeartbeatAt     eventloop.Micros
-	heartbeatSoon       bool
-	lastContactEvent    eventloop.Micros
+	isHeartbeatUrgent   bool // the next heartbeat is due after minHeartbeatInterval
+	lastContactEventAt  eventloop.Micros
 }
 
-// NewPollingWorker makes a worker with so many thousandths of a core and MB of memory. Its events
-// go to emit; the first, at once, says that it is up.
+// NewPollingWorker returns a worker. The unit of cores is a thousandth of a core, that of memory
+// is MB. The worker passes its events to emit, beginning with WorkerUp before the function
+// returns.
 func NewPollingWorker(now eventloop.Micros, name, rack string, cores, memory int64, incarnation uint64, rng *rand.Rand, emit func(checker.Event)) *PollingWorker {
 	w := &PollingWorker{
 		Name: name, Incarnation: incarnation, rack: rack, cores: cores, memory: memory, rng: rng, emit: emit,
 		runs: map[runKey]*run{}, unacknowledged: map[runKey]*schema.TaskStatus{}, endedRuns: map[runKey]endedRun{}, unconfirmedFailures: map[runKey]uint64{},
-		heartbeatSoon: true, lastHeartbeatAt: -heartbeatInterval,
+		isHeartbeatUrgent: true, lastHeartbeatAt: -heartbeatInterval,
 	}
 	emit(checker.Event{At: now, Kind: checker.WorkerUp, Actor: name, Cores: cores, Memory: memory, Rack: rack, Incarnation: incarnation})
 	return w
 }
 
-// Drain makes the worker report that it is draining: it starts nothing more.
+// Drain makes the worker report that it is draining. It accepts no further starts, except of
+// tasks for which capacity is already reserved.
 func (w *PollingWorker) Drain(now eventloop.Micros) {
 	if !w.isDraining {
-		w.isDraining, w.heartbeatSoon = true, true
+		w.isDraining, w.isHeartbeatUrgent = true, true
 		w.emit(checker.Event{At: now, Kind: checker.WorkerDraining, Actor: w.Name})
 	}
 }
 
-// IsIdle reports whether nothing runs and nothing is left to report.
+// IsIdle reports whether the worker has no runs or reservations, and the scheduler has
+// acknowledged all ends.
 func (w *PollingWorker) IsIdle() bool { return len(w.runs)+len(w.unacknowledged) == 0 }
 
-// Crash emits the event that the worker is gone, with all its runs.
+// Crash emits the event that the worker is gone, which ends all its runs.
 func (w *PollingWorker) Crash(now eventloop.Micros) {
 	w.emit(checker.Event{At: now, Kind: checker.WorkerGone, Actor: w.Name, Incarnation: w.Incarnation})
 }
@@ -138,14 +142,15 @@
 	)
 }
 
-// Tick ends the runs whose time is over, and all of them when the lease is over.
+// Tick ends the runs whose run time is over, and all runs once the lease has expired.
 func (w *PollingWorker) Tick(now eventloop.Micros) {
 	leaseExpired := now >= w.leaseExpiresAt
 	for _, r := range w.sortedRuns() {
 		switch {
 		case leaseExpired && !r.isReserved:
-			// The scheduler may give these tasks to others now. What is only reserved
-			// doesn't run, and the next lease's holder may still start it.
+			// The scheduler may now assign these tasks to other workers. A reservation
+			// is kept: it doesn't run, and the scheduler that holds the worker's next
+			// lease may still start it.
 			w.endRun(now, r, "stopped")
 		case !r.isReserved && !r.isStalled && now >= r.endsAt:
 			w.endRun(now, r, r.outcome)
@@ -158,7 +163,7 @@
 	}
 }
 
-// NextEventAt is when the next heartbeat or end is due.
+// NextEventAt returns when the next heartbeat or the next end of a run is due.
 func (w *PollingWorker) NextEventAt() eventloop.Micros {
 	next := w.nextHeartbeatAt()
 	for _, r := range w.runs {
@@ -170,13 +175,13 @@
 }
 
 func (w *PollingWorker) nextHeartbeatAt() eventloop.Micros {
-	if w.heartbeatSoon {
+	if w.isHeartbeatUrgent {
 		return w.lastHeartbeatAt + minHeartbeatInterval
 	}
 	return w.lastHeartbeatAt + heartbeatInterval
 }
 
-// IsHeartbeatDue reports whether a heartbeat is due.
+// IsHeartbeatDue reports whether a heartbeat is due at the given time.
 func (w *PollingWorker) IsHeartbeatDue(now eventloop.Micros) bool { return now >= w.nextHeartbeatAt() }
 
 func (w *PollingWorker) endRun(now eventloop.Micros, r *run, outcome string) {
@@ -195,13 +200,14 @@
 
 func (w *PollingWorker) reportEnd(k runKey, outcome string) {
 	w.unacknowledged[k] = &schema.TaskStatus{Queue: k.queue, Job: k.job, Step: k.step, Task: k.task, Attempt: k.attempt, State: outcome}
-	w.heartbeatSoon = true
+	w.isHeartbeatUrgent = true
 }
 
-// NewHeartbeat makes the next heartbeat: the capacity, and the running and ended tasks.
+// NewHeartbeat returns the next heartbeat, which contains the capacity, the running tasks, the
+// reservations, and the ends that the scheduler hasn't acknowledged.
 func (w *PollingWorker) NewHeartbeat(now eventloop.Micros) *schema.WorkerHeartbeat {
 	w.heartbeatSequence++
-	w.lastHeartbeatAt, w.heartbeatSoon = now, false
+	w.lastHeartbeatAt, w.isHeartbeatUrgent = now, false
 	heartbeat := &schema.WorkerHeartbeat{
 		Incarnation: w.Incarnation, Seq: w.heartbeatSequence, CoresMilli: w.cores, MemoryMb: w.memory, Rack: w.rack, Draining: w.isDraining,
 		FencingToken: w.fencingToken, MaxWaitUs: int64(maxAnswerWait),
@@ -232,27 +238,27 @@
 	return slices.SortedFunc(maps.Keys(set), compareKeys)
 }
 
-// HandleUnanswered takes the failure of a heartbeat: the next goes soon, to another
-// gateway node.
+// HandleUnanswered handles a heartbeat that got no answer by making the next one due soon. That
+// one goes to another gateway node.
 func (w *PollingWorker) HandleUnanswered(now eventloop.Micros) {
 	if w.lastHeartbeatAt+unansweredDelay < now {
-		w.heartbeatSoon = true
+		w.isHeartbeatUrgent = true
 	} else {
 		w.lastHeartbeatAt = now - heartbeatInterval + unansweredDelay
 	}
 }
 
-// HandleOrders carries out the answer to the heartbeat of this sequence number, which
-// was sent at sentAt: the lease counts from then.
+// HandleOrders applies the answer to the heartbeat with this sequence number. The duration of
+// the lease counts from sentAt, when the heartbeat was sent.
 func (w *PollingWorker) HandleOrders(now, sentAt eventloop.Micros, sequence uint64, orders *schema.WorkerOrders) {
-	// An older answer may order what is over by now; a lower token is of a lease that
-	// has been given to another.
+	// An older answer may contain outdated orders. A lower fencing token belongs to an
+	// earlier lease, which another scheduler has replaced.
 	if sequence <= w.lastReplySequence || orders.FencingToken < w.fencingToken {
 		return
 	}
 	w.lastReplySequence, w.fencingToken = sequence, orders.FencingToken
-	if w.lastContactEvent == 0 || now >= w.lastContactEvent+contactEventInterval {
-		w.lastContactEvent = now
+	if w.lastContactEventAt == 0 || now >= w.lastContactEventAt+contactEventInterval {
+		w.lastContactEventAt = now
 		w.emit(checker.Event{At: now, Kind: checker.WorkerAnswered, Actor: w.Name, Incarnation: w.Incarnation})
 	}
 	w.leaseExpiresAt = max(w.leaseExpiresAt, sentAt+eventloop.Micros(orders.LeaseUs))
@@ -269,18 +275,18 @@
 		w.applyOrder(now, order)
 	}
 	if len(orders.Orders) > 0 || len(orders.Acknowledged) > 0 {
-		w.heartbeatSoon = true
+		w.isHeartbeatUrgent = true
 	}
 }
 
-// applyOrder carries out one order.
+// applyOrder carries out an order to start, stop or reserve an attempt.
 func (w *PollingWorker) applyOrder(now eventloop.Micros, order *schema.TaskOrder) {
 	k := runKey{order.Queue, order.Job, order.Step, order.Task, order.Attempt}
 	r := w.runs[k]
 	ordered := &run{key: k, name: order.Name, cores: order.CoresMilli, memory: order.MemoryMb}
 	w.emitRunEvent(now, checker.Order, ordered, order.Action)
 	if ended, over := w.endedRuns[k]; over {
-		// The scheduler doesn't know yet how it ended.
+		// The scheduler doesn't know of the end yet, so report it again.
 		w.emitRunEvent(now, checker.OrderDropped, ordered, ended.outcome)
 		w.reportEnd(k, ended.outcome)
 		return
@@ -288,7 +294,7 @@
 	switch order.Action {
 	case actionStop:
 		if r == nil {
-			// It never started here, and can't any more once it is reported as ended.
+			// The attempt never started here. Reporting it as ended prevents a later start.
 			w.rejectRun(now, ordered)
 			return
 		}
@@ -300,13 +306,14 @@
 	}
 }
 
-// rejectRun reports an attempt as stopped that hasn't started.
+// rejectRun reports an attempt that hasn't started as stopped.
 func (w *PollingWorker) rejectRun(now eventloop.Micros, ordered *run) {
 	ordered.isReserved = true
 	w.endRun(now, ordered, "stopped")
 }
 
-// reserve reserves the capacity for an attempt, if it is free.
+// reserve reserves capacity for an attempt, or rejects the attempt if the free capacity is
+// insufficient.
 func (w *PollingWorker) reserve(now eventloop.Micros, r, ordered *run) {
 	switch {
 	case r != nil:
@@ -318,7 +325,8 @@
 	}
 }
 
-// orderStart starts an attempt, reserved before or not, unless it runs already.
+// orderStart starts an attempt unless it is already running. If no capacity is reserved for it,
+// it may be rejected.
 func (w *PollingWorker) orderStart(now eventloop.Micros, r, ordered *run, text string) {
 	if r != nil && !r.isReserved {
 		return
@@ -334,7 +342,7 @@
 	w.startRun(now, r, text)
 }
 
-// hasOtherAttempt reports whether another attempt of the same task is here.
+// hasOtherAttempt reports whether any attempt of the same task is running or reserved.
 func (w *PollingWorker) hasOtherAttempt(k runKey) bool {
 	for other := range w.runs {
 		if other.queue == k.queue && other.job == k.job && other.step == k.step && other.task == k.task {
@@ -344,7 +352,7 @@
 	return false
 }
 
-// hasCapacity reports whether the free capacity suffices for a run.
+// hasCapacity reports whether the free capacity is sufficient for the attempt.
 func (w *PollingWorker) hasCapacity(ordered *run) bool {
 	cores, memory := w.cores-ordered.cores, w.memory-ordered.memory
 	for _, r := range w.runs {
@@ -354,8 +362,8 @@
 	return cores >= 0 && memory >= 0
 }
 
-// startRun starts a run. The task's text says how long it takes ("run_us=30000") and
-// how often it fails ("fail=0.1").
+// startRun starts a run. The text of the task specifies its run time in µs ("run_us=30000")
+// and its probability of failure ("fail=0.1").
 func (w *PollingWorker) startRun(now eventloop.Micros, r *run, text string) {
 	r.isReserved, r.startedAt, r.outcome = false, now, "done"
 	duration := eventloop.Micros(textParameter(text, "run_us", defaultRunUs))
