--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -1,10 +1,10 @@
-// Package hollow has the components of hollow nodes: agent nodes that load a cluster
-// like real ones without real workers behind them, for scalability measurements.
+// Package hollow provides the components of hollow nodes: agent nodes without real workers
+// that put the same load on a cluster as real agent nodes, for scalability measurements.
 //
-// Agent takes the place of the agent component; its worker is a fakeworker.Worker
-// whose tasks only take time. StatePoller takes the place of the controller component
-// on nodes that are no controller candidates. They run in real processes
-// (sparnotch-bench) and in the simulator alike.
+// Agent replaces the agent component. Its worker is a fakeworker.PollingWorker, whose tasks
+// take time but execute nothing. StatePoller replaces the controller component on nodes that
+// aren't controller candidates. Both run in real processes (sparnotch-bench) and in the
+// simulator.
 package hollow
 
 import (
@@ -19,49 +19,51 @@
 	"sparnotch/internal/schema"
 )
 
-// The name of the Agent among a node's components, and its tick.
 const (
-	AgentName         = "hollow-agent"
+	// AgentName is the name of the Agent among the components of a node.
+	AgentName = "hollow-agent"
+	// AgentTickInterval is the interval of the Agent's ticks.
 	AgentTickInterval = 50 * eventloop.Millisecond
 )
 
 const (
-	pollTimeout  = 1200 * eventloop.Millisecond
-	maxOpenPolls = 2
-	// registrationInterval is the least time between two requests to register the worker.
+	pollTimeout  = 1200 * eventloop.Millisecond // after which a poll counts as unanswered
+	maxOpenPolls = 2                            // unanswered polls at the same time
+	// registrationInterval is the minimum time between two requests to register the worker.
 	registrationInterval = eventloop.Second
 )
 
-// Hooks are called when something happens at the node; each may be nil.
+// Hooks holds functions that an Agent calls when its worker starts or ends a task, or when a
+// configuration arrives. Each may be nil.
 type Hooks struct {
 	OnStart  func(now eventloop.Micros, job string, step, task uint32)
 	OnEnd    func()
 	OnConfig func(now eventloop.Micros, revision uint64) // a newer configuration revision has arrived
 }
 
-// Agent polls the scheduler that holds its worker's lease, and passes the orders to
-// the worker.
+// Agent polls the scheduler that holds the lease of its worker, and passes the received orders
+// to the worker.
 type Agent struct {
 	hooks        Hooks
 	worker       *fakeworker.PollingWorker
-	state        *schema.ClusterState
-	leader       string
-	lastPoll     uint64
-	openPolls    map[uint64]openPoll
-	registeredAt eventloop.Micros
+	state        *schema.ClusterState // newest that has arrived; nil: none yet
+	leader       string               // node that leads the group of the cluster state; empty: unknown
+	lastPoll     uint64               // ID of the last poll
+	openPolls    map[uint64]openPoll  // by ID
+	registeredAt eventloop.Micros     // when the last registration was sent
 }
 
-// openPoll is a poll that hasn't been answered.
+// openPoll is a poll that hasn't been answered. sequence is the number of its heartbeat.
 type openPoll struct {
 	sequence uint64
 	sentAt   eventloop.Micros
 }
 
-// Resources of a worker: thousandths of a core, and MB.
+// Resources holds the capacity of a worker, in thousandths of a core and in MB.
 type Resources struct{ Cores, Memory int64 }
 
-// New makes an agent with a worker of this name. The incarnation must grow with each
-// start of it.
+// New returns an agent with a worker of this name. The incarnation must be higher at each start
+// of the worker than at the start before.
 func New(now eventloop.Micros, name, rack string, capacity Resources, incarnation uint64, rng *rand.Rand, hooks Hooks) *Agent {
 	a := &Agent{hooks: hooks, openPolls: map[uint64]openPoll{}}
 	a.worker = fakeworker.NewPollingWorker(now, name, rack, capacity.Cores, capacity.Memory, incarnation, rng, func(e checker.Event) {
@@ -102,7 +104,8 @@
 	a.sendPoll(now, effects)
 }
 
-// handleClusterState takes over a newer cluster state.
+// handleClusterState stores the received cluster state if it is newer than the current one, and
+// the leader of the group of the cluster state if the response contains one.
 func (a *Agent) handleClusterState(now eventloop.Micros, m *schema.ClusterStateResponse) {
 	if m.State != nil && m.State.Version > a.state.GetVersion() {
 		if a.hooks.OnConfig != nil && a.state.GetConfiguration().GetRevision() < m.State.Configuration.GetRevision() {
@@ -115,8 +118,8 @@
 	}
 }
 
-// sendPoll polls the scheduler if a heartbeat is due, or registers a worker that has no
-// lease yet.
+// sendPoll polls the scheduler if a heartbeat is due, or registers the worker if no scheduler
+// holds its lease.
 func (a *Agent) sendPoll(now eventloop.Micros, effects eventloop.Effects) {
 	if !a.worker.IsHeartbeatDue(now) || len(a.openPolls) >= maxOpenPolls || a.state == nil {
 		return
@@ -132,7 +135,7 @@
 	effects.Send(lease.Scheduler, &schema.WorkerPollRequest{Id: a.lastPoll, Worker: a.worker.Name, Heartbeat: heartbeat})
 }
 
-// register asks the cluster state for a lease of the worker.
+// register asks the leader of the group of the cluster state to create a lease of the worker.
 func (a *Agent) register(now eventloop.Micros, effects eventloop.Effects) {
 	if now-a.registeredAt <= registrationInterval || a.leader == "" {
 		return
@@ -142,7 +145,7 @@
 	effects.Send(a.leader, &schema.Request{Kind: "clusterstate", Group: clusterstate.GroupName, Body: replica.EncodeClusterStateCommand(command)})
 }
 
-// ComponentsFor names the components of a hollow node that a message is for.
+// ComponentsFor returns the names of the components of a hollow node that receive a message.
 func ComponentsFor(body any) []string {
 	switch body.(type) {
 	case *schema.WorkerPollResponse:
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -17,27 +17,27 @@
 	body any
 }
 
-// recordedEffects records what a step sends.
+// recordedEffects records the messages that a step sends.
 type recordedEffects struct{ sent []sentMessage }
 
-func (o *recordedEffects) Send(to string, body any)               { o.sent = append(o.sent, sentMessage{to, body}) }
-func (o *recordedEffects) SendToAddress(address string, body any) {}
-func (o *recordedEffects) Notify(component string, body any)      {}
-func (o *recordedEffects) Respond(request uint64, body any)       {}
+func (r *recordedEffects) Send(to string, body any)               { r.sent = append(r.sent, sentMessage{to, body}) }
+func (r *recordedEffects) SendToAddress(address string, body any) {}
+func (r *recordedEffects) Notify(component string, body any)      {}
+func (r *recordedEffects) Respond(request uint64, body any)       {}
 
 func TestAgent(t *testing.T) {
 	Convey("An agent registers its worker, polls its lease's scheduler, and starts what is ordered", t, func() {
 		var started []string
 		ended, revisions := 0, []uint64{}
 		now := 2 * eventloop.Second
-		h := New(now, "w1", "r1", Resources{4000, 4000}, 1, rand.New(rand.NewPCG(1, 1)), Hooks{
+		agent := New(now, "w1", "r1", Resources{4000, 4000}, 1, rand.New(rand.NewPCG(1, 1)), Hooks{
 			OnStart:  func(_ eventloop.Micros, job string, _, _ uint32) { started = append(started, job) },
 			OnEnd:    func() { ended++ },
 			OnConfig: func(_ eventloop.Micros, revision uint64) { revisions = append(revisions, revision) },
 		})
 		step := func(from string, body any) []sentMessage {
 			effects := &recordedEffects{}
-			h.Step(now, eventloop.Message{From: from, Body: body}, effects)
+			agent.Step(now, eventloop.Message{From: from, Body: body}, effects)
 			return effects.sent
 		}
 		So(step("", eventloop.Tick{}), ShouldBeEmpty)
@@ -73,9 +73,9 @@
 			for _, id := range []string{"a", "b", "c"} {
 				members.Members[id] = membership.MemberStatus{Member: &schema.Member{Id: id, HasStorage: true}, LastHeard: eventloop.Second}
 			}
-			o, effects := &StatePoller{}, &recordedEffects{}
-			o.Step(eventloop.Second, eventloop.Message{Body: members}, effects)
-			o.Step(eventloop.Second, eventloop.Message{Body: eventloop.Tick{}}, effects)
+			poller, effects := &StatePoller{}, &recordedEffects{}
+			poller.Step(eventloop.Second, eventloop.Message{Body: members}, effects)
+			poller.Step(eventloop.Second, eventloop.Message{Body: eventloop.Tick{}}, effects)
 			So(effects.sent, ShouldHaveLength, 1)
 			asked[effects.sent[0].to]++
 		}
--- a/internal/hollow/statepoller.go
+++ b/internal/hollow/statepoller.go
@@ -9,15 +9,15 @@
 	"sparnotch/internal/schema"
 )
 
-// StatePoller is the controller component's substitute on nodes that are no controller
-// candidates: it polls one storage node for the cluster state.
+// StatePoller replaces the controller component on nodes that aren't controller candidates. It
+// polls one storage node for the cluster state.
 type StatePoller struct {
 	members     *membership.View
-	version     uint64
-	storageNode string
+	version     uint64 // newest version of the cluster state that has arrived
+	storageNode string // storage node that is polled; empty: none
 }
 
-// StatePollInterval is the time between two polls.
+// StatePollInterval is the interval at which a StatePoller polls.
 const StatePollInterval = 250 * eventloop.Millisecond
 
 // livenessTimeout is how long a storage node counts as live after its last report.
@@ -45,12 +45,13 @@
 	}
 }
 
-// pickStorageNode chooses a live storage node by a hash of its own id, which spreads
-// the nodes over them; "" when none is live.
+// pickStorageNode returns the ID of a live storage node, or an empty string if none is live. The
+// choice depends on a hash of this node's own ID, which distributes the polling nodes over the
+// storage nodes.
 func (p *StatePoller) pickStorageNode(now eventloop.Micros) string {
 	var nodes []string
-	for id, known := range p.members.Members {
-		if known.Member.HasStorage && p.members.IsAlive(id, now, livenessTimeout) {
+	for id, status := range p.members.Members {
+		if status.Member.HasStorage && p.members.IsAlive(id, now, livenessTimeout) {
 			nodes = append(nodes, id)
 		}
 	}
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -1,6 +1,6 @@
-// Package standin is a test double for HTTP servers: Server listens on a real socket,
-// behaves or misbehaves for each request as its script says, and records the requests. It
-// reports each step on a channel, so that tests needn't sleep.
+// Package standin provides a test double for HTTP servers. A Server listens on a real socket,
+// handles each request, correctly or with a fault, as its script specifies, and records the
+// requests. It reports arrived and completed requests on channels, so that tests needn't sleep.
 package standin
 
 import (
@@ -12,54 +12,54 @@
 	"sync"
 )
 
-// Behaviour is how the server handles one request. Resets are TCP resets.
+// Behaviour specifies how the server handles one request. Resets are TCP resets.
 type Behaviour int
 
 const (
 	// Respond sends a complete response.
 	Respond Behaviour = iota
-	// RespondAndClose sends a response with Connection: close, and closes.
+	// RespondAndClose sends a response with Connection: close, and closes the connection.
 	RespondAndClose
-	// RespondThenClose sends a response, and closes without having announced it.
+	// RespondThenClose sends a response without Connection: close, and closes the connection.
 	RespondThenClose
-	// RespondUnframed sends a response without a length, which ends with the connection.
+	// RespondUnframed sends a response without a length, and closes the connection to end it.
 	RespondUnframed
 	// RespondTwice sends the response twice in one write.
 	RespondTwice
-	// RespondWithExtraBytes sends more bytes than Content-Length announces.
+	// RespondWithExtraBytes sends more bytes than Content-Length specifies.
 	RespondWithExtraBytes
-	// RespondAfterInformational sends informational responses first.
+	// RespondAfterInformational sends informational (1xx) responses before the response.
 	RespondAfterInformational
-	// RespondOnRelease sends a response after a call of Release.
+	// RespondOnRelease sends a response once Release is called.
 	RespondOnRelease
-	// NeverRespond reads the request and sends nothing until Close.
+	// NeverRespond reads the request and sends nothing until the server is closed.
 	NeverRespond
 	// ResetBeforeBody resets the connection after the request's header was read.
 	ResetBeforeBody
-	// ResetInBody resets it after half of the request's body.
+	// ResetInBody resets the connection after half of the request's body was read.
 	ResetInBody
-	// ResetAfterBody resets it after the whole request.
+	// ResetAfterBody resets the connection after the whole request was read.
 	ResetAfterBody
-	// ResetInResponse resets it after half of the response's body was sent.
+	// ResetInResponse resets the connection after half of the response's body was sent.
 	ResetInResponse
-	// CloseInBody closes it after half of the response's body.
+	// CloseInBody closes the connection after half of the response's body was sent.
 	CloseInBody
-	// CloseInHeader closes it within the response's header.
+	// CloseInHeader closes the connection after a part of the response's header was sent.
 	CloseInHeader
 )
 
 // Arrival is a received request.
 type Arrival struct {
-	Number int // from 1, in the order of the headers
+	Number int // counted from 1 in the order in which the headers arrived
 	Header http.Header
-	Body   []byte // as far as it was read
+	Body   []byte // the part that was read
 }
 
 // Server is a scripted HTTP server. Its methods may be called concurrently.
 type Server struct {
-	// Arrived gets each request once it was read, as far as it is to be.
+	// Arrived receives each request once it was read as far as its Behaviour specifies.
 	Arrived chan Arrival
-	// Done gets the number of each request once its behaviour is completed.
+	// Done receives the number of each request once its Behaviour is completed.
 	Done chan int
 
 	listener   net.Listener
@@ -75,11 +75,12 @@
 	open        map[net.Conn]bool
 }
 
-// eventBuffer is how many events a test needn't receive.
+// eventBuffer is the capacity of the server's channels. The server continues without a receiver
+// until a channel is full.
 const eventBuffer = 1024
 
-// Serve starts a server on an address. The script gives the behaviour for each request,
-// by its number, and respond the status and body of its response.
+// Serve starts a server that listens on an address. script returns the behaviour for the request
+// with a number, and respond returns the status and body of a request's response.
 func Serve(address string, script func(number int) Behaviour, respond func(Arrival) (code int, body string)) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -94,28 +95,28 @@
 	return s, nil
 }
 
-// Address is where the server listens, IP:PORT.
+// Address returns the address on which the server listens, in the form IP:PORT.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Release lets one request with RespondOnRelease continue.
+// Release makes the server respond to one request with RespondOnRelease.
 func (s *Server) Release() { s.release <- struct{}{} }
 
-// Connections returns how many connections were accepted so far.
+// Connections returns the number of connections that were accepted so far.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.connections
 }
 
-// Arrivals returns the requests so far.
+// Arrivals returns the requests that arrived so far.
 func (s *Server) Arrivals() []Arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Arrival(nil), s.arrivals...)
 }
 
-// Close closes all sockets at once, as the end of a process does, and waits for the
-// goroutines.
+// Close closes all sockets at once, as if the server's process ended, and waits for the
+// server's goroutines.
 func (s *Server) Close() {
 	close(s.stopped)
 	s.listener.Close()
@@ -173,7 +174,8 @@
 	}
 }
 
-// recordHeader numbers a request; recordBody adds its body.
+// recordHeader assigns the next number to a request and records it without its body, which
+// recordBody adds.
 func (s *Server) recordHeader(arrival Arrival) Arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,7 +202,7 @@
 	return body
 }
 
-// perform carries out a behaviour, and says whether the connection stays open.
+// perform executes a behaviour, and returns whether the connection stays open.
 func (s *Server) perform(conn net.Conn, behaviour Behaviour, arrival Arrival) bool {
 	code, body := s.respond(arrival)
 	framed := func(header string) string {
@@ -249,7 +251,7 @@
 	return err == nil
 }
 
-// reset makes the next Close send a TCP reset.
+// reset makes the next Close of the connection send a TCP reset.
 func reset(conn net.Conn) {
 	if system, isTCP := conn.(*net.TCPConn); isTCP {
 		_ = system.SetLinger(0)
