--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -32,7 +32,7 @@
 	ruleQuota         = 13 // the running tasks of a tenant stay within its limit
 	ruleKeys          = 14 // a call succeeds only with a key that allows it
 	ruleTenants       = 15 // a job belongs to one tenant, and no other tenant can access it
-	ruleSizes         = 16 // large jobs meet their latency target at least half as often as all jobs
+	ruleSizes         = 16 // the share of large jobs that are served is at least half of that of all jobs
 )
 
 // Violation represents one breach of a rule. At is in µs since the start of the run.
@@ -46,7 +46,7 @@
 	return fmt.Sprintf("rule %d at %d us: %s", v.Rule, v.At, v.Message)
 }
 
-// Tolerances are the delays, in µs, that the rules allow.
+// Tolerances holds the delays, in µs, that the rules allow.
 type Tolerances struct {
 	Retention     eventloop.Micros // minimum time for which an ended job can be queried
 	EarlyStart    eventloop.Micros // maximum time by which a timed job may start early
@@ -79,9 +79,9 @@
 
 // analysis holds a history, the data that is derived from it, and the violations found.
 type analysis struct {
-	bounds   Tolerances
-	history  []Event
-	closedAt eventloop.Micros // time of the last event
+	tolerances Tolerances
+	history    []Event
+	closedAt   eventloop.Micros // time of the last event
 
 	jobs          map[jobKey]*jobRecord
 	sortedJobs    []*jobRecord                  // by key
@@ -100,9 +100,9 @@
 
 // Check returns all violations in a history, whose events must be ordered by time. The
 // violations are ordered by time, then by rule. Check doesn't modify the history.
-func Check(history []Event, bounds Tolerances) []Violation {
+func Check(history []Event, tolerances Tolerances) []Violation {
 	a := &analysis{
-		bounds: bounds, history: history,
+		tolerances: tolerances, history: history,
 		jobs: map[jobKey]*jobRecord{}, jobOfTask: map[taskID]*jobRecord{}, workerFaults: map[string][]eventloop.Micros{},
 		tenantOfJob: map[jobKey]string{},
 	}
@@ -168,13 +168,13 @@
 // interval or less than a recovery time before it. An action may then take a whole recovery
 // time.
 func (a *analysis) isRecovering(worker string, from, to eventloop.Micros) bool {
-	return anyWithin(a.faults, from-a.bounds.Recovery, to-1) || anyWithin(a.workerFaults[worker], from-a.bounds.Recovery, to-1)
+	return anyWithin(a.faults, from-a.tolerances.Recovery, to-1) || anyWithin(a.workerFaults[worker], from-a.tolerances.Recovery, to-1)
 }
 
 // isDisturbed reports whether a fault of the system, or a fault or drain of any worker,
 // occurred within the interval or less than a recovery time before it.
 func (a *analysis) isDisturbed(from, to eventloop.Micros) bool {
-	return anyWithin(a.faults, from-a.bounds.Recovery, to) || anyWithin(a.disturbances, from-a.bounds.Recovery, to)
+	return anyWithin(a.faults, from-a.tolerances.Recovery, to) || anyWithin(a.disturbances, from-a.tolerances.Recovery, to)
 }
 
 // anyWithin reports whether any of the times is later than after and not later than until.
--- a/internal/checker/configuration_effects.go
+++ b/internal/checker/configuration_effects.go
@@ -70,11 +70,11 @@
 func (c *effectsCheck) holdsInEveryConfiguration(from, to eventloop.Micros, condition func(rows []*schema.ConfigurationRow) bool) bool {
 	found := false
 	for k, accepted := range c.accepted {
-		isSuperseded := k+1 < len(c.accepted) && c.accepted[k+1].At+c.bounds.Propagation <= from
+		isSuperseded := k+1 < len(c.accepted) && c.accepted[k+1].At+c.tolerances.Propagation <= from
 		if isSuperseded || accepted.sentAt() > to {
 			continue
 		}
-		if accepted.At+c.bounds.Propagation <= from {
+		if accepted.At+c.tolerances.Propagation <= from {
 			found = true
 		}
 		if !condition(accepted.Rows) {
--- a/internal/checker/configuration_rules.go
+++ b/internal/checker/configuration_rules.go
@@ -107,7 +107,7 @@
 func (c *configurationCheck) checkReadVersion(e *Event) {
 	c.newestRead[e.Gateway] = e
 	for _, accepted := range c.accepted {
-		if e.sentAt() > accepted.at+c.bounds.Propagation && e.Version < accepted.version {
+		if e.sentAt() > accepted.at+c.tolerances.Propagation && e.Version < accepted.version {
 			c.report(ruleConfiguration, e.At, "version %d was accepted at %d, but %s returns version %d", accepted.version, accepted.at, e.Gateway, e.Version)
 			break
 		}
--- a/internal/checker/event.go
+++ b/internal/checker/event.go
@@ -91,7 +91,7 @@
 type Event struct {
 	At          eventloop.Micros `json:"at"`
 	Kind        string           `json:"kind"`
-	Actor       string           `json:"who,omitempty"`
+	Actor       string           `json:"who,omitempty"` // name of the client, operator or worker
 	Queue       string           `json:"queue,omitempty"`
 	Name        string           `json:"name,omitempty"` // name of the job
 	Job         uint64           `json:"job,omitempty"`
--- a/internal/checker/gang_rules.go
+++ b/internal/checker/gang_rules.go
@@ -18,7 +18,7 @@
 			for t := uint32(0); t < step.Tasks; t++ {
 				id := taskID{job.key, jobID, uint32(k), t}
 				for _, run := range job.runs[id] {
-					if run.start+a.bounds.GangStart <= a.closedAt && !run.isResumed {
+					if run.start+a.tolerances.GangStart <= a.closedAt && !run.isResumed {
 						a.checkPeersStart(job, id, run, step.Tasks)
 					}
 				}
@@ -32,7 +32,7 @@
 func (a *analysis) checkPeersStart(job *jobRecord, id taskID, run *taskRun, tasks uint32) {
 	for t := uint32(0); t < tasks; t++ {
 		peer := id.member(t)
-		if job.hasRunNear(peer, run.start, a.bounds.GangStart) {
+		if job.hasRunNear(peer, run.start, a.tolerances.GangStart) {
 			continue
 		}
 		if !a.isUnavoidable(job, run, job.reservations[peer]) {
@@ -47,7 +47,7 @@
 // doesn't start: the worker with the peer's reservation was lost too late for the scheduler
 // to know, the job was being cancelled, or the run itself failed at once.
 func (a *analysis) isUnavoidable(job *jobRecord, run *taskRun, reservations []Event) bool {
-	if job.cancelRequestedAt > 0 && job.cancelRequestedAt < run.start+a.bounds.GangStart {
+	if job.cancelRequestedAt > 0 && job.cancelRequestedAt < run.start+a.tolerances.GangStart {
 		return true
 	}
 	if run.outcome == outcomeFailed && run.end < run.start+quickFailure {
@@ -58,7 +58,7 @@
 			continue
 		}
 		// Only the last reservation before the start counts.
-		return anyWithin(a.workerFaults[reservations[k].Actor], run.start-a.bounds.LossDetection, run.start+a.bounds.LossDetection-1)
+		return anyWithin(a.workerFaults[reservations[k].Actor], run.start-a.tolerances.LossDetection, run.start+a.tolerances.LossDetection-1)
 	}
 	return false
 }
--- a/internal/checker/idle_rules.go
+++ b/internal/checker/idle_rules.go
@@ -11,8 +11,8 @@
 // idleCheckInterval is the interval at which open jobs are checked for having no running task.
 const idleCheckInterval = 250 * eventloop.Millisecond
 
-// maxFittingTasks is the number of tasks that count as fitting a worker if they need no
-// resources.
+// maxFittingTasks limits the number of tasks that count as fitting a worker, which has no other
+// limit if the tasks need no resources.
 const maxFittingTasks = 1 << 20
 
 // workerState is the state of a worker at one point of the history.
@@ -71,7 +71,7 @@
 // tasks is ready, its pool has free capacity for two such tasks (or gangs), and less than half
 // of the pool's cores are in use. Times shortly after a fault don't count.
 func (a *analysis) checkIdleJobs() {
-	if a.bounds.MaxIdle == 0 {
+	if a.tolerances.MaxIdle == 0 {
 		return
 	}
 	c := &idleCheck{
@@ -101,7 +101,7 @@
 		if c.idleSince[key] == 0 {
 			c.idleSince[key] = now
 		}
-		if now-c.idleSince[key] >= c.bounds.MaxIdle {
+		if now-c.idleSince[key] >= c.tolerances.MaxIdle {
 			c.isReported[key] = true
 			c.report(ruleJobsKept, now, "%s has had no running task since %d although there is free capacity", key, c.idleSince[key])
 		}
@@ -119,7 +119,7 @@
 	if c.running[job.key] != 0 || c.hasRunningLimit[job.key.queue] || c.isReported[job.key] {
 		return false
 	}
-	if now <= c.changedAt+c.bounds.Propagation || c.isDisturbed(now, now) {
+	if now <= c.changedAt+c.tolerances.Propagation || c.isDisturbed(now, now) {
 		return false
 	}
 	if c.isTenantBusy(job, now) {
--- a/internal/checker/job_rules.go
+++ b/internal/checker/job_rules.go
@@ -15,7 +15,7 @@
 func (a *analysis) checkAcceptedJobIsKnown(job *jobRecord) {
 	// The retention time starts at the end of the last task, which may be long before a client
 	// learns of it.
-	forgettableAt := job.lastEnd() + a.bounds.Retention
+	forgettableAt := job.lastEnd() + a.tolerances.Retention
 	for _, status := range job.statuses {
 		isRetained := !job.isTerminal || status.At < forgettableAt
 		if status.Code == 404 && status.Kind != SubmitReply && job.isAccepted && status.sentAt() > job.acceptedAt && isRetained {
@@ -49,7 +49,7 @@
 // checkCreatedOnce checks that a name is created only once within the retention time. A second
 // creation proves that the first job was forgotten.
 func (a *analysis) checkCreatedOnce(job *jobRecord) {
-	if job.created > 1 && a.closedAt < job.lastEnd()+a.bounds.Retention {
+	if job.created > 1 && a.closedAt < job.lastEnd()+a.tolerances.Retention {
 		a.report(ruleJobsKept, a.closedAt, "%s was created %d times", job.key, job.created)
 	}
 }
--- a/internal/checker/outages.go
+++ b/internal/checker/outages.go
@@ -28,7 +28,7 @@
 func (a *analysis) markOutages() {
 	for _, o := range a.outages {
 		until := min(o.until, a.closedAt)
-		for at := o.from; at < until; at += a.bounds.Recovery / 2 {
+		for at := o.from; at < until; at += a.tolerances.Recovery / 2 {
 			a.faults = append(a.faults, at)
 		}
 		a.faults = append(a.faults, until)
@@ -40,13 +40,13 @@
 // given time: a recovery time later, or a recovery time after the last of the outages that
 // begin before that. It returns math.MaxInt64 if such an outage doesn't end.
 func (a *analysis) recoveryDeadline(at eventloop.Micros) eventloop.Micros {
-	deadline := at + a.bounds.Recovery
+	deadline := at + a.tolerances.Recovery
 	for _, o := range a.outages {
 		if o.until == math.MaxInt64 && o.from <= deadline {
 			return math.MaxInt64
 		}
 		if o.from <= deadline && o.until > at {
-			deadline = max(deadline, o.until+a.bounds.Recovery)
+			deadline = max(deadline, o.until+a.tolerances.Recovery)
 		}
 	}
 	return deadline
--- a/internal/checker/recovery_rules.go
+++ b/internal/checker/recovery_rules.go
@@ -9,7 +9,7 @@
 // service identifies a kind of request, and the queue if the request has one.
 type service struct{ kind, queue string }
 
-// request is a request of a client or operator, with the time and success of its answer.
+// request represents a request of a client or operator, with the time and success of its answer.
 type request struct {
 	service
 	gateway            string
@@ -61,7 +61,7 @@
 		e := &history[k]
 		if e.At > deadline {
 			if len(submitted) > 0 {
-				a.report(ruleRecovery, fault.At, "no submission was confirmed within %d us after: %s", a.bounds.Recovery, fault.State)
+				a.report(ruleRecovery, fault.At, "no submission was confirmed within %d us after: %s", a.tolerances.Recovery, fault.State)
 			}
 			return
 		}
@@ -81,7 +81,7 @@
 func (a *analysis) checkServicesRecover() {
 	requests := a.requests()
 	for k, at := range a.faults {
-		until := at + a.bounds.Recovery
+		until := at + a.tolerances.Recovery
 		if until > a.closedAt || k+1 < len(a.faults) && a.faults[k+1] < until {
 			continue
 		}
@@ -96,7 +96,7 @@
 		}
 		for s := range requested {
 			if !served[s] {
-				a.report(ruleRecovery, at, "%s %s are still unavailable %d us after a fault", s.kind, s.queue, a.bounds.Recovery)
+				a.report(ruleRecovery, at, "%s %s are still unavailable %d us after a fault", s.kind, s.queue, a.tolerances.Recovery)
 			}
 		}
 		a.checkWaitingWorkStarts(at, until)
@@ -110,10 +110,10 @@
 	gateways := a.gatewayAvailability()
 	lastReported := eventloop.Micros(0)
 	for _, r := range a.requests() {
-		if r.isServed || r.sentAt <= lastReported || !gateways.canServe(r.gateway, r.sentAt, r.answeredAt, a.bounds.GatewayReady) {
+		if r.isServed || r.sentAt <= lastReported || !gateways.canServe(r.gateway, r.sentAt, r.answeredAt, a.tolerances.GatewayReady) {
 			continue
 		}
-		if anyWithin(a.faults, r.sentAt-a.bounds.Recovery, r.answeredAt) {
+		if anyWithin(a.faults, r.sentAt-a.tolerances.Recovery, r.answeredAt) {
 			continue
 		}
 		lastReported = r.answeredAt
@@ -178,7 +178,7 @@
 	}
 	for queue, name := range waiting {
 		if !started[queue] && !a.isPoolBusyThroughout(queue, waitingSince[queue], until) {
-			a.report(ruleRecovery, faultAt, "no task of the queue %s starts within %d us after a fault, although %s is waiting", queue, a.bounds.Recovery, name)
+			a.report(ruleRecovery, faultAt, "no task of the queue %s starts within %d us after a fault, although %s is waiting", queue, a.tolerances.Recovery, name)
 		}
 	}
 }
--- a/internal/checker/task_rules.go
+++ b/internal/checker/task_rules.go
@@ -60,7 +60,7 @@
 // checkNoStartAfterCancel checks that no task starts later than the tolerance after the cancel
 // of its job was confirmed.
 func (a *analysis) checkNoStartAfterCancel(job *jobRecord, id taskID, run *taskRun) {
-	if job.cancelledAt > 0 && run.start > job.cancelledAt+a.bounds.Cancel && !run.isResumed && !run.isLate {
+	if job.cancelledAt > 0 && run.start > job.cancelledAt+a.tolerances.Cancel && !run.isResumed && !run.isLate {
 		a.report(ruleCancel, run.start, "%s starts %d us after its job was cancelled", id.describe(), run.start-job.cancelledAt)
 	}
 }
@@ -72,7 +72,7 @@
 	if job.cancelledAt == 0 || !wasRunning || run.isLate || run.isResumed {
 		return
 	}
-	until := job.cancelledAt + a.bounds.Cancel + a.bounds.Stop
+	until := job.cancelledAt + a.tolerances.Cancel + a.tolerances.Stop
 	if a.isRecovering(run.worker, job.cancelledAt, until) {
 		until = a.recoveryDeadline(until)
 	}
@@ -83,7 +83,7 @@
 
 // checkStopIsObeyed checks that a task ends soon after its worker is ordered to stop it.
 func (a *analysis) checkStopIsObeyed(id taskID, run *taskRun) {
-	if run.stopOrderedAt > 0 && run.isRunningAt(run.stopOrderedAt+a.bounds.Stop) {
+	if run.stopOrderedAt > 0 && run.isRunningAt(run.stopOrderedAt+a.tolerances.Stop) {
 		a.report(ruleCancel, run.stopOrderedAt, "%s is still running after its worker was ordered to stop it", id.describe())
 	}
 }
@@ -105,7 +105,7 @@
 
 func (a *analysis) checkStartDelay(job *jobRecord, run *taskRun, round int) {
 	due := job.firstSubmittedAt + eventloop.Micros(job.spec.DelayUs+int64(round)*job.spec.PeriodUs)
-	if due > job.firstSubmittedAt && job.spec.StartUnixUs == 0 && run.start < due-a.bounds.EarlyStart {
+	if due > job.firstSubmittedAt && job.spec.StartUnixUs == 0 && run.start < due-a.tolerances.EarlyStart {
 		a.report(ruleOrder, run.start, "%s starts round %d %d us early", job.key, round, due-run.start)
 	}
 }
@@ -113,7 +113,7 @@
 func (a *analysis) checkStartWallTime(job *jobRecord, run *taskRun, round int) {
 	due := job.spec.StartUnixUs + int64(round)*job.spec.PeriodUs
 	wall, known := a.wallAt(run.start)
-	if job.spec.StartUnixUs > 0 && known && wall < due-int64(a.bounds.EarlyStart) {
+	if job.spec.StartUnixUs > 0 && known && wall < due-int64(a.tolerances.EarlyStart) {
 		a.report(ruleOrder, run.start, "%s starts round %d %d us before its start time by the wall clock", job.key, round, due-wall)
 	}
 }
--- a/internal/checker/tenant_configurations.go
+++ b/internal/checker/tenant_configurations.go
@@ -114,7 +114,7 @@
 		version = c.baseVersion
 	}
 	for _, other := range a.tenantConfigurations {
-		if other != c && other.isAccepted && other.version > version && other.acceptedAt+a.bounds.Propagation <= at {
+		if other != c && other.isAccepted && other.version > version && other.acceptedAt+a.tolerances.Propagation <= at {
 			return true
 		}
 	}
--- a/internal/checker/worker_rules.go
+++ b/internal/checker/worker_rules.go
@@ -161,7 +161,7 @@
 			}
 		case Order, TaskStart:
 			isWork := e.Kind == TaskStart || e.State == orderStart || e.State == orderReserve
-			if isDraining && isWork && !e.IsLate && e.At > since+a.bounds.Drain {
+			if isDraining && isWork && !e.IsLate && e.At > since+a.tolerances.Drain {
 				a.report(ruleDraining, e.At, "%s receives work %d us after it reported that it is draining", e.Actor, e.At-since)
 			}
 		}
--- a/internal/fakeworker/worker.go
+++ b/internal/fakeworker/worker.go
@@ -238,8 +238,8 @@
 	return slices.SortedFunc(maps.Keys(set), compareKeys)
 }
 
-// HandleUnanswered handles a heartbeat that got no answer by making the next one due soon. That
-// one goes to another gateway node.
+// HandleUnanswered handles a heartbeat that got no answer: the next one is due soon, and the
+// caller should send it to another gateway node.
 func (w *PollingWorker) HandleUnanswered(now eventloop.Micros) {
 	if w.lastHeartbeatAt+unansweredDelay < now {
 		w.isHeartbeatUrgent = true
