--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -143,7 +143,7 @@
 			h.run(3*eventloop.Second + k*70*eventloop.Millisecond)
 			h.isPaused = true
 			// The pause leaves just enough time for an inspection, a poll and another inspection.
-			remaining := h.worker.HoldUntil() - h.worker.Clock(h.now)
+			remaining := h.worker.RunDeadline() - h.worker.Clock(h.now)
 			h.run(remaining - 10*messageDelay - agent.TickInterval)
 			h.isPaused = false
 		}
--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -23,7 +23,7 @@
 				h.run(7 * eventloop.Millisecond)
 				// With a slow clock, the hold ends later, by the error of the clock over the
 				// duration of a lease.
-				remaining := eventloop.Micros(float64(h.worker.HoldUntil()-h.worker.Clock(h.now)) / drift)
+				remaining := eventloop.Micros(float64(h.worker.RunDeadline()-h.worker.Clock(h.now)) / drift)
 				So(h.now+remaining, ShouldBeLessThanOrEqualTo, s.leaseEndsAt+eventloop.Micros(float64(s.lease)*(1/drift-1))+2)
 				So(remaining, ShouldBeGreaterThan, s.lease/3)
 			}
