--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -11,10 +11,10 @@
 // Disk is a simulated disk, and implements storage.Disk. When the power fails, what wasn't
 // synced is lost wholly or in part, whatever the order of the writes.
 type Disk struct {
-	files   map[string]*file
-	OpsLeft int // operations until the power fails; negative: it doesn't
-	Syncs   int // that have succeeded
-	Fault   DiskFault
+	files             map[string]*file
+	OpsUntilPowerLoss int // operations until the power fails; negative: it doesn't
+	Syncs             int // that have succeeded
+	Fault             DiskFault
 }
 
 // file is a file of a disk.
@@ -36,15 +36,15 @@
 var ErrPowerLost = errors.New("sim: the power has failed")
 
 // NewDisk makes an empty disk.
-func NewDisk() *Disk { return &Disk{files: map[string]*file{}, OpsLeft: -1} }
+func NewDisk() *Disk { return &Disk{files: map[string]*file{}, OpsUntilPowerLoss: -1} }
 
 // consumeOperation counts an operation; ErrPowerLost: it comes too late.
 func (d *Disk) consumeOperation() error {
-	if d.OpsLeft == 0 {
+	if d.OpsUntilPowerLoss == 0 {
 		return ErrPowerLost
 	}
-	if d.OpsLeft > 0 {
-		d.OpsLeft--
+	if d.OpsUntilPowerLoss > 0 {
+		d.OpsUntilPowerLoss--
 	}
 	return nil
 }
@@ -135,7 +135,7 @@
 // PowerCut loses what wasn't synced: of each file's unsynced writes some survive, each whole
 // or torn.
 func (d *Disk) PowerCut(rng *rand.Rand) {
-	d.OpsLeft = -1
+	d.OpsUntilPowerLoss = -1
 	names := slices.Sorted(maps.Keys(d.files))
 	for _, name := range names {
 		f := d.files[name]
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -143,7 +143,7 @@
 func (h *Host) Kill() { h.stop(func() { h.Disk.PowerCut(h.sim.Rng) }) }
 
 // Abort ends the process alone: what it wrote stays, synced or not.
-func (h *Host) Abort() { h.stop(func() { h.Disk.OpsLeft = -1 }) }
+func (h *Host) Abort() { h.stop(func() { h.Disk.OpsUntilPowerLoss = -1 }) }
 
 // stop ends the process; settleDisk says what becomes of its disk.
 func (h *Host) stop(settleDisk func()) {
@@ -155,7 +155,7 @@
 	if h.Disk != nil {
 		if h.writer.isWriting {
 			// The batch that is being written gets some way.
-			h.Disk.OpsLeft = h.sim.Rng.IntN(4)
+			h.Disk.OpsUntilPowerLoss = h.sim.Rng.IntN(4)
 			_ = h.store.Commit(h.writer.batch.Changes)
 		}
 		settleDisk()
--- a/internal/storage/snapshot_install_test.go
+++ b/internal/storage/snapshot_install_test.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	disk.OpsLeft = operation
+	disk.OpsUntilPowerLoss = operation
 	acknowledged := 0
 	for acknowledged < len(steps) && s.Commit(steps[acknowledged]) == nil {
 		acknowledged++
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -97,7 +97,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			disk.OpsLeft = operation
+			disk.OpsUntilPowerLoss = operation
 			acknowledged, requested := uint64(0), uint64(0)
 			for k := uint64(1); k <= 60; k++ {
 				requested = k
