--- a/cmd/sparnotch-bench/outage.go
+++ b/cmd/sparnotch-bench/outage.go
@@ -74,7 +74,7 @@
 	inParallel(c.seeds, func(k int) { outages[k] = sim.MeasureOutage(loss, size, c.seed+uint64(k)) })
 	var replaces, submissions []eventloop.Micros
 	for _, outage := range outages {
-		replaces, submissions = append(replaces, outage.Replace), append(submissions, outage.Submit)
+		replaces, submissions = append(replaces, outage.LongestReplaceGap), append(submissions, outage.LongestSubmitGap)
 	}
 	fmt.Printf("%-28s %9.2f s %6.2f s %8.2f s %6.2f s\n", loss.Name,
 		seconds(sim.Quantile(replaces, 0.5)), seconds(sim.Quantile(replaces, 1)), seconds(sim.Quantile(submissions, 0.5)), seconds(sim.Quantile(submissions, 1)))
--- a/internal/sim/outage.go
+++ b/internal/sim/outage.go
@@ -12,8 +12,8 @@
 // between two acknowledged configurations and two acknowledged submissions, from shortly
 // before the loss until long after it.
 type Outage struct {
-	Loss            string
-	Replace, Submit eventloop.Micros
+	Loss                                string
+	LongestReplaceGap, LongestSubmitGap eventloop.Micros
 }
 
 const (
