--- a/internal/sim/called_runs.go
+++ b/internal/sim/called_runs.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	stallFactor    = 30     // a stalled task takes this many times as long
-	warmUpFactor   = 2      // and a task of a worker that warms up
-	defaultRunTime = 20_000 // of a task that says nothing, in µs
+	stallFactor    = 30     // factor by which a stalled task takes longer
+	warmUpFactor   = 2      // factor by which a task takes longer while its worker warms up
+	defaultRunTime = 20_000 // run time in µs of a task that specifies none
 )
 
-// jobAndStep finds a task's job, and its step; nil: it has none.
+// jobAndStep returns the job and the step of a task. The step is nil if the job or the step
+// is unknown.
 func (w *CalledWorker) jobAndStep(task agent.TaskName) (submittedJob, *schema.Step) {
 	job, known := w.sim.submittedJobs[task.Job]
 	if !known || int(task.StepInRound) >= len(job.job.Steps) {
@@ -27,9 +28,9 @@
 	return job, job.job.Steps[task.StepInRound]
 }
 
-// --- what is drawn for a run ---
+// --- random properties of a run ---
 
-// requirements says what a task needs, and draws how long it works.
+// requirements returns the requirements of a task, with a randomly drawn amount of work.
 func (w *CalledWorker) requirements(task agent.TaskName, text string) fakeworker.Requirements {
 	_, step := w.jobAndStep(task)
 	if step == nil {
@@ -55,7 +56,8 @@
 	return requirements
 }
 
-// textParameter finds NAME=NUMBER among the words of a text.
+// textParameter returns the number in a word NAME=NUMBER of a text, or byDefault if there is no
+// such word.
 func textParameter(text, name string, byDefault float64) float64 {
 	for _, word := range strings.Fields(text) {
 		if value, found := strings.CutPrefix(word, name+"="); found {
@@ -100,9 +102,10 @@
 	return eventloop.Micros(w.rng.Int64N(max(w.sim.bounds.StopTimeoutUs, 1)))
 }
 
-// --- what the history has of a run ---
+// --- events of a run in the history ---
 
-// event names a run as clients know it.
+// event returns an event of a run that identifies the run by the job, step and task numbers
+// that clients use.
 func (w *CalledWorker) event(kind string, run fakeworker.RunID) checker.Event {
 	job, step := w.jobAndStep(run.Task)
 	e := checker.Event{
@@ -121,7 +124,7 @@
 	w.sim.Record(e)
 }
 
-// recordEnd records the ends among a worker's events.
+// recordEnd records a worker's event if it is the end of a run, and ignores other kinds.
 func (w *CalledWorker) recordEnd(now eventloop.Micros, kind string, run fakeworker.RunID, outcome string) {
 	if kind != "end" {
 		return
@@ -132,8 +135,9 @@
 	w.sim.Record(e)
 }
 
-// recordAcknowledgement records that the worker learns that an end is known. Where its
-// lease expired since the end, the task may have been started elsewhere.
+// recordAcknowledgement records that the worker has received the acknowledgement of a run's
+// end. The state is "lapsed" if the worker's lease has expired since the end: the task may
+// then have been started elsewhere.
 func (w *CalledWorker) recordAcknowledgement(now eventloop.Micros, ended agent.EndedTask) {
 	run := fakeworker.RunID{Task: ended.Task, Attempt: ended.Attempt}
 	e := w.event(checker.EndAcknowledged, run)
@@ -144,7 +148,8 @@
 	w.sim.Record(e)
 }
 
-// recordAnswer records that the worker was answered, and the checkpoints that it shows.
+// recordAnswer records that the worker answered a call successfully, at most once per
+// answeredInterval, and the checkpoints in its reply.
 func (w *CalledWorker) recordAnswer(reply agent.Reply) {
 	sim := w.sim
 	if w.isUp && sim.Now >= w.lastAnsweredAt+answeredInterval {
--- a/internal/sim/called_worker.go
+++ b/internal/sim/called_worker.go
@@ -15,47 +15,47 @@
 	defaultHeartbeatInterval = 1500 * eventloop.Millisecond
 	heartbeatRetryInterval   = 500 * eventloop.Millisecond // while nobody acknowledges heartbeats
 	calledWarmUp             = 2 * eventloop.Second        // how long a new incarnation is slow
-	drainTimeout             = 5 * eventloop.Second        // of a drain that nobody acknowledges
-	drainGrace               = 500 * eventloop.Millisecond // beyond the deployment's drain timeout
-	connectTimeout           = 400 * eventloop.Millisecond // of a call to a worker that never started
-	unhealthyInterval        = eventloop.Second            // between two records that a worker is unhealthy
-	answeredInterval         = eventloop.Second            // and that it was answered
+	drainTimeout             = 5 * eventloop.Second        // timeout of a drain that nobody acknowledges
+	drainGrace               = 500 * eventloop.Millisecond // time that a drain may take beyond the deployment's drain timeout
+	connectTimeout           = 400 * eventloop.Millisecond // timeout of a call to a worker that never started
+	unhealthyInterval        = eventloop.Second            // between two events in the history that a worker is unhealthy
+	answeredInterval         = eventloop.Second            // between two events in the history that a worker answered a call
 )
 
-// CalledWorker is a simulated worker that the agent on its machine calls. What is set
-// before AddCalledWorker holds for every incarnation.
+// CalledWorker is a simulated worker that the agent on its machine calls. Fields that are set
+// before AddCalledWorker apply to every incarnation.
 type CalledWorker struct {
 	sim           *Simulation
-	machine       string // its machine's name
+	machine       string // name of its machine
 	zone, rack    string
-	cores, memory int64 // thousandths, MB
+	cores, memory int64 // thousandths of a core, MB
 	accelerators  int64
 	pool          string
 	labels        []string
 
 	behaviour         fakeworker.Behaviour
-	rejectShare       float64 // of calls that it answers as busy
-	unresponsiveShare float64 // of calls that it doesn't answer: not done, done, or done late
+	rejectShare       float64 // share of the calls that it rejects as busy
+	unresponsiveShare float64 // share of the calls without a timely reply: the request or the reply is lost, or the reply is delayed
 	rng               *rand.Rand
 
-	// Of the present incarnation:
+	// State of the current incarnation:
 	worker          *fakeworker.CalledWorker
 	incarnation     int
 	isUp            bool
 	isDraining      bool
 	isDrainRecorded bool
-	isGraceful      bool // ends only when its draining was acknowledged
-	isPartitioned   bool // its machine reaches no quorum, as the history has it
-	nextHeartbeat   eventloop.Micros
-	lastAnsweredAt  eventloop.Micros // as the history has it
-	lastUnhealthyAt eventloop.Micros // as the history has it
-	leaseExpiredAt  eventloop.Micros // when its lease was last seen expired
-	slowStartUntil  eventloop.Micros
+	isGraceful      bool             // whether a drain, once reported, lasts up to the deployment's drain timeout
+	isPartitioned   bool             // whether its machine can't reach a quorum, as last recorded in the history
+	nextHeartbeat   eventloop.Micros // when the next heartbeat is due
+	lastAnsweredAt  eventloop.Micros // last recorded time of an answered call
+	lastUnhealthyAt eventloop.Micros // last recorded time of being unhealthy
+	leaseExpiredAt  eventloop.Micros // last time at which its lease was found expired
+	slowStartUntil  eventloop.Micros // end of its warm-up
 	endedAt         map[fakeworker.RunID]eventloop.Micros
-	checkpoints     map[fakeworker.RunID]string // as the history has them
+	checkpoints     map[fakeworker.RunID]string // last recorded checkpoint of each run
 }
 
-// AddCalledWorker adds a worker to a machine; it comes up with Start.
+// AddCalledWorker adds a worker to the machine that it names. Start starts the worker.
 func (s *Simulation) AddCalledWorker(worker *CalledWorker) *CalledWorker {
 	worker.sim = s
 	worker.rng = rand.New(rand.NewPCG(s.Rng.Uint64(), 2))
@@ -66,19 +66,20 @@
 	return worker
 }
 
-// Name is that of the present incarnation.
+// Name returns the name of the current incarnation.
 func (w *CalledWorker) Name() string { return fmt.Sprintf("%s.%d", w.machine, w.incarnation) }
 
-// Machine is the name of the worker's machine.
+// Machine returns the name of the worker's machine.
 func (w *CalledWorker) Machine() string { return w.machine }
 
-// Behaviour is that of every incarnation.
+// Behaviour returns the behaviour of every incarnation; changes to it take effect at once.
 func (w *CalledWorker) Behaviour() *fakeworker.Behaviour { return &w.behaviour }
 
-// SetCapacity sets what the next incarnation has.
+// SetCapacity sets the capacity of the next incarnation, in thousandths of a core and in MB.
 func (w *CalledWorker) SetCapacity(cores, memory int64) { w.cores, w.memory = cores, memory }
 
-// host is the worker's machine, whichever process runs there now.
+// host returns the worker's machine. If the machine was replaced, this is the last host of its
+// name that is up, or the last one if none is up.
 func (w *CalledWorker) host() *Host {
 	var last *Host
 	for _, h := range w.sim.Hosts {
@@ -89,7 +90,7 @@
 	return last
 }
 
-// Start starts another incarnation, with a name of its own.
+// Start starts a new incarnation under a new name. An incarnation that is up crashes first.
 func (w *CalledWorker) Start() {
 	sim := w.sim
 	if w.isUp {
@@ -117,7 +118,7 @@
 	}
 }
 
-// Crash ends the incarnation at once.
+// Crash ends the current incarnation at once, with its tasks.
 func (w *CalledWorker) Crash() {
 	if !w.isUp {
 		return
@@ -131,8 +132,8 @@
 	w.sim.Record(checker.Event{Kind: checker.WorkerGone, Actor: w.Name()})
 }
 
-// Drain has the worker say that it drains. It ends some time after that was acknowledged,
-// or when nobody acknowledges it for long.
+// Drain makes the worker report that it drains. The incarnation ends by itself some time after
+// the agent has received the report, or after drainTimeout if it doesn't receive it.
 func (w *CalledWorker) Drain() { w.drain(drainTimeout, true) }
 
 func (w *CalledWorker) drain(timeout eventloop.Micros, isGraceful bool) {
@@ -142,14 +143,15 @@
 	}
 }
 
-// SetPartitioned partitions the worker's machine, while the worker runs on, or heals that.
+// SetPartitioned partitions the worker's machine, or heals the partition. The worker keeps
+// running.
 func (w *CalledWorker) SetPartitioned(partitioned bool) { w.sim.Isolate(w.host(), partitioned) }
 
-// Freeze stops the agent's process for a while; the worker runs on.
+// Freeze suspends the agent's process for a duration. The worker keeps running.
 func (w *CalledWorker) Freeze(duration eventloop.Micros) { w.host().Freeze(duration) }
 
-// SetUnhealthy has the worker reject shares of the calls, and leave shares unanswered; with
-// shares of 0 it is healthy again.
+// SetUnhealthy makes the worker reject one share of the calls and leave another share
+// unanswered. Shares of 0 make it healthy again.
 func (w *CalledWorker) SetUnhealthy(rejectShare, unresponsiveShare float64) {
 	w.rejectShare, w.unresponsiveShare = rejectShare, unresponsiveShare
 	w.recordUnhealthy()
@@ -199,7 +201,7 @@
 	}
 }
 
-// end records that the incarnation has ended by itself, and tells the agent.
+// end records that the incarnation has ended by itself and notifies the agent.
 func (w *CalledWorker) end(h *Host) {
 	name := w.Name()
 	w.recordGone()
@@ -218,9 +220,9 @@
 	if !h.isServing() {
 		w.nextHeartbeat = now + heartbeatRetryInterval
 		if h.isFrozen && h.IsUp {
-			// The process finds it when it goes on.
+			// The frozen process receives the heartbeat when it resumes.
 			heartbeat := w.worker.Heartbeat(now)
-			h.runAwake(h.run, func() { h.deliver("agent", eventloop.Message{Body: heartbeat}) })
+			h.runWhenAwake(h.run, func() { h.deliver("agent", eventloop.Message{Body: heartbeat}) })
 		}
 		return
 	}
@@ -234,24 +236,25 @@
 	}
 }
 
-// callWorker takes an agent's call to the worker on its machine, and the reply back.
+// callWorker delivers an agent's call to the worker on its machine and the reply to the agent,
+// each after a short random delay.
 func (h *Host) callWorker(call agent.Call) {
 	sim, run := h.sim, h.run
 	worker := sim.calledWorkers[h.machineName()]
 	drawDelay := func() eventloop.Micros { return 100 + eventloop.Micros(sim.Rng.Int64N(300)) }
-	back := func(reply agent.Reply) {
-		sim.After(drawDelay(), func() { h.runAwake(run, func() { h.deliver("agent", eventloop.Message{Body: reply}) }) })
+	sendReply := func(reply agent.Reply) {
+		sim.After(drawDelay(), func() { h.runWhenAwake(run, func() { h.deliver("agent", eventloop.Message{Body: reply}) }) })
 	}
 	sim.After(drawDelay(), func() {
 		if worker.worker == nil {
-			sim.After(connectTimeout, func() { back(agent.Reply{Number: call.Number, Outcome: agent.TimedOut}) })
+			sim.After(connectTimeout, func() { sendReply(agent.Reply{Number: call.Number, Outcome: agent.TimedOut}) })
 			return
 		}
 		worker.worker.HandleCall(sim.Now, call, func(reply agent.Reply) {
 			if reply.Outcome == agent.Succeeded {
 				worker.recordAnswer(reply)
 			}
-			back(reply)
+			sendReply(reply)
 		})
 	})
 }
--- a/internal/sim/components.go
+++ b/internal/sim/components.go
@@ -9,28 +9,29 @@
 	"sparnotch/internal/replica"
 )
 
-// stepCost is what one step of a component costs a whole core, on average, in µs; see
-// docs/measurements.md for how it was found.
+// stepCost is the average processor time of one step of a component on a whole core, in µs.
+// docs/measurements.md describes how it was measured.
 const stepCost = 110
 
-// runOnCPU runs a call in the process once its simulated CPU is free.
+// runOnCPU runs a call in the process with the given run number once the host's simulated CPU is
+// free. The call is dropped if that process has ended.
 func (h *Host) runOnCPU(run int, call func()) {
 	if h.CPUShare == 0 {
-		h.runAwake(run, call)
+		h.runWhenAwake(run, call)
 		return
 	}
 	h.cpuBusyUntil = max(h.cpuBusyUntil, h.sim.Now) + eventloop.Micros(stepCost/h.CPUShare)
-	h.sim.At(h.cpuBusyUntil, func() { h.runAwake(run, call) })
+	h.sim.At(h.cpuBusyUntil, func() { h.runWhenAwake(run, call) })
 }
 
-// scheduleTicks has a component tick from some time on.
+// scheduleTicks sends a component its ticks at an interval, the first one after a delay.
 func (h *Host) scheduleTicks(component string, interval, first eventloop.Micros) {
 	run := h.run
 	h.sim.After(first, func() {
 		if h.run != run {
 			return
 		}
-		// Like a time.Ticker, this drops a tick while the one before it is pending.
+		// A tick is dropped while the previous one is pending, as with a time.Ticker.
 		if !h.tickPending[component] {
 			h.tickPending[component] = true
 			h.runOnCPU(run, func() {
@@ -42,7 +43,7 @@
 	})
 }
 
-// step gives a message to a component, if the process has it.
+// step passes a message to the component of the given name, if the process has one.
 func (h *Host) step(name string, message eventloop.Message) {
 	component := h.components[name]
 	if component == nil {
@@ -58,7 +59,8 @@
 	h.sim.OnStepTime(h, name, h.sim.CPUClock()-began)
 }
 
-// deliver puts a message into a component's mailbox, where it is found soon and in order.
+// deliver puts a message into a component's mailbox. The component receives the messages
+// of its mailbox in order, each after a short random delay.
 func (h *Host) deliver(component string, message eventloop.Message) {
 	run := h.run
 	at := max(h.sim.Now+eventloop.Micros(10+h.sim.Rng.Int64N(60)), h.lastDelivery[component])
@@ -66,7 +68,7 @@
 	h.sim.At(at, func() { h.runOnCPU(run, func() { h.step(component, message) }) })
 }
 
-// receive takes a message of another process from the network.
+// receive passes a message from another process to the components that handle it.
 func (h *Host) receive(sender string, body any) {
 	run := h.run
 	for _, component := range h.routes(body) {
@@ -81,10 +83,11 @@
 	return []string{process.ComponentFor(h.Role, body)}
 }
 
-// effects carries out what the components of a host's process do.
+// effects implements the effects of the components of a host's process: messages,
+// notifications and responses.
 type effects struct{ host *Host }
 
-// Send sends to a process by its id.
+// Send sends a message to the process with the given id.
 func (e *effects) Send(to string, body any) {
 	h := e.host
 	if to == h.ID {
@@ -94,11 +97,11 @@
 	h.sim.send(h, to, h.addresses.Address(to), body)
 }
 
-// SendToAddress sends to whichever process is at an address.
+// SendToAddress sends a message to whichever process runs at an address.
 func (e *effects) SendToAddress(address string, body any) { e.host.sim.send(e.host, "", address, body) }
 
-// Notify gives a message to another component of the process; writes and calls of workers
-// go to the simulated disk and machine.
+// Notify sends a message to another component of the process. Batches of writes go to the
+// simulated disk, and calls to workers go to the worker on the simulated machine.
 func (e *effects) Notify(component string, body any) {
 	h := e.host
 	switch b := body.(type) {
@@ -113,7 +116,7 @@
 	}
 }
 
-// Respond answers a client's request.
+// Respond sends the response to a client's request, if that is still pending.
 func (e *effects) Respond(request uint64, body any) {
 	if answer := e.host.pendingRequests[request]; answer != nil {
 		delete(e.host.pendingRequests, request)
@@ -121,7 +124,8 @@
 	}
 }
 
-// StateView asks a host's replicas for their state, outside of time; nil: it is down.
+// StateView returns the state of the replicas on a host without advancing virtual time. It
+// returns nil if the host is down or has no replicas.
 func (h *Host) StateView() *replica.NodeStateView {
 	component := h.components["replica"]
 	if !h.IsUp || component == nil {
@@ -133,7 +137,8 @@
 	return view
 }
 
-// Groups lists the replicas that a host holds whose group's name starts with a prefix.
+// Groups returns the names of the groups that the host has replicas of and whose names
+// start with a prefix.
 func (h *Host) Groups(prefix string) []string {
 	var list []string
 	if view := h.StateView(); view != nil {
@@ -146,11 +151,11 @@
 	return list
 }
 
-// responseRecorder keeps responses from the clients.
+// responseRecorder passes responses to a callback instead of sending them to clients.
 type responseRecorder struct {
 	effects
 	onResponse func(any)
 }
 
-// Respond records the response.
+// Respond passes the response to the callback.
 func (r *responseRecorder) Respond(_ uint64, body any) { r.onResponse(body) }
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -8,37 +8,37 @@
 	"slices"
 )
 
-// Disk is a simulated disk, and implements storage.Disk. When the power fails, what wasn't
-// synced is lost wholly or in part, whatever the order of the writes.
+// Disk is a simulated disk; it implements storage.Disk. When the power fails, any of the
+// writes that weren't synced may be lost or torn, in whichever order they were made.
 type Disk struct {
 	files             map[string]*file
-	OpsUntilPowerLoss int // operations until the power fails; negative: it doesn't
-	Syncs             int // that have succeeded
+	OpsUntilPowerLoss int // operations that succeed before the power fails; negative: it doesn't fail
+	Syncs             int // number of syncs that have succeeded
 	Fault             DiskFault
 }
 
-// file is a file of a disk.
+// file is a file on a simulated disk.
 type file struct {
-	synced       []byte
-	current      []byte
-	writes       []write // since the last sync
-	isNameSynced bool    // its directory entry is durable
+	synced       []byte  // content that survives a power failure
+	current      []byte  // content that reads return
+	writes       []write // writes since the last sync
+	isNameSynced bool    // whether its directory entry is durable
 }
 
-// write is one write of data, or where there is none a truncation.
+// write is one write of data, or a truncation if data is nil.
 type write struct {
 	offset     int64
 	data       []byte
 	truncateTo int64
 }
 
-// ErrPowerLost is the error of every operation once the power has failed.
+// ErrPowerLost is returned by writes, truncations and syncs after the power has failed.
 var ErrPowerLost = errors.New("sim: the power has failed")
 
-// NewDisk makes an empty disk.
+// NewDisk returns an empty disk.
 func NewDisk() *Disk { return &Disk{files: map[string]*file{}, OpsUntilPowerLoss: -1} }
 
-// consumeOperation counts an operation; ErrPowerLost: it comes too late.
+// consumeOperation counts an operation. It returns ErrPowerLost if the power has failed.
 func (d *Disk) consumeOperation() error {
 	if d.OpsUntilPowerLoss == 0 {
 		return ErrPowerLost
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// open finds a file, and creates it where there is none.
+// open returns a file and creates it if it doesn't exist.
 func (d *Disk) open(name string) *file {
 	f := d.files[name]
 	if f == nil {
@@ -59,7 +59,7 @@
 	return f
 }
 
-// Read gives a copy of a file's content; os.ErrNotExist: there is none.
+// Read returns a copy of a file's content, or os.ErrNotExist if there is no such file.
 func (d *Disk) Read(name string) ([]byte, error) {
 	f := d.files[name]
 	if f == nil {
@@ -68,7 +68,7 @@
 	return append([]byte(nil), f.current...), nil
 }
 
-// apply carries the write out on a file's content.
+// apply returns a file's content after the write; it may modify the given data.
 func (w write) apply(data []byte) []byte {
 	if w.data == nil {
 		for int64(len(data)) < w.truncateTo {
@@ -83,8 +83,8 @@
 	return data
 }
 
-// Write writes at an offset in bytes, and creates the file where there is none. ErrFull: the
-// disk refused, and half of the data may have been written.
+// Write writes data at an offset in bytes and creates the file if it doesn't exist. It
+// returns ErrFull if the disk refuses the write; half of the data may then have been written.
 func (d *Disk) Write(name string, offset int64, data []byte) error {
 	if err := d.consumeOperation(); err != nil {
 		return err
@@ -99,7 +99,8 @@
 	return nil
 }
 
-// Truncate sets a file's length in bytes, and creates the file where there is none.
+// Truncate sets a file's length in bytes and creates the file if it doesn't exist. It returns
+// ErrFull if a fault is set to fail this operation.
 func (d *Disk) Truncate(name string, size int64) error {
 	if err := d.consumeOperation(); err != nil {
 		return err
@@ -114,8 +115,8 @@
 	return nil
 }
 
-// Sync makes what was written to a file durable. ErrSync: part of it may be, and no later
-// sync makes the rest so.
+// Sync makes the writes to a file durable. If it returns ErrSync, only part of them may be
+// durable, and no later sync makes the rest durable.
 func (d *Disk) Sync(name string) error {
 	if err := d.consumeOperation(); err != nil {
 		return err
@@ -132,8 +133,8 @@
 	return nil
 }
 
-// PowerCut loses what wasn't synced: of each file's unsynced writes some survive, each whole
-// or torn.
+// PowerCut simulates a power failure followed by a restart. Of each file's unsynced writes a
+// random selection survives, each of them whole or torn.
 func (d *Disk) PowerCut(rng *rand.Rand) {
 	d.OpsUntilPowerLoss = -1
 	names := slices.Sorted(maps.Keys(d.files))
@@ -160,8 +161,8 @@
 	}
 }
 
-// CorruptByte flips bits of a file's byte, as a failing disk does; false: there is no such
-// byte.
+// CorruptByte flips some bits of one byte of a file, as a failing disk does. It reports
+// whether the file has such a byte.
 func (d *Disk) CorruptByte(name string, offset int) bool {
 	f := d.files[name]
 	if f == nil || offset < 0 || offset >= len(f.current) {
@@ -174,7 +175,7 @@
 	return true
 }
 
-// Size is a file's size in bytes; 0: there is none.
+// Size returns a file's size in bytes, or 0 if there is no such file.
 func (d *Disk) Size(name string) int {
 	if f := d.files[name]; f != nil {
 		return len(f.current)
--- a/internal/sim/disk_fault.go
+++ b/internal/sim/disk_fault.go
@@ -6,22 +6,23 @@
 )
 
 var (
-	// ErrFull is the error of a write to a disk that is full.
+	// ErrFull is returned by writes and truncations that a full disk refuses.
 	ErrFull = errors.New("sim: no space left on the disk")
-	// ErrSync is the error of a sync that didn't reach the disk.
+	// ErrSync is returned by syncs that fail.
 	ErrSync = errors.New("sim: the sync failed")
 )
 
-// DiskFault is how a disk fails.
+// DiskFault describes how a disk fails. The zero value is a healthy disk.
 type DiskFault struct {
-	IsFull    bool   // writes fail, after some of their bytes were written
-	SyncFails bool   // syncs fail, and what they should have made durable counts as clean
-	Prefix    string // of the names of the files concerned; empty: all
-	FailAt    int    // when positive, counts operations down to one that fails
-	Capacity  int    // when positive, the bytes that all files may have together
+	IsFull    bool   // writes fail after some of their bytes were written
+	SyncFails bool   // syncs fail, and later syncs skip the data that wasn't written
+	Prefix    string // only files whose names start with it are affected; empty: all files
+	FailAt    int    // if positive, only the operation with this number, counted from now, fails
+	Capacity  int    // if positive, the total size of all files in bytes is limited to it
 }
 
-// fails reports whether an operation on a file fails: this one, or every one of its kind.
+// fails reports whether an operation on a file fails. If FailAt is positive, it counts down
+// and only the operation that brings it to 0 fails; otherwise always decides.
 func (f *DiskFault) fails(name string, always bool) bool {
 	if !strings.HasPrefix(name, f.Prefix) {
 		return false
@@ -33,7 +34,8 @@
 	return always
 }
 
-// refusesWrite reports whether a write fails, and if so leaves half of it behind.
+// refusesWrite reports whether a write fails. Half of the data of a failed write is written,
+// unless the disk has a limited capacity.
 func (d *Disk) refusesWrite(name string, f *file, w write) bool {
 	isFull := d.Fault.IsFull
 	if growth := int(w.offset) + len(w.data) - len(f.current); d.Fault.Capacity > 0 && growth > 0 {
@@ -50,9 +52,9 @@
 	return true
 }
 
-// failSync is a failed sync as operating systems have it: what was to be written is read as
-// before and counts as clean, so that no later sync writes it, though only part of it has
-// reached the disk.
+// failSync simulates a failed sync as operating systems behave: only part of the data has
+// reached the disk, but all of it is marked clean. Reads still return all of the data, and no
+// later sync writes the rest.
 func (d *Disk) failSync(f *file) error {
 	for k, w := range f.writes {
 		if (k+d.Syncs)%2 == 1 {
@@ -63,7 +65,7 @@
 	return ErrSync
 }
 
-// Used is how many bytes all files have together.
+// Used returns the total size of all files in bytes.
 func (d *Disk) Used() int {
 	used := 0
 	for _, f := range d.files {
--- a/internal/sim/disk_writer.go
+++ b/internal/sim/disk_writer.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	writeRetryInterval    = 100 * eventloop.Millisecond // between two attempts to write to a disk that refused
+	writeRetryInterval    = 100 * eventloop.Millisecond // time between two attempts to write to a disk that refuses writes
 	latencyReportInterval = 250 * eventloop.Millisecond
 )
 
-// diskWriter is what the writing of a process's storage has come to.
+// diskWriter holds the state of the storage writes of a process.
 type diskWriter struct {
 	isWriting  bool
-	batch      replica.Batch    // that is being written
-	startedAt  eventloop.Micros // of that
-	isRefused  bool             // the disk has refused it
-	worstDelay eventloop.Micros // recent worst, decaying
+	batch      replica.Batch    // batch that is being written
+	startedAt  eventloop.Micros // point in time when the write of the batch began
+	isRefused  bool             // whether the disk has refused the batch
+	worstDelay eventloop.Micros // longest recent write time, which decays
 }
 
-// openStorage opens the host's disk and counts this start; false if the disk refuses, and
-// then the process starts without storage.
+// openStorage opens the storage on the host's disk and durably counts this start. It returns
+// false if the disk refuses; the process then starts without storage.
 func (h *Host) openStorage() bool {
 	sim := h.sim
 	store, err := storage.Open(h.Disk)
 	if storage.IsCorrupted(err) {
-		// As a real process does: it says so and comes back as a new member.
+		// Like a real process, this one reports the damage and returns as a new member.
 		sim.DamageReports = append(sim.DamageReports, err.Error())
 		h.Disk = NewDisk()
 		store, err = storage.Open(h.Disk)
@@ -52,34 +52,36 @@
 	return true
 }
 
-// awaitStorage starts the process anew once its disk takes writes.
+// awaitStorage restarts the process once its disk accepts writes.
 func (h *Host) awaitStorage(run int) {
 	h.sim.After(writeRetryInterval, func() {
-		h.runAwake(run, func() {
+		h.runWhenAwake(run, func() {
 			store, err := storage.Open(h.Disk)
 			if err != nil || store.Commit([]*schema.StoreChange{{Identity: store.State().Identity}}) != nil {
 				h.awaitStorage(run)
 				return
 			}
-			// Open requests aren't finished here: their clients ask again.
+			// Pending requests end without a response; their clients send them again.
 			h.breakConnections()
 			h.Start()
 		})
 	})
 }
 
-// write makes a batch durable and then tells the replicas, as a process's storage does.
+// write makes a batch durable and then notifies the replicas, as the storage of a real
+// process does.
 func (h *Host) write(batch replica.Batch) {
 	h.writer.isWriting, h.writer.batch, h.writer.startedAt = true, batch, h.sim.Now
 	h.tryCommit(h.run, batch)
 }
 
-// tryCommit tries to write a batch until the disk takes it.
+// tryCommit tries to write a batch after the disk's delay and repeats this until the disk
+// accepts it. It reports the first refusal to the replicas and to the membership.
 func (h *Host) tryCommit(run int, batch replica.Batch) {
 	sim := h.sim
 	delay := h.SyncDelay + eventloop.Micros(sim.Rng.Int64N(int64(h.SyncDelay)/4+1))
 	sim.At(max(sim.Now+delay, h.StallUntil), func() {
-		h.runAwake(run, func() {
+		h.runWhenAwake(run, func() {
 			err := h.store.Commit(batch.Changes)
 			if err == nil {
 				h.finishWrite(batch)
@@ -106,8 +108,8 @@
 	h.deliver("replica", eventloop.Message{Body: replica.Written{Number: batch.Number}})
 }
 
-// reportDiskLatency tells the membership at intervals how the process's disk does, as a
-// real process does.
+// reportDiskLatency periodically reports the latency of the process's disk to the
+// membership, as a real process does.
 func (h *Host) reportDiskLatency(run int) {
 	if h.run != run {
 		return
@@ -121,11 +123,11 @@
 		worst = max(worst, h.sim.Now-w.startedAt)
 	}
 	w.worstDelay = w.worstDelay * 15 / 16
-	h.runAwake(run, func() { h.step("membership", eventloop.Message{Body: membership.LatencyReport{Max: worst}}) })
+	h.runWhenAwake(run, func() { h.step("membership", eventloop.Message{Body: membership.LatencyReport{Max: worst}}) })
 	h.sim.After(latencyReportInterval, func() { h.reportDiskLatency(run) })
 }
 
-// RefuseWrites has the host's disk refuse in some way for a while.
+// RefuseWrites injects a fault into the host's disk for a duration.
 func (h *Host) RefuseWrites(fault DiskFault, duration eventloop.Micros) {
 	disk := h.Disk
 	disk.Fault = fault
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -14,67 +14,68 @@
 	"sparnotch/internal/storage"
 )
 
-// drainCheckInterval is how often a draining process is asked whether it may end.
+// drainCheckInterval is the interval between two checks whether a draining process may end.
 const drainCheckInterval = 50 * eventloop.Millisecond
 
-// Host is a machine with one process, or with none while it is down. What is set before
-// Start holds for every process that runs there.
+// Host is a machine that runs one process, or none while it is down. Exported fields that
+// are set before Start apply to every process that runs there.
 type Host struct {
 	sim             *Simulation
 	Name            string
 	Address         string
 	Zone            string
 	Role            schema.Role
-	Seeds           []string // addresses; nil: the first storage nodes
+	Seeds           []string // addresses; nil: those of the first storage nodes
 	Uplink          Uplink
-	WallClockOffset int64 // µs that its wall clock is ahead
-	// Customize changes what its process is made of, and Route the components that its
-	// messages go to; nil: as in a real process.
+	WallClockOffset int64 // how far its wall clock is ahead of the correct time, in µs
+	// Customize changes the components of the host's process, and Route returns the names of
+	// the components that receive a message. If nil, both are as in a real process.
 	Customize func(config *process.Config, slots []process.ComponentSlot) []process.ComponentSlot
 	Route     func(body any) []string
 
-	Disk       *Disk            // nil: none
-	SyncDelay  eventloop.Micros // of a write, in µs
-	StallUntil eventloop.Micros // no write ends earlier
+	Disk       *Disk            // nil: the host has no disk
+	SyncDelay  eventloop.Micros // time that a write takes
+	StallUntil eventloop.Micros // point in time before which no write completes
 	writer     diskWriter
 
-	CPUShare     float64 // of a core; 0: its steps take no time
-	Steps        int     // of its components
+	CPUShare     float64 // share of a core that the process has; 0: its steps take no time
+	Steps        int     // number of steps that its components have run
 	cpuBusyUntil eventloop.Micros
 
-	// Of the present process:
+	// State of the current process:
 	IsUp            bool
 	ID              string
 	Member          *schema.Member
 	run             int              // counts starts and ends, so that calls meant for an earlier process are dropped
-	startedAt       eventloop.Micros // the zero of its monotonic clock
+	startedAt       eventloop.Micros // virtual time at which its monotonic clock was zero
 	isFrozen        bool
-	isDraining      bool     // takes no new requests
-	backlog         []func() // calls that wait while it is frozen
+	isDraining      bool     // whether it rejects new requests
+	backlog         []func() // calls that wait until a frozen process resumes
 	components      map[string]eventloop.Component
-	lastDelivery    map[string]eventloop.Micros // by component: mailboxes keep order
+	lastDelivery    map[string]eventloop.Micros // time of the last delivery by component, to keep mailboxes in order
 	tickPending     map[string]bool             // by component
-	store           *storage.Store              // nil: it has started without
+	store           *storage.Store              // nil: it has started without storage
 	addresses       *membership.AddressBook
-	pendingRequests map[uint64]func(any)
-	resetUntil      eventloop.Micros // half of what it sends or gets until then is lost
+	pendingRequests map[uint64]func(any) // response callbacks by request id
+	resetUntil      eventloop.Micros     // until then each of its messages is lost with probability 1/2
 
-	isProbed bool // for readiness, by the platform
-	isReady  bool // at the last probe
-	canServe bool // as the history has it
+	isProbed bool // whether the platform's readiness probes have begun
+	isReady  bool // result of the last readiness probe
+	canServe bool // availability as last recorded in the history
 }
 
 // isServing reports whether the host's process is up, awake and not draining.
 func (h *Host) isServing() bool { return h.IsUp && !h.isFrozen && !h.isDraining }
 
-// now is the process's own monotonic clock: a young process has small times.
+// now returns the time of the process's own monotonic clock, which starts anew with each
+// process.
 func (h *Host) now() eventloop.Micros { return h.sim.Now - h.startedAt }
 
-// machineName is the machine's name; a machine that replaced another has its name with
-// an apostrophe added.
+// machineName returns the host's name without apostrophes. A host that replaces another has
+// the other's name with an apostrophe added, so this is the name of the first one.
 func (h *Host) machineName() string { return strings.TrimRight(h.Name, "'") }
 
-// Start starts the host's process.
+// Start starts a new process on the host with a fresh state, except for the host's disk.
 func (h *Host) Start() {
 	sim := h.sim
 	h.run++
@@ -107,8 +108,8 @@
 	}
 }
 
-// startIfDown starts the host's process where none runs: of several faults that have ended
-// it each starts it again.
+// startIfDown starts the host's process unless one runs. When several faults have ended the
+// process, each of them restarts it, and only the first restart may have an effect.
 func (h *Host) startIfDown() {
 	if !h.IsUp {
 		h.Start()
@@ -139,13 +140,14 @@
 	return slots
 }
 
-// Kill ends the process and cuts the power: what wasn't synced may be lost.
+// Kill ends the process and cuts the host's power: data that wasn't synced may be lost.
 func (h *Host) Kill() { h.stop(func() { h.Disk.PowerCut(h.sim.Rng) }) }
 
-// Abort ends the process alone: what it wrote stays, synced or not.
+// Abort ends the process but not the machine: written data stays, synced or not.
 func (h *Host) Abort() { h.stop(func() { h.Disk.OpsUntilPowerLoss = -1 }) }
 
-// stop ends the process; settleDisk says what becomes of its disk.
+// stop ends the process. If the host has a disk, settleDisk then determines what remains of
+// the written data.
 func (h *Host) stop(settleDisk func()) {
 	if !h.IsUp {
 		return
@@ -154,7 +156,7 @@
 	h.run++
 	if h.Disk != nil {
 		if h.writer.isWriting {
-			// The batch that is being written gets some way.
+			// A random part of the batch that is being written still reaches the disk.
 			h.Disk.OpsUntilPowerLoss = h.sim.Rng.IntN(4)
 			_ = h.store.Commit(h.writer.batch.Changes)
 		}
@@ -164,7 +166,7 @@
 	h.sim.updateAvailability()
 }
 
-// breakConnections ends all requests that wait for a response, without one.
+// breakConnections ends all pending requests without a response.
 func (h *Host) breakConnections() {
 	pending := h.pendingRequests
 	h.pendingRequests = map[uint64]func(any){}
@@ -173,8 +175,8 @@
 	}
 }
 
-// Drain has the process shut down gracefully, as a signal does; it is killed when it has
-// nothing to hand over any more, or when the time is over.
+// Drain makes the process shut down gracefully, as a real one does on a signal. The process
+// is killed once it has nothing left to hand over and no pending requests, or at the timeout.
 func (h *Host) Drain(timeout eventloop.Micros) {
 	if !h.isServing() {
 		return
@@ -188,7 +190,7 @@
 			h.step(order.component, eventloop.Message{Body: order.body})
 		}
 	}
-	// Open requests are finished, new ones not taken.
+	// Pending requests are finished; new ones are rejected.
 	h.isDraining = true
 	h.sim.updateAvailability()
 	h.endWhenDrained(run, h.sim.Now+timeout)
@@ -207,7 +209,7 @@
 	h.sim.After(drainCheckInterval, func() { h.endWhenDrained(run, until) })
 }
 
-// Wipe kills the process and loses the disk.
+// Wipe kills the process and replaces the disk by an empty one.
 func (h *Host) Wipe() {
 	h.Kill()
 	if h.Disk != nil {
@@ -215,7 +217,8 @@
 	}
 }
 
-// Freeze stops the process for a while; then it finds all that has come meanwhile.
+// Freeze suspends the process for a duration. When it resumes it handles the messages and
+// timers that have come up meanwhile.
 func (h *Host) Freeze(duration eventloop.Micros) {
 	if !h.IsUp || h.isFrozen {
 		return
@@ -231,15 +234,15 @@
 		backlog := h.backlog
 		h.backlog = nil
 		for k, call := range backlog {
-			h.sim.After(eventloop.Micros(k), func() { h.runAwake(run, call) })
+			h.sim.After(eventloop.Micros(k), func() { h.runWhenAwake(run, call) })
 		}
 		h.sim.updateAvailability()
 	})
 }
 
-// runAwake makes a call in the process, unless that has ended; in a frozen one when it
-// goes on.
-func (h *Host) runAwake(run int, call func()) {
+// runWhenAwake runs a call in the process that belongs to the given run number. The call is
+// dropped if that process has ended, and deferred while it is frozen.
+func (h *Host) runWhenAwake(run int, call func()) {
 	switch {
 	case h.run != run:
 	case h.isFrozen:
--- a/internal/sim/link.go
+++ b/internal/sim/link.go
@@ -6,21 +6,22 @@
 	"sparnotch/internal/eventloop"
 )
 
-// Uplink is a host's connection to the network: what it sends and what is sent to it passes
-// in order, at a rate. A message that would wait for too long is dropped, as the transport
-// does.
+// Uplink is a host's connection to the network. In each direction messages pass in order at
+// a limited rate. A message that would wait longer than maxLinkDelay is dropped, as the
+// transport does.
 type Uplink struct {
-	BytesPerSecond                  int64            // each way; 0: no limit
-	sendBusyUntil, receiveBusyUntil eventloop.Micros // when what is on its way has passed
+	BytesPerSecond                  int64            // rate in each direction; 0: no limit
+	sendBusyUntil, receiveBusyUntil eventloop.Micros // when the messages accepted so far will have passed
 }
 
 const (
 	maxLinkDelay         = 2 * eventloop.Second
-	messageOverheadBytes = 60 // of a message besides its body
+	messageOverheadBytes = 60 // bytes of a message in addition to its body
 )
 
-// transmit is when a message has passed that comes to the link now, in the direction that
-// is busy until then; false if it would wait for too long.
+// transmit queues a message that reaches the uplink now, in the direction whose queue ends
+// at busyUntil, and returns when the message has passed. It returns false if the message
+// would wait too long and is dropped.
 func (l *Uplink) transmit(now eventloop.Micros, busyUntil *eventloop.Micros, bytes int64) (eventloop.Micros, bool) {
 	if l.BytesPerSecond == 0 {
 		return now, true
@@ -33,8 +34,8 @@
 	return *busyUntil, true
 }
 
-// transferTime is how long a message takes to pass the links of both hosts, in µs; false
-// if it is dropped.
+// transferTime returns the time in µs that a message takes to pass the uplinks of both
+// hosts, or false if it is dropped.
 func (s *Simulation) transferTime(from, to *Host, body any) (eventloop.Micros, bool) {
 	if from.Uplink.BytesPerSecond == 0 && (to == nil || to.Uplink.BytesPerSecond == 0) {
 		return 0, true
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -2,41 +2,41 @@
 
 import "sparnotch/internal/eventloop"
 
-// resetDuration is how long messages of a host are lost whose connections are reset: what
-// was on the wire, and what is sent until new ones are open.
+// resetDuration is the time for which messages of a host are lost after a reset of its
+// connections: those on the wire, and those sent before new connections are open.
 const resetDuration = 30 * eventloop.Millisecond
 
-// NetworkProfile is how the network treats messages. Delays are in µs, one way; rates are
-// shares of the messages.
+// NetworkProfile describes the delay and the reliability of the network. Delays are one way
+// and in µs; rates are shares of the messages.
 type NetworkProfile struct {
 	IntraZoneDelay, InterZoneDelay eventloop.Micros
-	Jitter                         eventloop.Micros // at most this is added
+	Jitter                         eventloop.Micros // largest random delay that is added
 	LossRate                       float64
 	DuplicateRate                  float64
 }
 
-// ReliableNetwork is the network of a data center.
+// ReliableNetwork is the profile of a data center's network, which loses no messages.
 var ReliableNetwork = NetworkProfile{IntraZoneDelay: 200, InterZoneDelay: eventloop.Millisecond, Jitter: 300}
 
-// LossyNetwork loses, duplicates and reorders messages.
+// LossyNetwork is the profile of a network that loses, duplicates and reorders messages.
 var LossyNetwork = NetworkProfile{
 	IntraZoneDelay: 200, InterZoneDelay: eventloop.Millisecond, Jitter: 20 * eventloop.Millisecond, LossRate: 0.03, DuplicateRate: 0.02,
 }
 
-// network is the state of the links between hosts.
+// network holds the state of the links between hosts.
 type network struct {
 	Network NetworkProfile
-	// BuffersWhilePartitioned: what is sent over a blocked link arrives when it heals, as
-	// from a full send buffer.
+	// BuffersWhilePartitioned keeps messages that are sent over a blocked link, as a full send
+	// buffer does: they are sent again when the link heals. Otherwise they are lost.
 	BuffersWhilePartitioned bool
-	ZoneDelay               func(from, to string) eventloop.Micros // in place of the profile's; nil: none
-	OnSend                  func(from, to *Host, body any)         // sees each message; nil: nobody
+	ZoneDelay               func(from, to string) eventloop.Micros // replaces the profile's delays between zones; nil: they apply
+	OnSend                  func(from, to *Host, body any)         // called with each message that is sent; may be nil
 
 	blockedLinks     map[link]bool
 	bufferedMessages map[link][]func()
 }
 
-// link is the way from one address to another.
+// link identifies the one-way link from one address to another.
 type link struct{ from, to string }
 
 func newNetwork(profile NetworkProfile) network {
@@ -48,7 +48,7 @@
 	return n.blockedLinks[link{a.Address, b.Address}] || n.blockedLinks[link{b.Address, a.Address}]
 }
 
-// hostAt finds the host that is up at an address.
+// hostAt returns the host that is up at an address, or nil.
 func (s *Simulation) hostAt(address string) *Host {
 	for _, h := range s.Hosts {
 		if h.Address == address && h.IsUp {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// drawDelay draws how long a message takes from zone to zone.
+// drawDelay draws the one-way delay of a message between two zones.
 func (s *Simulation) drawDelay(from, to string) eventloop.Micros {
 	base := s.Network.InterZoneDelay
 	if from == to {
@@ -75,14 +75,14 @@
 	return s.Now < h.resetUntil && s.Rng.IntN(2) == 0
 }
 
-// send sends a message to the process at an address; where an id is given, to no other
-// process that may be there when it arrives.
+// send sends a message to the process at an address. If an id is given, only the process
+// with this id receives the message; another one that runs there on arrival doesn't.
 func (s *Simulation) send(from *Host, id, address string, body any) {
-	way := link{from.Address, address}
-	if s.blockedLinks[way] && s.BuffersWhilePartitioned {
-		s.bufferedMessages[way] = append(s.bufferedMessages[way], func() { s.send(from, id, address, body) })
+	path := link{from.Address, address}
+	if s.blockedLinks[path] && s.BuffersWhilePartitioned {
+		s.bufferedMessages[path] = append(s.bufferedMessages[path], func() { s.send(from, id, address, body) })
 	}
-	if address == "" || s.blockedLinks[way] || s.Rng.Float64() < s.Network.LossRate {
+	if address == "" || s.blockedLinks[path] || s.Rng.Float64() < s.Network.LossRate {
 		return
 	}
 	if other := s.hostAt(address); s.drawReset(from) || other != nil && s.drawReset(other) {
@@ -97,7 +97,8 @@
 	}
 }
 
-// transmit takes one copy of a message over the links of both hosts.
+// transmit sends one copy of a message through the uplinks of both hosts and schedules its
+// arrival.
 func (s *Simulation) transmit(from *Host, id, address string, body any) {
 	sender, zone := from.ID, ""
 	to := s.hostAt(address)
@@ -118,13 +119,13 @@
 	})
 }
 
-// BlockLink blocks the link from one host to another, or heals it.
+// BlockLink blocks the one-way link from one host to another, or heals it.
 func (s *Simulation) BlockLink(from, to *Host, blocked bool) {
-	way := link{from.Address, to.Address}
-	s.blockedLinks[way] = blocked
+	path := link{from.Address, to.Address}
+	s.blockedLinks[path] = blocked
 	if !blocked {
-		buffered := s.bufferedMessages[way]
-		delete(s.bufferedMessages, way)
+		buffered := s.bufferedMessages[path]
+		delete(s.bufferedMessages, path)
 		for _, arrive := range buffered {
 			arrive()
 		}
@@ -132,7 +133,7 @@
 	s.updateAvailability()
 }
 
-// Partition blocks every link between the hosts of one side and the others, or heals them.
+// Partition blocks every link between the hosts of one side and all others, or heals them.
 func (s *Simulation) Partition(blocked bool, isOnSide func(*Host) bool) {
 	for _, a := range s.Hosts {
 		for _, b := range s.Hosts {
@@ -143,7 +144,7 @@
 	}
 }
 
-// Isolate partitions one host from all others, or heals that.
+// Isolate partitions one host from all others, or heals the partition.
 func (s *Simulation) Isolate(h *Host, blocked bool) {
 	s.Partition(blocked, func(other *Host) bool { return other == h })
 }
--- a/internal/sim/simulation.go
+++ b/internal/sim/simulation.go
@@ -1,14 +1,15 @@
-// Package sim runs whole fleets in virtual time: the components that real processes run,
-// over a simulated network, simulated disks and clocks, all drawn from one seed. The same
-// seed gives the same history, byte for byte.
+// Package sim simulates whole deployments in virtual time. It runs the components of real
+// processes over a simulated network, simulated disks and simulated clocks. All randomness
+// derives from one seed: the same seed gives the same history, byte for byte.
 //
-// A Simulation owns the clock, the network and the hosts. A Host is a machine with one
-// process; its Disk and its Link are its own. A Fleet is a simulation of a deployment with
-// clients, workers and operators. A Scenario injects faults into a fleet, and RunScenario
-// has its history judged by package checker. A Schedule is a scenario in writing.
+// A Simulation owns the clock, the network and the hosts. A Host is a machine that runs one
+// process and has its own Disk and Uplink. A Fleet is a simulated deployment with clients,
+// workers and operators. A Scenario injects faults into a fleet; RunScenario runs it and
+// checks the history with package checker. A Schedule is a list of timed faults that can be
+// written as text and turned into a Scenario.
 //
-// Everything random is drawn from Simulation.Rng, in the order in which calls happen: who
-// adds a draw, or iterates over a map where that has an effect, changes every seed's run.
+// Random values are drawn from Simulation.Rng in the order in which calls happen. Adding a
+// draw, or iterating over a map where the order has an effect, changes the run of every seed.
 package sim
 
 import (
@@ -24,7 +25,7 @@
 	"sparnotch/internal/schema"
 )
 
-// seedCount is how many storage nodes a process is told to contact at its start.
+// seedCount is the number of seeds: the storage nodes that a process contacts at its start.
 const seedCount = 3
 
 // Simulation is one simulated run.
@@ -32,36 +33,37 @@
 	clock
 	network
 	Rng       *rand.Rand
-	SyncDelay eventloop.Micros // of the disks of hosts that are added, in µs
+	SyncDelay eventloop.Micros // sync time of the disks of hosts that are added later
 	Hosts     []*Host
 	History   []checker.Event
 
-	DamageReports []string // the errors of opening damaged disks
-	// CPUClock, where steps are to be timed, reads the processor's time in ns, and OnStepTime
-	// is called with the time of each step.
+	DamageReports []string // errors returned when damaged disks were opened
+	// CPUClock returns the processor time used, in ns. If it is set, OnStepTime is called with
+	// the processor time of each step; if it is nil, steps aren't timed.
 	CPUClock   func() int64
 	OnStepTime func(h *Host, component string, nanos int64)
 
 	lastID       uint64
 	lastRequest  uint64
 	seeds        []string        // addresses of the first storage nodes
-	bounds       *schema.Bounds  // the deployment's, where workers are called
-	usesVersions bool            // operators number the versions of configurations
-	shownVersion uint64          // newest version whose rows are in the history
-	observers    []eventObserver // in the order in which they were added
+	bounds       *schema.Bounds  // bounds of a deployment with called workers; nil: workers poll
+	usesVersions bool            // whether operators number the versions of configurations
+	shownVersion uint64          // version whose rows were last recorded in the history
+	observers    []eventObserver // called in the order in which they were added
 
 	submittedJobs           map[string]submittedJob // by name
-	tenants                 *tenantClients          // nil: the deployment isn't shared
-	acknowledgementLossRate float64                 // on their way to clients
+	tenants                 *tenantClients          // nil: the deployment isn't shared by tenants
+	acknowledgementLossRate float64                 // share of acknowledgements lost on the way to clients
 
-	calledWorkers map[string]*CalledWorker // by the name of their machine
+	calledWorkers map[string]*CalledWorker // by machine name
 	gangs         *fakeworker.Gangs
 }
 
-// eventObserver sees each event that is recorded until it returns true.
+// eventObserver is called with each recorded event until it returns true.
 type eventObserver func(checker.Event) (done bool)
 
-// NewSimulation makes a simulation without hosts; sync is how long a disk takes, in µs.
+// NewSimulation returns a simulation without hosts. The argument sync is the time that a
+// disk takes for a sync.
 func NewSimulation(seed uint64, profile NetworkProfile, sync eventloop.Micros) *Simulation {
 	return &Simulation{
 		clock: clock{Now: eventloop.Second}, network: newNetwork(profile),
@@ -70,7 +72,8 @@
 	}
 }
 
-// AddHost adds a machine that is down; the first three with a disk are the seeds.
+// AddHost adds a machine whose process isn't started yet. The first three machines with a
+// disk become the seeds.
 func (s *Simulation) AddHost(name, zone string, role schema.Role, hasDisk bool) *Host {
 	h := &Host{
 		sim: s, Name: name, Address: fmt.Sprintf("10.0.0.%d:1", len(s.Hosts)+1), Zone: zone, Role: role, SyncDelay: s.SyncDelay,
@@ -85,13 +88,14 @@
 	return h
 }
 
-// newID draws the id of a process.
+// newID returns a unique process id; part of it is drawn at random.
 func (s *Simulation) newID() string {
 	s.lastID++
 	return fmt.Sprintf("p%03d-%04x", s.lastID, s.Rng.IntN(1<<16))
 }
 
-// Record adds an event to the history, now if it has no time.
+// Record appends an event to the history and passes it to the observers. An event without
+// a time gets the current time.
 func (s *Simulation) Record(e checker.Event) {
 	if e.At == 0 {
 		e.At = s.Now
@@ -100,12 +104,12 @@
 	s.observers = slices.DeleteFunc(s.observers, func(observe eventObserver) bool { return observe(e) })
 }
 
-// RecordFault records a major fault of the system.
+// RecordFault records that a major fault was injected; the arguments describe it.
 func (s *Simulation) RecordFault(format string, args ...any) {
 	s.Record(checker.Event{Kind: checker.Fault, State: fmt.Sprintf(format, args...)})
 }
 
-// EncodeHistory gives the history as JSON, one event a line.
+// EncodeHistory returns the history as JSON, one event per line.
 func (s *Simulation) EncodeHistory() []byte {
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
