--- a/internal/sim/excess_losses.go
+++ b/internal/sim/excess_losses.go
@@ -10,30 +10,33 @@
 	"sparnotch/internal/eventloop"
 )
 
-// Losses of storage nodes may also overlap beyond what is tolerated, as long as no more
-// disks are lost: service may rest until a recovery after all are back, and nothing that was
-// acknowledged may be lost or shown in an older state. Schedules with such losses are played
-// apart from the others, since their runs are judged by the outages that they cause.
+// This file contains schedules in which more storage nodes are lost at once than a deployment
+// tolerates, though no more than one disk. Service may then be interrupted until all nodes have
+// returned and recovered, but no acknowledged change may be lost or appear in an older state.
+// These schedules are separate from the others, because the check of their histories takes
+// the recorded outages into account.
 
 const (
 	outageCheckInterval = 20 * eventloop.Millisecond
 	excessRounds        = 2
-	excessLosses        = 3                     // of storage nodes, in a round
-	excessOthers        = 1                     // faults of other kinds, in a round
-	excessRoundInterval = 25 * eventloop.Second // a round's outage and its recovery
-	excessRoundSpread   = 3 * eventloop.Second  // in which the faults of a round begin
+	excessLosses        = 3                     // losses of storage nodes in a round
+	excessOthers        = 1                     // faults of other kinds in a round
+	excessRoundInterval = 25 * eventloop.Second // covers the outage of a round and the recovery from it
+	excessRoundSpread   = 3 * eventloop.Second  // period in which the faults of a round begin
 )
 
-// diskLosses are the faults by which a storage node's disk is lost; no schedule has two.
+// diskLosses lists the kinds of faults that lose a storage node's disk. An excessive schedule
+// has at most one of them.
 var diskLosses = []string{"wipe", "ackwipe", "replace", "succeed", "closewipe"}
 
-// excludedFromExcess are faults that aren't drawn for excessive schedules: a start by the
-// wall clock may come early while two of three clocks are wrong, or one is and another
-// storage node is away (docs/limits.md).
+// excludedFromExcess lists kinds of faults that aren't drawn for excessive schedules. A job
+// with a wall time as its start may start early while two of three clocks are wrong, or while
+// one clock is wrong and another storage node is unavailable (docs/limits.md).
 var excludedFromExcess = []string{"clock", "clocks"}
 
-// CheckExcess returns what makes a schedule impossible for a fleet even if losses may exceed
-// what is tolerated: unknown kinds or targets, or two lost disks.
+// CheckExcess returns an error if a schedule is impossible for a fleet even though losses may
+// exceed the tolerated ones: if it has unknown kinds or targets, loses two disks, or has two
+// faults on the same target at the same time.
 func (s Schedule) CheckExcess(spec FleetSpec) error {
 	disk := -1
 	for k, fault := range s {
@@ -42,20 +45,21 @@
 		}
 		if slices.Contains(diskLosses, fault.Kind) {
 			if disk >= 0 {
-				return fmt.Errorf("faults[%d]: %v is the second lost disk after %v (faults[%d])", k, fault, s[disk], disk)
+				return fmt.Errorf("faults[%d]: %v loses a second disk after %v (faults[%d])", k, fault, s[disk], disk)
 			}
 			disk = k
 		}
 		for n, other := range s[:k] {
 			if fault.Target == other.Target && fault.Target != "all" && fault.overlaps(other) {
-				return fmt.Errorf("faults[%d]: %v strikes what %v (faults[%d]) has struck already", k, fault, other, n)
+				return fmt.Errorf("faults[%d]: %v strikes a target that %v (faults[%d]) has already struck", k, fault, other, n)
 			}
 		}
 	}
 	return nil
 }
 
-// ParseExcessiveSchedule is ParseSchedule with CheckExcess in place of Check.
+// ParseExcessiveSchedule parses a schedule as ParseSchedule does, but checks it with
+// CheckExcess.
 func ParseExcessiveSchedule(text string, spec FleetSpec) (Schedule, error) {
 	list, err := parseFaults(text)
 	if err != nil {
@@ -64,7 +68,8 @@
 	return list, list.CheckExcess(spec)
 }
 
-// ExcessScenario makes a scenario of a schedule whose losses may exceed what is tolerated.
+// ExcessScenario returns a scenario that injects the faults of a schedule whose losses may
+// exceed the tolerated ones, and that records the outages.
 func (s Schedule) ExcessScenario() Scenario {
 	scenario := s.Scenario()
 	inject := scenario.Inject
@@ -76,10 +81,10 @@
 	return scenario
 }
 
-// ExcessiveSchedule draws losses of storage nodes that overlap, with a fault of another kind
-// among them, twice, and a last one that ends everything.
+// ExcessiveSchedule draws a schedule of two rounds, each with overlapping losses of storage
+// nodes and a fault of another kind, followed by a fault that ends every process.
 func ExcessiveSchedule(seed uint64, spec FleetSpec) Schedule {
-	d := &overlapDraw{spec: spec, rng: rand.New(rand.NewPCG(seed, 0xe8ce)), check: Schedule.CheckExcess, spread: excessRoundSpread, repeatsKinds: true}
+	d := &overlapGenerator{spec: spec, rng: rand.New(rand.NewPCG(seed, 0xe8ce)), check: Schedule.CheckExcess, spread: excessRoundSpread, repeatsKinds: true}
 	var losses, others []string
 	for _, kind := range possibleKinds(FaultNames(), spec) {
 		switch action := faultActions[kind]; {
@@ -104,8 +109,8 @@
 	return d.list
 }
 
-// trackOutages records when more storage nodes are away than may be lost, and when all are
-// back.
+// trackOutages periodically checks the storage nodes. It records when more of them are
+// unavailable than a deployment tolerates, and when all of them are available again.
 func (f *Fleet) trackOutages(isOut bool) {
 	switch away := f.unavailableStorageNodes(); {
 	case !isOut && away > storageNodes-quorum:
@@ -118,8 +123,8 @@
 	f.After(outageCheckInterval, func() { f.trackOutages(isOut) })
 }
 
-// unavailableStorageNodes counts the storage nodes that aren't among the largest set of
-// those that serve, write, and reach each other both ways.
+// unavailableStorageNodes returns the number of storage nodes outside the largest set of nodes
+// that serve, write, and can reach each other in both directions.
 func (f *Fleet) unavailableStorageNodes() int {
 	var nodes []*Host
 	present := f.presentStorageNodes()
@@ -143,7 +148,8 @@
 	return len(present) - largest
 }
 
-// presentStorageNodes are the storage nodes, of a machine and its successors the last one.
+// presentStorageNodes returns the storage nodes without those that were replaced by a
+// successor.
 func (f *Fleet) presentStorageNodes() []*Host {
 	byMachine := map[string]*Host{}
 	for _, h := range f.StorageNodes() {
--- a/internal/sim/fault_actions.go
+++ b/internal/sim/fault_actions.go
@@ -9,19 +9,19 @@
 	"sparnotch/internal/eventloop"
 )
 
-// target is what a kind of fault may strike.
+// target is a class of targets that a kind of fault may strike.
 type target int
 
 const (
-	targetLeader       target = iota // whichever storage node leads most queues then
+	targetLeader       target = iota // the storage node that leads most queues when the fault strikes
 	targetStorage                    // a storage node
 	targetGateway                    // a gateway without a disk
-	targetAgent                      // an agent node, or the one whose controller holds the lease
+	targetAgent                      // an agent node, by name or as the one whose controller holds the lease
 	targetZone                       // all machines of a zone
 	targetWorker                     // a worker of either kind
 	targetCalledWorker               // a called worker
-	targetVersions                   // the configuration, where operators number its versions
-	targetAll                        // no machine in particular
+	targetVersions                   // the configuration, in fleets whose operators number its versions
+	targetAll                        // the whole fleet
 )
 
 var (
@@ -33,17 +33,17 @@
 	wholeFleet     = []target{targetAll}
 )
 
-// injection injects a fault into the target of a name, for a duration in µs.
+// injection injects a fault into the target with the given name for a duration in µs.
 type injection func(f *Fleet, name string, duration eventloop.Micros)
 
-// faultAction is a kind of fault.
+// faultAction describes a kind of fault: the targets that it may strike and how to inject it.
 type faultAction struct {
 	targets []target
-	isLoss  bool // a storage node that it strikes counts as lost meanwhile
+	isLoss  bool // whether a storage node counts as lost while the fault lasts
 	inject  injection
 }
 
-// faultActions are all kinds of faults, by the names that schedules give them.
+// faultActions holds all kinds of faults by the names that schedules use.
 var faultActions = mergeActions(basicFaultActions, platformFaultActions)
 
 func mergeActions(a, b map[string]faultAction) map[string]faultAction {
@@ -52,66 +52,67 @@
 	return all
 }
 
-// FaultNames lists the kinds of faults, in order.
+// FaultNames returns the names of all kinds of faults in alphabetical order.
 func FaultNames() []string { return slices.Sorted(maps.Keys(faultActions)) }
 
-// basicFaultActions are the kinds of faults that RandomSchedule draws from.
+// basicFaultActions holds the kinds of faults from which RandomSchedule draws.
 var basicFaultActions = map[string]faultAction{
-	// A machine loses power for a while.
+	// A machine loses power and starts again after the duration.
 	"kill": {anyMachine, true, onHost((*Fleet).kill)},
-	// A machine's process stops for a while, and goes on.
+	// A machine's process is suspended for the duration.
 	"freeze": {anyMachine, true, onHost((*Fleet).freeze)},
-	// A machine is partitioned from all others for a while.
+	// A machine is partitioned from all others for the duration.
 	"isolate": {anyMachine, true, onHost((*Fleet).isolate)},
-	// What a machine sends is lost for a while.
+	// All messages that a machine sends are lost for the duration.
 	"mute": {anyMachine, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) { f.isolateOneWay(h, duration, true) })},
-	// What a machine is sent is lost for a while.
+	// All messages that are sent to a machine are lost for the duration.
 	"deaf": {anyMachine, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) { f.isolateOneWay(h, duration, false) })},
-	// A storage node is lost with its disk; an empty one comes up at a new address.
+	// A storage node is lost with its disk; a successor with an empty disk starts at a new address.
 	"replace": {anyStorageNode, true, onHost(func(f *Fleet, h *Host, _ eventloop.Micros) { f.replace(h) })},
-	// A server is shut down gracefully, and started again later.
+	// A server is shut down gracefully and started again later.
 	"warn": {anyServer, true, onHost(drainAndRestart)},
-	// A storage node's disk completes nothing for a while.
+	// A storage node's disk completes no write for the duration.
 	"stall": {anyStorageNode, true, onHost(stallDisk)},
 	// A storage node's disk takes 200 ms for each sync.
 	"slow": {anyStorageNode, false, onHost(slowDisk)},
-	// A storage node's wall clock is wrong by up to six hours.
+	// A storage node's wall clock is wrong by up to six hours for the duration.
 	"clock": {[]target{targetStorage}, false, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) {
 		f.setClock(h)
 		f.After(duration, func() { h.WallClockOffset = 0 })
 	})},
-	// A zone is partitioned from the others for a while.
+	// A zone is partitioned from the others for the duration.
 	"split": {[]target{targetZone}, true, (*Fleet).partitionZone},
-	// All machines lose power at once.
+	// All machines lose power at once and start again after the duration.
 	"power": {wholeFleet, true, onFleet(func(f *Fleet, duration eventloop.Micros) { f.powerCycleAll(min(duration, maxDowntime)) })},
 
-	// A worker crashes, and starts again.
+	// A worker crashes and starts again after the duration.
 	"crash": {anyWorker, false, onWorker(func(f *Fleet, w Worker, duration eventloop.Micros) {
 		w.Crash()
 		f.After(duration, w.Start)
 	})},
-	// A worker is partitioned for a while, and runs on.
+	// A worker is partitioned for the duration but keeps running.
 	"cut": {anyWorker, false, onWorker(func(f *Fleet, w Worker, duration eventloop.Micros) {
 		w.SetPartitioned(true)
 		f.After(duration, func() { w.SetPartitioned(false) })
 	})},
-	// A worker and its tasks are frozen for a while.
+	// A worker is suspended for the duration. The tasks of a polling worker are suspended with
+	// it; on the machine of a called worker only the agent's process is.
 	"sleep": {anyWorker, false, onWorker(func(_ *Fleet, w Worker, duration eventloop.Micros) { w.Freeze(duration) })},
-	// A worker drains, and is started anew later.
+	// A worker drains and is restarted after the duration.
 	"leave": {anyWorker, false, onWorker(func(f *Fleet, w Worker, duration eventloop.Micros) {
 		w.Drain()
 		f.After(duration, func() { w.Crash(); w.Start() })
 	})},
-	// A worker restarts with a quarter of its capacity.
+	// A worker restarts with a quarter of its capacity, and with all of it after the duration.
 	"shrink": {anyWorker, false, onWorker(shrinkWorker)},
-	// Most tasks of a worker fail.
+	// Most tasks of a worker fail during the fault.
 	"fail": {anyWorker, false, onWorker(failTasks)},
 
-	// A called worker leaves 40 percent of its calls unanswered.
+	// A called worker leaves 40 percent of the calls to it unanswered.
 	"late": {calledWorker, false, unhealthyFor(0, 0.4)},
-	// A called worker rejects half of its calls.
+	// A called worker rejects half of the calls to it.
 	"refuse": {calledWorker, false, unhealthyFor(0.5, 0)},
-	// A share of the tasks of a called worker make no progress.
+	// 30 percent of the tasks of a called worker stall.
 	"still": {calledWorker, false, onCalledWorker(func(f *Fleet, w *CalledWorker, duration eventloop.Micros) {
 		w.recordUnhealthy()
 		w.behaviour.StallRate = 0.3
@@ -123,7 +124,7 @@
 		w.behaviour.Slowdown = 6
 		f.After(duration, func() { w.behaviour.Slowdown = 0 })
 	})},
-	// A called worker drains at short notice: it ends 700 ms later in any case.
+	// A called worker drains at short notice: it ends after 700 ms at the latest.
 	"hurry": {calledWorker, false, onCalledWorker(func(f *Fleet, w *CalledWorker, duration eventloop.Micros) {
 		w.drain(700*eventloop.Millisecond, false)
 		f.After(max(duration, eventloop.Second), w.Start)
@@ -138,38 +139,39 @@
 		f.PutConfiguration("one", f.ConfigurationRows(20+f.Rng.IntN(30)))
 		f.PutConfiguration("two", f.ConfigurationRows(60+f.Rng.IntN(30)))
 	})},
-	// Many more of the fleet's jobs than usual are submitted.
+	// The fleet's kinds of jobs are submitted at many times the usual rate.
 	"rush": {wholeFleet, false, onFleet(rushOfJobs)},
-	// Many jobs that fit no worker are submitted.
+	// Many jobs that are too large for every worker are submitted.
 	"flood": {wholeFleet, false, onFleet(floodOfHugeJobs)},
 }
 
-// maxDowntime bounds how long all machines are down at once.
+// maxDowntime limits the time for which all machines are down at once.
 const maxDowntime = 2 * eventloop.Second
 
-// onHost makes an injection of a fault of a machine.
+// onHost returns an injection that calls inject with a machine as the target.
 func onHost(inject func(f *Fleet, h *Host, duration eventloop.Micros)) injection {
 	return func(f *Fleet, name string, duration eventloop.Micros) { inject(f, f.host(name), duration) }
 }
 
-// onWorker makes an injection of a fault of a worker.
+// onWorker returns an injection that calls inject with a worker as the target.
 func onWorker(inject func(f *Fleet, w Worker, duration eventloop.Micros)) injection {
 	return func(f *Fleet, name string, duration eventloop.Micros) { inject(f, f.worker(name), duration) }
 }
 
-// onCalledWorker makes an injection of a fault that only called workers have.
+// onCalledWorker returns an injection that calls inject with a called worker as the target.
 func onCalledWorker(inject func(f *Fleet, w *CalledWorker, duration eventloop.Micros)) injection {
 	return func(f *Fleet, name string, duration eventloop.Micros) {
 		inject(f, f.worker(name).(*CalledWorker), duration)
 	}
 }
 
-// onFleet makes an injection of a fault of no machine in particular.
+// onFleet returns an injection that calls inject with the whole fleet as the target.
 func onFleet(inject func(f *Fleet, duration eventloop.Micros)) injection {
 	return func(f *Fleet, _ string, duration eventloop.Micros) { inject(f, duration) }
 }
 
-// unhealthyFor has a worker reject shares of the calls, and leave shares unanswered.
+// unhealthyFor returns an injection that makes a called worker reject one share of the calls
+// and leave another share unanswered while the fault lasts.
 func unhealthyFor(rejectShare, unresponsiveShare float64) injection {
 	return onCalledWorker(func(f *Fleet, w *CalledWorker, duration eventloop.Micros) {
 		w.SetUnhealthy(rejectShare, unresponsiveShare)
@@ -195,7 +197,8 @@
 	f.After(duration, func() { h.SyncDelay = usual })
 }
 
-// shrinkWorker restarts a worker with a quarter of its capacity.
+// shrinkWorker restarts a worker with a quarter of its capacity, and after the duration with
+// its full capacity.
 func shrinkWorker(f *Fleet, w Worker, duration eventloop.Micros) {
 	w.Crash()
 	w.SetCapacity(f.Spec.Cores/4, f.Spec.Memory/4)
@@ -207,7 +210,7 @@
 	})
 }
 
-// failTasks has most tasks of a worker fail.
+// failTasks makes 60 percent of a worker's tasks fail for a duration.
 func failTasks(f *Fleet, w Worker, duration eventloop.Micros) {
 	if called, isCalled := w.(*CalledWorker); isCalled {
 		called.recordUnhealthy()
@@ -216,37 +219,38 @@
 	f.After(duration, func() { w.Behaviour().FailureRate = 0 })
 }
 
-// rushOfJobs submits many more of the fleet's jobs than usual.
+// rushOfJobs submits the fleet's kinds of jobs at many times the usual rate for a while.
 func rushOfJobs(f *Fleet, duration eventloop.Micros) {
 	for n, kind := range f.Spec.JobKinds {
 		kind.Name, kind.Interval = fmt.Sprintf("rush%d-%d", f.Now/eventloop.Second, n), kind.Interval/20
 		if f.Spec.HasCalledWorkers() {
-			// Their jobs are larger.
+			// The jobs of such fleets are larger.
 			kind.Interval *= 8
 		}
 		if kind.CancelDelay == 0 {
-			// Only jobs that run until they are cancelled are still cancelled; they would
-			// otherwise never end.
+			// Only jobs with a CancelDelay are cancelled. They run until they are cancelled and
+			// would otherwise never end.
 			kind.CancelShare = 0
 		}
 		f.GenerateLoad(kind, f.Now+min(duration, 5*eventloop.Second))
 	}
 }
 
-// floodOfHugeJobs submits many jobs that fit no worker.
+// floodOfHugeJobs submits many jobs that are too large for every worker.
 func floodOfHugeJobs(f *Fleet, duration eventloop.Micros) {
 	kind := JobKind{
 		Name: fmt.Sprintf("huge%d", f.Now/eventloop.Second), Queue: "timed", Interval: 10 * eventloop.Millisecond,
 		Job: newJob("run_us=1000", newStep("huge", 1, 65_000+f.Spec.Cores)),
 	}
 	if f.Spec.HasCalledWorkers() {
-		// A larger worker may yet join the pool, so these wait until they are cancelled.
+		// Since a larger worker could join the pool later, these jobs wait until they are cancelled.
 		kind.CancelShare, kind.CancelDelay = 1, 8*eventloop.Second
 	}
 	f.GenerateLoad(kind, f.Now+min(duration, 5*eventloop.Second))
 }
 
-// host finds a machine by the name that schedules give it.
+// host returns the machine with the name that schedules use for it, or the first machine if
+// there is none with this name.
 func (f *Fleet) host(name string) *Host {
 	switch name {
 	case "leader":
@@ -257,7 +261,7 @@
 	case "controller":
 		return f.controllerHost()
 	}
-	// Of a machine and those that replaced it, the last one.
+	// Several hosts have this name if a machine was replaced; the last one is the current one.
 	for _, h := range slices.Backward(f.Hosts) {
 		if h.machineName() == name {
 			return h
@@ -266,7 +270,8 @@
 	return f.Hosts[0]
 }
 
-// worker finds a worker by its machine's name.
+// worker returns the worker on the machine with the given name, or the first worker if there
+// is none.
 func (f *Fleet) worker(name string) Worker {
 	for _, w := range f.Workers {
 		if w.Machine() == name {
@@ -276,7 +281,7 @@
 	return f.Workers[0]
 }
 
-// targetNames lists what a kind of fault may strike on a fleet.
+// targetNames returns the names of the targets that a kind of fault may strike in a fleet.
 func (a faultAction) targetNames(spec FleetSpec) []string {
 	var list []string
 	for _, t := range a.targets {
@@ -290,19 +295,19 @@
 	case targetLeader:
 		return []string{"leader"}
 	case targetStorage:
-		return numbered("server", 1, storageNodes)
+		return numberedNames("server", 1, storageNodes)
 	case targetGateway:
-		return numbered("server", storageNodes+1, spec.Gateways)
+		return numberedNames("server", storageNodes+1, spec.Gateways)
 	case targetAgent:
-		return append([]string{"controller"}, numbered("controller", 1, spec.AgentNodes)...)
+		return append([]string{"controller"}, numberedNames("controller", 1, spec.AgentNodes)...)
 	case targetZone:
-		return numbered("c", 1, zoneCount)
+		return numberedNames("c", 1, zoneCount)
 	case targetWorker, targetCalledWorker:
 		if spec.HasCalledWorkers() {
-			return numbered("controller", 1, spec.Workers)
+			return numberedNames("controller", 1, spec.Workers)
 		}
 		if t == targetWorker {
-			return numbered("w", 0, spec.Workers-1)
+			return numberedNames("w", 0, spec.Workers-1)
 		}
 	case targetVersions:
 		if spec.HasCalledWorkers() {
@@ -314,8 +319,8 @@
 	return nil
 }
 
-// numbered lists names with numbers.
-func numbered(prefix string, from, to int) []string {
+// numberedNames returns the prefix followed by each number in the range, both ends included.
+func numberedNames(prefix string, from, to int) []string {
 	var names []string
 	for k := from; k <= to; k++ {
 		names = append(names, fmt.Sprint(prefix, k))
@@ -323,7 +328,7 @@
 	return names
 }
 
-// isStorageTarget reports whether a target's name is, or may be, that of a storage node.
+// isStorageTarget reports whether a target is a storage node or may include one.
 func isStorageTarget(name string) bool {
 	isAgent := strings.HasPrefix(name, "controller")
 	isGateway := strings.HasPrefix(name, "server") && !slices.Contains(targetStorage.names(FleetSpec{}), name)
--- a/internal/sim/fault_schedule.go
+++ b/internal/sim/fault_schedule.go
@@ -15,29 +15,30 @@
 
 const (
 	maxFaultDuration = 60 * eventloop.Second
-	loadAfterFaults  = 15 * eventloop.Second // how long a schedule's load goes on after its last fault
-	randomCandidates = 100                   // faults that are drawn, at most, until one is possible
+	loadAfterFaults  = 15 * eventloop.Second // how long the load continues after the last fault of a schedule
+	randomCandidates = 100                   // largest number of draws until a fault is possible
 )
 
 // ScheduledFault is one fault of a schedule.
 type ScheduledFault struct {
-	Kind     string // of FaultNames
+	Kind     string // one of FaultNames
 	Target   string // leader, controller, all, or the name of a machine, worker or zone
 	Duration eventloop.Micros
-	At       eventloop.Micros // after the load's start
+	At       eventloop.Micros // time since the start of the load
 }
 
-// String is the form that ParseSchedule takes.
+// String returns the fault in the format that ParseSchedule reads.
 func (s ScheduledFault) String() string {
 	return fmt.Sprintf("%s/%s:%v@%v", s.Kind, s.Target, s.Duration.Duration(), s.At.Duration())
 }
 
-// isStorageLoss reports whether the fault may take a storage node away.
+// isStorageLoss reports whether a storage node may be lost while the fault lasts.
 func (s ScheduledFault) isStorageLoss() bool {
 	return faultActions[s.Kind].isLoss && isStorageTarget(s.Target)
 }
 
-// recoveredAt is when what the fault took away has been back for long enough.
+// recoveredAt returns the time, since the start of the load, from which another storage node
+// may be lost according to the given spacing.
 func (s ScheduledFault) recoveredAt(spacing lossSpacing) eventloop.Micros {
 	switch s.Kind {
 	case "replace":
@@ -48,33 +49,35 @@
 	return s.At + s.Duration + spacing.afterReturn
 }
 
-// overlaps reports whether the fault strikes when another still lasts, or the other way
-// round, with less than a second between them.
+// overlaps reports whether two faults last at the same time, or less than a second lies
+// between them.
 func (s ScheduledFault) overlaps(other ScheduledFault) bool {
 	return s.At < other.At+other.Duration+eventloop.Second && other.At < s.At+s.Duration+eventloop.Second
 }
 
-// lossSpacing is how long after one loss of a storage node the next may come.
+// lossSpacing holds the shortest times between the loss of one storage node and the loss of
+// the next.
 type lossSpacing struct {
-	afterReturn       eventloop.Micros // of a node that was down
-	afterReplacement  eventloop.Micros // of a node that is lost for good, from its loss on
-	afterPlannedLeave eventloop.Micros // of a node that is told to leave for a successor, from then on
+	afterReturn       eventloop.Micros // from the end of a fault after which the node returns
+	afterReplacement  eventloop.Micros // from the loss of a node that is lost for good
+	afterPlannedLeave eventloop.Micros // from the start of a planned replacement by a successor
 }
 
-// catchUpPeriod is what the users' platform grants a storage node that is back, or a
-// successor that has started, before the next may be lost.
+// catchUpPeriod is the time that the users' platform grants a storage node that has returned,
+// or a successor that has started, to catch up before the next node may be lost.
 const catchUpPeriod = 4 * eventloop.Second
 
 var (
-	// minSpacing is the closest that must be survived. Each includes a second for an
-	// acknowledgement to come and a draining process to end; a successor starts 3 s after a
-	// loss, and a node that leaves for one is gone after 7 s.
+	// minSpacing is the shortest spacing that a deployment must survive. The value after a
+	// return includes a second for an acknowledgement to arrive and for a draining process to
+	// end. A successor starts 3 s after a loss, and a node that is replaced as planned is gone
+	// after 7 s.
 	minSpacing = lossSpacing{
 		afterReturn:       catchUpPeriod + eventloop.Second,
 		afterReplacement:  replacementDelay + catchUpPeriod,
 		afterPlannedLeave: 7*eventloop.Second + catchUpPeriod,
 	}
-	// wideSpacing is that of schedules that are drawn at random.
+	// wideSpacing is the spacing in the schedules that RandomSchedule draws.
 	wideSpacing = lossSpacing{
 		afterReturn:       12 * eventloop.Second,
 		afterReplacement:  30 * eventloop.Second,
@@ -82,10 +85,10 @@
 	}
 )
 
-// Schedule is faults that may overlap.
+// Schedule is a list of timed faults that may overlap.
 type Schedule []ScheduledFault
 
-// String is the form that ParseSchedule takes.
+// String returns the schedule in the format that ParseSchedule reads.
 func (s Schedule) String() string {
 	parts := make([]string, len(s))
 	for k, fault := range s {
@@ -94,8 +97,8 @@
 	return strings.Join(parts, ",")
 }
 
-// ParseSchedule reads faults as KIND/TARGET:DURATION@TIME, joined by commas, and checks
-// them for a fleet. Errors name the fault by its index.
+// ParseSchedule parses faults in the format KIND/TARGET:DURATION@TIME, separated by commas,
+// and checks that they are possible for a fleet. Errors name the fault by its index.
 func ParseSchedule(text string, spec FleetSpec) (Schedule, error) {
 	list, err := parseFaults(text)
 	if err != nil {
@@ -113,15 +116,16 @@
 		length, err1 := time.ParseDuration(duration)
 		moment, err2 := time.ParseDuration(at)
 		if !hasTarget || !hasDuration || !hasTime || err1 != nil || err2 != nil {
-			return nil, fmt.Errorf("faults[%d]: %q is not KIND/TARGET:DURATION@TIME, as kill/leader:3s@5s", k, part)
+			return nil, fmt.Errorf("faults[%d]: %q is not in the format KIND/TARGET:DURATION@TIME, for example kill/leader:3s@5s", k, part)
 		}
 		list = append(list, ScheduledFault{kind, target, eventloop.Micros(length.Microseconds()), eventloop.Micros(moment.Microseconds())})
 	}
 	return list, nil
 }
 
-// Check returns what makes a schedule impossible for a fleet: unknown kinds or targets, or
-// more losses at once than can be survived.
+// Check returns an error if a schedule is impossible for a fleet: if it has unknown kinds or
+// targets, loses more storage nodes at once than a deployment can survive, or has two faults
+// on the same target at the same time.
 func (s Schedule) Check(spec FleetSpec) error { return s.check(spec, minSpacing) }
 
 func (s Schedule) check(spec FleetSpec, spacing lossSpacing) error {
@@ -131,17 +135,18 @@
 		}
 		for n, other := range s[:k] {
 			if fault.isStorageLoss() && other.isStorageLoss() && fault.At < other.recoveredAt(spacing) && other.At < fault.recoveredAt(spacing) {
-				return fmt.Errorf("faults[%d]: %v and %v (faults[%d]) may take two of three disk machines away at once, which nothing can survive", k, fault, other, n)
+				return fmt.Errorf("faults[%d]: %v and %v (faults[%d]) may take two of three disk machines away at once, which no deployment can survive", k, fault, other, n)
 			}
 			if fault.Target == other.Target && fault.Target != "all" && fault.overlaps(other) {
-				return fmt.Errorf("faults[%d]: %v strikes what %v (faults[%d]) has struck already", k, fault, other, n)
+				return fmt.Errorf("faults[%d]: %v strikes a target that %v (faults[%d]) has already struck", k, fault, other, n)
 			}
 		}
 	}
 	return nil
 }
 
-// check returns what makes a fault impossible for a fleet by itself.
+// check returns an error if the fault is impossible for a fleet, without regard to other
+// faults.
 func (s ScheduledFault) check(spec FleetSpec) error {
 	action, known := faultActions[s.Kind]
 	if !known {
@@ -151,12 +156,12 @@
 		return fmt.Errorf("%s can't strike %q", s.Kind, s.Target)
 	}
 	if s.Duration < 0 || s.At < 0 || s.Duration > maxFaultDuration {
-		return fmt.Errorf("%v: spans lie between 0 and 60 s, times at 0 or later", s)
+		return fmt.Errorf("%v: the duration must be between 0 and 60 s, and the time must not be negative", s)
 	}
 	return nil
 }
 
-// Scenario makes a scenario of a schedule.
+// Scenario returns a scenario that injects the faults of the schedule.
 func (s Schedule) Scenario() Scenario {
 	last := eventloop.Micros(0)
 	for _, fault := range s {
@@ -169,7 +174,8 @@
 	}}
 }
 
-// Shrink leaves faults out as long as the same rule is still broken.
+// Shrink removes faults from a schedule for as long as the shorter schedule still breaks the
+// same rule, and returns the result.
 func (s Schedule) Shrink(spec FleetSpec, seed uint64, rule int, scenarioOf func(Schedule) Scenario) Schedule {
 	breaksRule := func(trial Schedule) bool {
 		_, violations, _ := RunScenario(scenarioOf(trial), spec, seed)
@@ -187,10 +193,11 @@
 	return s
 }
 
-// RandomSchedule draws faults that may overlap but can be survived.
+// RandomSchedule draws a schedule of faults that may overlap but that a deployment can
+// survive.
 func RandomSchedule(seed uint64, spec FleetSpec) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0xfa17))
-	// Only the basic kinds, so that a seed goes on standing for the same schedule.
+	// Only basic kinds are drawn, so that new kinds of faults don't change a seed's schedule.
 	kinds := possibleKinds(slices.Sorted(maps.Keys(basicFaultActions)), spec)
 	var list Schedule
 	for count := 3 + rng.IntN(6); len(list) < count; {
@@ -210,26 +217,28 @@
 	return list
 }
 
-// possibleKinds are the kinds of faults that have a target on a fleet.
+// possibleKinds returns those of the kinds of faults that have a target in a fleet. It
+// modifies the given slice.
 func possibleKinds(kinds []string, spec FleetSpec) []string {
 	return slices.DeleteFunc(kinds, func(kind string) bool { return len(faultActions[kind].targetNames(spec)) == 0 })
 }
 
-// closingFaults are the kinds of faults that an overlapping schedule ends with.
+// closingFaults lists the kinds of faults that may end an overlapping schedule.
 var closingFaults = []string{"closepower", "closekill", "closewipe"}
 
 const (
 	overlapRounds = 2
-	overlapFaults = 3                    // of a round
-	firstRoundAt  = 3 * eventloop.Second // after the load's start
+	overlapFaults = 3                    // faults of a round
+	firstRoundAt  = 3 * eventloop.Second // time since the start of the load
 	roundInterval = 20 * eventloop.Second
-	roundSpread   = 2 * eventloop.Second // in which the faults of a round begin
+	roundSpread   = 2 * eventloop.Second // period in which the faults of a round begin
 )
 
-// OverlappingSchedule draws three faults of any kinds that overlap, twice, and one that
-// ends everything right after an acknowledgement. No kind comes twice.
+// OverlappingSchedule draws a schedule of two rounds of three overlapping faults of any kinds,
+// followed by a fault that ends every process right after an acknowledgement. No kind occurs
+// twice.
 func OverlappingSchedule(seed uint64, spec FleetSpec) Schedule {
-	d := &overlapDraw{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x3a7)), check: Schedule.Check, spread: roundSpread}
+	d := &overlapGenerator{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x3a7)), check: Schedule.Check, spread: roundSpread}
 	kinds := possibleKinds(FaultNames(), spec)
 	kinds = slices.DeleteFunc(kinds, func(kind string) bool { return slices.Contains(closingFaults, kind) })
 	for round := range eventloop.Micros(overlapRounds) {
@@ -237,7 +246,7 @@
 			d.add(kinds, firstRoundAt+round*roundInterval)
 		}
 	}
-	// The last fault takes everything, so all must be back by then.
+	// The last fault ends every process, so all lost nodes must have recovered by then.
 	end := firstRoundAt + overlapRounds*roundInterval
 	for _, fault := range d.list {
 		if fault.isStorageLoss() {
@@ -248,18 +257,19 @@
 	return d.list
 }
 
-// overlapDraw draws an overlapping schedule.
-type overlapDraw struct {
+// overlapGenerator generates a schedule of overlapping faults.
+type overlapGenerator struct {
 	spec         FleetSpec
 	rng          *rand.Rand
 	check        func(Schedule, FleetSpec) error
-	spread       eventloop.Micros // in which the faults of a round begin
-	repeatsKinds bool
-	list         Schedule
+	spread       eventloop.Micros // period in which the faults of a round begin
+	repeatsKinds bool             // whether a kind of fault may occur more than once
+	list         Schedule         // faults drawn so far
 }
 
-// add draws faults until one is possible beside those that the schedule has.
-func (d *overlapDraw) add(kinds []string, from eventloop.Micros) {
+// add draws faults until one is possible together with those that the schedule already has,
+// and appends that one. It gives up after randomCandidates draws.
+func (d *overlapGenerator) add(kinds []string, from eventloop.Micros) {
 	for range randomCandidates {
 		kind := kinds[d.rng.IntN(len(kinds))]
 		targets := faultActions[kind].targetNames(d.spec)
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -9,45 +9,47 @@
 	"sparnotch/internal/eventloop"
 )
 
-// acknowledgementWindow is how long after an acknowledgement, or a gang's first start, a
-// fault strikes that waits for one.
+// acknowledgementWindow is the longest delay of a fault that waits for an acknowledgement
+// or for the start of a gang, after that event.
 const acknowledgementWindow = 4 * eventloop.Millisecond
 
-// replacementDelay is how long after a machine's loss its successor comes up.
+// replacementDelay is the time from the loss of a machine to the start of its successor.
 const replacementDelay = 3 * eventloop.Second
 
-// This file has the faults that scenarios and schedules inject. Each records itself, so
-// that the rules on recovery know of it.
+// This file contains the faults that scenarios and schedules inject. Those that may interrupt
+// service record themselves in the history, because the rules on recovery depend on it.
 
-// kill cuts a machine's power for a while.
+// kill cuts a machine's power and starts the machine again after the downtime.
 func (f *Fleet) kill(h *Host, downtime eventloop.Micros) {
 	f.RecordFault("%s killed", h.Name)
 	h.Kill()
 	f.After(downtime, h.startIfDown)
 }
 
-// freeze stops a machine's process for a while.
+// freeze suspends a machine's process for a duration.
 func (f *Fleet) freeze(h *Host, duration eventloop.Micros) {
 	f.RecordFault("%s frozen", h.Name)
 	h.Freeze(duration)
 }
 
-// wipe loses a machine's power and disk; it comes back empty at its address.
+// wipe cuts a machine's power and loses its disk. The machine returns with an empty disk at
+// the same address.
 func (f *Fleet) wipe(h *Host, downtime eventloop.Micros) {
 	f.RecordFault("%s loses its disk", h.Name)
 	h.Wipe()
 	f.After(downtime, h.startIfDown)
 }
 
-// replace loses a machine with its disk; an empty one comes up at a new address.
+// replace loses a machine with its disk for good. A successor with an empty disk starts at a
+// new address.
 func (f *Fleet) replace(h *Host) {
 	f.RecordFault("%s lost for good", h.Name)
 	h.Wipe()
 	f.After(replacementDelay, func() { f.addSuccessor(h).Start() })
 }
 
-// addSuccessor adds the machine that takes the place of another. Its seeds are machines
-// that are up: the first three may be gone.
+// addSuccessor adds a machine that replaces another one. Its seeds are machines that are up,
+// since the first three storage nodes may be gone.
 func (f *Fleet) addSuccessor(old *Host) *Host {
 	successor := f.AddHost(old.Name+"'", old.Zone, old.Role, true)
 	for _, other := range f.Hosts {
@@ -58,7 +60,8 @@
 	return successor
 }
 
-// replaceGracefully replaces a machine as planned: the new one comes first.
+// replaceGracefully replaces a machine as planned: its successor starts before the machine is
+// drained.
 func (f *Fleet) replaceGracefully(old *Host) {
 	f.RecordFault("%s is to leave for a new one", old.Name)
 	successor := f.addSuccessor(old)
@@ -70,27 +73,29 @@
 	})
 }
 
-// isolate partitions a machine from all others for a while.
+// isolate partitions a machine from all others for a duration.
 func (f *Fleet) isolate(h *Host, duration eventloop.Micros) {
 	f.RecordFault("%s isolated", h.Name)
 	f.Isolate(h, true)
 	f.After(duration, func() { f.Isolate(h, false) })
 }
 
-// isolateOneWay blocks for a while what a machine sends, or what it receives.
+// isolateOneWay blocks either all outgoing or all incoming messages of a machine for a
+// duration.
 func (f *Fleet) isolateOneWay(h *Host, duration eventloop.Micros, isOutgoing bool) {
 	f.RecordFault("%s can't be heard, or can't hear", h.Name)
 	f.blockLinks(h, func() []*Host { return f.Hosts }, duration, isOutgoing, !isOutgoing)
 }
 
-// partitionFromStorageNodes blocks for a while what a storage node sends to the other ones, what
-// it receives of them, or both.
+// partitionFromStorageNodes blocks the messages between a storage node and the other storage
+// nodes for a duration: outgoing ones, incoming ones, or both.
 func (f *Fleet) partitionFromStorageNodes(h *Host, duration eventloop.Micros, outgoing, incoming bool) {
 	f.RecordFault("%s cut off from the other disk machines", h.Name)
 	f.blockLinks(h, f.StorageNodes, duration, outgoing, incoming)
 }
 
-// blockLinks blocks the links between a machine and others for a while.
+// blockLinks blocks the outgoing or incoming links, or both, between a machine and others for
+// a duration.
 func (f *Fleet) blockLinks(h *Host, others func() []*Host, duration eventloop.Micros, outgoing, incoming bool) {
 	set := func(blocked bool) {
 		for _, other := range others() {
@@ -106,7 +111,7 @@
 	f.After(duration, func() { set(false) })
 }
 
-// partitionZone partitions a zone from the others for a while.
+// partitionZone partitions a zone from the others for a duration.
 func (f *Fleet) partitionZone(zone string, duration eventloop.Micros) {
 	isInZone := func(h *Host) bool { return h.Zone == zone }
 	f.RecordFault("cell %s split off", zone)
@@ -114,8 +119,8 @@
 	f.After(duration, func() { f.Partition(false, isInZone) })
 }
 
-// partitionSeeds partitions a storage node from the others, makes it the first seed, and
-// starts some processes that know nobody else but two gateways without a disk.
+// partitionSeeds partitions a storage node from the other storage nodes. Meanwhile it
+// restarts some processes whose only seeds are this node and two gateways without a disk.
 func (f *Fleet) partitionSeeds(h *Host, duration eventloop.Micros) {
 	f.partitionFromStorageNodes(h, duration, true, true)
 	seeds := []string{h.Address}
@@ -135,7 +140,8 @@
 	})
 }
 
-// rotateSeeds makes three gateways the seeds of every machine, and starts some processes.
+// rotateSeeds makes three random gateways the seeds of every machine and restarts some
+// processes.
 func (f *Fleet) rotateSeeds() {
 	var seeds []string
 	for _, h := range f.Gateways() {
@@ -155,13 +161,13 @@
 	}
 }
 
-// refuseWrites has a machine's disk refuse writes for a while.
+// refuseWrites makes a machine's disk fail in the given way for a duration.
 func (f *Fleet) refuseWrites(h *Host, fault DiskFault, duration eventloop.Micros) {
 	f.RecordFault("the disk of %s refuses", h.Name)
 	h.RefuseWrites(fault, duration)
 }
 
-// slowDown gives a machine a fraction of its processor for a while.
+// slowDown gives a machine only a fraction of its usual processor share for a duration.
 func (f *Fleet) slowDown(h *Host, duration eventloop.Micros) {
 	f.RecordFault("%s is slow", h.Name)
 	usual := h.CPUShare
@@ -172,8 +178,8 @@
 	f.After(duration, func() { h.CPUShare = usual })
 }
 
-// resetConnections breaks half of a machine's connections: the requests that are open on
-// them get no response, and half of what is on the wire is lost.
+// resetConnections breaks half of a machine's connections: half of its pending requests get
+// no response, and half of its messages are lost for a short time.
 func (f *Fleet) resetConnections(h *Host) {
 	f.RecordFault("connections of %s reset", h.Name)
 	h.resetUntil = f.Now + resetDuration
@@ -187,7 +193,7 @@
 }
 
 // stepClocks sets the wall clocks of about a third of all machines wrong by two seconds for
-// a while, all in one direction.
+// a duration, all in the same direction.
 func (f *Fleet) stepClocks(duration eventloop.Micros) {
 	offset := int64(2 * eventloop.Second)
 	if f.Rng.IntN(2) == 0 {
@@ -201,9 +207,9 @@
 	}
 }
 
-// setClock sets a machine's wall clock wrong by up to six hours. Of the clocks of the
-// storage nodes only one is wrong at a time: of two wrong ones nothing could tell which of
-// the three is right.
+// setClock sets a machine's wall clock wrong by up to six hours. Only one storage node's
+// clock is wrong at a time: with two wrong clocks out of three, the storage nodes couldn't
+// tell which one is right.
 func (f *Fleet) setClock(h *Host) {
 	if h.Disk != nil {
 		for _, other := range f.StorageNodes() {
@@ -213,7 +219,8 @@
 	h.WallClockOffset = (f.Rng.Int64N(2*6*3600) - 6*3600) * int64(eventloop.Second)
 }
 
-// powerCycleStorageNodes cuts the power of all storage nodes for a while.
+// powerCycleStorageNodes cuts the power of all storage nodes and starts them again after the
+// downtime.
 func (f *Fleet) powerCycleStorageNodes(downtime eventloop.Micros) {
 	f.RecordFault("every disk machine loses power")
 	for _, h := range f.StorageNodes() {
@@ -224,14 +231,16 @@
 	}
 }
 
-// powerCycleAll cuts the power of all machines that are up for a while.
+// powerCycleAll cuts the power of all machines that are up and starts them again after the
+// downtime.
 func (f *Fleet) powerCycleAll(downtime eventloop.Micros) {
 	f.RecordFault("every process killed")
 	f.restartAll(downtime, (*Host).Kill)
 }
 
-// restartAll ends every process in some way and starts it again; a machine that is down
-// already comes back by itself.
+// restartAll ends every process with the given function and starts it again after the
+// downtime. Machines that are already down are skipped: the fault that ended their process
+// starts it again.
 func (f *Fleet) restartAll(downtime eventloop.Micros, end func(*Host)) {
 	for _, h := range f.Hosts {
 		if h.IsUp {
@@ -241,8 +250,8 @@
 	}
 }
 
-// afterAcknowledgement strikes right after the next acknowledgement that a client or an
-// operator gets, and says through which gateway that came.
+// afterAcknowledgement calls strike shortly after the next acknowledgement that a client or
+// an operator receives, with the gateway that sent it.
 func (f *Fleet) afterAcknowledgement(strike func(gateway *Host)) {
 	f.observers = append(f.observers, func(e checker.Event) bool {
 		isSubmission := e.Kind == checker.SubmitReply && (e.Code == 200 || e.Code == 201)
@@ -250,27 +259,27 @@
 		if !isSubmission && !isUpdate {
 			return false
 		}
-		f.afterMoment(func() { strike(f.host(strings.TrimRight(e.Gateway, "'"))) })
+		f.afterRandomDelay(func() { strike(f.host(strings.TrimRight(e.Gateway, "'"))) })
 		return true
 	})
 }
 
-// afterGangStart strikes right after the next start of a gang's first member, from some
-// time after the load's start on: the orders of its peers may be on their way, or not have
-// been sent.
+// afterGangStart calls strike shortly after the first task of a gang starts. It begins to
+// wait for such a start at a time that is relative to the start of the load. The orders that
+// start the other tasks of the gang may then be on their way or not sent yet.
 func (f *Fleet) afterGangStart(from eventloop.Micros, strike func()) {
 	f.atLoad(from, func() {
 		f.observers = append(f.observers, func(e checker.Event) bool {
 			if e.Kind != checker.TaskStart || e.Queue != "group" || e.Step != 0 {
 				return false
 			}
-			f.afterMoment(strike)
+			f.afterRandomDelay(strike)
 			return true
 		})
 	})
 }
 
-// afterMoment strikes within acknowledgementWindow.
-func (f *Fleet) afterMoment(strike func()) {
+// afterRandomDelay calls strike after a random delay below acknowledgementWindow.
+func (f *Fleet) afterRandomDelay(strike func()) {
 	f.After(eventloop.Micros(f.Rng.Int64N(int64(acknowledgementWindow))), strike)
 }
--- a/internal/sim/platform_faults.go
+++ b/internal/sim/platform_faults.go
@@ -8,21 +8,22 @@
 	"sparnotch/internal/schema"
 )
 
-// platformFaultActions are the kinds of faults of the users' platform, beside the basic
-// ones.
+// platformFaultActions holds the kinds of faults that the users' platform may inject in
+// addition to the basic ones.
 var platformFaultActions = map[string]faultAction{
-	// A process ends at once; its files stay as they were written.
+	// A process ends at once; its files keep all data that was written.
 	"abort": {anyMachine, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) {
 		f.RecordFault("the process of %s killed", h.Name)
 		h.Abort()
 		f.After(min(duration, eventloop.Second), h.startIfDown)
 	})},
-	// A storage node loses power and its disk; it comes back empty at its address.
+	// A storage node loses power and its disk, and returns with an empty disk at its address.
 	"wipe": {anyStorageNode, true, onHost((*Fleet).wipe)},
-	// A storage node is replaced as planned: the new one comes first.
+	// A storage node is replaced as planned: its successor starts before it is drained.
 	"succeed": {anyStorageNode, true, onHost(func(f *Fleet, h *Host, _ eventloop.Micros) { f.replaceGracefully(h) })},
 
-	// A storage node is partitioned from the other two alone.
+	// A storage node is partitioned from the other two, but not from the rest of the fleet: in
+	// both directions, for outgoing messages only, or for incoming messages only.
 	"corecut": {anyStorageNode, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) {
 		f.partitionFromStorageNodes(h, duration, true, true)
 	})},
@@ -38,8 +39,8 @@
 	// Three gateways become the seeds of every machine, and some processes restart.
 	"turnover": {wholeFleet, false, onFleet(func(f *Fleet, _ eventloop.Micros) { f.rotateSeeds() })},
 
-	// Losses right after the next acknowledgement: of the gateway that sent it, of the
-	// leader, or of all storage nodes.
+	// A loss right after the next acknowledgement: the gateway that sent it or the leader loses
+	// power, the leader loses its disk, or all storage nodes lose power.
 	"ackkill": {wholeFleet, true, onFleet(func(f *Fleet, duration eventloop.Micros) {
 		f.afterAcknowledgement(func(gateway *Host) { f.kill(gateway, duration) })
 	})},
@@ -57,7 +58,8 @@
 		f.powerCycleStorageNodes(min(duration, maxDowntime))
 	})},
 
-	// Losses of everything right after the next acknowledgement.
+	// Every process ends right after the next acknowledgement: by a loss of power, alone, or by
+	// a loss of power with the loss of the leader's disk.
 	"closepower": {wholeFleet, true, onFleet(func(f *Fleet, duration eventloop.Micros) {
 		f.afterAcknowledgement(func(*Host) { f.endEverything(duration, (*Host).Kill) })
 	})},
@@ -80,26 +82,26 @@
 		f.refuseWrites(h, DiskFault{SyncFails: true}, duration)
 	})},
 
-	// A machine gets a fraction of its CPU for a while.
+	// A machine has only a fraction of its usual processor share.
 	"drag": {anyMachine, true, onHost((*Fleet).slowDown)},
-	// Half of a machine's connections break, twice.
+	// Half of a machine's connections break, and again after half of the duration.
 	"resets": {anyMachine, false, func(f *Fleet, name string, duration eventloop.Micros) {
 		f.resetConnections(f.host(name))
 		f.After(duration/2, func() { f.resetConnections(f.host(name)) })
 	}},
 	// The wall clocks of about a third of all machines are wrong by two seconds.
 	"clocks": {wholeFleet, false, onFleet((*Fleet).stepClocks)},
-	// 70 percent of the acknowledgements to clients are lost on their way.
+	// 70 percent of the acknowledgements are lost on the way to clients.
 	"ackloss": {wholeFleet, false, onFleet(func(f *Fleet, duration eventloop.Micros) {
 		f.acknowledgementLossRate = 0.7
 		f.After(duration, func() { f.acknowledgementLossRate = 0 })
 	})},
-	// A called worker answers no calls.
+	// A called worker answers none of the calls to it.
 	"hang": {calledWorker, false, unhealthyFor(0, 1)},
 
-	// An operator sends configurations that must be refused.
+	// An operator sends configurations that must be rejected.
 	"bad": {[]target{targetVersions}, false, onFleet(func(f *Fleet, _ eventloop.Micros) { f.putInvalidConfigurations() })},
-	// Many operators at once, each on the version that it has just read.
+	// Eight operators replace the configuration at once, each based on the version it has read.
 	"crowd": {wholeFleet, false, onFleet(func(f *Fleet, _ eventloop.Micros) {
 		for k := range 8 {
 			f.PutConfiguration(fmt.Sprint("crowd-", k), f.ConfigurationRows(20+f.Rng.IntN(60)))
@@ -107,17 +109,19 @@
 	})},
 }
 
-// leaderOrFirst is the storage node that leads most queues, or where none does the first.
+// leaderOrFirst returns the storage node that leads most queues, or the first machine if none
+// leads a queue.
 func (f *Fleet) leaderOrFirst() *Host { return f.host("leader") }
 
-// endEverything ends every process in one way, right after an acknowledgement.
+// endEverything ends every process with the given function and starts it again after the
+// downtime, which maxDowntime limits.
 func (f *Fleet) endEverything(downtime eventloop.Micros, end func(*Host)) {
 	f.RecordFault("every process ends right after an acknowledgement")
 	f.restartAll(min(downtime, maxDowntime), end)
 }
 
-// putInvalidConfigurations sends configurations that must be refused: an old version, the
-// present version with other content, and one that is built on an old version.
+// putInvalidConfigurations sends configurations that must be rejected: an old version, the
+// current version with other content, and a new version based on an old one.
 func (f *Fleet) putInvalidConfigurations() {
 	f.readConfiguration(f.anyGateway(), func(current *schema.Configuration) {
 		if current == nil || current.Version < 2 {
--- a/internal/sim/scenarios_keys.go
+++ b/internal/sim/scenarios_keys.go
@@ -121,7 +121,7 @@
 		if e.Kind != checker.ConfigurationReply || e.Code != 200 {
 			return false
 		}
-		f.afterMoment(strike)
+		f.afterRandomDelay(strike)
 		return true
 	})
 }
