--- a/internal/sim/availability.go
+++ b/internal/sim/availability.go
@@ -12,10 +12,10 @@
 
 const (
 	readinessProbeInterval = eventloop.Second
-	quorum                 = 2 // of the storage nodes that vote
+	quorum                 = 2 // majority of the three storage nodes
 )
 
-// Gateways lists the hosts that serve clients over HTTP.
+// Gateways returns the hosts that serve clients over HTTP, whether they are up or not.
 func (s *Simulation) Gateways() []*Host {
 	var list []*Host
 	for _, h := range s.Hosts {
@@ -26,7 +26,7 @@
 	return list
 }
 
-// StorageNodes lists the hosts that have a disk.
+// StorageNodes returns the hosts that have a disk, whether they are up or not.
 func (s *Simulation) StorageNodes() []*Host {
 	var list []*Host
 	for _, h := range s.Hosts {
@@ -37,7 +37,7 @@
 	return list
 }
 
-// Leader is the storage node that leads most queues; nil where none leads any.
+// Leader returns the storage node that leads most queues, or nil if none leads a queue.
 func (s *Simulation) Leader() *Host {
 	var leader *Host
 	maxLed := 0
@@ -59,8 +59,9 @@
 	return leader
 }
 
-// updateAvailability records when a gateway starts or stops being able to serve: it is up,
-// and can exchange messages with two storage nodes that can do so with each other.
+// updateAvailability records when a gateway becomes able or unable to serve. A gateway can
+// serve if it is up and can exchange messages with two working storage nodes that can also
+// exchange messages with each other.
 func (s *Simulation) updateAvailability() {
 	var nodes []*Host
 	for _, h := range s.StorageNodes() {
@@ -82,7 +83,7 @@
 	}
 }
 
-// reachesPair reports whether a host reaches two nodes that reach each other.
+// reachesPair reports whether a host can reach two of the nodes that can reach each other.
 func (s *Simulation) reachesPair(h *Host, nodes []*Host) bool {
 	for k, a := range nodes {
 		for _, b := range nodes[:k] {
@@ -94,7 +95,7 @@
 	return false
 }
 
-// reachesQuorum reports whether a host is serving and reaches a quorum of the storage
+// reachesQuorum reports whether a host is serving and can reach a quorum of the storage
 // nodes.
 func (s *Simulation) reachesQuorum(h *Host) bool {
 	if !h.isServing() {
@@ -109,8 +110,8 @@
 	return count >= quorum
 }
 
-// probeReadiness asks a gateway at intervals whether it is ready, as the users' platform
-// does to direct clients.
+// probeReadiness periodically asks a gateway whether it is ready. The users' platform does
+// this to route clients to ready gateways.
 func (s *Simulation) probeReadiness(h *Host) {
 	s.Request(h, readinessProbeInterval, func(id uint64, _ eventloop.Micros) any { return gateway.CheckReadiness{RequestID: id} }, func(answer any) {
 		response, _ := answer.(gateway.Response)
@@ -119,8 +120,8 @@
 	s.After(readinessProbeInterval, func() { s.probeReadiness(h) })
 }
 
-// pickGateway draws a ready gateway of a zone, else any ready one, else any: since the
-// platform probes at intervals it may be wrong.
+// pickGateway draws a ready gateway in a zone, or in any zone if that zone has none, or any
+// gateway if none is ready. Readiness is the result of the last probe and may be out of date.
 func (s *Simulation) pickGateway(zone string) *Host {
 	var near, ready []*Host
 	gateways := s.Gateways()
@@ -140,8 +141,8 @@
 	return nil
 }
 
-// anyGateway draws a gateway as a client in any zone finds it.
+// anyGateway draws a gateway as pickGateway does for a client in a random zone.
 func (s *Simulation) anyGateway() *Host { return s.pickGateway(s.randomZone()) }
 
-// randomZone draws where a client is.
+// randomZone draws the zone of a client.
 func (s *Simulation) randomZone() string { return s.Hosts[s.Rng.IntN(min(3, len(s.Hosts)))].Zone }
--- a/internal/sim/called_fleet.go
+++ b/internal/sim/called_fleet.go
@@ -10,14 +10,15 @@
 	"sparnotch/internal/schema"
 )
 
-// The pools of fleets with called workers. The workers of the main pool take whatever they
-// are given, those of the other one reject what exceeds their capacity.
+// Fleets with called workers have two pools. Workers of the main pool accept every task;
+// workers of the far pool reject tasks that exceed their capacity.
 const (
 	mainPool = "main"
 	farPool  = "far"
 )
 
-// checkpointedRunTime is the run time from which on a deployment's tasks keep checkpoints.
+// checkpointedRunTime is the estimated run time above which the tasks of a deployment save
+// checkpoints.
 const checkpointedRunTime = 3 * eventloop.Second
 
 // SmallCalledFleet is the small fleet with called workers.
@@ -31,8 +32,9 @@
 	},
 }
 
-// CalledDeploymentSpec is a deployment with called workers, and its clients' jobs; the
-// kinds of jobs that touch the other rules are rare.
+// CalledDeploymentSpec returns the fleet of a deployment with called workers and the load of
+// its own clients. CalledJobKinds, which exercise the rules that this load doesn't, are added
+// at a low rate.
 func CalledDeploymentSpec(d *deployments.Deployment) FleetSpec {
 	spec := DeploymentSpec(d)
 	spec.Name, spec.JobKinds, spec.Bounds = d.Name+"-called", nil, d.Bounds
@@ -46,7 +48,7 @@
 			Name: k.Name, Queue: k.Queue, Interval: eventloop.Micros(k.MeanInterval * float64(eventloop.Second)), Attempts: d.MaxAttempts, Job: newJob(k.Text, steps...),
 		})
 	}
-	spec.JobKinds = append(spec.JobKinds, rarer(CalledJobKinds())...)
+	spec.JobKinds = append(spec.JobKinds, makeRarer(CalledJobKinds())...)
 	spec.ConfigurationRows = func(urgency int) []*schema.ConfigurationRow {
 		rows := append(d.ConfigRows(), CalledConfigurationRows(urgency)...)
 		for _, k := range d.JobTypes {
@@ -57,13 +59,14 @@
 	return spec
 }
 
-// SharedDeploymentSpec is a deployment with called workers that is shared by its tenants.
+// SharedDeploymentSpec returns the fleet of a deployment with called workers that several
+// tenants share.
 func SharedDeploymentSpec(d *deployments.Deployment) FleetSpec {
 	return sharedFleet(CalledDeploymentSpec(d), d.Tenants)
 }
 
-// addCalledWorkers puts a worker on each of the first agent nodes. The last two of the
-// small fleet are of the other pool.
+// addCalledWorkers adds a worker to each of the first agent nodes, as many as the spec has. If
+// there are more than four workers, the last two belong to the far pool.
 func (f *Fleet) addCalledWorkers() {
 	f.bounds, f.usesVersions = f.Spec.Bounds, true
 	for k := range f.Spec.Workers {
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -13,14 +13,14 @@
 const (
 	storageNodes    = 3
 	zoneCount       = 3
-	operatorUrgency = 60 // of the queue quick, at first
+	operatorUrgency = 60 // initial urgency of the queue quick
 
-	startUp         = 7 * eventloop.Second // from the simulation's start to the load's
-	drainAfterLoad  = 40 * eventloop.Second
-	rareKindsFactor = 4 // how much rarer the default kinds are in a whole deployment
+	loadStartDelay  = 7 * eventloop.Second  // time from the start of the simulation to the start of the load
+	drainAfterLoad  = 40 * eventloop.Second // time that jobs have to end after the load
+	rareKindsFactor = 4                     // factor by which the default kinds of jobs are rarer in a whole deployment
 )
 
-// Fleet is a simulated deployment under load.
+// Fleet is a simulated deployment with clients, workers and operators.
 type Fleet struct {
 	*Simulation
 	Spec      FleetSpec
@@ -33,50 +33,52 @@
 	observations
 }
 
-// observations are what scenarios see of a fleet while it runs.
+// observations hold what scenarios observe while a fleet runs.
 type observations struct {
-	RestartDelay         eventloop.Micros // from a worker's loss until its last task was started elsewhere
-	lostWorker           string
+	RestartDelay         eventloop.Micros // time from a worker's loss until the last of its tasks was started elsewhere
+	lostWorker           string           // name of the worker whose loss RestartDelay measures
 	workerLostAt         eventloop.Micros
 	slowDiskHost         *Host
-	drainedAt            []eventloop.Micros // when leaders were told to drain
-	refusedAt            []eventloop.Micros // when disks began to refuse
-	groupsAfterRemoval   []string           // replicas of a queue, soon after it was removed
-	groupsAfterRetention []string           // and when its ended jobs' retention is over
+	drainedAt            []eventloop.Micros // times when leaders were told to drain
+	refusedAt            []eventloop.Micros // times when disks began to refuse writes
+	groupsAfterRemoval   []string           // replicas of a queue that still exist soon after its removal
+	groupsAfterRetention []string           // replicas of it that still exist after the retention of its ended jobs
 	problems             []string
-	faultAt              eventloop.Micros     // when a tenant was at its limit
+	faultAt              eventloop.Micros     // time of a fault that struck while a tenant was at its limit
 	addedKeys            map[string]keyChange // by hash
-	revokedKeys          map[string]keyChange
+	revokedKeys          map[string]keyChange // by hash
 }
 
-// FleetSpec is how large a fleet is, and what its clients do.
+// FleetSpec describes the size of a fleet and the load of its clients.
 type FleetSpec struct {
 	Name              string
-	Gateways          int // three of them with a disk
+	Gateways          int // number of gateways, including the three with a disk
 	AgentNodes        int
 	Workers           int
 	WorkersPerRack    int
-	Cores, Memory     int64            // of a worker, in thousandths and MB
-	SyncDelay         eventloop.Micros // of a disk, in µs; 0: the scenario's
-	GatewayCPUShare   float64          // of a core, without disk; 0: steps take no time
-	AgentCPUShare     float64          // of a core; 0: steps take no time
+	Cores, Memory     int64            // capacity of a worker in thousandths of a core and in MB
+	SyncDelay         eventloop.Micros // time that a disk takes for a sync; 0: the scenario's
+	GatewayCPUShare   float64          // share of a core of each gateway without a disk; 0: steps take no time
+	AgentCPUShare     float64          // share of a core of each agent node; 0: steps take no time
 	JobKinds          []JobKind
-	ConfigurationRows func(urgency int) []*schema.ConfigurationRow
-	Bounds            *schema.Bounds       // nil: the workers aren't called, they poll
-	Tenants           []deployments.Tenant // nil: calls carry no keys
+	ConfigurationRows func(urgency int) []*schema.ConfigurationRow // rows for an urgency of the queue quick
+	Bounds            *schema.Bounds                               // bounds for called workers; nil: the workers poll
+	Tenants           []deployments.Tenant                         // nil: requests carry no keys
 }
 
-// HasCalledWorkers reports whether the fleet's workers are called by agents.
+// HasCalledWorkers reports whether agents call the fleet's workers; otherwise the workers poll
+// gateways.
 func (s FleetSpec) HasCalledWorkers() bool { return s.Bounds != nil }
 
-// SmallFleet is large enough for every fault and rule.
+// SmallFleet is a small fleet that is still large enough for every fault and rule.
 var SmallFleet = FleetSpec{
 	Name: "small", Gateways: 5, AgentNodes: 3, Workers: 5, WorkersPerRack: 2, Cores: 8000, Memory: 16000,
 	JobKinds: DefaultJobKinds(), ConfigurationRows: DefaultConfigurationRows,
 }
 
-// DeploymentSpec is a deployment as it stands, with its own clients; the default kinds of
-// jobs, which touch the other rules, are rare.
+// DeploymentSpec returns the fleet of a deployment with the load of its own clients. The
+// default kinds of jobs, which exercise the rules that this load doesn't, are added at a low
+// rate.
 func DeploymentSpec(d *deployments.Deployment) FleetSpec {
 	spec := FleetSpec{
 		Name: d.Name, Gateways: d.Gateways, AgentNodes: d.Agents, Workers: d.Workers, WorkersPerRack: 3, Cores: d.Cores, Memory: d.Memory,
@@ -87,22 +89,23 @@
 			Name: k.Name, Queue: k.Queue, Interval: eventloop.Micros(k.MeanInterval * float64(eventloop.Second)), Job: &schema.Job{Text: k.Text, Steps: k.Steps},
 		})
 	}
-	spec.JobKinds = append(spec.JobKinds, rarer(DefaultJobKinds())...)
+	spec.JobKinds = append(spec.JobKinds, makeRarer(DefaultJobKinds())...)
 	spec.ConfigurationRows = func(urgency int) []*schema.ConfigurationRow {
 		return append(d.ConfigRows(), DefaultConfigurationRows(urgency)...)
 	}
 	return spec
 }
 
-// rarer makes kinds of jobs rarer.
-func rarer(kinds []JobKind) []JobKind {
+// makeRarer multiplies the intervals of the given kinds of jobs by rareKindsFactor and returns
+// the same slice.
+func makeRarer(kinds []JobKind) []JobKind {
 	for k := range kinds {
 		kinds[k].Interval *= rareKindsFactor
 	}
 	return kinds
 }
 
-// FleetSpecs lists the fleets that can be run by name.
+// FleetSpecs returns the fleets that can be selected by name.
 func FleetSpecs() []FleetSpec {
 	specs := []FleetSpec{SmallFleet}
 	for _, d := range deployments.All {
@@ -115,8 +118,8 @@
 	return specs
 }
 
-// NewFleet makes a fleet that comes up, and whose load lasts for a duration from LoadStart
-// on. The sync delay, in µs, counts where the spec has none.
+// NewFleet returns a fleet whose processes are about to start and whose load begins at
+// LoadStart and lasts for a duration. The sync delay applies if the spec has none.
 func NewFleet(seed uint64, spec FleetSpec, profile NetworkProfile, sync, duration eventloop.Micros) *Fleet {
 	f := &Fleet{Simulation: NewSimulation(seed, profile, cmp.Or(spec.SyncDelay, sync)), Spec: spec}
 	f.tenants = newTenantClients(seed, spec.Tenants)
@@ -133,13 +136,13 @@
 			f.addPollingWorkers()
 		}
 	})
-	f.LoadStart = f.Now + startUp
+	f.LoadStart = f.Now + loadStartDelay
 	f.LoadEnd = f.LoadStart + duration
 	f.At(f.LoadStart, f.startLoad)
 	return f
 }
 
-// zoneOf spreads machines over the zones.
+// zoneOf returns the zone of the machine or rack with a number; the zones take turns.
 func zoneOf(k int) string { return fmt.Sprintf("c%d", k%zoneCount+1) }
 
 func (f *Fleet) addHosts() {
@@ -178,8 +181,8 @@
 	f.ReadPeriodically(500*eventloop.Millisecond, f.LoadEnd+20*eventloop.Second)
 }
 
-// ConfigurationRows is the configuration of this fleet and of its tenants as they are now,
-// with an urgency of the queue quick.
+// ConfigurationRows returns the configuration of this fleet and its current tenants, with the
+// given urgency of the queue quick.
 func (f *Fleet) ConfigurationRows(urgency int) []*schema.ConfigurationRow {
 	rows := f.Spec.ConfigurationRows(urgency)
 	if f.tenants != nil {
@@ -188,14 +191,15 @@
 	return rows
 }
 
-// Finish runs the load to its end, lets the jobs end, and checks the history.
+// Finish runs the fleet to the end of its load and until its jobs have ended, and returns the
+// violations of rules in its history.
 func (f *Fleet) Finish() []checker.Violation {
 	f.Run(f.LoadEnd + drainAfterLoad)
-	// Much work may be left; what is stuck is stuck after this, too.
+	// Much work may be left. Jobs that are still live after this loop are stuck.
 	for k := 0; k < 15 && f.sample().LiveJobs > 0; k++ {
 		f.Run(f.Now + 20*eventloop.Second)
 	}
-	// Clients that wait for the last jobs ask once more.
+	// Clients that wait for the last jobs need time for one more request.
 	f.Run(f.Now + 3*eventloop.Second)
 	f.Record(checker.Event{Kind: checker.Close})
 	bounds := checker.DefaultBounds
--- a/internal/sim/outage.go
+++ b/internal/sim/outage.go
@@ -8,34 +8,34 @@
 	"sparnotch/internal/schema"
 )
 
-// Outage is how long clients went unserved around one loss, in µs: the longest times
-// between two acknowledged configurations and two acknowledged submissions, from shortly
-// before the loss until long after it.
+// Outage reports how long clients weren't served after one loss, in µs: the longest time
+// between two acknowledged replaces of the configuration, and the longest time between two
+// acknowledged submissions. Both are measured from the last acknowledgement before the loss.
 type Outage struct {
 	Loss                                string
 	LongestReplaceGap, LongestSubmitGap eventloop.Micros
 }
 
 const (
-	// Probes are sent much more often than a client would, and to each gateway in turn, so
-	// that what is measured is the system's part and not the clients'.
+	// Probes are sent much more often than a client sends requests, and to each gateway in
+	// turn, so that the result doesn't include the retry delays of clients.
 	replaceProbeInterval = 50 * eventloop.Millisecond
 	submitProbeInterval  = 50 * eventloop.Millisecond
 	replaceProbeTimeout  = eventloop.Second
 	submitProbeTimeout   = 3 * eventloop.Second
 	processRestartDelay  = 550 * eventloop.Millisecond // until a process that was killed is started again
-	outageWarmUp         = 4 * eventloop.Second
+	outageWarmUp         = 4 * eventloop.Second        // from the start of the load to the loss, at least
 	outageObservation    = 14 * eventloop.Second
 )
 
-// ControlLoss is a loss of a part of the control plane.
+// ControlLoss is a kind of loss of a part of the control plane.
 type ControlLoss struct {
 	Name   string
 	inject func(f *Fleet)
 }
 
-// ControlLosses are those whose outages are measured. A deployment tolerates all of them
-// but the last two.
+// ControlLosses lists the losses whose outages are measured. A deployment tolerates all of
+// them except the last two.
 var ControlLosses = []ControlLoss{
 	{"leader killed", func(f *Fleet) { f.kill(f.leaderOrFirst(), processRestartDelay) }},
 	{"leader without power 5 s", func(f *Fleet) { f.kill(f.leaderOrFirst(), 5*eventloop.Second) }},
@@ -64,7 +64,8 @@
 	}},
 }
 
-// follower is a storage node that leads no queue.
+// follower returns a storage node that is up and isn't the one that leads most queues, or the
+// first machine if there is none.
 func (f *Fleet) follower() *Host {
 	leader := f.Leader()
 	for _, h := range f.StorageNodes() {
@@ -75,8 +76,8 @@
 	return f.Hosts[0]
 }
 
-// MeasureOutage measures the outage that a loss brings about in a fleet with called
-// workers, under its load.
+// MeasureOutage measures the outage that a loss causes in a fleet with called workers under
+// load.
 func MeasureOutage(loss ControlLoss, spec FleetSpec, seed uint64) Outage {
 	f := NewFleet(seed, spec, ReliableNetwork, fastSync, outageWarmUp+outageObservation)
 	replaces, submissions := &probes{fleet: f}, &probes{fleet: f}
@@ -85,30 +86,30 @@
 		replaces.readAndReplace(until)
 		submissions.submit(until)
 	})
-	// Not at a round moment: heartbeats and leases are then at any stage.
+	// The time of the loss is random, so that heartbeats and leases may be at any stage.
 	lostAt := f.LoadStart + outageWarmUp + eventloop.Micros(f.Rng.Int64N(int64(eventloop.Second)))
 	f.At(lostAt, func() { loss.inject(f) })
 	f.Run(until)
 	return Outage{loss.Name, replaces.longestGap(lostAt, until), submissions.longestGap(lostAt, until)}
 }
 
-// probes are the requests of one kind, and when they were served.
+// probes sends the probe requests of one kind and records when they were served.
 type probes struct {
 	fleet       *Fleet
-	servedAt    []eventloop.Micros
+	servedAt    []eventloop.Micros // times of acknowledgements
 	lastGateway int
 	submitted   int
 }
 
-// nextGateway is each gateway in turn, whether it is up or not.
+// nextGateway returns each gateway in turn, whether it is up or not.
 func (p *probes) nextGateway() *Host {
 	gateways := p.fleet.Gateways()
 	p.lastGateway++
 	return gateways[p.lastGateway%len(gateways)]
 }
 
-// longestGap is the longest time without a served probe, from the last one before a moment
-// on.
+// longestGap returns the longest time without a served probe, between the last probe that was
+// served before the start of a period and the end of the period.
 func (p *probes) longestGap(from, until eventloop.Micros) eventloop.Micros {
 	longest, last := eventloop.Micros(0), from
 	for _, at := range p.servedAt {
@@ -120,7 +121,7 @@
 	return max(longest, until-last-submitProbeInterval)
 }
 
-// submit submits a small job at intervals.
+// submit submits a small job at intervals until a point in time.
 func (p *probes) submit(until eventloop.Micros) {
 	f := p.fleet
 	if f.Now >= until {
@@ -138,7 +139,8 @@
 	})
 }
 
-// readAndReplace reads the configuration and from there on replaces it again and again.
+// readAndReplace reads the configuration and then replaces it repeatedly until a point in
+// time.
 func (p *probes) readAndReplace(until eventloop.Micros) {
 	f := p.fleet
 	f.readConfiguration(p.nextGateway(), func(current *schema.Configuration) {
@@ -150,8 +152,8 @@
 	})
 }
 
-// replace sends one version to gateway after gateway until it is acknowledged, and then the
-// next one.
+// replace sends one version of the configuration to one gateway after another until it is
+// acknowledged, and then continues with the next version.
 func (p *probes) replace(rows []*schema.ConfigurationRow, base uint64, until eventloop.Micros) {
 	f := p.fleet
 	update := &schema.ConfigurationUpdate{Rows: rows, Version: base + 1, BaseVersion: base, Document: []byte(fmt.Sprintf("probe %d", base+1))}
@@ -173,7 +175,8 @@
 	send()
 }
 
-// Quantile is the value below which a share of the durations lies; it sorts them.
+// Quantile returns the value below which the given share of the durations lies, or 0 if there
+// are none. It sorts the slice.
 func Quantile(durations []eventloop.Micros, share float64) eventloop.Micros {
 	slices.Sort(durations)
 	if len(durations) == 0 {
--- a/internal/sim/verify.go
+++ b/internal/sim/verify.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	minGroups     = 5   // of the default configuration
-	maxReplicaLag = 200 // log entries that a replica that has caught up may lack
+	minGroups     = 5   // groups that the default configuration has at least
+	maxReplicaLag = 200 // log entries that may still be missing from a replica that counts as caught up
 )
 
-// verifyRepaired: every group has three voters, and all of them are up.
+// verifyRepaired reports groups that don't have exactly three voters, or whose voters aren't
+// all up, and too few groups with a leader.
 func verifyRepaired(f *Fleet) []string {
 	var problems []string
 	isUp := map[string]bool{}
@@ -33,16 +34,16 @@
 			}
 		}
 		if live != storageNodes || len(group.Voters) != storageNodes {
-			problems = append(problems, fmt.Sprintf("%s has the voters %v, %d of them up", group.Group, group.Voters, live))
+			problems = append(problems, fmt.Sprintf("group %s has the voters %v, of which %d are up", group.Group, group.Voters, live))
 		}
 	}
 	if len(led) < minGroups {
-		problems = append(problems, fmt.Sprintf("only %d groups are led", len(led)))
+		problems = append(problems, fmt.Sprintf("only %d groups have a leader", len(led)))
 	}
 	return problems
 }
 
-// ledGroups are the groups as their leaders see them.
+// ledGroups returns the state of the groups according to their leaders.
 func ledGroups(f *Fleet) []*replica.GroupStateView {
 	var groups []*replica.GroupStateView
 	for _, h := range f.StorageNodes() {
@@ -59,18 +60,19 @@
 	return groups
 }
 
-// verifyCaughtUp: every storage node votes in every group and has what the others have.
+// verifyCaughtUp reports what verifyRepaired reports, storage nodes without storage or with a
+// disk that refuses writes, and replicas that lag behind the others of their group.
 func verifyCaughtUp(f *Fleet) []string {
 	problems := append(verifyRepaired(f), f.problems...)
-	commit := map[string]uint64{} // the highest of each group
+	commit := map[string]uint64{} // highest commit index by group
 	for _, h := range f.StorageNodes() {
 		view := h.StateView()
 		if view == nil {
-			problems = append(problems, h.Name+" has no storage again")
+			problems = append(problems, h.Name+" is down or has started without storage")
 			continue
 		}
 		if view.ReadOnlyReason != "" {
-			problems = append(problems, h.Name+" still says that its disk refuses: "+view.ReadOnlyReason)
+			problems = append(problems, h.Name+" still reports that its disk refuses writes: "+view.ReadOnlyReason)
 		}
 		for _, group := range view.Groups {
 			commit[group.Group] = max(commit[group.Group], group.Commit)
@@ -79,15 +81,15 @@
 	for _, h := range f.StorageNodes() {
 		for _, group := range h.StateView().Groups {
 			if group.StableIndex+maxReplicaLag < commit[group.Group] {
-				problems = append(problems, fmt.Sprintf("%s holds %s to %d of %d", h.Name, group.Group, group.StableIndex, commit[group.Group]))
+				problems = append(problems, fmt.Sprintf("%s has the log of %s only to index %d, but %d is committed", h.Name, group.Group, group.StableIndex, commit[group.Group]))
 			}
 		}
 	}
 	return problems
 }
 
-// verifySubmissionDelays: no submission that was sent within a window after one of several
-// moments waits longer than for a handover.
+// verifySubmissionDelays reports submissions that waited longer than maxHandoverDelay and were
+// first sent within a window after one of the given times. The text when ends each message.
 func (f *Fleet) verifySubmissionDelays(moments []eventloop.Micros, window eventloop.Micros, when string) []string {
 	var problems []string
 	sentAt := map[string]eventloop.Micros{}
@@ -100,14 +102,14 @@
 		}
 		for _, at := range moments {
 			if sentAt[e.Name] >= at && sentAt[e.Name] < at+window {
-				problems = append(problems, fmt.Sprintf("%s waited %d us %s", e.Name, e.At-sentAt[e.Name], when))
+				problems = append(problems, fmt.Sprintf("the submission of %s waited %d us %s", e.Name, e.At-sentAt[e.Name], when))
 			}
 		}
 	}
 	return problems
 }
 
-// leads reports whether a node leads a group, as it sees it itself.
+// leads reports whether a node regards itself as the leader of a group.
 func leads(view *replica.NodeStateView, group string) bool {
 	return view != nil && slices.ContainsFunc(view.Groups, func(g *replica.GroupStateView) bool { return g.Group == group && g.Role == "leader" })
 }
