--- a/internal/sim/clients.go
+++ b/internal/sim/clients.go
@@ -20,24 +20,25 @@
 	resubmitDelay    = 300 * eventloop.Millisecond
 	statusRetryDelay = 400 * eventloop.Millisecond
 	cancelRetryDelay = 300 * eventloop.Millisecond
-	listLimit        = 200 // jobs of one page
+	listLimit        = 200 // largest number of jobs in a list
 )
 
-// JobKind is a kind of jobs that clients submit.
+// JobKind describes a kind of jobs that clients submit.
 type JobKind struct {
-	Name        string // start of its jobs' names; empty: the queue's name
+	Name        string // prefix of the names of its jobs; empty: the queue's name
 	Queue       string
 	Interval    eventloop.Micros // mean time between two submissions
 	Job         *schema.Job
-	Draw        func(rng *rand.Rand) *schema.Job // draws each job anew; nil: all are Job
+	Draw        func(rng *rand.Rand) *schema.Job // draws each job; nil: all jobs are equal to Job
 	CancelShare float64                          // share of the jobs that are cancelled
-	CancelDelay eventloop.Micros                 // at least, from the acceptance; at most 300 ms more
-	StartDelay  eventloop.Micros                 // from the submission to the start, which is given as a wall time; 0: none
-	Attempts    uint32                           // that the queue's row allows where a step says nothing
-	Tenant      string                           // whose clients submit them; empty: drawn for each job, where there are tenants
+	CancelDelay eventloop.Micros                 // least time from the acceptance to the cancellation, which comes up to 300 ms later
+	StartDelay  eventloop.Micros                 // time from the submission to the start, which the job specifies as a wall time; 0: no start time
+	Attempts    uint32                           // attempts that the queue's configuration allows for steps that specify no number
+	Tenant      string                           // tenant whose clients submit the jobs; empty: drawn for each job if there are tenants
 }
 
-// withAllowedFailures is the job with the failures that its queue's row allows.
+// withAllowedFailures returns the job with the allowed failures that the queue's configuration
+// gives to steps that specify no number.
 func (k JobKind) withAllowedFailures() *schema.Job {
 	if k.Attempts <= 1 {
 		return k.Job
@@ -55,10 +56,10 @@
 type submittedJob struct {
 	queue  string
 	job    *schema.Job
-	tenant string // whose client it is; empty: nobody's
+	tenant string // tenant of the client; empty: none
 }
 
-// GenerateLoad submits jobs of a kind until a moment.
+// GenerateLoad submits jobs of a kind at random intervals until a point in time.
 func (s *Simulation) GenerateLoad(kind JobKind, until eventloop.Micros) {
 	drawInterval := func() eventloop.Micros { return eventloop.Micros(s.Rng.ExpFloat64() * float64(kind.Interval)) }
 	count := 0
@@ -77,9 +78,9 @@
 	s.After(drawInterval(), next)
 }
 
-// Submit is one client with one job. It submits until there is a final answer, and asks
-// for the status until the job has ended: also right after the acceptance, and again long
-// after the end.
+// Submit simulates a client with one job. The client submits the job until it gets a final
+// response. If the job is accepted, it requests the job's status right after the acceptance,
+// then until the job has ended, and some more times up to two minutes after that.
 func (s *Simulation) Submit(kind JobKind, name string) {
 	if kind.StartDelay > 0 {
 		kind.Job = proto.Clone(kind.Job).(*schema.Job)
@@ -91,8 +92,8 @@
 	s.submitInZone(kind, name, s.randomZone(), nil)
 }
 
-// submitInZone submits through a gateway of a zone, rather another than one whose
-// connection has just broken.
+// submitInZone submits a job through a gateway that pickGateway draws for a zone. If that is
+// the gateway that has just failed to respond, it draws a gateway of any zone instead.
 func (s *Simulation) submitInZone(kind JobKind, name, zone string, broken *Host) {
 	s.submittedJobs[name] = submittedJob{kind.Queue, kind.Job, kind.Tenant}
 	keyHash := s.tenants.drawKeyHash(kind.Tenant)
@@ -128,32 +129,34 @@
 	})
 }
 
-// followJob is what a client does once its job is accepted.
+// followJob simulates the client of a job after the acceptance: it may cancel the job, and it
+// polls the status.
 func (s *Simulation) followJob(kind JobKind, name string) {
 	if s.Rng.Float64() < kind.CancelShare {
 		s.After(kind.CancelDelay+eventloop.Micros(s.Rng.Int64N(int64(300*eventloop.Millisecond))), func() { s.cancelJob(kind, name) })
 	}
-	// Who knows that the job is accepted may ask at once, through any gateway.
+	// A client that knows of the acceptance may request the status at once, through any gateway.
 	s.askAboutJob(kind, "status", name, nil)
 	s.After(150*eventloop.Millisecond, func() { s.pollUntilTerminal(kind, name, 200*eventloop.Millisecond) })
 }
 
-// askAboutJob sends a request about a job through any ready gateway and records the
-// response. Where nobody is to be called back, it is repeated until there is one.
-func (s *Simulation) askAboutJob(kind JobKind, request, name string, back func(code int32, view *schema.JobView)) {
+// askAboutJob sends a request about a job through any ready gateway, records the response and
+// passes it to the callback. Without a callback it repeats the request while it fails with a
+// broken connection, a timeout or a status code from 500 on.
+func (s *Simulation) askAboutJob(kind JobKind, request, name string, onResponse func(code int32, view *schema.JobView)) {
 	s.askThrough(s.anyGateway(), kind.Queue, request, name, s.tenants.drawKeyHash(s.submittedJobs[name].tenant), func(code int32, view *schema.JobView) {
 		switch {
-		case back != nil:
-			back(code, view)
+		case onResponse != nil:
+			onResponse(code, view)
 		case code == 0 || code >= 500:
 			s.After(statusRetryDelay, func() { s.askAboutJob(kind, request, name, nil) })
 		}
 	})
 }
 
-// askThrough sends a request about a job through a gateway with the hash of a key, and
-// records the response.
-func (s *Simulation) askThrough(node *Host, queue, request, name, keyHash string, back func(code int32, view *schema.JobView)) {
+// askThrough sends a request about a job and the hash of a key through a gateway, records the
+// response and passes it to the callback.
+func (s *Simulation) askThrough(node *Host, queue, request, name, keyHash string, onResponse func(code int32, view *schema.JobView)) {
 	sentAt := s.Now
 	s.Request(node, clientTimeout, leaderRequest(gateway.LeaderRequest{Kind: request, Group: queue, Name: name, KeyHash: keyHash}), func(answer any) {
 		response, view := responseOf(answer), &schema.JobView{}
@@ -168,11 +171,12 @@
 			e.Kind = checker.CancelReply
 		}
 		s.Record(e)
-		back(response.Code, view)
+		onResponse(response.Code, view)
 	})
 }
 
-// pollUntilTerminal asks for a job's status until it has ended, and some more times.
+// pollUntilTerminal requests a job's status at growing intervals until the job has ended, and
+// then some more times.
 func (s *Simulation) pollUntilTerminal(kind JobKind, name string, interval eventloop.Micros) {
 	s.askAboutJob(kind, "status", name, func(code int32, view *schema.JobView) {
 		if code == 200 && (view.State == "complete" || view.State == "failed" || view.State == "cancelled") {
@@ -185,7 +189,8 @@
 	})
 }
 
-// cancelJob cancels a job, until there is an answer.
+// cancelJob requests the cancellation of a job until there is a final response. A rejected key
+// isn't final.
 func (s *Simulation) cancelJob(kind JobKind, name string) {
 	s.Record(checker.Event{Kind: checker.CancelRequest, Actor: "caller", Queue: kind.Queue, Name: name})
 	s.askAboutJob(kind, "cancel", name, func(code int32, _ *schema.JobView) {
@@ -195,7 +200,8 @@
 	})
 }
 
-// ListPeriodically has a client list a queue's jobs at intervals until a moment.
+// ListPeriodically simulates a client that lists a queue's jobs at an interval until a point in
+// time.
 func (s *Simulation) ListPeriodically(queue string, interval, until eventloop.Micros) {
 	if s.Now >= until {
 		return
@@ -213,7 +219,7 @@
 	})
 }
 
-// drawAcknowledgementLoss draws whether an acknowledgement is lost on its way.
+// drawAcknowledgementLoss draws whether an acknowledgement is lost on the way to the client.
 func (s *Simulation) drawAcknowledgementLoss() bool {
 	return s.acknowledgementLossRate > 0 && s.Rng.Float64() < s.acknowledgementLossRate
 }
--- a/internal/sim/hollow.go
+++ b/internal/sim/hollow.go
@@ -13,72 +13,74 @@
 	"sparnotch/internal/schema"
 )
 
-// HollowSetup is a hollow deployment: real processes without disks, wires and tasks, in
-// numbers past what one machine carries. Times are in µs.
+// HollowSetup describes a hollow deployment. Its processes run the real components without
+// real disks, connections and tasks, so that the deployment can be larger than one machine
+// could run. Times are in µs.
 type HollowSetup struct {
 	Workers           int
 	Gateways          int
 	Queues            int
-	StartsPerSecond   float64 // of tasks
-	RunUs             int64   // of a task
+	StartsPerSecond   float64 // rate of task starts
+	RunUs             int64   // run time of a task
 	TasksPerJob       int
-	IsGang            bool // whether a job's tasks are a gang
-	ChangesPerMinute  float64
-	ConfigurationRows int // at least
+	IsGang            bool    // whether a job's tasks are a gang
+	ChangesPerMinute  float64 // rate of configuration changes
+	ConfigurationRows int     // least number of rows in the configuration
 	Zones             int
-	Regions           int              // that the zones are in, in turn
-	RegionDelay       eventloop.Micros // one way between regions
+	Regions           int              // number of regions, to which the zones are assigned in turn
+	RegionDelay       eventloop.Micros // one-way delay between two regions
 	WorkersPerRack    int
-	Controllers       int // agent nodes that may hold the controller's lease; 0: all
+	Controllers       int // number of agent nodes that may hold the controller's lease; 0: all
 	Seed              uint64
-	WarmUp            eventloop.Micros
-	Duration          eventloop.Micros // of the measurement
-	CPUClock          func() int64     // ns of this thread's processor time; nil: steps aren't timed
-	LossScope         string           // what is lost at the end: node, worker, rack, zone, region, link; empty: nothing
+	WarmUp            eventloop.Micros // time between the start of the load and the measurement
+	Duration          eventloop.Micros // duration of the measurement
+	CPUClock          func() int64     // returns this thread's processor time in ns; nil: steps aren't timed
+	LossScope         string           // what is lost after the measurement: node, worker, rack, zone, region or link; empty: nothing
 }
 
 const (
-	zoneDelay          = 450 * eventloop.Micros(1) // between two zones of a region
-	hollowReadyTimeout = 120 * eventloop.Second    // until a hollow deployment has come up
-	propagationTimeout = 8 * eventloop.Second      // of a configuration, as the users' pages allow
-	hollowRetryDelay   = 200 * eventloop.Millisecond
-	hollowSampling     = 500 * eventloop.Millisecond // how often it is looked at
+	zoneDelay          = 450 * eventloop.Micros(1)   // one-way delay between two zones of a region
+	hollowReadyTimeout = 120 * eventloop.Second      // longest time until a hollow deployment is ready
+	propagationTimeout = 8 * eventloop.Second        // time in which every agent must have a configuration, as the users' pages allow
+	hollowRetryDelay   = 200 * eventloop.Millisecond // between two attempts of a request
+	hollowSampling     = 500 * eventloop.Millisecond // between two checks of the deployment's state
 )
 
-// hollowRun is a hollow deployment that runs.
+// hollowRun is a running hollow deployment with its measurements.
 type hollowRun struct {
 	*Simulation
 	setup  HollowSetup
-	region map[string]int // of a zone
+	region map[string]int // region number by zone
 
 	isMeasuring      bool
-	leader           *Host // when the measurement began
-	traffic          map[string]*roleTraffic
-	bytesByMessage   map[string]float64
-	interRegionBytes float64
-	stepTime         map[*Host]map[string]int64 // ns, by component
+	leader           *Host                      // leader at the start of the measurement
+	traffic          map[string]*roleTraffic    // by role
+	bytesByMessage   map[string]float64         // bytes sent by message type
+	interRegionBytes float64                    // bytes sent between regions
+	stepTime         map[*Host]map[string]int64 // processor time of steps in ns, by host and component
 
 	submitted    int
 	submittedAt  map[string]eventloop.Micros // by job
-	startDelays  []eventloop.Micros          // from a job's submission to each start of a task
-	lastHost     map[string]*Host            // on which a task started
+	startDelays  []eventloop.Micros          // time from the submission of the job to each start of a task
+	lastHost     map[string]*Host            // host on which a task last started, by task
 	expectedEnds map[string]eventloop.Micros // by task
 
-	sentAt     map[uint64]eventloop.Micros // of a configuration's revision
-	seenBy     map[uint64]int              // agents, by revision
-	lastSeenAt map[uint64]eventloop.Micros // by revision
+	sentAt     map[uint64]eventloop.Micros // when a configuration was sent, by revision
+	seenBy     map[uint64]int              // number of agents that have received a configuration, by revision
+	lastSeenAt map[uint64]eventloop.Micros // when the last of them received it, by revision
 
-	lostAt        eventloop.Micros // 0: nothing was lost yet
-	lostTasks     map[string]bool  // that haven't started again
-	firstStartAt  eventloop.Micros // of a job that was submitted after the loss
-	lastRestartAt eventloop.Micros // of a lost task
+	lostAt        eventloop.Micros // time of the loss; 0: nothing was lost yet
+	lostTasks     map[string]bool  // lost tasks that haven't started again
+	firstStartAt  eventloop.Micros // first start of a task whose job was submitted after the loss
+	lastRestartAt eventloop.Micros // last start of a lost task
 }
 
-// roleTraffic is what the processes of one role sent and received.
+// roleTraffic counts the messages and bytes that the processes of one role sent and received.
 type roleTraffic struct{ messagesSent, bytesSent, messagesReceived, bytesReceived float64 }
 
-// RunHollow runs a hollow deployment and gives what each role sent, and how fast tasks
-// started. Bytes are those of the messages themselves, without the wire's frames.
+// RunHollow runs a hollow deployment and returns the traffic of each role, the delays of task
+// starts and the other results that the setup asks for. Byte counts cover the messages
+// themselves, without the frames of the transport.
 func RunHollow(setup HollowSetup) []Result {
 	r := newHollowRun(setup)
 	r.addHosts()
@@ -130,7 +132,7 @@
 	return zoneDelay
 }
 
-// zoneOf spreads machines over the zones.
+// zoneOf returns the zone of the machine or rack with a number; the zones take turns.
 func (r *hollowRun) zoneOf(k int) string { return fmt.Sprintf("c%d", k%r.setup.Zones+1) }
 
 func (r *hollowRun) addHosts() {
@@ -149,13 +151,15 @@
 			return r.hollowSlots(h, k, rack, config, slots)
 		}
 	}
-	// As after a power cut: within a few seconds, whole racks at a time.
+	// The machines start as after a power failure: one after another within a few seconds, and
+	// the machines of a rack together.
 	for k, h := range r.Hosts {
 		r.After(eventloop.Micros(k)*2*eventloop.Millisecond, h.Start)
 	}
 }
 
-// hollowSlots has a process run a hollow agent, and no controller where only some may.
+// hollowSlots adds a hollow agent to the components of a process. It also replaces the
+// controller if only some agent nodes may hold the controller's lease and this one may not.
 func (r *hollowRun) hollowSlots(h *Host, k, rack int, config *process.Config, slots []process.ComponentSlot) []process.ComponentSlot {
 	for at := range slots {
 		if slots[at].Name == "controller" && r.setup.Controllers > 0 && k >= r.setup.Controllers {
@@ -174,8 +178,8 @@
 	return append(slots, process.ComponentSlot{Name: hollow.AgentName, Component: agent, TickInterval: hollow.AgentTickInterval})
 }
 
-// awaitReady lets the deployment come up: a lease for each worker, and a leader for each
-// queue. It gives how long that took.
+// awaitReady runs the deployment until each worker has a lease and each queue has a leader, or
+// until hollowReadyTimeout. It returns the time that this took.
 func (r *hollowRun) awaitReady() eventloop.Micros {
 	from := r.Now
 	for r.Now < from+hollowReadyTimeout {
@@ -214,7 +218,7 @@
 
 func queueName(k int) string { return fmt.Sprintf("l%03d", k) }
 
-// configurationRows is the configuration after some changes.
+// configurationRows returns the configuration after the given number of changes.
 func (r *hollowRun) configurationRows(change int) []*schema.ConfigurationRow {
 	rows := []*schema.ConfigurationRow{{Kind: "fleet", Key: "live_jobs", Value: "1000000"}, {Kind: "fleet", Key: "window", Value: "65536"}}
 	for k := range r.setup.Queues {
@@ -226,7 +230,7 @@
 	return append(rows, &schema.ConfigurationRow{Kind: "fleet", Key: "weight_rack", Value: fmt.Sprint(30 + change%10)})
 }
 
-// randomGateway draws a gateway that can serve; where none can, the first host.
+// randomGateway draws a gateway that can serve. If none can, it returns the first host.
 func (r *hollowRun) randomGateway() *Host {
 	var list []*Host
 	for _, h := range r.Gateways() {
@@ -240,8 +244,8 @@
 	return list[r.Rng.IntN(len(list))]
 }
 
-// putConfiguration replaces the configuration until that is accepted, and again at the
-// wanted rate.
+// putConfiguration sends the configuration with the given number of changes until it is
+// accepted, and then the next ones at the rate that the setup gives.
 func (r *hollowRun) putConfiguration(change int) {
 	revision := uint64(change)
 	update := &schema.ConfigurationUpdate{BaseRevision: &revision, Rows: r.configurationRows(change)}
@@ -258,7 +262,7 @@
 	})
 }
 
-// generateLoad submits jobs at the wanted rate from now on.
+// generateLoad submits jobs at the rate that the setup gives, from now on.
 func (r *hollowRun) generateLoad() {
 	if r.setup.StartsPerSecond <= 0 {
 		return
@@ -275,7 +279,7 @@
 	next()
 }
 
-// submit submits a job until it is accepted.
+// submit repeats the submission of a job until it is accepted.
 func (r *hollowRun) submit(queue, name string) {
 	step := &schema.Step{Name: "s", Tasks: uint32(r.setup.TasksPerJob), CoresMilli: 10, MemoryMb: 1, Gang: r.setup.IsGang}
 	node := r.randomGateway()
--- a/internal/sim/hollow_results.go
+++ b/internal/sim/hollow_results.go
@@ -10,13 +10,14 @@
 	"sparnotch/internal/schema"
 )
 
-// Result is one quantity of one process of a role, or of the whole deployment.
+// Result is one measured value: an average per process of a role, or a value of the whole
+// deployment.
 type Result struct {
 	Role, Metric string
 	Value        float64
 }
 
-// The roles of results.
+// Roles in results.
 const (
 	roleLeader  = "leader"
 	roleStorage = "store"
@@ -39,7 +40,7 @@
 
 func milliseconds(duration eventloop.Micros) float64 { return float64(duration) / 1000 }
 
-// results are the rates since a moment, and how fast tasks started since then.
+// results returns the rates and the start delays since the beginning of the measurement.
 func (r *hollowRun) results(from eventloop.Micros, startDelays []eventloop.Micros) []Result {
 	seconds := float64(r.Now-from) / float64(eventloop.Second)
 	list := append(r.trafficResults(seconds), r.cpuResults(seconds)...)
@@ -59,8 +60,8 @@
 	return list
 }
 
-// hostsByRole counts the hosts of each role.
-func (r *hollowRun) hostsByRole() map[string]float64 {
+// hostCountByRole returns the number of hosts of each role.
+func (r *hollowRun) hostCountByRole() map[string]float64 {
 	counts := map[string]float64{}
 	for _, h := range r.Hosts {
 		counts[r.roleOf(h)]++
@@ -68,10 +69,10 @@
 	return counts
 }
 
-// trafficResults are the messages and bytes a second of one process of each role.
+// trafficResults returns the average messages and bytes per second of one process of each role.
 func (r *hollowRun) trafficResults(seconds float64) []Result {
 	var list []Result
-	counts := r.hostsByRole()
+	counts := r.hostCountByRole()
 	for _, role := range []string{roleLeader, roleStorage, roleGateway, roleAgent} {
 		if counts[role] == 0 {
 			continue
@@ -89,14 +90,15 @@
 	return list
 }
 
-// cpuResults are what the components of one process of each role used, in thousandths of a
-// core: without wire and disk, which aren't there.
+// cpuResults returns the average processor use of each component in one process of each role,
+// in thousandths of a core. It doesn't include connections and disks, which a hollow deployment
+// doesn't have.
 func (r *hollowRun) cpuResults(seconds float64) []Result {
 	if r.CPUClock == nil {
 		return nil
 	}
 	type use struct{ role, component string }
-	sums, counts := map[use]float64{}, r.hostsByRole()
+	sums, counts := map[use]float64{}, r.hostCountByRole()
 	for _, h := range r.Hosts {
 		role := r.roleOf(h)
 		for component, nanos := range r.stepTime[h] {
@@ -112,8 +114,9 @@
 	return list
 }
 
-// propagationResults are how long the configurations that were sent in an interval took
-// until every agent had them; one that an agent skipped for a newer one counts as missed.
+// propagationResults returns the longest time until every agent had received a configuration,
+// among those that were sent in a period. A configuration that an agent skipped in favour of a
+// newer one counts as missed.
 func (r *hollowRun) propagationResults(from, until eventloop.Micros) []Result {
 	count, slowest, missed := 0, eventloop.Micros(0), 0.0
 	for revision, sentAt := range r.sentAt {
@@ -135,11 +138,13 @@
 
 // --- losses ---
 
-// lossTimeout is how long the work that a loss concerns may take to start again.
+// lossTimeout is the longest time after a loss for which the simulation waits for tasks to
+// start again.
 const lossTimeout = 40 * eventloop.Second
 
-// measureLoss takes away what the setup says. It gives how long it takes until a job that
-// is submitted after that starts, and until the last task that ran there starts again.
+// measureLoss injects the loss that the setup specifies. It returns the time until a job that
+// is submitted after the loss starts, and the time until the last of the lost tasks has started
+// again.
 func (r *hollowRun) measureLoss() []Result {
 	isLost := r.lossPredicate()
 	hit := 0
@@ -151,7 +156,8 @@
 	r.lostAt = r.Now
 	isLink := r.setup.LossScope == "link"
 	for key, h := range r.lastHost {
-		// What runs in the other region goes on, and isn't awaited.
+		// When only the link is lost, the tasks in the other region keep running and don't have
+		// to start again.
 		if r.expectedEnds[key] > r.Now && isLost(h) && !isLink {
 			r.lostTasks[key] = true
 		}
@@ -179,7 +185,7 @@
 	return list
 }
 
-// lossPredicate says which hosts are lost.
+// lossPredicate returns a function that reports whether a host is lost.
 func (r *hollowRun) lossPredicate() func(h *Host) bool {
 	leader := r.Leader()
 	switch r.setup.LossScope {
--- a/internal/sim/job_kinds.go
+++ b/internal/sim/job_kinds.go
@@ -11,7 +11,7 @@
 	return &schema.Step{Name: name, Tasks: tasks, CoresMilli: cores, MemoryMb: 256, Dependencies: after, AllowedFailures: 3}
 }
 
-// newTimedStep is a step of known run time.
+// newTimedStep returns a step with an estimated run time.
 func newTimedStep(name string, tasks uint32, cores int64, run eventloop.Micros, after ...string) *schema.Step {
 	return &schema.Step{Name: name, Tasks: tasks, CoresMilli: cores, MemoryMb: 256, Dependencies: after, EstimatedRunUs: int64(run)}
 }
@@ -20,8 +20,8 @@
 	return &schema.Job{Text: text, Steps: steps}
 }
 
-// DefaultJobKinds are a load that touches every rule: urgent and slow work, steps, gangs,
-// timed jobs, tasks that fail, and jobs that are cancelled.
+// DefaultJobKinds returns a load that exercises every rule: urgent and slow jobs, several
+// steps, gangs, timed jobs, tasks that fail, and jobs that are cancelled.
 func DefaultJobKinds() []JobKind {
 	gang := newStep("gang", 4, 1000)
 	gang.Gang = true
@@ -42,7 +42,8 @@
 	}
 }
 
-// DefaultConfigurationRows is the configuration of the default load's queues.
+// DefaultConfigurationRows returns the configuration of the queues that DefaultJobKinds use,
+// with the given urgency of the queue quick.
 func DefaultConfigurationRows(urgency int) []*schema.ConfigurationRow {
 	return append(queueRows(urgency),
 		&schema.ConfigurationRow{Kind: "queue", Name: "quick", Key: "still_ms", Value: "1000"},
@@ -61,7 +62,7 @@
 	}
 }
 
-// CalledJobKinds are a load that touches every rule about called workers.
+// CalledJobKinds returns a load that exercises every rule about called workers.
 func CalledJobKinds() []JobKind {
 	rows := newTimedStep("rows", 8, 2000, 1500*eventloop.Millisecond, "load")
 	rows.Checkpoints, rows.DataRack = true, "r1"
@@ -91,7 +92,8 @@
 	}
 }
 
-// CalledConfigurationRows is the configuration of that load's queues and pools.
+// CalledConfigurationRows returns the configuration of the queues and pools that
+// CalledJobKinds use, with the given urgency of the queue quick.
 func CalledConfigurationRows(urgency int) []*schema.ConfigurationRow {
 	rows := queueRows(urgency)
 	add := func(kind, name, key, value string) {
--- a/internal/sim/operators.go
+++ b/internal/sim/operators.go
@@ -15,12 +15,13 @@
 
 const (
 	configurationRetryDelay = 200 * eventloop.Millisecond
-	revisionUpdateTimeout   = 8 * eventloop.Second // of an operator that builds on a revision
-	versionUpdateTimeout    = 4 * eventloop.Second // of one that numbers versions
+	revisionUpdateTimeout   = 8 * eventloop.Second // for operators that replace a revision
+	versionUpdateTimeout    = 4 * eventloop.Second // for operators that number versions
 )
 
-// PutConfiguration has an operator replace the configuration, built on the one that it
-// reads, until it is accepted.
+// PutConfiguration simulates an operator that replaces the configuration. The operator reads
+// the current one, sends the new one based on it, and repeats both until the new one is
+// accepted or already in effect.
 func (s *Simulation) PutConfiguration(operator string, rows []*schema.ConfigurationRow) {
 	put := s.putRevision
 	if s.usesVersions {
@@ -37,7 +38,8 @@
 	})
 }
 
-// putRevision replaces a revision of the configuration.
+// putRevision replaces the configuration of a given revision. It calls retry unless the
+// replace is acknowledged.
 func (s *Simulation) putRevision(operator string, current *schema.Configuration, rows []*schema.ConfigurationRow, retry func()) {
 	revision := current.Revision
 	update := &schema.ConfigurationUpdate{BaseRevision: &revision, Rows: rows}
@@ -56,8 +58,8 @@
 	})
 }
 
-// putVersion replaces a version of the configuration by another with a higher number. It
-// is sent again as it is while the answer is unclear.
+// putVersion replaces a version of the configuration by one with a higher number. While it is
+// unknown whether the update took effect, the same update is sent again.
 func (s *Simulation) putVersion(operator string, current *schema.Configuration, rows []*schema.ConfigurationRow, retry func()) {
 	version := current.Version + 1 + uint64(s.Rng.IntN(3))
 	update := &schema.ConfigurationUpdate{
@@ -93,7 +95,7 @@
 	})
 }
 
-// withDefaultPools directs queues that have no pool to the main one.
+// withDefaultPools returns the rows with the main pool added for queues that have no pool.
 func withDefaultPools(rows []*schema.ConfigurationRow) []*schema.ConfigurationRow {
 	hasPool, all := map[string]bool{}, slices.Clone(rows)
 	for _, row := range rows {
@@ -110,9 +112,9 @@
 	return all
 }
 
-// readConfiguration reads the configuration through a gateway, records what was shown, and
-// gives it back; nil if it couldn't be read.
-func (s *Simulation) readConfiguration(node *Host, back func(current *schema.Configuration)) {
+// readConfiguration reads the configuration through a gateway, records the response and passes
+// the configuration to the callback, or nil if it couldn't be read.
+func (s *Simulation) readConfiguration(node *Host, onResponse func(current *schema.Configuration)) {
 	sentAt := s.Now
 	s.Request(node, clientTimeout, leaderRequest(configurationRequest()), func(answer any) {
 		response, current := responseOf(answer), &schema.Configuration{}
@@ -126,17 +128,18 @@
 		if response.Code != 200 {
 			current = nil
 		} else if s.shownVersion != e.Version {
-			// Only a change is recorded with its content, to keep the history small.
+			// The content is recorded only if the version differs from the last recorded one, to
+			// keep the history small.
 			s.shownVersion = e.Version
 			e.Rows, e.Document = current.Rows, string(current.Document)
 		}
 		s.Record(e)
-		back(current)
+		onResponse(current)
 	})
 }
 
-// ReadPeriodically has an operator read the configuration at intervals until a moment, and
-// then once through every gateway.
+// ReadPeriodically simulates an operator that reads the configuration at an interval until a
+// point in time, and then once through every gateway.
 func (s *Simulation) ReadPeriodically(interval, until eventloop.Micros) {
 	ignore := func(*schema.Configuration) {}
 	if s.Now >= until {
--- a/internal/sim/polling_worker.go
+++ b/internal/sim/polling_worker.go
@@ -16,20 +16,20 @@
 	maxOpenPolls       = 2
 )
 
-// Worker is a machine that runs tasks: a PollingWorker or a CalledWorker.
+// Worker is a simulated worker, which runs tasks: a PollingWorker or a CalledWorker.
 type Worker interface {
-	Name() string    // of the present incarnation, as it is in the history
-	Machine() string // of its machine, which stays
+	Name() string    // name of the current incarnation in the history
+	Machine() string // name of its machine, the same for all incarnations
 	Start()
 	Crash()
 	Drain()
 	SetPartitioned(partitioned bool)
 	Freeze(duration eventloop.Micros)
 	Behaviour() *fakeworker.Behaviour
-	SetCapacity(cores, memory int64) // of its next incarnation, in thousandths and MB
+	SetCapacity(cores, memory int64) // of its next incarnation, in thousandths of a core and MB
 }
 
-// PollingWorker is a worker that polls gateways for its orders.
+// PollingWorker is a simulated worker that polls gateways for its orders.
 type PollingWorker struct {
 	sim           *Simulation
 	name, rack    string
@@ -40,31 +40,32 @@
 	incarnation   uint64
 	openPolls     int
 	isFrozen      bool
-	isPartitioned bool // from every gateway
-	isPinned      bool // polls no other gateway
-	run           int  // counts starts and ends
+	isPartitioned bool // whether it is partitioned from every gateway
+	isPinned      bool // whether it keeps its gateway after a failed poll
+	run           int  // counts starts and ends, so that calls for an earlier incarnation are dropped
 }
 
-// AddPollingWorker adds a worker and starts it; cores are in thousandths, memory in MB.
+// AddPollingWorker adds a worker and starts it. The capacity is in thousandths of a core and
+// in MB.
 func (s *Simulation) AddPollingWorker(name, rack, zone string, cores, memory int64) *PollingWorker {
 	worker := &PollingWorker{sim: s, name: name, rack: rack, zone: zone, cores: cores, memory: memory}
 	worker.Start()
 	return worker
 }
 
-// Name is that of the worker, which stays.
+// Name returns the worker's name, which is the same for all incarnations.
 func (w *PollingWorker) Name() string { return w.name }
 
-// Machine is the worker's name.
+// Machine returns the worker's name, which is also the name of its machine.
 func (w *PollingWorker) Machine() string { return w.name }
 
-// Behaviour is that of the present incarnation.
+// Behaviour returns the behaviour of the current incarnation.
 func (w *PollingWorker) Behaviour() *fakeworker.Behaviour { return &w.worker.Behaviour }
 
-// SetCapacity sets what the next incarnation has.
+// SetCapacity sets the capacity of the next incarnation, in thousandths of a core and in MB.
 func (w *PollingWorker) SetCapacity(cores, memory int64) { w.cores, w.memory = cores, memory }
 
-// Start starts another incarnation.
+// Start starts a new incarnation.
 func (w *PollingWorker) Start() {
 	sim := w.sim
 	w.run++
@@ -75,22 +76,22 @@
 	w.tick(w.run)
 }
 
-// Crash ends the incarnation, and its tasks with it.
+// Crash ends the current incarnation at once, with its tasks.
 func (w *PollingWorker) Crash() {
 	w.worker.Crash(w.sim.Now)
 	w.run++
 }
 
-// Drain has the worker say that it drains.
+// Drain makes the worker report that it drains.
 func (w *PollingWorker) Drain() { w.worker.Drain(w.sim.Now) }
 
-// SetPartitioned partitions the worker from every gateway, or heals that.
+// SetPartitioned partitions the worker from every gateway, or heals the partition.
 func (w *PollingWorker) SetPartitioned(partitioned bool) {
 	w.isPartitioned = partitioned
 	w.sim.recordPartition(w.name, partitioned)
 }
 
-// recordPartition records that a worker is partitioned from everybody, or no longer.
+// recordPartition records that a worker is partitioned, or that its partition has healed.
 func (s *Simulation) recordPartition(worker string, partitioned bool) {
 	e := checker.Event{Kind: checker.WorkerPartitioned, Actor: worker}
 	if !partitioned {
@@ -99,7 +100,7 @@
 	s.Record(e)
 }
 
-// Freeze stops the worker and its tasks for a while.
+// Freeze suspends the worker and its tasks for a duration.
 func (w *PollingWorker) Freeze(duration eventloop.Micros) {
 	run := w.run
 	w.isFrozen = true
@@ -127,13 +128,14 @@
 	sim.After(workerTickInterval, func() { w.tick(run) })
 }
 
-// poll sends the worker's state to its gateway and takes the orders that come back; where
-// none come it tries another gateway.
+// poll sends the worker's heartbeat to its gateway and handles the orders in the response. If
+// there is no valid response, the next poll goes to a newly drawn gateway, unless the worker
+// is pinned.
 func (w *PollingWorker) poll(run int) {
 	sim := w.sim
 	heartbeat, sentAt := w.worker.NewHeartbeat(sim.Now), sim.Now
 	w.openPolls++
-	back := func(answer any) {
+	onResponse := func(answer any) {
 		if w.run != run {
 			return
 		}
@@ -149,7 +151,7 @@
 		w.worker.HandleOrders(sim.Now, sentAt, heartbeat.Seq, orders)
 	}
 	if w.isPartitioned {
-		sim.After(pollTimeout, func() { back(nil) })
+		sim.After(pollTimeout, func() { onResponse(nil) })
 		return
 	}
 	sim.Request(w.gateway, pollTimeout, func(id uint64, deadline eventloop.Micros) any {
@@ -158,6 +160,6 @@
 		if w.isPartitioned {
 			answer = nil
 		}
-		back(answer)
+		onResponse(answer)
 	})
 }
--- a/internal/sim/requests.go
+++ b/internal/sim/requests.go
@@ -8,20 +8,20 @@
 	"sparnotch/internal/schema"
 )
 
-// newRequest makes a gateway's message of the request's id and its deadline, by the clock
-// of the gateway's process.
+// newRequest returns the message to a gateway for a request with the given id and deadline.
+// The deadline is a time of the gateway process's own clock.
 type newRequest func(id uint64, deadline eventloop.Micros) any
 
-// Request sends an HTTP request to a gateway and calls back once with the response; with
-// nil if the connection broke, or if there was no response within the timeout.
-func (s *Simulation) Request(h *Host, timeout eventloop.Micros, request newRequest, back func(response any)) {
+// Request simulates an HTTP request to a gateway. The callback is called once with the
+// response, or with nil if the connection breaks or there is no response within the timeout.
+func (s *Simulation) Request(h *Host, timeout eventloop.Micros, request newRequest, onResponse func(response any)) {
 	s.lastRequest++
 	id := s.lastRequest
 	done := false
 	finish := func(response any) {
 		if !done {
 			done = true
-			back(response)
+			onResponse(response)
 		}
 	}
 	s.After(s.drawClientDelay(), func() {
@@ -47,12 +47,12 @@
 	return 3*eventloop.Millisecond + eventloop.Micros(s.Rng.Int64N(500))
 }
 
-// submitRequest submits a job without a key.
+// submitRequest returns a request that submits a job without a key.
 func submitRequest(queue, client, name string, job *schema.Job) newRequest {
 	return submitWithKey(queue, client, "", name, job)
 }
 
-// submitWithKey submits a job with the hash of a key.
+// submitWithKey returns a request that submits a job with the hash of a key.
 func submitWithKey(queue, client, keyHash, name string, job *schema.Job) newRequest {
 	return func(id uint64, deadline eventloop.Micros) any {
 		return gateway.SubmitJob{
@@ -61,7 +61,8 @@
 	}
 }
 
-// leaderRequest is a request that a group's leader answers; its id and deadline are set.
+// leaderRequest returns a request that the gateway forwards to the leader of a group. The id
+// and the deadline of the argument are filled in.
 func leaderRequest(request gateway.LeaderRequest) newRequest {
 	return func(id uint64, deadline eventloop.Micros) any {
 		request.RequestID, request.Deadline = id, deadline
@@ -69,28 +70,29 @@
 	}
 }
 
-// updateRequest sends a configuration.
+// updateRequest returns a request that replaces the configuration.
 func updateRequest(update *schema.ConfigurationUpdate) gateway.LeaderRequest {
 	return gateway.LeaderRequest{Kind: "clusterstate", Group: clusterstate.GroupName, Body: replica.EncodeClusterStateCommand(
 		&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_UpdateConfiguration{UpdateConfiguration: &schema.UpdateConfiguration{Update: update}}})}
 }
 
-// configurationRequest reads the configuration.
+// configurationRequest returns a request that reads the configuration.
 func configurationRequest() gateway.LeaderRequest {
 	return gateway.LeaderRequest{Kind: "plan", Group: clusterstate.GroupName}
 }
 
-// responseOf is a request's response; its code is 0 if there was none.
+// responseOf converts the argument of a request's callback to a response. The code is 0 if
+// there was no response.
 func responseOf(answer any) gateway.Response {
 	response, _ := answer.(gateway.Response)
 	return response
 }
 
-// isConfirmed reports whether a submission was accepted, now or before.
+// isConfirmed reports whether a submission was accepted, by this request or an earlier one.
 func isConfirmed(response gateway.Response) bool { return response.Code == 200 || response.Code == 201 }
 
-// isUnclear reports whether a request may or may not have had an effect, and may be sent
-// again.
+// isUnclear reports whether it is unknown if a request has had an effect, so that the client
+// may send it again.
 func isUnclear(response gateway.Response) bool {
 	return response.Code == 0 || response.Code >= 500 || response.Code == 429
 }
--- a/internal/sim/tenants.go
+++ b/internal/sim/tenants.go
@@ -12,21 +12,21 @@
 	"sparnotch/internal/schema"
 )
 
-// intruderInterval is how often a call is made that no key allows.
+// intruderInterval is the interval between two unauthorized requests.
 const intruderInterval = 350 * eventloop.Millisecond
 
-// tenantClients are the tenants that share a deployment, and the keys that their clients
-// use. What is drawn here leaves the simulation's own draws as they are.
+// tenantClients holds the tenants that share a deployment and the keys that their clients use.
+// It has its own random source, so that its draws don't change those of the simulation.
 type tenantClients struct {
-	rng        *rand.Rand
-	configured []deployments.Tenant // as operators have last sent them
-	keysInUse  map[string][]string  // by tenant
-	changes    []func()             // that operators have still to send, one after the other
-	changed    int                  // changes that were begun
-	intrusions int
+	rng            *rand.Rand
+	configured     []deployments.Tenant // tenants in the configuration that operators sent last
+	keysInUse      map[string][]string  // keys that clients use, by tenant
+	pendingChanges []func()             // changes that aren't acknowledged yet; only the first one has begun
+	changesBegun   int                  // number of changes that have begun
+	intrusions     int                  // number of unauthorized requests
 }
 
-// newTenantClients gives the clients of tenants; nil where there are none.
+// newTenantClients returns the clients of the given tenants, or nil if there are no tenants.
 func newTenantClients(seed uint64, tenants []deployments.Tenant) *tenantClients {
 	if len(tenants) == 0 {
 		return nil
@@ -38,7 +38,8 @@
 	return t
 }
 
-// draw draws a tenant by its share of the calls; empty: there are none.
+// draw draws the name of a tenant with a probability in proportion to its share of the calls.
+// It returns an empty name if there are no tenants.
 func (t *tenantClients) draw() string {
 	if t == nil {
 		return ""
@@ -57,7 +58,8 @@
 	return t.configured[0].Name
 }
 
-// drawKeyHash draws one of the keys that a tenant's clients use, and gives its hash.
+// drawKeyHash draws one of the keys that a tenant's clients use and returns its hash, or an
+// empty string if they use none.
 func (t *tenantClients) drawKeyHash(tenant string) string {
 	if t == nil || len(t.keysInUse[tenant]) == 0 {
 		return ""
@@ -66,12 +68,12 @@
 	return clusterstate.HashKey(keys[t.rng.IntN(len(keys))])
 }
 
-// stopUsing has a tenant's clients use a key no longer.
+// stopUsing makes a tenant's clients stop using a key.
 func (t *tenantClients) stopUsing(tenant, key string) {
 	t.keysInUse[tenant] = slices.DeleteFunc(slices.Clone(t.keysInUse[tenant]), func(k string) bool { return k == key })
 }
 
-// otherThan draws a tenant that isn't the given one.
+// otherThan draws the name of a tenant other than the given one.
 func (t *tenantClients) otherThan(tenant string) string {
 	var others []string
 	for _, other := range t.configured {
@@ -82,7 +84,7 @@
 	return others[t.rng.IntN(len(others))]
 }
 
-// tenant is what is configured of a tenant.
+// tenant returns the configuration of a tenant, or nil if there is no tenant of this name.
 func (t *tenantClients) tenant(name string) *deployments.Tenant {
 	for k := range t.configured {
 		if t.configured[k].Name == name {
@@ -92,29 +94,29 @@
 	return nil
 }
 
-// changeTenant has an operator change what is configured of a tenant once all changes
-// before are acknowledged, and calls back when this one is.
+// changeTenant makes an operator change the configuration of a tenant once all earlier changes
+// are acknowledged. It calls acknowledged when this change is.
 func (f *Fleet) changeTenant(name string, change func(tenant *deployments.Tenant), acknowledged func()) {
-	f.tenants.changes = append(f.tenants.changes, func() {
+	f.tenants.pendingChanges = append(f.tenants.pendingChanges, func() {
 		f.tenants.configured = slices.Clone(f.tenants.configured)
 		change(f.tenants.tenant(name))
 		f.sendTenants(acknowledged)
 	})
-	if len(f.tenants.changes) == 1 {
-		f.tenants.changes[0]()
+	if len(f.tenants.pendingChanges) == 1 {
+		f.tenants.pendingChanges[0]()
 	}
 }
 
-// sendTenants has an operator of its own send what is configured now, and calls back once
-// that is acknowledged; the next change follows.
+// sendTenants makes a new operator send the current configuration of the tenants. When that is
+// acknowledged, it calls acknowledged and begins the next pending change.
 func (f *Fleet) sendTenants(acknowledged func()) {
-	f.tenants.changed++
-	operator := fmt.Sprint("operator of tenants ", f.tenants.changed)
+	f.tenants.changesBegun++
+	operator := fmt.Sprint("operator of tenants ", f.tenants.changesBegun)
 	next := func() {
 		acknowledged()
-		f.tenants.changes = f.tenants.changes[1:]
-		if len(f.tenants.changes) > 0 {
-			f.tenants.changes[0]()
+		f.tenants.pendingChanges = f.tenants.pendingChanges[1:]
+		if len(f.tenants.pendingChanges) > 0 {
+			f.tenants.pendingChanges[0]()
 		}
 	}
 	f.observers = append(f.observers, func(e checker.Event) bool {
@@ -127,8 +129,8 @@
 	f.PutConfiguration(operator, f.ConfigurationRows(operatorUrgency))
 }
 
-// intrudePeriodically makes calls that no key allows, at intervals until a moment: with a
-// key that was never held, without one, and about another tenant's job.
+// intrudePeriodically sends unauthorized requests at an interval until a point in time: with a
+// key that no tenant ever had, without a key, and about another tenant's job.
 func (f *Fleet) intrudePeriodically(until eventloop.Micros) {
 	if f.Now >= until {
 		return
@@ -156,8 +158,8 @@
 	}
 }
 
-// lastAcceptedJobOf is the name of the job of a tenant, or where none is named of any, that
-// was accepted last; empty: none was.
+// lastAcceptedJobOf returns the name of the last accepted job of a tenant, or of any tenant if
+// the argument is empty. It returns an empty name if no such job was accepted.
 func (f *Fleet) lastAcceptedJobOf(tenant string) string {
 	for _, e := range slices.Backward(f.History) {
 		owner := f.submittedJobs[e.Name].tenant
@@ -168,7 +170,8 @@
 	return ""
 }
 
-// askUntilAnswered asks about a job with the hash of a key until there is an answer.
+// askUntilAnswered sends a request about a job with the hash of a key until there is a
+// response with a code below 500.
 func (f *Fleet) askUntilAnswered(queue, request, name, keyHash string) {
 	f.askThrough(f.anyGateway(), queue, request, name, keyHash, func(code int32, _ *schema.JobView) {
 		if code == 0 || code >= 500 {
@@ -177,8 +180,8 @@
 	})
 }
 
-// submitUntilAnswered submits a small job, with the hash of a key that no tenant holds or
-// without one, until there is an answer.
+// submitUntilAnswered submits a small job, with the hash of a key that no tenant has or without
+// a key, until there is a final response.
 func (f *Fleet) submitUntilAnswered(name, keyHash string) {
 	const queue = "quick"
 	node, sentAt, job := f.anyGateway(), f.Now, newJob("intruder", newTimedStep("a", 1, 500, 30*eventloop.Millisecond))
