--- a/internal/sim/called_worker.go
+++ b/internal/sim/called_worker.go
@@ -13,7 +13,7 @@
 const (
 	calledTickInterval       = 5 * eventloop.Millisecond
 	defaultHeartbeatInterval = 1500 * eventloop.Millisecond
-	heartbeatRetryInterval   = 500 * eventloop.Millisecond // while nobody acknowledges heartbeats
+	heartbeatRetryInterval   = 500 * eventloop.Millisecond // between two heartbeats while the agent doesn't serve
 	calledWarmUp             = 2 * eventloop.Second        // how long a new incarnation is slow
 	drainTimeout             = 5 * eventloop.Second        // timeout of a drain that nobody acknowledges
 	drainGrace               = 500 * eventloop.Millisecond // time that a drain may take beyond the deployment's drain timeout
--- a/internal/sim/platform_faults.go
+++ b/internal/sim/platform_faults.go
@@ -22,8 +22,9 @@
 	// A storage node is replaced as planned: its successor starts before it is drained.
 	"succeed": {anyStorageNode, true, onHost(func(f *Fleet, h *Host, _ eventloop.Micros) { f.replaceGracefully(h) })},
 
-	// A storage node is partitioned from the other two, but not from the rest of the fleet: in
-	// both directions, for outgoing messages only, or for incoming messages only.
+	// A storage node is partitioned from the other two, but not from the rest of the fleet. The
+	// partition blocks both directions (corecut), only messages from the node (coremute) or only
+	// messages to it (coredeaf).
 	"corecut": {anyStorageNode, true, onHost(func(f *Fleet, h *Host, duration eventloop.Micros) {
 		f.partitionFromStorageNodes(h, duration, true, true)
 	})},
@@ -39,8 +40,9 @@
 	// Three gateways become the seeds of every machine, and some processes restart.
 	"turnover": {wholeFleet, false, onFleet(func(f *Fleet, _ eventloop.Micros) { f.rotateSeeds() })},
 
-	// A loss right after the next acknowledgement: the gateway that sent it or the leader loses
-	// power, the leader loses its disk, or all storage nodes lose power.
+	// A loss right after the next acknowledgement: the gateway that sent it loses power (ackkill),
+	// the leader loses power (ackpower), the leader loses its disk (ackwipe), or all storage nodes
+	// lose power (ackherd).
 	"ackkill": {wholeFleet, true, onFleet(func(f *Fleet, duration eventloop.Micros) {
 		f.afterAcknowledgement(func(gateway *Host) { f.kill(gateway, duration) })
 	})},
@@ -58,8 +60,8 @@
 		f.powerCycleStorageNodes(min(duration, maxDowntime))
 	})},
 
-	// Every process ends right after the next acknowledgement: by a loss of power, alone, or by
-	// a loss of power with the loss of the leader's disk.
+	// Every process ends right after the next acknowledgement: with a loss of power (closepower),
+	// without one (closekill), or with a loss of power and of the leader's disk (closewipe).
 	"closepower": {wholeFleet, true, onFleet(func(f *Fleet, duration eventloop.Micros) {
 		f.afterAcknowledgement(func(*Host) { f.endEverything(duration, (*Host).Kill) })
 	})},
--- a/internal/sim/verify.go
+++ b/internal/sim/verify.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	minGroups     = 5   // groups that the default configuration has at least
+	minGroups     = 5   // least number of groups with the default configuration
 	maxReplicaLag = 200 // log entries that may still be missing from a replica that counts as caught up
 )
 
