--- a/internal/sim/day.go
+++ b/internal/sim/day.go
@@ -85,20 +85,20 @@
 
 // Day runs a whole day of a deployment: clients at a share of their usual rate, a new
 // configuration each hour, long-lasting jobs, a quiet part without faults and changes, a
-// rolling restart of all machines and workers, and a last fault. The argument hour is the
+// rolling restart of all machines and workers, and a last fault. The argument hourLength is the
 // length of an hour, which may be shorter than Hour. Day returns the fleet at the end, a sample
 // of each quarter of an hour, the violations of rules, and other problems.
-func Day(spec FleetSpec, seed uint64, hours int, hour eventloop.Micros, share float64) (*Fleet, []Sample, []checker.Violation, []string) {
+func Day(spec FleetSpec, seed uint64, hours int, hourLength eventloop.Micros, share float64) (*Fleet, []Sample, []checker.Violation, []string) {
 	spec.JobKinds = slices.Clone(spec.JobKinds)
 	for k := range spec.JobKinds {
 		spec.JobKinds[k].Interval = eventloop.Micros(float64(spec.JobKinds[k].Interval) / share)
 	}
-	d := &dayRun{hours: hours, hourLength: hour, quietStates: map[string]bool{}}
+	d := &dayRun{hours: hours, hourLength: hourLength, quietStates: map[string]bool{}}
 	d.Fleet = NewFleet(seed, spec, ReliableNetwork, fastSync, d.duration())
 	d.submitLastingJobs()
 	d.takeSamples()
 	for h := 2; h < hours; h++ {
-		d.atLoad(eventloop.Micros(h)*hour+90*eventloop.Second, func() { d.PutConfiguration("operator", d.ConfigurationRows(30+h)) })
+		d.atLoad(eventloop.Micros(h)*hourLength+90*eventloop.Second, func() { d.PutConfiguration("operator", d.ConfigurationRows(30+h)) })
 	}
 	d.restartAllInTurn()
 	d.killLeaderAt(d.duration()-20*eventloop.Second, 5*eventloop.Second)
