--- a/internal/modelcheck/disk.go
+++ b/internal/modelcheck/disk.go
@@ -8,16 +8,16 @@
 	"sparnotch/internal/storage"
 )
 
-// groupName is the one group that is modelled, that of the cluster state.
+// groupName is the name of the only group that is modelled, the one of the cluster state.
 const groupName = clusterstate.GroupName
 
 // disk is a machine's disk.
 type disk interface {
-	// content is what is durable.
+	// content returns the durable state.
 	content() *storage.State
 	// commit makes changes durable.
 	commit(changes []*schema.StoreChange) error
-	// crash loses what wasn't synced, or tears the changes that were being written.
+	// crash loses unsynced data, and may leave a part of the changes that were being written.
 	crash(writing []*schema.StoreChange, draw func(n int) int) error
 	clone() disk
 }
@@ -44,18 +44,19 @@
 
 func (d *memoryDisk) clone() disk { return &memoryDisk{stored: d.stored} }
 
-// cloneGroupState shares the entries, but not the capacity behind them: an append copies.
+// cloneGroupState returns a copy that shares the entries, but not the slice's spare capacity,
+// so that an append to the copy doesn't overwrite entries of the original.
 func cloneGroupState(log *storage.GroupState) *storage.GroupState {
 	return &storage.GroupState{HardState: log.HardState, Snapshot: log.Snapshot, Entries: slices.Clip(log.Entries)}
 }
 
-// maxLogBytes is small, so that the store switches slots often.
+// maxLogBytes limits a store's log. It is small, so that the store switches slots often.
 const maxLogBytes = 4 << 10
 
-// maxTornBytes limits what an interrupted write writes.
+// maxTornBytes limits how many bytes of an interrupted write reach the disk.
 const maxTornBytes = 600
 
-// fileDisk is a real store on files that a crash may tear.
+// fileDisk is a real store on files in memory; a crash may cut its unsynced writes short.
 type fileDisk struct {
 	files *memoryFiles
 	store *storage.Store
--- a/internal/modelcheck/enabled.go
+++ b/internal/modelcheck/enabled.go
@@ -4,8 +4,8 @@
 	"slices"
 )
 
-// EnabledSteps are the steps that the scheduler may take. Losing a message isn't among them:
-// a message that is never delivered is lost.
+// EnabledSteps returns the steps that the scheduler may take. Losing a message isn't among
+// them, since a message that is never delivered is as good as lost.
 func (w *World) EnabledSteps() []Step {
 	steps := w.messageSteps()
 	for k, m := range w.machines {
@@ -19,7 +19,8 @@
 	return steps
 }
 
-// messageSteps deliver or duplicate what is in flight; equal messages are listed once.
+// messageSteps returns the steps that deliver or duplicate a message in flight; equal messages
+// are listed once.
 func (w *World) messageSteps() []Step {
 	var steps []Step
 	isListed := map[uint32]bool{}
@@ -36,7 +37,7 @@
 	return steps
 }
 
-// machineSteps are the steps of one machine.
+// machineSteps returns the steps that one machine may take.
 func (w *World) machineSteps(k int, m *machine) []Step {
 	var steps []Step
 	add := func(step Step) { steps = append(steps, step) }
@@ -65,7 +66,7 @@
 	return steps
 }
 
-// leaderSteps are the steps that only a leader may take.
+// leaderSteps returns the steps that a machine may take only as a leader.
 func (w *World) leaderSteps(k int, m *machine) []Step {
 	var steps []Step
 	add := func(step Step) { steps = append(steps, step) }
--- a/internal/modelcheck/execute.go
+++ b/internal/modelcheck/execute.go
@@ -9,14 +9,16 @@
 	"sparnotch/internal/schema"
 )
 
-// maxQuietRounds bounds runUntilQuiet: two leaders could send each other heartbeats for ever.
+// maxQuietRounds limits the rounds of runUntilQuiet, since two leaders could send each other
+// heartbeats for ever.
 const maxQuietRounds = 10_000
 
-// extraFillers puts a learner safely beyond the allowed lag.
+// extraFillers is how many entries beyond the allowed lag are appended, to be sure that a
+// learner exceeds it.
 const extraFillers = 8
 
-// Execute takes a step and checks the invariants. It returns false if the step has no effect
-// in this world. A panic of the code under test is a violation.
+// Execute takes a step and checks the invariants. It returns false if the step isn't possible
+// in this world. A panic of the code under test is recorded as a violation.
 func (w *World) Execute(step Step) (isDone bool) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -55,7 +57,8 @@
 	return w.executeMachineStep(kind, m)
 }
 
-// digit parses the digit at a position of a step, which must be below a limit.
+// digit parses the digit at a position of a step's text. It returns false if there is none, or
+// if its value isn't below a limit.
 func digit(text string, at, below int) (int, bool) {
 	if at >= len(text) {
 		return 0, false
@@ -64,7 +67,8 @@
 	return value, value >= 0 && value < below
 }
 
-// advanceTime advances all clocks alike.
+// advanceTime advances all clocks by the same time, in milliseconds, and checks the leader
+// lease.
 func (w *World) advanceTime(ms string) bool {
 	millis, err := strconv.Atoi(ms)
 	if err != nil {
@@ -190,8 +194,8 @@
 	return true
 }
 
-// nextMembership is the membership after a step, whether or not the step is safe: the group
-// must reject those that aren't. It is nil if the step doesn't apply.
+// nextMembership returns the membership after a step; nil if the step doesn't apply. It doesn't
+// check whether the change is safe, since the group must reject unsafe changes itself.
 func nextMembership(old *schema.MemberSet, kind stepKind, id string) *schema.MemberSet {
 	isVoter, isLearner := slices.Contains(old.Voters, id), slices.Contains(old.Learners, id)
 	next := &schema.MemberSet{Voters: slices.Clone(old.Voters), Learners: slices.Clone(old.Learners)}
@@ -213,8 +217,8 @@
 	return slices.DeleteFunc(list, func(member string) bool { return member == id })
 }
 
-// runUntilQuiet delivers messages and syncs writes among some machines, "" for all, until
-// nothing is left to do; other messages are lost.
+// runUntilQuiet delivers messages and syncs writes until none are left, on the machines whose
+// digits are given, or on all if there are none. Messages to and from other machines are lost.
 func (w *World) runUntilQuiet(among string) {
 	isIncluded := func(id string) bool {
 		m := w.machineByID(id)
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -14,25 +14,25 @@
 	Name      string
 	Limits    Limits
 	Prefix    string // the schedule that leads to the starting point
-	Depth     int    // in steps from there
-	MaxStates int
+	Depth     int    // maximum number of steps after the prefix
+	MaxStates int    // the search ends at this number of distinct states
 	StepKinds string // letters of the steps to take; "": all
 }
 
-// Result says how much was explored.
+// Result reports how much was explored, and the violation that was found.
 type Result struct {
 	States, Steps int
-	Depth         int // to which every schedule was followed
+	Depth         int // the largest number of steps to which every schedule was followed
 	Elapsed       time.Duration
 	Violation     *Violation // nil: none found
 }
 
-// String is the result in one line.
+// String returns the counts and the elapsed time in one line.
 func (r *Result) String() string {
-	return fmt.Sprintf("%d states, %d steps, whole to depth %d, %v", r.States, r.Steps, r.Depth, r.Elapsed.Round(time.Millisecond))
+	return fmt.Sprintf("%d states, %d steps, complete to depth %d, %v", r.States, r.Steps, r.Depth, r.Elapsed.Round(time.Millisecond))
 }
 
-// Violation is a broken invariant, and the schedule that breaks it.
+// Violation is a broken invariant, with the schedule, limits and seed that break it.
 type Violation struct {
 	Reason   string
 	Limits   Limits
@@ -40,13 +40,14 @@
 	Schedule []Step
 }
 
-// path is the way to a node of the search, shared by its successors.
+// path is the list of steps from the starting point to a node of the search, last step first.
+// Successors share the path of their parent.
 type path struct {
 	step   Step
 	parent *path
 }
 
-// schedule lists the steps of the path behind those of the prefix.
+// schedule returns the steps of the prefix followed by those of the path.
 func (p *path) schedule(prefix []Step) []Step {
 	var steps []Step
 	for ; p != nil; p = p.parent {
@@ -61,7 +62,8 @@
 	path  *path
 }
 
-// Explore follows every schedule to a depth, breadth first, and each distinct world once.
+// Explore follows every schedule to the exploration's depth, breadth first, and expands each
+// distinct world once. It ends at the first violation, or at MaxStates.
 func Explore(exploration Exploration) *Result {
 	startedAt := time.Now()
 	result := &Result{}
@@ -94,24 +96,25 @@
 	return result
 }
 
-// chunkSize is how many nodes a worker of the search takes at a time.
+// chunkSize is how many nodes a goroutine of the search takes at a time.
 const chunkSize = 16
 
-// levelSearch expands the nodes of one depth by several workers.
+// levelSearch expands the nodes of one depth in several goroutines.
 type levelSearch struct {
 	exploration *Exploration
-	keepNext    bool // false at the last depth, whose successors aren't expanded
+	keepNext    bool // false at the last depth, whose successors aren't expanded any further
 
 	mu    sync.Mutex
-	level []searchNode // not taken yet
+	level []searchNode // nodes that no goroutine has taken yet
 	seen  map[uint64]bool
 	next  []searchNode
 	steps int
-	found *searchNode // the first that breaks an invariant
+	found *searchNode // the first node that breaks an invariant; nil: none
 }
 
-// expandLevel takes every step from every node of a level. It adds to seen, and returns the
-// nodes that weren't there.
+// expandLevel takes every enabled step from every node of a level. It adds the fingerprints of
+// the resulting worlds to seen, and returns the nodes whose worlds are new (none unless
+// keepNext is true), the number of steps taken, and a node that breaks an invariant.
 func expandLevel(level []searchNode, seen map[uint64]bool, keepNext bool, exploration *Exploration) (next []searchNode, steps int, found *searchNode) {
 	search := &levelSearch{exploration: exploration, keepNext: keepNext, level: level, seen: seen}
 	var workers sync.WaitGroup
@@ -126,13 +129,13 @@
 	for chunk := s.takeChunk(); len(chunk) > 0; chunk = s.takeChunk() {
 		for k := range chunk {
 			nodes, fingerprints := successors(chunk[k], s.exploration.StepKinds)
-			chunk[k].world = nil // the search of a level needs much memory
+			chunk[k].world = nil // freed early, since the worlds of a level take much memory
 			s.add(nodes, fingerprints)
 		}
 	}
 }
 
-// takeChunk returns nodes to expand; none when the search is over.
+// takeChunk returns nodes to expand; none when the search of the level is over.
 func (s *levelSearch) takeChunk() []searchNode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +166,8 @@
 	}
 }
 
-// successors takes every enabled step of some kinds, "" for all, from a node.
+// successors takes every enabled step of the given kinds from a node ("" for all kinds), and
+// returns the resulting nodes with their fingerprints.
 func successors(from searchNode, kinds string) (nodes []searchNode, fingerprints []uint64) {
 	for _, step := range from.world.EnabledSteps() {
 		if kinds != "" && !strings.ContainsRune(kinds, rune(step[0])) {
--- a/internal/modelcheck/files.go
+++ b/internal/modelcheck/files.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	unlimited  = -1 // write budget
-	truncation = -1 // offset
+	unlimited  = -1 // value of memoryFiles.writeBudget
+	truncation = -1 // value of fileWrite.offset
 )
 
 // memoryFiles implements storage.Disk in memory. After a crash a file holds its synced
-// content with some of its unsynced writes in their order, the last of them perhaps torn.
+// content and the first few of its unsynced writes, the last of which may be cut short.
 type memoryFiles struct {
 	synced, current map[string][]byte
 	writes          []fileWrite // since the last sync of their file
-	writeBudget     int         // bytes that still reach the disk, or unlimited
+	writeBudget     int         // bytes that may still be written without an error, or unlimited
 }
 
 // fileWrite is a write at an offset, or a truncation to a size.
 type fileWrite struct {
 	name   string
-	offset int64 // or truncation
+	offset int64 // truncation: the file is truncated to size
 	data   []byte
-	size   int64
+	size   int64 // of a truncation
 }
 
-// Read returns a file's content, unsynced writes included.
+// Read returns a file's content, including unsynced writes.
 func (f *memoryFiles) Read(name string) ([]byte, error) {
 	data, found := f.current[name]
 	if !found {
@@ -36,7 +36,7 @@
 	return data, nil
 }
 
-// consume takes bytes from the write budget; it fails once they aren't left.
+// consume takes bytes from the write budget, and returns an error if it is too small.
 func (f *memoryFiles) consume(size int) error {
 	if f.writeBudget == unlimited {
 		return nil
@@ -49,7 +49,8 @@
 	return nil
 }
 
-// Write writes at an offset.
+// Write writes data at an offset. The write is recorded even if the write budget is too small,
+// in which case Write returns an error.
 func (f *memoryFiles) Write(name string, offset int64, data []byte) error {
 	w := fileWrite{name: name, offset: offset, data: slices.Clone(data)}
 	err := f.consume(len(data))
@@ -58,7 +59,7 @@
 	return err
 }
 
-// Truncate shortens a file, or extends it by zeros.
+// Truncate shortens a file, or extends it by zeros, to a size in bytes.
 func (f *memoryFiles) Truncate(name string, size int64) error {
 	w := fileWrite{name: name, offset: truncation, size: size}
 	err := f.consume(1)
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// apply returns a file's content after the write; the old one isn't changed.
+// apply returns a file's content after the write; the old content isn't changed.
 func (w fileWrite) apply(old []byte) []byte {
 	if w.offset == truncation {
 		return append(make([]byte, 0, w.size), old[:min(int64(len(old)), w.size)]...)[:w.size]
@@ -88,7 +89,8 @@
 	return changed
 }
 
-// crash keeps all, some or none of each file's unsynced writes.
+// crash keeps all, the first few or none of each file's unsynced writes. The last write that
+// is kept may be cut short.
 func (f *memoryFiles) crash(draw func(n int) int) {
 	files := maps.Clone(f.synced)
 	isStopped := map[string]bool{}
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -10,9 +10,9 @@
 	"sparnotch/internal/storage"
 )
 
-// Fingerprint hashes all of a world that its future depends on, so that two paths to one
-// state are followed once. Clocks are left out, since only the times relative to them count,
-// and so are the times of entries.
+// Fingerprint hashes everything in a world that its further behaviour depends on, so that a
+// state which is reached on two paths is expanded once. Clocks are left out, since only times
+// relative to them matter, and so are the times of entries.
 func (w *World) Fingerprint() uint64 {
 	buffer := make([]byte, 0, 256)
 	for _, m := range w.machines {
@@ -39,7 +39,8 @@
 	return maphash.Bytes(hashSeed, buffer)
 }
 
-// mix spreads a key over 64 bits, so that a sum of keys identifies a set of messages.
+// mix spreads a message's key over 64 bits, so that the sum of the mixed keys of all messages
+// in flight identifies them irrespective of their order.
 func mix(key uint32) uint64 {
 	x := (uint64(key) + 1) * 0x9e3779b97f4a7c15
 	x ^= x >> 29
@@ -64,7 +65,7 @@
 	return buffer
 }
 
-// fingerprint adds all of a machine but its clock.
+// fingerprint appends the machine's whole state, except its clock, to a buffer.
 func (m *machine) fingerprint(buffer []byte) []byte {
 	buffer = append(append(buffer, '|'), m.id...)
 	if log := m.durableLog(); log != nil {
@@ -98,7 +99,8 @@
 	return appendNumbers(buffer, b.syncPoint.Index, b.syncPoint.Term)
 }
 
-// appendGroupState adds what a log holds; by log matching, the places of its entries are enough.
+// appendGroupState appends a log's content. The index and term of an entry stand for the
+// entry, since by log matching they determine it.
 func appendGroupState(buffer []byte, log *storage.GroupState) []byte {
 	buffer = appendNumbers(buffer, log.HardState.GetTerm(), log.Snapshot.GetIndex(), log.Snapshot.GetTerm(), uint64(len(log.Entries)))
 	buffer = append(buffer, log.HardState.GetVote()...)
--- a/internal/modelcheck/ghost.go
+++ b/internal/modelcheck/ghost.go
@@ -7,21 +7,21 @@
 	"sparnotch/internal/storage"
 )
 
-// ghost is the checker's own knowledge of a run, the ghost state of a proof: no machine sees
-// it, the invariants compare what machines do with it.
+// ghost is the ghost state: what the checker records of a run. No machine sees it; the
+// invariants compare the behaviour of the machines with it.
 type ghost struct {
 	leaders         map[uint64]string              // by term
 	entries         map[entryID]entryInfo          // every entry that any log ever held
 	committed       []entryInfo                    // by index - 1
-	committedInTerm []uint64                       // the leader's term at the first commit, by index - 1
+	committedInTerm []uint64                       // term of the machine that committed the entry first, by index - 1
 	states          map[uint64]uint64              // digest of the state machine by applied index
-	votes           map[voterTerm]string           // candidates by voter and term, as sent
-	wipedLogs       map[string]*storage.GroupState // what a wiped disk held, by store ID
+	votes           map[voterTerm]string           // candidates by voter and term, as sent in messages
+	wipedLogs       map[string]*storage.GroupState // last content of wiped disks, by store ID
 	maxKnownVersion uint64                         // highest configuration version that an operator has seen
 	checksum        uint64                         // of the entries, votes and leaders, for fingerprints
 }
 
-// entryID is a place in the logs: by log matching it determines the entry.
+// entryID is the index and term of an entry, which by log matching determine the entry.
 type entryID struct{ index, term uint64 }
 
 type entryInfo struct{ term, previousTerm, digest uint64 }
--- a/internal/modelcheck/hash.go
+++ b/internal/modelcheck/hash.go
@@ -8,14 +8,14 @@
 
 var hashSeed = maphash.MakeSeed()
 
-// hashValues hashes texts and numbers.
+// hashValues returns a hash of two texts and a list of numbers.
 func hashValues(text, more string, values ...uint64) uint64 {
 	buffer := make([]byte, 0, 64)
 	buffer = append(append(append(buffer, text...), '|'), more...)
 	return maphash.Bytes(hashSeed, appendNumbers(buffer, values...))
 }
 
-// entryDigest hashes what an entry says, apart from its place in the log.
+// entryDigest returns a hash of an entry's content, without its index and term.
 func entryDigest(entry *schema.Entry) uint64 {
 	var h maphash.Hash
 	h.SetSeed(hashSeed)
--- a/internal/modelcheck/host.go
+++ b/internal/modelcheck/host.go
@@ -8,9 +8,9 @@
 	"sparnotch/internal/storage"
 )
 
-// drainEffects carries out what a step has left to do on a machine, as replica.Host does:
-// messages that state something durable wait for the sync, committed entries are applied,
-// and one batch is written at a time while the next one fills.
+// drainEffects carries out all effects of a step on a machine, as replica.Host does: messages
+// that depend on durable data wait for the sync, committed entries are applied, and one batch
+// is written at a time while the next one fills.
 func (w *World) drainEffects(m *machine) {
 	for m.group != nil {
 		m.group.FlushReads(m.clock)
@@ -65,8 +65,8 @@
 	}
 }
 
-// startWrite hands the next batch to the disk. It returns true if the write is complete
-// already, which may have further effects.
+// startWrite hands the next batch to the disk. It reports whether the write is already
+// complete, in which case it may have further effects.
 func (w *World) startWrite(m *machine) bool {
 	if m.currentWrite != nil || len(m.nextBatch.changes)+len(m.nextBatch.messages) == 0 {
 		return false
@@ -97,8 +97,8 @@
 	}
 }
 
-// applyEntry applies a committed entry to the machine's state, and answers the operator
-// whose proposal it is.
+// applyEntry applies a committed entry to the machine's state, and answers the operator that
+// proposed it, if the proposal is pending on this machine.
 func (w *World) applyEntry(m *machine, entry *schema.Entry) {
 	w.checkCommit(m, entry)
 	proposal, isPending := m.pendingProposals[entry.Index]
@@ -124,8 +124,9 @@
 	}
 }
 
-// crash restarts a machine from its disk. If isWritten, the current write became durable
-// before the crash, but nobody has seen that.
+// crash restarts a machine from its disk, and returns false if the step isn't possible. If
+// isWritten is true, the current write became durable just before the crash, but the process
+// didn't learn of it.
 func (w *World) crash(m *machine, isWritten bool) bool {
 	if w.crashes >= w.limits.Crashes || isWritten && m.currentWrite == nil {
 		return false
@@ -143,11 +144,12 @@
 		before = cloneGroupStateOrNil(m.durableLog())
 		changes = nil
 	}
-	// Each crash draws from its own seed, so that shrinking a schedule doesn't change the
-	// crashes that remain.
+	// Each crash has a random generator of its own, seeded by its number, so that shrinking a
+	// schedule doesn't change the random choices of the remaining crashes, unless it removes an
+	// earlier crash.
 	rng := rand.New(rand.NewPCG(w.seed, uint64(w.crashes)))
 	if err := m.disk.crash(changes, rng.IntN); err != nil {
-		w.fail("%s doesn't open after a crash: %v", m.id, err)
+		w.fail("the store of %s can't be opened after a crash: %v", m.id, err)
 		return true
 	}
 	w.checkRecovery(m, before, changes)
@@ -156,8 +158,8 @@
 	return true
 }
 
-// wipe replaces a machine's disk by an empty one, with a new store ID; messages to the old
-// ID are lost.
+// wipe replaces a machine's disk by an empty one with a new store ID, and returns false if the
+// step isn't possible. Messages to the old ID are lost.
 func (w *World) wipe(m *machine) bool {
 	if w.wipes >= w.limits.Wipes {
 		return false
--- a/internal/modelcheck/invariants_commit.go
+++ b/internal/modelcheck/invariants_commit.go
@@ -6,8 +6,8 @@
 	"sparnotch/internal/schema"
 )
 
-// checkCommitTerm checks that a leader commits by an entry of its own term: copies of an
-// earlier term's entry on a majority don't commit it (Raft, figure 8).
+// checkCommitTerm checks that the last entry that a leader commits is of its own term: an entry
+// of an earlier term isn't committed just because a majority holds it (Raft, figure 8).
 func (w *World) checkCommitTerm(m *machine, commits []*schema.Entry) {
 	if len(commits) == 0 || !m.group.IsLeader() {
 		return
@@ -26,12 +26,12 @@
 	}
 	if entry.Index <= uint64(len(w.committed)) {
 		if known := w.committed[entry.Index-1]; known != info {
-			w.fail("state machine safety: %s commits another entry at %d (term %d, before %d)", m.id, entry.Index, entry.Term, known.term)
+			w.fail("state machine safety: %s commits a different entry at index %d than was committed before (term %d instead of %d)", m.id, entry.Index, entry.Term, known.term)
 		}
 		return
 	}
 	if entry.Index != uint64(len(w.committed))+1 {
-		w.fail("state machine safety: %s commits %d after %d", m.id, entry.Index, len(w.committed))
+		w.fail("state machine safety: %s commits entry %d directly after entry %d", m.id, entry.Index, len(w.committed))
 		return
 	}
 	w.mutableGhost()
@@ -45,33 +45,34 @@
 		}
 	}
 	if copies < majority(voters) {
-		w.fail("quorum: entry %d of term %d is committed with %d copies among %v", entry.Index, entry.Term, copies, voters)
+		w.fail("quorum: entry %d of term %d is committed with only %d durable copies among the voters %v", entry.Index, entry.Term, copies, voters)
 	}
 }
 
-// membership is the latest one in the replica's log, committed or not: quorums are counted
-// by it.
+// membership returns the latest membership in the replica's log, committed or not, which
+// determines the quorum.
 func (m *machine) membership() *schema.MemberSet { return membershipBefore(m.log, lastIndex(m.log)+1) }
 
-// checkState checks that all machines have the same state after an applied index, by entries
-// or by snapshot, and that its version never decreases within a machine's incarnation.
+// checkState checks that all machines have the same state at an applied index, whether they
+// reached it by entries or by a snapshot, and that the state's version never decreases between
+// two starts of a machine.
 func (w *World) checkState(m *machine) {
 	digest := maphash.Bytes(hashSeed, m.state.Snapshot())
 	known, isKnown := w.states[m.applied]
 	if isKnown && known != digest {
-		w.fail("state machine safety: the state of %s at %d differs from that of others", m.id, m.applied)
+		w.fail("state machine safety: the state of %s at index %d differs from the state of other machines", m.id, m.applied)
 	}
 	if !isKnown {
 		w.mutableGhost().states[m.applied] = digest
 	}
 	if m.state.Version() < m.maxVersion {
-		w.fail("versions: %s decreases from %d to %d", m.id, m.maxVersion, m.state.Version())
+		w.fail("versions: the version of the state on %s decreases from %d to %d", m.id, m.maxVersion, m.state.Version())
 	}
 	m.maxVersion = m.state.Version()
 }
 
-// recordReplacement notes which operation became the configuration, and checks that it was
-// based on the one before and wasn't refused.
+// recordReplacement records which operation replaced the configuration, and checks that the
+// operation was based on the previous configuration and wasn't refused.
 func (w *World) recordReplacement(before, after *schema.Configuration) {
 	for k := range w.operations {
 		o := &w.operations[k]
@@ -79,7 +80,7 @@
 			continue
 		}
 		if before.Version != o.baseVersion {
-			w.fail("operation %d, built on %d, was applied to %d", k, o.baseVersion, before.Version)
+			w.fail("operation %d is based on version %d, but was applied to version %d", k, o.baseVersion, before.Version)
 		}
 		o.isApplied = true
 		if o.code != 0 && o.code != 200 {
--- a/internal/modelcheck/invariants_durability.go
+++ b/internal/modelcheck/invariants_durability.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// hasDurable reports whether the disk holds the entry that the log holds at an index, or a
-// snapshot in its place.
+// hasDurable reports whether the disk holds the same entry as the log at an index, or a
+// snapshot that covers it.
 func (m *machine) hasDurable(index uint64) bool {
 	durable := m.durableLog()
 	if durable == nil {
@@ -36,8 +36,8 @@
 	return index <= lastIndex(durable) && isSame
 }
 
-// checkRecovery checks that a store holds after a crash what was synced before, with or
-// without the whole write that was in progress.
+// checkRecovery checks that, after a crash, a store holds either exactly the state that was
+// synced before, or that state with the complete write that was in progress.
 func (w *World) checkRecovery(m *machine, before *storage.GroupState, changes []*schema.StoreChange) {
 	after := before
 	if len(changes) > 0 {
@@ -50,7 +50,7 @@
 	}
 	recovered := m.durableLog()
 	if !equalGroupStates(recovered, before) && !equalGroupStates(recovered, after) {
-		w.fail("durability: the store of %s holds neither the synced state nor that with the write in progress", m.id)
+		w.fail("durability: the store of %s holds neither the synced state nor the synced state with the write in progress", m.id)
 	}
 }
 
--- a/internal/modelcheck/invariants_election.go
+++ b/internal/modelcheck/invariants_election.go
@@ -6,7 +6,7 @@
 )
 
 // checkDurableBeforeSend checks that a term, and a vote in it, are durable before any message
-// states them, and that a store ID votes for one candidate in a term, whatever disk it has.
+// contains them, and that no store ID votes for two candidates in a term.
 func (w *World) checkDurableBeforeSend(m *machine, sent raft.Message) {
 	switch body := sent.Body.(type) {
 	case *schema.VoteRequest:
@@ -40,7 +40,8 @@
 	w.recordVote(m.id, term, candidate)
 }
 
-// recordVote notes a vote, and checks that it is the only one of its voter and term.
+// recordVote records a vote, and checks that the voter votes for no other candidate in the
+// term.
 func (w *World) recordVote(id string, term uint64, candidate string) {
 	key := voterTerm{id, term}
 	known, isKnown := w.votes[key]
@@ -53,8 +54,8 @@
 	}
 }
 
-// checkLeader checks a new leader: it is the only one of its term (election safety), it has
-// the votes of a majority of the voters that it knows, its term is durable, and it holds all
+// checkLeader checks that a new leader is the only one of its term (election safety), has the
+// votes of a majority of the voters that it knows, has made its term durable, and holds all
 // entries committed in earlier terms (leader completeness).
 func (w *World) checkLeader(m *machine) {
 	if m.group == nil || !m.group.IsLeader() {
@@ -73,7 +74,7 @@
 	w.recordVote(m.id, term, m.id)
 	voters := membershipBefore(m.log, m.group.NoOpIndex()).GetVoters()
 	if votes := w.countVotes(voters, term, m.id); votes < majority(voters) {
-		w.fail("election: %s leads term %d with %d votes of %v", m.id, term, votes, voters)
+		w.fail("election: %s leads term %d with only %d votes of the voters %v", m.id, term, votes, voters)
 	}
 	if m.durableHardState().Term < term {
 		w.fail("durability: %s leads term %d, which isn't durable", m.id, term)
@@ -96,9 +97,10 @@
 	return votes
 }
 
-// checkLeaderLease checks, where all clocks run alike, that at most one leader holds its lease
-// while time passes. Within one moment both sides of a leadership transfer may hold one: what
-// happens then has no order that anyone could observe.
+// checkLeaderLease checks, in worlds with a shared clock, that at most one leader holds its
+// lease. It is called only when time has passed, since during a leadership transfer both
+// leaders may hold a lease at the same instant: the order of events within an instant can't
+// be observed.
 func (w *World) checkLeaderLease() {
 	if !w.limits.SharedClock {
 		return
--- a/internal/modelcheck/invariants_log.go
+++ b/internal/modelcheck/invariants_log.go
@@ -4,9 +4,10 @@
 	"sparnotch/internal/schema"
 )
 
-// checkChange checks a change of a machine's log against every log there ever was: an index
-// and term determine the entry and the term of the entry before it. Log matching (Raft, figure
-// 3) follows by induction.
+// checkChange compares a change of a machine's log with all logs of the run so far: an index
+// and term must determine the entry, and the term of the entry before it. Log matching (Raft,
+// figure 3) follows by induction. A change must also not replace committed entries, nor
+// decrease the term.
 func (w *World) checkChange(m *machine, change *schema.StoreChange) {
 	if change.HardState != nil && change.HardState.Term < m.log.HardState.Term {
 		w.fail("the term of %s decreases from %d to %d", m.id, m.log.HardState.Term, change.HardState.Term)
@@ -23,7 +24,7 @@
 		id := entryID{entry.Index, entry.Term}
 		known, isKnown := w.entries[id]
 		if isKnown && known != info {
-			w.fail("log matching: two entries at index %d of term %d, one on %s", entry.Index, entry.Term, m.id)
+			w.fail("log matching: index %d of term %d has two different entries, one of them on %s", entry.Index, entry.Term, m.id)
 		}
 		if isKnown {
 			continue
@@ -39,7 +40,8 @@
 	}
 }
 
-// replacesCommitted reports whether entries would replace committed ones of the log.
+// replacesCommitted reports whether new entries would replace committed entries in a machine's
+// log.
 func replacesCommitted(w *World, m *machine, entries []*schema.Entry) bool {
 	for _, entry := range entries {
 		if entry.Index <= uint64(len(w.committed)) && w.committed[entry.Index-1].term != entry.Term &&
@@ -50,11 +52,11 @@
 	return false
 }
 
-// checkLog checks that the group's log is the sum of its changes, and that the entries above
-// a snapshot continue it.
+// checkLog checks that the group's log agrees with the changes that the group emitted, and that
+// the first entry after a snapshot follows the snapshot's term.
 func (w *World) checkLog(m *machine) {
 	if m.group.LastIndex() != lastIndex(m.log) || m.group.SnapshotIndex() != m.log.Snapshot.Index {
-		w.fail("durability: %s holds entries %d to %d, its store %d to %d", m.id,
+		w.fail("durability: the group on %s holds entries %d to %d, but its changes add up to entries %d to %d", m.id,
 			m.group.SnapshotIndex()+1, m.group.LastIndex(), m.log.Snapshot.Index+1, lastIndex(m.log))
 	}
 	if len(m.log.Entries) == 0 || m.log.Snapshot.Index == 0 {
@@ -62,7 +64,7 @@
 	}
 	first := m.log.Entries[0]
 	if previousTerm := w.entries[entryID{first.Index, first.Term}].previousTerm; previousTerm != m.log.Snapshot.Term {
-		w.fail("log matching: %s holds entry %d of term %d, which follows term %d, on a snapshot of term %d", m.id,
+		w.fail("log matching: %s holds entry %d of term %d, which follows an entry of term %d, directly after a snapshot of term %d", m.id,
 			first.Index, first.Term, previousTerm, m.log.Snapshot.Term)
 	}
 }
--- a/internal/modelcheck/invariants_membership.go
+++ b/internal/modelcheck/invariants_membership.go
@@ -7,20 +7,20 @@
 	"sparnotch/internal/storage"
 )
 
-// maxPromotionLag is how many entries a learner may lack when it becomes a voter. It states
-// raft's limit once more, so that a change of one of them shows.
+// maxPromotionLag is how many entries a learner may lack when it becomes a voter. It repeats
+// the limit of package raft, so that changing only one of the two is noticed.
 const maxPromotionLag = 64
 
 // checkMembershipChange checks a membership entry when a leader appends it: the majorities of
-// both memberships overlap, the membership before it is committed, an entry of the leader's
-// own term is committed (Raft thesis, section 4.1, as corrected), and new voters have caught
-// up.
+// the old and the new membership must overlap, the old membership must be committed, an entry
+// of the leader's own term must be committed (Raft thesis, section 4.1, as corrected), and new
+// voters must have caught up.
 func (w *World) checkMembershipChange(m *machine, entry *schema.Entry) {
 	w.changes++
 	old := membershipBefore(m.log, entry.Index)
 	next := entry.MemberSet
 	if !majoritiesOverlap(old.GetVoters(), next.Voters) {
-		w.fail("membership: majorities of %v and %v need not overlap", old.GetVoters(), next.Voters)
+		w.fail("membership: a majority of %v and a majority of %v may have no member in common", old.GetVoters(), next.Voters)
 	}
 	for _, other := range m.log.Entries {
 		if other.Kind == schema.EntryKind_ENTRY_MEMBER_SET && other.Index < entry.Index && other.Index > uint64(len(w.committed)) {
@@ -36,13 +36,13 @@
 		}
 		last, lastChange := w.durableLastIndex(id), membershipIndexBefore(m.log, entry.Index)
 		if last+maxPromotionLag < entry.Index-1 || last < lastChange {
-			w.fail("membership: %s was made a voter with %d entries of %d, the last change at %d", id, last, entry.Index-1, lastChange)
+			w.fail("membership: %s became a voter while its disk held %d of %d entries, and the last membership change was at %d", id, last, entry.Index-1, lastChange)
 		}
 	}
 }
 
-// membershipIndexBefore is the index of the membership in force below an index; 0 if the
-// snapshot holds it.
+// membershipIndexBefore returns the index of the latest membership entry below an index; 0 if
+// that membership is in the snapshot.
 func membershipIndexBefore(log *storage.GroupState, index uint64) uint64 {
 	at := uint64(0)
 	for _, entry := range log.Entries {
@@ -53,7 +53,8 @@
 	return at
 }
 
-// durableLog is what a store's disk holds, also of a wiped one.
+// durableLog returns the log on a store's disk. For a wiped disk, it returns the log at the time
+// of the wipe.
 func (w *World) durableLog(id string) *storage.GroupState {
 	if m := w.machineByID(id); m != nil {
 		return m.durableLog()
@@ -69,7 +70,8 @@
 }
 
 // majoritiesOverlap reports whether every majority of one list shares a member with every
-// majority of the other: no two of them fit disjointly into the union.
+// majority of the other. That holds if two majorities together have more members than the
+// union of the lists, or if the first list is empty.
 func majoritiesOverlap(a, b []string) bool {
 	union := slices.Clone(a)
 	for _, id := range b {
--- a/internal/modelcheck/machine.go
+++ b/internal/modelcheck/machine.go
@@ -14,17 +14,18 @@
 	"sparnotch/internal/storage"
 )
 
-// raftTimes are the group's timeouts. They pass when the scheduler says, so only their order
-// matters.
+// raftTimes are the group's timeouts. The scheduler decides when they expire, so only their
+// order matters.
 var raftTimes = raft.DefaultTimeouts
 
-// minimalRandom always draws the shortest timeout: the scheduler decides who is first.
+// minimalRandom makes every random timeout the shortest one, since the scheduler decides whose
+// timeout expires first.
 type minimalRandom struct{}
 
 // Int64N returns 0.
 func (minimalRandom) Int64N(int64) int64 { return 0 }
 
-// batch is what one sync makes durable, and the messages that wait for it.
+// batch holds the changes that one sync makes durable, and the messages that wait for it.
 type batch struct {
 	changes   []*schema.StoreChange
 	messages  []raft.Message
@@ -37,30 +38,31 @@
 	operation int
 }
 
-// machine is one process with a disk. It hosts a replica of one group, in the way that
-// replica.Host hosts those of all groups.
+// machine is one process with a disk. It hosts a replica of one group, as replica.Host does for
+// all groups.
 type machine struct {
-	world             *World // the only branch that may change it
-	cachedFingerprint uint64 // 0: to be computed
+	world             *World // the only world that may change the machine
+	cachedFingerprint uint64 // 0: not computed since the last change
 	index             int
-	incarnation       int // counts its disks, from 0
+	incarnation       int // counts the machine's disks, from 0
 	id                string
 	clock             eventloop.Micros
 	disk              disk
-	group             *raft.Group         // nil: the disk holds no replica
-	log               *storage.GroupState // the sum of the group's changes, synced or not
+	group             *raft.Group         // nil: the machine has no replica
+	log               *storage.GroupState // all of the group's changes, synced or not
 	state             *clusterstate.StateMachine
-	ownsState         bool // no other branch shares the state
+	ownsState         bool // no other world shares the state
 	nextBatch         batch
 	currentWrite      *batch                     // nil: the disk is idle
 	pendingProposals  map[uint64]pendingProposal // by log index
 	pendingReads      map[uint64]int             // operations by read ID
 	lastReadID        uint64
-	maxVersion        uint64 // highest version of the state since the start
-	applied           uint64 // index
+	maxVersion        uint64 // highest version of the state since the process started
+	applied           uint64 // log index up to which the state is applied
 }
 
-// newStoreID names a disk that was never used before.
+// newStoreID returns the store ID of one disk of a machine: a letter for the machine, and the
+// incarnation.
 func newStoreID(index, incarnation int) string { return fmt.Sprintf("%c%d", 'a'+index, incarnation) }
 
 func (m *machine) clone() *machine {
@@ -81,7 +83,7 @@
 	return &c
 }
 
-// start starts the process from what its disk holds.
+// start starts the machine's process from the content of its disk.
 func (m *machine) start() {
 	m.group, m.log, m.state = nil, nil, clusterstate.New()
 	m.ownsState = true
@@ -93,7 +95,7 @@
 	}
 }
 
-// durableLog is what the disk holds of the group; nil if nothing.
+// durableLog returns the group's log and hard state on the disk; nil if there are none.
 func (m *machine) durableLog() *storage.GroupState { return m.disk.content().Groups[groupName] }
 
 func (m *machine) durableHardState() *schema.HardState {
@@ -118,7 +120,7 @@
 	m.applied = snapshot.Index
 }
 
-// ensureOwnState copies the state if another branch shares it.
+// ensureOwnState copies the state if another world shares it.
 func (m *machine) ensureOwnState() {
 	if m.ownsState {
 		return
@@ -130,8 +132,8 @@
 	m.state, m.ownsState = state, true
 }
 
-// receive steps the group with a message. A machine without a replica creates an empty one for
-// a leader that adds it to the group.
+// receive passes a message to the group. A machine without a replica first creates an empty one
+// if the message comes from a leader, which must have added the machine to the group.
 func (m *machine) receive(from string, body proto.Message) {
 	if m.group == nil {
 		switch body.(type) {
@@ -144,7 +146,7 @@
 	m.group.Step(m.clock, from, body)
 }
 
-// termAt is the term of the log's entry at an index; 0 if it doesn't hold the entry.
+// termAt returns the term of the log's entry at an index; 0 if the log doesn't hold the entry.
 func termAt(log *storage.GroupState, index uint64) uint64 {
 	switch {
 	case log == nil:
@@ -161,12 +163,12 @@
 	return log.Snapshot.Index + uint64(len(log.Entries))
 }
 
-// containsEntry reports whether a log holds an entry, or a snapshot in its place.
+// containsEntry reports whether a log holds an entry, or a snapshot that covers it.
 func containsEntry(log *storage.GroupState, index, term uint64) bool {
 	return log != nil && (index < log.Snapshot.Index || termAt(log, index) == term)
 }
 
-// membershipBefore is the membership that a log holds below an index.
+// membershipBefore returns the latest membership that a log holds below an index.
 func membershipBefore(log *storage.GroupState, index uint64) *schema.MemberSet {
 	members := log.Snapshot.MemberSet
 	for _, entry := range log.Entries {
@@ -177,7 +179,7 @@
 	return members
 }
 
-// applyChange returns a log with a change applied.
+// applyChange applies a change to a log and returns the result.
 func applyChange(log *storage.GroupState, change *schema.StoreChange) *storage.GroupState {
 	state := &storage.State{Groups: map[string]*storage.GroupState{groupName: log}}
 	state.Apply(change)
--- a/internal/modelcheck/operators.go
+++ b/internal/modelcheck/operators.go
@@ -10,21 +10,21 @@
 	"sparnotch/internal/schema"
 )
 
-// operation is a request of an operator and its result, an entry of the history that is
-// checked for linearizability.
+// operation is a request of an operator together with its result. The operations of a run are
+// the history that is checked for linearizability.
 type operation struct {
 	operator             int
 	isRead               bool
-	baseVersion, version uint64 // of a replace: the version that it expects, and its own
+	baseVersion, version uint64 // of a replace: the version that it expects, and the new version
 	content              string
-	invokedAt            int // event number
-	returnedAt           int // event number; 0: no result
-	code                 int32
+	invokedAt            int    // event number
+	returnedAt           int    // event number; 0: no result
+	code                 int32  // HTTP status of the result; 0: no result
 	readVersion          uint64 // result of a read
 	readContent          string
 	minVersion           uint64 // highest version that any operator had seen at the invocation
 	isAbandoned          bool
-	isApplied            bool // a machine applied it as the next version
+	isApplied            bool // a machine applied it as the next version of the configuration
 }
 
 func (o *operation) isOpen() bool { return o.returnedAt == 0 && !o.isAbandoned }
@@ -32,10 +32,11 @@
 // noOperation stands for the operation of an idle operator.
 const noOperation = -1
 
-// operator has one operation in progress at most.
+// operator is a client that reads and replaces the configuration. It has at most one operation
+// in progress.
 type operator struct {
-	operation    int    // index of the one in progress, or noOperation
-	knownVersion uint64 // that its next replace is based on
+	operation    int    // index of the operation in progress, or noOperation
+	knownVersion uint64 // latest version that it knows, on which its next replace is based
 }
 
 func replaceCommand(o *operation) []byte {
@@ -45,7 +46,7 @@
 	}})
 }
 
-// fillerCommand is a command without an effect that matters; it takes up an entry.
+// fillerCommand returns a command that fills a log entry and whose effect doesn't matter.
 func fillerCommand() []byte {
 	return marshalCommand(&schema.ClusterStateCommand{Body: &schema.ClusterStateCommand_ClaimControllerLease{
 		ClaimControllerLease: &schema.ClaimControllerLease{Holder: "controller"},
@@ -60,8 +61,9 @@
 	return data
 }
 
-// proposeReplace proposes a replace to a machine: the operator's next one, or the one in
-// progress once more.
+// proposeReplace proposes a replace of the configuration to a machine. An idle operator starts
+// a new replace; otherwise the replace in progress is sent again. It returns false if the
+// machine can't take the request now.
 func (w *World) proposeReplace(number, at int) bool {
 	operator, m := &w.operators[number], w.mutableMachine(at)
 	if m.group == nil || !m.group.IsLeader() || m.group.Transferee() != "" {
@@ -83,7 +85,7 @@
 	return true
 }
 
-// newReplace makes an operator's next replace, with a content and a version of its own.
+// newReplace returns an operator's next replace, whose content and version are unique.
 func (w *World) newReplace(operator int) operation {
 	base := w.operators[operator].knownVersion
 	content := string(rune('A' + len(w.operations)))
@@ -96,8 +98,8 @@
 	}
 }
 
-// hasPendingProposal reports whether the machine has proposed an operation in this term: its
-// client waits there, and doesn't repeat the request to the same node.
+// hasPendingProposal reports whether an operation's proposal is pending on the machine. Its
+// client then waits for the result, and doesn't repeat the request to the same machine.
 func (m *machine) hasPendingProposal(operation int) bool {
 	for _, proposal := range m.pendingProposals {
 		if proposal.operation == operation {
@@ -107,7 +109,8 @@
 	return false
 }
 
-// startRead asks a machine for the configuration.
+// startRead starts a read of the configuration at a machine. It returns false if the operator
+// or the machine can't do that now.
 func (w *World) startRead(number, at int) bool {
 	operator, m := &w.operators[number], w.mutableMachine(at)
 	if m.group == nil || !m.group.IsLeader() || operator.operation != noOperation || len(w.operations) >= w.limits.Operations {
@@ -123,7 +126,8 @@
 	return true
 }
 
-// abandon gives an operation up: whether it takes effect stays unknown to its operator.
+// abandon lets an operator give up its operation, without knowing whether it takes effect. It
+// returns false if the operator is idle.
 func (w *World) abandon(number int) bool {
 	operator := &w.operators[number]
 	if operator.operation == noOperation {
@@ -153,7 +157,7 @@
 	operator.knownVersion = max(operator.knownVersion, o.version)
 	w.maxKnownVersion = max(w.maxKnownVersion, o.version)
 	if !o.isApplied {
-		w.fail("operation %d was confirmed, yet never applied", number)
+		w.fail("operation %d was confirmed, but never applied", number)
 	}
 }
 
@@ -167,7 +171,7 @@
 	operator := &w.operators[o.operator]
 	operator.operation, operator.knownVersion = noOperation, o.readVersion
 	if o.readVersion < o.minVersion {
-		w.fail("stale read: operation %d returns version %d, after %d was seen", number, o.readVersion, o.minVersion)
+		w.fail("stale read: operation %d returns version %d after version %d was seen", number, o.readVersion, o.minVersion)
 	}
 	w.maxKnownVersion = max(w.maxKnownVersion, o.readVersion)
 }
--- a/internal/modelcheck/presets.go
+++ b/internal/modelcheck/presets.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// presets are the worlds that are explored, by name.
+// presets holds the limits of the worlds that the tests explore, by name.
 var presets = map[string]Limits{
 	// For exhaustive searches: three replicas and two operators.
 	"whole": {
@@ -17,20 +17,20 @@
 		Machines: 4, Voters: 3, Operators: 2, Operations: 4, Messages: 64,
 		Crashes: 1, Wipes: 1, Proposals: 3, SyncAtOnce: true, MembershipChanges: true,
 	},
-	// For schedules that rapid draws.
+	// For schedules that package rapid draws.
 	"drawn": {
 		Machines: 4, Voters: 3, Operators: 2, Operations: 12, Messages: 64,
 		Crashes: 3, Wipes: 1, Duplicates: 6, Proposals: 12, MembershipChanges: true,
 	},
-	// For random walks, with membership changes and torn files.
+	// For random walks, with membership changes and with crashes that cut file writes short.
 	"walk3": walkLimits(3, 5),
 	"walk4": walkLimits(4, 6),
 	"walk5": walkLimits(5, 7),
 	"walk6": walkLimits(6, 7),
 	"walk7": walkLimits(7, 8),
-	// Some configurations are larger than one message may be.
+	// For random walks in which some configurations don't fit in one message.
 	"large": largeLimits(),
-	// All clocks run alike, so that leader leases can be checked.
+	// For random walks with one clock for all machines, so that leader leases can be checked.
 	"timed": timedLimits(),
 }
 
--- a/internal/modelcheck/shrink.go
+++ b/internal/modelcheck/shrink.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Replay follows a schedule from the start until its end or a violation.
+// Replay executes a schedule in a new world, up to the schedule's end or the first violation,
+// and returns that world.
 func Replay(limits Limits, seed uint64, steps []Step) *World {
 	w := NewWorld(limits, seed)
 	for _, step := range steps {
@@ -19,8 +20,9 @@
 // shrinkTimeout limits the search for a shorter schedule.
 const shrinkTimeout = 3 * time.Second
 
-// Shrink removes steps from a violation's schedule as long as the world that it leads to is
-// still broken, by delta debugging with halves of decreasing size.
+// Shrink returns a violation with a shorter schedule. By delta debugging, it removes runs of
+// steps, first half of the schedule and then ever shorter runs, and keeps each removal after
+// which isBroken still returns a reason for the world at the schedule's end.
 func Shrink(found *Violation, isBroken func(*World) string) *Violation {
 	steps := found.Schedule
 	deadline := time.Now().Add(shrinkTimeout)
--- a/internal/modelcheck/step.go
+++ b/internal/modelcheck/step.go
@@ -8,17 +8,17 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Step is one decision of the scheduler, as text: a letter and what the step is about.
-// Machines and operators are digits. Messages are named by a hash of their content and stores
-// by their IDs, so that a step still means the same after others were taken out of its
-// schedule.
+// Step is one decision of the scheduler, as text: a letter for the kind of step, and its
+// arguments. Machines and operators are given as digits. Messages are identified by a hash of
+// their content and stores by their IDs, so that a step keeps its meaning when other steps are
+// removed from the schedule.
 //
 //	dKEY  a message is delivered      uKEY  it is delivered, and stays in flight
 //	xKEY  it is lost
 //	tM    M's election timeout passes
 //	bM    M's next heartbeat is due   sM    M's current write becomes durable
 //	cM    M restarts, its unsynced writes lost or torn
-//	kM    M restarts after its current write became durable, which it doesn't know
+//	kM    M restarts just after its current write became durable, before it learns of that
 //	wM    M loses its disk            fM    M compacts its log up to a snapshot
 //	pOM   operator O asks M to replace the configuration, or repeats its request
 //	rOM   operator O reads at M       gO    operator O gives up waiting
@@ -26,12 +26,12 @@
 //	vMID  M promotes it to a voter    oMID  M removes it
 //	hMID  M transfers the leadership to it
 //	zNN   NN ms pass on all machines
-//	nM    M appends more entries than a promotion allows a learner to lack
+//	nM    M appends more entries than a learner may lack when it is promoted
 //	qMN.. all messages are delivered and all writes synced among these machines (q alone:
-//	      among all) until nothing is left; messages to and from others are lost
+//	      among all machines) until none are left; messages to and from others are lost
 type Step string
 
-// stepKind is the letter of a step.
+// stepKind is the letter that a step starts with.
 type stepKind byte
 
 const (
@@ -82,7 +82,7 @@
 	return steps
 }
 
-// FormatSchedule is the text of a schedule, in one line.
+// FormatSchedule returns the text of a schedule, in one line.
 func FormatSchedule(steps []Step) string {
 	texts := make([]string, len(steps))
 	for k, step := range steps {
@@ -91,8 +91,8 @@
 	return strings.Join(texts, " ")
 }
 
-// messageKey hashes a message. Equal messages have one key: it doesn't matter which of them
-// a step means.
+// messageKey returns a hash of a message. Equal messages have the same key, since it doesn't
+// matter which of them a step refers to.
 func messageKey(from, to string, body proto.Message) uint32 {
 	hash := fnv.New32a()
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(body)
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -6,14 +6,16 @@
 )
 
 const (
-	walkStream        = 77 // of the random generator, beside the seed
+	walkStream        = 77 // second word of the random generator's seed
 	minPartitionSteps = 40 // between two changes of the partition
 	maxPartitionSteps = 300
-	deliveryWindow    = 6 // one of so many of the oldest messages is next
-	idleMS            = 5 // that pass when no message can be delivered
+	deliveryWindow    = 6 // how many of the oldest messages the next one is drawn from
+	idleMS            = 5 // milliseconds that pass when no message can be delivered
 )
 
-// Walk follows a random schedule and returns the steps that had an effect.
+// Walk draws steps from a random generator with the given seed and executes them, until a
+// number of steps were drawn or an invariant is broken. It returns the steps that had an
+// effect.
 func Walk(w *World, seed uint64, length int) []Step {
 	walker := &walker{world: w, rng: rand.New(rand.NewPCG(seed, walkStream))}
 	var taken []Step
@@ -30,18 +32,18 @@
 	return taken
 }
 
-// walker draws steps that make progress: most messages are delivered and most writes synced,
-// while some links are blocked for a while at a time.
+// walker draws random steps with weights under which the group makes progress: most messages
+// are delivered and most writes synced, while changing sets of links are blocked.
 type walker struct {
 	world        *World
 	rng          *rand.Rand
-	blocked      map[[2]int]bool // links, by from and to
-	partitionEnd int             // in steps drawn
-	drawn        int
-	planned      []Step // taken before any are drawn
+	blocked      map[[2]int]bool // blocked links, by sender and receiver
+	partitionEnd int             // value of drawn at which the blocked links change
+	drawn        int             // number of calls of next
+	planned      []Step          // steps to take before others are drawn
 }
 
-// next draws a step; "" if there is none of the kind that was drawn.
+// next returns the next step; "" if the kind of step that was drawn isn't possible.
 func (k *walker) next() Step {
 	k.drawn++
 	if k.drawn >= k.partitionEnd {
@@ -95,41 +97,44 @@
 	return [...]stepKind{stepCrash, stepCrashAfterSync}[rng.IntN(2)]
 }
 
-// changePartition blocks other links: none, those from, to or both of one machine, or those
-// between two sides.
+// changePartition replaces the blocked links. It blocks no links, the links from a machine, the
+// links to it, both, or the links between two groups of machines. With a shared clock it may
+// instead block the links between two machines.
 func (k *walker) changePartition() {
 	k.partitionEnd = k.drawn + minPartitionSteps + k.rng.IntN(maxPartitionSteps)
 	k.blocked = map[[2]int]bool{}
 	count := len(k.world.machines)
 	side := k.rng.Uint64()
-	one := k.rng.IntN(count)
+	target := k.rng.IntN(count)
 	kind := k.rng.IntN(8)
 	if kind < 3 && k.rng.IntN(2) == 0 && !k.world.limits.SharedClock {
-		// Often it is a leader that is partitioned away, and the others' elections time out.
-		k.onLeader(func(at int, _ *machine) Step { one = at; return "" })
+		// In half of these cases the machine is a leader, if there is one, and the election
+		// timeouts of the other machines pass.
+		k.onLeader(func(at int, _ *machine) Step { target = at; return "" })
 		for _, other := range append(k.rng.Perm(count), k.rng.Perm(count)...) {
-			if other != one {
+			if other != target {
 				k.planned = append(k.planned, machineStep(stepElectionTimeout, other))
 			}
 		}
 	}
 	if k.world.limits.SharedClock && k.rng.IntN(2) == 0 {
-		// Two machines are partitioned from each other, though a third reaches both.
-		other := (one + 1 + k.rng.IntN(count-1)) % count
-		k.blocked[[2]int{one, other}], k.blocked[[2]int{other, one}] = true, true
+		// Two machines can't reach each other, but a third machine reaches both.
+		other := (target + 1 + k.rng.IntN(count-1)) % count
+		k.blocked[[2]int{target, other}], k.blocked[[2]int{other, target}] = true, true
 		return
 	}
 	for from := range count {
 		for to := range count {
-			if isLinkBlocked(kind, from, to, one, side) {
+			if isLinkBlocked(kind, from, to, target, side) {
 				k.blocked[[2]int{from, to}] = true
 			}
 		}
 	}
 }
 
-// isLinkBlocked tells which links a kind of partition blocks: from a machine, to it, both, or
-// across two sides given as bits; none for higher kinds.
+// isLinkBlocked reports whether a kind of partition blocks a link: 0 blocks the links from a
+// machine, 1 the links to it, 2 both, and 3 the links between two groups of machines, given by
+// the bits of side. Higher kinds block no link.
 func isLinkBlocked(kind, from, to, machine int, side uint64) bool {
 	switch kind {
 	case 0:
@@ -144,8 +149,9 @@
 	return false
 }
 
-// canWipe reports whether the group keeps its majority without a disk, by every machine's view
-// of the members: a walk of a group without a quorum shows nothing.
+// canWipe reports whether, in every machine's view of the membership, a majority of the voters
+// would keep their disks if the given one were lost. A walk of a group that has lost its quorum
+// for good would find nothing.
 func (k *walker) canWipe(lost string) bool {
 	for _, m := range k.world.machines {
 		if m.group == nil || m.id == lost {
@@ -164,7 +170,7 @@
 	return true
 }
 
-// nextTimed draws a step of a world with a shared clock.
+// nextTimed draws a step for a world with a shared clock.
 func (k *walker) nextTimed() Step {
 	at := k.rng.IntN(len(k.world.machines))
 	switch draw := k.rng.IntN(1000); {
@@ -182,7 +188,8 @@
 	return advanceTimeStep(1 + k.rng.IntN(20))
 }
 
-// nextWrite syncs some machine's current write.
+// nextWrite draws the sync of one machine's current write, or a message if no write is in
+// progress.
 func (k *walker) nextWrite() Step {
 	for _, at := range k.rng.Perm(len(k.world.machines)) {
 		if k.world.machines[at].currentWrite != nil {
@@ -192,8 +199,9 @@
 	return k.nextMessage(0)
 }
 
-// nextMessage delivers one of the oldest messages that aren't blocked; a high draw of 0 to 99
-// duplicates or loses it.
+// nextMessage draws the delivery of one of the oldest messages whose links aren't blocked. The
+// argument is a random number from 0 to 99; if it is high, the message is duplicated or lost
+// instead.
 func (k *walker) nextMessage(draw int) Step {
 	w := k.world
 	var candidates []int
@@ -223,7 +231,8 @@
 	return messageStep(kind, chosen.key)
 }
 
-// nextWhenIdle starts something where no message can be delivered.
+// nextWhenIdle draws a step that creates new messages, for a world in which no message can be
+// delivered.
 func (k *walker) nextWhenIdle() Step {
 	step := k.onLeader(func(at int, _ *machine) Step {
 		switch k.rng.IntN(4) {
@@ -240,10 +249,11 @@
 	return step
 }
 
-// machineIndex is the machine that a store ID was made for; see newStoreID.
+// machineIndex returns the index of the machine that a store ID belongs to; see newStoreID.
 func machineIndex(id string) int { return int(id[0] - 'a') }
 
-// onLeader draws a step of a leader: any of them, for there may be a deposed one; "" without.
+// onLeader calls do for a random leader and returns its step; "" if there is no leader. There
+// may be several leaders, since a deposed one may not know of its successor.
 func (k *walker) onLeader(do func(at int, m *machine) Step) Step {
 	var leaders []int
 	for at, m := range k.world.machines {
@@ -266,9 +276,9 @@
 	return voters[k.rng.IntN(len(voters))]
 }
 
-// nextMembershipChange is the next change that a controller would propose: learners are
-// promoted, lost stores removed, and the group keeps its size. Now and then it is any other
-// change, since a controller may act on a stale state.
+// nextMembershipChange draws the next membership change that a controller would propose:
+// learners are promoted, lost stores are removed, and the group keeps its size. One change in
+// five is a random one, since a controller may act on a stale state.
 func (k *walker) nextMembershipChange(at int, m *machine) Step {
 	members := m.group.MemberSet()
 	if k.rng.IntN(5) == 0 {
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -14,19 +14,19 @@
 
 // Limits bound a world, and with it the state space.
 type Limits struct {
-	Name              string // of the preset
+	Name              string // name of the preset
 	Machines          int
-	Voters            int // of the group at its bootstrap
+	Voters            int // initial voters of the group
 	Operators         int
 	Operations        int
-	Messages          int  // in flight; the oldest is lost beyond that
-	Crashes           int  // with the disk kept
+	Messages          int  // messages in flight; beyond the limit the oldest is lost
+	Crashes           int  // crashes that keep the disk
 	Wipes             int  // crashes that lose the disk
 	Duplicates        int  // messages delivered twice
 	LargeBytes        int  // size of every second configuration; 0: all are small
-	Proposals         int  // of replaces, resends included
-	FileDisks         bool // disks are real stores on files, which crashes tear
-	SyncAtOnce        bool // a write is durable at once, not when the scheduler says
+	Proposals         int  // replace requests that are proposed, resends included
+	FileDisks         bool // disks are real stores on files, whose writes a crash may cut short
+	SyncAtOnce        bool // a write is durable at once, without a step of the scheduler
 	MembershipChanges bool
 	SharedClock       bool // one clock for all machines; checks the leader lease
 }
@@ -39,7 +39,8 @@
 }
 
 // World is one state of the model: the machines, the messages between them, the operators,
-// and the checker's ghost state. Branches share what they don't change (copy on write).
+// and the checker's ghost state. Clones share the parts that they haven't changed (copy on
+// write).
 type World struct {
 	limits     Limits
 	machines   []*machine
@@ -47,18 +48,19 @@
 	operators  []operator
 	operations []operation
 	ghost
-	ownsGhost  bool // no other branch shares the ghost state
+	ownsGhost  bool // no other world shares the ghost state
 	events     int
 	crashes    int
 	wipes      int
 	duplicates int
 	proposals  int
-	changes    int    // membership changes that leaders made
-	violation  string // the first broken invariant
+	changes    int    // membership changes that leaders appended
+	violation  string // describes the first broken invariant; "": none
 	seed       uint64
 }
 
-// NewWorld bootstraps a group. The seed decides how crashes tear files.
+// NewWorld returns a world with a newly bootstrapped group. The seed decides which unsynced
+// writes to files survive a crash.
 func NewWorld(limits Limits, seed uint64) *World {
 	w := &World{limits: limits, ghost: newGhost(), ownsGhost: true, seed: seed}
 	var voters []string
@@ -92,8 +94,8 @@
 	m.id = newStoreID(m.index, m.incarnation)
 }
 
-// Clone returns a branch of the world. The original must not be stepped any more, since the
-// branch shares its machines until it changes them.
+// Clone returns a copy of the world. No steps may be executed in the original afterwards, since
+// the copy shares its machines until it changes them.
 func (w *World) Clone() *World {
 	c := *w
 	c.machines = slices.Clone(w.machines)
@@ -104,7 +106,8 @@
 	return &c
 }
 
-// mutableMachine returns a machine that this branch may change.
+// mutableMachine returns a machine for this world to change, copied first if another world
+// shares it.
 func (w *World) mutableMachine(at int) *machine {
 	if w.machines[at].world != w {
 		w.machines[at] = w.machines[at].clone()
@@ -114,7 +117,8 @@
 	return w.machines[at]
 }
 
-// mutableGhost returns the ghost state, for this branch to change.
+// mutableGhost returns the ghost state for this world to change, copied first if another world
+// shares it.
 func (w *World) mutableGhost() *ghost {
 	if !w.ownsGhost {
 		w.ghost, w.ownsGhost = w.ghost.clone(), true
@@ -122,17 +126,18 @@
 	return &w.ghost
 }
 
-// Violation describes the first broken invariant, "" while all hold.
+// Violation returns a description of the first broken invariant; "" while all hold.
 func (w *World) Violation() string { return w.violation }
 
-// fail records a broken invariant.
+// fail records a broken invariant, unless one was recorded before.
 func (w *World) fail(format string, args ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// nextEvent numbers the invocations and returns of operations.
+// nextEvent returns the next event number; invocations and returns of operations are numbered
+// in one sequence.
 func (w *World) nextEvent() int {
 	w.events++
 	return w.events
@@ -154,7 +159,8 @@
 	}
 }
 
-// machineByID returns the machine whose current disk has a store ID; nil if it was wiped.
+// machineByID returns the machine whose current disk has the given store ID; nil if that disk
+// was wiped.
 func (w *World) machineByID(id string) *machine {
 	for _, m := range w.machines {
 		if m.id == id {
