--- a/internal/ablation/ablation.go
+++ b/internal/ablation/ablation.go
@@ -1,8 +1,9 @@
-// Package ablation switches off single mechanisms of policy, to measure what each is worth. An
-// Ablation is a set of source edits, like a mutant (internal/mutation), but breaks no guard: the
-// system without it works, and decides worse, or no worse.
+// Package ablation removes single mechanisms of the scheduling policy, to measure how much each
+// of them contributes. An Ablation is a set of source edits, like a mutant (internal/mutation),
+// but it removes no guard: the system works correctly without the mechanism, and its decisions
+// are worse, or just as good.
 //
-// docs/decisions.md has what each was worth when it was last measured.
+// docs/decisions.md lists the contribution of each mechanism when it was last measured.
 package ablation
 
 import (
@@ -11,14 +12,14 @@
 	"sparnotch/internal/mutation"
 )
 
-// Ablation is the system without one mechanism.
+// Ablation removes one mechanism from the system.
 type Ablation struct {
 	Name  string // unique
-	What  string // the mechanism that is missing, in a line
+	What  string // describes the removed mechanism in one line
 	Edits []mutation.Edit
 }
 
-// Find returns the ablation of a name; nil if there is none.
+// Find returns the ablation with the given name; nil if there is none.
 func Find(name string) *Ablation {
 	for _, ablation := range Ablations {
 		if ablation.Name == name {
@@ -28,7 +29,8 @@
 	return nil
 }
 
-// Apply edits a copy of the source tree in place.
+// Apply applies the ablation's edits to the files below a root directory, which must be a copy
+// of the source tree.
 func (a *Ablation) Apply(root string) error {
 	if err := mutation.ApplyEdits(a.Edits, root); err != nil {
 		return fmt.Errorf("%s: %w", a.Name, err)
--- a/internal/ablation/ablation_test.go
+++ b/internal/ablation/ablation_test.go
@@ -7,8 +7,8 @@
 	"sparnotch/internal/mutation"
 )
 
-// TestEditsMatchSource: names are unique, every edit finds the text that it changes, and the
-// system builds without each mechanism.
+// TestEditsMatchSource checks that names are unique, that every edit finds the text that it
+// replaces, and that the system builds without each mechanism.
 func TestEditsMatchSource(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
--- a/internal/ablation/ablations.go
+++ b/internal/ablation/ablations.go
@@ -2,7 +2,7 @@
 
 import "sparnotch/internal/mutation"
 
-// Ablations are all mechanisms that can be switched off, by stage.
+// Ablations holds one ablation for each mechanism that can be removed, ordered by stage.
 var Ablations = []*Ablation{
 	{"headroom", "capacity kept free for what more urgent queues lately used", []mutation.Edit{
 		{Package: "internal/scheduler", Old: "\tmayUseHeadroom := p.class == boosted || req.isShort ||", New: "\tmayUseHeadroom := true || p.class == boosted || req.isShort ||"},
--- a/internal/mutation/calls_mutants.go
+++ b/internal/mutation/calls_mutants.go
@@ -1,6 +1,6 @@
 package mutation
 
-// Guards that match replies with their calls, and keep calls from being sent twice; see
+// These guards match replies with their calls, and prevent that a call is sent twice; see
 // docs/control/calls.md.
 func init() {
 	Mutants = append(Mutants, []*Mutant{
--- a/internal/mutation/disk_mutants.go
+++ b/internal/mutation/disk_mutants.go
@@ -2,7 +2,7 @@
 
 func init() { Mutants = append(Mutants, diskMutants...) }
 
-// diskMutants are the guards against failing and full disks; see docs/control/disk.md.
+// diskMutants remove the guards against failing and full disks; see docs/control/disk.md.
 var diskMutants = []*Mutant{
 	{Guard: "a failed sync makes nothing durable", Test: "internal/storage TestSyncAfterFailedSync", Edits: []Edit{{"internal/storage",
 		"		s.noteFailure(tailUncertain)\n		return err\n", "		_ = err\n"}}},
--- a/internal/mutation/fault_mutants.go
+++ b/internal/mutation/fault_mutants.go
@@ -1,6 +1,7 @@
 package mutation
 
-// Guards whose mutants fault schedules kill; see docs/control/faults.md.
+// These guards matter under fault schedules, which kill some of their mutants; see
+// docs/control/faults.md.
 func init() {
 	Mutants = append(Mutants, []*Mutant{
 		{
--- a/internal/mutation/key_mutants.go
+++ b/internal/mutation/key_mutants.go
@@ -1,7 +1,7 @@
 package mutation
 
-// Guards of tenants' keys, and of what one tenant may see and do of another's; see
-// docs/survival.md.
+// These guards check the keys of tenants, and restrict what a tenant may see and change of what
+// belongs to another tenant; see docs/survival.md.
 func init() {
 	Mutants = append(Mutants, []*Mutant{
 		{Guard: "a call's key is known", Test: "internal/gateway TestUnknownKeysAreRefused", Edits: []Edit{{"internal/gateway",
--- a/internal/mutation/membership_mutants.go
+++ b/internal/mutation/membership_mutants.go
@@ -1,9 +1,9 @@
 package mutation
 
-// memberMutants are the guards of membership changes; see docs/control/members.md.
+// memberMutants remove the guards of membership changes; see docs/control/members.md.
 var memberMutants = []*Mutant{
 	{Guard: "promotion waits for a caught-up learner", Test: "internal/replica TestPromotionRequiresCaughtUpLearner", Edits: []Edit{
-		// Both the replica that gets the request and the group check it.
+		// Both the replica that receives the request and the Raft group check this.
 		{"internal/replica", "		if !canPromote(now, group, m.Promote) {\n			return nil\n		}\n", ""},
 		{"internal/raft", "if !slices.Contains(old.Learners, id) || !g.IsCaughtUp(id) {", "if !slices.Contains(old.Learners, id) {"}}},
 	{Guard: "an empty learner isn't caught up in a young group", Test: "internal/raft TestLearnerCaughtUp", Edits: []Edit{{"internal/raft",
--- a/internal/mutation/modelcheck_mutants.go
+++ b/internal/mutation/modelcheck_mutants.go
@@ -1,6 +1,6 @@
 package mutation
 
-// Guards whose mutants only the model checker kills; see docs/control/model.md.
+// Most mutants of these guards are killed only by the model checker; see docs/control/model.md.
 func init() { Mutants = append(Mutants, modelMutants...) }
 
 const (
@@ -46,7 +46,7 @@
 		"return fmt.Sprintf(\"%c%d\", 'a'+index, incarnation)", "return fmt.Sprintf(\"%c%d\", 'a'+index, 0*incarnation)"}}},
 	{Guard: "a restarted replica honours the leader lease", Rule: 2, Test: "internal/raft TestRestartedReplicaHonoursLeaderLease", Edits: []Edit{{"internal/raft",
 		"return hasLeader || now < g.formerLeaseExpiry", "return hasLeader"}}},
-	// A scenario kills it too, besides the test of another mutant.
+	// The same edit is also a mutant that a test kills. Here a scenario must kill it.
 	{Guard: "the leases of a former scheduler are waited for", Rule: 2, Scenario: "leader, controller and worker lost at once", Seed: 1, Edits: []Edit{{"internal/scheduler",
 		"lastGrantAt := max(w.runLeaseGrantedAt, w.leaseSince+timing.FromBounds(s.bounds).FormerLeaseTimeout)", "lastGrantAt := w.runLeaseGrantedAt"}}},
 	{Guard: "an accepted version is recognised again", Rule: 11, Test: walks, Edits: []Edit{{"internal/clusterstate",
--- a/internal/mutation/mutants.go
+++ b/internal/mutation/mutants.go
@@ -1,6 +1,6 @@
 package mutation
 
-// Mutants are all mutants; the other files of this package append to it.
+// Mutants holds all mutants. Other files of this package append theirs.
 var Mutants = []*Mutant{
 	{Guard: "confirm after apply", Rule: 1, Test: "internal/replica TestConfirmAfterApply", Edits: []Edit{{"internal/replica",
 		"		h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Enqueue{Enqueue: stamped}})\n",
@@ -55,7 +55,7 @@
 	{Guard: "the gateway retries", Rule: 12, Scenario: "rough net", Seed: 1, Edits: []Edit{{"internal/gateway", "return now-pending.sentAt >= resendInterval }", "return false }"}}},
 	{Guard: "a lost voter is replaced", Rule: 0, Scenario: "disk machine replaced", Seed: 1, Edits: []Edit{{"internal/controller", "		change := c.nextMembershipChange(now, statuses[group], clusterStateStatus)\n", "		var change *schema.ChangeMembers\n"}}},
 	{Guard: "a lease that isn't renewed is claimed", Rule: 0, Scenario: "leader, controller and worker lost at once", Seed: 1, Edits: []Edit{{"internal/controller", "	return unrenewedFor > leaseDuration+delay\n", "	return unrenewedFor < 0\n"}}},
-	// Guards of workers that an agent calls.
+	// Guards of the protocol between an agent and the workers that it calls.
 	{Guard: "a call carries its fencing token", Rule: 2, Test: "internal/agent TestLeaseChange", Edits: []Edit{{"internal/agent", "call.Number, call.Worker, call.Address, call.FencingToken = a.callSequence, w.id, w.heartbeat.Address, w.fencingToken", "call.Number, call.Worker, call.Address, call.FencingToken = a.callSequence, w.id, w.heartbeat.Address, 0"}}},
 	{Guard: "work is held as long as the lease, by the worker's clock", Rule: 2, Test: "internal/agent TestHoldDuration", Edits: []Edit{{"internal/agent", "	return w.minClockAt(now) + a.maxHoldDeadline(now, w) - now\n", "	return w.minClockAt(now) + 2*w.runLeaseDuration\n"}}},
 	{Guard: "each start has a higher number", Rule: 2, Test: "internal/queue TestAttempts", Edits: []Edit{{"internal/queue", "schema.TaskState_TASK_CHECKED_OUT, max(task.attempt+1, gangAttempt)", "schema.TaskState_TASK_CHECKED_OUT, max(task.attempt, 1, gangAttempt)"}}},
--- a/internal/mutation/mutation.go
+++ b/internal/mutation/mutation.go
@@ -1,9 +1,9 @@
-// Package mutation tests the tests by mutation. A Mutant is the system without one guard, a
-// condition that a rule of the brief rests on, together with the test or simulated run that
-// must fail then. docs/proof.md names the mutants of each rule.
+// Package mutation tests the tests by mutation. A Mutant removes one guard from the system, a
+// condition that a rule of the requirements depends on, and names the test or simulated run
+// that must then fail. docs/proof.md lists the mutants of each rule.
 //
-// Mutants quote the source that they change and are built as overlays of the go command: the
-// source tree itself is never changed.
+// Mutants quote the source text that they change. They are built with the go command's -overlay
+// flag, so that the source tree itself is never changed.
 package mutation
 
 import (
@@ -17,25 +17,25 @@
 	"strings"
 )
 
-// Edit replaces the one occurrence of Old in the source files of a package, tests excluded.
-// Package is its directory, relative to the module's root.
+// Edit replaces Old by New in the source files of a package, excluding tests. Old must occur
+// exactly once. Package is the package's directory, relative to the module's root.
 type Edit struct{ Package, Old, New string }
 
-// Mutant is the system without one guard. It is killed either by Test, which fails, or by a
-// simulated run with Seed of a Scenario or of Faults, which breaks Rule.
+// Mutant removes one guard from the system. The mutant is killed either by Test, which fails, or
+// by a simulated run of Scenario or Faults with Seed, which breaks Rule.
 type Mutant struct {
 	Guard    string // what the removed code ensures; unique
 	Edits    []Edit
-	Rule     int // of the brief; 0: the final checks of a scenario
+	Rule     int // number of the rule in the requirements; 0: the final checks of a scenario
 	Scenario string
 	Faults   string // a fault schedule, instead of a scenario
-	Size     string // of the simulated fleet; "": small
+	Size     string // size of the simulated fleet; "": small
 	Seed     uint64
 	Test     string // "PACKAGE TestName"
 }
 
-// Overlay writes the changed files into a directory, and a file for the -overlay flag of the go
-// command, whose path it returns.
+// Overlay writes the changed files, and a file for the go command's -overlay flag, into a
+// directory. It returns the path of the latter file.
 func (m *Mutant) Overlay(root, dir string) (string, error) {
 	changed := map[string]string{}
 	for _, edit := range m.Edits {
@@ -59,7 +59,8 @@
 	return overlay, os.WriteFile(overlay, data, 0o600)
 }
 
-// ApplyEdits makes edits in a copy of the source tree.
+// ApplyEdits applies edits to the files below a root directory, which must be a copy of the
+// source tree.
 func ApplyEdits(edits []Edit, root string) error {
 	changed := map[string]string{}
 	for _, edit := range edits {
@@ -77,11 +78,11 @@
 
 // overlayFile is the format of the go command's -overlay flag.
 type overlayFile struct {
-	Replace map[string]string // paths of changed files, by the paths that they replace
+	Replace map[string]string // paths of the changed files, by the paths of the original files
 }
 
-// apply makes the edit and puts the file's new text into changed, by path. It is an error if
-// Old doesn't occur exactly once in the package.
+// apply applies the edit to the file that contains Old, and stores the file's new text in
+// changed, by path. It returns an error if Old doesn't occur exactly once in the package.
 func (e Edit) apply(root string, changed map[string]string) error {
 	files, err := filepath.Glob(filepath.Join(root, e.Package, "*.go"))
 	if err != nil {
@@ -106,12 +107,13 @@
 		}
 	}
 	if count != 1 {
-		return fmt.Errorf("the text to change occurs %d times in %s (last in %q)", count, e.Package, last)
+		return fmt.Errorf("the text to change occurs %d times in %s instead of once (last in %q)", count, e.Package, last)
 	}
 	return nil
 }
 
-// Build builds sparnotch-bench with a mutant, nil for none, and returns its path.
+// Build builds sparnotch-bench with a mutant, or without any if m is nil, in a directory. It
+// returns the path of the program.
 func Build(m *Mutant, root, dir string) (string, error) {
 	bench := filepath.Join(dir, "sparnotch-bench")
 	args := []string{"build", "-o", bench}
@@ -125,17 +127,18 @@
 	command := exec.Command("go", append(args, "./cmd/sparnotch-bench")...)
 	command.Dir = root
 	if out, err := command.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("building: %w: %s", err, out)
+		return "", fmt.Errorf("sparnotch-bench doesn't build: %w: %s", err, out)
 	}
 	return bench, nil
 }
 
-// violationPattern matches the checker's line for a broken rule.
+// violationPattern matches the line that the checker prints for a broken rule.
 var violationPattern = regexp.MustCompile(`(?m)^BROKEN rule (\d+)`)
 
-// CountViolations runs sparnotch-bench simulate with some arguments. It returns the violations
-// by rule, where 0 stands for a scenario's final checks, and the output. A run that ends
-// without the checker's verdict is an error.
+// CountViolations runs the simulate command of a sparnotch-bench program with the given
+// arguments. It returns the number of violations by rule, where rule 0 stands for a scenario's
+// final checks, and the output. If the run ends without the checker's verdict, it returns an
+// error.
 func CountViolations(bench string, args ...string) (map[int]int, string, error) {
 	out, err := exec.Command(bench, append([]string{"simulate"}, args...)...).CombinedOutput()
 	counts := map[int]int{}
@@ -147,7 +150,7 @@
 		counts[0] = count
 	}
 	if !strings.Contains(string(out), "\ncheck: ") && !strings.HasPrefix(string(out), "check: ") {
-		return nil, string(out), fmt.Errorf("no verdict: %w", err)
+		return nil, string(out), fmt.Errorf("the run ended without the checker's verdict: %w", err)
 	}
 	return counts, string(out), nil
 }
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -18,8 +18,8 @@
 	return path
 }
 
-// TestEditsMatchSource is the quick part of TestMutants: guards are unique, and every edit
-// finds the text that it changes.
+// TestEditsMatchSource is the quick part of TestMutants. It checks that guards are unique, and
+// that every edit finds the text that it replaces.
 func TestEditsMatchSource(t *testing.T) {
 	isKnown := map[string]bool{}
 	for _, m := range Mutants {
@@ -33,8 +33,9 @@
 	}
 }
 
-// TestMutants: each mutant's test or run fails, and the run succeeds without the mutant. Tests
-// succeed without it in their own package's run.
+// TestMutants checks that each mutant's test or simulated run fails with the mutant, and that
+// the simulated run succeeds without it. That the tests succeed without the mutant is checked
+// when their own packages are tested.
 func TestMutants(t *testing.T) {
 	original, err := Build(nil, moduleRoot(t), t.TempDir())
 	if err != nil {
@@ -52,22 +53,24 @@
 	}
 }
 
-// checkKilledByRun checks that a mutant's run breaks its rule, and no rule with the original.
+// checkKilledByRun checks that a mutant's simulated run breaks the mutant's rule, and that the
+// same run with the original program breaks no rule.
 func checkKilledByRun(t *testing.T, m *Mutant, original string) {
 	t.Helper()
 	if counts, out, err := CountViolations(original, m.args()...); err != nil || len(counts) > 0 {
-		t.Errorf("with the guard: %v %v\n%s", counts, err, out)
+		t.Errorf("with the guard the run must break no rule; violations by rule: %v, error: %v\n%s", counts, err, out)
 	}
 	bench, err := Build(m, moduleRoot(t), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if counts, out, err := CountViolations(bench, m.args()...); err != nil || counts[m.Rule] == 0 {
-		t.Errorf("without the guard rule %d holds: %v %v\n%s", m.Rule, counts, err, out)
+		t.Errorf("without the guard the run must break rule %d; violations by rule: %v, error: %v\n%s", m.Rule, counts, err, out)
 	}
 }
 
-// checkKilledByTest checks that a mutant's test fails. A build that fails doesn't count.
+// checkKilledByTest checks that a mutant's test fails. A build error doesn't count as a failed
+// test.
 func checkKilledByTest(t *testing.T, m *Mutant) {
 	t.Helper()
 	dir, name, _ := strings.Cut(m.Test, " ")
@@ -83,7 +86,7 @@
 	}
 }
 
-// args are the arguments of sparnotch-bench simulate.
+// args returns the arguments of sparnotch-bench simulate for the mutant's run.
 func (m *Mutant) args() []string {
 	return []string{"-size", cmp.Or(m.Size, "small"), "-scenario", m.Scenario, "-faults", m.Faults, "-seed", strconv.FormatUint(m.Seed, 10)}
 }
--- a/internal/mutation/partition_mutants.go
+++ b/internal/mutation/partition_mutants.go
@@ -1,11 +1,11 @@
 package mutation
 
-// Guards of a partitioned machine; see docs/control/cut.md.
+// These guards matter when a machine is partitioned from others; see docs/control/cut.md.
 func init() {
 	Mutants = append(Mutants, []*Mutant{
 		{Guard: "a learner becomes a voter once it has caught up", Test: "internal/replica TestVoterPromotion", Edits: []Edit{
 			{"internal/replica", "return now-lastHeard < responseTimeout && group.IsCaughtUp(id)", "return now-lastHeard < responseTimeout || group.IsCaughtUp(id)"},
-			// These would reject such a learner too.
+			// The checks that the next two edits remove would reject such a learner too.
 			{"internal/replica", "	if margin < h.toleratedLosses && margin", "	if false && margin"},
 			{"internal/raft", "if !slices.Contains(old.Learners, id) || !g.IsCaughtUp(id) {", "if !slices.Contains(old.Learners, id) {"}}},
 		{Guard: "a controller is fenced by an up-to-date cluster state", Test: "internal/replica TestStaleClusterStateRejectsMemberChange", Edits: []Edit{{"internal/replica",
--- a/internal/mutation/proof_page_test.go
+++ b/internal/mutation/proof_page_test.go
@@ -14,11 +14,11 @@
 // referencePattern matches a reference of docs/proof.md, KIND:NAME.
 var referencePattern = regexp.MustCompile("`(sim|test|mutant|fleet|fault):([^`]+)`")
 
-// placeholders are the names with which the page explains its references.
+// placeholders holds the names in the examples with which docs/proof.md explains its references.
 const placeholders = "NAME PACKAGE NAME GUARD FAULT"
 
-// TestProofPage: every scenario, test, mutant and fault that docs/proof.md names exists, and
-// every mutant is named there.
+// TestProofPage checks that every scenario, test, mutant and fault that docs/proof.md names
+// exists, and that docs/proof.md names every mutant.
 func TestProofPage(t *testing.T) {
 	data, err := os.ReadFile("../../docs/proof.md")
 	if err != nil {
@@ -40,7 +40,8 @@
 	}
 }
 
-// referenceChecks returns, for each kind of reference, whether a name exists.
+// referenceChecks returns, for each kind of reference, a function that reports whether a name
+// exists.
 func referenceChecks(t *testing.T) map[string]func(name string) bool {
 	t.Helper()
 	isScenario := map[string]bool{}
@@ -67,7 +68,7 @@
 func isTest(path string) bool   { return strings.HasSuffix(path, "_test.go") }
 func isSource(path string) bool { return !isTest(path) }
 
-// readFiles returns the content of the files that match a pattern and a condition.
+// readFiles returns the concatenated content of the files that match a pattern and a condition.
 func readFiles(t *testing.T, pattern string, isWanted func(path string) bool) string {
 	t.Helper()
 	paths, err := filepath.Glob(pattern)
--- a/internal/mutation/replace_mutants.go
+++ b/internal/mutation/replace_mutants.go
@@ -1,6 +1,6 @@
 package mutation
 
-// replaceMutants are the guards that make replacing the configuration an idempotent
+// replaceMutants remove the guards that make replacing the configuration an idempotent
 // compare-and-set; see docs/control/replace.md.
 var replaceMutants = []*Mutant{
 	{Guard: "a repeated replace is recognised", Rule: 11, Test: "internal/sim TestReplaceIsLinearizable", Edits: []Edit{{"internal/clusterstate",
--- a/internal/mutation/replication_mutants.go
+++ b/internal/mutation/replication_mutants.go
@@ -1,6 +1,6 @@
 package mutation
 
-// Guards of replicating large configurations; see docs/control/changes.md.
+// These guards concern the replication of large configurations; see docs/control/changes.md.
 func init() {
 	Mutants = append(Mutants, []*Mutant{
 		{Guard: "a large entry is sent in chunks", Test: "internal/raft TestLargeEntriesOverSlowLink",
--- a/internal/mutation/seek_test.go
+++ b/internal/mutation/seek_test.go
@@ -13,9 +13,9 @@
 )
 
 var (
-	seekGuard = flag.String("seek", "", "look for runs that kill the mutants whose guard contains this; all: those that nothing kills yet")
-	seedCount = flag.Int("seeds", 4, "with -seek: seeds of each scenario; 0: look for tests of the changed packages instead")
-	fleetSize = flag.String("size", "small", "with -seek: the fleet's size")
+	seekGuard = flag.String("seek", "", "look for runs that kill the mutants whose guard contains this text; all: the mutants that have no test or run yet")
+	seedCount = flag.Int("seeds", 4, "with -seek: number of seeds for each scenario; 0: look for tests in the changed packages instead")
+	fleetSize = flag.String("size", "small", "with -seek: the size of the simulated fleet")
 	firstSeed = flag.Uint64("seed", 1, "with -seek: the first seed")
 )
 
@@ -25,11 +25,11 @@
 	maxShownBytes = 400
 )
 
-// TestSeek looks for the test or run that kills a new mutant. It is a tool and skipped without
-// its flag.
+// TestSeek looks for tests or simulated runs that kill a new mutant, and prints them. It is a
+// tool, which is skipped without the -seek flag.
 func TestSeek(t *testing.T) {
 	if *seekGuard == "" {
-		t.Skip("only with -seek")
+		t.Skip("this test runs only with -seek")
 	}
 	for _, m := range Mutants {
 		if !isSought(m) {
@@ -58,7 +58,8 @@
 	return strings.Contains(m.Guard, *seekGuard)
 }
 
-// brokenRuns plays every scenario with some seeds and lists those that break a rule.
+// brokenRuns runs every scenario with several seeds, and returns a description of each run that
+// breaks a rule or fails.
 func brokenRuns(t *testing.T, m *Mutant) ([]string, error) {
 	bench, err := Build(m, moduleRoot(t), t.TempDir())
 	if err != nil {
@@ -98,7 +99,8 @@
 
 var failedTestPattern = regexp.MustCompile(`(?m)^--- FAIL: (\w+)`)
 
-// failingTests lists the tests of the changed packages that fail with a mutant.
+// failingTests returns the tests that fail with a mutant, among those of the packages that the
+// mutant changes. If none is found because the build fails, it returns the error.
 func failingTests(t *testing.T, m *Mutant) []string {
 	overlay, err := m.Overlay(moduleRoot(t), t.TempDir())
 	if err != nil {
--- a/internal/mutation/size_mutants.go
+++ b/internal/mutation/size_mutants.go
@@ -1,6 +1,6 @@
 package mutation
 
-// Guards of what large jobs need to be served as often as others.
+// These guards ensure that large jobs are served as often as others.
 func init() { Mutants = append(Mutants, sizeMutants...) }
 
 var sizeMutants = []*Mutant{
--- a/internal/mutation/tenant_mutants.go
+++ b/internal/mutation/tenant_mutants.go
@@ -1,12 +1,12 @@
 package mutation
 
-// Guards of the limits of tenants.
+// These guards enforce the limits of tenants.
 func init() { Mutants = append(Mutants, tenantMutants...) }
 
 var tenantMutants = []*Mutant{
 	{Guard: "a limit is spent by the leader of all queues alone", Test: "internal/scheduler TestNothingIsPlacedForLimitedTenantsUnlessAllQueuesAreLed", Edits: []Edit{{"internal/scheduler",
 		"isUncertain: !p.knowsAllRuns,", "isUncertain: false,"}}},
-	// The same seen from the workers: two nodes spend the limit at once.
+	// The same limits, checked by what the workers run: two nodes could use up a limit at once.
 	{Guard: "no two nodes spend a limit", Test: "internal/modelcheck/workerpath TestWalksOfTenants", Edits: []Edit{{"internal/scheduler",
 		"	case a.isUncertain:\n		return false\n	case tasks[0].hasOpenCheckout:", "	case tasks[0].hasOpenCheckout:"}, {"internal/scheduler",
 		"	case a.isUncertain:\n		return 0\n", ""}, {"internal/scheduler",
