--- a/internal/modelcheck/doc.go
+++ b/internal/modelcheck/doc.go
@@ -6,8 +6,9 @@
 // send to which machine. The invariants are checked after every step.
 //
 // A World is one state of the model. Explore follows every schedule up to a given number of
-// steps, and Walk follows one random schedule. Both report a broken invariant as a Violation,
-// whose Schedule can be shrunk, and printed as a line of text that replays it.
+// steps, and Walk follows one random schedule. A Violation is a broken invariant with the
+// schedule that breaks it. The schedule can be shrunk, and written as a line of text to replay
+// it later.
 //
 // The invariants are those of the Raft paper (figure 3), its rules for durable state and
 // membership changes, and linearizability of the configuration as a compare-and-set register.
--- a/internal/modelcheck/files.go
+++ b/internal/modelcheck/files.go
@@ -15,7 +15,7 @@
 // content and the first few of its unsynced writes, the last of which may be cut short.
 type memoryFiles struct {
 	synced, current map[string][]byte
-	writes          []fileWrite // since the last sync of their file
+	writes          []fileWrite // writes since the last sync of their file
 	writeBudget     int         // bytes that may still be written without an error, or unlimited
 }
 
--- a/internal/modelcheck/ghost.go
+++ b/internal/modelcheck/ghost.go
@@ -18,7 +18,7 @@
 	votes           map[voterTerm]string           // candidates by voter and term, as sent in messages
 	wipedLogs       map[string]*storage.GroupState // last content of wiped disks, by store ID
 	maxKnownVersion uint64                         // highest configuration version that an operator has seen
-	checksum        uint64                         // of the entries, votes and leaders, for fingerprints
+	checksum        uint64                         // checksum of the entries, votes and leaders, for fingerprints
 }
 
 // entryID is the index and term of an entry, which by log matching determine the entry.
--- a/internal/modelcheck/machine.go
+++ b/internal/modelcheck/machine.go
@@ -55,7 +55,7 @@
 	nextBatch         batch
 	currentWrite      *batch                     // nil: the disk is idle
 	pendingProposals  map[uint64]pendingProposal // by log index
-	pendingReads      map[uint64]int             // operations by read ID
+	pendingReads      map[uint64]int             // indices of operations, by read ID
 	lastReadID        uint64
 	maxVersion        uint64 // highest version of the state since the process started
 	applied           uint64 // log index up to which the state is applied
--- a/internal/modelcheck/presets.go
+++ b/internal/modelcheck/presets.go
@@ -56,7 +56,7 @@
 func preset(name string) (Limits, error) {
 	limits, found := presets[name]
 	if !found {
-		return limits, fmt.Errorf("unknown world %q", name)
+		return limits, fmt.Errorf("there is no preset of a world named %q", name)
 	}
 	limits.Name = name
 	return limits, nil
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -150,8 +150,8 @@
 }
 
 // canWipe reports whether, in every machine's view of the membership, a majority of the voters
-// would keep their disks if the given one were lost. A walk of a group that has lost its quorum
-// for good would find nothing.
+// would keep their disks if the store lost were wiped too. A walk of a group that has lost its
+// quorum for good would find nothing.
 func (k *walker) canWipe(lost string) bool {
 	for _, m := range k.world.machines {
 		if m.group == nil || m.id == lost {
@@ -252,8 +252,8 @@
 // machineIndex returns the index of the machine that a store ID belongs to; see newStoreID.
 func machineIndex(id string) int { return int(id[0] - 'a') }
 
-// onLeader calls do for a random leader and returns its step; "" if there is no leader. There
-// may be several leaders, since a deposed one may not know of its successor.
+// onLeader calls do with a random leader and returns the step that do returns; "" if there is no
+// leader. There may be several leaders, since a deposed one may not know of its successor.
 func (k *walker) onLeader(do func(at int, m *machine) Step) Step {
 	var leaders []int
 	for at, m := range k.world.machines {
