--- a/internal/modelcheck/enabled.go
+++ b/internal/modelcheck/enabled.go
@@ -57,7 +57,7 @@
 		return steps
 	}
 	add(machineStep(stepElectionTimeout, k))
-	if m.applied > m.log.Snapshot.Index {
+	if m.appliedIndex > m.log.Snapshot.Index {
 		add(machineStep(stepCompact, k))
 	}
 	if m.group.IsLeader() {
--- a/internal/modelcheck/execute.go
+++ b/internal/modelcheck/execute.go
@@ -140,13 +140,13 @@
 	}
 	switch kind {
 	case stepElectionTimeout:
-		m.clock += raftTimes.ElectionMax + 1
+		m.clock += raftTimeouts.ElectionMax + 1
 		m.group.Tick(m.clock)
 	case stepHeartbeatDue:
 		if !m.group.IsLeader() {
 			return false
 		}
-		m.clock += raftTimes.HeartbeatInterval
+		m.clock += raftTimeouts.HeartbeatInterval
 		m.group.Tick(m.clock)
 	case stepSyncWrite:
 		if m.currentWrite == nil {
@@ -154,10 +154,10 @@
 		}
 		w.completeWrite(m)
 	case stepCompact:
-		if m.applied <= m.log.Snapshot.Index {
+		if m.appliedIndex <= m.log.Snapshot.Index {
 			return false
 		}
-		m.group.Compact(m.applied, m.state.Snapshot())
+		m.group.Compact(m.appliedIndex, m.state.Snapshot())
 	case stepAppendFillers:
 		if !m.group.IsLeader() || m.group.LastIndex()-m.group.CommitIndex() > maxPromotionLag {
 			return false
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -75,7 +75,7 @@
 		return buffer
 	}
 	buffer = m.group.Fingerprint(m.clock, append(buffer, '/'))
-	buffer = appendNumbers(buffer, m.maxVersion, m.applied, maphash.Bytes(hashSeed, m.state.Snapshot()))
+	buffer = appendNumbers(buffer, m.maxVersion, m.appliedIndex, maphash.Bytes(hashSeed, m.state.Snapshot()))
 	buffer = m.nextBatch.fingerprint(append(buffer, 'n'))
 	if m.currentWrite != nil {
 		buffer = m.currentWrite.fingerprint(append(buffer, 'w'))
--- a/internal/modelcheck/history_test.go
+++ b/internal/modelcheck/history_test.go
@@ -64,7 +64,7 @@
 		return w.Violation()
 	}
 	var history []porcupine.Operation
-	last := int64(w.events) + 1
+	last := int64(w.eventCount) + 1
 	for k := range w.operations {
 		o := &w.operations[k]
 		if o.isRead && o.returnedAt == 0 {
--- a/internal/modelcheck/host.go
+++ b/internal/modelcheck/host.go
@@ -103,7 +103,7 @@
 	w.checkCommit(m, entry)
 	proposal, isPending := m.pendingProposals[entry.Index]
 	delete(m.pendingProposals, entry.Index)
-	m.applied = entry.Index
+	m.appliedIndex = entry.Index
 	if entry.Kind != schema.EntryKind_ENTRY_COMMAND {
 		w.checkState(m)
 		return
--- a/internal/modelcheck/invariants_commit.go
+++ b/internal/modelcheck/invariants_commit.go
@@ -58,12 +58,12 @@
 // two starts of a machine.
 func (w *World) checkState(m *machine) {
 	digest := maphash.Bytes(hashSeed, m.state.Snapshot())
-	known, isKnown := w.states[m.applied]
+	known, isKnown := w.states[m.appliedIndex]
 	if isKnown && known != digest {
-		w.fail("state machine safety: the state of %s at index %d differs from the state of other machines", m.id, m.applied)
+		w.fail("state machine safety: the state of %s at index %d differs from the state of other machines", m.id, m.appliedIndex)
 	}
 	if !isKnown {
-		w.mutableGhost().states[m.applied] = digest
+		w.mutableGhost().states[m.appliedIndex] = digest
 	}
 	if m.state.Version() < m.maxVersion {
 		w.fail("versions: the version of the state on %s decreases from %d to %d", m.id, m.maxVersion, m.state.Version())
--- a/internal/modelcheck/invariants_membership.go
+++ b/internal/modelcheck/invariants_membership.go
@@ -16,7 +16,7 @@
 // of the leader's own term must be committed (Raft thesis, section 4.1, as corrected), and new
 // voters must have caught up.
 func (w *World) checkMembershipChange(m *machine, entry *schema.Entry) {
-	w.changes++
+	w.membershipChanges++
 	old := membershipBefore(m.log, entry.Index)
 	next := entry.MemberSet
 	if !majoritiesOverlap(old.GetVoters(), next.Voters) {
--- a/internal/modelcheck/machine.go
+++ b/internal/modelcheck/machine.go
@@ -14,9 +14,9 @@
 	"sparnotch/internal/storage"
 )
 
-// raftTimes are the group's timeouts. The scheduler decides when they expire, so only their
+// raftTimeouts are the group's timeouts. The scheduler decides when they expire, so only their
 // order matters.
-var raftTimes = raft.DefaultTimeouts
+var raftTimeouts = raft.DefaultTimeouts
 
 // minimalRandom makes every random timeout the shortest one, since the scheduler decides whose
 // timeout expires first.
@@ -58,7 +58,7 @@
 	pendingReads      map[uint64]int             // indices of operations, by read ID
 	lastReadID        uint64
 	maxVersion        uint64 // highest version of the state since the process started
-	applied           uint64 // log index up to which the state is applied
+	appliedIndex      uint64 // log index up to which the state is applied
 }
 
 // newStoreID returns the store ID of one disk of a machine: a letter for the machine, and the
@@ -89,7 +89,7 @@
 	m.ownsState = true
 	m.nextBatch, m.currentWrite = batch{}, nil
 	m.pendingProposals, m.pendingReads = map[uint64]pendingProposal{}, map[uint64]int{}
-	m.maxVersion, m.applied = 0, 0
+	m.maxVersion, m.appliedIndex = 0, 0
 	if log := m.durableLog(); log != nil {
 		m.openReplica(log)
 	}
@@ -107,7 +107,7 @@
 
 func (m *machine) openReplica(log *storage.GroupState) {
 	m.log = cloneGroupState(log)
-	m.group = raft.New(groupName, m.id, cloneGroupState(log), raftTimes, minimalRandom{}, m.clock)
+	m.group = raft.New(groupName, m.id, cloneGroupState(log), raftTimeouts, minimalRandom{}, m.clock)
 	m.restore(log.Snapshot)
 }
 
@@ -117,7 +117,7 @@
 		panic("modelcheck: a snapshot can't be restored: " + err.Error())
 	}
 	m.state, m.ownsState = state, true
-	m.applied = snapshot.Index
+	m.appliedIndex = snapshot.Index
 }
 
 // ensureOwnState copies the state if another world shares it.
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -154,7 +154,7 @@
 	c.walks++
 	c.steps += len(taken)
 	c.leaders += len(w.leaders)
-	c.changes += w.changes
+	c.changes += w.membershipChanges
 	for k := range w.operations {
 		if w.operations[k].returnedAt > 0 {
 			c.answers++
--- a/internal/modelcheck/workerpath/fingerprint.go
+++ b/internal/modelcheck/workerpath/fingerprint.go
@@ -16,9 +16,9 @@
 func (w *World) fingerprint() uint64 {
 	h := &hasher{onPath: map[uintptr]bool{}}
 	hash := func(value any) uint64 { return h.hash(reflect.ValueOf(value)) }
-	sums := []uint64{hash(w.now), hash(w.state.Version)}
+	sums := []uint64{hash(w.now), hash(w.clusterState.Version)}
 	for _, q := range w.queues {
-		sums = append(sums, hash(q.term), hash(q.leader.id), hash(string(q.machine.Snapshot(false))))
+		sums = append(sums, hash(q.term), hash(q.leader.id), hash(string(q.stateMachine.Snapshot(false))))
 		for _, p := range q.proposals {
 			sums = append(sums, hash(p.node.id), hash(p.command))
 		}
--- a/internal/modelcheck/workerpath/inflight.go
+++ b/internal/modelcheck/workerpath/inflight.go
@@ -31,8 +31,8 @@
 }
 
 func (w *World) send(kind itemKind, from, to string, body any) {
-	w.lastItem++
-	w.inFlight = append(w.inFlight, &item{w.lastItem, kind, from, to, body})
+	w.lastItemNumber++
+	w.inFlight = append(w.inFlight, &item{w.lastItemNumber, kind, from, to, body})
 	if len(w.inFlight) <= maxInFlight {
 		return
 	}
--- a/internal/modelcheck/workerpath/search.go
+++ b/internal/modelcheck/workerpath/search.go
@@ -152,7 +152,7 @@
 	if words[0] != "deliver" {
 		return weight
 	}
-	if number, _ := strconv.Atoi(words[1]); number <= w.lastItem-recentItems {
+	if number, _ := strconv.Atoi(words[1]); number <= w.lastItemNumber-recentItems {
 		return weight / lateItemDivisor
 	}
 	return weight
@@ -162,7 +162,7 @@
 // for a long time; "" if there is none.
 func (w *World) unsettled() string {
 	for _, q := range w.queues {
-		if live := q.machine.LiveJobs(); live > 0 {
+		if live := q.stateMachine.LiveJobs(); live > 0 {
 			return fmt.Sprintf("%d jobs of queue %s haven't ended", live, q.name)
 		}
 	}
--- a/internal/modelcheck/workerpath/steps.go
+++ b/internal/modelcheck/workerpath/steps.go
@@ -64,7 +64,7 @@
 		w.addQueueSteps(q, add)
 	}
 	for _, n := range w.nodes {
-		if w.state.WorkerLeases[0].Scheduler != n.id {
+		if w.clusterState.WorkerLeases[0].Scheduler != n.id {
 			add("move %s", n.id)
 		}
 	}
@@ -144,7 +144,7 @@
 			w.elect(q)
 		}
 	}
-	if w.state.WorkerLeases[0].Scheduler != leader.id {
+	if w.clusterState.WorkerLeases[0].Scheduler != leader.id {
 		w.moveLeases(leader)
 	}
 	w.calm(settleDuration)
--- a/internal/modelcheck/workerpath/world.go
+++ b/internal/modelcheck/workerpath/world.go
@@ -65,15 +65,15 @@
 
 // raftQueue is a queue with its Raft group, whose replication isn't modelled, only its outcome.
 type raftQueue struct {
-	name      string
-	machine   *queue.Machine
-	index     uint64 // index of the log's last committed entry
-	leader    *node
-	term      uint64
-	proposals []proposal
-	isCreated bool      // the queue's Raft group exists
-	isRemoved bool      // the configuration no longer contains the queue
-	jobs      []jobSpec // jobs that are submitted when the queue is created
+	name           string
+	stateMachine   *queue.Machine
+	committedIndex uint64 // index of the log's last committed entry
+	leader         *node
+	term           uint64
+	proposals      []proposal
+	isCreated      bool      // the queue's Raft group exists
+	isRemoved      bool      // the configuration no longer contains the queue
+	jobs           []jobSpec // jobs that are submitted when the queue is created
 }
 
 func (q *raftQueue) group() string { return q.name + "#1" }
@@ -83,13 +83,13 @@
 	now    eventloop.Micros
 	queues []*raftQueue
 
-	state       *schema.ClusterState        // the latest committed cluster state
-	committedAt map[uint64]eventloop.Micros // commit times of cluster states, by version
+	clusterState *schema.ClusterState        // the latest committed cluster state
+	committedAt  map[uint64]eventloop.Micros // commit times of cluster states, by version
 
-	nodes    []*node
-	machines []*machine
-	inFlight []*item
-	lastItem int // number of the item that was sent last
+	nodes          []*node
+	machines       []*machine
+	inFlight       []*item
+	lastItemNumber int // number of the item that was sent last
 
 	laterQueue string // Scenario.LaterQueue
 	hasTenants bool   // enables steps that matter only for the limits of tenants
@@ -105,19 +105,19 @@
 		w.nodes = append(w.nodes, &node{id: id, scheduler: scheduler.New(id).WithBounds(bounds)})
 	}
 	for _, name := range scenario.queueNames() {
-		w.queues = append(w.queues, &raftQueue{name: name, machine: queue.New(name), leader: w.nodes[0], term: 1, isCreated: name != scenario.LaterQueue, jobs: scenario.jobsOf(name)})
+		w.queues = append(w.queues, &raftQueue{name: name, stateMachine: queue.New(name), leader: w.nodes[0], term: 1, isCreated: name != scenario.LaterQueue, jobs: scenario.jobsOf(name)})
 	}
 	w.addMachines()
-	w.state = &schema.ClusterState{Version: 1, Configuration: &schema.Configuration{Rows: scenario.rows()}, NextToken: 10}
+	w.clusterState = &schema.ClusterState{Version: 1, Configuration: &schema.Configuration{Rows: scenario.rows()}, NextToken: 10}
 	for _, q := range w.queues {
 		if q.isCreated {
-			w.state.Queues = append(w.state.Queues, &schema.QueuePlacement{Queue: q.name, Generation: 1, PreferredLeader: "a"})
+			w.clusterState.Queues = append(w.clusterState.Queues, &schema.QueuePlacement{Queue: q.name, Generation: 1, PreferredLeader: "a"})
 		}
 	}
 	for _, m := range w.machines {
 		w.addLease(m.workerID(), "a")
 	}
-	w.committedAt[w.state.Version] = w.now
+	w.committedAt[w.clusterState.Version] = w.now
 	w.publishState()
 	for _, q := range w.queues {
 		if q.isCreated {
@@ -164,9 +164,9 @@
 
 // addLease adds a lease of a new worker, with a new fencing token, to the cluster state.
 func (w *World) addLease(worker, scheduler string) {
-	w.state.NextToken++
-	w.state.WorkerLeases = append(w.state.WorkerLeases, &schema.WorkerLease{Worker: worker, Scheduler: scheduler, FencingToken: w.state.NextToken})
-	slices.SortFunc(w.state.WorkerLeases, func(a, b *schema.WorkerLease) int {
+	w.clusterState.NextToken++
+	w.clusterState.WorkerLeases = append(w.clusterState.WorkerLeases, &schema.WorkerLease{Worker: worker, Scheduler: scheduler, FencingToken: w.clusterState.NextToken})
+	slices.SortFunc(w.clusterState.WorkerLeases, func(a, b *schema.WorkerLease) int {
 		if a.Worker < b.Worker {
 			return -1
 		}
@@ -177,15 +177,15 @@
 // changeState commits a change of the cluster state, and sends the new version to all nodes and
 // machines.
 func (w *World) changeState(change func()) {
-	w.state = proto.Clone(w.state).(*schema.ClusterState)
-	w.state.Version++
+	w.clusterState = proto.Clone(w.clusterState).(*schema.ClusterState)
+	w.clusterState.Version++
 	change()
-	w.committedAt[w.state.Version] = w.now
+	w.committedAt[w.clusterState.Version] = w.now
 	w.publishState()
 }
 
 func (w *World) publishState() {
-	update := &schema.ClusterStateResponse{State: w.state, Version: w.state.Version, Leaders: map[string]string{}}
+	update := &schema.ClusterStateResponse{State: w.clusterState, Version: w.clusterState.Version, Leaders: map[string]string{}}
 	for _, n := range w.nodes {
 		w.send(stateItem, "", n.id, update)
 	}
@@ -197,7 +197,7 @@
 // isFresh reports whether a node's replica of the cluster state counts as fresh: it has the
 // latest version, or the next version was committed less than MaxStateAge ago.
 func (w *World) isFresh(n *node) bool {
-	if n.stateVersion == w.state.Version {
+	if n.stateVersion == w.clusterState.Version {
 		return true
 	}
 	next := n.stateVersion + 1
@@ -210,8 +210,8 @@
 	if err != nil {
 		panic(err)
 	}
-	q.index++
-	effects, err := q.machine.Apply(q.index, int64(w.now), data)
+	q.committedIndex++
+	effects, err := q.stateMachine.Apply(q.committedIndex, int64(w.now), data)
 	if err != nil {
 		panic(err)
 	}
@@ -220,7 +220,7 @@
 
 // sendSnapshot passes the list of all of the queue's active tasks to its leader's scheduler.
 func (w *World) sendSnapshot(q *raftQueue) {
-	events, last := q.machine.ActiveTasks()
+	events, last := q.stateMachine.ActiveTasks()
 	w.stepScheduler(q.leader, "", replica.TaskEvents{
 		Queue: q.name, Group: q.group(), Term: q.term, LastSequence: last, Events: events, IsSnapshot: true, Urgency: 5, MaxRunning: 1000,
 	})
@@ -307,16 +307,16 @@
 // moveLeases moves the leases of all workers to a node, with new fencing tokens.
 func (w *World) moveLeases(n *node) {
 	w.changeState(func() {
-		for _, lease := range w.state.WorkerLeases {
-			w.state.NextToken++
-			lease.Scheduler, lease.FencingToken = n.id, w.state.NextToken
+		for _, lease := range w.clusterState.WorkerLeases {
+			w.clusterState.NextToken++
+			lease.Scheduler, lease.FencingToken = n.id, w.clusterState.NextToken
 		}
 	})
 }
 
 // crash ends a worker's incarnation and starts the next one.
 func (w *World) crash(m *machine) {
-	holder := w.state.WorkerLeases[0].Scheduler
+	holder := w.clusterState.WorkerLeases[0].Scheduler
 	m.incarnations++
 	m.worker.Restart(w.now, m.workerID())
 	w.observer.restarted(m)
@@ -328,7 +328,7 @@
 func (w *World) restartAgent(m *machine) {
 	m.agentRestarts++
 	m.agent, m.pending = agent.New(bounds, firstPollSequence+uint64(m.agentRestarts)*maxPollsPerProcess), map[uint64]bool{}
-	w.send(stateItem, "", m.name, &schema.ClusterStateResponse{State: w.state, Version: w.state.Version, Leaders: map[string]string{}})
+	w.send(stateItem, "", m.name, &schema.ClusterStateResponse{State: w.clusterState, Version: w.clusterState.Version, Leaders: map[string]string{}})
 }
 
 // create adds a queue to the configuration and the cluster state, with a node as its leader, and
@@ -336,8 +336,8 @@
 func (w *World) create(q *raftQueue, leader *node) {
 	q.isCreated, q.leader = true, leader
 	w.changeState(func() {
-		w.state.Configuration.Rows = append(w.state.Configuration.Rows, queueRow(q.name))
-		w.state.Queues = append(w.state.Queues, &schema.QueuePlacement{Queue: q.name, Generation: 1, PreferredLeader: leader.id})
+		w.clusterState.Configuration.Rows = append(w.clusterState.Configuration.Rows, queueRow(q.name))
+		w.clusterState.Queues = append(w.clusterState.Queues, &schema.QueuePlacement{Queue: q.name, Generation: 1, PreferredLeader: leader.id})
 	})
 	w.submitJobs(q)
 	w.sendSnapshot(q)
@@ -347,7 +347,7 @@
 func (w *World) removeQueue(q *raftQueue) {
 	q.isRemoved = true
 	w.changeState(func() {
-		w.state.Configuration.Rows = slices.DeleteFunc(w.state.Configuration.Rows, func(row *schema.ConfigurationRow) bool {
+		w.clusterState.Configuration.Rows = slices.DeleteFunc(w.clusterState.Configuration.Rows, func(row *schema.ConfigurationRow) bool {
 			return row.Kind == "queue" && row.Name == q.name
 		})
 	})
@@ -363,7 +363,7 @@
 
 // jobView returns the view of a job that clients see, and whether the queue knows the job.
 func (w *World) jobView(name string) (view *schema.JobView, isKnown bool) {
-	return w.queue(w.observer.jobs[name].queueName()).machine.JobView(name)
+	return w.queue(w.observer.jobs[name].queueName()).stateMachine.JobView(name)
 }
 
 func (w *World) node(id string) *node {
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -48,15 +48,15 @@
 	operators  []operator
 	operations []operation
 	ghost
-	ownsGhost  bool // no other world shares the ghost state
-	events     int
-	crashes    int
-	wipes      int
-	duplicates int
-	proposals  int
-	changes    int    // membership changes that leaders appended
-	violation  string // describes the first broken invariant; "": none
-	seed       uint64
+	ownsGhost         bool // no other world shares the ghost state
+	eventCount        int
+	crashes           int
+	wipes             int
+	duplicates        int
+	proposals         int
+	membershipChanges int    // membership changes that leaders appended
+	violation         string // describes the first broken invariant; "": none
+	seed              uint64
 }
 
 // NewWorld returns a world with a newly bootstrapped group. The seed decides which unsynced
@@ -139,8 +139,8 @@
 // nextEvent returns the next event number; invocations and returns of operations are numbered
 // in one sequence.
 func (w *World) nextEvent() int {
-	w.events++
-	return w.events
+	w.eventCount++
+	return w.eventCount
 }
 
 func (w *World) send(m *machine, sent raft.Message) {
