--- a/internal/modelcheck/step.go
+++ b/internal/modelcheck/step.go
@@ -17,7 +17,7 @@
 //	xKEY  it is lost
 //	tM    M's election timeout passes
 //	bM    M's next heartbeat is due   sM    M's current write becomes durable
-//	cM    M restarts, its unsynced writes lost or torn
+//	cM    M restarts; its unsynced writes are lost or cut short
 //	kM    M restarts just after its current write became durable, before it learns of that
 //	wM    M loses its disk            fM    M compacts its log up to a snapshot
 //	pOM   operator O asks M to replace the configuration, or repeats its request
--- a/internal/modelcheck/workerpath/inflight.go
+++ b/internal/modelcheck/workerpath/inflight.go
@@ -103,7 +103,7 @@
 	agentProcess int
 }
 
-// handleCall passes a call to the worker, whose reply comes in flight. A call to a former
+// handleCall passes a call to the worker. The reply becomes an item in flight. A call to a former
 // incarnation of the worker is answered with agent.IncarnationMismatch.
 func (w *World) handleCall(m *machine, issued issuedCall) {
 	call := issued.call
--- a/internal/modelcheck/workerpath/observer.go
+++ b/internal/modelcheck/workerpath/observer.go
@@ -203,7 +203,7 @@
 }
 
 // countedFailures returns how many failures the queue has counted for a job's task. For a job
-// that has ended it returns math.MaxUint32, since the queue no longer tells the number.
+// that has ended it returns math.MaxUint32, since the queue no longer lists the job's tasks.
 func (o *observer) countedFailures(name string) uint32 {
 	events, _ := o.world.queue(o.jobs[name].queueName()).stateMachine.ActiveTasks()
 	for _, event := range events {
