--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -9,10 +9,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func newSeries(build func(x float64) float64) *Series {
+// newSeries returns a series with two measurements at each of four levels, whose amounts
+// are given by a function.
+func newSeries(amountAt func(x float64) float64) *Series {
 	s := &Series{Dimension: "workers", Role: "store", Metric: "cpu_milli"}
 	for _, x := range []float64{10, 20, 40, 80, 10, 20, 40, 80} {
-		s.X, s.Y = append(s.X, x), append(s.Y, build(x))
+		s.X, s.Y = append(s.X, x), append(s.Y, amountAt(x))
 	}
 	return s
 }
@@ -42,10 +44,10 @@
 
 func TestFit(t *testing.T) {
 	Convey("A straight line is found in spite of noise", t, func() {
-		wobble := 0.0
+		noise := 0.0
 		fit := FitSeries(newSeries(func(x float64) float64 {
-			wobble = -wobble + 0.05
-			return 3 + 0.5*x + wobble
+			noise = -noise + 0.05
+			return 3 + 0.5*x + noise
 		}))
 		So(fit.Quadratic, ShouldEqual, 0)
 		So(fit.Slope, ShouldAlmostEqual, 0.5, 0.01)
@@ -83,7 +85,7 @@
 		for k, role := range []string{"leader", "store", "side"} {
 			for _, x := range []float64{12, 24, 48, 96} {
 				sent, bytes, syncs := 10*x+float64(k), 1000*x*float64(k+1), float64(50*(k%2))+x*float64(k%2)
-				// Thousandths of a core are a thousand microseconds a second.
+				// A thousandth of a core is a thousand microseconds of processor time per second.
 				cpu := (3000 + 20*sent + 0.05*bytes + 300*syncs) / 1000
 				real = append(real,
 					Measurement{"workers", x, 1, role, "cpu_milli", cpu + 7}, Measurement{"workers", x, 1, role, "sent_s", sent},
--- a/internal/capacity/cost.go
+++ b/internal/capacity/cost.go
@@ -6,27 +6,28 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Cost is the processor time in microseconds that transport and storage cost a
-// process, besides the steps of its components.
+// Cost holds the processor time, in microseconds, that a process spends on transport
+// and storage, without the steps of its components.
 type Cost struct {
-	Baseline      float64 // a second, idle
-	Message       float64 // each, sent or received
-	Byte          float64 // each, out or in
-	Sync          float64 // each
-	StandardError float64 // of a measurement around the model, microseconds a second
-	Samples       int
+	Baseline      float64 // per second, when the process is idle
+	Message       float64 // per message, sent or received
+	Byte          float64 // per byte, sent or received
+	Sync          float64 // per sync of a file
+	StandardError float64 // of the measurements around this model, in microseconds per second
+	Samples       int     // number of points that the model was fitted to
 }
 
-// minCostSamples is how many pairs of real and simulated means EstimateCost needs.
+// minCostSamples is the number of points, measured both really and in the simulator,
+// that EstimateCost needs.
 const minCostSamples = 8
 
-// point is one role at one level of a dimension.
+// point identifies one role at one level of a dimension.
 type point struct {
 	dimension, role string
 	level           float64
 }
 
-// meanMetrics are the means over the repeats, by point and metric.
+// meanMetrics returns the mean of each metric over the repeats, by point.
 func meanMetrics(measurements []Measurement) map[point]map[string]float64 {
 	sums, counts := map[point]map[string]float64{}, map[point]map[string]float64{}
 	for _, m := range measurements {
@@ -45,38 +46,39 @@
 	return sums
 }
 
-// EstimateCost compares real runs with simulated ones at the same levels. What a
-// process spent beyond its components' steps is attributed to its messages, bytes and
-// syncs by least squares. It returns an Invalid error when too few real measurements
-// have simulated counterparts.
+// EstimateCost compares real runs with simulated ones at the same levels. The simulated
+// runs give the processor time of the components' steps. EstimateCost attributes the
+// rest of a real process's time to its messages, bytes and syncs by least squares. It
+// returns an Invalid error when too few points have both kinds of measurements.
 func EstimateCost(real, simulated []Measurement) (Cost, error) {
 	realMeans, simulatedMeans := meanMetrics(real), meanMetrics(simulated)
-	var rows, spent []float64
+	var rows, excess []float64
 	for at, metrics := range realMeans {
-		// A gateway's HTTP is neither a component's step nor transport.
+		// A gateway also spends time on HTTP, which is part neither of a component's
+		// steps nor of the transport.
 		components, found := simulatedMeans[at][componentCPUMetric]
 		if !found || at.role == gatewayRole {
 			continue
 		}
 		rows = append(rows, 1, metrics["sent_s"]+metrics["received_s"], metrics["bytes_out_s"]+metrics["bytes_in_s"], metrics["syncs_s"])
-		spent = append(spent, (metrics[cpuMetric]-components)*1000)
+		excess = append(excess, (metrics[cpuMetric]-components)*1000)
 	}
-	if len(spent) < minCostSamples {
-		return Cost{}, Invalid.New("real and simulated: only %d points are in both, %d are needed", len(spent), minCostSamples)
+	if len(excess) < minCostSamples {
+		return Cost{}, Invalid.New("real and simulated: the two have only %d points in common, but %d are needed", len(excess), minCostSamples)
 	}
 	const unknowns = 4
-	a := mat.NewDense(len(spent), unknowns, rows)
+	a := mat.NewDense(len(excess), unknowns, rows)
 	var solution, predicted mat.VecDense
-	if err := solution.SolveVec(a, mat.NewVecDense(len(spent), spent)); err != nil {
-		return Cost{}, Invalid.Wrap(err, "real and simulated")
+	if err := solution.SolveVec(a, mat.NewVecDense(len(excess), excess)); err != nil {
+		return Cost{}, Invalid.Wrap(err, "real and simulated: the measurements do not determine the costs")
 	}
 	predicted.MulVec(a, &solution)
 	residual := 0.0
-	for k, y := range spent {
+	for k, y := range excess {
 		residual += (y - predicted.AtVec(k)) * (y - predicted.AtVec(k))
 	}
 	return Cost{
 		Baseline: solution.AtVec(0), Message: solution.AtVec(1), Byte: solution.AtVec(2), Sync: solution.AtVec(3),
-		StandardError: math.Sqrt(residual / float64(len(spent)-unknowns)), Samples: len(spent),
+		StandardError: math.Sqrt(residual / float64(len(excess)-unknowns)), Samples: len(excess),
 	}, nil
 }
--- a/internal/capacity/estimate.go
+++ b/internal/capacity/estimate.go
@@ -6,25 +6,25 @@
 	"math"
 )
 
-// defaultCSV are the measurements behind docs/CAPACITY.md.
+// defaultCSV holds the measurements that docs/CAPACITY.md is based on.
 //
 //go:embed slopes.csv
 var defaultCSV []byte
 
-// DefaultMeasurements are those that come with the program.
+// DefaultMeasurements returns the measurements that are embedded in the program.
 func DefaultMeasurements() ([]Measurement, error) { return ReadCSV(bytes.NewReader(defaultCSV)) }
 
-// Demand is the deployment that an estimate is asked for.
+// Demand describes the deployment to estimate nodes for.
 type Demand struct {
 	Workers         int
 	Queues          int
 	StartsPerSecond float64 // task starts at the peak
-	Cores           float64 // of a storage or gateway node
-	MemoryMB        float64 // of such a node
-	Utilization     float64 // planned share of both; the rest is headroom for peaks and failures
+	Cores           float64 // of each storage or gateway node
+	MemoryMB        float64 // of each storage or gateway node
+	Utilization     float64 // planned share of the cores and memory; the rest is headroom for peaks and failures
 }
 
-// Validate returns an Invalid error that names the first field out of range.
+// Validate returns an Invalid error that names the first field out of range, or nil.
 func (d Demand) Validate() error {
 	switch {
 	case d.Workers < 1 || d.Workers > 100_000:
@@ -32,29 +32,29 @@
 	case d.Queues < 1 || d.Queues > 10_000:
 		return Invalid.New("queues: must lie between 1 and 10000")
 	case !(d.StartsPerSecond >= 0 && d.StartsPerSecond <= 100_000):
-		return Invalid.New("starts: must lie between 0 and 100000 a second")
+		return Invalid.New("starts: must lie between 0 and 100000 per second")
 	case !(d.Cores > 0 && d.Cores <= 256):
-		return Invalid.New("share: must be above 0, and at most 256 cores")
+		return Invalid.New("share: must be above 0 and at most 256 cores")
 	case !(d.MemoryMB >= 16 && d.MemoryMB <= 1<<20):
 		return Invalid.New("memory_mb: must lie between 16 and 1048576")
 	case !(d.Utilization > 0 && d.Utilization <= 1):
-		return Invalid.New("busy: must be above 0, and at most 1")
+		return Invalid.New("busy: must be above 0 and at most 1")
 	}
 	return nil
 }
 
-// Estimate is what one node of a role needs.
+// Estimate holds the number of nodes of a role, and the resources that each of them needs.
 type Estimate struct {
 	Role           string
-	Nodes          int     // nodes of the role
+	Nodes          int     // number of nodes of the role
 	CPUMilli       float64 // thousandths of a core
 	MemoryMB       float64
-	BytesPerSecond float64 // out and in
-	Extrapolation  float64 // largest of the dimensions'; up to 1 the demand lies within what was measured
-	Bottleneck     string  // what a node of this role lacks: processor, memory or bytes; empty: nothing
+	BytesPerSecond float64 // sent and received
+	Extrapolation  float64 // largest value of Fit.Extrapolation over the dimensions; up to 1, the demand lies within the measured range
+	Bottleneck     string  // resource that a node of this role has too little of: processor, memory or bytes; empty: none
 }
 
-// Roles, dimensions and metrics of measurements that the model uses.
+// Names of the roles, dimensions and metrics that the model reads from measurements.
 const (
 	leaderRole  = "leader"
 	gatewayRole = "front"
@@ -63,23 +63,28 @@
 	workersDimension = "workers"
 	queuesDimension  = "queues"
 	startsDimension  = "starts"
-	// baseDimension has no sweep: a measurement's role names one of the model's parameters.
+	// baseDimension marks measurements that belong to no sweep. Their role is the name of
+	// one of the model's parameters, and their amount is its value.
 	baseDimension = "base"
 
 	cpuMetric          = "cpu_milli"
 	componentCPUMetric = "cpu_tables_milli"
 )
 
-// seriesKey names a series, and the curve fitted to it.
+// seriesKey identifies a series and the curve fitted to it.
 type seriesKey struct{ dimension, role, metric string }
 
-// model adds up what each dimension costs beyond the level at which the sweeps over
-// the other dimensions were run, its base.
+// model estimates metrics by adding up the contributions of the dimensions. A sweep
+// varies one dimension and keeps each other one at a fixed level, which is the base of
+// that dimension. A dimension contributes the difference between its curve at the
+// demanded level and at its base.
 type model struct {
 	fits map[seriesKey]Fit
-	base map[string]float64
+	base map[string]float64 // parameters of the model by name, among them each dimension's base
 }
 
+// newModel fits all series. It returns an Invalid error when a dimension has no base or
+// no sweep.
 func newModel(measurements []Measurement) (*model, error) {
 	m := &model{fits: map[seriesKey]Fit{}, base: map[string]float64{}}
 	for _, fit := range FitAll(measurements) {
@@ -92,26 +97,28 @@
 	}
 	for _, dimension := range []string{workersDimension, queuesDimension, startsDimension} {
 		if m.base[dimension] == 0 {
-			return nil, Invalid.New("slopes: no base for %s", dimension)
+			return nil, Invalid.New("slopes: the measurements have no base level for the dimension %s", dimension)
 		}
 		if _, found := m.fits[seriesKey{dimension, leaderRole, cpuMetric}]; !found {
-			return nil, Invalid.New("slopes: no sweep over %s", dimension)
+			return nil, Invalid.New("slopes: the measurements have no sweep over the dimension %s", dimension)
 		}
 	}
 	return m, nil
 }
 
-// workerCPU is the processor time that a role spends for its workers. Where the steps
-// of its components were timed by themselves, which shows their quadratic part, it is
-// theirs and that of the messages; else it is what the real runs show.
+// workerCPU returns the processor time, in thousandths of a core, that a role spends at
+// the demanded number of workers, with the other dimensions at their base. If the steps
+// of the role's components were timed separately, which shows a quadratic part of their
+// cost, it is the time of the steps and the messages, and a fixed part. Otherwise it is
+// the processor time of the whole process in the real runs.
 func (m *model) workerCPU(role string, d Demand) float64 {
 	workers := float64(d.Workers)
 	fitOf := func(metric string) (Fit, bool) {
 		fit, found := m.fits[seriesKey{workersDimension, role, metric}]
 		return fit, found
 	}
-	components, timed := fitOf(componentCPUMetric)
-	if !timed {
+	components, isTimed := fitOf(componentCPUMetric)
+	if !isTimed {
 		process, _ := fitOf(cpuMetric)
 		return process.At(workers)
 	}
@@ -120,9 +127,10 @@
 	return m.base["ground_milli"] + components.At(workers) + m.base["message_us"]/1000*(sent.At(workers)+received.At(workers))
 }
 
-// estimate is a metric of a role. The sweep over workers gives its value at the base
-// of the other dimensions, and their sweeps what they add to it. Of interactions
-// only that of workers and starts at a leader was measured.
+// estimate returns the value of a metric of a role. The sweep over workers gives the
+// value at the base of the other dimensions, and the sweeps over these give the
+// amounts to add. The only interaction between dimensions that was measured is the one
+// between workers and task starts at a leader.
 func (m *model) estimate(role, metric string, d Demand) float64 {
 	sum := 0.0
 	if metric == cpuMetric {
@@ -138,7 +146,8 @@
 	return max(sum, 0)
 }
 
-// beyondBase is what a dimension adds over its base.
+// beyondBase returns the amount that a dimension at a level adds to a metric, compared
+// with its base.
 func (m *model) beyondBase(dimension, role, metric string, level float64) float64 {
 	fit, found := m.fits[seriesKey{dimension, role, metric}]
 	if !found {
@@ -147,7 +156,7 @@
 	return fit.At(level) - fit.At(m.base[dimension])
 }
 
-// extrapolation is the largest of the dimensions'.
+// extrapolation returns the largest value of Fit.Extrapolation over the dimensions.
 func (m *model) extrapolation(d Demand) float64 {
 	largest := 0.0
 	for dimension, level := range map[string]float64{workersDimension: float64(d.Workers), queuesDimension: float64(d.Queues), startsDimension: d.StartsPerSecond} {
@@ -157,7 +166,8 @@
 	return largest
 }
 
-// What an agent node may spend on control: the users' requirement.
+// Limits on the resources that the control software may use on an agent node, as the
+// users require.
 const (
 	agentCPUMilli       = 44
 	agentMemoryMB       = 64
@@ -166,11 +176,12 @@
 
 const (
 	storageNodeCount = 3
-	minGateways      = 2 // one may fail
+	minGateways      = 2 // the deployment tolerates the failure of one
 )
 
-// EstimateNodes estimates the nodes of each role that a deployment needs. Errors are
-// Invalid and name the field.
+// EstimateNodes estimates how many nodes of each role a deployment needs, and the
+// resources of each node. Its errors are of the type Invalid; the message names the
+// field of the demand, or the part of the measurements that is missing.
 func EstimateNodes(measurements []Measurement, d Demand) ([]Estimate, error) {
 	if err := d.Validate(); err != nil {
 		return nil, err
@@ -186,11 +197,11 @@
 		}
 	}
 	limit := Estimate{CPUMilli: d.Cores * 1000 * d.Utilization, MemoryMB: d.MemoryMB * d.Utilization, BytesPerSecond: math.Inf(1)}
-	// Any storage node may lead, so each needs the leader's capacity.
+	// Any storage node may become the leader, so each needs the leader's capacity.
 	storage := newEstimate(leaderRole, storageNodeCount)
 	storage.Role, storage.Bottleneck = "store", bottleneck(storage, limit)
 	gateway := newEstimate(gatewayRole, 0)
-	// The work of all gateway nodes is spread over as many as it takes.
+	// The total load of the gateway nodes is spread over as many nodes as it requires.
 	total := gateway.CPUMilli * m.base["fronts"]
 	gateway.Nodes = max(minGateways, int(math.Ceil(total/limit.CPUMilli)))
 	gateway.CPUMilli = total / float64(gateway.Nodes)
@@ -200,7 +211,8 @@
 	return []Estimate{storage, gateway, agent}, nil
 }
 
-// bottleneck is the first resource of which an estimate exceeds the limit.
+// bottleneck returns the first resource for which an estimate exceeds the limit: processor,
+// memory or bytes. It returns an empty string when there is none.
 func bottleneck(estimate, limit Estimate) string {
 	switch {
 	case estimate.CPUMilli > limit.CPUMilli:
--- a/internal/capacity/estimate_test.go
+++ b/internal/capacity/estimate_test.go
@@ -6,20 +6,20 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// linearMeasurements can be added up by hand: a leader costs a
-// thousandth of a core for each worker, two for each queue, three for each start
-// a second, over 10.
+// linearMeasurements returns measurements whose estimates can be calculated by hand: a
+// leader costs 10 thousandths of a core, and in addition one for each worker, two for
+// each queue, and three for each task start per second.
 func linearMeasurements() []Measurement {
 	list := []Measurement{{"base", 10, 0, "workers", "value", 10}, {"base", 2, 0, "queues", "value", 2}, {"base", 5, 0, "starts", "value", 5}, {"base", 2, 0, "fronts", "value", 2}}
-	at := func(workers, queues, starts float64) float64 { return 10 + workers + 2*queues + 3*starts }
+	leaderCPU := func(workers, queues, starts float64) float64 { return 10 + workers + 2*queues + 3*starts }
 	for _, x := range []float64{10, 20, 40, 80} {
-		for size, cpu := range map[string]float64{"workers": at(x, 2, 5), "queues": at(10, x, 5), "starts": at(10, 2, x)} {
+		for dimension, cpu := range map[string]float64{"workers": leaderCPU(x, 2, 5), "queues": leaderCPU(10, x, 5), "starts": leaderCPU(10, 2, x)} {
 			list = append(list,
-				Measurement{size, x, 1, "leader", "cpu_milli", cpu}, Measurement{size, x, 1, "leader", "rss_mb", 40},
-				Measurement{size, x, 1, "front", "cpu_milli", 4 + x}, Measurement{size, x, 1, "side", "cpu_milli", 5}, Measurement{size, x, 1, "side", "rss_mb", 10},
+				Measurement{dimension, x, 1, "leader", "cpu_milli", cpu}, Measurement{dimension, x, 1, "leader", "rss_mb", 40},
+				Measurement{dimension, x, 1, "front", "cpu_milli", 4 + x}, Measurement{dimension, x, 1, "side", "cpu_milli", 5}, Measurement{dimension, x, 1, "side", "rss_mb", 10},
 			)
-			if size == "workers" {
-				list = append(list, Measurement{size, x, 1, "side", "bytes_out_s", 20 * x})
+			if dimension == "workers" {
+				list = append(list, Measurement{dimension, x, 1, "side", "bytes_out_s", 20 * x})
 			}
 		}
 	}
@@ -63,17 +63,17 @@
 		estimates, err := EstimateNodes(linearMeasurements(), more)
 		So(err, ShouldBeNil)
 		So(estimates[0].Bottleneck, ShouldEqual, "processor")
-		So(estimates[1].Nodes, ShouldEqual, 3) // 2 x (4+200 + 5 + 395) of 500
+		So(estimates[1].Nodes, ShouldEqual, 3) // 2 · (4+200 + 5 + 395) thousandths of a core, at 500 for each node
 		So(estimates[2].Bottleneck, ShouldEqual, "bytes")
 	})
 	Convey("An invalid field is named", t, func() {
-		for field, spoil := range map[string]func(*Demand){
-			"workers": func(w *Demand) { w.Workers = 0 }, "queues": func(w *Demand) { w.Queues = -1 }, "starts": func(w *Demand) { w.StartsPerSecond = -1 },
-			"share": func(w *Demand) { w.Cores = 0 }, "memory_mb": func(w *Demand) { w.MemoryMB = 1 }, "busy": func(w *Demand) { w.Utilization = 2 },
+		for field, invalidate := range map[string]func(*Demand){
+			"workers": func(d *Demand) { d.Workers = 0 }, "queues": func(d *Demand) { d.Queues = -1 }, "starts": func(d *Demand) { d.StartsPerSecond = -1 },
+			"share": func(d *Demand) { d.Cores = 0 }, "memory_mb": func(d *Demand) { d.MemoryMB = 1 }, "busy": func(d *Demand) { d.Utilization = 2 },
 		} {
-			bad := wanted
-			spoil(&bad)
-			_, err := EstimateNodes(linearMeasurements(), bad)
+			invalid := wanted
+			invalidate(&invalid)
+			_, err := EstimateNodes(linearMeasurements(), invalid)
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldContainSubstring, field+":")
 		}
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -9,23 +9,24 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Fit is a curve through a series: Intercept + Slope·x + Quadratic·x².
+// Fit is a curve fitted to a series: Intercept + Slope·x + Quadratic·x².
 type Fit struct {
 	Dimension, Role, Metric     string
 	Intercept, Slope, Quadratic float64
 	RSquared                    float64 // share of the variance that the curve explains
-	StandardError               float64 // of a measurement around the curve, in its unit
-	MinX, MaxX                  float64 // range that was measured
-	Samples                     int
+	StandardError               float64 // of the measurements around the curve, in the unit of the metric
+	MinX, MaxX                  float64 // range of the measured levels
+	Samples                     int     // number of measurements
 }
 
-// maxQuadraticResidual is the share of the straight line's residual that a parabola may
-// leave. A parabola that explains less is taken for noise, which extrapolation would
-// magnify.
+// maxQuadraticResidual limits the residual sum of squares of a parabola, as a share of
+// that of the straight line. A parabola with a larger residual is rejected: its quadratic
+// part is assumed to be noise, which extrapolation would magnify.
 const maxQuadraticResidual = 0.5
 
-// FitSeries fits a straight line, or a parabola where that explains clearly more.
-// With a single value of x, or without a significant slope, the line is flat.
+// FitSeries fits a straight line to a series, or a parabola if that leaves a clearly
+// smaller residual. The line is flat when all x are equal, or when its slope isn't
+// significant.
 func FitSeries(s *Series) Fit {
 	fit := Fit{Dimension: s.Dimension, Role: s.Role, Metric: s.Metric, Samples: len(s.X)}
 	if len(s.X) == 0 {
@@ -46,7 +47,8 @@
 	fit.Intercept, fit.Slope = stat.LinearRegression(s.X, s.Y, nil, false)
 	line := fit.residualSumOfSquares(s)
 	if !fit.hasSignificantSlope(s, line) {
-		// Noise, extrapolated to ten times the range, could give any value.
+		// A slope that is only noise could give any value when it is extrapolated to ten
+		// times the measured range.
 		fit.Intercept, fit.Slope = stat.Mean(s.Y, nil), 0
 	}
 	if len(distinct) >= minQuadraticLevels {
@@ -60,14 +62,15 @@
 }
 
 const (
-	// minSlopeErrors is how many of its own standard errors a slope must exceed.
+	// minSlopeErrors is the smallest ratio of a slope to its standard error at which the
+	// slope counts as significant.
 	minSlopeErrors = 2
-	// minQuadraticLevels is how many distinct values of x a parabola needs.
+	// minQuadraticLevels is the number of distinct values of x that a parabola needs.
 	minQuadraticLevels = 4
 )
 
-// hasSignificantSlope reports whether the slope exceeds its own standard error
-// clearly; residual is the sum of squares that the line leaves.
+// hasSignificantSlope reports whether the slope is more than minSlopeErrors times its
+// standard error. The argument residual is the line's residual sum of squares.
 func (f *Fit) hasSignificantSlope(s *Series, residual float64) bool {
 	if len(s.X) < 3 {
 		return true
@@ -76,37 +79,38 @@
 	for _, x := range s.X {
 		spread += (x - mean) * (x - mean)
 	}
-	err := math.Sqrt(residual / float64(len(s.X)-2) / spread)
-	return math.Abs(f.Slope) > minSlopeErrors*err
+	standardError := math.Sqrt(residual / float64(len(s.X)-2) / spread)
+	return math.Abs(f.Slope) > minSlopeErrors*standardError
 }
 
-// fitQuadratic fits a parabola by least squares; false when that has no solution.
+// fitQuadratic fits a parabola by least squares. It returns false when there is no solution.
 func (f *Fit) fitQuadratic(s *Series) bool {
-	// The columns are scaled to a like size, for numerical stability.
+	// The columns are scaled to similar magnitudes for numerical stability.
 	scale := f.MaxX
 	a, b := mat.NewDense(len(s.X), 3, nil), mat.NewVecDense(len(s.X), s.Y)
 	for k, x := range s.X {
 		a.SetRow(k, []float64{1, x / scale, x * x / scale / scale})
 	}
-	var found mat.VecDense
-	if err := found.SolveVec(a, b); err != nil {
+	var solution mat.VecDense
+	if err := solution.SolveVec(a, b); err != nil {
 		return false
 	}
-	f.Intercept, f.Slope, f.Quadratic = found.AtVec(0), found.AtVec(1)/scale, found.AtVec(2)/scale/scale
+	f.Intercept, f.Slope, f.Quadratic = solution.AtVec(0), solution.AtVec(1)/scale, solution.AtVec(2)/scale/scale
 	return true
 }
 
-// residualSumOfSquares is the sum of the squared residuals.
+// residualSumOfSquares returns the sum of the squared differences between the series and
+// the curve.
 func (f *Fit) residualSumOfSquares(s *Series) float64 {
 	sum := 0.0
 	for k, x := range s.X {
-		gap := s.Y[k] - f.At(x)
-		sum += gap * gap
+		residual := s.Y[k] - f.At(x)
+		sum += residual * residual
 	}
 	return sum
 }
 
-// computeQuality sets StandardError and RSquared.
+// computeQuality sets StandardError and RSquared from the curve and the series.
 func (f *Fit) computeQuality(s *Series) {
 	residual := f.residualSumOfSquares(s)
 	parameters := 2
@@ -125,11 +129,11 @@
 	}
 }
 
-// At is the curve's value at x.
+// At returns the value of the curve at x.
 func (f *Fit) At(x float64) float64 { return f.Intercept + f.Slope*x + f.Quadratic*x*x }
 
-// Extrapolation is x as a multiple of the largest measured value: up to 1, x lies
-// within what was measured.
+// Extrapolation returns the ratio of x to the largest measured level. Up to 1, x doesn't
+// exceed the measured range.
 func (f *Fit) Extrapolation(x float64) float64 {
 	if f.MaxX <= 0 {
 		return math.Inf(1)
@@ -137,7 +141,7 @@
 	return x / f.MaxX
 }
 
-// String prints the curve with its quality and range.
+// String formats the curve with its quality and its measured range.
 func (f *Fit) String() string {
 	text := fmt.Sprintf("%.4g %+.4g·x", f.Intercept, f.Slope)
 	if f.Quadratic != 0 {
@@ -146,7 +150,7 @@
 	return fmt.Sprintf("%s, ±%.3g, R² %.3f, %g to %g, %d runs", text, f.StandardError, f.RSquared, f.MinX, f.MaxX, f.Samples)
 }
 
-// FitAll fits every series of measurements.
+// FitAll fits a curve to each series of the measurements.
 func FitAll(measurements []Measurement) []Fit {
 	var list []Fit
 	for _, s := range GroupSeries(measurements) {
--- a/internal/capacity/plot.go
+++ b/internal/capacity/plot.go
@@ -13,7 +13,7 @@
 )
 
 // plotError is the type of errors in drawing or writing a plot.
-var plotError = Errors.NewType("plot")
+var plotError = Errors.NewType("plot_failed")
 
 const (
 	tileWidth  = 4.2 * vg.Inch
@@ -21,15 +21,15 @@
 	columns    = 2
 )
 
-// Plot draws the measurements over one dimension as a PNG file: a tile for each metric,
-// in it each role's measurements and fitted curve.
+// Plot draws the measurements over one dimension to a PNG file. It draws one tile for
+// each metric, with the measurements and the fitted curve of each role.
 func Plot(path, dimension string, measurements []Measurement, metrics []string) error {
 	rows := (len(metrics) + columns - 1) / columns
 	tiles := make([][]*plot.Plot, rows)
 	for k, metric := range metrics {
 		tile, err := newTile(dimension, metric, measurements)
 		if err != nil {
-			return plotError.Wrap(err, "%s over %s", metric, dimension)
+			return plotError.Wrap(err, "the plot of %s over %s could not be drawn", metric, dimension)
 		}
 		tiles[k/columns] = append(tiles[k/columns], tile)
 	}
@@ -39,27 +39,27 @@
 		}
 	}
 	canvas := vgimg.New(columns*tileWidth, vg.Length(rows)*tileHeight)
-	drawn := draw.New(canvas)
-	places := plot.Align(tiles, draw.Tiles{Rows: rows, Cols: columns, PadX: vg.Millimeter, PadY: vg.Millimeter}, drawn)
+	root := draw.New(canvas)
+	canvases := plot.Align(tiles, draw.Tiles{Rows: rows, Cols: columns, PadX: vg.Millimeter, PadY: vg.Millimeter}, root)
 	for r := range tiles {
 		for c, tile := range tiles[r] {
 			if tile != nil {
-				tile.Draw(places[r][c])
+				tile.Draw(canvases[r][c])
 			}
 		}
 	}
 	file, err := os.Create(path)
 	if err != nil {
-		return plotError.Wrap(err, "file")
+		return plotError.Wrap(err, "the file of the plot could not be created")
 	}
 	defer file.Close()
 	if _, err := (vgimg.PngCanvas{Canvas: canvas}).WriteTo(file); err != nil {
-		return plotError.Wrap(err, "file")
+		return plotError.Wrap(err, "the file of the plot could not be written")
 	}
 	return nil
 }
 
-// newTile draws one metric.
+// newTile returns the plot of one metric over a dimension, for all roles.
 func newTile(dimension, metric string, measurements []Measurement) (*plot.Plot, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = dimension, metric
