--- a/cmd/sparnotch-bench/ablate_command.go
+++ b/cmd/sparnotch-bench/ablate_command.go
@@ -11,16 +11,17 @@
 	"sparnotch/internal/ablation"
 )
 
-// ablateCommand switches a mechanism off in a copy of the source tree.
+// ablateCommand implements the subcommand ablate, which disables one scheduling mechanism
+// in a copy of the source tree.
 type ablateCommand struct{}
 
 func (*ablateCommand) Name() string { return "ablate" }
 func (*ablateCommand) Synopsis() string {
-	return "switch one mechanism of policy off in a copy of the source"
+	return "disable one scheduling mechanism in a copy of the source tree"
 }
 func (*ablateCommand) SetFlags(*flag.FlagSet) {}
 func (*ablateCommand) Usage() string {
-	return "sparnotch-bench ablate list\nsparnotch-bench ablate apply NAME DIR\n  DIR is a copy of the source tree, which is changed.\n"
+	return "sparnotch-bench ablate list\nsparnotch-bench ablate apply NAME DIR\n  Lists the mechanisms, or disables the mechanism NAME in the copy of the source tree at DIR.\n"
 }
 
 func (*ablateCommand) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
--- a/cmd/sparnotch-bench/clients.go
+++ b/cmd/sparnotch-bench/clients.go
@@ -18,57 +18,60 @@
 
 const (
 	requestTimeout    = 3 * time.Second
-	minSubmitDelay    = 300 * time.Millisecond // between two attempts to submit
-	firstStatusDelay  = 150 * time.Millisecond
+	minSubmitDelay    = 300 * time.Millisecond // between two attempts to submit a job
+	firstStatusDelay  = 150 * time.Millisecond // between a job's acceptance and the first request for its status
 	maxStatusInterval = time.Second
 )
 
-// statusError is an unexpected HTTP status.
+// statusError is the error for an unexpected HTTP status.
 type statusError int32
 
-func (e statusError) Error() string { return fmt.Sprintf("HTTP status %d", int32(e)) }
+func (e statusError) Error() string {
+	return fmt.Sprintf("the gateway node answered with HTTP status %d", int32(e))
+}
 
-// requester chooses gateway nodes for a client and calls them.
+// requester chooses gateway nodes for a client and sends requests to them.
 type requester interface {
-	// pick chooses a gateway node, of the zone if it can.
+	// pick returns the address of a gateway node, in the given zone if possible.
 	pick(zone string) (address string)
-	// key is the tenant's key that the client's calls carry now; empty: they carry none.
+	// key returns the tenant's key that the client currently sends with its requests.
+	// Without a key it returns an empty string.
 	key() string
-	// send makes one request.
+	// send sends one request and returns the reply.
 	send(ctx context.Context, timeout time.Duration, r request) (httpReply, error)
 }
 
-// clients submit jobs to a fleet and follow them to their end.
+// clients submits jobs to a fleet and polls the status of each until it has ended.
 type clients struct {
 	balancer *loadBalancer
 	history  *history
-	prefix   string         // of the jobs' names
-	open     sync.WaitGroup // jobs that are followed
-	mu       sync.Mutex
-	stats    map[string]*jobStats // by the job type's name
+	prefix   string               // start of the names of all jobs
+	open     sync.WaitGroup       // counts the jobs whose clients haven't finished
+	mu       sync.Mutex           // guards stats
+	stats    map[string]*jobStats // by the name of the job type
 }
 
-// jobStats counts the jobs of one type.
+// jobStats counts the jobs of one type and records the latencies of their submissions.
 type jobStats struct {
-	sent, accepted, ended int
-	rejected              int // for good
-	confirmTimes          []eventloop.Micros
-	refusalTimes          []eventloop.Micros // from each submission to its rejection
-	codes                 map[int32]int      // HTTP status of submissions; 0: no answer
+	sent, accepted, ended int                // numbers of jobs
+	rejected              int                // number of jobs whose rejection was final
+	confirmTimes          []eventloop.Micros // from the first submission of a job to its acceptance
+	refusalTimes          []eventloop.Micros // from each refused submission to the refusal
+	codes                 map[int32]int      // number of submissions by HTTP status; 0: no answer
 }
 
 func newClients(balancer *loadBalancer, h *history, prefix string) *clients {
 	return &clients{balancer: balancer, history: h, prefix: prefix, stats: map[string]*jobStats{}}
 }
 
-// load submits jobs of one type at its rate until loading ends, and follows them until
-// ctx ends.
+// load submits jobs of one type at the type's rate until the context loading ends. The
+// jobs' clients continue until their jobs have ended or ctx ends.
 func (c *clients) load(loading, ctx context.Context, t deployments.JobType, rng *rand.Rand) {
 	c.mu.Lock()
 	c.stats[t.Name] = &jobStats{codes: map[int32]int{}}
 	c.mu.Unlock()
 	for number := 0; loading.Err() == nil; number++ {
-		// A Poisson process: arrivals are independent of each other.
+		// Exponential intervals make the arrivals a Poisson process.
 		sleep(loading, time.Duration(rng.ExpFloat64()*t.MeanInterval*float64(time.Second)))
 		if loading.Err() != nil {
 			return
@@ -86,28 +89,30 @@
 	}
 }
 
+// updateStats changes the statistics of a job type under the lock.
 func (c *clients) updateStats(t deployments.JobType, change func(*jobStats)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(c.stats[t.Name])
 }
 
-// clientJob is one job as its client sees it.
+// clientJob is one job together with the client that submits and polls it.
 type clientJob struct {
 	*clients
 	requester requester
 	jobType   deployments.JobType
-	name      string
+	name      string // of the job
 	zone      string // of the client
-	client    string // its name
-	// cancelAfter is how long after its acceptance the job is cancelled; 0: it isn't.
+	client    string // name of the client
+	// cancelAfter is the time from the job's acceptance until the client cancels it; 0
+	// means that the client doesn't cancel it.
 	cancelAfter time.Duration
 }
 
 func (j *clientJob) path() string { return "/v1/queues/" + j.jobType.Queue + "/jobs/" + j.name }
 
-// run submits the job, with retries, and asks for its status until it has ended, and
-// a few times after that.
+// run submits the job with retries, polls its status until the job has ended, and reads
+// the status a few times more.
 func (j *clientJob) run(ctx context.Context) {
 	if !j.submit(ctx) {
 		return
@@ -126,8 +131,8 @@
 		return
 	}
 	j.updateStats(j.jobType, func(s *jobStats) { s.ended++ })
-	// Right after the end, through any gateway node, and again a little later: reads
-	// must not go back in time.
+	// These reads go through any gateway node, at once and a little later, so that the
+	// checker can verify that no node returns an older state than an earlier read.
 	for _, delay := range []time.Duration{0, 20 * time.Millisecond, 500 * time.Millisecond} {
 		sleep(ctx, delay)
 		if ctx.Err() == nil {
@@ -136,15 +141,15 @@
 	}
 }
 
-// submit submits the job until it is accepted. It returns false when the job is rejected
-// for good or the context ends.
+// submit submits the job, with retries, until it is accepted. It returns false when the
+// rejection of the job is final or the context ends.
 func (j *clientJob) submit(ctx context.Context) bool {
 	spec := &schema.Job{Text: j.jobType.Text, Steps: j.jobType.Steps}
 	body, err := json.Marshal(spec)
 	if err != nil {
 		return false
 	}
-	began := j.history.now()
+	startedAt := j.history.now()
 	j.updateStats(j.jobType, func(s *jobStats) { s.sent++ })
 	for ctx.Err() == nil {
 		code, retryAfter := j.submitOnce(ctx, spec, body)
@@ -154,7 +159,7 @@
 		case code == http.StatusOK || code == http.StatusCreated:
 			j.updateStats(j.jobType, func(s *jobStats) {
 				s.accepted++
-				s.confirmTimes = append(s.confirmTimes, j.history.now()-began)
+				s.confirmTimes = append(s.confirmTimes, j.history.now()-startedAt)
 			})
 			return true
 		case code >= 400 && code < 500 && code != http.StatusTooManyRequests:
@@ -166,7 +171,8 @@
 	return false
 }
 
-// submitOnce sends the job once and records what is answered; code 0 means no answer.
+// submitOnce sends the job once and records the answer. It returns the HTTP status, or 0
+// when there was no answer, and the delay that the gateway node asks for before a retry.
 func (j *clientJob) submitOnce(ctx context.Context, spec *schema.Job, body []byte) (code int32, retryAfter time.Duration) {
 	address, key, sentAt := j.requester.pick(j.zone), j.requester.key(), j.history.now()
 	keyHash := hashOfKey(key)
@@ -193,13 +199,15 @@
 	return code, reply.retryAfter
 }
 
-// getStatus asks a gateway node of a zone for the job's state, and records the answer.
+// getStatus requests the job's state from a gateway node of a zone and records the answer.
+// It returns an empty state when there was no valid answer.
 func (j *clientJob) getStatus(ctx context.Context, zone string) string {
 	_, state := j.ask(ctx, zone, "GET", j.path(), checker.Status)
 	return state
 }
 
-// cancel asks for the job's end until that is answered.
+// cancel requests the job's cancellation until a gateway node gives a final answer or the
+// context ends.
 func (j *clientJob) cancel(ctx context.Context) {
 	for ctx.Err() == nil {
 		j.history.add(checker.Event{Kind: checker.CancelRequest, Actor: j.client, Queue: j.jobType.Queue, Name: j.name})
@@ -210,8 +218,9 @@
 	}
 }
 
-// ask makes a request about the job at a gateway node of a zone, and records the answer as
-// an event of a kind.
+// ask sends a request about the job to a gateway node of a zone. It records the answer as
+// an event of the given kind, and returns the HTTP status (0: no valid answer) and the
+// state of the job.
 func (j *clientJob) ask(ctx context.Context, zone, method, path, kind string) (code int32, state string) {
 	address, key, sentAt := j.requester.pick(zone), j.requester.key(), j.history.now()
 	reply, err := j.requester.send(ctx, requestTimeout, request{method, address, path, nil, j.client, key})
@@ -230,7 +239,8 @@
 	return code, view.State
 }
 
-// hashOfKey is what stands for a key in histories; empty for none.
+// hashOfKey returns the hash of a key, which histories contain in place of the key. It
+// returns an empty string for an empty key.
 func hashOfKey(key string) string {
 	if key == "" {
 		return ""
--- a/cmd/sparnotch-bench/clock.go
+++ b/cmd/sparnotch-bench/clock.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sleep waits for a duration, or until the context ends.
+// sleep waits until a duration has passed or the context ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/cmd/sparnotch-bench/daemon.go
+++ b/cmd/sparnotch-bench/daemon.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// exitTimeout is how long a daemon may take to exit before it is killed.
+	// exitTimeout limits the time from a signal to a daemon's exit. After it the daemon is
+	// killed.
 	exitTimeout = 20 * time.Second
-	// clockTick is the unit of processor times in /proc.
+	// clockTick is the unit of the processor times in /proc.
 	clockTick = 10 * time.Millisecond
 )
 
-// daemon is a process of the sparnotch program that this command has started.
+// daemon is a node's process of the sparnotch program, which can be started repeatedly.
 type daemon struct {
 	name            string
-	program         string
+	program         string // path
 	args            []string
-	internalAddress string // address of the other nodes' connections
-	httpAddress     string // address of its HTTP interface
+	internalAddress string // listen address for the connections of other nodes
+	httpAddress     string // listen address of the HTTP interface
 	zone            string
-	dataDir         string // directory; empty: it has none
+	dataDir         string // data directory; empty: the node has no storage
 
-	mu      sync.Mutex // guards the rest
-	command *exec.Cmd
-	cpu     time.Duration // of earlier runs
-	exited  chan struct{} // closed at the exit of the current run; nil: none
+	mu      sync.Mutex    // guards the fields below
+	command *exec.Cmd     // latest run of the program; nil: never started
+	cpu     time.Duration // processor time of the finished runs
+	exited  chan struct{} // closed when the current run exits; nil: there is no current run
 }
 
-// start runs the program; its output is appended to NAME.log in the folder.
+// start runs the program. The output is appended to the file NAME.log in the folder.
 func (d *daemon) start(folder string) error {
 	log, err := os.OpenFile(filepath.Join(folder, d.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -44,7 +45,8 @@
 	defer log.Close()
 	command := exec.Command(d.program, d.args...)
 	command.Stdout, command.Stderr = log, log
-	// A node has a fraction of a core, so a parallel garbage collector gains nothing.
+	// In a real deployment a node has a fraction of a core, so a parallel garbage
+	// collector gains nothing.
 	command.Env = append(os.Environ(), "GOMAXPROCS=1")
 	if err := command.Start(); err != nil {
 		return err
@@ -55,16 +57,16 @@
 	return nil
 }
 
-// run returns the current run's command and the channel of its exit, nil where there is
-// none.
+// run returns the command of the latest run, and the channel that is closed when it exits.
+// Each is nil if there is none.
 func (d *daemon) run() (*exec.Cmd, chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.command, d.exited
 }
 
-// watchExit waits for a started command in the background; the channel is closed once
-// it has exited.
+// watchExit waits for a started command in the background. It returns a channel that is
+// closed once the command has exited.
 func watchExit(command *exec.Cmd) chan struct{} {
 	exited := make(chan struct{})
 	go func() {
@@ -74,13 +76,16 @@
 	return exited
 }
 
+// signal sends a signal to the process, if it was ever started.
 func (d *daemon) signal(signal syscall.Signal) {
 	if command, _ := d.run(); command != nil {
 		_ = command.Process.Signal(signal)
 	}
 }
 
-// terminate signals the process, waits for its exit, and returns the exit code.
+// terminate sends a signal to the process, waits for its exit, and returns the exit code:
+// -1 when a signal ended it, and 0 when it wasn't running. It kills the process after
+// exitTimeout.
 func (d *daemon) terminate(signal syscall.Signal) int {
 	command, exited := d.run()
 	if exited == nil {
@@ -106,8 +111,8 @@
 	return state.ExitCode()
 }
 
-// peakMemory is the most memory that the process has held, in kilobytes; false when
-// that can't be read.
+// peakMemory returns the peak memory of the process in kilobytes, or false when it can't
+// be read.
 func (d *daemon) peakMemory() (int, bool) {
 	command, _ := d.run()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", command.Process.Pid))
@@ -123,7 +128,7 @@
 	return 0, false
 }
 
-// cpuUsage is the processor time that the process has used in all its runs.
+// cpuUsage returns the processor time that the process has used in all its runs.
 func (d *daemon) cpuUsage() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -131,7 +136,7 @@
 	if err != nil {
 		return d.cpu
 	}
-	// The fields after the program's name, which may contain spaces.
+	// The program's name may contain spaces, so only the fields after it are split.
 	_, after, _ := strings.Cut(string(data), ") ")
 	const userField, systemField = 11, 12
 	fields := strings.Fields(after)
--- a/cmd/sparnotch-bench/fleet.go
+++ b/cmd/sparnotch-bench/fleet.go
@@ -23,38 +23,39 @@
 	"sparnotch/internal/schema"
 )
 
-// The first storageNodeCount gateway nodes of a fleet have a disk, in as many zones.
+// Layout of a fleet. Its first storageNodeCount gateway nodes have storage, each of them
+// in another zone.
 const (
 	zoneCount     = 3
-	agentHostBase = 20 // hosts above are agent nodes
+	agentHostBase = 20 // agent nodes have host numbers above this one
 	internalPort  = 7400
 	httpPort      = 8400
 )
 
-// fleet is a whole deployment on one machine, over loopback addresses.
+// fleet is a whole deployment on one machine. Its nodes listen on loopback addresses.
 type fleet struct {
 	deployment      *deployments.Deployment
 	rows            []*schema.ConfigurationRow // of the first configuration
 	folder          string                     // for data and logs
-	bin             string                     // folder of the program
-	network         string                     // first three numbers of its addresses
-	gateways        []*daemon
+	bin             string                     // folder of the program sparnotch
+	network         string                     // first three numbers of the nodes' addresses
+	gateways        []*daemon                  // those with storage come first
 	agents          []*daemon
 	balancer        *loadBalancer
 	history         *history
-	cancels         map[string]context.CancelFunc // by worker; each crashes it
-	workers         map[string]*workerRunner
-	running         sync.WaitGroup // workers
+	cancels         map[string]context.CancelFunc // by worker name; the function makes the worker crash
+	workers         map[string]*workerRunner      // by worker name
+	running         sync.WaitGroup                // counts the running workers
 	clients         *clients
-	clientContext   context.Context       // ends when clients give up
-	extra           []deployments.JobType // submitted by faults
-	lastIncarnation int                   // of a worker
-	partitions      int                   // so far; each isolates the next zone
-	trace           io.Writer             // takes a line for each fault and change
+	clientContext   context.Context       // at its end the clients stop waiting for their jobs
+	extra           []deployments.JobType // job types that faults have added to the load
+	lastIncarnation int                   // latest incarnation that was given to a worker
+	partitions      int                   // number of split faults so far, each of which isolates the next zone
+	trace           io.Writer             // receives a line for each fault and change
 	mu              sync.Mutex            // guards cancels, workers and lastIncarnation
 }
 
-// newFleet describes a fleet, without starting it.
+// newFleet returns a fleet that hasn't been started.
 func newFleet(deployment *deployments.Deployment, bin, folder, network string) *fleet {
 	return &fleet{
 		deployment: deployment, rows: deployment.ConfigRows(), folder: folder, bin: bin, network: network, history: &history{clock: eventloop.RealClock()}, trace: os.Stdout,
@@ -62,12 +63,13 @@
 	}
 }
 
+// address returns the address of a port on a host of the fleet's network.
 func (f *fleet) address(host, port int) string { return fmt.Sprintf("%s.%d:%d", f.network, host, port) }
 
-// zoneName is the zone of the node or worker numbered k, from 0.
+// zoneName returns the zone of the node or worker with the index k.
 func zoneName(k int) string { return fmt.Sprintf("c%d", k%zoneCount+1) }
 
-// newDaemon describes a node's process, without starting it.
+// newDaemon returns the daemon of a node, without starting it.
 func (f *fleet) newDaemon(name, subcommand string, host int, zone string, hasStorage bool) *daemon {
 	d := &daemon{
 		name: name, program: filepath.Join(f.bin, "sparnotch"), internalAddress: f.address(host, internalPort), httpAddress: f.address(host, httpPort), zone: zone,
@@ -84,7 +86,8 @@
 	return d
 }
 
-// start starts all nodes, and waits until the configuration has been applied.
+// start starts all nodes and applies the first configuration. It returns when that has
+// been accepted.
 func (f *fleet) start(ctx context.Context) error {
 	var endpoints []*endpoint
 	for k := range f.deployment.Gateways {
@@ -111,12 +114,12 @@
 	return nil
 }
 
-// daemons lists all nodes of the fleet.
+// daemons returns the daemons of all nodes, the gateway nodes first.
 func (f *fleet) daemons() []*daemon {
 	return append(slices.Clone(f.gateways), f.agents...)
 }
 
-// stop shuts all nodes down, and reports whether each exited with code 0.
+// stop shuts all nodes down and reports whether each of them exited with code 0.
 func (f *fleet) stop() bool {
 	clean := true
 	for _, d := range slices.Backward(f.daemons()) {
@@ -132,18 +135,18 @@
 	return clean
 }
 
-// restart starts a node again.
+// restart starts a node's process again after its exit.
 func (f *fleet) restart(d *daemon) {
 	if err := d.start(f.folder); err != nil {
-		fmt.Fprintln(os.Stderr, "sparnotch-bench: starting", d.name, err)
+		fmt.Fprintln(os.Stderr, "sparnotch-bench: the node", d.name, "could not be started:", err)
 	}
 }
 
-// workerName is the name of the worker numbered k, from 0.
+// workerName returns the name of the worker with the index k.
 func workerName(k int) string { return fmt.Sprintf("w%02d", k) }
 
-// startWorker starts the worker numbered k, from 0, three to a rack. The end of the
-// context is its crash.
+// startWorker starts the worker with the index k. Each rack has three workers. The worker
+// crashes when the context ends.
 func (f *fleet) startWorker(ctx context.Context, k int) {
 	name := workerName(k)
 	ctx, cancel := context.WithCancel(ctx)
@@ -151,9 +154,9 @@
 	f.cancels[name] = cancel
 	f.lastIncarnation++
 	incarnation := uint64(f.lastIncarnation)
-	w := fakeworker.NewPollingWorker(f.history.now(), name, fmt.Sprintf("r%d", k/3+1), f.deployment.WorkerCoresMilli, f.deployment.WorkerMemoryMB, incarnation,
+	worker := fakeworker.NewPollingWorker(f.history.now(), name, fmt.Sprintf("r%d", k/3+1), f.deployment.WorkerCoresMilli, f.deployment.WorkerMemoryMB, incarnation,
 		rand.New(rand.NewPCG(uint64(k), incarnation)), f.history.add)
-	runner := &workerRunner{balancer: f.balancer, history: f.history, zone: zoneName(k), worker: w}
+	runner := &workerRunner{balancer: f.balancer, history: f.history, zone: zoneName(k), worker: worker}
 	f.workers[name] = runner
 	f.mu.Unlock()
 	f.running.Add(1)
@@ -163,7 +166,7 @@
 	}()
 }
 
-// leader asks the storage nodes which of them leads a queue; nil when none does.
+// leader returns the first storage node that says it leads a queue, or nil when none does.
 func (f *fleet) leader(ctx context.Context) *daemon {
 	for _, d := range f.gateways {
 		if d.dataDir == "" {
@@ -184,7 +187,7 @@
 	return nil
 }
 
-// ledQueues is how many queues a node leads.
+// ledQueues returns the number of queues that a node leads.
 func ledQueues(state *replica.NodeStateView) int {
 	count := 0
 	for _, group := range state.Groups {
@@ -195,7 +198,8 @@
 	return count
 }
 
-// setAvailable records that a gateway node can serve again, or can't.
+// setAvailable records in the history whether a node can serve requests. It records
+// nothing for agent nodes.
 func (f *fleet) setAvailable(d *daemon, available bool) {
 	kind := checker.GatewayUnavailable
 	if available {
@@ -206,9 +210,9 @@
 	}
 }
 
-// throttle lets a process run for its deployment's share of every 60 ms and no longer,
-// whether it has work or not. That is harder than a quota, which doesn't count idle
-// time.
+// throttle stops and resumes a process until the context ends, so that it runs only for
+// its deployment's share of each period of 60 ms. Because idle time also uses up this
+// share, the limit is stricter than a processor quota, which doesn't count idle time.
 func (f *fleet) throttle(ctx context.Context, d *daemon) {
 	const period = 60 * time.Millisecond
 	runTime := time.Duration(f.deployment.GatewayCores * float64(period))
@@ -220,7 +224,7 @@
 	}
 }
 
-// peakMemory is the most memory that each node has held, in kilobytes.
+// peakMemory returns the peak memory of each node, in kilobytes, by name.
 func (f *fleet) peakMemory() map[string]int {
 	peaks := map[string]int{}
 	for _, d := range f.daemons() {
@@ -231,7 +235,7 @@
 	return peaks
 }
 
-// cpuUsage is the processor time that each node has used so far.
+// cpuUsage returns the processor time that each node has used so far, by name.
 func (f *fleet) cpuUsage() map[string]time.Duration {
 	usage := map[string]time.Duration{}
 	for _, d := range f.daemons() {
@@ -240,7 +244,8 @@
 	return usage
 }
 
-// faultActions are the faults of the fleet command, by name.
+// faultActions contains the functions that inject the faults of the fleet command, by the
+// name of the fault.
 var faultActions = map[string]faultAction{
 	"kill":    leaderFault((*fleet).killNode),
 	"freeze":  leaderFault((*fleet).freezeNode),
--- a/cmd/sparnotch-bench/fleet_faults.go
+++ b/cmd/sparnotch-bench/fleet_faults.go
@@ -19,23 +19,22 @@
 	"sparnotch/internal/schema"
 )
 
-// defaultFaultDuration is that of a fault given without one.
+// defaultFaultDuration is the duration of a fault whose text gives none.
 const defaultFaultDuration = 5 * time.Second
 
-// plannedFault is a fault with the time, from the start of the load, at which it is
-// injected.
+// plannedFault is a fault to inject during the load.
 type plannedFault struct {
-	at       time.Duration
-	name     string
-	text     string // as it was given
+	at       time.Duration // from the start of the load
+	name     string        // key of faultActions
+	text     string        // NAME[:SPAN], as the user wrote it
 	duration time.Duration
 }
 
-// faultAction injects a fault, and returns when it is over.
+// faultAction injects a fault and returns when the fault is over.
 type faultAction func(f *fleet, ctx context.Context, fault plannedFault)
 
-// parseFaults reads faults, each NAME[:SPAN]@TIME, joined by commas, and sorts them by
-// time.
+// parseFaults parses a list of faults, each NAME[:SPAN]@TIME, separated by commas. It
+// returns them sorted by time.
 func parseFaults(text string) ([]plannedFault, error) {
 	var list []plannedFault
 	for _, item := range strings.Split(text, ",") {
@@ -61,23 +60,24 @@
 	return list, nil
 }
 
-// recordFault records a fault in the history, where the checker looks for it.
+// recordFault prints a fault and records it in the history, from which the checker reads it.
 func (f *fleet) recordFault(text string) {
 	f.recordChange(text)
 	f.history.add(checker.Event{Kind: checker.Fault, State: text})
 }
 
-// recordChange prints what was done that is no fault.
+// recordChange writes a line about an action to the trace. The history doesn't contain it.
 func (f *fleet) recordChange(text string) {
 	fmt.Fprintf(f.trace, "%8.1fs  %s\n", float64(f.history.now())/1e6, text)
 }
 
-// leaderFault injects a fault into the node that leads a queue.
+// leaderFault returns a fault action that calls a function for the node that leads a
+// queue. Until the function returns, the node counts as unavailable.
 func leaderFault(inject func(f *fleet, ctx context.Context, d *daemon, duration time.Duration)) faultAction {
 	return func(f *fleet, ctx context.Context, fault plannedFault) {
 		d := f.leader(ctx)
 		if d == nil {
-			f.recordFault("no leader found for " + fault.text)
+			f.recordFault("no leader was found for the fault " + fault.text)
 			return
 		}
 		f.recordFault(fault.text + " " + d.name)
@@ -87,19 +87,21 @@
 	}
 }
 
+// killNode kills a node and starts it again after a duration.
 func (f *fleet) killNode(ctx context.Context, d *daemon, duration time.Duration) {
 	d.terminate(syscall.SIGKILL)
 	sleep(ctx, duration)
 	f.restart(d)
 }
 
+// freezeNode stops a node's process with SIGSTOP for a duration.
 func (f *fleet) freezeNode(ctx context.Context, d *daemon, duration time.Duration) {
 	d.signal(syscall.SIGSTOP)
 	sleep(ctx, duration)
 	d.signal(syscall.SIGCONT)
 }
 
-// wipeNode kills a node and deletes its data.
+// wipeNode kills a node, deletes its data, and starts it again after a duration.
 func (f *fleet) wipeNode(ctx context.Context, d *daemon, duration time.Duration) {
 	d.terminate(syscall.SIGKILL)
 	_ = os.RemoveAll(d.dataDir)
@@ -107,8 +109,8 @@
 	f.restart(d)
 }
 
-// partitionNode partitions a node from all others, for what it sends and for what it
-// receives.
+// partitionNode returns a function that partitions a node from all others for a duration:
+// the messages that the node sends are lost, those that others send to it, or both.
 func partitionNode(outbound, inbound bool) func(f *fleet, ctx context.Context, d *daemon, duration time.Duration) {
 	return func(f *fleet, ctx context.Context, d *daemon, duration time.Duration) {
 		f.partition(func(from, to *daemon) bool { return outbound && from == d || inbound && to == d })
@@ -117,8 +119,9 @@
 	}
 }
 
-// partition blocks the links from some nodes to others, each in one direction; nil
-// heals all. Each node reads the addresses that it can't reach from a file.
+// partition blocks each link, in one direction, for which a function returns true. Without
+// a function (nil) it unblocks all links. Each node reads the addresses that it must not
+// reach from a file.
 func (f *fleet) partition(blocks func(from, to *daemon) bool) {
 	for _, from := range f.daemons() {
 		path, blocked := filepath.Join(f.folder, from.name+".cuts"), ""
@@ -135,11 +138,12 @@
 	}
 }
 
-// splitZone partitions one zone from the others, the next zone each time.
+// splitZone partitions one zone from the others for the duration of the fault. Each call
+// takes the next zone.
 func (f *fleet) splitZone(ctx context.Context, fault plannedFault) {
 	zone := zoneName(f.partitions)
 	f.partitions++
-	f.recordFault("zone " + zone + " partitioned for " + fault.duration.String())
+	f.recordFault("zone " + zone + " is partitioned for " + fault.duration.String())
 	for _, d := range f.gateways {
 		if d.zone == zone {
 			f.setAvailable(d, false)
@@ -151,27 +155,29 @@
 	f.partition(nil)
 }
 
-// raceOperators has two operators apply a configuration at the same time. The one that
-// is rejected reads the other's and applies its own on top of that.
+// raceOperators makes two operators apply different configurations at the same time. The
+// operator that is rejected reads the configuration of the other one and applies its own
+// on top of it.
 func (f *fleet) raceOperators(ctx context.Context, _ plannedFault) {
-	f.recordFault("two operators race")
+	f.recordFault("two operators apply configurations at the same time")
 	var racing sync.WaitGroup
-	for k, who := range []string{"one", "two"} {
+	for k, operator := range []string{"one", "two"} {
 		racing.Add(1)
 		go func() {
 			defer racing.Done()
 			rows := append(f.deployment.ConfigRows(), &schema.ConfigurationRow{Kind: "fleet", Key: "cache_every", Value: strconv.Itoa(32 + 16*k)})
-			if err := applyConfig(ctx, f.balancer, f.history, who, rows); err != nil && ctx.Err() == nil {
-				fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
+			if err := applyConfig(ctx, f.balancer, f.history, operator, rows); err != nil && ctx.Err() == nil {
+				fmt.Fprintln(os.Stderr, "sparnotch-bench: the operator", operator, "failed:", err)
 			}
 		}()
 	}
 	racing.Wait()
 }
 
-// disconnectWorker partitions a worker, which runs on, from all gateway nodes.
+// disconnectWorker partitions a worker from all gateway nodes. The worker itself continues
+// to run.
 func (f *fleet) disconnectWorker(ctx context.Context, fault plannedFault) {
-	f.recordFault("worker w02 is partitioned and runs on, for " + fault.duration.String())
+	f.recordFault("worker w02 is partitioned, and continues to run, for " + fault.duration.String())
 	w := f.workers["w02"]
 	w.setDisconnected(true)
 	f.history.add(checker.Event{Kind: checker.WorkerPartitioned, Actor: "w02"})
@@ -182,7 +188,7 @@
 
 // restartAgents kills and restarts all agent nodes, one after another.
 func (f *fleet) restartAgents(ctx context.Context, _ plannedFault) {
-	f.recordFault("all agent nodes restarted, one after another")
+	f.recordFault("all agent nodes are restarted, one after another")
 	for _, d := range f.agents {
 		d.terminate(syscall.SIGKILL)
 		f.restart(d)
@@ -190,13 +196,15 @@
 	}
 }
 
+// crashWorker crashes a worker and starts it again after the duration of the fault.
 func (f *fleet) crashWorker(ctx context.Context, fault plannedFault) {
-	f.recordFault("worker w00 crashes, and is restarted")
+	f.recordFault("worker w00 crashes and is restarted")
 	f.cancels["w00"]()
 	sleep(ctx, fault.duration)
 	f.startWorker(ctx, 0)
 }
 
+// drainWorker starts the drain of a worker: it accepts no further tasks.
 func (f *fleet) drainWorker(context.Context, plannedFault) {
 	f.recordFault("worker w01 drains")
 	w := f.workers["w01"]
@@ -205,13 +213,14 @@
 	w.mu.Unlock()
 }
 
-// rush adds twenty times the load.
+// rush adds load at twenty times the ordinary rate for the duration of the fault.
 func (f *fleet) rush(ctx context.Context, fault plannedFault) {
 	f.recordFault("a rush: twenty times the load for " + fault.duration.String())
 	f.addLoad(ctx, fault.duration, "rush", func(t *deployments.JobType) { t.MeanInterval /= 20 })
 }
 
-// flood adds fifty jobs a second of each type that no worker has the capacity for.
+// flood adds fifty jobs per second of each job type. Their tasks need more cores than any
+// worker has, so they can never run.
 func (f *fleet) flood(ctx context.Context, fault plannedFault) {
 	f.recordFault("a flood of jobs that can never run, for " + fault.duration.String())
 	f.addLoad(ctx, fault.duration, "flood", func(t *deployments.JobType) {
@@ -220,7 +229,8 @@
 	})
 }
 
-// addLoad has more clients submit jobs for a while, of types changed by a function.
+// addLoad submits additional jobs for a duration. Their types are those of the deployment,
+// renamed with a prefix and changed by a function.
 func (f *fleet) addLoad(ctx context.Context, duration time.Duration, name string, change func(*deployments.JobType)) {
 	loading, stop := context.WithTimeout(ctx, duration)
 	defer stop()
@@ -238,8 +248,8 @@
 	sending.Wait()
 }
 
-// killAll kills all nodes and starts them again: it stops agent nodes first, and
-// starts gateway nodes first.
+// killAll kills all nodes, the agent nodes first, and starts them again, the gateway nodes
+// first.
 func (f *fleet) killAll(context.Context, plannedFault) {
 	f.recordFault("every process is killed and restarted")
 	for _, d := range slices.Backward(f.daemons()) {
--- a/cmd/sparnotch-bench/fleet_test.go
+++ b/cmd/sparnotch-bench/fleet_test.go
@@ -22,23 +22,25 @@
 	"sparnotch/internal/schema"
 )
 
-// relaxedBounds are for a machine with other load: what happens is checked, and not how
-// fast.
+// relaxedBounds allows for other load on the machine that runs the tests: the limits on
+// latencies are so large that only the events themselves are checked.
 var relaxedBounds = checker.Tolerances{
 	Retention: 100 * eventloop.Second, EarlyStart: checker.DefaultBounds.EarlyStart, Drain: 120 * eventloop.Second, Cancel: 120 * eventloop.Second, Stop: 120 * eventloop.Second,
 	Propagation: 120 * eventloop.Second, Recovery: 300 * eventloop.Second, GangStart: 120 * eventloop.Second, LossDetection: eventloop.Second, GatewayReady: 300 * eventloop.Second,
 }
 
+// buildPrograms builds sparnotch and sparnotchctl and returns the folder of the programs.
 func buildPrograms(t *testing.T) string {
 	bin := t.TempDir()
 	command := exec.Command("go", "build", "-o", bin, "sparnotch/cmd/sparnotch", "sparnotch/cmd/sparnotchctl")
 	if out, err := command.CombinedOutput(); err != nil {
-		t.Fatalf("building: %v: %s", err, out)
+		t.Fatalf("the programs could not be built: %v: %s", err, out)
 	}
 	return bin
 }
 
-// freeNetwork finds loopback addresses that nobody uses.
+// freeNetwork returns the first three numbers of loopback addresses that no other process
+// listens on.
 func freeNetwork(t *testing.T) string {
 	for k := 0; k < 200; k++ {
 		prefix := fmt.Sprintf("127.0.%d", 20+(os.Getpid()+k)%200)
@@ -49,7 +51,7 @@
 		listener.Close()
 		return prefix
 	}
-	t.Fatal("no free loopback addresses")
+	t.Fatal("no loopback addresses are free")
 	return ""
 }
 
@@ -67,12 +69,13 @@
 
 func TestDaemonSettings(t *testing.T) {
 	bin := buildPrograms(t)
-	good := []string{"-cell", "c1", "-inner", "127.0.0.1:1", "-outer", "127.0.0.1:2", "-seeds", "127.0.0.1:3,127.0.0.1:4,127.0.0.1:5"}
+	validArgs := []string{"-cell", "c1", "-inner", "127.0.0.1:1", "-outer", "127.0.0.1:2", "-seeds", "127.0.0.1:3,127.0.0.1:4,127.0.0.1:5"}
+	// without returns the valid arguments without one flag, followed by others.
 	without := func(name string, more ...string) []string {
 		var args []string
-		for k := 0; k < len(good); k += 2 {
-			if good[k] != name {
-				args = append(args, good[k], good[k+1])
+		for k := 0; k < len(validArgs); k += 2 {
+			if validArgs[k] != name {
+				args = append(args, validArgs[k], validArgs[k+1])
 			}
 		}
 		return append(args, more...)
@@ -100,19 +103,20 @@
 			So(command.ProcessState.ExitCode(), ShouldEqual, 2)
 			So(string(out), ShouldContainSubstring, test.field)
 		}
-		command := exec.Command(filepath.Join(bin, "sparnotch"), append([]string{"check-server"}, good...)...)
+		command := exec.Command(filepath.Join(bin, "sparnotch"), append([]string{"check-server"}, validArgs...)...)
 		So(command.Run(), ShouldBeNil)
 	})
 	Convey("A flag wins over the file", t, func() {
 		So(os.WriteFile(file, []byte(`{"cell":"Not A Cell"}`), 0o600), ShouldBeNil)
-		args := append([]string{"check-server", "-options", file}, good...)
+		args := append([]string{"check-server", "-options", file}, validArgs...)
 		So(exec.Command(filepath.Join(bin, "sparnotch"), args...).Run(), ShouldBeNil)
 		args = append([]string{"check-server", "-options", file}, without("-cell")...)
 		So(exec.Command(filepath.Join(bin, "sparnotch"), args...).Run(), ShouldNotBeNil)
 	})
 }
 
-// callUntilAnswered calls a gateway node until the answer is final or the context ends.
+// callUntilAnswered sends a request to a gateway node until the answer is final or the
+// context ends. It returns the HTTP status (0: no answer) and the error in the answer.
 func callUntilAnswered(ctx context.Context, f *fleet, method, path, body string) (int32, *schema.Error) {
 	for ctx.Err() == nil {
 		code, data, err := f.balancer.call(ctx, 10*time.Second, method, f.gateways[4].httpAddress, path, []byte(body), "")
@@ -126,7 +130,8 @@
 	return 0, &schema.Error{}
 }
 
-// readRevision is the revision of the fleet's configuration; 0: it couldn't be read in time.
+// readRevision returns the revision of the fleet's configuration, or 0 if that could not
+// be read before the context ended.
 func readRevision(ctx context.Context, f *fleet) uint64 {
 	for ctx.Err() == nil {
 		code, data, err := f.balancer.call(ctx, operatorTimeout, "GET", f.gateways[4].httpAddress, configPath, nil, "")
@@ -139,7 +144,7 @@
 	return 0
 }
 
-// TestBadInput checks what clients and operators get for invalid requests.
+// TestBadInput checks the answers to invalid requests of clients and operators.
 func TestBadInput(t *testing.T) {
 	bin := buildPrograms(t)
 	Convey("Invalid requests are answered with a code and the field", t, func() {
@@ -154,7 +159,8 @@
 		call := func(method, path, body string) (int32, *schema.Error) {
 			return callUntilAnswered(ctx, f, method, path, body)
 		}
-		// The configuration reaches the gateway nodes after a moment.
+		// The gateway nodes receive the configuration a moment after its acceptance. Until
+		// then they don't know the queue.
 		for ctx.Err() == nil {
 			if _, failure := call("GET", "/v1/queues/quotes/jobs/nobody", ""); failure.Code == "unknown_job" {
 				break
@@ -162,14 +168,14 @@
 			sleep(ctx, 50*time.Millisecond)
 		}
 		job := func(step string) string { return `{"text":"x","steps":[` + step + `]}` }
-		ok := `{"name":"a","tasks":1,"cores_milli":10}`
+		validStep := `{"name":"a","tasks":1,"cores_milli":10}`
 		for _, test := range []struct {
 			body  string
 			code  int32
 			field string
 		}{
 			{`{"text":`, 400, ""},
-			{job(ok) + "more", 400, ""},
+			{job(validStep) + "more", 400, ""},
 			{`{"steps":[{"name":"a","tasks":1,"cores_milli":1,"speed":1}]}`, 400, "speed"},
 			{`{"text":5}`, 400, "text"},
 			{`{"text":"x"}`, 422, "steps"},
@@ -181,21 +187,22 @@
 			{job(`{"name":"a","tasks":1,"cores_milli":1,"after":["b"]},{"name":"b","tasks":1,"cores_milli":1,"after":["a"]}`), 422, "steps[1].after[0]"},
 			{job(`{"name":"a","tasks":1,"cores_milli":64001}`), 422, "steps[0].cores_milli"},
 			{`{"text":"` + strings.Repeat("x", 300<<10) + `"}`, 413, ""},
-			{job(ok), 201, ""},
-			{job(ok), 200, ""},
-			{`{"text":"y","steps":[` + ok + `]}`, 409, "name"},
+			{job(validStep), 201, ""},
+			{job(validStep), 200, ""},
+			{`{"text":"y","steps":[` + validStep + `]}`, 409, "name"},
 		} {
 			code, failure := call("PUT", "/v1/queues/quotes/jobs/j", test.body)
 			So(code, ShouldEqual, test.code)
 			So(failure.Field, ShouldEqual, test.field)
 		}
-		code, _ := call("PUT", "/v1/queues/nope/jobs/j", job(ok))
+		code, _ := call("PUT", "/v1/queues/nope/jobs/j", job(validStep))
 		So(code, ShouldEqual, 404)
 		code, _ = call("GET", "/v1/queues/quotes/jobs/nobody", "")
 		So(code, ShouldEqual, 404)
 		code, _ = call("PUT", "/v1/plan", `{"rows":[]}`)
 		So(code, ShouldEqual, 428)
-		// The fleet's operator reads and applies once more when it got no answer.
+		// The operator that started the fleet repeats an application that got no answer, so
+		// the revision may be above 1.
 		current := readRevision(ctx, f)
 		So(current, ShouldBeGreaterThanOrEqualTo, 1)
 		code, failure := call("PUT", "/v1/plan", `{"generation":0,"rows":[]}`)
--- a/cmd/sparnotch-bench/history.go
+++ b/cmd/sparnotch-bench/history.go
@@ -14,30 +14,31 @@
 	"sparnotch/internal/eventloop"
 )
 
-// history records what clients, workers and operators saw, by one clock.
+// history records the events that clients, workers and operators observe. All events have
+// times of the same clock.
 type history struct {
 	clock  eventloop.Clock
-	mu     sync.Mutex
+	mu     sync.Mutex // guards events
 	events []checker.Event
 }
 
 func (h *history) now() eventloop.Micros { return h.clock.Now() }
 
-// add records an event, at the current time unless it has one.
+// add records an event. An event without a time gets the current time.
 func (h *history) add(e checker.Event) {
 	if e.At == 0 {
 		e.At = h.now()
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// The shutdown after the run is no part of it.
+	// The close event ends a run. Events of the shutdown after it are not recorded.
 	if len(h.events) > 0 && h.events[len(h.events)-1].Kind == checker.Close {
 		return
 	}
 	h.events = append(h.events, e)
 }
 
-// sorted lists the events by time.
+// sorted returns the events sorted by time.
 func (h *history) sorted() []checker.Event {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -46,7 +47,7 @@
 	return list
 }
 
-// write writes the events to a file, one a line, as JSON.
+// write writes the events to a file as JSON, one event per line, sorted by time.
 func (h *history) write(path string) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -67,8 +68,9 @@
 	return file.Close()
 }
 
-// readHistory reads what write has written. Errors name the line: a line that isn't an
-// event, and a history that was truncated before its close, can't be checked.
+// readHistory reads a history from a file that history.write has written. It returns an
+// error with the number of the line if a line isn't an event, an event is earlier than the
+// one before it, or the close event at the end is missing: such a history can't be checked.
 func readHistory(path string) ([]checker.Event, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -86,10 +88,10 @@
 			return nil, fmt.Errorf("%s: line %d: not an event of a history: %w", path, number, err)
 		}
 		if e.Kind == "" {
-			return nil, fmt.Errorf("%s: line %d: not an event of a history: it has no kind", path, number)
+			return nil, fmt.Errorf("%s: line %d: not an event of a history: the kind is missing", path, number)
 		}
 		if len(list) > 0 && e.At < list[len(list)-1].At {
-			return nil, fmt.Errorf("%s: line %d: earlier than the line before", path, number)
+			return nil, fmt.Errorf("%s: line %d: earlier than the event of the line before", path, number)
 		}
 		list = append(list, e)
 	}
@@ -97,7 +99,7 @@
 		return nil, fmt.Errorf("%s: line %d: %w", path, len(list)+1, err)
 	}
 	if len(list) == 0 || list[len(list)-1].Kind != checker.Close {
-		return nil, fmt.Errorf("%s: line %d: cut off: a complete history ends with its close", path, len(list)+1)
+		return nil, fmt.Errorf("%s: line %d: cut off: a complete history ends with a close event", path, len(list)+1)
 	}
 	return list, nil
 }
--- a/cmd/sparnotch-bench/hollow_child.go
+++ b/cmd/sparnotch-bench/hollow_child.go
@@ -10,7 +10,7 @@
 	"syscall"
 )
 
-// Roles of a hollow deployment's processes.
+// Roles of the processes of a hollow deployment.
 const (
 	roleStorage = "store"
 	roleGateway = "front"
@@ -18,18 +18,18 @@
 	roleClient  = "caller"
 )
 
-// childProcess is one of a hollow deployment's processes, which run this program with
-// the flag -part and answer each line on their standard input with a processReport.
+// childProcess is one process of a hollow deployment. It runs this program with the flag
+// -part, and answers each line on its standard input with a processReport.
 type childProcess struct {
 	role         string
-	first, count int
+	first, count int // index of its first node, and its number of nodes
 	command      *exec.Cmd
 	in           io.WriteCloser
 	out          *bufio.Reader
-	exited       chan struct{}
+	exited       chan struct{} // closed when the process exits
 }
 
-// start runs the process.
+// start starts the process. It is killed when this process ends.
 func (p *childProcess) start(config *hollowConfig) error {
 	text, err := json.Marshal(config)
 	if err != nil {
@@ -40,7 +40,7 @@
 		return err
 	}
 	p.command = exec.Command(own, "hollow", "-part", p.role, "-first", fmt.Sprint(p.first), "-count", fmt.Sprint(p.count), "-setup", string(text))
-	// With one processor each the cost of a process is measured, not its parallelism.
+	// On one processor, the measured cost of a process doesn't depend on parallelism.
 	p.command.Env = append(os.Environ(), "GOMAXPROCS=1")
 	p.command.Stderr = os.Stderr
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -59,14 +59,14 @@
 	return nil
 }
 
-// request sends a line and returns the report that answers it.
+// request sends a line to the process and returns the report with which it answers.
 func (p *childProcess) request(line string) (*processReport, error) {
 	if _, err := io.WriteString(p.in, line+"\n"); err != nil {
-		return nil, fmt.Errorf("process %s: %w", p.role, err)
+		return nil, fmt.Errorf("the request to a %s process could not be sent: %w", p.role, err)
 	}
 	data, err := p.out.ReadBytes('\n')
 	if err != nil {
-		return nil, fmt.Errorf("process %s: %w", p.role, err)
+		return nil, fmt.Errorf("the report of a %s process could not be read: %w", p.role, err)
 	}
 	report := &processReport{}
 	return report, json.Unmarshal(data, report)
--- a/cmd/sparnotch-bench/hollow_command.go
+++ b/cmd/sparnotch-bench/hollow_command.go
@@ -12,13 +12,13 @@
 	"github.com/google/subcommands"
 )
 
-// hollowCommand measures a hollow deployment. With a part given it is one of the
-// deployment's processes.
+// hollowCommand implements the subcommand hollow, which measures a hollow deployment. With
+// the flag -part it runs one of the processes of such a deployment.
 type hollowCommand struct {
 	config       hollowConfig
 	plan         measurePlan
-	part, text   string
-	first, count int
+	part, text   string // role of this process, and the hollowConfig as JSON
+	first, count int    // index of the first node of this process, and its number of nodes
 }
 
 func (*hollowCommand) Name() string { return "hollow" }
@@ -29,27 +29,29 @@
 	return `sparnotch-bench hollow [-workers 100] [-queues 4] [-starts 20] [-changes 6] [-kill] ...
   Runs three storage nodes, some gateway nodes, agent nodes that share a few
   processes of the operating system, and clients, with the product's own components
-  and transport over loopback addresses. Workers run nothing: a task lasts run_us
-  and is done. Prints what one process of each role costs, and what clients saw.
-  Exit codes: 0 measured, 1 it didn't come up, 2 bad flags (the field is named).
+  and transport over loopback addresses. Workers execute nothing: a task lasts run_us
+  and then succeeds. Prints the resources that one process of each role uses, and the
+  rates and latencies that clients observe.
+  Exit codes: 0 measured, 1 the deployment didn't start, 2 invalid flags (the message
+  names the field).
 `
 }
 
 func (c *hollowCommand) SetFlags(set *flag.FlagSet) {
 	c.config.register(set)
-	set.DurationVar(&c.plan.warm, "warm", 5*time.Second, "let it run so long first")
-	set.DurationVar(&c.plan.span, "span", 15*time.Second, "how long it is measured")
-	set.BoolVar(&c.plan.killLeader, "kill", false, "kill the leader at the end, and measure the recovery")
-	set.StringVar(&c.part, "part", "", "internal: role of this process")
+	set.DurationVar(&c.plan.warm, "warm", 5*time.Second, "how long the deployment runs before it is measured")
+	set.DurationVar(&c.plan.span, "span", 15*time.Second, "how long the deployment is measured")
+	set.BoolVar(&c.plan.killLeader, "kill", false, "kill the leader at the end and measure the recovery")
+	set.StringVar(&c.part, "part", "", "internal: the role of this process")
 	set.StringVar(&c.text, "setup", "", "internal: the deployment, as JSON")
-	set.IntVar(&c.first, "first", 0, "internal: first node of this process")
-	set.IntVar(&c.count, "count", 0, "internal: nodes of this process")
+	set.IntVar(&c.first, "first", 0, "internal: the index of the first node of this process")
+	set.IntVar(&c.count, "count", 0, "internal: the number of nodes of this process")
 }
 
 func (c *hollowCommand) Execute(ctx context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.part != "" {
 		if err := c.runPart(ctx); err != nil {
-			fmt.Fprintf(os.Stderr, "sparnotch-bench: part %s: %v\n", c.part, err)
+			fmt.Fprintf(os.Stderr, "sparnotch-bench: the %s process failed: %v\n", c.part, err)
 			return 1
 		}
 		return 0
@@ -69,6 +71,7 @@
 	return 0
 }
 
+// runPart runs one process of a hollow deployment.
 func (c *hollowCommand) runPart(ctx context.Context) error {
 	config := &hollowConfig{}
 	if err := json.Unmarshal([]byte(c.text), config); err != nil {
@@ -77,17 +80,17 @@
 	return runHollowProcess(ctx, config, c.part, c.first, c.count)
 }
 
-// check names the first flag that is out of range.
+// check returns an error that names the first invalid flag.
 func (c *hollowCommand) check(set *flag.FlagSet) error {
 	c.config.Regions = 1
 	if err := c.config.check(); err != nil {
 		return err
 	}
 	if c.plan.span <= 0 || c.plan.warm < 0 {
-		return errors.New("span and warm: must be above 0")
+		return errors.New("span and warm: span must be above 0, and warm must not be negative")
 	}
 	if set.NArg() > 0 {
-		return fmt.Errorf("%s: is not a flag", set.Arg(0))
+		return fmt.Errorf("%s: this argument is not a flag", set.Arg(0))
 	}
 	return nil
 }
--- a/cmd/sparnotch-bench/hollow_deployment.go
+++ b/cmd/sparnotch-bench/hollow_deployment.go
@@ -12,24 +12,24 @@
 
 const (
 	readyTimeout     = 90 * time.Second
-	readyInterval    = 300 * time.Millisecond
-	recoveryDuration = 15 * time.Second
+	readyInterval    = 300 * time.Millisecond // between two checks whether a deployment is ready
+	recoveryDuration = 15 * time.Second       // from the kill of the leader to its restart
 )
 
-// The requests to a hollow deployment's processes.
+// Requests to the processes of a hollow deployment.
 const (
-	requestRead  = "read"
-	requestReset = "reset" // read, and start new histograms and a new profile
+	requestRead  = "read"  // report
+	requestReset = "reset" // report, then clear the histograms and start a new profile
 )
 
-// hollowDeployment is a hollow deployment that runs.
+// hollowDeployment is a running hollow deployment.
 type hollowDeployment struct {
 	config    *hollowConfig
 	processes []*childProcess
 }
 
-// startHollow starts all processes: one for each storage and gateway node, a few for the
-// agent nodes together, and one for the clients.
+// startHollow starts the processes of a deployment: one for each storage and gateway node,
+// a few that share the agent nodes, and one for the clients.
 func startHollow(config *hollowConfig) (*hollowDeployment, error) {
 	d := &hollowDeployment{config: config}
 	for k := range storageNodeCount {
@@ -60,7 +60,8 @@
 	}
 }
 
-// requestAll sends a request to all processes and returns their reports, in order.
+// requestAll sends a request to all processes, one after another, and returns their reports
+// in the order of the processes.
 func (d *hollowDeployment) requestAll(request string) ([]*processReport, error) {
 	reports := make([]*processReport, len(d.processes))
 	for k, p := range d.processes {
@@ -73,8 +74,8 @@
 	return reports, nil
 }
 
-// waitUntilReady waits until each queue has a leader, each worker a lease, and a job was
-// accepted.
+// waitUntilReady waits until each queue has a leader, each worker has a lease, and a job
+// has been accepted (unless no jobs are submitted). It returns an error after the timeout.
 func (d *hollowDeployment) waitUntilReady(ctx context.Context, timeout time.Duration) error {
 	last := ""
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && ctx.Err() == nil; sleep(ctx, readyInterval) {
@@ -90,15 +91,15 @@
 				leases = max(leases, leasedWorkers(report.State))
 			}
 		}
-		last = fmt.Sprintf("%d of %d queues have a leader, %d of %d workers a lease, %d jobs accepted", leaders, d.config.Queues, leases, d.config.Workers, accepted)
+		last = fmt.Sprintf("%d of %d queues have a leader, %d of %d workers have a lease, %d jobs were accepted", leaders, d.config.Queues, leases, d.config.Workers, accepted)
 		if leaders >= d.config.Queues && leases >= d.config.Workers && (accepted > 0 || d.config.StartsPerSecond == 0) {
 			return nil
 		}
 	}
-	return errors.New("the deployment didn't come up: " + last)
+	return errors.New("the deployment did not start in time: " + last)
 }
 
-// leasedWorkers is how many worker leases have a scheduler.
+// leasedWorkers returns the number of workers whose lease names a scheduler.
 func leasedWorkers(state *replica.NodeStateView) int {
 	count := 0
 	for _, lease := range state.WorkerLeases {
@@ -109,8 +110,9 @@
 	return count
 }
 
-// measureRecovery kills the node that leads the most queues, and measures the time until
-// a job submitted after that has a running task. The node is started again afterwards.
+// measureRecovery kills the node that leads the most queues. It returns the time from the
+// kill to the first task start of a job that was submitted after the kill. It starts the
+// node again.
 func (d *hollowDeployment) measureRecovery(ctx context.Context) (time.Duration, error) {
 	reports, err := d.requestAll(requestRead)
 	if err != nil {
@@ -124,7 +126,7 @@
 		}
 	}
 	if leader == nil {
-		return 0, errors.New("no leader to kill")
+		return 0, errors.New("the recovery could not be measured: no node leads a queue")
 	}
 	leader.kill()
 	killedAt := time.Now().UnixMicro()
@@ -144,18 +146,18 @@
 		}
 	}
 	if first == 0 {
-		return 0, fmt.Errorf("nothing ran within %v of the kill", recoveryDuration)
+		return 0, fmt.Errorf("no job that was submitted after the kill had a task start within %v", recoveryDuration)
 	}
 	return time.Duration(first-killedAt) * time.Microsecond, nil
 }
 
-// measurePlan is how a hollow deployment is measured.
+// measurePlan describes how to measure a hollow deployment.
 type measurePlan struct {
-	warm, span time.Duration // before and while it is measured
-	killLeader bool
+	warm, span time.Duration // how long it runs before the measurement, and during it
+	killLeader bool          // whether to measure the recovery too
 }
 
-// runHollow starts a hollow deployment, measures it and stops it.
+// runHollow starts a hollow deployment, measures it, stops it and returns the measurements.
 func runHollow(ctx context.Context, config hollowConfig, plan measurePlan) ([]measurement, error) {
 	folder, err := os.MkdirTemp("", "sparnotch-bench-hollow-")
 	if err != nil {
@@ -168,17 +170,17 @@
 		return nil, err
 	}
 	defer deployment.stop()
-	began := time.Now()
+	startedAt := time.Now()
 	if err := deployment.waitUntilReady(ctx, readyTimeout); err != nil {
 		return nil, err
 	}
-	up := time.Since(began)
+	startupTime := time.Since(startedAt)
 	sleep(ctx, plan.warm)
 	list, err := deployment.measure(ctx, plan.span)
 	if err != nil {
 		return nil, err
 	}
-	list = append(list, measurement{roleWhole, "up_ms", float64(up.Milliseconds())})
+	list = append(list, measurement{roleWhole, "up_ms", float64(startupTime.Milliseconds())})
 	if plan.killLeader {
 		recovery, err := deployment.measureRecovery(ctx)
 		if err != nil {
--- a/cmd/sparnotch-bench/hollow_load.go
+++ b/cmd/sparnotch-bench/hollow_load.go
@@ -21,10 +21,10 @@
 	hollowRequestTimeout = 8 * time.Second
 	hollowRetryDelay     = 100 * time.Millisecond
 	maxOpenSubmissions   = 256
-	hollowClients        = 16 // names of clients that requests are spread over
+	hollowClients        = 16 // number of client names, one of which each request carries
 )
 
-// jobSpec is the body of a request that submits a job.
+// jobSpec is the body of a request to submit a job.
 type jobSpec struct {
 	Text  string     `json:"text"`
 	Steps []stepSpec `json:"steps"`
@@ -38,7 +38,8 @@
 	Together   bool   `json:"together,omitempty"`
 }
 
-// send sends one request to a random gateway node; status 0 means no answer.
+// send sends one request to a random gateway node. It returns the HTTP status, or 0 when
+// there was no answer, and the body of the answer.
 func (p *hollowProcess) send(ctx context.Context, client *http.Client, method, path string, body []byte) (int, []byte) {
 	address := p.config.address(p.config.gatewayHost(rand.IntN(1<<30)), httpPort)
 	ctx, cancel := context.WithTimeout(ctx, hollowRequestTimeout)
@@ -61,14 +62,14 @@
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}}
 }
 
-// submitJobs submits jobs of one step with Width tasks, as a Poisson process of the
-// wanted rate.
+// submitJobs submits jobs of one step with Width tasks until the context ends. The arrivals
+// are a Poisson process, whose rate results in StartsPerSecond task starts.
 func (p *hollowProcess) submitJobs(ctx context.Context) {
 	if p.config.StartsPerSecond <= 0 {
 		return
 	}
 	client := newHTTPClient()
-	open := make(chan bool, maxOpenSubmissions)
+	openSlots := make(chan bool, maxOpenSubmissions)
 	rng := rand.New(rand.NewPCG(7, 8))
 	meanInterval := float64(p.config.Width) / p.config.StartsPerSecond * float64(time.Second)
 	next := time.Now()
@@ -76,18 +77,18 @@
 		next = next.Add(time.Duration(rng.ExpFloat64() * meanInterval))
 		sleep(ctx, time.Until(next))
 		select {
-		case open <- true:
+		case openSlots <- true:
 		case <-ctx.Done():
 			return
 		}
 		go func() {
-			defer func() { <-open }()
+			defer func() { <-openSlots }()
 			p.submitJob(ctx, client, number)
 		}()
 	}
 }
 
-// submitJob submits one job until it is accepted or rejected for good.
+// submitJob submits one job with retries until it is accepted or its rejection is final.
 func (p *hollowProcess) submitJob(ctx context.Context, client *http.Client, number int) {
 	submittedAt := time.Now()
 	body, _ := json.Marshal(jobSpec{
@@ -106,7 +107,7 @@
 		}
 		p.refused.Add(1)
 		if code != 0 && code < 500 && code != http.StatusTooManyRequests && code != http.StatusNotFound {
-			fmt.Fprintln(os.Stderr, "sparnotch-bench: a job was rejected:", code)
+			fmt.Fprintln(os.Stderr, "sparnotch-bench: a job was rejected with HTTP status", code)
 			return
 		}
 		sleep(ctx, hollowRetryDelay)
@@ -115,7 +116,8 @@
 
 func queueName(k int) string { return fmt.Sprintf("l%03d", k) }
 
-// rows is the configuration: the queues, racks up to the wanted number of rows, and one
+// rows returns the rows of the configuration after a number of changes: two rows of the
+// fleet, one for each queue, as many racks as the minimum number of rows requires, and one
 // row that differs from change to change.
 func (c *hollowConfig) rows(change int) []*schema.ConfigurationRow {
 	rows := []*schema.ConfigurationRow{{Kind: "fleet", Key: "live_jobs", Value: "1000000"}, {Kind: "fleet", Key: "window", Value: "65536"}}
@@ -128,7 +130,8 @@
 	return append(rows, &schema.ConfigurationRow{Kind: "fleet", Key: "weight_rack", Value: strconv.Itoa(30 + change%10)})
 }
 
-// changeConfig applies the configuration, and then changes it at the wanted rate.
+// changeConfig applies the first configuration, and then changes it ChangesPerMinute times
+// per minute until the context ends.
 func (p *hollowProcess) changeConfig(ctx context.Context) {
 	client := newHTTPClient()
 	interval := time.Hour
@@ -143,8 +146,8 @@
 	}
 }
 
-// applyConfig applies one change to the current configuration, and reports whether it
-// was accepted.
+// applyConfig replaces the current configuration by the one after a number of changes. It
+// reports whether that was accepted.
 func (p *hollowProcess) applyConfig(ctx context.Context, client *http.Client, change int) bool {
 	code, data := p.send(ctx, client, "GET", configPath, nil)
 	current := &schema.Configuration{}
--- a/cmd/sparnotch-bench/hollow_measure.go
+++ b/cmd/sparnotch-bench/hollow_measure.go
@@ -11,20 +11,21 @@
 	"sparnotch/internal/capacity"
 )
 
-// Roles of measurements besides those of processes.
+// Roles that measurements have in addition to the roles of processes.
 const (
 	roleLeader = "leader" // a storage node that leads queues
 	roleWhole  = "whole"  // the whole deployment
 )
 
-// measurement is one metric of one role in one run: of one process on average, or of
-// the whole deployment.
+// measurement is the value of one metric of one role in one run. It is the mean over the
+// processes of the role, or a value of the whole deployment.
 type measurement struct {
 	role, metric string
 	amount       float64
 }
 
-// toMeasurements gives measurements their place in a sweep.
+// toMeasurements converts the measurements of a run to those of a sweep, with the dimension,
+// its level and the number of the repeat.
 func toMeasurements(dimension string, level float64, repeat int, list []measurement) []capacity.Measurement {
 	var measurements []capacity.Measurement
 	for _, m := range list {
@@ -33,22 +34,24 @@
 	return measurements
 }
 
-// measure measures all processes over a span.
+// measure measures all processes for a duration. It returns the measurements sorted by role
+// and metric.
 func (d *hollowDeployment) measure(ctx context.Context, span time.Duration) ([]measurement, error) {
 	before, err := d.requestAll(requestReset)
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	sleep(ctx, span)
 	after, err := d.requestAll(requestRead)
 	if err != nil {
 		return nil, err
 	}
-	sums := newMeasureSums(time.Since(began).Seconds())
+	sums := newMeasureSums(time.Since(startedAt).Seconds())
 	for k, p := range d.processes {
 		role := p.role
-		// A leader's load differs from that of the other storage nodes.
+		// A leader has a different load from the other storage nodes, so it has a role of
+		// its own.
 		if role == roleStorage && after[k].State != nil && ledQueues(after[k].State) > 0 {
 			role = roleLeader
 		}
@@ -61,55 +64,58 @@
 	return list, ctx.Err()
 }
 
-// roleSums are totals over the processes of one role; rates are per second.
+// roleSums holds totals over the processes of one role. The processor time is in thousandths
+// of a core and the memory in MB. The messages, bytes and syncs are rates per second, and the
+// lost messages are a count.
 type roleSums struct {
-	processes                                            int
+	processes                                            int // number of nodes in these processes
 	cpu, rss, sent, received, out, in, disk, syncs, lost float64
 }
 
-// measureSums adds up what all processes have done between two reports.
+// measureSums adds up the activity of all processes between two reports.
 type measureSums struct {
-	seconds        float64
-	roles          map[string]*roleSums
-	whole          map[string]float64 // by metric
-	start, confirm *hdrhistogram.Histogram
+	seconds        float64                 // between the reports
+	roles          map[string]*roleSums    // by role
+	whole          map[string]float64      // by metric
+	start, confirm *hdrhistogram.Histogram // latencies of task starts and confirmations, in microseconds
 }
 
 func newMeasureSums(seconds float64) *measureSums {
 	return &measureSums{seconds: seconds, roles: map[string]*roleSums{}, whole: map[string]float64{}, start: newHistogram(), confirm: newHistogram()}
 }
 
-// add adds one process.
-func (s *measureSums) add(role string, a, b *processReport) {
+// add adds the activity of one process of a role between two of its reports.
+func (s *measureSums) add(role string, before, after *processReport) {
 	sums := s.roles[role]
 	if sums == nil {
 		sums = &roleSums{}
 		s.roles[role] = sums
 	}
-	cpuMilli := float64(b.CPUUs-a.CPUUs) / 1000 / s.seconds
-	sums.processes += b.Processes
+	cpuMilli := float64(after.CPUUs-before.CPUUs) / 1000 / s.seconds
+	sums.processes += after.Processes
 	sums.cpu += cpuMilli
-	sums.rss += float64(b.RssBytes) / (1 << 20)
-	sums.sent += float64(b.Wire.Sent-a.Wire.Sent) / s.seconds
-	sums.received += float64(b.Wire.Received-a.Wire.Received) / s.seconds
-	sums.out += float64(b.Wire.Bytes-a.Wire.Bytes) / s.seconds
-	sums.in += float64(b.Wire.BytesIn-a.Wire.BytesIn) / s.seconds
-	sums.disk += float64(b.StorageBytes-a.StorageBytes) / s.seconds
-	sums.syncs += float64(b.Syncs-a.Syncs) / s.seconds
-	sums.lost += float64(b.LostMessages - a.LostMessages + b.Wire.Lost - a.Wire.Lost)
+	sums.rss += float64(after.RssBytes) / (1 << 20)
+	sums.sent += float64(after.Wire.Sent-before.Wire.Sent) / s.seconds
+	sums.received += float64(after.Wire.Received-before.Wire.Received) / s.seconds
+	sums.out += float64(after.Wire.Bytes-before.Wire.Bytes) / s.seconds
+	sums.in += float64(after.Wire.BytesIn-before.Wire.BytesIn) / s.seconds
+	sums.disk += float64(after.StorageBytes-before.StorageBytes) / s.seconds
+	sums.syncs += float64(after.Syncs-before.Syncs) / s.seconds
+	sums.lost += float64(after.LostMessages - before.LostMessages + after.Wire.Lost - before.Wire.Lost)
 	s.whole["cpu_milli"] += cpuMilli
-	s.whole["starts_s"] += float64(b.Started-a.Started) / s.seconds
-	s.whole["accepted_s"] += float64(b.Accepted-a.Accepted) / s.seconds
-	s.whole["refused_s"] += float64(b.Refused-a.Refused) / s.seconds
-	s.whole["running"] += float64(b.Running)
-	s.start.Merge(hdrhistogram.Import(b.Start))
-	s.confirm.Merge(hdrhistogram.Import(b.Confirm))
-	if b.State != nil {
-		s.addState(b)
+	s.whole["starts_s"] += float64(after.Started-before.Started) / s.seconds
+	s.whole["accepted_s"] += float64(after.Accepted-before.Accepted) / s.seconds
+	s.whole["refused_s"] += float64(after.Refused-before.Refused) / s.seconds
+	s.whole["running"] += float64(after.Running)
+	s.start.Merge(hdrhistogram.Import(after.Start))
+	s.confirm.Merge(hdrhistogram.Import(after.Confirm))
+	if after.State != nil {
+		s.addState(after)
 	}
 }
 
-// addState adds the size of a storage node's state: the largest of the nodes counts.
+// addState records the size of a storage node's state. Of each metric, the largest value of
+// all nodes counts.
 func (s *measureSums) addState(report *processReport) {
 	entries, live, retained := 0.0, 0.0, 0.0
 	for _, group := range report.State.Groups {
@@ -120,7 +126,8 @@
 	s.whole["live_jobs"], s.whole["kept_jobs"] = max(s.whole["live_jobs"], live), max(s.whole["kept_jobs"], retained)
 }
 
-// ofRoles are the averages over the processes of each role.
+// ofRoles returns the metrics of each role: means over its nodes, and the total of lost
+// messages.
 func (s *measureSums) ofRoles() []measurement {
 	var list []measurement
 	for role, sums := range s.roles {
@@ -137,7 +144,7 @@
 	return list
 }
 
-// ofWhole are the totals over all processes, and the quantiles of latencies.
+// ofWhole returns the totals over all processes and the quantiles of the latencies.
 func (s *measureSums) ofWhole() []measurement {
 	var list []measurement
 	for metric, amount := range s.whole {
@@ -155,7 +162,8 @@
 	return list
 }
 
-// ofConfig are the latencies of configuration changes.
+// ofConfig returns the median and the maximum of the latencies of configuration changes. The
+// metric plan_missed is 1 when some agent node has missed a revision.
 func (d *hollowDeployment) ofConfig(reports []*processReport) []measurement {
 	latency, complete := d.configLatency(reports)
 	if latency.TotalCount() == 0 {
@@ -172,9 +180,10 @@
 	}
 }
 
-// configLatency is the time from each configuration's request until the last agent node
-// has it. It also reports whether every agent node has had each revision: one that a
-// node skipped for a newer one isn't counted.
+// configLatency returns the latencies of configurations, each from the request until the
+// last agent node has received that revision. It also reports whether every agent node has
+// received each revision. A node may skip a revision when it receives a newer one; the
+// latency of such a revision isn't counted.
 func (d *hollowDeployment) configLatency(reports []*processReport) (latency *hdrhistogram.Histogram, complete bool) {
 	latency, complete = newHistogram(), true
 	applied, seen, seenBy := map[uint64]int64{}, map[uint64]int64{}, map[uint64]int{}
@@ -188,7 +197,8 @@
 		}
 	}
 	for revision, at := range applied {
-		// The first revisions are applied while the agent nodes still start.
+		// The first revision is applied while the agent nodes are still starting. Those
+		// that no agent node has received can't be measured.
 		if revision <= 1 || seen[revision] == 0 {
 			continue
 		}
--- a/cmd/sparnotch-bench/hollow_nodes.go
+++ b/cmd/sparnotch-bench/hollow_nodes.go
@@ -19,13 +19,14 @@
 
 const (
 	shutdownTimeoutUs = 1_000_000
-	controllerName    = "controller" // of the component
+	controllerName    = "controller" // name of the component
 )
 
-// hollowResources are those of each worker: 64 cores and 128 GB.
+// hollowResources is the capacity of each worker: 64 cores and 128 GB.
 var hollowResources = hollow.Resources{Cores: 64_000, Memory: 128_000}
 
-// startNodes starts storage or gateway nodes, which are complete.
+// startNodes starts storage or gateway nodes. Unlike the agent nodes, these are complete
+// nodes.
 func (p *hollowProcess) startNodes(hasStorage bool) error {
 	for k := p.first; k < p.first+p.count; k++ {
 		settings := &schema.Settings{
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// hollowEffects sends the messages of a hollow node's components.
+// hollowEffects sends the messages of the components of a hollow node.
 type hollowEffects struct {
 	network *transport.Transport
 	members *membership.AddressBook
@@ -59,13 +60,14 @@
 func (e *hollowEffects) Notify(component string, body any)      { e.loop.Notify(component, body) }
 func (e *hollowEffects) Respond(request uint64, body any)       {}
 
+// deliver passes a message from the network to the components that it is for.
 func (e *hollowEffects) deliver(from string, body any) {
 	for _, component := range hollow.ComponentsFor(body) {
 		e.loop.Post(component, eventloop.Message{From: from, Body: body})
 	}
 }
 
-// startAgents starts hollow agent nodes.
+// startAgents starts the hollow agent nodes of this process.
 func (p *hollowProcess) startAgents(ctx context.Context) error {
 	for k := p.first; k < p.first+p.count; k++ {
 		if err := p.startAgent(ctx, k); err != nil {
@@ -75,7 +77,8 @@
 	return nil
 }
 
-// startAgent starts an agent node with the controller's components and a hollow agent.
+// startAgent starts the hollow agent node with the index k. It has the components of a real
+// agent node, the controller among them, but a hollow agent.
 func (p *hollowProcess) startAgent(ctx context.Context, k int) error {
 	host := firstAgentHost + k
 	clock := eventloop.RealClock()
@@ -90,7 +93,8 @@
 	effects := &hollowEffects{members: members, loop: loop}
 	loop.Outbound = effects
 	for _, slot := range process.AgentNodeComponents(config) {
-		// A node that is no controller candidate has only its agent and the membership.
+		// A node that isn't a controller candidate has a StatePoller in place of the
+		// controller.
 		if slot.Name == controllerName && p.config.Controllers > 0 && k >= p.config.Controllers {
 			loop.Add(slot.Name, &hollow.StatePoller{}, hollow.StatePollInterval)
 			continue
@@ -108,7 +112,8 @@
 	return nil
 }
 
-// newAgent makes a hollow agent whose worker's events are counted.
+// newAgent returns a hollow agent for the agent node with the index k. Its hooks count the
+// events of its worker.
 func (p *hollowProcess) newAgent(now eventloop.Micros, k int, seed uint64) *hollow.Agent {
 	hooks := hollow.Hooks{
 		OnStart: func(_ eventloop.Micros, job string, _, _ uint32) {
--- a/cmd/sparnotch-bench/hollow_process.go
+++ b/cmd/sparnotch-bench/hollow_process.go
@@ -29,46 +29,48 @@
 	stateTimeout       = eventloop.Second
 )
 
-// newHistogram holds microseconds up to a minute, with three significant figures.
+// newHistogram returns a histogram of microseconds, up to one minute, with three significant
+// figures.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxHistogramMicros, 3) }
 
-// recordMicros records a time, limited to the histogram's range.
+// recordMicros records a duration in a histogram, limited to the range of the histogram.
 func recordMicros(histogram *hdrhistogram.Histogram, micros int64) {
 	_ = histogram.RecordValue(min(max(micros, 1), maxHistogramMicros))
 }
 
-// processReport is what a process of a hollow deployment reports, as JSON, for each line
-// on its standard input. Counters grow from its start; times of the wall clock are in
-// microseconds since 1970.
+// processReport is the answer of a process of a hollow deployment to a request. It is
+// written as JSON. Counters start at 0 when the process starts. Points in time are read
+// from the wall clock, in microseconds since 1970.
 type processReport struct {
-	Processes     int // nodes that it runs
-	CPUUs         int64
-	RssBytes      int64
-	Wire          transport.Counts
-	StorageBytes  uint64
-	Syncs         uint64
-	LostMessages  uint64
-	Started       uint64 // tasks
-	Running       int64
-	Accepted      uint64 // jobs
-	Refused       uint64
+	Processes     int                    // number of nodes in the process
+	CPUUs         int64                  // processor time used
+	RssBytes      int64                  // resident memory
+	Wire          transport.Counts       // of all nodes together
+	StorageBytes  uint64                 // bytes written to storage
+	Syncs         uint64                 // syncs of storage
+	LostMessages  uint64                 // messages that components have lost
+	Started       uint64                 // task starts
+	Running       int64                  // tasks that run now
+	Accepted      uint64                 // accepted jobs
+	Refused       uint64                 // submissions that were refused or not answered
 	Start         *hdrhistogram.Snapshot // microseconds from a job's submission to a task's start
 	Confirm       *hdrhistogram.Snapshot // microseconds from a job's submission to its confirmation
-	RecentStarts  []taskStart
-	ConfigSeen    map[uint64]int64       // by revision, when the last node here got it
-	ConfigSeenBy  map[uint64]int         // by revision, how many nodes here have got it
-	ConfigApplied map[uint64]int64       // by revision, when its request was sent
-	State         *replica.NodeStateView `json:",omitempty"` // of a storage node
+	RecentStarts  []taskStart            // the latest task starts, at most maxRecentStarts
+	ConfigSeen    map[uint64]int64       // by revision: time when the last of the process's nodes received it
+	ConfigSeenBy  map[uint64]int         // by revision: number of the process's nodes that have received it
+	ConfigApplied map[uint64]int64       // by revision: time when the request to apply it was sent
+	State         *replica.NodeStateView `json:",omitempty"` // of a storage node; nil: not available
 }
 
-// taskStart is a task's start, by the wall clock.
+// taskStart holds the times of a job's submission and of the start of one of its tasks, in
+// microseconds since 1970.
 type taskStart struct{ SubmittedAt, StartedAt int64 }
 
-// hollowProcess is one process of a hollow deployment: some nodes, or the clients.
+// hollowProcess is one process of a hollow deployment, with some of its nodes or its clients.
 type hollowProcess struct {
 	config    *hollowConfig
-	first     int // node
-	count     int // of nodes
+	first     int // index of its first node
+	count     int // number of its nodes
 	processes []*process.Node
 	networks  []*transport.Transport
 	loops     []*eventloop.Loop
@@ -78,7 +80,7 @@
 	accepted atomic.Uint64
 	refused  atomic.Uint64
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the fields below, which processReport explains
 	start         *hdrhistogram.Histogram
 	confirm       *hdrhistogram.Histogram
 	recentStarts  []taskStart
@@ -87,7 +89,8 @@
 	configApplied map[uint64]int64
 }
 
-// runHollowProcess runs a process of a role until its standard input ends.
+// runHollowProcess runs this process in a role of a hollow deployment. It writes a report for
+// each line on its standard input, until that ends.
 func runHollowProcess(ctx context.Context, config *hollowConfig, role string, first, count int) error {
 	p := &hollowProcess{
 		config: config, first: first, count: count, start: newHistogram(), confirm: newHistogram(),
@@ -120,6 +123,7 @@
 	return nil
 }
 
+// startRole starts the nodes or the clients of a role.
 func (p *hollowProcess) startRole(ctx context.Context, role string) error {
 	switch role {
 	case roleStorage, roleGateway:
@@ -131,7 +135,7 @@
 		go p.changeConfig(ctx)
 		return nil
 	}
-	return fmt.Errorf("part: %q is none of %s, %s, %s, %s", role, roleStorage, roleGateway, roleAgent, roleClient)
+	return fmt.Errorf("part: %q is not one of the roles %s, %s, %s and %s", role, roleStorage, roleGateway, roleAgent, roleClient)
 }
 
 func (p *hollowProcess) resetHistograms() {
@@ -141,8 +145,8 @@
 	p.confirm.Reset()
 }
 
-// recordStart records a task's start. Clients write the time of submission into the
-// job's name, the only field of theirs that reaches the worker.
+// recordStart records the start of a task. The job's name contains the time of its
+// submission, because the name is the only field set by the client that reaches the worker.
 func (p *hollowProcess) recordStart(job string) {
 	p.started.Add(1)
 	submittedAt, err := strconv.ParseInt(job[strings.LastIndex(job, "-")+1:], 10, 64)
@@ -159,7 +163,7 @@
 	}
 }
 
-// recordConfig records that a node has got a revision of the configuration.
+// recordConfig records that a node has received a revision of the configuration.
 func (p *hollowProcess) recordConfig(revision uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,6 +171,7 @@
 	p.configSeenBy[revision]++
 }
 
+// report returns the current report of this process.
 func (p *hollowProcess) report(ctx context.Context) *processReport {
 	r := &processReport{Processes: p.count}
 	r.addResources()
@@ -195,7 +200,8 @@
 	return r
 }
 
-// addResources adds the processor time and the memory of this process.
+// addResources sets the processor time and the resident memory of this process. It leaves
+// out a value that can't be read.
 func (r *processReport) addResources() {
 	var used syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &used) == nil {
@@ -211,17 +217,19 @@
 	}
 }
 
-func (r *processReport) addWire(c transport.Counts) {
-	r.Wire.Sent += c.Sent
-	r.Wire.Received += c.Received
-	r.Wire.Bytes += c.Bytes
-	r.Wire.BytesIn += c.BytesIn
-	r.Wire.Lost += c.Lost
-	r.Wire.Dials += c.Dials
-	r.Wire.Malformed += c.Malformed
+// addWire adds the counts of one node's transport.
+func (r *processReport) addWire(counts transport.Counts) {
+	r.Wire.Sent += counts.Sent
+	r.Wire.Received += counts.Received
+	r.Wire.Bytes += counts.Bytes
+	r.Wire.BytesIn += counts.BytesIn
+	r.Wire.Lost += counts.Lost
+	r.Wire.Dials += counts.Dials
+	r.Wire.Malformed += counts.Malformed
 }
 
-// addLost adds the messages that components have lost, by component.
+// addLost adds the numbers of messages that components have lost. The map's keys are the
+// names of the components.
 func (r *processReport) addLost(lost map[string]uint64) {
 	for _, count := range lost {
 		r.LostMessages += count
--- a/cmd/sparnotch-bench/hollow_test.go
+++ b/cmd/sparnotch-bench/hollow_test.go
@@ -8,9 +8,9 @@
 
 func TestHollowConfig(t *testing.T) {
 	Convey("The error of a hollow deployment's configuration names the field", t, func() {
-		good := defaultHollowConfig()
-		So(good.check(), ShouldBeNil)
-		for field, spoil := range map[string]func(*hollowConfig){
+		valid := defaultHollowConfig()
+		So(valid.check(), ShouldBeNil)
+		for field, invalidate := range map[string]func(*hollowConfig){
 			"net":         func(s *hollowConfig) { s.Net = "10.0" },
 			"workers":     func(s *hollowConfig) { s.Workers = 0 },
 			"fronts":      func(s *hollowConfig) { s.Gateways = -1 },
@@ -28,10 +28,10 @@
 			"shares":      func(s *hollowConfig) { s.AgentProcesses = 0 },
 			"sync_us":     func(s *hollowConfig) { s.SyncUs = -1 },
 		} {
-			bad := defaultHollowConfig()
-			spoil(&bad)
-			So(bad.check(), ShouldNotBeNil)
-			So(bad.check().Error(), ShouldStartWith, field)
+			invalid := defaultHollowConfig()
+			invalidate(&invalid)
+			So(invalid.check(), ShouldNotBeNil)
+			So(invalid.check().Error(), ShouldStartWith, field)
 		}
 	})
 	Convey("All nodes have different addresses", t, func() {
@@ -76,7 +76,7 @@
 		}
 		latency, complete := deployment.configLatency(reports)
 		So(latency.TotalCount(), ShouldEqual, 1)
-		So(latency.Max(), ShouldAlmostEqual, 3000, 3) // a histogram holds three figures
+		So(latency.Max(), ShouldAlmostEqual, 3000, 3) // the histogram keeps three significant figures
 		So(complete, ShouldBeFalse)
 	})
 }
--- a/cmd/sparnotch-bench/load_balancer.go
+++ b/cmd/sparnotch-bench/load_balancer.go
@@ -24,11 +24,11 @@
 	maxResponseBytes = 16 << 20
 )
 
-// loadBalancer routes clients to gateway nodes, as the users' platform does: by zone,
-// and by each node's readiness.
+// loadBalancer chooses gateway nodes for clients by their zone and readiness, as the users'
+// platform does.
 type loadBalancer struct {
 	client    *http.Client
-	mu        sync.Mutex // guards the rest
+	mu        sync.Mutex // guards the fields below, and those of the endpoints
 	endpoints []*endpoint
 	rng       *rand.Rand
 }
@@ -38,9 +38,9 @@
 	address      string
 	zone         string
 	isReady      bool
-	probes       int
-	readyProbes  int
-	failedProbes int // without an answer in time
+	probes       int // number of requests for its readiness
+	readyProbes  int // number of these that it answered as ready
+	failedProbes int // number of these without an answer in time
 }
 
 func newLoadBalancer(endpoints []*endpoint) *loadBalancer {
@@ -48,7 +48,7 @@
 	return &loadBalancer{client: &http.Client{Transport: transport}, endpoints: endpoints, rng: rand.New(rand.NewPCG(7, 7))}
 }
 
-// parseEndpoints reads addresses, joined by commas.
+// parseEndpoints parses addresses, separated by commas, and returns ready endpoints of a zone.
 func parseEndpoints(addresses, zone string) []*endpoint {
 	var endpoints []*endpoint
 	for _, address := range strings.Split(addresses, ",") {
@@ -59,8 +59,7 @@
 	return endpoints
 }
 
-// probe asks all gateway nodes for their readiness, every second, until the context
-// ends.
+// probe checks the readiness of all gateway nodes every second until the context ends.
 func (b *loadBalancer) probe(ctx context.Context) {
 	every(ctx, probeInterval, func() {
 		b.mu.Lock()
@@ -85,8 +84,8 @@
 	}
 }
 
-// discover asks the gateway nodes for the others until the context ends, so that a
-// client needs to know only a few at its start.
+// discover requests the list of all gateway nodes from one of them at an interval until the
+// context ends. A client therefore needs to know only a few gateway nodes at its start.
 func (b *loadBalancer) discover(ctx context.Context) {
 	every(ctx, discoverInterval, func() {
 		_, data, err := b.call(ctx, discoverTimeout, "GET", b.pick(""), "/v1/fronts", nil, "")
@@ -111,7 +110,9 @@
 	})
 }
 
-// pick chooses a ready gateway node of the zone, else any ready one, else any.
+// pick returns the address of a random ready gateway node in the zone. If there is none, it
+// chooses among the ready nodes of all zones, and then among all nodes. Without any node it
+// returns an empty string.
 func (b *loadBalancer) pick(zone string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -134,26 +135,26 @@
 
 // httpReply is the answer to an HTTP request.
 type httpReply struct {
-	code       int32
+	code       int32 // HTTP status
 	body       []byte
-	retryAfter time.Duration
+	retryAfter time.Duration // value of the header Retry-After; 0: none
 }
 
 // request is one HTTP request to a gateway node.
 type request struct {
 	method, address, path string
 	body                  []byte
-	client                string // name of the client; empty: none is given
-	key                   string // of a tenant; empty: it carries none
+	client                string // name of the client; empty: the request names none
+	key                   string // of a tenant; empty: the request carries none
 }
 
-// call is send without the retry delay.
+// call sends a request without a key. It returns the HTTP status and the body of the answer.
 func (b *loadBalancer) call(ctx context.Context, timeout time.Duration, method, address, path string, body []byte, client string) (int32, []byte, error) {
 	reply, err := b.send(ctx, timeout, request{method: method, address: address, path: path, body: body, client: client})
 	return reply.code, reply.body, err
 }
 
-// key implements requester: these clients have none.
+// key implements requester. These clients have no key.
 func (b *loadBalancer) key() string { return "" }
 
 // send implements requester.
@@ -161,7 +162,7 @@
 	return r.send(ctx, b.client, timeout)
 }
 
-// send sends the request and reads the whole answer.
+// send sends the request and returns the whole answer.
 func (r *request) send(ctx context.Context, client *http.Client, timeout time.Duration) (httpReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/cmd/sparnotch-bench/main.go
+++ b/cmd/sparnotch-bench/main.go
@@ -1,6 +1,6 @@
-// Command sparnotch-bench tests and measures the product: it runs fake workers, clients
-// and operators against a fleet, a whole fleet on one machine with faults, hollow
-// deployments for scalability, and the simulator. It is never deployed.
+// Command sparnotch-bench tests and measures the product. It runs fake workers, clients
+// and operators against a fleet, whole fleets with faults on one machine, hollow
+// deployments for measurements of scalability, and the simulator. It is never deployed.
 package main
 
 import (
--- a/cmd/sparnotch-bench/operator.go
+++ b/cmd/sparnotch-bench/operator.go
@@ -15,18 +15,19 @@
 
 const (
 	operatorTimeout = 5 * time.Second
-	operatorRetry   = 200 * time.Millisecond
+	operatorRetry   = 200 * time.Millisecond // between two attempts
 	configPath      = "/v1/plan"
 )
 
-// configUpdate is the body of a request that applies a configuration.
+// configUpdate is the body of a request to apply a configuration.
 type configUpdate struct {
-	Generation uint64                     `json:"generation"`
+	Generation uint64                     `json:"generation"` // revision that the update is based on
 	Rows       []*schema.ConfigurationRow `json:"rows"`
 }
 
-// applyConfig applies a configuration on top of the current one, with retries until it
-// is accepted or the context ends, and records each attempt.
+// applyConfig replaces the current configuration by another one and records each attempt. It
+// reads the current revision and tries again until the configuration is accepted or the
+// context ends.
 func applyConfig(ctx context.Context, balancer *loadBalancer, h *history, operator string, rows []*schema.ConfigurationRow) error {
 	var last string
 	for ctx.Err() == nil {
@@ -45,11 +46,11 @@
 		last = fmt.Sprint(code, " ", string(data), err)
 		sleep(ctx, operatorRetry)
 	}
-	return fmt.Errorf("the configuration was not accepted: %s", last)
+	return fmt.Errorf("the configuration was not accepted; the last answer was: %s", last)
 }
 
-// applyOnce sends a configuration built on a revision, and records what is answered;
-// code 0 means no answer.
+// applyOnce sends a configuration based on a revision once and records the answer. It
+// returns the HTTP status, or 0 when there was no answer, and the body of the answer.
 func applyOnce(ctx context.Context, balancer *loadBalancer, h *history, operator, address string, revision uint64, rows []*schema.ConfigurationRow) (int32, []byte, error) {
 	sentAt := h.now()
 	h.add(checker.Event{At: sentAt, Kind: checker.ConfigurationSent, Actor: operator, Rows: rows})
@@ -68,7 +69,8 @@
 	return code, data, err
 }
 
-// putConfiguration sends a configuration built on a revision.
+// putConfiguration sends a configuration based on a revision. It returns the HTTP status and
+// the body of the answer.
 func putConfiguration(ctx context.Context, balancer *loadBalancer, address string, revision uint64, rows []*schema.ConfigurationRow) (int32, []byte, error) {
 	body, err := json.Marshal(configUpdate{revision, rows})
 	if err != nil {
@@ -77,8 +79,8 @@
 	return balancer.call(ctx, operatorTimeout, "PUT", address, configPath, body, "")
 }
 
-// readConfig records which configuration a gateway node shows, and reports whether it shows
-// one.
+// readConfig reads the configuration from a gateway node and records the answer. It reports
+// whether the node returned a configuration.
 func readConfig(ctx context.Context, balancer *loadBalancer, h *history, address string) bool {
 	sentAt := h.now()
 	code, data, err := balancer.call(ctx, requestTimeout, "GET", address, configPath, nil, "")
--- a/cmd/sparnotch-bench/profiler.go
+++ b/cmd/sparnotch-bench/profiler.go
@@ -5,13 +5,13 @@
 	"runtime/pprof"
 )
 
-// cpuProfiler writes a processor profile while something is measured; without a path
-// it does nothing.
+// cpuProfiler writes a processor profile to a file. Without a path it does nothing.
 type cpuProfiler struct {
 	path string
-	file *os.File
+	file *os.File // nil: no profile is being written
 }
 
+// start begins a profile.
 func (p *cpuProfiler) start() error {
 	if p.path == "" {
 		return nil
@@ -24,6 +24,7 @@
 	return pprof.StartCPUProfile(file)
 }
 
+// stop ends the profile, if there is one, and closes the file.
 func (p *cpuProfiler) stop() {
 	if p.file != nil {
 		pprof.StopCPUProfile()
--- a/cmd/sparnotch-bench/sweep.go
+++ b/cmd/sparnotch-bench/sweep.go
@@ -22,12 +22,14 @@
 	"sparnotch/internal/sim"
 )
 
-// sweeps are the dimensions that can be swept, each with how its value is set.
+// sweeps contains the dimensions that can be swept, each with a function that sets its value
+// in a configuration.
 var sweeps = map[string]func(s *hollowConfig, value float64){
 	"workers": func(s *hollowConfig, value float64) { s.Workers = int(value) },
 	"queues":  func(s *hollowConfig, value float64) { s.Queues = int(value) },
 	"starts":  func(s *hollowConfig, value float64) { s.StartsPerSecond = value },
-	// Running tasks at the same rate of starts: they take longer.
+	// The number of running tasks is set by the run time of a task, at the same rate of
+	// task starts.
 	"running":     func(s *hollowConfig, value float64) { s.RunUs = int64(value / s.StartsPerSecond * 1e6) },
 	"width":       func(s *hollowConfig, value float64) { s.Width, s.Gang = int(value), true },
 	"changes":     func(s *hollowConfig, value float64) { s.ChangesPerMinute = value },
@@ -48,67 +50,70 @@
 	return names
 }
 
-// sweepCommand runs a hollow deployment at several values of one dimension.
+// sweepCommand implements the subcommand slope, which measures a hollow deployment at several
+// values of one dimension.
 type sweepCommand struct {
 	config     hollowConfig
-	size, over string
-	out        string
+	size, over string // dimension, and its values separated by commas
+	out        string // folder for the results
 	repeats    int
-	warm, span time.Duration
+	warm, span time.Duration // how long each deployment runs before the measurement, and during it
 	killLeader bool
 	simulated  bool
-	lose       string
+	lose       string // kind of loss at the end of each simulated run; empty: none
 }
 
 func (*sweepCommand) Name() string { return "slope" }
 func (*sweepCommand) Synopsis() string {
-	return "sweep one dimension of a hollow deployment, and fit what each role costs"
+	return "measure a hollow deployment at several values of one dimension, and fit a curve to each metric of each role"
 }
 func (*sweepCommand) Usage() string {
-	return `sparnotch-bench slope -size workers -over 12,24,48,96 [-repeats 3] [-out FOLDER] [any of hollow's sizes]
-  Runs a hollow deployment at each value, as often as repeats says, in rounds (all
-  values, then all again, so that other load on the machine doesn't affect one
-  value alone). Appends to FOLDER/SIZE.csv, draws FOLDER/SIZE.png, and prints the
-  fits. Sizes: ` + strings.Join(sweepNames(), ", ") + `.
-  Exit codes: 0 measured, 1 a run didn't come up, 2 bad flags (the field is named).
+	return `sparnotch-bench slope -size workers -over 12,24,48,96 [-repeats 3] [-out FOLDER] [flags of the subcommand hollow]
+  Runs a hollow deployment at each value, repeatedly. A repeat runs all values once
+  before the next repeat begins, so that other load on the machine doesn't affect one
+  value alone. Appends to FOLDER/SIZE.csv, draws FOLDER/SIZE.png, and prints the
+  fitted curves. Sizes: ` + strings.Join(sweepNames(), ", ") + `.
+  Exit codes: 0 measured, 1 a run failed, 2 invalid flags (the message names the
+  field).
 `
 }
 
 func (c *sweepCommand) SetFlags(set *flag.FlagSet) {
 	c.config.register(set)
-	set.StringVar(&c.size, "size", "", "what is swept")
-	set.StringVar(&c.over, "over", "", "its values, joined by commas")
+	set.StringVar(&c.size, "size", "", "dimension to sweep")
+	set.StringVar(&c.over, "over", "", "values of the dimension, separated by commas")
 	set.StringVar(&c.out, "out", ".", "folder for the CSV and the plot")
-	set.IntVar(&c.repeats, "repeats", 3, "runs at each value; 0: only fit and draw what the file holds")
-	set.DurationVar(&c.warm, "warm", 5*time.Second, "let each run so long first")
-	set.DurationVar(&c.span, "span", 10*time.Second, "how long each is measured")
-	set.BoolVar(&c.simulated, "virtual", false, "in the simulator: messages, bytes and recovery in virtual time, beyond what one machine can run")
-	set.IntVar(&c.config.Regions, "regions", 1, "with -virtual: regions, to which zones belong in turn")
-	set.Int64Var(&c.config.RegionDelayUs, "far_us", 6000, "with -virtual: one-way delay between regions")
-	set.StringVar(&c.lose, "lose", "", "with -virtual: what is lost at the end: "+strings.Join(losses, ", "))
-	set.BoolVar(&c.killLeader, "kill", false, "kill the leader at the end of each, and measure the recovery")
+	set.IntVar(&c.repeats, "repeats", 3, "runs at each value; 0: only fit and draw the measurements in the file")
+	set.DurationVar(&c.warm, "warm", 5*time.Second, "how long each deployment runs before it is measured")
+	set.DurationVar(&c.span, "span", 10*time.Second, "how long each deployment is measured")
+	set.BoolVar(&c.simulated, "virtual", false, "run in the simulator: messages, bytes and recovery in virtual time, for deployments that one machine can't run")
+	set.IntVar(&c.config.Regions, "regions", 1, "with -virtual: number of regions, to which the zones are assigned in turn")
+	set.Int64Var(&c.config.RegionDelayUs, "far_us", 6000, "with -virtual: one-way delay between regions, in microseconds")
+	set.StringVar(&c.lose, "lose", "", "with -virtual: what is lost at the end of each run: "+strings.Join(losses, ", "))
+	set.BoolVar(&c.killLeader, "kill", false, "kill the leader at the end of each run and measure the recovery")
 }
 
-// values reads the swept values, and checks the configuration at each.
+// values returns the swept values. It returns an error that names the first invalid flag, and
+// checks the configuration at each value.
 func (c *sweepCommand) values() ([]float64, error) {
 	set, found := sweeps[c.size]
 	if !found {
-		return nil, fmt.Errorf("size: %q is none of %s", c.size, strings.Join(sweepNames(), ", "))
+		return nil, fmt.Errorf("size: %q is not one of %s", c.size, strings.Join(sweepNames(), ", "))
 	}
 	if c.repeats < 0 || c.repeats > 100 {
 		return nil, errors.New("repeats: must lie between 0 and 100")
 	}
 	if c.span <= 0 || c.warm < 0 {
-		return nil, errors.New("span and warm: must be above 0")
+		return nil, errors.New("span and warm: span must be above 0, and warm must not be negative")
 	}
 	if !c.simulated && (c.lose != "" || c.config.Regions != 1 || c.size == "far") {
-		return nil, errors.New("lose, regions and the size far: only with -virtual")
+		return nil, errors.New("lose, regions and the size far: are allowed only with -virtual")
 	}
 	if c.simulated && c.killLeader {
-		return nil, errors.New("kill: with -virtual it is called lose")
+		return nil, errors.New("kill: is not allowed with -virtual, which has the flag lose instead")
 	}
 	if c.lose != "" && !slices.Contains(losses, c.lose) {
-		return nil, fmt.Errorf("lose: %q is none of %s", c.lose, strings.Join(losses, ", "))
+		return nil, fmt.Errorf("lose: %q is not one of %s", c.lose, strings.Join(losses, ", "))
 	}
 	var list []float64
 	for _, text := range strings.Split(c.over, ",") {
@@ -133,7 +138,7 @@
 	}
 	values, err := c.values()
 	if err == nil && set.NArg() > 0 {
-		err = fmt.Errorf("%s: is not a flag", set.Arg(0))
+		err = fmt.Errorf("%s: this argument is not a flag", set.Arg(0))
 	}
 	if err != nil {
 		return fail(2, err)
@@ -162,15 +167,16 @@
 	return 0
 }
 
-// sweep runs at each value as often as wanted, adds to the measurements, and writes the
-// file after each run. Repeats are numbered on from those in the file. It reports
-// whether all runs came up: one that didn't is a finding too, and the rest goes on.
+// sweep measures a deployment at each value in each repeat. It returns the given measurements
+// together with the new ones, and writes all to the file after each run. The numbers of
+// repeats continue those in the file. It also reports whether all runs succeeded. A failed
+// run is a result too, so sweep prints its error and continues.
 func (c *sweepCommand) sweep(ctx context.Context, path string, values []float64, measurements []capacity.Measurement) ([]capacity.Measurement, bool, error) {
-	done, complete := 0, true
+	lastRepeat, complete := 0, true
 	for _, m := range measurements {
-		done = max(done, m.Repeat)
+		lastRepeat = max(lastRepeat, m.Repeat)
 	}
-	for repeat := done + 1; repeat <= done+c.repeats; repeat++ {
+	for repeat := lastRepeat + 1; repeat <= lastRepeat+c.repeats; repeat++ {
 		for _, value := range values {
 			config := c.config
 			sweeps[c.size](&config, value)
@@ -194,7 +200,7 @@
 	return measurements, complete, nil
 }
 
-// find is a metric of a role; 0 when there is none.
+// find returns the value of a metric of a role, or 0 when it wasn't measured.
 func find(list []measurement, role, metric string) float64 {
 	for _, m := range list {
 		if m.role == role && m.metric == metric {
@@ -204,15 +210,16 @@
 	return 0
 }
 
-// losses are what a simulated run can lose at its end.
+// losses contains the kinds of losses that a simulated run can have at its end.
 var losses = []string{"node", "worker", "rack", "zone", "region", "link"}
 
-// run runs a deployment once.
+// run measures one deployment, on this machine or in the simulator.
 func (c *sweepCommand) run(ctx context.Context, config hollowConfig, repeat int) ([]measurement, error) {
 	if !c.simulated {
 		return runHollow(ctx, config, measurePlan{c.warm, c.span, c.killLeader})
 	}
-	// The thread's own clock doesn't count other goroutines' work.
+	// The run stays on one thread and measures its processor time, so that the work of
+	// other goroutines isn't counted.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	profiler := &cpuProfiler{}
@@ -235,7 +242,7 @@
 	return list, ctx.Err()
 }
 
-// threadCPU is the processor time of the calling thread, in nanoseconds.
+// threadCPU returns the processor time of the calling thread, in nanoseconds.
 func threadCPU() int64 {
 	var spent unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &spent) != nil {
@@ -244,7 +251,7 @@
 	return spent.Nano()
 }
 
-// plottedMetrics are the metrics of the plot.
+// plottedMetrics returns the metrics that the plot shows.
 func (c *sweepCommand) plottedMetrics() []string {
 	if c.simulated {
 		return []string{"cpu_tables_milli", "sent_s", "bytes_out_s", "bytes_in_s"}
@@ -252,7 +259,7 @@
 	return []string{"cpu_milli", "rss_mb", "sent_s", "bytes_out_s"}
 }
 
-// readIfExists reads measurements from a file; none when there is no such file.
+// readIfExists reads measurements from a file. It returns none if the file doesn't exist.
 func readIfExists(path string) ([]capacity.Measurement, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
