--- a/cmd/sparnotch-bench/report.go
+++ b/cmd/sparnotch-bench/report.go
@@ -19,11 +19,12 @@
 )
 
 const (
-	faultWindow    = 20 * eventloop.Second // after a fault, in reports
-	overloadWindow = 5 * eventloop.Second
+	faultWindow    = 20 * eventloop.Second // time after a fault that a report of the fault covers
+	overloadWindow = 5 * eventloop.Second  // time after the start of an overload that its report covers
 )
 
-// counters are what the gateway nodes have done since their start, by name.
+// counters returns the counters of the gateway nodes since their start, by name. Nodes that
+// don't answer are left out.
 func (f *fleet) counters(ctx context.Context) map[string]process.Counts {
 	counters := map[string]process.Counts{}
 	for _, d := range f.gateways {
@@ -36,7 +37,8 @@
 	return counters
 }
 
-// quantile is in milliseconds; 0 of an empty list.
+// quantile returns a quantile of a list of durations, in milliseconds. Of an empty list it
+// returns 0.
 func quantile(list []eventloop.Micros, q float64) float64 {
 	if len(list) == 0 {
 		return 0
@@ -45,13 +47,15 @@
 	return float64(sorted[int(q*float64(len(sorted)-1))]) / 1000
 }
 
-// quantiles prints three of them, in milliseconds.
+// quantiles formats the 50th, 95th and 99th percentiles of a list of durations, in
+// milliseconds.
 func quantiles(list []eventloop.Micros) string {
 	return fmt.Sprintf("%.1f/%.1f/%.1f", quantile(list, .5), quantile(list, .95), quantile(list, .99))
 }
 
-// completionTimes are, by queue and job type, the times from the first submission of a
-// job to its first task's start and to its last task's end, as the workers saw them.
+// completionTimes returns durations of the jobs that have ended tasks, by queue and job type:
+// first from the first submission of a job to the start of its first task, and last to the
+// end of its last task. The events of the workers give the times of starts and ends.
 func completionTimes(events []checker.Event) (first, last map[string][]eventloop.Micros) {
 	submitted, started, ended := map[string]eventloop.Micros{}, map[string]eventloop.Micros{}, map[string]eventloop.Micros{}
 	types := map[string]string{}
@@ -81,33 +85,34 @@
 	return first, last
 }
 
-// jobTypeName is the type in a job's name, PREFIX-TYPE-NUMBER.
+// jobTypeName returns the job type in a job's name, which has the form PREFIX-TYPE-NUMBER.
 func jobTypeName(name string) string {
 	_, rest, _ := strings.Cut(name, "-")
 	return rest[:max(strings.LastIndex(rest, "-"), 0)]
 }
 
-// report writes the history, prints what a fleet's run has shown, and reports whether
-// no rule was broken and all accepted jobs have ended.
+// report writes the history to a file, checks it, and prints the results of a fleet's run. It
+// returns true if no rule was broken and each job was accepted and ended, or its rejection
+// was final.
 func report(f *fleet, result loadResult, folder string, bounds checker.Tolerances) bool {
 	events := f.history.sorted()
 	if err := f.history.write(filepath.Join(folder, "history.jsonl")); err != nil {
-		fmt.Fprintln(os.Stderr, "sparnotch-bench: writing the history:", err)
+		fmt.Fprintln(os.Stderr, "sparnotch-bench: the history could not be written:", err)
 	}
 	seconds := float64(result.duration) / 1e6
 	fmt.Printf("profile %s, %.1f s of load\n", f.deployment.Name, seconds)
 	accepted, complete := reportJobs(f, events)
-	fmt.Printf("jobs accepted a second: %.2f\n", float64(accepted)/seconds)
+	fmt.Printf("jobs accepted per second: %.2f\n", float64(accepted)/seconds)
 	for _, name := range []string{"server1", "server2", "server3"} {
 		c := result.counters[name]
 		if accepted > 0 {
-			fmt.Printf("%s since its start: %.0f bytes and %.2f syncs an accepted job, %d slots, %d messages sent, %d lost\n",
+			fmt.Printf("%s since its start: %.0f bytes and %.2f syncs per accepted job, %d slots, %d messages sent, %d lost\n",
 				name, float64(c.Storage.Bytes)/float64(accepted), float64(c.Storage.Syncs)/float64(accepted), c.Storage.Slots, c.Transport.Sent, c.Transport.Lost)
 		}
 	}
 	reportUsage(result)
 	for _, e := range f.balancer.endpoints {
-		fmt.Printf("readiness %s: %d of %d, %d without an answer in a second\n", e.address, e.readyProbes, e.probes, e.failedProbes)
+		fmt.Printf("readiness of %s: ready at %d of %d probes, %d probes without an answer within a second\n", e.address, e.readyProbes, e.probes, e.failedProbes)
 	}
 	reportFaults(events)
 	reportOverloads(f, events)
@@ -117,8 +122,8 @@
 	return len(violations) == 0 && complete
 }
 
-// reportJobs prints the counts and times of each job type. It returns how many jobs
-// were accepted, and whether each job was accepted and ended, or rejected for good.
+// reportJobs prints the counts and latencies of each job type. It returns the number of
+// accepted jobs, and whether each job was accepted and ended, or its rejection was final.
 func reportJobs(f *fleet, events []checker.Event) (accepted int, complete bool) {
 	first, last := completionTimes(events)
 	complete = true
@@ -129,11 +134,11 @@
 		complete = complete && s.sent == s.accepted+s.rejected && s.accepted == s.ended
 		fmt.Printf("%-12s %6d %8d %6d   %-26s %-26s %s\n", t.Name, s.sent, s.accepted, s.ended, quantiles(s.confirmTimes), quantiles(first[t.Queue+t.Name]), quantiles(last[t.Queue+t.Name]))
 		if len(s.refusalTimes) > 0 {
-			fmt.Printf("    rejected, or unavailable, after ms %s\n", quantiles(s.refusalTimes))
+			fmt.Printf("    refused submissions: answered after ms 50/95/99 %s\n", quantiles(s.refusalTimes))
 		}
 		for code, count := range s.codes {
 			if code != http.StatusOK && code != http.StatusCreated {
-				fmt.Printf("    %d answers of code %d\n", count, code)
+				fmt.Printf("    %d submissions answered with HTTP status %d (0: no answer)\n", count, code)
 			}
 		}
 	}
@@ -147,20 +152,22 @@
 		used := result.cpuAfter[name] - result.cpuBefore[name]
 		parts = append(parts, fmt.Sprintf("%s %.1f%%", name, 100*float64(used.Microseconds())/float64(result.duration)))
 	}
-	fmt.Println("processor, of one core:", strings.Join(parts, ", "))
+	fmt.Println("processor time, as a share of one core:", strings.Join(parts, ", "))
 }
 
-// reportPeaks prints the peak memory of each node, given in kilobytes.
+// reportPeaks prints the peak memory of each node in MB. The argument has it in kilobytes.
 func reportPeaks(peaks map[string]int) {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(peaks)) {
 		parts = append(parts, fmt.Sprintf("%s %d", name, peaks[name]/1024))
 	}
-	fmt.Println("memory at its peak, MB:", strings.Join(parts, ", "))
+	fmt.Println("peak memory, MB:", strings.Join(parts, ", "))
 }
 
-// reportFaults prints, for each fault, when the first job submitted after it was
-// confirmed, and the longest time without any confirmation from then on.
+// reportFaults prints two times for each fault, within the faultWindow after it. The first is
+// from the fault to the first confirmation of a job that was submitted after it. The second
+// is the longest gap before such a confirmation, measured from the fault or from the
+// confirmation before it.
 func reportFaults(events []checker.Event) {
 	for k, fault := range events {
 		if fault.Kind != checker.Fault {
@@ -189,8 +196,8 @@
 	}
 }
 
-// reportOverloads compares the ordinary clients' confirmation times during a rush or
-// flood with those before it, in the same run.
+// reportOverloads compares the confirmation times of the ordinary load during a rush or flood
+// with the times before it in the same run.
 func reportOverloads(f *fleet, events []checker.Event) {
 	for _, fault := range events {
 		if fault.Kind != checker.Fault || !strings.HasPrefix(fault.State, "a rush") && !strings.HasPrefix(fault.State, "a flood") {
@@ -198,15 +205,16 @@
 		}
 		for _, t := range f.deployment.JobTypes {
 			before, during := confirmations(events, t, 0, fault.At), confirmations(events, t, fault.At, fault.At+overloadWindow)
-			if quiet := quantile(before, .95); quiet > 0 && len(during) > 0 {
-				fmt.Printf("%s while there was %s: %d submissions, confirm 95th %.2f times that of the %d before\n", t.Name, fault.State, len(during), quantile(during, .95)/quiet, len(before))
+			if baseline := quantile(before, .95); baseline > 0 && len(during) > 0 {
+				fmt.Printf("%s during %q: %d submissions, whose 95th percentile of confirmation times was %.2f times that of the %d before\n", t.Name, fault.State, len(during), quantile(during, .95)/baseline, len(before))
 			}
 		}
 	}
 }
 
-// confirmations are the times to confirmation of the ordinary jobs of a type that were
-// first submitted within a time.
+// confirmations returns the times from the first submission to the confirmation of a type's
+// jobs. It includes only jobs of the ordinary load that were first submitted between from and
+// until.
 func confirmations(events []checker.Event, t deployments.JobType, from, until eventloop.Micros) []eventloop.Micros {
 	sent := map[string]eventloop.Micros{}
 	var list []eventloop.Micros
@@ -229,7 +237,7 @@
 	return list
 }
 
-// printViolations prints a line for each; other programs read these lines.
+// printViolations prints a line for each violation. Other programs parse these lines.
 func printViolations(violations []checker.Violation) {
 	for _, violation := range violations {
 		fmt.Println("BROKEN", violation)
--- a/cmd/sparnotch-bench/simulate.go
+++ b/cmd/sparnotch-bench/simulate.go
@@ -19,23 +19,23 @@
 	"sparnotch/internal/sim"
 )
 
-// simulateCommand runs scenarios, fault schedules and days of the simulator, and checks
-// their histories. A run is deterministic by its seed.
+// simulateCommand implements the subcommand simulate, which runs scenarios, fault schedules
+// and whole days in the simulator, and checks their histories. The seed determines a run.
 type simulateCommand struct {
 	scenario, job, history string
-	size                   string
-	faults                 string
+	size                   string // name of the fleet's size
+	faults                 string // schedule to run
 	seed                   uint64
-	random, overlap, seeds int
-	excess                 int
-	day                    int
+	random, overlap, seeds int // numbers of runs
+	excess                 int // number of runs
+	day                    int // hours
 	noShrink, mayExceed    bool
-	share                  float64
+	share                  float64 // of the load, for a day
 }
 
 func (*simulateCommand) Name() string { return "simulate" }
 func (*simulateCommand) Synopsis() string {
-	return "run one of the simulator's scenarios, and check its history"
+	return "run scenarios, schedules of faults or whole days in the simulator, and check their histories"
 }
 func (*simulateCommand) Usage() string {
 	return `sparnotch-bench simulate -scenario "leader killed" [-size small] [-seed 1] [-job quick-20] [-history FILE]
@@ -44,36 +44,40 @@
 sparnotch-bench simulate -overlap 100 [-size bank-called] [-seed 1]
 sparnotch-bench simulate -excess 100 [-size bank-called] [-seed 1]
 sparnotch-bench simulate -day 24 [-share 0.25] [-size bank] [-seed 1]
-  Without -scenario it lists them. The same seed gives the same history.
-  -faults runs a schedule, each fault KIND/TARGET:DURATION@TIME. -random draws so
-  many schedules from as many seeds, and shrinks each that breaks a rule to the
-  shortest that still does, printed as the command that runs it.
-  -overlap draws any three kinds at once, twice, and a last fault right after an
-  acknowledgement. -seeds runs a scenario with so many seeds. A schedule that
-  exceeds the tolerated faults is a bad flag, unless -may-exceed is given: then service
-  may rest while too many storage nodes are away, and a recovery longer. -excess draws
-  such schedules. -day runs so many hours with
-  configuration changes, long jobs, a rolling restart of all machines and one last
-  fault, at a share of the load, and prints the size of the state over time.
-  Exit codes: 0 no rule broken, 1 a rule broken, 2 bad flags.
+  Without any of these flags it lists the scenarios. The same seed gives the same history.
+  -scenario runs one scenario; with -seeds it runs once with each of that many seeds.
+  -faults runs a schedule of faults, each KIND/TARGET:DURATION@TIME. It rejects a
+  schedule that exceeds the tolerated faults, unless -may-exceed is set. In that case,
+  requests may go unserved while too many storage nodes are away, and the recovery may
+  take longer.
+  -random draws that many schedules, each from a seed of its own. It shrinks each that
+  breaks a rule to the shortest schedule that still does, and prints the command that
+  runs this schedule.
+  -overlap draws schedules with any three kinds of faults at once, twice, and a last
+  fault right after an acknowledgement.
+  -excess draws schedules that exceed the tolerated faults.
+  -day runs that many hours with changes of the configuration, long jobs, a rolling
+  restart of all machines and one last fault, at a share of the load, and prints the
+  size of the state over time.
+  Exit codes: 0 no rule broken, 1 a rule broken, 2 invalid flags.
 `
 }
 
 func (c *simulateCommand) SetFlags(set *flag.FlagSet) {
-	set.StringVar(&c.scenario, "scenario", "", "which; empty: list them")
-	set.StringVar(&c.job, "job", "", "print the events of this job, and the faults")
+	set.StringVar(&c.scenario, "scenario", "", "name of the scenario to run; empty: list the scenarios")
+	set.StringVar(&c.job, "job", "", "print the events of the job with this name, and the faults")
 	set.StringVar(&c.history, "history", "", "write the whole history to this file")
-	set.StringVar(&c.faults, "faults", "", "schedule to run; faults are "+strings.Join(sim.FaultNames(), ", "))
-	set.IntVar(&c.day, "day", 0, "run a day of so many hours, 4 at least")
+	set.StringVar(&c.faults, "faults", "", "schedule of faults to run, which may be "+strings.Join(sim.FaultNames(), ", "))
+	set.IntVar(&c.day, "day", 0, "hours of the day to run, 4 or more")
 	set.Float64Var(&c.share, "share", 0.25, "with -day: share of the load")
-	set.IntVar(&c.random, "random", 0, "draw and run so many schedules")
-	set.BoolVar(&c.mayExceed, "may-exceed", false, "with -faults: more storage nodes may be away than may be lost, if no more than one disk is lost")
-	set.IntVar(&c.excess, "excess", 0, "draw and run so many schedules in which more storage nodes are away than may be lost")
-	set.IntVar(&c.overlap, "overlap", 0, "draw and run so many schedules of three faults at once")
-	set.IntVar(&c.seeds, "seeds", 1, "with -scenario: run it with so many seeds")
-	set.StringVar(&c.size, "size", "small", "of the fleet: small, bank or skema, or these with -called")
-	set.BoolVar(&c.noShrink, "noshrink", false, "with -random: print schedules as they were drawn")
-	set.Uint64Var(&c.seed, "seed", 1, "the seed")
+	set.IntVar(&c.random, "random", 0, "number of schedules to draw and run")
+	set.BoolVar(&c.mayExceed, "may-exceed", false, "with -faults: allow more storage nodes to be away than the fleet tolerates, if at most one disk is lost")
+	set.IntVar(&c.excess, "excess", 0, "number of schedules to draw and run in which more storage nodes are away than the fleet tolerates")
+	set.IntVar(&c.overlap, "overlap", 0, "number of schedules to draw and run with three faults at once")
+	set.IntVar(&c.seeds, "seeds", 1, "with -scenario: number of seeds to run it with")
+	set.StringVar(&c.size, "size", "small", "size of the fleet: small, bank or skema, or one of these followed by -called")
+	set.BoolVar(&c.noShrink, "noshrink", false, "with -random: print the schedules as drawn, without shrinking them")
+	set.Uint64Var(&c.seed, "seed", 1, "seed of the first run")
 }
 
 func (c *simulateCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
@@ -107,23 +111,24 @@
 	return c.playScenario(size)
 }
 
-// checkFlags returns the first thing that is wrong with the flags, the size aside.
+// checkFlags returns an error for the first invalid combination or value of the flags. It
+// doesn't check the size.
 func (c *simulateCommand) checkFlags() error {
 	if c.random < 0 || c.random > 0 && c.faults+c.scenario != "" || c.faults != "" && c.scenario != "" {
-		return errors.New("scenario, faults and random: give one of them; random must not be negative")
+		return errors.New("scenario, faults and random: only one of them may be set, and random must not be negative")
 	}
 	if c.day != 0 && (c.day < 4 || c.day > 48 || c.share <= 0 || c.share > 4) {
-		return errors.New("day and share: 4 to 48 hours, a share above 0 and up to 4")
+		return errors.New("day and share: day must lie between 4 and 48 hours, and share must be above 0 and at most 4")
 	}
 	return nil
 }
 
-// allScenarios lists the scenarios that can be run by name.
+// allScenarios returns the scenarios that can be run by name on a fleet of a size.
 func allScenarios(size sim.FleetSpec) []sim.Scenario {
 	return slices.Concat(sim.ScenariosFor(size), sim.GangScenarios)
 }
 
-// playFaults runs the schedule that the flags give.
+// playFaults runs the schedule of the flag -faults.
 func (c *simulateCommand) playFaults(size sim.FleetSpec) subcommands.ExitStatus {
 	parse, scenarioOf := sim.ParseSchedule, sim.Schedule.Scenario
 	if c.mayExceed {
@@ -137,12 +142,12 @@
 	return c.play(scenarioOf(schedule), size)
 }
 
-// playScenario runs the scenario that the flags name, with one seed or with many.
+// playScenario runs the scenario of the flag -scenario with one seed or several.
 func (c *simulateCommand) playScenario(size sim.FleetSpec) subcommands.ExitStatus {
 	scenarios := allScenarios(size)
 	at := slices.IndexFunc(scenarios, func(s sim.Scenario) bool { return s.Name == c.scenario })
 	if at < 0 {
-		fmt.Fprintf(os.Stderr, "sparnotch-bench: scenario: there is none called %q\n", c.scenario)
+		fmt.Fprintf(os.Stderr, "sparnotch-bench: scenario: there is no scenario called %q\n", c.scenario)
 		return 2
 	}
 	if c.seeds > 1 {
@@ -151,7 +156,8 @@
 	return c.play(scenarios[at], size)
 }
 
-// findSize returns the fleet of a name. The error lists the names.
+// findSize returns the description of the fleet with a name. The error for an unknown name
+// lists the known ones.
 func findSize(name string) (sim.FleetSpec, error) {
 	var names []string
 	for _, size := range sim.FleetSpecs() {
@@ -160,12 +166,13 @@
 		}
 		names = append(names, size.Name)
 	}
-	return sim.FleetSpec{}, fmt.Errorf("size: %q is none of %s", name, strings.Join(names, ", "))
+	return sim.FleetSpec{}, fmt.Errorf("size: %q is not one of %s", name, strings.Join(names, ", "))
 }
 
-// play runs one scenario.
+// play runs one scenario with the seed of the flags, and prints or writes the events that the
+// flags ask for.
 func (c *simulateCommand) play(s sim.Scenario, size sim.FleetSpec) subcommands.ExitStatus {
-	f, violations, wrong := sim.RunScenario(s, size, c.seed)
+	f, violations, problems := sim.RunScenario(s, size, c.seed)
 	if c.history != "" {
 		if err := os.WriteFile(c.history, f.EncodeHistory(), 0o600); err != nil {
 			fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
@@ -182,24 +189,24 @@
 			fmt.Println(string(line))
 		}
 	}
-	return c.verdict(f, violations, wrong)
+	return c.verdict(f, violations, problems)
 }
 
-// verdict prints the violations, and what else was wrong at the end; other programs read
-// these lines.
-func (c *simulateCommand) verdict(f *sim.Fleet, violations []checker.Violation, wrong []string) subcommands.ExitStatus {
+// verdict prints the violations of rules and the problems that the final checks of a scenario
+// found. It returns the exit code. Other programs parse the printed lines.
+func (c *simulateCommand) verdict(f *sim.Fleet, violations []checker.Violation, problems []string) subcommands.ExitStatus {
 	printViolations(violations)
-	for _, fault := range wrong {
-		fmt.Println("WRONG", fault)
+	for _, problem := range problems {
+		fmt.Println("WRONG", problem)
 	}
 	fmt.Printf("check: %d events, %d rules broken\n", len(f.History), len(violations))
-	if len(violations)+len(wrong) > 0 {
+	if len(violations)+len(problems) > 0 {
 		return 1
 	}
 	return 0
 }
 
-// finding is a random schedule that breaks a rule.
+// finding is a random schedule that breaks a rule, together with the violation.
 type finding struct {
 	schedule  sim.Schedule
 	violation checker.Violation
@@ -241,39 +248,40 @@
 	return 0
 }
 
-// playDay runs a day, and prints samples of the state's size.
+// playDay runs a day and prints samples of the size of the state.
 func (c *simulateCommand) playDay(size sim.FleetSpec) subcommands.ExitStatus {
-	f, samples, violations, wrong := sim.Day(size, c.seed, c.day, sim.Hour, c.share)
+	f, samples, violations, problems := sim.Day(size, c.seed, c.day, sim.Hour, c.share)
 	for k, s := range samples {
 		if k%4 == 0 || k == len(samples)-1 {
 			fmt.Printf("%5.2f h: %d log entries, %d live and %d retained jobs, %d sessions, %d bytes on a disk\n",
 				float64(s.At-f.LoadStart)/3600e6, s.LogEntries, s.LiveJobs, s.RetainedJobs, s.Sessions, s.Bytes)
 		}
 	}
-	return c.verdict(f, violations, wrong)
+	return c.verdict(f, violations, problems)
 }
 
-// playSeeds runs a scenario with several seeds, and prints those that break something.
+// playSeeds runs a scenario with several seeds, and prints the command that repeats each run
+// with a broken rule or another problem.
 func (c *simulateCommand) playSeeds(s sim.Scenario, size sim.FleetSpec) subcommands.ExitStatus {
-	found := make([][]string, c.seeds)
+	problemsBySeed := make([][]string, c.seeds)
 	restartDelays := make([]eventloop.Micros, c.seeds)
 	inParallel(c.seeds, func(k int) {
-		f, violations, wrong := sim.RunScenario(s, size, c.seed+uint64(k))
+		f, violations, problems := sim.RunScenario(s, size, c.seed+uint64(k))
 		restartDelays[k] = f.RestartDelay
 		for _, violation := range violations {
-			wrong = append(wrong, violation.String())
+			problems = append(problems, violation.String())
 		}
-		found[k] = wrong
+		problemsBySeed[k] = problems
 	})
 	broken := 0
-	for k, list := range found {
+	for k, list := range problemsBySeed {
 		if len(list) > 0 {
 			broken++
 			fmt.Printf("BROKEN %s\n  sparnotch-bench simulate -size %s -scenario %q -seed %d\n", list[0], size.Name, s.Name, c.seed+uint64(k))
 		}
 	}
 	if longest := slices.Max(restartDelays); longest > 0 {
-		fmt.Printf("a lost worker's tasks have all started again after %.2f s at the latest\n", seconds(longest))
+		fmt.Printf("the tasks of a lost worker had all started again after at most %.2f s\n", seconds(longest))
 	}
 	fmt.Printf("check: %d seeds, %d of them break a rule\n", c.seeds, broken)
 	if broken > 0 {
@@ -282,7 +290,8 @@
 	return 0
 }
 
-// inParallel calls a function for 0 to count-1, as many at once as there are processors.
+// inParallel calls a function with each number from 0 to count-1. It runs as many calls at once
+// as there are processors, and waits for all.
 func inParallel(count int, call func(k int)) {
 	var running sync.WaitGroup
 	slots := make(chan bool, runtime.GOMAXPROCS(0))
--- a/cmd/sparnotch-bench/soak_keys.go
+++ b/cmd/sparnotch-bench/soak_keys.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// keyBook knows the keys that a soak's operator has given the tenants.
+// keyBook stores the keys that the operator of a soak has given to the tenants.
 type keyBook struct {
-	mu   sync.Mutex
-	keys map[string][]string // of the newest accepted configuration, by tenant, oldest first
+	mu   sync.Mutex          // guards keys
+	keys map[string][]string // of the latest accepted configuration, by tenant, oldest key first
 }
 
-// accept records the keys of a configuration that was accepted.
+// accept replaces the keys by those of a configuration that was accepted.
 func (b *keyBook) accept(keys map[string][]string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -21,7 +21,7 @@
 	}
 }
 
-// newest returns the key that a tenant was given last; empty: it has none.
+// newest returns the latest key of a tenant, or an empty string if it has none.
 func (b *keyBook) newest(tenant string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/cmd/sparnotch-bench/soak_node.go
+++ b/cmd/sparnotch-bench/soak_node.go
@@ -12,34 +12,36 @@
 	"sparnotch/internal/checker"
 )
 
-// answerTimeout is how long a node may take to show that it is up.
+// answerTimeout limits the time of a node's answer to a request for its liveness.
 const answerTimeout = 500 * time.Millisecond
 
+// soakSignals contains the signals of the actions that send one.
 var soakSignals = map[soakAction]syscall.Signal{
 	actionTerminate: syscall.SIGTERM, actionKill: syscall.SIGKILL, actionFreeze: syscall.SIGSTOP,
 	actionThaw: syscall.SIGCONT, actionHangUp: syscall.SIGHUP, actionFlushLog: syscall.SIGUSR1,
 }
 
-// soakNode is a node of a soak, to which overlapping series do things.
+// soakNode is a node of a soak. Overlapping series perform actions on it at the same time.
 type soakNode struct {
 	*daemon
 	nodes    *soakNodes
-	starting sync.Mutex // held while one waits for the exit and starts the process again
+	starting sync.Mutex // held while a series waits for the exit and starts the process again
 
-	// Guarded by soakNodes.mu.
-	hasAnswered bool // since its start: from then on it handles its signals, which may end it before
-	isEnding    bool // a signal was sent that ends it
-	mayFail     bool // its exit code says nothing: it was killed, or signalled too early
-	awayCounts  int  // reasons for which it can't serve
+	// The fields below are guarded by soakNodes.mu.
+	hasAnswered bool // has answered a request since its start; before that, any signal may end it
+	isEnding    bool // was sent a signal that ends it
+	mayFail     bool // its exit code isn't checked, because it was killed or signalled too early
+	awayCounts  int  // number of current reasons for which it can't serve
 }
 
-// soakNodes keeps count of the nodes that are away, for the checker.
+// soakNodes tracks which nodes of a soak are away, and records in the history when a quorum of
+// the storage nodes is lost and restored.
 type soakNodes struct {
 	fleet       *fleet
 	list        []*soakNode
-	mu          sync.Mutex // guards the rest
-	storageAway int
-	isQuorumOut bool
+	mu          sync.Mutex // guards the fields below, and those of the nodes
+	storageAway int        // number of storage nodes that are away
+	isQuorumOut bool       // the history has the loss of the quorum, but not yet its return
 	violations  []string
 }
 
@@ -58,8 +60,8 @@
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// countAway adds a reason for which a node can't serve, or takes one away. The caller holds
-// the lock.
+// countAway changes the number of reasons for which a node can't serve by 1 or -1, and records
+// when the node becomes unavailable or available. The caller holds the lock.
 func (n *soakNode) countAway(change int) {
 	wasAway := n.awayCounts > 0
 	n.awayCounts += change
@@ -87,7 +89,7 @@
 	}
 }
 
-// run carries a series out.
+// run performs the steps of a series one after another.
 func (s *soakNodes) run(ctx context.Context, series soakSeries) {
 	for _, step := range series.steps {
 		s.list[step.node].do(step.action)
@@ -95,7 +97,7 @@
 	}
 }
 
-// do carries one action out.
+// do performs one action.
 func (n *soakNode) do(action soakAction) {
 	switch action {
 	case actionStart:
@@ -113,7 +115,7 @@
 	n.signal(soakSignals[action])
 }
 
-// prepareEnd records that a signal is about to end the process.
+// prepareEnd records, before a signal is sent, that it ends the process.
 func (n *soakNode) prepareEnd(action soakAction) {
 	n.nodes.fleet.recordFault(string(action) + " " + n.name)
 	n.checkRunning()
@@ -129,6 +131,7 @@
 	}
 }
 
+// prepareFreeze records, before a signal is sent, that it stops or resumes the process.
 func (n *soakNode) prepareFreeze(action soakAction) {
 	n.nodes.fleet.recordFault(string(action) + " " + n.name)
 	n.nodes.mu.Lock()
@@ -140,8 +143,8 @@
 	}
 }
 
-// handlesSignals reports whether the process has come so far that it handles its signals
-// itself: it has answered a request since its start.
+// handlesSignals reports whether the process has installed its signal handlers. It has done so
+// if it has answered a request since its start.
 func (n *soakNode) handlesSignals() bool {
 	n.nodes.mu.Lock()
 	hasAnswered, isEnding := n.hasAnswered, n.isEnding
@@ -152,12 +155,12 @@
 	code, _, err := n.nodes.fleet.balancer.call(context.Background(), answerTimeout, "GET", n.httpAddress, "/livez", nil, "")
 	n.nodes.mu.Lock()
 	defer n.nodes.mu.Unlock()
-	// Another series may have ended the process meanwhile.
+	// Another series may have ended the process during the request.
 	n.hasAnswered = err == nil && code == http.StatusOK && !n.isEnding
 	return n.hasAnswered
 }
 
-// checkRunning reports a process that has ended though nothing told it to.
+// checkRunning reports a violation if the process has exited without a signal that ends it.
 func (n *soakNode) checkRunning() {
 	_, exited := n.run()
 	n.nodes.mu.Lock()
@@ -168,13 +171,14 @@
 	}
 	select {
 	case <-exited:
-		n.nodes.report("%s ended by itself; see its log", n.name)
+		n.nodes.report("%s exited without a signal; see its log", n.name)
 	default:
 	}
 }
 
-// startAgain waits for the process's end, and starts it again. Nothing is done to a process
-// that wasn't told to end.
+// startAgain waits until the process has exited and starts it again. It does nothing if no
+// signal was sent that ends the process. It reports a violation if the process fails to shut
+// down cleanly or to start.
 func (n *soakNode) startAgain() {
 	n.starting.Lock()
 	defer n.starting.Unlock()
@@ -193,7 +197,7 @@
 	}
 	n.nodes.fleet.recordChange("start " + n.name)
 	if err := n.start(n.nodes.fleet.folder); err != nil {
-		n.nodes.report("%s can't be started: %v", n.name, err)
+		n.nodes.report("%s could not be started: %v", n.name, err)
 	}
 	n.nodes.mu.Lock()
 	defer n.nodes.mu.Unlock()
@@ -201,14 +205,14 @@
 	n.countAway(-1)
 }
 
-// awaitExit waits for the end of the process and returns its exit code. One that takes too
-// long is killed.
+// awaitExit waits until the process has exited and returns its exit code. After exitTimeout it
+// reports a violation and kills the process.
 func (n *soakNode) awaitExit() int {
 	command, exited := n.run()
 	select {
 	case <-exited:
 	case <-time.After(exitTimeout):
-		n.nodes.report("%s hadn't ended %v after the signal", n.name, exitTimeout)
+		n.nodes.report("%s had not exited %v after the signal", n.name, exitTimeout)
 		_ = command.Process.Signal(os.Kill)
 		<-exited
 	}
--- a/cmd/sparnotch-bench/soak_operator.go
+++ b/cmd/sparnotch-bench/soak_operator.go
@@ -22,29 +22,29 @@
 const (
 	maxKeysPerTenant = 3
 	soakTenants      = 3
-	extraQueues      = 3
+	extraQueues      = 3 // queues that configurations may have in addition to the deployment's
 )
 
-// soakTenant is a tenant of a soak's configuration.
+// soakTenant is a tenant in the configuration of a soak.
 type soakTenant struct {
-	weight   int64 // thousandths
-	maxCores int64 // thousandths; 0: no limit
-	keys     []string
+	weight   int64    // in thousandths
+	maxCores int64    // thousandths of a core; 0: no limit
+	keys     []string // oldest first
 }
 
-// soakConfiguration is the content of a soak's configuration, which its operator changes.
+// soakConfiguration is the configuration of a soak, which the operator changes.
 type soakConfiguration struct {
-	base         []*schema.ConfigurationRow // of the deployment
-	tenants      map[string]*soakTenant
-	queues       map[string]bool // those beside the deployment's
+	base         []*schema.ConfigurationRow // rows of the deployment, which never change
+	tenants      map[string]*soakTenant     // by name
+	queues       map[string]bool            // names of the current extra queues
 	requiresKeys bool
-	publicQueue  string // empty: none
-	cacheEvery   int
-	nextKey      int
+	publicQueue  string // queue that needs no key; empty: none
+	cacheEvery   int    // value of the fleet's row cache_every
+	nextKey      int    // number of the latest key
 }
 
-// drawConfiguration draws the first configuration of a run; without tenants, it has only the
-// deployment's rows.
+// drawConfiguration draws the first configuration of a run from the random numbers. Without
+// tenants it has no keys and no public queue.
 func drawConfiguration(rng *rand.Rand, base []*schema.ConfigurationRow, publicQueue string, hasTenants bool) *soakConfiguration {
 	c := &soakConfiguration{base: base, tenants: map[string]*soakTenant{}, queues: map[string]bool{}, cacheEvery: 64}
 	for k := range extraQueues {
@@ -65,9 +65,10 @@
 	return c
 }
 
+// drawWeight draws a weight of 100 to 4000 thousandths.
 func drawWeight(rng *rand.Rand) int64 { return 100 * (1 + rng.Int64N(40)) }
 
-// drawMaxCores draws no limit, or 8 to 32 cores.
+// drawMaxCores draws a limit of 8 to 32 cores, in thousandths of a core, or 0 for no limit.
 func drawMaxCores(rng *rand.Rand) int64 {
 	if rng.IntN(3) == 0 {
 		return 0
@@ -75,12 +76,13 @@
 	return 1000 * (8 + rng.Int64N(25))
 }
 
+// addKey gives a tenant a new key that no tenant has had before.
 func (c *soakConfiguration) addKey(tenant string) {
 	c.nextKey++
 	c.tenants[tenant].keys = append(c.tenants[tenant].keys, fmt.Sprintf("key-%s-%d", tenant, c.nextKey))
 }
 
-// rows are the configuration's rows.
+// rows returns the rows of the configuration.
 func (c *soakConfiguration) rows() []*schema.ConfigurationRow {
 	rows := slices.Clone(c.base)
 	add := func(kind, name, key string, value any) {
@@ -109,7 +111,7 @@
 	return rows
 }
 
-// keys are the keys of each tenant, oldest first.
+// keys returns the keys of each tenant, oldest first, by the tenant's name.
 func (c *soakConfiguration) keys() map[string][]string {
 	keys := map[string][]string{}
 	for name, tenant := range c.tenants {
@@ -118,7 +120,7 @@
 	return keys
 }
 
-// change changes one thing, drawn from the seed, and says which.
+// change makes one random change to the configuration and returns a description of it.
 func (c *soakConfiguration) change(rng *rand.Rand) string {
 	if len(c.tenants) == 0 || rng.IntN(3) == 0 {
 		return c.changeFleet(rng)
@@ -128,51 +130,53 @@
 	switch draw := rng.IntN(10); {
 	case draw < 3 && len(tenant.keys) < maxKeysPerTenant:
 		c.addKey(name)
-		return "a key more for " + name
+		return "a new key for " + name
 	case draw < 6 && len(tenant.keys) > 1:
 		tenant.keys = slices.Clone(tenant.keys[1:])
-		return "a key less for " + name
+		return "the oldest key removed of " + name
 	case draw < 7:
 		tenant.keys = nil
 		c.addKey(name)
-		return "another key for " + name
+		return "all keys replaced by a new one for " + name
 	case draw < 9:
 		tenant.maxCores = drawMaxCores(rng)
-		return fmt.Sprintf("a limit of %d for %s", tenant.maxCores, name)
+		return fmt.Sprintf("a limit of %d thousandths of a core for %s", tenant.maxCores, name)
 	}
 	tenant.weight = drawWeight(rng)
-	return fmt.Sprintf("a weight of %d for %s", tenant.weight, name)
+	return fmt.Sprintf("a weight of %d thousandths for %s", tenant.weight, name)
 }
 
-// changeFleet changes a queue or a value of the fleet.
+// changeFleet adds or removes an extra queue, or changes a row of the fleet. It returns a
+// description of the change.
 func (c *soakConfiguration) changeFleet(rng *rand.Rand) string {
 	if rng.IntN(4) == 0 {
 		c.cacheEvery = 32 + rng.IntN(96)
-		return "another value of the fleet"
+		return "another value of cache_every"
 	}
 	queue := extraQueueName(rng.IntN(extraQueues))
 	if c.queues[queue] {
 		delete(c.queues, queue)
-		return "without the queue " + queue
+		return "removed the queue " + queue
 	}
 	c.queues[queue] = true
-	return "with the queue " + queue
+	return "added the queue " + queue
 }
 
-// extraQueueName is the name of the queue numbered k of those that come and go.
+// extraQueueName returns the name of the extra queue with the index k.
 func extraQueueName(k int) string { return fmt.Sprintf("extra%d", k+1) }
 
-// soakOperator applies configurations during a soak, one after another.
+// soakOperator changes the configuration during a soak. A second operator sometimes applies
+// another change at the same time.
 type soakOperator struct {
 	fleet         *fleet
 	book          *keyBook
 	configuration *soakConfiguration
 	rng           *rand.Rand
-	racing        sync.WaitGroup // changes of the other operator
+	racing        sync.WaitGroup // counts the unfinished changes of the second operator
 }
 
-// changeOnce changes one thing and applies the configuration, with retries until the context
-// ends.
+// changeOnce makes one change and applies the configuration, with retries until it is accepted
+// or the context ends.
 func (o *soakOperator) changeOnce(ctx context.Context) {
 	o.fleet.recordChange("configuration: " + o.configuration.change(o.rng))
 	if applyConfig(ctx, o.fleet.balancer, o.fleet.history, "operator", o.configuration.rows()) == nil {
@@ -180,25 +184,26 @@
 	}
 }
 
-// invalidRows are configurations that must be refused, built on a valid one.
+// invalidRows returns the rows of an invalid configuration, which must be rejected: a valid
+// configuration and, as its last row, an invalid value or the key of another tenant.
 func (o *soakOperator) invalidRows() []*schema.ConfigurationRow {
 	rows := o.configuration.rows()
 	row := &schema.ConfigurationRow{Kind: "queue", Name: "extra1", Key: "running", Value: "0"}
-	if shared := o.configuration.tenants["tenant1"]; shared != nil && o.rng.IntN(2) == 0 {
-		row = &schema.ConfigurationRow{Kind: "tenant", Name: "second", Key: "key_hashes", Value: clusterstate.HashKey(shared.keys[0])}
+	if owner := o.configuration.tenants["tenant1"]; owner != nil && o.rng.IntN(2) == 0 {
+		row = &schema.ConfigurationRow{Kind: "tenant", Name: "second", Key: "key_hashes", Value: clusterstate.HashKey(owner.keys[0])}
 	}
 	return append(rows, row)
 }
 
-// sendInvalid sends a configuration that must be refused.
+// sendInvalid sends a configuration that must be rejected.
 func (o *soakOperator) sendInvalid(ctx context.Context) {
 	rows := o.invalidRows()
-	o.fleet.recordChange(fmt.Sprintf("configuration: an invalid one, %v", rows[len(rows)-1]))
+	o.fleet.recordChange(fmt.Sprintf("configuration: an invalid row %v", rows[len(rows)-1]))
 	applyInvalid(ctx, o.fleet, rows)
 }
 
-// applyInvalid sends a configuration once, and records its answer as one to a configuration
-// that must be refused.
+// applyInvalid sends an invalid configuration once. It records the answer with the state
+// checker.Invalid, because the fleet must reject this configuration.
 func applyInvalid(ctx context.Context, f *fleet, rows []*schema.ConfigurationRow) {
 	address := f.balancer.pick("")
 	current, ok := currentConfiguration(ctx, f.balancer, address)
@@ -213,11 +218,11 @@
 	f.history.add(checker.Event{Kind: checker.ConfigurationReply, Actor: "operator", Code: code, State: checker.Invalid, BaseVersion: current.Revision, Gateway: address, SentAt: sentAt})
 }
 
-// raceOnce has another operator change a value of the fleet on top of the configuration that
-// is there; it gives up when it isn't the first.
+// raceOnce makes the second operator change cache_every in the current configuration. It sends
+// the change only once, even if it is rejected because the first operator was faster.
 func (o *soakOperator) raceOnce(ctx context.Context, value int) {
 	f := o.fleet
-	f.recordChange("configuration: another operator changes it")
+	f.recordChange("configuration: the second operator changes cache_every")
 	address := f.balancer.pick("")
 	current, ok := currentConfiguration(ctx, f.balancer, address)
 	if !ok {
@@ -228,7 +233,7 @@
 	_, _, _ = applyOnce(ctx, f.balancer, f.history, "second", address, current.Revision, rows)
 }
 
-// startRace has the other operator's change happen beside what follows.
+// startRace starts a change of the second operator in the background.
 func (o *soakOperator) startRace(ctx context.Context, value int) {
 	o.racing.Add(1)
 	go func() {
@@ -237,7 +242,8 @@
 	}()
 }
 
-// currentConfiguration reads the configuration through a gateway node; false: it gave none.
+// currentConfiguration reads the configuration from a gateway node. It returns false if the
+// node returned no valid configuration.
 func currentConfiguration(ctx context.Context, balancer *loadBalancer, address string) (*schema.Configuration, bool) {
 	code, data, err := balancer.call(ctx, operatorTimeout, "GET", address, configPath, nil, "")
 	configuration := &schema.Configuration{}
@@ -245,8 +251,9 @@
 	return configuration, ok
 }
 
-// run changes the configuration in series until loading ends: changes at once one after
-// another, then a pause.
+// run changes the configuration until the context loading ends: in each round it waits for a
+// random time and makes one to four changes without a pause between them. It waits for the
+// changes of the second operator.
 func (o *soakOperator) run(loading, ctx context.Context) {
 	defer o.racing.Wait()
 	for {
--- a/cmd/sparnotch-bench/soak_plan.go
+++ b/cmd/sparnotch-bench/soak_plan.go
@@ -8,7 +8,7 @@
 	"sparnotch/internal/deployments"
 )
 
-// soakAction is one thing done to a node's process.
+// soakAction is an action on the process of a node: a signal, or a start.
 type soakAction string
 
 const (
@@ -18,37 +18,39 @@
 	actionThaw      soakAction = "SIGCONT"
 	actionHangUp    soakAction = "SIGHUP"
 	actionFlushLog  soakAction = "SIGUSR1"
-	actionStart     soakAction = "start" // once the process has ended
+	actionStart     soakAction = "start" // waits until the process has exited
 )
 
-// soakStep is an action on the node of an index, and the pause after it.
+// soakStep is an action on one node, followed by a pause.
 type soakStep struct {
-	node   int
+	node   int // index into soakNodes.list
 	action soakAction
 	pause  time.Duration
 }
 
-// soakSeries is a series of steps, one after another; series overlap.
+// soakSeries is a series of steps, which are performed one after another. Several series may
+// run at the same time.
 type soakSeries struct {
 	at    time.Duration // from the start of the load
 	name  string
 	steps []soakStep
 }
 
-// workerCrash is the crash of a worker and its restart.
+// workerCrash is the crash of a worker, which is started again after a duration.
 type workerCrash struct {
-	at, duration time.Duration
-	worker       int
+	at       time.Duration // from the start of the load
+	duration time.Duration // from the crash to the start
+	worker   int           // index
 }
 
-// soakPlan is all that a run draws from its seed before it starts.
+// soakPlan holds everything that is drawn from the seed before a run starts.
 type soakPlan struct {
 	deployment  deployments.Deployment
 	hasTenants  bool
-	sessions    int
+	sessions    int // number of clients
 	series      []soakSeries
 	crashes     []workerCrash
-	publicQueue string
+	publicQueue string // queue that needs no key; empty: none
 }
 
 const (
@@ -58,13 +60,15 @@
 	maxSoakWorkers   = 11
 	minSoakSessions  = 16
 	maxSoakSessions  = 48
-	// largeRunShare is how many runs there are for each that has all processes allowed.
+	// largeRunShare is the average number of runs for each run with the maximum number of
+	// processes.
 	largeRunShare = 8
-	// lastSeriesShare is the share of the load after which no series begins.
+	// lastSeriesShare is the share of the load's duration after which no series and no crash
+	// of a worker starts.
 	lastSeriesShare = 0.75
 )
 
-// drawSoakPlan draws a run with at most so many processes of nodes.
+// drawSoakPlan draws the plan of a run from a seed. The run has at most maxProcesses nodes.
 func drawSoakPlan(seed uint64, span time.Duration, maxProcesses int, hasTenants bool) *soakPlan {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	p := &soakPlan{deployment: *deployments.All[rng.IntN(len(deployments.All))], hasTenants: hasTenants}
@@ -91,15 +95,16 @@
 	return p
 }
 
-// nodeCount is the number of nodes: the gateway nodes have the first indexes, and of these
-// the storage nodes.
+// nodeCount returns the number of nodes. The storage nodes have the first indexes, the other
+// gateway nodes the next ones, and the agent nodes the last.
 func (p *soakPlan) nodeCount() int { return p.deployment.Gateways + p.deployment.Agents }
 
+// drawPause draws a duration between 0 and a maximum.
 func drawPause(rng *rand.Rand, longest time.Duration) time.Duration {
 	return time.Duration(rng.Float64() * float64(longest))
 }
 
-// drawNode draws a node; half of the draws are a storage node.
+// drawNode draws the index of a node. At least half of the draws return a storage node.
 func (p *soakPlan) drawNode(rng *rand.Rand) int {
 	if rng.IntN(2) == 0 {
 		return rng.IntN(storageNodeCount)
@@ -107,6 +112,8 @@
 	return rng.IntN(p.nodeCount())
 }
 
+// drawSeries draws a series without its time. Each series starts or resumes the processes that
+// it ends or stops.
 func (p *soakPlan) drawSeries(rng *rand.Rand) soakSeries {
 	node := p.drawNode(rng)
 	step := func(action soakAction, longest time.Duration) soakStep {
@@ -142,7 +149,8 @@
 	return p.drawManyNodes(rng)
 }
 
-// drawManyNodes draws a rolling restart, or several nodes that are killed at once.
+// drawManyNodes draws a series for several nodes: a rolling restart, or a SIGKILL to all of
+// them at once.
 func (p *soakPlan) drawManyNodes(rng *rand.Rand) soakSeries {
 	first, count := rng.IntN(p.nodeCount()), 2+rng.IntN(p.nodeCount()-1)
 	series := soakSeries{name: fmt.Sprintf("rolling restart of %d nodes", count)}
@@ -166,7 +174,7 @@
 	return series
 }
 
-// repeat joins the steps of so many calls.
+// repeat calls a function count times and returns the steps of all calls.
 func repeat(count int, draw func() []soakStep) []soakStep {
 	var steps []soakStep
 	for range count {
--- a/cmd/sparnotch-bench/soak_replicas.go
+++ b/cmd/sparnotch-bench/soak_replicas.go
@@ -8,13 +8,14 @@
 	"sparnotch/internal/replica"
 )
 
-// replicaState is a replica's state at a log index.
+// replicaState identifies the state of a group's replicas at a log index.
 type replicaState struct {
 	group   string
-	applied uint64
+	applied uint64 // index of the last applied entry
 }
 
-// compareReplicas reports replicas of a group whose states differ at the same log index.
+// compareReplicas reports a violation if two replicas of a group have different states at the
+// same log index. It compares only replicas that happen to be at the same index.
 func (r *soakRunner) compareReplicas(ctx context.Context) {
 	digests := map[replicaState]string{}
 	owners := map[replicaState]string{}
@@ -27,7 +28,7 @@
 		for _, group := range view.Groups {
 			key := replicaState{group.Group, group.Applied}
 			if digests[key] != "" && digests[key] != group.Digest {
-				r.nodes.report("%s at index %d: %s has the state %s, %s has %s", key.group, key.applied, owners[key], digests[key], d.name, group.Digest)
+				r.nodes.report("the replicas of %s differ at index %d: %s has the state %s, but %s has %s", key.group, key.applied, owners[key], digests[key], d.name, group.Digest)
 			}
 			digests[key], owners[key] = group.Digest, d.name
 		}
--- a/cmd/sparnotch-bench/soak_run.go
+++ b/cmd/sparnotch-bench/soak_run.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// soakStartTimeout is how long a fleet may take to accept its first configuration: a
-	// large one starts many processes at once.
+	// soakStartTimeout limits the time from the start of a fleet until it accepts its first
+	// configuration. It is long because a large fleet starts many processes at once.
 	soakStartTimeout = 2 * time.Minute
-	// finalReadTimeout is how long a gateway node may take, after the load, to show the
-	// configuration.
+	// finalReadTimeout limits the time after the load in which all gateway nodes must return
+	// the configuration.
 	finalReadTimeout = 30 * time.Second
 )
 
@@ -36,7 +36,7 @@
 	operator *soakOperator
 }
 
-// newSoakRunner prepares the run of a plan.
+// newSoakRunner returns the run of a plan on a fleet that hasn't been started.
 func newSoakRunner(seed uint64, span time.Duration, bounds checker.Tolerances, plan *soakPlan, f *fleet) *soakRunner {
 	book := &keyBook{}
 	rng := rand.New(rand.NewPCG(seed, 2))
@@ -49,22 +49,22 @@
 	}
 }
 
-// run starts the fleet, loads it while the plan's series and the configuration's changes
-// happen, stops it, and returns what broke a rule.
+// run starts the fleet, loads and disturbs it according to the plan, stops it, and returns
+// descriptions of all violations.
 func (r *soakRunner) run(ctx context.Context) (violations []string) {
 	f := r.fleet
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer func() {
 		if !f.stop() {
-			violations = append(violations, "a node didn't exit with code 0 at the end")
+			violations = append(violations, "a node did not exit with code 0 at the end of the run")
 		}
 	}()
 	starting, stop := context.WithTimeout(ctx, soakStartTimeout)
 	err := f.start(starting)
 	stop()
 	if err != nil {
-		return []string{fmt.Sprintf("the fleet did not come up: %v", err)}
+		return []string{fmt.Sprintf("the fleet did not start: %v", err)}
 	}
 	r.nodes = newSoakNodes(f)
 	go f.balancer.probe(ctx)
@@ -87,7 +87,7 @@
 }
 
 // load runs the sessions, the series, the crashes of workers and the changes of the
-// configuration, and returns when all have ended.
+// configuration at the same time. It returns when all of them have ended.
 func (r *soakRunner) load(ctx, working context.Context) {
 	f := r.fleet
 	loading, stopLoad := context.WithTimeout(ctx, r.span)
@@ -120,7 +120,8 @@
 	running.Wait()
 }
 
-// crashWorker crashes a worker and starts it again.
+// crashWorker waits for the time of a crash, crashes the worker, and starts it again after the
+// duration of the crash.
 func (r *soakRunner) crashWorker(ctx, working context.Context, crash workerCrash) {
 	sleep(ctx, crash.at)
 	name := workerName(crash.worker)
@@ -133,8 +134,8 @@
 	r.fleet.startWorker(working, crash.worker)
 }
 
-// startSessions starts the clients: most belong to a tenant, some have no key, and one has a
-// key that no configuration ever holds.
+// startSessions starts the clients. With tenants, most clients have the key of a tenant, some
+// have no key, and one has a key that no configuration ever contains.
 func (r *soakRunner) startSessions(loading, clientContext context.Context, start func(run func())) {
 	f := r.fleet
 	types := r.jobTypes()
@@ -160,7 +161,7 @@
 	}
 }
 
-// jobTypes are those of the deployment, and one for each queue that comes and goes.
+// jobTypes returns the job types of the deployment, and one for each extra queue.
 func (r *soakRunner) jobTypes() []deployments.JobType {
 	types := slices.Clone(r.fleet.deployment.JobTypes)
 	for k := range extraQueues {
@@ -171,8 +172,8 @@
 	return types
 }
 
-// readFinalConfigurations reads the configuration through every gateway node, until it has
-// answered.
+// readFinalConfigurations reads the configuration from each gateway node, with retries until
+// the node returns one or finalReadTimeout has passed.
 func (r *soakRunner) readFinalConfigurations(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, finalReadTimeout)
 	defer cancel()
@@ -183,7 +184,8 @@
 	}
 }
 
-// check judges the history and writes it to the run's folder.
+// check checks the history and writes it to the folder of the run. It returns descriptions of
+// all violations, including those that were found during the run.
 func (r *soakRunner) check() []string {
 	events := r.fleet.history.sorted()
 	violations := slices.Clone(r.nodes.violations)
@@ -195,13 +197,13 @@
 	}
 	for name, s := range r.fleet.clients.stats {
 		if s.sent != s.accepted+s.rejected || s.accepted != s.ended {
-			violations = append(violations, fmt.Sprintf("jobs %s: %d sent, %d accepted, %d refused, %d ended", name, s.sent, s.accepted, s.rejected, s.ended))
+			violations = append(violations, fmt.Sprintf("not all jobs of the type %s were rejected, or accepted and ended: %d sent, %d accepted, %d rejected, %d ended", name, s.sent, s.accepted, s.rejected, s.ended))
 		}
 	}
 	return violations
 }
 
-// summary describes the run's size and what its clients got.
+// summary returns a description of the size of the run and of the results of its clients.
 func (r *soakRunner) summary() string {
 	var sent, accepted, rejected int
 	codes := map[int32]int{}
@@ -214,11 +216,12 @@
 		}
 	}
 	d := r.fleet.deployment
-	return fmt.Sprintf("%s: %d gateway and %d agent nodes, %d workers, %d sessions, %d series, %d crashes of workers; jobs: %d sent, %d accepted, %d refused (%d of them 401); %d submissions unanswered",
+	return fmt.Sprintf("%s: %d gateway and %d agent nodes, %d workers, %d sessions, %d series, %d crashes of workers; jobs: %d sent, %d accepted, %d rejected; %d submissions answered with HTTP status 401, %d not answered",
 		d.Name, d.Gateways, d.Agents, d.Workers, r.plan.sessions, len(r.plan.series), len(r.plan.crashes), sent, accepted, rejected, codes[http.StatusUnauthorized], codes[0])
 }
 
-// openSchedule has the fleet write what happens to it to a file in its folder.
+// openSchedule creates the file schedule.txt in the folder of the fleet, and makes the fleet
+// write its trace to this file.
 func openSchedule(f *fleet) (*os.File, error) {
 	file, err := os.Create(filepath.Join(f.folder, "schedule.txt"))
 	if err == nil {
--- a/cmd/sparnotch-bench/soak_session.go
+++ b/cmd/sparnotch-bench/soak_session.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	meanThinkTime = 200 * time.Millisecond // of a session, between two jobs
-	// refreshProbability is that of a session taking its tenant's newest key before a job,
-	// though the one it has still works.
+	meanThinkTime = 200 * time.Millisecond // between two jobs of a session
+	// refreshProbability is the probability that a session switches to the newest key of its
+	// tenant before a job, even if its current key still works.
 	refreshProbability = 0.2
 	sessionConnections = 2
-	cancelProbability  = 0.1 // of a job
-	maxCancelDelay     = time.Second
+	cancelProbability  = 0.1         // that a session cancels a job
+	maxCancelDelay     = time.Second // from the acceptance of a job to its cancellation
 )
 
-// session is a client of a soak: it submits one job after another, over connections to one
-// gateway node that it keeps until the node's process is gone, whatever the node says of
-// its readiness.
+// session is a client of a soak. It submits one job after another over connections to one
+// gateway node. It keeps these until a request gets no answer, as when the node's process has
+// exited, even if the node reports that it isn't ready.
 type session struct {
 	name, tenant, zone string
 	balancer           *loadBalancer
@@ -31,9 +31,9 @@
 	transport          *http.Transport
 	client             *http.Client
 
-	mu      sync.Mutex // guards the rest
-	gateway string     // empty: to be chosen
-	ownKey  string
+	mu      sync.Mutex // guards the fields below
+	gateway string     // address; empty: the next request chooses one
+	ownKey  string     // key that the session sends; empty: none
 }
 
 func newSession(name, tenant, zone, key string, f *fleet, book *keyBook) *session {
@@ -44,8 +44,8 @@
 	}
 }
 
-// pick implements requester: it stays with the session's gateway node. Without a zone any
-// node will do.
+// pick implements requester. It returns the session's gateway node, which it chooses if there
+// is none. Without a zone it returns any gateway node.
 func (s *session) pick(zone string) string {
 	if zone == "" {
 		return s.balancer.pick("")
@@ -65,8 +65,8 @@
 	return s.ownKey
 }
 
-// send implements requester: a call that gets no answer ends the connections to its node,
-// and a key that is refused is replaced by the tenant's newest.
+// send implements requester. If the request gets no answer, the session leaves the gateway
+// node. If the node rejects the key, the session switches to the newest key of its tenant.
 func (s *session) send(ctx context.Context, timeout time.Duration, r request) (httpReply, error) {
 	reply, err := r.send(ctx, s.client, timeout)
 	if err != nil {
@@ -78,7 +78,8 @@
 	return reply, err
 }
 
-// leave has the next call choose a gateway node again, if the session was with this one.
+// leave closes the idle connections to a gateway node and makes the next request choose a node
+// again. It does nothing if the session has already left that node.
 func (s *session) leave(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +89,7 @@
 	}
 }
 
-// refreshKey takes the key that the session's tenant was given last, if it has any.
+// refreshKey switches to the newest key of the session's tenant, if the tenant has any.
 func (s *session) refreshKey() {
 	key := s.book.newest(s.tenant)
 	s.mu.Lock()
@@ -98,7 +99,8 @@
 	}
 }
 
-// run submits jobs and follows each to its end, until loading ends; ctx ends the session.
+// run submits jobs of random types one after another, and polls each until it has ended. After
+// the end of the context loading it submits none. When ctx ends, it stops polling too.
 func (s *session) run(loading, ctx context.Context, c *clients, types []deployments.JobType, rng *rand.Rand) {
 	defer s.transport.CloseIdleConnections()
 	for number := 0; ; number++ {
--- a/cmd/sparnotch-bench/soak_test.go
+++ b/cmd/sparnotch-bench/soak_test.go
@@ -16,7 +16,7 @@
 	"sparnotch/internal/eventloop"
 )
 
-// TestSoak makes one short run of real processes; a longer one is started by hand.
+// TestSoak performs one short run with real processes. Longer runs are started by hand.
 func TestSoak(t *testing.T) {
 	bin := buildPrograms(t)
 	Convey("A fleet under overlapping series of signals, restarts and changes breaks no rule", t, func() {
--- a/cmd/sparnotch-bench/standalone.go
+++ b/cmd/sparnotch-bench/standalone.go
@@ -17,39 +17,40 @@
 	"sparnotch/internal/fakeworker"
 )
 
-// workerCommand runs one fake worker against a running fleet.
+// workerCommand implements the subcommand worker, which runs one fake worker against a running
+// fleet.
 type workerCommand struct {
-	fronts, name, rack string
-	cores, memory      int64
-	fail, slow         float64
+	fronts, name, rack string  // fronts: addresses of gateway nodes, separated by commas
+	cores, memory      int64   // thousandths of a core, and megabytes
+	fail, slow         float64 // probability that a task fails, and factor on the run times
 }
 
 func (*workerCommand) Name() string     { return "worker" }
 func (*workerCommand) Synopsis() string { return "run one fake worker against a running fleet" }
 func (*workerCommand) Usage() string {
-	return "sparnotch-bench worker -fronts IP:PORT,... -name w1 [-rack r1] [-cores_milli 8000] [-memory_mb 16000]\n  On SIGTERM it drains, and exits when nothing runs; a second signal ends it at once.\n"
+	return "sparnotch-bench worker -fronts IP:PORT,... -name w1 [-rack r1] [-cores_milli 8000] [-memory_mb 16000]\n  On SIGTERM or SIGINT the worker drains and exits when no task runs. A second signal ends it at once.\n"
 }
 
 func (c *workerCommand) SetFlags(set *flag.FlagSet) {
-	set.StringVar(&c.fronts, "fronts", "", "HTTP addresses of some gateway nodes, joined by commas; they name the others")
-	set.StringVar(&c.name, "name", "", "the worker's name")
-	set.StringVar(&c.rack, "rack", "r1", "its rack")
-	set.Int64Var(&c.cores, "cores_milli", 8000, "its capacity, in thousandths of a core")
-	set.Int64Var(&c.memory, "memory_mb", 16000, "its capacity, in megabytes")
-	set.Float64Var(&c.fail, "fail", 0, "share of its tasks that fail")
-	set.Float64Var(&c.slow, "slow", 1, "factor on the tasks' run times")
+	set.StringVar(&c.fronts, "fronts", "", "HTTP addresses of some gateway nodes, separated by commas; the worker discovers the others")
+	set.StringVar(&c.name, "name", "", "name of the worker")
+	set.StringVar(&c.rack, "rack", "r1", "rack of the worker")
+	set.Int64Var(&c.cores, "cores_milli", 8000, "capacity of the worker, in thousandths of a core")
+	set.Int64Var(&c.memory, "memory_mb", 16000, "capacity of the worker, in megabytes")
+	set.Float64Var(&c.fail, "fail", 0, "share of the tasks that fail")
+	set.Float64Var(&c.slow, "slow", 1, "factor by which the run times of tasks are multiplied")
 }
 
 func (c *workerCommand) Execute(ctx context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	endpoints := parseEndpoints(c.fronts, "")
 	if len(endpoints) == 0 || c.name == "" {
-		fmt.Fprintln(os.Stderr, "sparnotch-bench: fronts and name are needed")
+		fmt.Fprintln(os.Stderr, "sparnotch-bench: the flags fronts and name are required")
 		return 2
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	h := &history{clock: eventloop.RealClock()}
-	// An incarnation must be higher than those before it.
+	// Each incarnation of a worker must be higher than the earlier ones.
 	incarnation := uint64(time.Now().UnixMicro())
 	w := fakeworker.NewPollingWorker(h.now(), c.name, c.rack, c.cores, c.memory, incarnation, rand.New(rand.NewPCG(incarnation, 1)), h.add)
 	w.Behaviour = fakeworker.Behaviour{FailureRate: c.fail, Slowdown: c.slow}
@@ -78,11 +79,12 @@
 	return 0
 }
 
-// clientsCommand submits a profile's jobs to a running fleet.
+// clientsCommand implements the subcommand callers, which submits the jobs of a profile to a
+// running fleet.
 type clientsCommand struct {
-	fronts, profile, prefix string
-	duration                time.Duration
-	rate                    float64
+	fronts, profile, prefix string        // fronts: addresses of gateway nodes, separated by commas
+	duration                time.Duration // of the load
+	rate                    float64       // factor on the load
 }
 
 func (*clientsCommand) Name() string     { return "callers" }
@@ -92,18 +94,18 @@
 }
 
 func (c *clientsCommand) SetFlags(set *flag.FlagSet) {
-	set.StringVar(&c.fronts, "fronts", "", "HTTP addresses of gateway nodes, joined by commas")
-	set.StringVar(&c.profile, "profile", "bank", "bank or skema")
+	set.StringVar(&c.fronts, "fronts", "", "HTTP addresses of gateway nodes, separated by commas")
+	set.StringVar(&c.profile, "profile", "bank", "deployment: bank or skema")
 	set.StringVar(&c.prefix, "prefix", fmt.Sprintf("t%d", time.Now().Unix()), "start of the jobs' names")
-	set.DurationVar(&c.duration, "span", 30*time.Second, "how long")
-	set.Float64Var(&c.rate, "rate", 1, "factor on the load")
+	set.DurationVar(&c.duration, "span", 30*time.Second, "how long clients submit jobs")
+	set.Float64Var(&c.rate, "rate", 1, "factor by which the load is multiplied")
 }
 
 func (c *clientsCommand) Execute(ctx context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	deployment, err := deployments.Find(c.profile)
 	endpoints := parseEndpoints(c.fronts, "")
 	if err != nil || len(endpoints) == 0 || c.rate <= 0 {
-		fmt.Fprintln(os.Stderr, "sparnotch-bench: fronts, profile and a rate above 0 are needed", err)
+		fmt.Fprintln(os.Stderr, "sparnotch-bench: the flags fronts, a known profile and a rate above 0 are required", err)
 		return 2
 	}
 	clients := newClients(newLoadBalancer(endpoints), &history{clock: eventloop.RealClock()}, c.prefix)
--- a/cmd/sparnotch-bench/worker_runner.go
+++ b/cmd/sparnotch-bench/worker_runner.go
@@ -15,27 +15,28 @@
 const (
 	heartbeatTimeout  = 1200 * time.Millisecond
 	maxOpenHeartbeats = 2
-	minWorkerSleep    = 2 * eventloop.Millisecond
+	minWorkerSleep    = 2 * eventloop.Millisecond // between two ticks of the worker
 )
 
-// workerRunner drives one fake worker in real time against a fleet.
+// workerRunner runs one fake worker in real time against a fleet.
 type workerRunner struct {
 	balancer       *loadBalancer
 	history        *history
 	zone           string
-	mu             sync.Mutex // guards the rest, and the worker's state
+	mu             sync.Mutex // guards the fields below, and the state of the worker
 	worker         *fakeworker.PollingWorker
-	gateway        string // address that heartbeats go to
-	isDisconnected bool   // reaches no gateway node
+	gateway        string // address of the gateway node that receives the heartbeats
+	isDisconnected bool   // the worker can't reach any gateway node
 }
 
+// setDisconnected partitions the worker from all gateway nodes, or heals the partition.
 func (r *workerRunner) setDisconnected(disconnected bool) {
 	r.mu.Lock()
 	r.isDisconnected = disconnected
 	r.mu.Unlock()
 }
 
-// run drives the worker until the context ends, which is the worker's crash.
+// run runs the worker until the context ends. Then the worker crashes.
 func (r *workerRunner) run(ctx context.Context) {
 	defer func() {
 		r.mu.Lock()
@@ -80,7 +81,8 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat, and chooses another gateway node when it fails.
+// sendHeartbeat sends a heartbeat and passes the orders of the answer to the worker. If there
+// is no answer, the worker's next heartbeat goes to another gateway node.
 func (r *workerRunner) sendHeartbeat(ctx context.Context, gateway string, heartbeat *schema.WorkerHeartbeat, sentAt eventloop.Micros) {
 	orders, err := r.exchange(ctx, gateway, heartbeat)
 	r.mu.Lock()
@@ -96,7 +98,8 @@
 	r.worker.HandleOrders(r.history.now(), sentAt, heartbeat.Seq, orders)
 }
 
-// exchange sends a heartbeat and returns the orders. A disconnected worker's times out.
+// exchange sends a heartbeat and returns the orders of the answer. The heartbeat of a
+// disconnected worker times out.
 func (r *workerRunner) exchange(ctx context.Context, gateway string, heartbeat *schema.WorkerHeartbeat) (*schema.WorkerOrders, error) {
 	body, err := json.Marshal(heartbeat)
 	if err != nil {
