--- a/cmd/sparnotch-bench/clients.go
+++ b/cmd/sparnotch-bench/clients.go
@@ -46,7 +46,7 @@
 	balancer *loadBalancer
 	history  *history
 	prefix   string               // start of the names of all jobs
-	open     sync.WaitGroup       // counts the jobs whose clients haven't finished
+	openJobs sync.WaitGroup       // counts the jobs whose clients haven't finished
 	mu       sync.Mutex           // guards stats
 	stats    map[string]*jobStats // by the name of the job type
 }
@@ -81,9 +81,9 @@
 			clients: c, requester: c.balancer, jobType: t, name: fmt.Sprintf("%s-%s-%d", c.prefix, t.Name, number),
 			zone: zone, client: fmt.Sprintf("%s-%s", t.Name, zone),
 		}
-		c.open.Add(1)
+		c.openJobs.Add(1)
 		go func() {
-			defer c.open.Done()
+			defer c.openJobs.Done()
 			j.run(ctx)
 		}()
 	}
--- a/cmd/sparnotch-bench/fleet.go
+++ b/cmd/sparnotch-bench/fleet.go
@@ -45,10 +45,10 @@
 	history         *history
 	cancels         map[string]context.CancelFunc // by worker name; the function makes the worker crash
 	workers         map[string]*workerRunner      // by worker name
-	running         sync.WaitGroup                // counts the running workers
+	runningWorkers  sync.WaitGroup                // counts the running workers
 	clients         *clients
 	clientContext   context.Context       // at its end the clients stop waiting for their jobs
-	extra           []deployments.JobType // job types that faults have added to the load
+	extraJobTypes   []deployments.JobType // job types that faults have added to the load
 	lastIncarnation int                   // latest incarnation that was given to a worker
 	partitions      int                   // number of split faults so far, each of which isolates the next zone
 	trace           io.Writer             // receives a line for each fault and change
@@ -159,9 +159,9 @@
 	runner := &workerRunner{balancer: f.balancer, history: f.history, zone: zoneName(k), worker: worker}
 	f.workers[name] = runner
 	f.mu.Unlock()
-	f.running.Add(1)
+	f.runningWorkers.Add(1)
 	go func() {
-		defer f.running.Done()
+		defer f.runningWorkers.Done()
 		runner.run(ctx)
 	}()
 }
--- a/cmd/sparnotch-bench/fleet_command.go
+++ b/cmd/sparnotch-bench/fleet_command.go
@@ -183,7 +183,7 @@
 	result.counters = f.counters(ctx)
 	reportPeaks(f.peakMemory())
 	stopWorkers()
-	f.running.Wait()
+	f.runningWorkers.Wait()
 	return report(f, result, c.folder, bounds)
 }
 
@@ -226,6 +226,6 @@
 	result.duration = f.history.now() - startedAt
 	result.cpuAfter = f.cpuUsage()
 	sending.Wait()
-	f.clients.open.Wait()
+	f.clients.openJobs.Wait()
 	return result
 }
--- a/cmd/sparnotch-bench/fleet_faults.go
+++ b/cmd/sparnotch-bench/fleet_faults.go
@@ -238,7 +238,7 @@
 	for k, jobType := range f.deployment.JobTypes {
 		jobType.Name = name + "-" + jobType.Name
 		change(&jobType)
-		f.extra = append(f.extra, jobType)
+		f.extraJobTypes = append(f.extraJobTypes, jobType)
 		sending.Add(1)
 		go func() {
 			defer sending.Done()
--- a/cmd/sparnotch-bench/hollow_child.go
+++ b/cmd/sparnotch-bench/hollow_child.go
@@ -24,8 +24,8 @@
 	role         string
 	first, count int // index of its first node, and its number of nodes
 	command      *exec.Cmd
-	in           io.WriteCloser
-	out          *bufio.Reader
+	stdin        io.WriteCloser
+	stdout       *bufio.Reader
 	exited       chan struct{} // closed when the process exits
 }
 
@@ -44,14 +44,14 @@
 	p.command.Env = append(os.Environ(), "GOMAXPROCS=1")
 	p.command.Stderr = os.Stderr
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if p.in, err = p.command.StdinPipe(); err != nil {
+	if p.stdin, err = p.command.StdinPipe(); err != nil {
 		return err
 	}
 	out, err := p.command.StdoutPipe()
 	if err != nil {
 		return err
 	}
-	p.out = bufio.NewReaderSize(out, 1<<20)
+	p.stdout = bufio.NewReaderSize(out, 1<<20)
 	if err := p.command.Start(); err != nil {
 		return err
 	}
@@ -61,10 +61,10 @@
 
 // request sends a line to the process and returns the report with which it answers.
 func (p *childProcess) request(line string) (*processReport, error) {
-	if _, err := io.WriteString(p.in, line+"\n"); err != nil {
+	if _, err := io.WriteString(p.stdin, line+"\n"); err != nil {
 		return nil, fmt.Errorf("the request to a %s process could not be sent: %w", p.role, err)
 	}
-	data, err := p.out.ReadBytes('\n')
+	data, err := p.stdout.ReadBytes('\n')
 	if err != nil {
 		return nil, fmt.Errorf("the report of a %s process could not be read: %w", p.role, err)
 	}
--- a/cmd/sparnotch-bench/hollow_command.go
+++ b/cmd/sparnotch-bench/hollow_command.go
@@ -15,10 +15,10 @@
 // hollowCommand implements the subcommand hollow, which measures a hollow deployment. With
 // the flag -part it runs one of the processes of such a deployment.
 type hollowCommand struct {
-	config       hollowConfig
-	plan         measurePlan
-	part, text   string // role of this process, and the hollowConfig as JSON
-	first, count int    // index of the first node of this process, and its number of nodes
+	config           hollowConfig
+	plan             measurePlan
+	part, configJSON string // role of this process, and the hollowConfig as JSON
+	first, count     int    // index of the first node of this process, and its number of nodes
 }
 
 func (*hollowCommand) Name() string { return "hollow" }
@@ -43,7 +43,7 @@
 	set.DurationVar(&c.plan.span, "span", 15*time.Second, "how long the deployment is measured")
 	set.BoolVar(&c.plan.killLeader, "kill", false, "kill the leader at the end and measure the recovery")
 	set.StringVar(&c.part, "part", "", "internal: the role of this process")
-	set.StringVar(&c.text, "setup", "", "internal: the deployment, as JSON")
+	set.StringVar(&c.configJSON, "setup", "", "internal: the deployment, as JSON")
 	set.IntVar(&c.first, "first", 0, "internal: the index of the first node of this process")
 	set.IntVar(&c.count, "count", 0, "internal: the number of nodes of this process")
 }
@@ -74,7 +74,7 @@
 // runPart runs one process of a hollow deployment.
 func (c *hollowCommand) runPart(ctx context.Context) error {
 	config := &hollowConfig{}
-	if err := json.Unmarshal([]byte(c.text), config); err != nil {
+	if err := json.Unmarshal([]byte(c.configJSON), config); err != nil {
 		return err
 	}
 	return runHollowProcess(ctx, config, c.part, c.first, c.count)
--- a/cmd/sparnotch-bench/hollow_load.go
+++ b/cmd/sparnotch-bench/hollow_load.go
@@ -101,7 +101,7 @@
 		if code == http.StatusOK || code == http.StatusCreated {
 			p.accepted.Add(1)
 			p.mu.Lock()
-			recordMicros(p.confirm, time.Since(submittedAt).Microseconds())
+			recordMicros(p.confirmLatencies, time.Since(submittedAt).Microseconds())
 			p.mu.Unlock()
 			return
 		}
--- a/cmd/sparnotch-bench/hollow_measure.go
+++ b/cmd/sparnotch-bench/hollow_measure.go
@@ -68,8 +68,8 @@
 // of a core and the memory in MB. The messages, bytes and syncs are rates per second, and the
 // lost messages are a count.
 type roleSums struct {
-	processes                                            int // number of nodes in these processes
-	cpu, rss, sent, received, out, in, disk, syncs, lost float64
+	processes                                                           int // number of nodes in these processes
+	cpu, rss, sent, received, bytesOut, bytesIn, diskBytes, syncs, lost float64
 }
 
 // measureSums adds up the activity of all processes between two reports.
@@ -97,9 +97,9 @@
 	sums.rss += float64(after.RssBytes) / (1 << 20)
 	sums.sent += float64(after.Wire.Sent-before.Wire.Sent) / s.seconds
 	sums.received += float64(after.Wire.Received-before.Wire.Received) / s.seconds
-	sums.out += float64(after.Wire.Bytes-before.Wire.Bytes) / s.seconds
-	sums.in += float64(after.Wire.BytesIn-before.Wire.BytesIn) / s.seconds
-	sums.disk += float64(after.StorageBytes-before.StorageBytes) / s.seconds
+	sums.bytesOut += float64(after.Wire.Bytes-before.Wire.Bytes) / s.seconds
+	sums.bytesIn += float64(after.Wire.BytesIn-before.Wire.BytesIn) / s.seconds
+	sums.diskBytes += float64(after.StorageBytes-before.StorageBytes) / s.seconds
 	sums.syncs += float64(after.Syncs-before.Syncs) / s.seconds
 	sums.lost += float64(after.LostMessages - before.LostMessages + after.Wire.Lost - before.Wire.Lost)
 	s.whole["cpu_milli"] += cpuMilli
@@ -134,11 +134,11 @@
 		n := float64(sums.processes)
 		list = append(list,
 			measurement{role, "cpu_milli", sums.cpu / n}, measurement{role, "rss_mb", sums.rss / n}, measurement{role, "sent_s", sums.sent / n},
-			measurement{role, "received_s", sums.received / n}, measurement{role, "bytes_out_s", sums.out / n}, measurement{role, "bytes_in_s", sums.in / n},
+			measurement{role, "received_s", sums.received / n}, measurement{role, "bytes_out_s", sums.bytesOut / n}, measurement{role, "bytes_in_s", sums.bytesIn / n},
 			measurement{role, "lost", sums.lost},
 		)
-		if sums.disk > 0 {
-			list = append(list, measurement{role, "disk_bytes_s", sums.disk / n}, measurement{role, "syncs_s", sums.syncs / n})
+		if sums.diskBytes > 0 {
+			list = append(list, measurement{role, "disk_bytes_s", sums.diskBytes / n}, measurement{role, "syncs_s", sums.syncs / n})
 		}
 	}
 	return list
--- a/cmd/sparnotch-bench/hollow_process.go
+++ b/cmd/sparnotch-bench/hollow_process.go
@@ -80,20 +80,20 @@
 	accepted atomic.Uint64
 	refused  atomic.Uint64
 
-	mu            sync.Mutex // guards the fields below, which processReport explains
-	start         *hdrhistogram.Histogram
-	confirm       *hdrhistogram.Histogram
-	recentStarts  []taskStart
-	configSeen    map[uint64]int64
-	configSeenBy  map[uint64]int
-	configApplied map[uint64]int64
+	mu               sync.Mutex // guards the fields below, which processReport explains
+	startLatencies   *hdrhistogram.Histogram
+	confirmLatencies *hdrhistogram.Histogram
+	recentStarts     []taskStart
+	configSeen       map[uint64]int64
+	configSeenBy     map[uint64]int
+	configApplied    map[uint64]int64
 }
 
 // runHollowProcess runs this process in a role of a hollow deployment. It writes a report for
 // each line on its standard input, until that ends.
 func runHollowProcess(ctx context.Context, config *hollowConfig, role string, first, count int) error {
 	p := &hollowProcess{
-		config: config, first: first, count: count, start: newHistogram(), confirm: newHistogram(),
+		config: config, first: first, count: count, startLatencies: newHistogram(), confirmLatencies: newHistogram(),
 		configSeen: map[uint64]int64{}, configSeenBy: map[uint64]int{}, configApplied: map[uint64]int64{},
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -141,8 +141,8 @@
 func (p *hollowProcess) resetHistograms() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.start.Reset()
-	p.confirm.Reset()
+	p.startLatencies.Reset()
+	p.confirmLatencies.Reset()
 }
 
 // recordStart records the start of a task. The job's name contains the time of its
@@ -156,7 +156,7 @@
 	now := time.Now().UnixMicro()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	recordMicros(p.start, now-submittedAt)
+	recordMicros(p.startLatencies, now-submittedAt)
 	p.recentStarts = append(p.recentStarts, taskStart{submittedAt, now})
 	if len(p.recentStarts) > maxRecentStarts {
 		p.recentStarts = p.recentStarts[len(p.recentStarts)-maxRecentStarts/2:]
@@ -194,7 +194,7 @@
 	r.Accepted, r.Refused = p.accepted.Load(), p.refused.Load()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r.Start, r.Confirm = p.start.Export(), p.confirm.Export()
+	r.Start, r.Confirm = p.startLatencies.Export(), p.confirmLatencies.Export()
 	r.RecentStarts = p.recentStarts
 	r.ConfigSeen, r.ConfigSeenBy, r.ConfigApplied = maps.Clone(p.configSeen), maps.Clone(p.configSeenBy), maps.Clone(p.configApplied)
 	return r
--- a/cmd/sparnotch-bench/hollow_test.go
+++ b/cmd/sparnotch-bench/hollow_test.go
@@ -47,15 +47,15 @@
 
 func TestSweep(t *testing.T) {
 	Convey("A sweep's configuration is checked at each value before anything starts", t, func() {
-		c := &sweepCommand{config: defaultHollowConfig(), size: "queues", over: "1,2,4000", repeats: 1, span: 1}
+		c := &sweepCommand{config: defaultHollowConfig(), dimension: "queues", levels: "1,2,4000", repeats: 1, span: 1}
 		_, err := c.values()
 		So(err, ShouldNotBeNil)
 		So(err.Error(), ShouldStartWith, "over: at 4000: queues")
-		c.over = "1,2"
+		c.levels = "1,2"
 		list, err := c.values()
 		So(err, ShouldBeNil)
 		So(list, ShouldResemble, []float64{1, 2})
-		c.size = "depth"
+		c.dimension = "depth"
 		_, err = c.values()
 		So(err.Error(), ShouldStartWith, "size")
 	})
--- a/cmd/sparnotch-bench/report.go
+++ b/cmd/sparnotch-bench/report.go
@@ -128,7 +128,7 @@
 	first, last := completionTimes(events)
 	complete = true
 	fmt.Printf("%-12s %6s %8s %6s   %-26s %-26s %s\n", "kind", "sent", "accepted", "ended", "confirm ms 50/95/99", "first task ms 50/95/99", "last task's end ms 50/95/99")
-	for _, t := range slices.Concat(f.deployment.JobTypes, f.extra) {
+	for _, t := range slices.Concat(f.deployment.JobTypes, f.extraJobTypes) {
 		s := f.clients.stats[t.Name]
 		accepted += s.accepted
 		complete = complete && s.sent == s.accepted+s.rejected && s.accepted == s.ended
--- a/cmd/sparnotch-bench/soak_node.go
+++ b/cmd/sparnotch-bench/soak_node.go
@@ -31,7 +31,7 @@
 	hasAnswered bool // has answered a request since its start; before that, any signal may end it
 	isEnding    bool // was sent a signal that ends it
 	mayFail     bool // its exit code isn't checked, because it was killed or signalled too early
-	awayCounts  int  // number of current reasons for which it can't serve
+	awayReasons int  // number of current reasons for which it can't serve
 }
 
 // soakNodes tracks which nodes of a soak are away, and records in the history when a quorum of
@@ -63,9 +63,9 @@
 // countAway changes the number of reasons for which a node can't serve by 1 or -1, and records
 // when the node becomes unavailable or available. The caller holds the lock.
 func (n *soakNode) countAway(change int) {
-	wasAway := n.awayCounts > 0
-	n.awayCounts += change
-	isAway := n.awayCounts > 0
+	wasAway := n.awayReasons > 0
+	n.awayReasons += change
+	isAway := n.awayReasons > 0
 	if wasAway == isAway {
 		return
 	}
--- a/cmd/sparnotch-bench/soak_run.go
+++ b/cmd/sparnotch-bench/soak_run.go
@@ -82,7 +82,7 @@
 	}
 	f.history.add(checker.Event{Kind: checker.Close})
 	stopWorkers()
-	f.running.Wait()
+	f.runningWorkers.Wait()
 	return r.check()
 }
 
--- a/cmd/sparnotch-bench/standalone.go
+++ b/cmd/sparnotch-bench/standalone.go
@@ -118,7 +118,7 @@
 		go clients.load(loading, clientContext, jobType, rand.New(rand.NewPCG(uint64(k), 1)))
 	}
 	<-loading.Done()
-	clients.open.Wait()
+	clients.openJobs.Wait()
 	for _, t := range deployment.JobTypes {
 		s := clients.stats[t.Name]
 		fmt.Printf("%-12s sent %d, accepted %d, ended %d, confirm ms 50/99 %.1f/%.1f\n", t.Name, s.sent, s.accepted, s.ended, quantile(s.confirmTimes, .5), quantile(s.confirmTimes, .99))
--- a/cmd/sparnotch-bench/sweep.go
+++ b/cmd/sparnotch-bench/sweep.go
@@ -53,14 +53,14 @@
 // sweepCommand implements the subcommand slope, which measures a hollow deployment at several
 // values of one dimension.
 type sweepCommand struct {
-	config     hollowConfig
-	size, over string // dimension, and its values separated by commas
-	out        string // folder for the results
-	repeats    int
-	warm, span time.Duration // how long each deployment runs before the measurement, and during it
-	killLeader bool
-	simulated  bool
-	lose       string // kind of loss at the end of each simulated run; empty: none
+	config            hollowConfig
+	dimension, levels string // dimension, and its values separated by commas
+	out               string // folder for the results
+	repeats           int
+	warm, span        time.Duration // how long each deployment runs before the measurement, and during it
+	killLeader        bool
+	simulated         bool
+	lose              string // kind of loss at the end of each simulated run; empty: none
 }
 
 func (*sweepCommand) Name() string { return "slope" }
@@ -80,8 +80,8 @@
 
 func (c *sweepCommand) SetFlags(set *flag.FlagSet) {
 	c.config.register(set)
-	set.StringVar(&c.size, "size", "", "dimension to sweep")
-	set.StringVar(&c.over, "over", "", "values of the dimension, separated by commas")
+	set.StringVar(&c.dimension, "size", "", "dimension to sweep")
+	set.StringVar(&c.levels, "over", "", "values of the dimension, separated by commas")
 	set.StringVar(&c.out, "out", ".", "folder for the CSV and the plot")
 	set.IntVar(&c.repeats, "repeats", 3, "runs at each value; 0: only fit and draw the measurements in the file")
 	set.DurationVar(&c.warm, "warm", 5*time.Second, "how long each deployment runs before it is measured")
@@ -96,9 +96,9 @@
 // values returns the swept values. It returns an error that names the first invalid flag, and
 // checks the configuration at each value.
 func (c *sweepCommand) values() ([]float64, error) {
-	set, found := sweeps[c.size]
+	set, found := sweeps[c.dimension]
 	if !found {
-		return nil, fmt.Errorf("size: %q is not one of %s", c.size, strings.Join(sweepNames(), ", "))
+		return nil, fmt.Errorf("size: %q is not one of %s", c.dimension, strings.Join(sweepNames(), ", "))
 	}
 	if c.repeats < 0 || c.repeats > 100 {
 		return nil, errors.New("repeats: must lie between 0 and 100")
@@ -106,7 +106,7 @@
 	if c.span <= 0 || c.warm < 0 {
 		return nil, errors.New("span and warm: span must be above 0, and warm must not be negative")
 	}
-	if !c.simulated && (c.lose != "" || c.config.Regions != 1 || c.size == "far") {
+	if !c.simulated && (c.lose != "" || c.config.Regions != 1 || c.dimension == "far") {
 		return nil, errors.New("lose, regions and the size far: are allowed only with -virtual")
 	}
 	if c.simulated && c.killLeader {
@@ -116,7 +116,7 @@
 		return nil, fmt.Errorf("lose: %q is not one of %s", c.lose, strings.Join(losses, ", "))
 	}
 	var list []float64
-	for _, text := range strings.Split(c.over, ",") {
+	for _, text := range strings.Split(c.levels, ",") {
 		value, err := strconv.ParseFloat(text, 64)
 		if err != nil {
 			return nil, fmt.Errorf("over: %q is not a number", text)
@@ -146,7 +146,7 @@
 	if err := os.MkdirAll(c.out, 0o755); err != nil {
 		return fail(2, "out:", err)
 	}
-	path := filepath.Join(c.out, c.size+".csv")
+	path := filepath.Join(c.out, c.dimension+".csv")
 	measurements, err := readIfExists(path)
 	if err != nil {
 		return fail(2, "out:", path, err)
@@ -158,7 +158,7 @@
 	for _, fit := range capacity.FitAll(measurements) {
 		fmt.Printf("%-7s %-14s %s\n", fit.Role, fit.Metric, fit.String())
 	}
-	if err := capacity.Plot(filepath.Join(c.out, c.size+".png"), c.size, measurements, c.plottedMetrics()); err != nil {
+	if err := capacity.Plot(filepath.Join(c.out, c.dimension+".png"), c.dimension, measurements, c.plottedMetrics()); err != nil {
 		return fail(1, err)
 	}
 	if !complete {
@@ -179,19 +179,19 @@
 	for repeat := lastRepeat + 1; repeat <= lastRepeat+c.repeats; repeat++ {
 		for _, value := range values {
 			config := c.config
-			sweeps[c.size](&config, value)
+			sweeps[c.dimension](&config, value)
 			list, err := c.run(ctx, config, repeat)
 			if err != nil {
-				fmt.Printf("%s %g, run %d: %v\n", c.size, value, repeat, err)
+				fmt.Printf("%s %g, run %d: %v\n", c.dimension, value, repeat, err)
 				complete = false
 				continue
 			}
-			fmt.Printf("%s %g, run %d", c.size, value, repeat)
+			fmt.Printf("%s %g, run %d", c.dimension, value, repeat)
 			if !c.simulated {
 				fmt.Printf(": %.0f thousandths of a core in all", find(list, roleWhole, "cpu_milli"))
 			}
 			fmt.Println()
-			measurements = append(measurements, toMeasurements(c.size, value, repeat, list)...)
+			measurements = append(measurements, toMeasurements(c.dimension, value, repeat, list)...)
 			if err := writeMeasurements(path, measurements); err != nil {
 				return nil, false, err
 			}
@@ -224,7 +224,7 @@
 	defer runtime.UnlockOSThread()
 	profiler := &cpuProfiler{}
 	if config.Profile != "" {
-		profiler.path = filepath.Join(config.Profile, fmt.Sprintf("%s%d.pprof", c.size, repeat))
+		profiler.path = filepath.Join(config.Profile, fmt.Sprintf("%s%d.pprof", c.dimension, repeat))
 	}
 	if err := profiler.start(); err != nil {
 		return nil, err
