--- a/cmd/sparnotch-bench/clients.go
+++ b/cmd/sparnotch-bench/clients.go
@@ -64,8 +64,8 @@
 	return &clients{balancer: balancer, history: h, prefix: prefix, stats: map[string]*jobStats{}}
 }
 
-// load submits jobs of one type at the type's rate until the context loading ends. The
-// jobs' clients continue until their jobs have ended or ctx ends.
+// load submits jobs of one type at the type's rate until the context loading ends. Each job
+// has a client of its own, which continues until the job has ended or ctx ends.
 func (c *clients) load(loading, ctx context.Context, t deployments.JobType, rng *rand.Rand) {
 	c.mu.Lock()
 	c.stats[t.Name] = &jobStats{codes: map[int32]int{}}
--- a/cmd/sparnotch-bench/fleet.go
+++ b/cmd/sparnotch-bench/fleet.go
@@ -138,7 +138,7 @@
 // restart starts a node's process again after its exit.
 func (f *fleet) restart(d *daemon) {
 	if err := d.start(f.folder); err != nil {
-		fmt.Fprintln(os.Stderr, "sparnotch-bench: the node", d.name, "could not be started:", err)
+		fmt.Fprintln(os.Stderr, "sparnotch-bench: could not start the node", d.name, err)
 	}
 }
 
@@ -154,9 +154,9 @@
 	f.cancels[name] = cancel
 	f.lastIncarnation++
 	incarnation := uint64(f.lastIncarnation)
-	worker := fakeworker.NewPollingWorker(f.history.now(), name, fmt.Sprintf("r%d", k/3+1), f.deployment.WorkerCoresMilli, f.deployment.WorkerMemoryMB, incarnation,
+	w := fakeworker.NewPollingWorker(f.history.now(), name, fmt.Sprintf("r%d", k/3+1), f.deployment.WorkerCoresMilli, f.deployment.WorkerMemoryMB, incarnation,
 		rand.New(rand.NewPCG(uint64(k), incarnation)), f.history.add)
-	runner := &workerRunner{balancer: f.balancer, history: f.history, zone: zoneName(k), worker: worker}
+	runner := &workerRunner{balancer: f.balancer, history: f.history, zone: zoneName(k), worker: w}
 	f.workers[name] = runner
 	f.mu.Unlock()
 	f.runningWorkers.Add(1)
--- a/cmd/sparnotch-bench/fleet_command.go
+++ b/cmd/sparnotch-bench/fleet_command.go
@@ -117,7 +117,8 @@
 	return nil
 }
 
-// prepareFolders sets the folders that the flags don't set, and creates the folder for data.
+// prepareFolders sets the default folders where the flags set none, and creates the folder for
+// data.
 func (c *fleetCommand) prepareFolders() (err error) {
 	c.bin, c.folder, err = defaultFolders(c.bin, c.folder)
 	return err
--- a/cmd/sparnotch-bench/fleet_faults.go
+++ b/cmd/sparnotch-bench/fleet_faults.go
@@ -41,12 +41,12 @@
 		if item == "" {
 			continue
 		}
-		what, when, found := strings.Cut(item, "@")
-		at, err := time.ParseDuration(when)
+		spec, timeText, found := strings.Cut(item, "@")
+		at, err := time.ParseDuration(timeText)
 		if !found || err != nil {
 			return nil, fmt.Errorf("faults: %q is not NAME[:SPAN]@TIME", item)
 		}
-		name, argument, _ := strings.Cut(what, ":")
+		name, argument, _ := strings.Cut(spec, ":")
 		if faultActions[name] == nil {
 			return nil, fmt.Errorf("faults: there is no fault %q", name)
 		}
@@ -54,13 +54,14 @@
 		if err != nil {
 			duration = defaultFaultDuration
 		}
-		list = append(list, plannedFault{at, name, what, duration})
+		list = append(list, plannedFault{at, name, spec, duration})
 	}
 	slices.SortStableFunc(list, func(a, b plannedFault) int { return cmp.Compare(a.at, b.at) })
 	return list, nil
 }
 
-// recordFault prints a fault and records it in the history, from which the checker reads it.
+// recordFault writes a line about a fault to the trace, and records the fault in the history,
+// which the checker reads.
 func (f *fleet) recordFault(text string) {
 	f.recordChange(text)
 	f.history.add(checker.Event{Kind: checker.Fault, State: text})
@@ -167,7 +168,7 @@
 			defer racing.Done()
 			rows := append(f.deployment.ConfigRows(), &schema.ConfigurationRow{Kind: "fleet", Key: "cache_every", Value: strconv.Itoa(32 + 16*k)})
 			if err := applyConfig(ctx, f.balancer, f.history, operator, rows); err != nil && ctx.Err() == nil {
-				fmt.Fprintln(os.Stderr, "sparnotch-bench: the operator", operator, "failed:", err)
+				fmt.Fprintln(os.Stderr, "sparnotch-bench: a racing operator failed:", err)
 			}
 		}()
 	}
--- a/cmd/sparnotch-bench/hollow_child.go
+++ b/cmd/sparnotch-bench/hollow_child.go
@@ -47,11 +47,11 @@
 	if p.stdin, err = p.command.StdinPipe(); err != nil {
 		return err
 	}
-	out, err := p.command.StdoutPipe()
+	stdout, err := p.command.StdoutPipe()
 	if err != nil {
 		return err
 	}
-	p.stdout = bufio.NewReaderSize(out, 1<<20)
+	p.stdout = bufio.NewReaderSize(stdout, 1<<20)
 	if err := p.command.Start(); err != nil {
 		return err
 	}
--- a/cmd/sparnotch-bench/hollow_config.go
+++ b/cmd/sparnotch-bench/hollow_config.go
@@ -12,7 +12,9 @@
 	maxHosts         = 60_000
 )
 
-// hollowConfig describes a hollow deployment and its load.
+// hollowConfig describes a hollow deployment and its load. Such a deployment has real storage and
+// gateway nodes, but hollow agent nodes: their workers execute nothing, and many of these nodes
+// share a process.
 type hollowConfig struct {
 	Net              string  // first two numbers of the loopback addresses
 	Profile          string  // folder for a processor profile of each process; empty: no profiles
@@ -30,7 +32,7 @@
 	PerRack          int   // workers in each rack
 	Controllers      int   // number of agent nodes that are controller candidates; 0: all
 	SyncUs           int64 // minimum duration of a sync of a storage node
-	Regions          int   // in the simulator only
+	Regions          int   // number of regions, in the simulator only
 	RegionDelayUs    int64 // one-way delay between regions, in the simulator only
 	AgentProcesses   int   // number of processes of the operating system that the agent nodes share
 }
@@ -106,7 +108,8 @@
 	return nil
 }
 
-// register defines a flag for each field that a real deployment has.
+// register defines the flags that set the fields. Folder has no flag, and the flags for the
+// regions are defined by sweepCommand alone.
 func (c *hollowConfig) register(set *flag.FlagSet) {
 	defaults := defaultHollowConfig()
 	set.StringVar(&c.Net, "net", defaults.Net, "first two numbers of the loopback addresses to use")
--- a/cmd/sparnotch-bench/hollow_deployment.go
+++ b/cmd/sparnotch-bench/hollow_deployment.go
@@ -22,7 +22,7 @@
 	requestReset = "reset" // report, then clear the histograms and start a new profile
 )
 
-// hollowDeployment is a running hollow deployment.
+// hollowDeployment is a running hollow deployment, which hollowConfig explains.
 type hollowDeployment struct {
 	config    *hollowConfig
 	processes []*childProcess
--- a/cmd/sparnotch-bench/hollow_measure.go
+++ b/cmd/sparnotch-bench/hollow_measure.go
@@ -197,7 +197,7 @@
 		}
 	}
 	for revision, at := range applied {
-		// The first revision is applied while the agent nodes are still starting. Those
+		// The first revision is applied while the agent nodes are still starting. Revisions
 		// that no agent node has received can't be measured.
 		if revision <= 1 || seen[revision] == 0 {
 			continue
--- a/cmd/sparnotch-bench/outage.go
+++ b/cmd/sparnotch-bench/outage.go
@@ -47,7 +47,7 @@
 		err = fmt.Errorf("size: a fleet of the size %q has no called workers", c.size)
 	}
 	if err == nil && c.seeds < 1 {
-		err = fmt.Errorf("seeds: is %d, but must be 1 or more", c.seeds)
+		err = fmt.Errorf("seeds: %d is not allowed; it must be 1 or more", c.seeds)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "sparnotch-bench:", err)
--- a/cmd/sparnotch-bench/report.go
+++ b/cmd/sparnotch-bench/report.go
@@ -53,9 +53,10 @@
 	return fmt.Sprintf("%.1f/%.1f/%.1f", quantile(list, .5), quantile(list, .95), quantile(list, .99))
 }
 
-// completionTimes returns durations of the jobs that have ended tasks, by queue and job type:
-// first from the first submission of a job to the start of its first task, and last to the
-// end of its last task. The events of the workers give the times of starts and ends.
+// completionTimes returns two maps of durations, by queue and job type, for the jobs that have
+// an ended task. The map first holds the times from the first submission of a job to the start
+// of its first task, and the map last those to the end of its last task. The times of starts
+// and ends come from the events of the workers.
 func completionTimes(events []checker.Event) (first, last map[string][]eventloop.Micros) {
 	submitted, started, ended := map[string]eventloop.Micros{}, map[string]eventloop.Micros{}, map[string]eventloop.Micros{}
 	types := map[string]string{}
@@ -212,8 +213,8 @@
 	}
 }
 
-// confirmations returns the times from the first submission to the confirmation of a type's
-// jobs. It includes only jobs of the ordinary load that were first submitted between from and
+// confirmations returns the times from the first submission to the confirmation for the jobs of
+// a type. It includes only jobs of the ordinary load that were first submitted between from and
 // until.
 func confirmations(events []checker.Event, t deployments.JobType, from, until eventloop.Micros) []eventloop.Micros {
 	sent := map[string]eventloop.Micros{}
--- a/cmd/sparnotch-bench/simulate.go
+++ b/cmd/sparnotch-bench/simulate.go
@@ -212,7 +212,8 @@
 	violation checker.Violation
 }
 
-// playRandom runs random schedules of as many seeds.
+// playRandom draws and runs count schedules, each from a seed of its own. For each schedule that
+// breaks a rule it prints the command that runs it again, shrunk unless the flag -noshrink is set.
 func (c *simulateCommand) playRandom(size sim.FleetSpec, count int, draw func(seed uint64, size sim.FleetSpec) sim.Schedule, scenarioOf func(sim.Schedule) sim.Scenario) subcommands.ExitStatus {
 	schedules, faultCount := make([]sim.Schedule, count), 0
 	for k := range schedules {
--- a/cmd/sparnotch-bench/soak_command.go
+++ b/cmd/sparnotch-bench/soak_command.go
@@ -93,8 +93,8 @@
 	return 0
 }
 
-// check returns an error that names the first invalid flag. It also sets the folders that the
-// flags don't set, and creates the folder for data.
+// check returns an error that names the first invalid flag. It also sets the default folders
+// where the flags set none, and creates the folder for data.
 func (c *soakCommand) check() error {
 	switch {
 	case c.processes <= storageNodeCount || c.processes > maxSoakProcesses:
--- a/cmd/sparnotch-bench/soak_node.go
+++ b/cmd/sparnotch-bench/soak_node.go
@@ -97,7 +97,8 @@
 	}
 }
 
-// do performs one action.
+// do performs one action on the node. It skips signals that end nothing while the process has
+// no handlers for them yet.
 func (n *soakNode) do(action soakAction) {
 	switch action {
 	case actionStart:
@@ -176,8 +177,8 @@
 	}
 }
 
-// startAgain waits until the process has exited and starts it again. It does nothing if no
-// signal was sent that ends the process. It reports a violation if the process fails to shut
+// startAgain waits until the process has exited and starts it again. It does nothing unless a
+// signal that ends the process was sent. It reports a violation if the process fails to shut
 // down cleanly or to start.
 func (n *soakNode) startAgain() {
 	n.starting.Lock()
--- a/cmd/sparnotch-bench/soak_plan.go
+++ b/cmd/sparnotch-bench/soak_plan.go
@@ -38,9 +38,8 @@
 
 // workerCrash is the crash of a worker, which is started again after a duration.
 type workerCrash struct {
-	at       time.Duration // from the start of the load
-	duration time.Duration // from the crash to the start
-	worker   int           // index
+	at, duration time.Duration // from the start of the load to the crash, and from the crash to the restart
+	worker       int           // index
 }
 
 // soakPlan holds everything that is drawn from the seed before a run starts.
@@ -60,7 +59,7 @@
 	maxSoakWorkers   = 11
 	minSoakSessions  = 16
 	maxSoakSessions  = 48
-	// largeRunShare is the average number of runs for each run with the maximum number of
+	// largeRunShare means that on average one run in this many has the maximum number of
 	// processes.
 	largeRunShare = 8
 	// lastSeriesShare is the share of the load's duration after which no series and no crash
