--- a/internal/sim/scenario.go
+++ b/internal/sim/scenario.go
@@ -7,34 +7,35 @@
 	"sparnotch/internal/eventloop"
 )
 
-// Scenario is a fault, or several, injected into a fleet during its load.
+// Scenario describes a run of a fleet under load and the faults that are injected into it.
 type Scenario struct {
 	Name      string
 	Network   NetworkProfile
-	SyncDelay eventloop.Micros        // of a disk, in µs, unless the fleet's spec has its own
-	Duration  eventloop.Micros        // of the load
-	Inject    func(f *Fleet)          // schedules the faults; nil: none
-	Verify    func(f *Fleet) []string // finds what is wrong at the end besides the rules; nil: nothing to verify
+	SyncDelay eventloop.Micros        // duration of a disk sync, in µs; FleetSpec.SyncDelay overrides it unless that is 0
+	Duration  eventloop.Micros        // duration of the load, in µs
+	Inject    func(f *Fleet)          // schedules the faults; nil if there are none
+	Verify    func(f *Fleet) []string // returns the problems at the end of the run that the checker's rules don't cover; nil if there is nothing to verify
 }
 
-// fastSync and slowSync are what a disk's sync takes in most scenarios.
+// fastSync and slowSync are the durations of a disk sync in most scenarios.
 const (
 	fastSync = 500 * eventloop.Micros(1)
 	slowSync = 5 * eventloop.Millisecond
 )
 
-// Scenarios are the faults that fleets of either kind of workers are put through.
+// Scenarios lists the scenarios for fleets with polling workers. They also run on fleets with
+// called workers, except everyAgentNodeGone.
 var Scenarios = slices.Concat(leaderScenarios, storageScenarios, controlScenarios, workerScenarios, loadScenarios, logScenarios)
 
-// everyAgentNodeGone is a scenario that no fleet with called workers can be put through:
-// nobody can call a worker for so long.
+// everyAgentNodeGone names the scenario that can't run on a fleet with called workers: all
+// agent nodes are down for so long that no worker can be called in time.
 //
-// The names of scenarios and faults are keys of seeds, pages and commands, and stay. In
-// them a side machine is an agent node, a front a gateway, and a disk machine a storage
-// node.
+// The names of scenarios and faults identify them in lists of seeds, in documentation and on
+// the command line, so they don't change. In these names a side machine is an agent node, a
+// front is a gateway, and a disk machine is a storage node.
 const everyAgentNodeGone = "every side machine gone"
 
-// ScenariosFor lists the scenarios that a fleet can be put through.
+// ScenariosFor returns the scenarios that can run on a fleet with this specification.
 func ScenariosFor(spec FleetSpec) []Scenario {
 	if !spec.HasCalledWorkers() {
 		return slices.Concat(Scenarios, DiskScenarios)
@@ -46,8 +47,9 @@
 	return slices.Concat(list, CalledScenarios, DiskScenarios)
 }
 
-// RunScenario runs a scenario on a fleet, with a seed. It gives the fleet as it is at the
-// end, the rules that were broken, and what the scenario's own verification found.
+// RunScenario runs a scenario on a new fleet with the given seed. It returns the fleet in its
+// final state, the violations of the checker's rules, and the problems that the scenario's
+// Verify function found.
 func RunScenario(s Scenario, spec FleetSpec, seed uint64) (*Fleet, []checker.Violation, []string) {
 	f := NewFleet(seed, spec, s.Network, s.SyncDelay, s.Duration)
 	if s.Inject != nil {
@@ -61,11 +63,11 @@
 	return f, violations, problems
 }
 
-// atLoad schedules a call some time after the load's start.
+// atLoad schedules a call at the given time after the load's start.
 func (f *Fleet) atLoad(at eventloop.Micros, call func()) { f.At(f.LoadStart+at, call) }
 
-// atLeader calls with the leader of the moment, some time after the load's start; where
-// there is none then, as soon as there is one.
+// atLeader schedules a call with the current leader at the given time after the load's start.
+// If there is no leader at that time, it tries again every 200 ms.
 func (f *Fleet) atLeader(at eventloop.Micros, call func(leader *Host)) {
 	f.atLoad(at, func() {
 		leader := f.Leader()
@@ -77,13 +79,14 @@
 	})
 }
 
-// killLeaderAt kills the leader of the moment, some time after the load's start.
+// killLeaderAt kills the current leader at the given time after the load's start, and starts
+// it again after the downtime.
 func (f *Fleet) killLeaderAt(at, downtime eventloop.Micros) {
 	f.atLeader(at, func(leader *Host) { f.kill(leader, downtime) })
 }
 
-// controllerHost is the agent node whose controller holds the lease; the first one if none
-// is known to.
+// controllerHost returns the agent node whose controller holds the controller lease, or the
+// first agent node if no fresh cluster state names a holder that is up.
 func (f *Fleet) controllerHost() *Host {
 	for _, node := range f.StorageNodes() {
 		view := node.StateView()
@@ -99,11 +102,11 @@
 	return f.agentNodes[0]
 }
 
-// newestHost is the machine that was added last.
+// newestHost returns the machine that was added last.
 func (f *Fleet) newestHost() *Host { return f.Hosts[len(f.Hosts)-1] }
 
-// busiestWorker is the worker on which most tasks run now: losing one that has none would
-// show nothing.
+// busiestWorker returns the worker that runs the most tasks now. Losing a worker that runs no
+// task would test nothing.
 func (f *Fleet) busiestWorker() Worker {
 	running := map[string]int{}
 	for _, e := range f.History {
--- a/internal/sim/scenarios_called.go
+++ b/internal/sim/scenarios_called.go
@@ -8,7 +8,8 @@
 	"sparnotch/internal/schema"
 )
 
-// CalledScenarios are faults of called workers and of the agents that call them.
+// CalledScenarios lists scenarios with faults of called workers and of the agents that call
+// them.
 var CalledScenarios = []Scenario{
 	{Name: "side machines killed, frozen, cut", Network: ReliableNetwork, SyncDelay: fastSync, Duration: 40 * eventloop.Second, Inject: loseAgents},
 	{Name: "every side machine killed at once", Network: ReliableNetwork, SyncDelay: fastSync, Duration: 25 * eventloop.Second, Inject: func(f *Fleet) {
@@ -38,8 +39,8 @@
 	}},
 }
 
-// loseAgents kills, freezes and isolates agent nodes while tasks run for so long that some
-// of them are left when a worker's lease expires.
+// loseAgents kills, freezes and isolates agent nodes while long tasks run. The tasks are long
+// enough that some of them are still running when a worker's lease expires.
 func loseAgents(f *Fleet) {
 	step := &schema.Step{Name: "long", Tasks: 8, CoresMilli: 1000, MemoryMb: 100, EstimatedRunUs: int64(9 * eventloop.Second), Checkpoints: true, MaxPerWorker: 2}
 	long := newJob("long", step)
@@ -79,7 +80,8 @@
 	})
 }
 
-// powerCycleAndWipeOne cuts the power of all machines, and loses one disk.
+// powerCycleAndWipeOne kills all machines, wipes the disk of one of them, and starts them
+// again after a second.
 func (f *Fleet) powerCycleAndWipeOne() {
 	f.RecordFault("every process killed, one disk lost")
 	for k, h := range f.Hosts {
--- a/internal/sim/scenarios_control.go
+++ b/internal/sim/scenarios_control.go
@@ -8,8 +8,8 @@
 	"sparnotch/internal/schema"
 )
 
-// controlScenarios are losses of agent nodes, of the controller among them, and of
-// gateways, and wrong clocks.
+// controlScenarios lists scenarios in which agent nodes (including the controller's) or
+// gateways are lost, or clocks jump.
 var controlScenarios = []Scenario{
 	{Name: "side machines swapped out", Network: ReliableNetwork, SyncDelay: fastSync, Duration: 30 * eventloop.Second, Inject: func(f *Fleet) {
 		for k := range 3 {
@@ -23,8 +23,8 @@
 			f.RecordFault("the controller %s frozen", controller.Name)
 			controller.Freeze(12 * eventloop.Second)
 		})
-		// The leader dies while no controller may act, and again when the old controller goes
-		// on beside its successor.
+		// The leader is killed while no controller is allowed to act, and again when the old
+		// controller resumes beside its successor.
 		f.killLeaderAt(3500*eventloop.Millisecond, 5*eventloop.Second)
 		f.killLeaderAt(15100*eventloop.Millisecond, 5*eventloop.Second)
 	}},
@@ -32,7 +32,7 @@
 		f.atLoad(3*eventloop.Second, func() { f.isolate(f.controllerHost(), 15*eventloop.Second) })
 		f.killLeaderAt(8*eventloop.Second, 5*eventloop.Second)
 	}},
-	// The data plane goes on with the cluster state that it has.
+	// While no controller runs, the data plane continues with the cluster state that it has.
 	{Name: everyAgentNodeGone, Network: ReliableNetwork, SyncDelay: fastSync, Duration: 30 * eventloop.Second, Inject: func(f *Fleet) {
 		f.atLoad(3*eventloop.Second, func() { f.killAgentNodes(15 * eventloop.Second) })
 	}},
@@ -48,7 +48,7 @@
 	}},
 }
 
-// swapOut replaces an agent node by an empty machine.
+// swapOut kills an agent node and starts an empty machine in its place 500 ms later.
 func (f *Fleet) swapOut(old *Host) {
 	f.RecordFault("%s swapped out", old.Name)
 	old.Kill()
@@ -64,8 +64,8 @@
 	}
 }
 
-// gapInSession has a gateway's second submission arrive, and the gateway die before its
-// first one is sent.
+// gapInSession leaves a gap in a gateway's session: the leader receives the submission with
+// number 2, and the gateway is killed before it sends the one with number 1.
 func gapInSession(f *Fleet) {
 	f.atLoad(0, func() {
 		f.PutConfiguration("operator", append(f.ConfigurationRows(operatorUrgency), &schema.ConfigurationRow{Kind: "fleet", Key: "session_timeout_s", Value: "10"}))
@@ -83,8 +83,8 @@
 	})
 }
 
-// verifyGapIsForgotten: the submission that waited for the one before it holds no log
-// entries back, and hasn't run.
+// verifyGapIsForgotten checks that the submission after the gap doesn't keep log entries from
+// being compacted, and that its job hasn't run.
 func verifyGapIsForgotten(f *Fleet) []string {
 	var problems []string
 	for _, h := range f.StorageNodes() {
--- a/internal/sim/scenarios_disk.go
+++ b/internal/sim/scenarios_disk.go
@@ -12,13 +12,14 @@
 // diskFullPeriod is how long a disk refuses writes in most of these scenarios.
 const diskFullPeriod = 6 * eventloop.Second
 
-// maxRejectionDelay is how fast a submission is rejected that can't be confirmed.
+// maxRejectionDelay is the time within which a submission that can't be confirmed must be
+// rejected.
 const maxRejectionDelay = 500 * eventloop.Millisecond
 
-// diskFull is a disk without space.
+// diskFull is the fault of a disk that has no free space.
 var diskFull = DiskFault{IsFull: true}
 
-// DiskScenarios are disks that refuse writes or syncs, or hang.
+// DiskScenarios lists scenarios in which disks refuse writes, fail to sync, or hang.
 var DiskScenarios = []Scenario{
 	{Name: "leader's disk is full", Network: ReliableNetwork, SyncDelay: fastSync, Duration: 25 * eventloop.Second, Inject: func(f *Fleet) {
 		f.atLeader(4*eventloop.Second, func(leader *Host) { f.refuseWritesAndVerify(leader, diskFull, diskFullPeriod) })
@@ -77,7 +78,8 @@
 	}, Verify: verifyCaughtUp},
 }
 
-// fillDiskBesideLoss fills the leader's disk while another storage node is down.
+// fillDiskBesideLoss returns a function that kills a storage node other than the leader and
+// fills the leader's disk at the same time.
 func fillDiskBesideLoss(f *Fleet) func(leader *Host) {
 	return func(leader *Host) {
 		for _, h := range f.StorageNodes() {
@@ -88,12 +90,12 @@
 		}
 		f.RecordFault("the disk of %s takes no more", leader.Name)
 		leader.RefuseWrites(diskFull, diskFullPeriod+2*eventloop.Second)
-		// The other node counts as down only after its heartbeats' timeout.
+		// The other node counts as down only after its heartbeats have timed out.
 		f.refusedAt = append(f.refusedAt, f.Now+2*eventloop.Second)
 	}
 }
 
-// hangMostDisks has all disks but one end no write for a while.
+// hangMostDisks makes all disks but one complete no writes for the given duration.
 func (f *Fleet) hangMostDisks(duration eventloop.Micros) {
 	f.RecordFault("most disks hang")
 	for _, h := range f.StorageNodes()[1:] {
@@ -102,8 +104,8 @@
 	f.refusedAt = append(f.refusedAt, f.Now+process.DiskHangTimeout)
 }
 
-// refuseWritesAndVerify has a disk refuse writes for a while, and looks at its process
-// halfway.
+// refuseWritesAndVerify makes a host's disk refuse writes for the given duration, and checks
+// the host's process halfway through with verifyRefusing.
 func (f *Fleet) refuseWritesAndVerify(h *Host, fault DiskFault, duration eventloop.Micros) {
 	f.RecordFault("the disk of %s takes no more", h.Name)
 	f.refusedAt = append(f.refusedAt, f.Now)
@@ -111,15 +113,15 @@
 	f.After(duration/2, func() { f.problems = append(f.problems, f.verifyRefusing(h)...) })
 }
 
-// verifyRefusing: a process whose disk refuses writes says so, and leads nothing that
-// another node could lead.
+// verifyRefusing checks that a process whose disk refuses writes reports that it is read-only,
+// and that it leads no group and holds no worker leases, which other nodes can take over.
 func (f *Fleet) verifyRefusing(h *Host) []string {
 	view := h.StateView()
 	if !h.IsUp {
-		return []string{h.Name + " has ended"}
+		return []string{"the process of " + h.Name + " has ended"}
 	}
 	if view == nil {
-		// It has started without storage.
+		// The process has started without storage, so it has no state to check.
 		return nil
 	}
 	var problems []string
@@ -137,8 +139,8 @@
 	return problems
 }
 
-// workerLeasesOf counts the worker leases that a node holds, as the cluster state's leader
-// sees it.
+// workerLeasesOf counts the worker leases that a host holds according to the leader of the
+// cluster state.
 func (f *Fleet) workerLeasesOf(h *Host) int {
 	count := 0
 	for _, other := range f.StorageNodes() {
@@ -155,13 +157,14 @@
 	return count
 }
 
-// verifyServedThroughout: who submits around a refusal waits no longer than for a handover.
+// verifyServedThroughout checks that submissions sent while a disk refuses writes wait no longer
+// than a handover takes.
 func verifyServedThroughout(f *Fleet) []string {
 	return append(verifyCaughtUp(f), f.verifySubmissionDelays(f.refusedAt, diskFullPeriod, "while a disk refused writes")...)
 }
 
-// verifyRejectedAtOnce: while nothing can be confirmed, submissions are rejected at once;
-// afterwards service goes on.
+// verifyRejectedAtOnce checks that submissions are rejected at once while nothing can be
+// confirmed, and that service resumes afterwards.
 func verifyRejectedAtOnce(f *Fleet) []string {
 	problems := verifyCaughtUp(f)
 	from, to := f.refusedAt[0]+eventloop.Second, f.refusedAt[0]+diskFullPeriod
@@ -179,7 +182,7 @@
 		}
 	}
 	if count < 10 || slow > count/10 {
-		problems = append(problems, fmt.Sprintf("of %d submissions while most disks refused writes %d waited", count, slow))
+		problems = append(problems, fmt.Sprintf("%d submissions were sent while most disks refused writes, and %d of them waited too long", count, slow))
 	}
 	return problems
 }
--- a/internal/sim/scenarios_gang.go
+++ b/internal/sim/scenarios_gang.go
@@ -2,7 +2,8 @@
 
 import "sparnotch/internal/eventloop"
 
-// GangScenarios are losses of the leader between the starts of a gang's members.
+// GangScenarios lists scenarios in which the leader is lost between the starts of a gang's
+// members.
 var GangScenarios = []Scenario{
 	{Name: "leader killed between a group's starts", Network: ReliableNetwork, SyncDelay: fastSync, Duration: 30 * eventloop.Second, Inject: func(f *Fleet) {
 		for k := range eventloop.Micros(2) {
--- a/internal/sim/scenarios_keys.go
+++ b/internal/sim/scenarios_keys.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	keysChangeAt     = 5 * eventloop.Second // after the load's start keys are added or taken away
-	revokedKeyUse    = 5 * eventloop.Second // how long clients use a key after it was taken away
+	keysChangeAt     = 5 * eventloop.Second // time after the load's start at which keys are added or revoked
+	revokedKeyUse    = 5 * eventloop.Second // how long clients keep using a key after it was revoked
 	keyProbeInterval = 200 * eventloop.Millisecond
 )
 
-// keyChange is when a change of a key was acknowledged, and whose it is.
+// keyChange records that the addition or revocation of a tenant's key was acknowledged.
 type keyChange struct {
 	tenant string
-	at     eventloop.Micros
+	at     eventloop.Micros // when the change was acknowledged
 }
 
-// SmallKeyedFleet is the small fleet with called workers, shared by tenants without limits.
+// SmallKeyedFleet is the small fleet with called workers, shared by tenants
+// that have keys but no limits.
 var SmallKeyedFleet = keyedFleet(SmallCalledFleet)
 
 func keyedFleet(spec FleetSpec) FleetSpec {
@@ -35,8 +36,8 @@
 	return spec
 }
 
-// KeyScenarios are changes of keys that the small keyed fleet is put through, while calls
-// come that no key allows.
+// KeyScenarios lists scenarios for the small keyed fleet in which keys are added or revoked
+// while unauthorized calls are sent, which must be refused.
 var KeyScenarios = []Scenario{
 	keyScenario("keys revoked of connected clients", 15*eventloop.Second, (*Fleet).revokeKeys, verifyRevoked),
 	keyScenario("keys added and used at once", 15*eventloop.Second, (*Fleet).addKeys, verifyAddedKeys),
@@ -55,7 +56,8 @@
 	}, func(f *Fleet) []string { return slices.Concat(verifyRevoked(f), verifyAddedKeys(f)) }),
 }
 
-// keyScenario is a change of keys during the load.
+// keyScenario returns a scenario that changes keys during the load while unauthorized calls are
+// sent, which must be refused.
 func keyScenario(name string, duration eventloop.Micros, change func(f *Fleet), verify func(f *Fleet) []string) Scenario {
 	return Scenario{Name: name, Network: ReliableNetwork, SyncDelay: fastSync, Duration: duration, Inject: func(f *Fleet) {
 		f.atLoad(0, func() { f.intrudePeriodically(f.LoadEnd) })
@@ -63,7 +65,8 @@
 	}, Verify: verify}
 }
 
-// revokeKeys takes a key of two tenants away, whose clients go on using it for a while.
+// revokeKeys revokes one key of each of two tenants. Their clients keep using these keys for
+// revokedKeyUse.
 func (f *Fleet) revokeKeys() {
 	f.revokedKeys = map[string]keyChange{}
 	for k, name := range []string{"large-1", "small-2"} {
@@ -79,7 +82,7 @@
 	})
 }
 
-// addKeys gives two tenants a key each, which their clients use as soon as that is
+// addKeys adds one key to each of two tenants. Their clients use it as soon as the change is
 // acknowledged.
 func (f *Fleet) addKeys() {
 	f.addedKeys = map[string]keyChange{}
@@ -96,8 +99,9 @@
 	})
 }
 
-// useThroughPartitioned cuts a gateway off for a while, and asks through it about a tenant's
-// job with one of its keys, meanwhile and for as long afterwards.
+// useThroughPartitioned isolates a gateway for the given duration. During the partition and
+// for as long after it, it queries the status of the tenant's last accepted job through this
+// gateway with the given key.
 func (f *Fleet) useThroughPartitioned(node *Host, duration eventloop.Micros, tenant, key string) {
 	f.isolate(node, duration)
 	until := f.Now + 2*duration
@@ -114,7 +118,7 @@
 	probe()
 }
 
-// afterAcknowledgedChange strikes right after the next change of the configuration is
+// afterAcknowledgedChange calls strike right after the next change of the configuration is
 // acknowledged.
 func (f *Fleet) afterAcknowledgedChange(strike func()) {
 	f.observers = append(f.observers, func(e checker.Event) bool {
@@ -126,7 +130,7 @@
 	})
 }
 
-// verifyRevoked: calls with the keys were refused once these were taken away.
+// verifyRevoked checks that each of the two revoked keys was refused at least once.
 func verifyRevoked(f *Fleet) []string {
 	var problems []string
 	refused := map[string]int{}
@@ -136,13 +140,13 @@
 		}
 	}
 	if len(refused) < 2 {
-		problems = append(problems, fmt.Sprintf("of 2 keys that were taken away only %d were refused", len(refused)))
+		problems = append(problems, fmt.Sprintf("only %d of the 2 revoked keys were refused", len(refused)))
 	}
 	return problems
 }
 
-// verifyAddedKeys: no call with a key is refused that was sent once its configuration had
-// been acknowledged, and calls with each key are served.
+// verifyAddedKeys checks that no call with an added key is refused if it was sent after the
+// key was acknowledged, and that calls with each of the two added keys are served.
 func verifyAddedKeys(f *Fleet) []string {
 	var problems []string
 	served := map[string]int{}
@@ -152,13 +156,13 @@
 		switch {
 		case !isAdded || e.SentAt < added.at:
 		case e.Code == http.StatusUnauthorized || e.Code == http.StatusForbidden && isOwnJob:
-			problems = append(problems, fmt.Sprintf("%s: %s refuses a key with %d that was acknowledged %d us before", e.Name, e.Gateway, e.Code, e.SentAt-added.at))
+			problems = append(problems, fmt.Sprintf("%s: %s refused a key with status %d in a call that was sent %d us after the key was acknowledged", e.Name, e.Gateway, e.Code, e.SentAt-added.at))
 		case e.Code > 0 && e.Code < 300:
 			served[e.KeyHash]++
 		}
 	}
 	if len(served) < 2 {
-		problems = append(problems, fmt.Sprintf("of 2 keys that were added only %d were served", len(served)))
+		problems = append(problems, fmt.Sprintf("only %d of the 2 added keys were served", len(served)))
 	}
 	return problems
 }
--- a/internal/sim/scenarios_leader.go
+++ b/internal/sim/scenarios_leader.go
@@ -2,7 +2,8 @@
 
 import "sparnotch/internal/eventloop"
 
-// leaderScenarios are quiet runs, and losses and partitions of the leader and its peers.
+// leaderScenarios lists runs without injected faults, and scenarios in which the leader or its
+// peers are lost or partitioned.
 var leaderScenarios = []Scenario{
 	{Name: "calm", Network: ReliableNetwork, SyncDelay: fastSync, Duration: 15 * eventloop.Second},
 	{Name: "rough net", Network: LossyNetwork, SyncDelay: fastSync, Duration: 15 * eventloop.Second},
@@ -36,6 +37,8 @@
 	}},
 }
 
+// freezeLeader returns a function that freezes the leader for the given duration, 4 s after the
+// load's start.
 func freezeLeader(duration eventloop.Micros) func(f *Fleet) {
 	return func(f *Fleet) {
 		f.atLeader(4*eventloop.Second, func(leader *Host) { f.freeze(leader, duration) })
--- a/internal/sim/scenarios_load.go
+++ b/internal/sim/scenarios_load.go
@@ -13,16 +13,17 @@
 	floodSize = 300
 )
 
-// loadScenarios are more work than the fleet has capacity for.
+// loadScenarios lists scenarios with more work than the fleet has capacity for.
 var loadScenarios = []Scenario{
 	{Name: "urgent burst on a full fleet", Network: ReliableNetwork, SyncDelay: fastSync, Duration: 25 * eventloop.Second, Inject: func(f *Fleet) {
-		// Forty tasks of two cores each fill the fleet for seconds.
+		// The 40 tasks of each job, of two cores and 4 s each, fill the fleet for seconds.
 		f.burstOnFullFleet(4, JobKind{Queue: "slow", Job: newJob("run_us=4000000", newStep("fill", 40, 2000))}, DefaultJobKinds()[0])
 	}, Verify: verifyBurstStarts},
 	{Name: "a flood of jobs that can never run", Network: ReliableNetwork, SyncDelay: slowSync, Duration: 20 * eventloop.Second, Inject: floodAndCancel},
 }
 
-// burstOnFullFleet fills the fleet and then submits urgent work.
+// burstOnFullFleet fills the fleet with the given number of long jobs and then submits
+// burstSize urgent jobs.
 func (f *Fleet) burstOnFullFleet(fillers int, fill, urgent JobKind) {
 	f.atLoad(2*eventloop.Second, func() {
 		for k := range fillers {
@@ -36,7 +37,8 @@
 	})
 }
 
-// verifyBurstStarts: urgent work doesn't wait for what fills the fleet.
+// verifyBurstStarts checks that the first tasks of all urgent jobs start within 8 s, without
+// waiting for the jobs that fill the fleet.
 func verifyBurstStarts(f *Fleet) []string {
 	submittedAt, longest := map[string]eventloop.Micros{}, eventloop.Micros(0)
 	for _, e := range f.History {
@@ -48,13 +50,13 @@
 		}
 	}
 	if len(submittedAt) < burstSize || longest == 0 || longest > 8*eventloop.Second {
-		return []string{fmt.Sprintf("%d urgent jobs, the last started after %d us", len(submittedAt), longest)}
+		return []string{fmt.Sprintf("%d urgent jobs were submitted, and the longest wait for a start was %d us", len(submittedAt), longest)}
 	}
 	return nil
 }
 
-// floodAndCancel submits jobs that fit no worker and cancels them later, while the leader
-// is lost.
+// floodAndCancel submits jobs that fit no worker and cancels each of them 10 s later. The
+// leader is killed while they are being submitted.
 func floodAndCancel(f *Fleet) {
 	huge := newJob("run_us=1000", newStep("huge", 1, max(60_000, f.Spec.Cores+1)))
 	for k := range floodSize {
--- a/internal/sim/scenarios_log.go
+++ b/internal/sim/scenarios_log.go
@@ -9,12 +9,12 @@
 	"sparnotch/internal/schema"
 )
 
-// maxHandoverDelay is what a submission waits at most that meets a handover: a redirect or
-// two, and a retry of what was lost with them.
+// maxHandoverDelay is the longest time that a submission may wait because of a handover: one or
+// two redirects, and a retry of the messages that were lost with them.
 const maxHandoverDelay = 1200 * eventloop.Millisecond
 
-// logScenarios are about the groups' logs: their compaction, damage, handovers, and
-// configurations that come and go.
+// logScenarios lists scenarios about the logs of groups (compaction, damage and handover) and
+// about changes of the configuration.
 var logScenarios = []Scenario{
 	{
 		Name: "jobs that last, and the log", Network: ReliableNetwork, SyncDelay: fastSync, Duration: 50 * eventloop.Second,
@@ -53,7 +53,8 @@
 	}},
 }
 
-// jobsThatOutliveTheLog has jobs wait for so long that the log must be compacted meanwhile.
+// jobsThatOutliveTheLog submits jobs with a delay so long that the log must be compacted while
+// they wait.
 func jobsThatOutliveTheLog(f *Fleet) {
 	f.atLoad(0, func() {
 		f.PutConfiguration("operator", append(f.ConfigurationRows(operatorUrgency), &schema.ConfigurationRow{Kind: "fleet", Key: "carry_records", Value: "200"}))
@@ -67,7 +68,8 @@
 	f.killLeaderAt(30*eventloop.Second, 2*eventloop.Second)
 }
 
-// verifyLogIsCompacted: the logs stay short, because old entries were enqueued anew.
+// verifyLogIsCompacted checks that the logs stay short because waiting jobs in old entries are
+// reenqueued.
 func verifyLogIsCompacted(f *Fleet) []string {
 	var problems []string
 	reenqueues := uint64(0)
@@ -80,27 +82,29 @@
 		}
 	}
 	if reenqueues == 0 {
-		problems = append(problems, "nothing was enqueued anew")
+		problems = append(problems, "no job was reenqueued")
 	}
 	return problems
 }
 
-// verifyDamageIsReported: the damage is reported with its place, and repaired.
+// verifyDamageIsReported checks that the damage is reported with its file and offset, and that
+// it is repaired.
 func verifyDamageIsReported(f *Fleet) []string {
 	problems := verifyRepaired(f)
 	if len(f.DamageReports) != 1 || !strings.Contains(f.DamageReports[0], "log-0 at offset") {
-		problems = append(problems, fmt.Sprintf("damage was reported as %q", f.DamageReports))
+		problems = append(problems, fmt.Sprintf("the damage reports are %q instead of one report with the offset in log-0", f.DamageReports))
 	}
 	return problems
 }
 
-// verifyNoElectionOnDrain: nobody waits for an election when a leader drains.
+// verifyNoElectionOnDrain checks that submissions don't wait for an election when a leader
+// drains.
 func verifyNoElectionOnDrain(f *Fleet) []string {
 	return f.verifySubmissionDelays(f.drainedAt, 3*eventloop.Second, "while a leader left")
 }
 
-// recreateQueue removes a queue and, when its ended jobs' retention is over, makes one of
-// the same name.
+// recreateQueue removes a queue, and adds a queue of the same name after the retention period
+// of the removed queue's ended jobs.
 func recreateQueue(f *Fleet) {
 	extra := &schema.ConfigurationRow{Kind: "queue", Name: "extra", Key: "urgency", Value: "5"}
 	retention := &schema.ConfigurationRow{Kind: "fleet", Key: "status_s", Value: "120"}
@@ -120,7 +124,8 @@
 	f.atLoad(155*eventloop.Second, func() { f.Submit(kind, "after") })
 }
 
-// allGroups lists the replicas of all storage nodes whose group's name starts with a prefix.
+// allGroups lists the replicas on all storage nodes that belong to groups whose names start
+// with a prefix.
 func (f *Fleet) allGroups(prefix string) []string {
 	var list []string
 	for _, h := range f.StorageNodes() {
@@ -129,8 +134,8 @@
 	return list
 }
 
-// verifyQueueIsNew: the queue's group ended only when the ended jobs' retention was over,
-// and the new queue has another one.
+// verifyQueueIsNew checks that the removed queue's group exists until the retention period of
+// its ended jobs is over, and that the new queue has another group.
 func verifyQueueIsNew(f *Fleet) []string {
 	var problems []string
 	if len(f.groupsAfterRemoval) != storageNodes || len(f.groupsAfterRetention) != 0 {
@@ -138,7 +143,7 @@
 	}
 	for _, h := range f.StorageNodes() {
 		if now := h.Groups("extra#"); len(now) != 1 || len(f.groupsAfterRemoval) > 0 && now[0] == f.groupsAfterRemoval[0] {
-			problems = append(problems, fmt.Sprintf("%s holds %v after the queue was made anew, %v before", h.Name, now, f.groupsAfterRemoval))
+			problems = append(problems, fmt.Sprintf("%s holds %v after the queue was added again, and %v was held before", h.Name, now, f.groupsAfterRemoval))
 		}
 	}
 	return problems
--- a/internal/sim/scenarios_quota.go
+++ b/internal/sim/scenarios_quota.go
@@ -10,8 +10,8 @@
 	"sparnotch/internal/eventloop"
 )
 
-// The tenants of the small shared fleet that scenarios speak of. The full one is kept at its
-// limit by a load of its own; the hot one sends many times its usual.
+// Two tenants of the small shared fleet and their loads. An additional load keeps the full
+// tenant at its limit. The hot tenant submits hotFactor times its usual load for a while.
 const (
 	fullTenant = "full"
 	hotTenant  = "small-1"
@@ -21,9 +21,9 @@
 	firstFillJobs   = 4
 	hotFactor       = 20
 
-	fullFrom       = 5 * eventloop.Second // after the load's start the full tenant is at its limit
-	fillUntilEnd   = 5 * eventloop.Second // before the load's end its load ends
-	maxOthersDelay = 8 * eventloop.Second // from a submission to the first start, beside a hot tenant
+	fullFrom       = 5 * eventloop.Second // time after the load's start at which the full tenant is at its limit and the fault is injected
+	fillUntilEnd   = 5 * eventloop.Second // the full tenant's additional load stops this long before the end of the fleet's load
+	maxOthersDelay = 8 * eventloop.Second // limit from another tenant's submission to its first task start, beside a hot tenant
 )
 
 // SmallSharedFleet is the small fleet with called workers, shared by tenants.
@@ -36,14 +36,14 @@
 	{Name: fullTenant, WeightMilli: 1000, MaxCoresMilli: fullTenantCores, Keys: deployments.NewKeys(fullTenant, 2)},
 })
 
-// sharedFleet is a fleet shared by tenants.
+// sharedFleet returns the specification of a fleet that the given tenants share.
 func sharedFleet(spec FleetSpec, tenants []deployments.Tenant) FleetSpec {
 	spec.Name, spec.Tenants = spec.Name+"-shared", tenants
 	return spec
 }
 
-// QuotaScenarios are the faults that the small shared fleet is put through while a tenant is
-// at its limit.
+// QuotaScenarios lists scenarios for the small shared fleet in which a fault occurs while a
+// tenant is at its limit.
 var QuotaScenarios = []Scenario{
 	quotaScenario("hot tenant", 20*eventloop.Second, (*Fleet).heatTenant, verifyOthersStart),
 	quotaScenario("quota lowered and raised while full", 25*eventloop.Second, (*Fleet).moveQuota, verifyFullAgain),
@@ -61,8 +61,8 @@
 	quotaScenario("a slow node while a tenant is full", 30*eventloop.Second, func(f *Fleet) { f.slowDown(f.schedulerHost(), 8*eventloop.Second) }, verifyFullAgain),
 }
 
-// quotaScenario is a fault while a tenant is at its limit, and calls come that no key
-// allows.
+// quotaScenario returns a scenario that injects a fault while a tenant is at its limit and
+// unauthorized calls are sent, which must be refused.
 func quotaScenario(name string, duration eventloop.Micros, fault func(f *Fleet), verify func(f *Fleet) []string) Scenario {
 	return Scenario{Name: name, Network: ReliableNetwork, SyncDelay: fastSync, Duration: duration, Inject: func(f *Fleet) {
 		f.atLoad(0, func() {
@@ -76,8 +76,8 @@
 	}, Verify: verify}
 }
 
-// fillTenant submits half as much again for the full tenant as it may run, and at first as
-// much as it may run until the fault.
+// fillTenant generates a load for the full tenant that needs 1.5 times the cores of its limit,
+// and first submits jobs that take it to its limit until the fault.
 func (f *Fleet) fillTenant() {
 	kind := JobKind{
 		Name: "fill", Queue: "slow", Tenant: fullTenant, Interval: eventloop.Second, Attempts: 4,
@@ -89,7 +89,7 @@
 	f.GenerateLoad(kind, f.LoadEnd-fillUntilEnd)
 }
 
-// heatTenant has a tenant submit many times its usual for a while.
+// heatTenant makes the hot tenant submit hotFactor times its usual load for 6 s.
 func (f *Fleet) heatTenant() {
 	sum := 0.0
 	for _, tenant := range f.tenants.configured {
@@ -98,7 +98,7 @@
 	usual := f.tenants.tenant(hotTenant).CallShare / sum
 	for n, kind := range f.Spec.JobKinds {
 		if kind.CancelDelay > 0 {
-			continue // these run until they are cancelled
+			continue // jobs of this kind run until they are cancelled
 		}
 		kind.Name, kind.Tenant = fmt.Sprint("hot-", n), hotTenant
 		kind.Interval = eventloop.Micros(float64(kind.Interval) / usual / hotFactor)
@@ -106,7 +106,8 @@
 	}
 }
 
-// moveQuota lowers the full tenant's limit to a third, and raises it above what it was.
+// moveQuota lowers the full tenant's limit to a third, and 6 s later raises it to 4/3 of the
+// original limit.
 func (f *Fleet) moveQuota() {
 	set := func(cores int64) {
 		f.changeTenant(fullTenant, func(tenant *deployments.Tenant) { tenant.MaxCoresMilli = cores }, func() {})
@@ -115,7 +116,8 @@
 	f.After(6*eventloop.Second, func() { set(fullTenantCores * 4 / 3) })
 }
 
-// loseBusiestWorkers crashes the worker on which most runs, and cuts another off.
+// loseBusiestWorkers crashes the worker that runs the most tasks, and three seconds later
+// partitions the one that is busiest then.
 func (f *Fleet) loseBusiestWorkers() {
 	lost := f.busiestWorker()
 	lost.Crash()
@@ -123,8 +125,8 @@
 	f.After(3*eventloop.Second, func() { f.partitionWorker(f.busiestWorker(), 9*eventloop.Second) })
 }
 
-// delayOrders has all workers leave many calls unanswered for a while, which they carry out
-// all the same, or later.
+// delayOrders makes all workers leave 40% of the calls unanswered for 8 s. They still carry out
+// the orders in these calls, at once or late.
 func (f *Fleet) delayOrders() {
 	for _, worker := range f.Workers {
 		worker.(*CalledWorker).SetUnhealthy(0, 0.4)
@@ -132,8 +134,8 @@
 	}
 }
 
-// loseAgentsInTurn kills, freezes and isolates agents, whose workers run on until their
-// leases end.
+// loseAgentsInTurn kills, freezes and isolates agent nodes one after another. Their workers
+// keep running tasks until their leases expire.
 func (f *Fleet) loseAgentsInTurn() {
 	f.kill(f.agentNodes[0], 3*eventloop.Second)
 	f.After(eventloop.Second, func() { f.freeze(f.agentNodes[1], 4*eventloop.Second) })
@@ -141,8 +143,8 @@
 	f.After(3*eventloop.Second, func() { f.kill(f.agentNodes[3], 8*eventloop.Second) })
 }
 
-// generateGangs submits gangs that take two thirds of the full tenant's limit, beside its
-// other load.
+// generateGangs submits gangs that each need two thirds of the full tenant's limit, in addition
+// to its other load.
 func (f *Fleet) generateGangs() {
 	gang := newTimedStep("gang", 4, fillTaskCores, 600*eventloop.Millisecond)
 	gang.Gang = true
@@ -151,7 +153,7 @@
 	}, f.LoadEnd-fillUntilEnd)
 }
 
-// leaderOf is the storage node that leads a queue; the first one where none does.
+// leaderOf returns the storage node that leads a queue, or the first storage node if none does.
 func (f *Fleet) leaderOf(queue string) *Host {
 	for _, h := range f.StorageNodes() {
 		if leads(h.StateView(), queue) {
@@ -161,8 +163,8 @@
 	return f.Hosts[0]
 }
 
-// schedulerHost is the node whose scheduler holds most leases of workers; the first one
-// where none does.
+// schedulerHost returns the storage node whose scheduler holds the most worker leases, or the
+// first storage node if no scheduler holds any.
 func (f *Fleet) schedulerHost() *Host {
 	leases := map[string]int{} // by the id of the scheduler's process
 	for _, h := range f.StorageNodes() {
@@ -176,10 +178,10 @@
 	return slices.MaxFunc(nodes, func(a, b *Host) int { return cmp.Compare(leases[a.ID], leases[b.ID]) })
 }
 
-// --- what scenarios verify ---
+// --- verification ---
 
-// fillCores is the most that ran of the full tenant's load, in thousandths of a core,
-// between two moments.
+// fillCores returns the largest number of cores, in thousandths of a core, that the full
+// tenant's tasks used at once between two times.
 func (f *Fleet) fillCores(from, to eventloop.Micros) int64 {
 	type run struct {
 		worker, name string
@@ -210,24 +212,26 @@
 	return int64(highest) * fillTaskCores
 }
 
-// verifyFull: the tenant was at its limit when the fault struck.
+// verifyFull checks that the full tenant was at its limit when the fault was injected.
 func verifyFull(f *Fleet) []string {
 	if cores := f.fillCores(f.faultAt-eventloop.Second, f.faultAt); cores < fullTenantCores-fillTaskCores {
-		return []string{fmt.Sprintf("only %d milli cores of the full tenant ran at the fault", cores)}
+		return []string{fmt.Sprintf("the full tenant used only %d milli cores when the fault was injected", cores)}
 	}
 	return nil
 }
 
-// verifyFullAgain: it is at its limit again after the fault.
+// verifyFullAgain checks that the full tenant was at its limit when the fault was injected, and
+// is at its limit again after the recovery.
 func verifyFullAgain(f *Fleet) []string {
 	problems := verifyFull(f)
 	if cores := f.fillCores(f.faultAt+checker.DefaultBounds.Recovery, f.LoadEnd+drainAfterLoad); cores < fullTenantCores-fillTaskCores {
-		problems = append(problems, fmt.Sprintf("only %d milli cores of the full tenant ran after the fault", cores))
+		problems = append(problems, fmt.Sprintf("the full tenant used only %d milli cores after the recovery from the fault", cores))
 	}
 	return problems
 }
 
-// verifyOthersStart: the jobs of other tenants don't wait for those of the hot one.
+// verifyOthersStart checks that the jobs of other tenants don't wait for those of the hot
+// tenant.
 func verifyOthersStart(f *Fleet) []string {
 	problems := verifyFull(f)
 	submittedAt, hot := map[string]eventloop.Micros{}, 0
--- a/internal/sim/scenarios_sizes.go
+++ b/internal/sim/scenarios_sizes.go
@@ -11,18 +11,19 @@
 	"sparnotch/internal/schema"
 )
 
-// The load of the scenarios on sizes: urgent jobs whose sizes have a heavy tail and whose tasks
-// take unevenly long, beside less urgent jobs of long tasks that would fill the fleet alone.
+// The load of SizeScenarios consists of urgent jobs and of less urgent jobs. The sizes of the
+// urgent jobs have a heavy tail, and the run times of their tasks vary. The less urgent jobs
+// have long tasks, which alone would fill the fleet.
 const (
 	sizesQueue       = "quick"
 	sizesRunTime     = 240 * eventloop.Millisecond
 	sizesTaskCores   = 2000
 	sizesTaskSpread  = 0.9 // standard deviation of the logarithm of a task's run time
 	sizesWidth       = 14  // median number of tasks of a step
-	sizesWidthSpread = 0.7 // standard deviation of its logarithm
+	sizesWidthSpread = 0.7 // standard deviation of the logarithm of the number of tasks
 	sizesMaxWidth    = 90
-	sizesInterval    = 20 * eventloop.Millisecond // between two jobs
-	sizesBurst       = 4 * eventloop.Second       // how long as many jobs again are submitted
+	sizesInterval    = 20 * eventloop.Millisecond // mean time between two jobs
+	sizesBurst       = 4 * eventloop.Second       // how long a burst doubles the rate of urgent jobs
 	sizesStretch     = 1.5
 	sizesSlack       = 250 * eventloop.Millisecond
 )
@@ -54,7 +55,8 @@
 	},
 }
 
-// drawWideJob draws a job of one step, or of two that follow each other, of any width.
+// drawWideJob draws a job of one step, or of two steps in sequence, with random numbers of
+// tasks.
 func drawWideJob(rng *rand.Rand) *schema.Job {
 	width := func() uint32 {
 		return uint32(math.Min(sizesMaxWidth, math.Max(1, sizesWidth*math.Exp(sizesWidthSpread*rng.NormFloat64()))))
@@ -66,7 +68,7 @@
 	return newJob(fmt.Sprint("fail=0.02 uneven=", sizesTaskSpread), steps...)
 }
 
-// SizeScenarios are loads of jobs of very different sizes.
+// SizeScenarios lists scenarios with jobs of very different sizes.
 var SizeScenarios = []Scenario{
 	{Name: "wide jobs under load", Network: ReliableNetwork, SyncDelay: fastSync, Duration: 16 * eventloop.Second, Verify: verifySizes},
 	{Name: "wide jobs in a burst", Network: ReliableNetwork, SyncDelay: fastSync, Duration: 16 * eventloop.Second, Inject: func(f *Fleet) {
@@ -78,7 +80,8 @@
 	}, Verify: verifySizes},
 }
 
-// verifySizes: the largest of the urgent jobs are served nearly as often as all.
+// verifySizes checks that the largest urgent jobs meet their latency target nearly as often as
+// all urgent jobs do.
 func verifySizes(f *Fleet) []string {
 	target := checker.LatencyTarget{Stretch: sizesStretch, Slack: sizesSlack}
 	_, violations := checker.CheckSizes(f.History, sizesQueue, target, f.LoadEnd)
@@ -89,7 +92,7 @@
 	return problems
 }
 
-// describeSizes tells how many of each class of sizes were served.
+// describeSizes reports for each size class how many urgent jobs met their latency target.
 func describeSizes(f *Fleet) string {
 	target := checker.LatencyTarget{Stretch: sizesStretch, Slack: sizesSlack}
 	classes, _ := checker.CheckSizes(f.History, sizesQueue, target, f.LoadEnd)
--- a/internal/sim/scenarios_storage.go
+++ b/internal/sim/scenarios_storage.go
@@ -6,15 +6,17 @@
 	"sparnotch/internal/eventloop"
 )
 
-// maxFencingTokens is how high the fencing tokens of workers go when the queues move from a
-// slow disk once: five workers are assigned, and reassigned once or twice. More would show
-// that they are moved back and forth.
+// maxFencingTokens is the highest fencing token that worker leases may reach when the queues
+// move away from a slow disk once: five workers are assigned, and reassigned once or twice. A
+// higher token means that workers were reassigned back and forth.
 const maxFencingTokens = 40
 
-// minKnownMembers is how many members a storage node knows that has found its peers.
+// minKnownMembers is the number of members that a storage node must know to have found its
+// peers.
 const minKnownMembers = 5
 
-// storageScenarios are machines with a disk that are replaced, and disks that are slow.
+// storageScenarios lists scenarios in which storage nodes are replaced, or disks are slow or
+// stall.
 var storageScenarios = []Scenario{
 	{Name: "disk machine replaced", Network: ReliableNetwork, SyncDelay: fastSync, Duration: 45 * eventloop.Second, Inject: func(f *Fleet) {
 		f.atLeader(4*eventloop.Second, f.replace)
@@ -40,8 +42,9 @@
 	}, Verify: verifyLeftSlowDisk},
 }
 
-// awayWhileSeedsAreReplaced has a storage node that is nobody's seed down until nobody
-// remembers it, and its own seeds gone: only the peers that it knew can take it back.
+// awayWhileSeedsAreReplaced takes a storage node down that is nobody's seed, for so long that
+// the others forget it. None of its own seeds exists any more, so it can rejoin only through
+// the peers that it knew before.
 func awayWhileSeedsAreReplaced(f *Fleet) {
 	f.atLoad(2*eventloop.Second, func() { f.replace(f.Hosts[0]) })
 	f.atLoad(30*eventloop.Second, func() {
@@ -53,17 +56,17 @@
 
 func verifyFoundItsPeers(f *Fleet) []string {
 	if len(f.newestHost().StateView().Members) < minKnownMembers {
-		return []string{"the storage node did not find its peers"}
+		return []string{"the storage node didn't find its peers"}
 	}
 	return nil
 }
 
-// verifyLeftSlowDisk: the queues are led elsewhere, and the workers weren't reassigned again
-// and again.
+// verifyLeftSlowDisk checks that another node leads the queues, and that the workers weren't
+// reassigned repeatedly.
 func verifyLeftSlowDisk(f *Fleet) []string {
 	var problems []string
 	if f.Leader() == f.slowDiskHost {
-		problems = append(problems, "the queues stayed on the slow disk")
+		problems = append(problems, "the node with the slow disk still leads the queues")
 	}
 	highest := uint64(0)
 	for _, h := range f.StorageNodes() {
@@ -72,7 +75,7 @@
 		}
 	}
 	if highest > maxFencingTokens {
-		problems = append(problems, fmt.Sprintf("fencing tokens went up to %d", highest))
+		problems = append(problems, fmt.Sprintf("fencing tokens reached %d, which shows that workers were reassigned repeatedly", highest))
 	}
 	return problems
 }
--- a/internal/sim/scenarios_workers.go
+++ b/internal/sim/scenarios_workers.go
@@ -8,7 +8,8 @@
 	"sparnotch/internal/schema"
 )
 
-// workerScenarios are faults of workers, and what a configuration or a cancel does to them.
+// workerScenarios lists scenarios with faults of workers, and with configuration changes and
+// cancellations that affect running tasks.
 var workerScenarios = []Scenario{
 	{Name: "workers crash, vanish, leave, are cut off", Network: ReliableNetwork, SyncDelay: fastSync, Duration: 35 * eventloop.Second, Inject: func(f *Fleet) {
 		w := func(k int) Worker { return f.Workers[k] }
@@ -18,7 +19,7 @@
 		f.atLoad(12*eventloop.Second, func() { w(3).Drain() })
 		f.atLoad(20*eventloop.Second, func() { w(4).Freeze(7 * eventloop.Second) })
 		f.atLoad(24*eventloop.Second, func() { w(3).Crash(); w(3).Start() })
-		// Removed at short notice.
+		// The worker is removed one second after it was told to drain.
 		f.atLoad(28*eventloop.Second, func() { w(1).Drain(); f.After(eventloop.Second, w(1).Crash) })
 	}},
 	{Name: "workers fail, slow down, stand still", Network: ReliableNetwork, SyncDelay: fastSync, Duration: 30 * eventloop.Second, Inject: func(f *Fleet) {
@@ -46,8 +47,8 @@
 	f.After(duration, func() { w.SetPartitioned(false) })
 }
 
-// changeConfiguration empties a rack, limits a queue and makes another, while the leader is
-// lost.
+// changeConfiguration drains a rack, limits a queue and adds another queue. The leader is killed
+// between the last two changes.
 func changeConfiguration(f *Fleet) {
 	put := func(at eventloop.Micros, kind, name, key, value string) {
 		f.atLoad(at, func() {
@@ -79,7 +80,7 @@
 
 func loseLeaderControllerAndWorker(f *Fleet) {
 	f.atLeader(6*eventloop.Second, func(leader *Host) {
-		// Long work runs everywhere, so that the worker that is lost has some.
+		// Long tasks run on every worker, so that the lost worker has some too.
 		long := newJob("run_us=6000000", newStep("long", uint32(2*len(f.Workers)), 500))
 		f.Submit(JobKind{Queue: "slow", Job: long}, "long-1")
 		f.After(2*eventloop.Second, func() {
@@ -92,15 +93,15 @@
 	})
 }
 
-// verifyLostTasksRestart: all that ran on the lost worker is started elsewhere within a
-// recovery.
+// verifyLostTasksRestart checks that all tasks that ran on the lost worker are started on
+// another worker within the recovery bound, and records the longest delay.
 func verifyLostTasksRestart(f *Fleet) []string {
 	type task struct {
 		queue, name string
 		job         uint64
 		step, task  uint32
 	}
-	isOver := map[string]bool{} // jobs that aren't to go on
+	isOver := map[string]bool{} // cancelled and failed jobs, whose tasks needn't start again
 	for _, e := range f.History {
 		if e.Kind == checker.CancelRequest || e.State == "failed" && e.Kind == checker.Status {
 			isOver[e.Name] = true
@@ -120,13 +121,13 @@
 		}
 	}
 	if f.RestartDelay == 0 || len(lost) > 0 || f.RestartDelay > checker.DefaultBounds.Recovery {
-		return []string{fmt.Sprintf("%d tasks of the lost worker never started again, the last of the others after %d us", len(lost), f.RestartDelay)}
+		return []string{fmt.Sprintf("%d tasks of the lost worker never started again, and the last of its other tasks started again after %d us", len(lost), f.RestartDelay)}
 	}
 	return nil
 }
 
-// drainThroughPartitionedGateway has a worker say that it drains only to a gateway that
-// reaches nobody.
+// drainThroughPartitionedGateway makes a worker report that it drains only through a gateway
+// that is partitioned from all other hosts.
 func drainThroughPartitionedGateway(f *Fleet) {
 	f.atLoad(4*eventloop.Second, func() {
 		node := f.disklessGateways[len(f.disklessGateways)-1]
