--- a/internal/sim/called_test.go
+++ b/internal/sim/called_test.go
@@ -12,13 +12,13 @@
 	"sparnotch/internal/eventloop"
 )
 
-// alwaysRunWithCalledWorkers are the scenarios that are run with called workers each time;
-// sparnotch-bench simulate runs all of them, with any seed.
+// alwaysRunWithCalledWorkers lists the scenarios, besides CalledScenarios, that every test run
+// includes for called workers. sparnotch-bench simulate runs any scenario with any seed.
 var alwaysRunWithCalledWorkers = map[string]bool{
 	"calm": true, "rough net": true, "leader killed": true, "operators race": true, "clocks jump": true, "core split each way": true,
 }
 
-// countEvents counts what a run has shown of what the rules are about.
+// countEvents counts by kind the events in a run's history that the checker's rules cover.
 func countEvents(f *Fleet) map[string]int {
 	count := map[string]int{}
 	for _, e := range f.History {
@@ -47,7 +47,8 @@
 	return count
 }
 
-// maxSeeds is how many seeds may be played until a scenario has shown all it is there for.
+// maxSeeds is the number of seeds with which a scenario may be run until every event that it
+// should cause has occurred.
 const maxSeeds = 4
 
 func TestCalledScenarios(t *testing.T) {
@@ -68,19 +69,19 @@
 			t.Run(fmt.Sprintf("%s/%d", s.Name, seed), func(t *testing.T) {
 				t.Parallel()
 				count := countEvents(runOn(t, s, SmallCalledFleet, seed))
-				// A run in which nothing happened proves nothing.
+				// A run in which hardly anything happened proves nothing.
 				for _, what := range []string{"started", "done", checker.EndAcknowledged, checker.ConfigurationReply} {
 					if count[what] == 0 {
-						t.Errorf("no event of the kind %q", what)
+						t.Errorf("the history has no event of the kind %q", what)
 					}
 				}
-				// What a scenario shows is checked with the seed that always runs. Any change of
-				// what processes send each other draws the faults anew, so where something doesn't
-				// come up the next seeds are played as well, until it does.
+				// The events that a scenario should cause are checked with seed 1, which always
+				// runs. Any change to the messages between processes changes the random faults, so
+				// if an event is missing the next seeds are run as well until it occurs.
 				isMissing := func(what string) bool { return count[what] == 0 }
 				for next := seed + 1; seed == 1 && slices.ContainsFunc(shows[s.Name], isMissing); next++ {
 					if next > maxSeeds {
-						t.Fatalf("%v isn't all shown by %d seeds: %v", shows[s.Name], maxSeeds, count)
+						t.Fatalf("not all of the events %v occurred with %d seeds: %v", shows[s.Name], maxSeeds, count)
 					}
 					for what, times := range countEvents(runOn(t, s, SmallCalledFleet, next)) {
 						count[what] += times
@@ -91,9 +92,9 @@
 	}
 }
 
-// TestTripleLoss: on whole deployments what ran on a lost worker starts again within a
-// recovery, though the leader and the controller are lost with it. Each of these seeds broke
-// that while nothing bounded the wait of late work.
+// TestTripleLoss checks on whole deployments that the tasks of a lost worker start again within
+// the recovery bound even if the leader and the controller are lost at the same time. Each of
+// these seeds exceeded the bound while nothing limited how long late jobs wait.
 func TestTripleLoss(t *testing.T) {
 	seeds := map[string][]uint64{"bank-called": {22, 25}, "skema-called": {21, 26}}
 	for _, spec := range FleetSpecs() {
@@ -111,7 +112,7 @@
 	}
 }
 
-// TestCalledDeployments: the deployments as their users have them, with called workers.
+// TestCalledDeployments runs the users' deployments with called workers.
 func TestCalledDeployments(t *testing.T) {
 	for _, spec := range FleetSpecs() {
 		if !spec.HasCalledWorkers() || spec.Name == SmallCalledFleet.Name {
@@ -137,7 +138,7 @@
 }
 
 func TestCalledSameSeedSameHistory(t *testing.T) {
-	Convey("With called workers too, the same seed gives the same history", t, func() {
+	Convey("With called workers too, the same seed yields the same history", t, func() {
 		s := CalledScenarios[0]
 		one, _, _ := RunScenario(s, SmallCalledFleet, 7)
 		two, _, _ := RunScenario(s, SmallCalledFleet, 7)
@@ -147,7 +148,7 @@
 }
 
 func TestFailuresAllowedByQueue(t *testing.T) {
-	Convey("What a queue's row allows stands where a step says nothing", t, func() {
+	Convey("The failures that a queue's row allows apply to steps that set no limit themselves", t, func() {
 		kind := CalledJobKinds()[0]
 		So(kind.withAllowedFailures().Steps[0].AllowedFailures, ShouldEqual, 3)
 		So(kind.Job.Steps[0].AllowedFailures, ShouldEqual, 0)
--- a/internal/sim/configuration_changes_test.go
+++ b/internal/sim/configuration_changes_test.go
@@ -15,24 +15,24 @@
 	"sparnotch/internal/schema"
 )
 
-var changes = flag.Int("changes", 40, "how many configurations TestHundredsOfChanges sends")
-var changesPeriod = flag.Int("changes-span", 60, "over how many seconds")
+var changes = flag.Int("changes", 40, "number of configurations that TestHundredsOfConfigurationChanges sends")
+var changesPeriod = flag.Int("changes-span", 60, "period in seconds over which the configurations are sent")
 
-// changeOperator sends one configuration after the other, each built on the one before,
-// and each sent until it is accepted.
+// changeOperator sends configurations one after another. Each is based on the one before and
+// is sent again until it is accepted.
 type changeOperator struct {
 	*Fleet
 	changes             int
 	interval            eventloop.Micros
-	largeEvery          int // each so many a change has 256 KB
+	largeEvery          int // every largeEvery-th change has a document of 256 KB; 0: none has
 	rng                 *rand.Rand
-	acknowledgedAt      []eventloop.Micros // when each was acknowledged
+	acknowledgedAt      []eventloop.Micros // when each version was acknowledged, from version 2 on
 	problems            []string
-	bytesReceived       map[string]map[string]int     // by role and kind of message
-	askedVersion        map[string]uint64             // newest version that a process has asked with
-	catchUpTimes        map[string][]eventloop.Micros // of storage nodes, by what had happened to them
-	lastFaultAt         eventloop.Micros              // of the last fault, or of the return after it
-	interruptedInstalls int                           // snapshots whose receiver was killed
+	bytesReceived       map[string]map[string]int     // by the receiver's role and the kind of message
+	askedVersion        map[string]uint64             // by process, the newest version in its requests
+	catchUpTimes        map[string][]eventloop.Micros // of storage nodes, by the fault before the return
+	lastFaultAt         eventloop.Micros              // time of the last fault, or of the machine's return after it
+	interruptedInstalls int                           // number of snapshot installations whose receiver was killed
 	peakDiskBytes       int
 	peakLogEntries      uint64
 }
@@ -53,7 +53,7 @@
 	return o
 }
 
-// configuration makes one whose document has some bytes.
+// configuration returns an update to a version with a document of the given size in bytes.
 func (o *changeOperator) configuration(version uint64, size int) *schema.ConfigurationUpdate {
 	update := &schema.ConfigurationUpdate{Version: version, BaseVersion: version - 1, Rows: o.ConfigurationRows(operatorUrgency)}
 	if version == 2 {
@@ -69,7 +69,7 @@
 	return update
 }
 
-// publishNext sends a version, and when that is accepted the next one.
+// publishNext sends a version, and the next version when this one is accepted.
 func (o *changeOperator) publishNext(version uint64) {
 	if len(o.acknowledgedAt) >= o.changes {
 		return
@@ -86,7 +86,7 @@
 	})
 }
 
-// send sends a version until it is accepted.
+// send sends an update repeatedly until it is accepted, and then calls back.
 func (o *changeOperator) send(update *schema.ConfigurationUpdate, back func()) {
 	o.Request(o.anyGateway(), versionUpdateTimeout, leaderRequest(updateRequest(update)), func(answer any) {
 		response := responseOf(answer)
@@ -118,12 +118,12 @@
 }
 
 const (
-	applyTimeout = 2 * eventloop.Second // every connected process acts by what was acknowledged
-	settlePeriod = 3 * eventloop.Second // without faults, after which that holds
+	applyTimeout = 2 * eventloop.Second // within it every connected process applies an acknowledged configuration
+	settlePeriod = 3 * eventloop.Second // time without faults after which applyTimeout holds
 )
 
-// applyTimeout is the timeout on this fleet's links: over a slow one the document comes to
-// the leader, its rows go out, and those that read it get it meanwhile.
+// applyTimeout returns the timeout for this fleet's links. It is longer on slow links, over which
+// the leader receives the document, sends its rows out, and meanwhile serves it to readers.
 func (o *changeOperator) applyTimeout() eventloop.Micros {
 	if o.Hosts[0].Uplink.BytesPerSecond == 0 {
 		return applyTimeout
@@ -131,9 +131,9 @@
 	return applyTimeout + 4*eventloop.SlowestLinkTransferTime(256<<10)
 }
 
-// inspectMessage counts what each role receives, and checks that no process goes back to an
-// older version and that none stays behind away from faults. Now and then it interrupts the
-// installation of a snapshot.
+// inspectMessage counts the bytes that each role receives. It checks that no process goes back
+// to an older version, and that no process stays behind when there are no faults. Occasionally
+// it interrupts the installation of a snapshot.
 func (o *changeOperator) inspectMessage(from, to *Host, body any) {
 	switch m := body.(type) {
 	case *schema.ClusterStateRequest:
@@ -155,7 +155,7 @@
 	kinds[strings.TrimPrefix(fmt.Sprintf("%T", body), "*schema.")] += proto.Size(message)
 }
 
-// interruptInstall kills a host that receives a snapshot.
+// interruptInstall kills a host that receives a snapshot, and restarts it after 2 s.
 func (o *changeOperator) interruptInstall(h *Host) {
 	o.interruptedInstalls++
 	o.RecordFault("%s killed in the middle of an installation", h.Name)
@@ -189,7 +189,8 @@
 	}
 }
 
-// samplePeaks notes what the storage nodes hold.
+// samplePeaks updates the peaks of the storage nodes' used disk space and of the length of the
+// cluster state's log.
 func (o *changeOperator) samplePeaks() {
 	for _, h := range o.StorageNodes() {
 		o.peakDiskBytes = max(o.peakDiskBytes, h.Disk.usedBytes())
@@ -199,8 +200,8 @@
 	}
 }
 
-// measureCatchUp measures how long a storage node takes after its start until it has, and
-// knows that it has, all that is committed.
+// measureCatchUp measures how long a storage node takes after its start until it has all
+// committed entries and knows that it has them.
 func (o *changeOperator) measureCatchUp(what string, h *Host) {
 	began, run := o.Now, h.run
 	var watch func()
@@ -221,7 +222,7 @@
 	watch()
 }
 
-// liveStorageAddresses are the addresses of storage nodes that are up, three at most.
+// liveStorageAddresses returns the addresses of at most seedCount storage nodes that are up.
 func (o *changeOperator) liveStorageAddresses() []string {
 	var list []string
 	for _, h := range o.Hosts {
@@ -232,8 +233,8 @@
 	return list
 }
 
-// loseStorageNodes takes one storage node away after the other, each for a time that is
-// drawn: killed, wiped and back, or replaced by another machine.
+// loseStorageNodes takes storage nodes down one after another, each for a random time of at most
+// maxAbsence. Each is killed and restarted, wiped and restarted, or replaced by another machine.
 func (o *changeOperator) loseStorageNodes(maxAbsence eventloop.Micros) {
 	if len(o.acknowledgedAt) >= o.changes-5 {
 		return
@@ -262,8 +263,8 @@
 			h = successor
 		}
 		if what != "killed" {
-			// Who begins with an empty disk is given seeds that are up; who has only been
-			// down finds the peers that it knew.
+			// A node with an empty disk needs seeds that are up. A node that was only down finds
+			// the peers that it knew before.
 			h.Seeds = o.liveStorageAddresses()
 		}
 		h.Start()
@@ -272,16 +273,17 @@
 	})
 }
 
-// finish runs the fleet until every change is accepted, and reports what is wrong.
+// finish runs the fleet until every change is accepted, and reports the problems as test errors.
 func (o *changeOperator) finish(t *testing.T) {
 	o.Run(o.LoadEnd)
 	for k := 0; k < 60 && len(o.acknowledgedAt) < o.changes; k++ {
 		o.Run(o.Now + 5*eventloop.Second)
 	}
-	// Readers go on for 20 s, and all of them read at once at the end.
+	// The operator's periodic reads continue for 20 s after the load, and end with one read through
+	// every gateway at once.
 	o.Run(max(o.Now, o.LoadEnd+20*eventloop.Second) + 10*eventloop.Second)
 	if len(o.acknowledgedAt) < o.changes {
-		o.report("only %d of %d were accepted", len(o.acknowledgedAt), o.changes)
+		o.report("only %d of %d configurations were accepted", len(o.acknowledgedAt), o.changes)
 	}
 	newest := uint64(0)
 	for _, h := range o.StorageNodes() {
@@ -302,15 +304,15 @@
 			t.Logf("%.3f s: %s", float64(e.At)/1e6, e.State)
 		}
 	}
-	t.Logf("%d accepted in %.0f s; disk at most %d bytes, the cluster state's log at most %d entries", len(o.acknowledgedAt), float64(o.Now-o.LoadStart)/1e6, o.peakDiskBytes, o.peakLogEntries)
+	t.Logf("%d configurations were accepted in %.0f s; disk at most %d bytes, the cluster state's log at most %d entries", len(o.acknowledgedAt), float64(o.Now-o.LoadStart)/1e6, o.peakDiskBytes, o.peakLogEntries)
 	for what, durations := range o.catchUpTimes {
 		slices.Sort(durations)
-		t.Logf("%s: %d returns, caught up in %.2f s at the middle, %.2f s at most", what, len(durations), float64(durations[len(durations)/2])/1e6, float64(durations[len(durations)-1])/1e6)
+		t.Logf("%s: %d returns, caught up in %.2f s at the median, %.2f s at most", what, len(durations), float64(durations[len(durations)/2])/1e6, float64(durations[len(durations)-1])/1e6)
 	}
 	for role, kinds := range o.bytesReceived {
 		for kind, bytes := range kinds {
 			if bytes/o.changes > 100 {
-				t.Logf("bytes a change, to %s: %s %d", role, kind, bytes/o.changes)
+				t.Logf("bytes per change that the role %s received: %s %d", role, kind, bytes/o.changes)
 			}
 		}
 	}
--- a/internal/sim/disk_test.go
+++ b/internal/sim/disk_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestDiskScenarios: full disks and failing syncs, of any storage node and at a start.
+// TestDiskScenarios runs scenarios with full disks and failing syncs, on any storage node, also
+// at the start of a process.
 func TestDiskScenarios(t *testing.T) {
 	for _, s := range DiskScenarios {
 		if *onlyScenario != "" && s.Name != *onlyScenario {
--- a/internal/sim/excess_losses_test.go
+++ b/internal/sim/excess_losses_test.go
@@ -10,8 +10,9 @@
 	"sparnotch/internal/eventloop"
 )
 
-// TestExcessiveLosses: more storage nodes are away at once than may be lost. With -seeds so
-// many schedules; sparnotch-bench simulate -excess plays any number.
+// TestExcessiveLosses runs schedules in which more storage nodes are unavailable at once than the
+// fleet tolerates. The flag -seeds sets how many schedules are run in addition to the first;
+// sparnotch-bench simulate -excess runs any number.
 func TestExcessiveLosses(t *testing.T) {
 	for seed := *firstSeed; seed <= *firstSeed+uint64(*seeds); seed++ {
 		schedule := ExcessiveSchedule(seed, SmallCalledFleet)
@@ -27,16 +28,16 @@
 					restored++
 				}
 			}
-			// The last fault takes everything, so there is one outage at least.
+			// The last fault stops every process, so there is at least one outage.
 			if lost == 0 || restored != lost {
-				t.Errorf("%d outages, %d of them over", lost, restored)
+				t.Errorf("of %d outages %d have ended; at least one was expected, and all must end", lost, restored)
 			}
 		})
 	}
 }
 
-// TestTwoHalves: the storage nodes are cut into two halves for some seconds, again and again,
-// while operators and clients reach both.
+// TestTwoHalves repeatedly partitions the storage nodes into two sides for some seconds, while
+// operators and clients reach both sides.
 func TestTwoHalves(t *testing.T) {
 	schedule, err := ParseExcessiveSchedule(
 		"corecut/leader:6s@3s,corecut/server1:5s@11s,corecut/server2:5s@11s,race/all:1s@13s,corecut/server3:7s@19s,coremute/server1:7s@20s,crowd/all:1s@22s,table/all:1s@24s", SmallCalledFleet)
@@ -47,7 +48,7 @@
 }
 
 func TestExcessiveSchedules(t *testing.T) {
-	Convey("Losses overlap beyond what may be lost, no schedule loses two disks, and it is read again as it was drawn", t, func() {
+	Convey("Losses overlap beyond the tolerated ones, no schedule loses two disks, and a written schedule is parsed to the same schedule", t, func() {
 		overlapping := 0
 		for seed := uint64(1); seed <= 200; seed++ {
 			schedule := ExcessiveSchedule(seed, SmallCalledFleet)
@@ -60,7 +61,7 @@
 		}
 		So(overlapping, ShouldBeGreaterThan, 190)
 	})
-	Convey("A second lost disk, and a fault that isn't known, are refused", t, func() {
+	Convey("Schedules with a second lost disk or an unknown fault are refused", t, func() {
 		for _, text := range []string{"wipe/server1:1s@3s,replace/server2:1s@9s", "ackwipe/all:1s@3s,closewipe/all:1s@40s", "sneeze/all:1s@3s"} {
 			_, err := ParseExcessiveSchedule(text, SmallCalledFleet)
 			So(err, ShouldNotBeNil)
@@ -69,7 +70,7 @@
 }
 
 func TestUnavailableStorageNodes(t *testing.T) {
-	Convey("A storage node is away while it isn't among the most that serve, write, and reach each other", t, func() {
+	Convey("A storage node is unavailable unless it belongs to the largest set of nodes that are up, can write, and reach each other", t, func() {
 		f := NewFleet(1, SmallCalledFleet, ReliableNetwork, fastSync, eventloop.Second)
 		f.Run(f.LoadStart)
 		nodes := f.StorageNodes()
--- a/internal/sim/fairness_test.go
+++ b/internal/sim/fairness_test.go
@@ -14,24 +14,25 @@
 const (
 	shareWindow    = 5 * eventloop.Second
 	shareStep      = 500 * eventloop.Millisecond
-	sharesSettled  = 5 * eventloop.Second // after the load's start
-	sharesMeasured = 25 * eventloop.Second
-	shareTolerance = 0.05 // of a tenant's share by weight
-	minUtilization = 0.85 // of the pool's cores; with less in use shares say nothing
-	backlogJobs    = 40   // of each tenant: enough to fill the pool alone all the while
-	backlogTasks   = 60   // of a job
+	sharesSettled  = 5 * eventloop.Second  // the measurement begins this long after the load's start
+	sharesMeasured = 25 * eventloop.Second // the measurement ends this long after the load's start
+	shareTolerance = 0.05                  // largest deviation from a tenant's share by weight, as a fraction of that share
+	minUtilization = 0.85                  // of the pool's cores; with less in use the shares are meaningless
+	backlogJobs    = 40                    // jobs of each tenant; one tenant's jobs alone can fill the pool during the whole run
+	backlogTasks   = 60                    // tasks of a job
 
 	mainPoolWorkers = 4
-	// shareWorkerCores lets each tenant's share of the pool be a whole number of tasks.
+	// shareWorkerCores is the size of a worker, in thousandths of a core. With it each tenant's
+	// share of the pool is a whole number of tasks.
 	shareWorkerCores = 10_000
 )
 
-// backlogStep is the step of which all jobs of the measurement are.
+// backlogStep returns the only step of each job in the measurement.
 func backlogStep() *schema.Step {
 	return newTimedStep("backlog", backlogTasks, 500, 800*eventloop.Millisecond)
 }
 
-// weightedTenants are tenants without limits, of different weights.
+// weightedTenants returns tenants that have different weights and no limits.
 func weightedTenants() []deployments.Tenant {
 	var list []deployments.Tenant
 	for _, weight := range []int64{4, 3, 2, 1} {
@@ -41,7 +42,7 @@
 	return list
 }
 
-// coreTime is what tenants used, in thousandths of a core times µs, by tenant.
+// coreTime holds the core time that each tenant used, in thousandths of a core times µs.
 type coreTime map[string]float64
 
 func (c coreTime) sum() float64 {
@@ -52,7 +53,7 @@
 	return sum
 }
 
-// usedWithin is what the tenants used between two moments.
+// usedWithin returns the core time that the tenants used between two times.
 func (f *Fleet) usedWithin(from, to eventloop.Micros) coreTime {
 	type run struct {
 		worker, name  string
@@ -83,8 +84,9 @@
 	return used
 }
 
-// shareDeviation is the largest difference in any window between a tenant's part of what is
-// used and its part of the weights, as a part of the latter; and the lowest utilization.
+// shareDeviation measures each tenant's share of the used core time in every window. It returns
+// the largest deviation from the tenant's share by weight, as a fraction of that share, and the
+// pool's lowest utilization in any window.
 func (f *Fleet) shareDeviation(poolCores int64) (deviation, utilization float64) {
 	utilization = math.Inf(1)
 	weights := 0.0
@@ -102,8 +104,9 @@
 	return deviation, utilization
 }
 
-// playBacklogs gives tenants of different weights more work each than fits the pool, which
-// has workers of the main pool and some of the other one, and checks their shares.
+// playBacklogs submits for each of several tenants with different weights more work than fits the
+// main pool, and checks the tenants' shares. Workers beyond the first mainPoolWorkers belong to
+// the other pool.
 func playBacklogs(t *testing.T, workers int) {
 	spec := sharedFleet(SmallCalledFleet, weightedTenants())
 	spec.JobKinds, spec.Workers, spec.AgentNodes, spec.Cores = nil, workers, workers, shareWorkerCores
@@ -121,7 +124,7 @@
 			deviation, utilization := f.shareDeviation(mainPoolWorkers * shareWorkerCores)
 			t.Logf("seed %d: shares differ by up to %.1f%% of the weights, at least %.0f%% of the pool in use", seed, 100*deviation, 100*utilization)
 			if utilization < minUtilization {
-				t.Errorf("only %.0f%% of the pool are in use", 100*utilization)
+				t.Errorf("only %.0f%% of the pool's cores are in use", 100*utilization)
 			}
 			if deviation > shareTolerance {
 				t.Errorf("shares differ by up to %.1f%% from the weights", 100*deviation)
@@ -138,9 +141,10 @@
 	}
 }
 
-// In a full pool tenants got the same however they were weighted.
+// TestSharesDifferFromWeights guards against shares that ignore weights: in a full pool all
+// tenants got the same share whatever their weights were.
 func TestSharesDifferFromWeights(t *testing.T) { playBacklogs(t, mainPoolWorkers) }
 
-// A tenant's fair share was counted of all pools together, so in one of them tenants of low
-// weight got more than theirs.
+// TestSharesOfOnePoolDifferFromWeights guards against a fair share that is computed over all
+// pools together: within one pool tenants of low weight got more than their share.
 func TestSharesOfOnePoolDifferFromWeights(t *testing.T) { playBacklogs(t, mainPoolWorkers+2) }
--- a/internal/sim/hollow_test.go
+++ b/internal/sim/hollow_test.go
@@ -8,7 +8,7 @@
 	"sparnotch/internal/eventloop"
 )
 
-// valueOf finds the value of a metric; -1: there is none.
+// valueOf returns the value of a role's metric, or -1 if the results don't have it.
 func valueOf(list []Result, role, metric string) float64 {
 	for _, result := range list {
 		if result.Role == role && result.Metric == metric {
@@ -30,12 +30,12 @@
 		So(valueOf(list, roleWhole, "plan_missed"), ShouldEqual, 0)
 		So(valueOf(list, roleWhole, "plan_max_ms"), ShouldBeBetween, 1, 2000)
 		So(valueOf(list, roleAgent, "sent_s"), ShouldBeGreaterThan, 2)
-		// The design sums a recovery with work lost to 9.0 s at most.
+		// By design a recovery in which work is lost takes at most 9.0 s in total.
 		So(valueOf(list, roleWhole, "first_ms"), ShouldBeBetween, 1, 9000)
 		So(RunHollow(setup), ShouldResemble, list)
 	})
-	Convey("What ran on a lost rack runs again elsewhere", t, func() {
-		// A seed with which the rack has work when it is lost.
+	Convey("Tasks that ran on a lost rack run again on other racks", t, func() {
+		// With this seed the rack runs tasks when it is lost.
 		setup.LossScope, setup.RunUs, setup.Seed = "rack", 3_000_000, 2
 		list := RunHollow(setup)
 		So(valueOf(list, roleWhole, "lost_tasks"), ShouldBeGreaterThan, 0)
--- a/internal/sim/linearizability_test.go
+++ b/internal/sim/linearizability_test.go
@@ -12,12 +12,12 @@
 	"sparnotch/internal/schema"
 )
 
-var replaceSeeds = flag.Int("replace-seeds", 1, "how many seeds to run each history of operators with")
+var replaceSeeds = flag.Int("replace-seeds", 1, "how many seeds to run each history of concurrent operators with")
 
 // --- faults ---
 
-// clusterStateLeader is the storage node that leads the cluster state; the first one if
-// none does.
+// clusterStateLeader returns the storage node that leads the cluster state and isn't frozen, or
+// the first storage node if there is none.
 func (o *operators) clusterStateLeader() *Host {
 	for _, h := range o.StorageNodes() {
 		if leads(h.StateView(), clusterstate.GroupName) && !h.isFrozen {
@@ -50,12 +50,12 @@
 	o.After(back, h.Start)
 }
 
-// operatorFault is a fault that is injected at intervals while operators work.
+// operatorFault is a fault that is injected periodically while operators send updates.
 type operatorFault struct {
 	name     string
 	interval eventloop.Micros
 	network  NetworkProfile
-	sync     eventloop.Micros // of the disks
+	sync     eventloop.Micros // duration of a disk sync
 	inject   func(o *operators)
 }
 
@@ -125,7 +125,7 @@
 	}},
 }
 
-// onAcknowledgement acts at the next acknowledgement of an update.
+// onAcknowledgement calls act at the next acknowledgement of an update.
 func (o *operators) onAcknowledgement(act func()) {
 	before := o.confirmed
 	var watch func()
@@ -140,11 +140,11 @@
 	watch()
 }
 
-// faultPeriod is how long operators work in one history.
+// faultPeriod is how long operators send new updates and faults are injected in one history.
 const faultPeriod = 20 * eventloop.Second
 
-// newOperators starts three storage nodes, two gateways without a disk and two agent
-// nodes, which are ready for operators three seconds later.
+// newOperators starts three storage nodes, two gateways without a disk and two agent nodes. They
+// are ready to serve operators three seconds later.
 func newOperators(seed uint64, profile NetworkProfile, sync eventloop.Micros) *operators {
 	o := &operators{Simulation: NewSimulation(seed, profile, sync), rng: rand.New(rand.NewPCG(seed, 0x0bda))}
 	addTestHosts(o.Simulation, "server", "controller", 2)
@@ -152,8 +152,8 @@
 	return o
 }
 
-// runReplaces has eight operators work while faults are injected, then lets all recover and
-// has every update sent once more.
+// runReplaces lets eight operators update the configuration while faults are injected. It then
+// waits for the recovery, and sends every update that has a clear answer once more.
 func runReplaces(seed uint64, profile NetworkProfile, sync eventloop.Micros, faults ...func(o *operators)) *operators {
 	o := newOperators(seed, profile, sync)
 	o.lossRate = 0.15
@@ -200,10 +200,10 @@
 					refused++
 				}
 			}
-			t.Logf("%d updates, %d accepted, %d refused, %d answered again, %d reads", len(o.updates), accepted, refused, o.repeatedAnswers, len(o.history)-len(o.updates))
-			// A run in which nothing happened proves nothing.
+			t.Logf("%d updates, %d accepted, %d refused, %d repeated answers, %d reads", len(o.updates), accepted, refused, o.repeatedAnswers, len(o.history)-len(o.updates))
+			// A run in which hardly anything happened proves nothing.
 			if accepted < 50 || refused < 50 || o.repeatedAnswers < 100 {
-				t.Errorf("only %d updates accepted, %d refused and %d answered again", accepted, refused, o.repeatedAnswers)
+				t.Errorf("only %d updates were accepted, %d were refused, and %d answers were repeated", accepted, refused, o.repeatedAnswers)
 			}
 		})
 	}
@@ -228,8 +228,8 @@
 	}
 }
 
-// TestReadsOfNewLeader: the leader is killed when it has answered, before the others
-// know that it has committed, and everybody reads at once.
+// TestReadsOfNewLeader checks reads right after a change of leaders: the leader is killed when it
+// has answered an update, before the other nodes know that the update is committed.
 func TestReadsOfNewLeader(t *testing.T) {
 	o := newOperators(1, ReliableNetwork, 12*eventloop.Millisecond)
 	o.Run(o.Now + 3*eventloop.Second)
@@ -247,12 +247,12 @@
 		t.Error(problem)
 	}
 	if o.confirmed < 8 || len(o.history) < 1000 {
-		t.Errorf("only %d reads, and version %d", len(o.history), o.confirmed)
+		t.Errorf("only %d reads were answered, and the newest confirmed version is %d", len(o.history), o.confirmed)
 	}
 }
 
-// TestAnswersOfDeposedLeader: updates in the log of a leader that is partitioned are
-// overwritten there by others, whose answers aren't theirs.
+// TestAnswersOfDeposedLeader checks that updates in the log of a partitioned leader don't get the
+// answers of the updates that later overwrite them there.
 func TestAnswersOfDeposedLeader(t *testing.T) {
 	o := newOperators(1, ReliableNetwork, fastSync)
 	o.Run(o.Now + 3*eventloop.Second)
@@ -272,7 +272,7 @@
 		o.After(eventloop.Micros(3000+37*round)*eventloop.Millisecond, func() { o.Isolate(leader, false) })
 		o.Run(o.Now + 8*eventloop.Second)
 		if o.confirmed == base {
-			t.Fatalf("round %d: nothing was accepted", round)
+			t.Fatalf("round %d: no update was accepted", round)
 		}
 	}
 	for _, update := range o.updates {
--- a/internal/sim/new_queues_test.go
+++ b/internal/sim/new_queues_test.go
@@ -14,8 +14,8 @@
 
 const newQueues = 8
 
-// newQueueDelays adds queues to the configuration, and gives how long after the answer each
-// gateway could first list each of them.
+// newQueueDelays adds queues to the configuration. It returns for each gateway and queue how long
+// after the configuration's acknowledgement the gateway could first list the queue's jobs.
 func newQueueDelays(seed uint64) (delays []eventloop.Micros) {
 	f := NewFleet(seed, SmallFleet, ReliableNetwork, fastSync, 3*eventloop.Second)
 	f.Run(f.LoadStart + eventloop.Second)
@@ -63,7 +63,7 @@
 }
 
 func TestNewQueuesServeSoon(t *testing.T) {
-	Convey("Eight queues that a configuration adds serve at every gateway well before an election's time", t, func() {
+	Convey("Every gateway serves eight added queues well before an election would take place", t, func() {
 		worst, sum, count := eventloop.Micros(0), eventloop.Micros(0), 0
 		for seed := uint64(1); seed <= 8; seed++ {
 			for _, delay := range newQueueDelays(seed) {
--- a/internal/sim/operators_test.go
+++ b/internal/sim/operators_test.go
@@ -15,24 +15,25 @@
 
 // --- the model: a compare-and-set register whose updates may be sent repeatedly ---
 
-// registerInput is an update as its operator sent it, however often, or where there is none
-// a read.
+// registerInput is the input of one operation: an update, however often its operator sent it, or
+// a read if update is nil.
 type registerInput struct{ update *operatorUpdate }
 
-// registerOutput is what an update came to, or what a read showed.
+// registerOutput is the outcome of an update, or the configuration that a read returned.
 type registerOutput struct {
-	code     int32 // 200 or 412; 0: never a clear answer
+	code     int32 // 200 or 412; 0: the update never got a clear answer
 	version  uint64
 	document string
 }
 
+// registerState is the configuration that the register holds.
 type registerState struct {
 	version  uint64
 	document string
 }
 
-// register is the model: what one update or read may come to. An update that never got a
-// clear answer may have taken effect at any moment since it was sent.
+// register is the model, which decides whether an update or read may have an outcome. An update
+// that never got a clear answer may have taken effect at any time after it was sent.
 var register = porcupine.Model{
 	Init: func() any { return registerState{} },
 	Step: func(before, input, output any) (bool, any) {
@@ -46,7 +47,8 @@
 		after := registerState{update.Version, string(update.Document)}
 		switch {
 		case answer.code == 412:
-			// An update whose base is still to come hasn't lost against another.
+			// An update is refused only if its base was replaced by another update; a base
+			// that doesn't exist yet is no reason.
 			return update.BaseVersion < state.version, state
 		case isOnTop:
 			return true, after
@@ -64,29 +66,29 @@
 
 // --- operators ---
 
-// operatorUpdate is one update and the answers that its operator has had.
+// operatorUpdate is one update and the answers that its operator has received.
 type operatorUpdate struct {
 	operator    int
 	content     *schema.ConfigurationUpdate
-	sentAt      eventloop.Micros // first
-	answeredAt  eventloop.Micros // first with a clear answer
+	sentAt      eventloop.Micros // when it was first sent
+	answeredAt  eventloop.Micros // when it first got a clear answer
 	code        int32            // 200 or 412; 0: no clear answer yet
-	isAbandoned bool             // it isn't sent again
+	isAbandoned bool             // whether its operator stops sending it
 }
 
-// operators replace the configuration at the same time, through any gateway, and lose a
-// part of the answers.
+// operators simulates operators who replace the configuration concurrently, through any gateway,
+// and who don't receive some of the answers.
 type operators struct {
 	*Simulation
 	rng             *rand.Rand
-	until           eventloop.Micros // they send new updates
-	lossRate        float64          // of the answers
+	until           eventloop.Micros // time until which they send new updates
+	lossRate        float64          // share of the answers that are lost
 	updates         []*operatorUpdate
 	history         []porcupine.Operation
 	problems        []string
-	confirmed       uint64 // newest version that was confirmed
+	confirmed       uint64 // newest version of which an operator got the confirmation
 	lastRead        uint64 // version that was read at the end
-	repeatedAnswers int    // to updates that had a clear answer already
+	repeatedAnswers int    // number of clear answers to updates that already had one
 }
 
 func (o *operators) fail(format string, args ...any) {
@@ -100,7 +102,8 @@
 	return gateways[o.rng.IntN(len(gateways))]
 }
 
-// call sends a request to a gateway and may lose the answer.
+// call sends a request to a gateway and calls back with the response. It loses a share lossRate of
+// the responses, for which it calls back with an empty one.
 func (o *operators) call(node *Host, timeout eventloop.Micros, request gateway.LeaderRequest, back func(response gateway.Response)) {
 	isLost := o.rng.Float64() < o.lossRate
 	o.Request(node, timeout, leaderRequest(request), func(answer any) {
@@ -112,20 +115,20 @@
 	})
 }
 
-// read reads the configuration and gives it back; nil: it couldn't be read.
+// read reads the configuration and calls back with it, or with nil if it couldn't be read.
 func (o *operators) read(operator int, back func(current *schema.Configuration)) {
 	sentAt, confirmed := o.Now, o.confirmed
 	o.call(o.randomGateway(), eventloop.Second, configurationRequest(), func(response gateway.Response) {
 		current := &schema.Configuration{}
 		if response.Code != 200 || protojson.Unmarshal(response.Body, current) != nil {
 			if response.Code >= 400 && response.Code < 500 {
-				o.fail("a read is answered %d", response.Code)
+				o.fail("a read was refused with status %d", response.Code)
 			}
 			back(nil)
 			return
 		}
 		if current.Version < confirmed {
-			o.fail("a read shows version %d, and %d was confirmed before it was sent", current.Version, confirmed)
+			o.fail("a read returned version %d although version %d was confirmed before the read was sent", current.Version, confirmed)
 		}
 		o.history = append(o.history, porcupine.Operation{
 			ClientId: operator, Input: registerInput{}, Call: int64(sentAt), Return: int64(o.Now),
@@ -135,7 +138,7 @@
 	})
 }
 
-// work has an operator send one update after the other.
+// work makes an operator send updates one after another.
 func (o *operators) work(operator int) {
 	if o.Now >= o.until {
 		return
@@ -149,7 +152,8 @@
 			return
 		}
 		first := o.newUpdate(operator, current.Version)
-		// Some don't wait for the answer and build on their own update.
+		// Sometimes the operator sends a second update that is based on the first one without
+		// waiting for the answer.
 		if o.rng.IntN(4) == 0 {
 			o.send(o.newUpdate(operator, first.content.Version), func() {})
 		}
@@ -157,8 +161,8 @@
 	})
 }
 
-// newUpdate makes an update; those of different operators often have the same version. Every
-// third is a patch, which sets the document's one member.
+// newUpdate returns a new update. Updates of different operators often have the same version.
+// Every third update is a patch, which sets the only member of the JSON document.
 func (o *operators) newUpdate(operator int, base uint64) *operatorUpdate {
 	version := base + 1 + uint64(o.rng.IntN(2))
 	document := fmt.Sprintf(`{"content":"%d on %d, order %d of operator %d"}`, version, base, len(o.updates), operator)
@@ -170,8 +174,8 @@
 	return update
 }
 
-// send sends an update, at times through several gateways at once, until it has a clear
-// answer; a few are abandoned.
+// send sends an update repeatedly until it has a clear answer, sometimes through several gateways
+// at once. It abandons a few of the updates.
 func (o *operators) send(update *operatorUpdate, done func()) {
 	copies := 1
 	if o.rng.IntN(4) == 0 {
@@ -195,7 +199,8 @@
 	}
 }
 
-// sendOnce sends an update once and compares its answer with those before.
+// sendOnce sends an update once through a random gateway, and compares the answer with the
+// earlier ones.
 func (o *operators) sendOnce(update *operatorUpdate, done func()) {
 	o.sendOnceTo(o.randomGateway(), eventloop.Second, update, done)
 }
@@ -212,13 +217,13 @@
 	switch {
 	case response.Code == 0 || response.Code >= 500:
 	case response.Code != 200 && response.Code != 412:
-		o.fail("%s is answered %d: %s", document, response.Code, response.Body)
+		o.fail("%s was answered with the unexpected status %d: %s", document, response.Code, response.Body)
 	case update.code == 0:
 		update.code, update.answeredAt = response.Code, o.Now
 		if response.Code == 200 {
 			o.confirmed = max(o.confirmed, update.content.Version)
 		}
-		// Who has an answer may still have copies on their way, or send another one.
+		// After an answer, further copies of the update may still arrive, or be sent.
 		if o.rng.IntN(3) == 0 {
 			o.After(eventloop.Micros(o.rng.IntN(5000))*eventloop.Millisecond, func() { o.sendOnce(update, func() {}) })
 		}
@@ -229,7 +234,7 @@
 	}
 }
 
-// check checks the whole history against the model, and gives what is wrong.
+// check checks the whole history against the model, and returns the problems.
 func (o *operators) check() []string {
 	builtOn := map[uint64]*operatorUpdate{}
 	for _, update := range o.updates {
@@ -239,7 +244,7 @@
 		}
 		if update.code == 0 {
 			operation.Return = int64(o.Now) + 1
-			// Of what was built on an update that was refused, nothing will ever be known.
+			// An update that is based on a refused update never gets a clear answer.
 			if !update.isAbandoned && update.content.BaseVersion <= o.lastRead {
 				o.fail("%s never got a clear answer", update.content.Document)
 			}
--- a/internal/sim/overlapping_faults_test.go
+++ b/internal/sim/overlapping_faults_test.go
@@ -11,9 +11,10 @@
 	"sparnotch/internal/eventloop"
 )
 
-// TestOverlappingFaults: any three kinds of faults at once, twice, and one that
-// closes the day right after an acknowledgement. With -seeds so many of them,
-// also on whole deployments; sparnotch-bench simulate -overlap plays any number.
+// TestOverlappingFaults runs schedules in which three random kinds of faults occur at once, twice,
+// and which end with a fault right after an acknowledgement. The flag -seeds sets how many
+// schedules are run in addition to the first, then also on whole deployments; sparnotch-bench
+// simulate -overlap runs any number.
 func TestOverlappingFaults(t *testing.T) {
 	for _, spec := range FleetSpecs() {
 		if !spec.HasCalledWorkers() || spec.Name != SmallCalledFleet.Name && *seeds == 1 {
@@ -30,7 +31,7 @@
 }
 
 func TestOverlappingSchedules(t *testing.T) {
-	Convey("Every kind is drawn, what is drawn can be survived, and the day ends right after an acknowledgement", t, func() {
+	Convey("Every kind of fault is drawn, the drawn schedules can be survived, and the last fault follows an acknowledgement", t, func() {
 		drawn := map[string]bool{}
 		for seed := uint64(1); seed <= 300; seed++ {
 			schedule := OverlappingSchedule(seed, SmallCalledFleet)
@@ -48,8 +49,8 @@
 	})
 }
 
-// faultsAndAcknowledgements finds the faults of a run and how long before each
-// the last acknowledgement was.
+// faultsAndAcknowledgements returns the faults of a run, and for each of them the time since the
+// last acknowledgement before it.
 func faultsAndAcknowledgements(f *Fleet) (faults []string, waits []eventloop.Micros) {
 	last := eventloop.Micros(0)
 	for _, e := range f.History {
@@ -80,7 +81,7 @@
 }
 
 func TestLostAnswers(t *testing.T) {
-	Convey("What wasn't acknowledged is sent again and none of it is refused", t, func() {
+	Convey("Requests whose acknowledgement is lost are sent again, and none of them is refused", t, func() {
 		schedule, err := ParseSchedule("ackloss/all:6s@3s,race/all:1s@3500ms,crowd/all:1s@5s", SmallCalledFleet)
 		So(err, ShouldBeNil)
 		f, violations, _ := RunScenario(schedule.Scenario(), SmallCalledFleet, 2)
--- a/internal/sim/partition_controller_test.go
+++ b/internal/sim/partition_controller_test.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	supersededTimeout = 6 * eventloop.Second // a partitioned controller has a successor by then
-	servedTimeout     = 6 * eventloop.Second // and the worker on its machine has work again, after the healing
+	supersededTimeout = 6 * eventloop.Second // time within which a partitioned controller must have a successor
+	servedTimeout     = 6 * eventloop.Second // time after the healing within which the worker on the controller's machine must have work again
 )
 
-// partitionController plays one partition of the controller's machine, where a worker's
-// agent runs as well, while the fleet is at work. The checker looks at everything that ran.
+// partitionController runs one kind of partition of the controller's machine, on which a worker's
+// agent runs as well, while the fleet is under load. It returns the problems that it and the
+// checker find in the whole history.
 func partitionController(seed uint64, kindIndex int) (problems []string) {
 	kind := partitionKinds[kindIndex]
 	spec := SmallCalledFleet
-	// A light load, with work for either pool's workers.
+	// The load is light, but has jobs for the workers of both pools.
 	kinds := spec.JobKinds
 	spec.JobKinds = slices.DeleteFunc(slices.Clone(kinds), func(k JobKind) bool {
 		at := slices.IndexFunc(kinds, func(each JobKind) bool { return each.Name == k.Name && each.Queue == k.Queue })
@@ -44,7 +45,7 @@
 	}
 	f.Run(f.Now + supersededTimeout)
 	if view := r.voter("leader").StateView(); view.Controller == old {
-		problems = append(problems, "its lease was given to nobody else")
+		problems = append(problems, "the partitioned controller still has the controller lease")
 	}
 	f.Run(f.Now + partitionPeriod - supersededTimeout)
 	kind.apply(r, side, false)
@@ -56,7 +57,7 @@
 		return e.Kind == checker.TaskStart && e.Actor == worker.Name() && e.At > healedAt && e.At < healedAt+servedTimeout
 	})
 	if !isServed {
-		problems = append(problems, "its worker got no work after the healing")
+		problems = append(problems, "the worker on the controller's machine got no work after the healing")
 	}
 	return problems
 }
--- a/internal/sim/partition_probes_test.go
+++ b/internal/sim/partition_probes_test.go
@@ -14,41 +14,42 @@
 )
 
 const (
-	inForceTimeout   = 2 * eventloop.Second         // an acknowledged configuration is in force everywhere
-	maxDeliveryDelay = 10 * eventloop.Millisecond   // no message is on its way for longer
-	immediateAnswer  = 25 * eventloop.Millisecond   // of which six are the client's delay
-	maxYoungAnswer   = 1100 * eventloop.Millisecond // of a process that never had the cluster state
-	publishInterval  = 1500 * eventloop.Millisecond // between two configurations
-	probeInterval    = 510 * eventloop.Millisecond  // between two rounds of probes
-	announceTimeout  = 1200 * eventloop.Millisecond // of a worker's heartbeat
-	callTimeout      = 3 * eventloop.Second         // of a client's request
+	inForceTimeout   = 2 * eventloop.Second         // time after which an acknowledged configuration is in force everywhere
+	maxDeliveryDelay = 10 * eventloop.Millisecond   // longest delay of any message
+	immediateAnswer  = 25 * eventloop.Millisecond   // longest time until an immediate answer; 6 ms of it are the client's network delay
+	maxYoungAnswer   = 1100 * eventloop.Millisecond // the same for a process that never had the cluster state
+	publishInterval  = 1500 * eventloop.Millisecond // time between two configurations
+	probeInterval    = 510 * eventloop.Millisecond  // time between two rounds of probes
+	announceTimeout  = 1200 * eventloop.Millisecond // timeout of a worker's heartbeat
+	callTimeout      = 3 * eventloop.Second         // timeout of a client's request
 )
 
-// partitionRun is a fleet one host of which is partitioned. Meanwhile an operator goes on
-// replacing the configuration, each time with a new queue in place of the one before, and
-// clients send every kind of request to that host and to another one.
+// partitionRun is a run of a fleet in which one host is partitioned. Meanwhile an operator keeps
+// replacing the configuration, each time with a new queue in place of the previous one, and
+// clients send every kind of request to the partitioned host and to another one.
 type partitionRun struct {
 	*Simulation
 	host, other      *Host
-	unreachableSince eventloop.Micros // 0: not yet
-	healedAt         eventloop.Micros // 0: not yet
+	unreachableSince eventloop.Micros // when the partition began; 0: not yet
+	healedAt         eventloop.Micros // when the partition ended; 0: not yet
 	acknowledged     []acknowledgedVersion
 	heartbeats       uint64
-	startedInside    bool // the host's process was started inside the partition
-	downAt           eventloop.Micros
-	downUntil        eventloop.Micros
-	readyAt          eventloop.Micros         // first time after the healing
-	codes            map[string]map[int32]int // answers of the host, by kind of request
+	startedInside    bool                     // the host's process was started inside the partition
+	downAt           eventloop.Micros         // when the host's process went down; 0: it didn't
+	downUntil        eventloop.Micros         // when the host's process was started again
+	readyAt          eventloop.Micros         // when the host was first ready after the healing; 0: not yet
+	codes            map[string]map[int32]int // number of the host's answers by kind of request and status
 	problems         []string
 }
 
+// acknowledgedVersion is a version of the configuration that the operator got acknowledged.
 type acknowledgedVersion struct {
 	version        uint64
 	acknowledgedAt eventloop.Micros
 }
 
-// partitionConfiguration is a version of the configuration: a queue that stays, and one of
-// its own.
+// partitionConfiguration returns a version of the configuration that has the queue quick, as every
+// version has, and a queue of its own.
 func partitionConfiguration(version uint64, base uint64) *schema.ConfigurationUpdate {
 	return &schema.ConfigurationUpdate{Version: version, BaseVersion: base, Document: []byte(fmt.Sprint("edition ", version)), Rows: []*schema.ConfigurationRow{
 		{Kind: "queue", Name: "quick", Key: "urgency", Value: "60"},
@@ -58,14 +59,15 @@
 
 func partitionQueue(version uint64) string { return fmt.Sprint("queue", version) }
 
-// call sends a request to a gateway and gives when it was sent, with its response.
+// call sends a request to a gateway, and calls back with the time at which it was sent and the
+// response.
 func (r *partitionRun) call(h *Host, request newRequest, back func(sentAt eventloop.Micros, response gateway.Response)) {
 	sentAt := r.Now
 	r.Request(h, callTimeout, request, func(answer any) { back(sentAt, responseOf(answer)) })
 }
 
-// publish has the operator send a version, to the partitioned host first, and elsewhere
-// while the answer is unclear.
+// publish makes the operator send a version of the configuration to the given host, or if that is
+// nil to the partitioned host. While the answer is unclear, it sends the version to other hosts.
 func (r *partitionRun) publish(version uint64, at *Host) {
 	if at == nil {
 		at = r.host
@@ -87,12 +89,12 @@
 			}
 			r.After(100*eventloop.Millisecond, func() { r.publish(version, next) })
 		default:
-			r.fail(at, "replace", sentAt, response, "the only operator's configuration was refused")
+			r.fail(at, "replace", sentAt, response, "the update was refused although no other operator sends updates")
 		}
 	})
 }
 
-// newestAcknowledged is the newest version that was acknowledged before a moment.
+// newestAcknowledged returns the newest version that was acknowledged before the given time.
 func (r *partitionRun) newestAcknowledged(at eventloop.Micros) uint64 {
 	version := uint64(0)
 	for _, each := range r.acknowledged {
@@ -107,8 +109,8 @@
 	return r.Now - r.acknowledged[len(r.acknowledged)-1].acknowledgedAt
 }
 
-// isPublishing reports whether the version after the newest may be in force already: the
-// operator is always about to send it.
+// isPublishing reports whether a version follows the newest acknowledged version and may already
+// be in force, since the operator sends it publishInterval after that acknowledgement.
 func (r *partitionRun) isPublishing(version uint64) bool {
 	return version == r.newestAcknowledged(r.Now)+1 && r.sinceAcknowledged() > publishInterval
 }
@@ -118,14 +120,15 @@
 		what, h.Name, sentAt, r.Now, r.unreachableSince, r.healedAt, response.Code, response.Body, why))
 }
 
-// isUnreachable reports whether since a moment no message can have reached the host.
+// isUnreachable reports whether no message can have reached the partitioned host since the given
+// time.
 func (r *partitionRun) isUnreachable(since eventloop.Micros) bool {
 	return r.unreachableSince > 0 && since >= r.unreachableSince+maxDeliveryDelay && (r.healedAt == 0 || r.Now < r.healedAt)
 }
 
-// check checks what holds of every response of the partitioned host: it says nothing that
-// rests on state unless a majority can have confirmed that since the request was sent; and
-// where it can't know, it says so at once, with when to retry.
+// check checks the rules for every response of the partitioned host. A response may state
+// something that depends on state only if a majority can have confirmed it since the request was
+// sent. Otherwise the host must answer at once that it can't know, and when to retry.
 func (r *partitionRun) check(h *Host, what string, sentAt eventloop.Micros, response gateway.Response) {
 	if r.codes[what] == nil {
 		r.codes[what] = map[int32]int{}
@@ -138,24 +141,25 @@
 	isDown := r.downAt > 0 && sentAt <= r.downUntil+maxDeliveryDelay && r.Now >= r.downAt
 	switch {
 	case response.Code == 0 && !isDown:
-		r.fail(h, what, sentAt, response, "no answer")
+		r.fail(h, what, sentAt, response, "there is no answer")
 	case response.Code != 0 && isUnclear(response) && response.RetryAfter == 0:
-		r.fail(h, what, sentAt, response, "it doesn't say when to retry")
+		r.fail(h, what, sentAt, response, "the response doesn't say when to retry")
 	case r.isUnreachable(sentAt) && !isUnclear(response):
-		r.fail(h, what, sentAt, response, "nobody can have confirmed that")
+		r.fail(h, what, sentAt, response, "no majority can have confirmed the response")
 	case r.isUnreachable(sentAt) && !r.startedInside && sentAt > r.unreachableSince+inForceTimeout && took > immediateAnswer:
 		r.fail(h, what, sentAt, response, fmt.Sprintf("took %d us", took))
 	case r.isUnreachable(sentAt) && r.startedInside && sentAt > r.downUntil && took > maxYoungAnswer:
-		r.fail(h, what, sentAt, response, fmt.Sprintf("took %d us in a young process", took))
+		r.fail(h, what, sentAt, response, fmt.Sprintf("the answer took %d us in a process that never had the cluster state", took))
 	case r.isUnreachable(sentAt) && took > inForceTimeout+200*eventloop.Millisecond:
 		r.fail(h, what, sentAt, response, fmt.Sprintf("took %d us", took))
 	}
 }
 
-// responseCheck says what is wrong with a response; empty: nothing.
+// responseCheck returns the problem of a response, or an empty string if there is none.
 type responseCheck func(response gateway.Response) string
 
-// probeWith sends one request and checks its response in general and in particular.
+// probeWith sends one request, and checks its response with the rules for all responses and with
+// the given check.
 func (r *partitionRun) probeWith(h *Host, what string, request newRequest, check responseCheck) {
 	r.call(h, request, func(sentAt eventloop.Micros, response gateway.Response) {
 		r.check(h, what, sentAt, response)
@@ -165,7 +169,7 @@
 	})
 }
 
-// isNot is a check that a response hasn't a code.
+// isNot returns a check that reports why as the problem if a response has the given status.
 func isNot(code int32, why string) responseCheck {
 	return func(response gateway.Response) string {
 		if response.Code == code {
@@ -175,7 +179,7 @@
 	}
 }
 
-// probePeriodically probes both hosts at intervals until a moment.
+// probePeriodically probes both hosts every probeInterval until the given time.
 func (r *partitionRun) probePeriodically(until eventloop.Micros) {
 	if r.Now >= until {
 		return
@@ -199,15 +203,15 @@
 	r.probeReadinessOf(h)
 }
 
-// versionOf is the version that a refusal names.
+// versionOf returns the current version that a refusal reports.
 func versionOf(response gateway.Response) uint64 {
 	refusal := &schema.Error{}
 	_ = json.Unmarshal(response.Body, refusal)
 	return refusal.Current
 }
 
-// probeConfiguration reads the configuration, and sends updates that are to be refused,
-// which only a node can that knows the newest one.
+// probeConfiguration reads the configuration, and sends updates that must be refused and one that
+// was accepted before. Only a node that knows the newest version can answer these correctly.
 func (r *partitionRun) probeConfiguration(h *Host, newest uint64) {
 	r.probeWith(h, "read", leaderRequest(configurationRequest()), func(response gateway.Response) string {
 		current := &schema.Configuration{}
@@ -230,7 +234,7 @@
 	r.probeWith(h, "old base", leaderRequest(updateRequest(partitionConfiguration(1<<40, 0))), isRefused(412))
 	r.probeWith(h, "accepted before", leaderRequest(updateRequest(partitionConfiguration(newest, newest-1))), func(response gateway.Response) string {
 		if response.Code != 200 && !isUnclear(response) {
-			return "it was accepted"
+			return "the update was accepted before"
 		}
 		return ""
 	})
@@ -241,26 +245,26 @@
 		return leaderRequest(gateway.LeaderRequest{Kind: "counts", Group: queue})
 	}
 	r.probeWith(h, "new queue", counts(partitionQueue(newest)), func(response gateway.Response) string {
-		// One that was dropped while the request was under way may be unknown.
+		// A queue that was dropped while the request was in flight may be unknown.
 		if response.Code == 404 && r.newestAcknowledged(r.Now) == newest && !r.isPublishing(newest+1) {
-			return "the queue is there"
+			return "the queue exists"
 		}
 		return ""
 	})
-	r.probeWith(h, "no such queue", counts("none"), isNot(200, "there is none"))
+	r.probeWith(h, "no such queue", counts("none"), isNot(200, "there is no such queue"))
 }
 
 func (r *partitionRun) probeJobs(h *Host) {
 	about := func(kind, name string) newRequest {
 		return leaderRequest(gateway.LeaderRequest{Kind: kind, Group: "quick", Name: name})
 	}
-	r.probeWith(h, "job", about("status", "known"), isNot(404, "the job is there"))
-	r.probeWith(h, "no such job", about("status", "none"), isNot(200, "there is none"))
-	r.probeWith(h, "cancel", about("cancel", "none"), isNot(200, "there is none"))
+	r.probeWith(h, "job", about("status", "known"), isNot(404, "the job exists"))
+	r.probeWith(h, "no such job", about("status", "none"), isNot(200, "there is no such job"))
+	r.probeWith(h, "cancel", about("cancel", "none"), isNot(200, "there is no such job"))
 }
 
-// probeSubmissions submits a new job, the known one, another one of its name, and one to
-// the queue that was dropped last.
+// probeSubmissions submits a new job, the known job again, another job with the known job's name,
+// and a job to the queue that was dropped last.
 func (r *partitionRun) probeSubmissions(h *Host, newest uint64) {
 	sentAt := r.Now
 	submit := func(what, queue, name, text string, check responseCheck) {
@@ -270,7 +274,7 @@
 	submit("submission", "quick", fmt.Sprint("j", sentAt), "a job", func(gateway.Response) string { return "" })
 	submit("known job", "quick", "known", "the known job", func(response gateway.Response) string {
 		if response.Code == 409 || response.Code == 404 {
-			return "it was accepted"
+			return "the job was accepted before"
 		}
 		return ""
 	})
@@ -297,8 +301,8 @@
 	})
 }
 
-// probeHeartbeat sends a worker's heartbeat. A scheduler answers under its lease, so only
-// what was sent some time after the partition began counts.
+// probeHeartbeat sends a worker's heartbeat. A scheduler may answer heartbeats while it holds its
+// lease, so only heartbeats that were sent inForceTimeout after the partition's start are checked.
 func (r *partitionRun) probeHeartbeat(h *Host) {
 	r.heartbeats++
 	heartbeat := &schema.WorkerHeartbeat{Incarnation: 1, Seq: r.heartbeats, CoresMilli: 1, MemoryMb: 1}
@@ -312,7 +316,8 @@
 	})
 }
 
-// probeReadinessOf checks that the partitioned host isn't ready, and notes when it is again.
+// probeReadinessOf checks that the partitioned host isn't ready, and records when it becomes
+// ready after the healing.
 func (r *partitionRun) probeReadinessOf(h *Host) {
 	r.Request(h, callTimeout, func(id uint64, _ eventloop.Micros) any { return gateway.CheckReadiness{RequestID: id} }, func(answer any) {
 		response := responseOf(answer)
@@ -320,7 +325,7 @@
 			return
 		}
 		if r.unreachableSince > 0 && r.healedAt == 0 && r.Now > r.unreachableSince+inForceTimeout {
-			r.fail(h, "readiness", r.Now, response, "it is partitioned")
+			r.fail(h, "readiness", r.Now, response, "the host reports that it is ready although it is partitioned")
 		}
 		if r.healedAt > 0 && r.readyAt == 0 {
 			r.readyAt = r.Now
--- a/internal/sim/partition_test.go
+++ b/internal/sim/partition_test.go
@@ -12,16 +12,17 @@
 const (
 	partitionPeriod = 20 * eventloop.Second
 	afterHealing    = 6 * eventloop.Second
-	readyTimeout    = 600 * eventloop.Millisecond // after the healing
+	readyTimeout    = 600 * eventloop.Millisecond // time after the healing within which the host must be ready
 )
 
 // --- the cases: the role of the host that is partitioned, and the kind of partition ---
 
 const (
-	learner  = "learner"  // partitioned when it has just begun to learn
-	newcomer = "newcomer" // started for the first time inside the partition
+	learner  = "learner"  // a host that is partitioned when it has just become a learner
+	newcomer = "newcomer" // a host that is started for the first time inside the partition
 )
 
+// partitionRole is the role of the partitioned host, and picks a host with this role.
 type partitionRole struct {
 	name string
 	pick func(r *partitionRun) *Host
@@ -35,10 +36,11 @@
 	{newcomer, func(r *partitionRun) *Host { return r.AddHost("keep6", "c1", schema.Role_ROLE_SERVER, true) }},
 }
 
-// partitionKind is a way to partition the host, alone or with the others of its side.
+// partitionKind is a way to partition the host, either alone or together with the other hosts on
+// its side.
 type partitionKind struct {
 	name     string
-	restarts bool // the host's process, inside the partition
+	restarts bool // whether the host's process is restarted inside the partition
 	apply    func(r *partitionRun, side []*Host, blocked bool)
 }
 
@@ -69,18 +71,19 @@
 	r.Partition(blocked, func(h *Host) bool { return slices.Contains(side, h) })
 }
 
-// voter finds a storage node that leads the cluster state, or one that follows.
+// voter returns a storage node with the given role, leader or follower, in the group of the
+// cluster state.
 func (r *partitionRun) voter(role string) *Host {
 	for _, h := range r.StorageNodes() {
 		if group := clusterStateReplica(h); group != nil && group.Role == role {
 			return h
 		}
 	}
-	panic("sim: no " + role)
+	panic("sim: no storage node of the cluster state has the role " + role)
 }
 
-// learner loses a storage node for good, and gives its successor when that has just begun
-// to learn.
+// learner wipes a storage node for good, starts its successor, and returns the successor as soon
+// as it is a learner.
 func (r *partitionRun) learner() *Host {
 	r.voter("follower").Wipe()
 	successor := r.AddHost("keep6", "c1", schema.Role_ROLE_SERVER, true)
@@ -95,8 +98,9 @@
 	}
 }
 
-// seedSide is the host's side of a partition that has its seeds inside: an agent node, a
-// gateway, and one storage node, which is no majority.
+// seedSide returns the hosts on the host's side of a partition that includes its seeds: the host
+// itself, an agent node, and a gateway or storage node, so that there is one storage node, which
+// is no majority.
 func (r *partitionRun) seedSide() []*Host {
 	list := []*Host{r.host, r.Hosts[5]}
 	if r.host.Disk == nil {
@@ -116,7 +120,7 @@
 	return r
 }
 
-// runPartition plays one case: the partition, and some time after its healing.
+// runPartition runs one case: the partition, and the time afterHealing that follows it.
 func runPartition(seed uint64, role partitionRole, kind partitionKind, buffers bool) *partitionRun {
 	r := newPartitionRun(seed)
 	r.BuffersWhilePartitioned = buffers
@@ -147,7 +151,7 @@
 	return r
 }
 
-// submitKnownJob submits a job until it is accepted, and then begins to probe.
+// submitKnownJob submits a job repeatedly until it is accepted, and then begins to probe.
 func (r *partitionRun) submitKnownJob() {
 	job := newJob("the known job", &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1})
 	r.Request(r.other, callTimeout, submitRequest("quick", "c", "known", job), func(answer any) {
@@ -168,7 +172,7 @@
 	})
 }
 
-// testPartitioned plays every kind of partition of a host of one role.
+// testPartitioned runs every kind of partition for a host with the given role.
 func testPartitioned(t *testing.T, roleName string) {
 	roleIndex := slices.IndexFunc(partitionRoles, func(role partitionRole) bool { return role.name == roleName })
 	for kindIndex, kind := range partitionKinds {
@@ -182,7 +186,7 @@
 					t.Error(problem)
 				}
 				if took := r.readyAt - r.healedAt; r.readyAt == 0 || took > readyTimeout {
-					t.Errorf("ready %d us after the healing", took)
+					t.Errorf("the host was ready %d us after the healing", took)
 				}
 				t.Logf("%d versions, ready %d us after the healing, answers %v", len(r.acknowledged), r.readyAt-r.healedAt, r.codes)
 			})
--- a/internal/sim/replacement_test.go
+++ b/internal/sim/replacement_test.go
@@ -18,23 +18,24 @@
 	"sparnotch/internal/timing"
 )
 
-var memberSeeds = flag.Int("member_seeds", 0, "play each case of a repair with so many seeds on each size; 0: one on one size")
+var memberSeeds = flag.Int("member_seeds", 0, "number of seeds to run each replacement case with on each fleet size; 0: one seed on one size")
 
-// catchUp is the time within which the next loss must be tolerated, as in the deployments.
+// catchUp is the time after a loss within which the fleet must tolerate the next loss. It is the
+// same as in the deployments.
 const catchUp = 4 * eventloop.Second
 
-// sampleInterval is how often the groups' margins are looked at.
+// sampleInterval is the interval at which the groups' margins are sampled.
 const sampleInterval = 50 * eventloop.Millisecond
 
-// storageFleet is a fleet of storage nodes that tolerate some losses, with gateways and agent
-// nodes.
+// storageFleet is a fleet with gateways and agent nodes, whose storage nodes tolerate a given
+// number of losses.
 type storageFleet struct {
 	*Fleet
-	losses          int                       // of machines that it tolerates
-	tolerance       membership.FaultTolerance // zones and regions besides
-	intolerantAt    eventloop.Micros          // when a group last couldn't tolerate the losses
-	why             string                    // that was
-	longestHandover eventloop.Micros          // the longest that draining machines had something to hand over
+	losses          int                       // number of machine losses that it tolerates
+	tolerance       membership.FaultTolerance // losses of zones and regions that it tolerates in addition
+	intolerantAt    eventloop.Micros          // last sample in which a group couldn't tolerate the losses
+	why             string                    // reason at that sample, with the group's name
+	longestHandover eventloop.Micros          // longest time from a drain's start during which a handover was pending
 }
 
 func newStorageFleet(seed uint64, zones []string, losses int, sync eventloop.Micros, hasLoad bool) *storageFleet {
@@ -69,8 +70,8 @@
 	return c
 }
 
-// configure gives a machine the settings of its deployment; one of the first storage nodes
-// may bootstrap the cluster at its first start.
+// configure sets the machine's configuration and components for its deployment. The storage nodes
+// that the fleet begins with may bootstrap the cluster, at their first start only.
 func (c *storageFleet) configure(h *Host, isFirst bool) {
 	h.Customize = func(config *process.Config, _ []process.ComponentSlot) []process.ComponentSlot {
 		config.Bootstrap, config.MachineFailures = isFirst && h.run == 1, uint32(c.losses)
@@ -88,7 +89,7 @@
 	return h
 }
 
-// successor starts an empty machine in the place of another, at another address.
+// successor starts an empty machine that takes the place of another machine, at a new address.
 func (c *storageFleet) successor(old *Host) *Host {
 	h := c.addStorageNode(old.Name+"'", old.Zone, false)
 	for _, other := range c.Hosts {
@@ -100,7 +101,7 @@
 	return h
 }
 
-// hostedReplica is one replica of a group and its host.
+// hostedReplica is the view of one replica of a group, together with its host.
 type hostedReplica struct {
 	host *Host
 	*replica.GroupStateView
@@ -120,8 +121,8 @@
 	return groups
 }
 
-// leaderOf is the leader of the latest term: one that was partitioned or frozen may not know
-// yet that it was superseded.
+// leaderOf returns the leader with the latest term, or nil if there is none. A leader that was
+// partitioned or frozen may not know yet that it was superseded.
 func leaderOf(list []hostedReplica) *hostedReplica {
 	var leader *hostedReplica
 	for k := range list {
@@ -132,7 +133,8 @@
 	return leader
 }
 
-// voters are the hosts that vote on the cluster state, its leader first.
+// voters returns the hosts that are voters of the cluster state's group, the leader first, or nil
+// if the group has no leader.
 func (c *storageFleet) voters() []*Host {
 	list := c.hostedReplicas()[clusterstate.GroupName]
 	leader := leaderOf(list)
@@ -148,8 +150,8 @@
 	return voters
 }
 
-// margin is how many more voters every group can lose, and the group that limits it; -1
-// where one has no leader.
+// margin returns how many more voters every group can lose, and a description of the group with
+// the smallest margin. The margin is -1 if a group has no leader.
 func (c *storageFleet) margin() (int, string) {
 	smallest, why := len(c.Hosts), ""
 	for group, list := range c.hostedReplicas() {
@@ -159,7 +161,7 @@
 		}
 		live := 0
 		for _, r := range list {
-			// What is under way in one sync is no lag.
+			// The entries of one sync in progress don't count as lag.
 			hasCaughtUp := r.StableIndex+raft.MaxLearnerLag >= leader.Commit
 			if slices.Contains(leader.Voters, r.host.ID) && !r.host.isDraining && hasCaughtUp {
 				live++
@@ -172,7 +174,8 @@
 	return smallest, why
 }
 
-// runSampling lets time pass and notes when the losses can't be tolerated.
+// runSampling runs the fleet for the given duration, and records when a group can't tolerate the
+// losses.
 func (c *storageFleet) runSampling(duration eventloop.Micros) {
 	for end := c.Now + duration; c.Now < end; {
 		c.Run(min(end, c.Now+sampleInterval))
@@ -185,7 +188,7 @@
 // drainPeriod is how long a machine has to drain.
 const drainPeriod = 5 * eventloop.Second
 
-// drain drains machines, which then are gone with their disks.
+// drain drains machines, and wipes their disks when they are down.
 func (c *storageFleet) drain(hosts ...*Host) {
 	began := c.Now
 	for _, h := range hosts {
@@ -202,8 +205,8 @@
 	}
 }
 
-// timeUntilServed is how long it takes until a configuration is accepted; false: longer than
-// a limit.
+// timeUntilServed sends a configuration and returns how long it takes until it is accepted, and
+// whether that happened within the limit.
 func (c *storageFleet) timeUntilServed(limit eventloop.Micros) (eventloop.Micros, bool) {
 	began := c.Now
 	c.PutConfiguration("operator", c.ConfigurationRows(int(61+c.Now/eventloop.Second%30)))
@@ -218,16 +221,17 @@
 	return c.Now - began, false
 }
 
-// replacementCase is one way to lose machines and have them replaced.
+// replacementCase is one way in which machines are lost and come back or are replaced.
 type replacementCase struct {
 	name string
-	// lose loses a machine and gives the moment from which the catch-up counts: the start of
-	// the successor, or the machine's return.
+	// lose takes a machine down and returns the time from which the catch-up is measured: the
+	// start of the successor, or the machine's return.
 	lose func(c *storageFleet, victim *Host) eventloop.Micros
-	// extraTime is what a second repair, after the first, takes besides.
+	// extraTime is added to the catch-up if a second repair follows the first.
 	extraTime eventloop.Micros
 }
 
+// wipedFor returns a function that wipes a machine and starts it again after the downtime.
 func wipedFor(downtime eventloop.Micros) func(c *storageFleet, victim *Host) eventloop.Micros {
 	return func(c *storageFleet, victim *Host) eventloop.Micros {
 		victim.Wipe()
@@ -237,6 +241,7 @@
 	}
 }
 
+// replacedAfter returns a function that wipes a machine and starts its successor after the delay.
 func replacedAfter(delay eventloop.Micros) func(c *storageFleet, victim *Host) eventloop.Micros {
 	return func(c *storageFleet, victim *Host) eventloop.Micros {
 		victim.Wipe()
@@ -289,21 +294,22 @@
 	}},
 }
 
-// replacementSetup is the fleet that a case is played on, and what is lost beside the machine.
+// replacementSetup describes the fleet that a case runs on, which machine is lost, and whether
+// the controller is lost as well.
 type replacementSetup struct {
 	seed            uint64
 	storageNodes    int
-	losses          int // that the fleet tolerates
-	sync            eventloop.Micros
+	losses          int              // number of machine losses that the fleet tolerates
+	sync            eventloop.Micros // duration of a disk sync
 	hasLoad         bool
-	losesLeader     bool // the machine is the leader; otherwise a follower
+	losesLeader     bool // whether the lost machine is the leader; otherwise it is a follower
 	losesController bool
-	bounds          *schema.Bounds // nil: the defaults
+	bounds          *schema.Bounds // nil: the default bounds
 }
 
-// runReplacementCase plays one case twice in a row. It gives how long it took until the
-// losses were tolerated again. The next loss, at the first moment at which that must be so,
-// may not keep the fleet from serving for long.
+// runReplacementCase runs one case twice in a row, and returns the longer of the times until the
+// losses were tolerated again. When the catch-up time is over, it causes the next loss and checks
+// that the fleet serves again soon.
 func runReplacementCase(t *testing.T, test replacementCase, setup replacementSetup) eventloop.Micros {
 	zones := []string{"z1", "z2", "z3", "z1", "z2", "z3", "z1"}[:setup.storageNodes]
 	c := newStorageFleet(setup.seed, zones, setup.losses, setup.sync, setup.hasLoad)
@@ -312,7 +318,7 @@
 	c.Run(c.LoadStart + 8*eventloop.Second)
 	c.runSampling(eventloop.Second)
 	if c.intolerantAt == c.Now {
-		t.Fatalf("seed %d: the fleet didn't come up: %s", setup.seed, c.why)
+		t.Fatalf("seed %d: the fleet doesn't tolerate the losses after its start: %s", setup.seed, c.why)
 	}
 	worst := eventloop.Micros(0)
 	for turn := range 2 {
@@ -330,10 +336,10 @@
 		took := max(0, c.intolerantAt-from)
 		worst = max(worst, took)
 		if took > catchUp-2*sampleInterval {
-			t.Errorf("%s, turn %d, %+v: %s", test.name, turn, setup, c.why)
+			t.Errorf("%s, turn %d, %+v: the losses weren't tolerated in time: %s", test.name, turn, setup, c.why)
 		}
 		if c.longestHandover >= drainPeriod-sampleInterval {
-			t.Errorf("%s, seed %d, turn %d: handing over took %.2f s", test.name, setup.seed, turn, float64(c.longestHandover)/1e6)
+			t.Errorf("%s, seed %d, turn %d: the handover took %.2f s", test.name, setup.seed, turn, float64(c.longestHandover)/1e6)
 		}
 		c.loseVoters(t, setup.losses, fmt.Sprintf("%s, seed %d, turn %d", test.name, setup.seed, turn))
 		c.runSampling(9 * eventloop.Second)
@@ -341,15 +347,15 @@
 	return worst
 }
 
-// loseVoters loses as many voters as are tolerated, checks that the others serve, and starts
-// every machine again that is down.
+// loseVoters kills the given number of voters, checks that the others serve, and restarts the
+// killed voters and every agent node that is down.
 func (c *storageFleet) loseVoters(t *testing.T, count int, what string) {
 	lost := c.voters()[:count]
 	for _, h := range lost {
 		h.Kill()
 	}
 	if took, served := c.timeUntilServed(6 * eventloop.Second); !served {
-		t.Errorf("%s: not served for %.2f s after the next loss", what, float64(took)/1e6)
+		t.Errorf("%s: no configuration was accepted for %.2f s after the next loss", what, float64(took)/1e6)
 	}
 	for _, h := range lost {
 		h.Start()
@@ -361,10 +367,10 @@
 	}
 }
 
-// TestToleranceReturns: whatever way a machine is lost and comes back or is replaced, the
-// next loss is tolerated a catch-up later. One run a case by default; -member_seeds N plays
-// N of each case and size (24 make up every combination of sync, load and who is lost), and
-// -v shows the worst of them.
+// TestToleranceReturns checks that the next loss is tolerated within the catch-up time, in whatever
+// way a machine is lost and comes back or is replaced. By default it runs each case once.
+// -member_seeds N runs each case N times on each fleet size (24 runs cover every combination of
+// disk sync, load and lost machines), and -v prints the longest time of these runs.
 func TestToleranceReturns(t *testing.T) {
 	sizes := []struct{ storageNodes, losses int }{{3, 1}, {5, 2}, {7, 2}}
 	syncs := []eventloop.Micros{fastSync, slowSync, 12 * eventloop.Millisecond}
@@ -386,13 +392,14 @@
 						hasLoad: seed%2 == 0, losesLeader: seed%4 < 2, losesController: seed%8 < 4,
 					}))
 				}
-				t.Logf("worst %.2f s", float64(worst)/1e6)
+				t.Logf("the longest time until the losses were tolerated is %.2f s", float64(worst)/1e6)
 			})
 		}
 	}
 }
 
-// TestToleranceReturnsWithin: where the deployment's catch-up is shorter, repairs are sooner.
+// TestToleranceReturnsWithin checks that repairs are faster where the deployment sets a shorter
+// catch-up time.
 func TestToleranceReturnsWithin(t *testing.T) {
 	bounds := &schema.Bounds{ContactTimeoutUs: int64(2 * eventloop.Second), CatchUpUs: int64(3 * eventloop.Second)}
 	for _, test := range replacementCases {
@@ -405,7 +412,7 @@
 				took := runReplacementCase(t, test, replacementSetup{
 					seed: seed + 1, storageNodes: 3, losses: 1, sync: slowSync, losesLeader: seed%2 == 0, bounds: bounds,
 				})
-				t.Logf("%.2f s", float64(took)/1e6)
+				t.Logf("the losses were tolerated after %.2f s", float64(took)/1e6)
 			}
 		})
 	}
--- a/internal/sim/restart_delay_test.go
+++ b/internal/sim/restart_delay_test.go
@@ -11,14 +11,15 @@
 	"sparnotch/internal/eventloop"
 )
 
-var restartDelaySize = flag.String("spread_size", "small", "the fleet of -spread")
+var restartDelaySize = flag.String("spread_size", "small", "name of the fleet on which -spread measures")
 
-var restartDelayRuns = flag.Int("spread", 0, "measure with so many seeds how long a lost worker's tasks take to start again when leader and controller go too")
+var restartDelayRuns = flag.Int("spread", 0, "number of seeds with which to measure how long a lost worker's tasks take to start again when the leader and the controller are lost too; 0: no measurement")
 
-// TestRestartDelay is a measurement; it is run by hand.
+// TestRestartDelay measures how long the tasks of a lost worker take to start again when the leader
+// and the controller are lost too. It runs only by hand, with the flag -spread.
 func TestRestartDelay(t *testing.T) {
 	if *restartDelayRuns == 0 {
-		t.Skip("only with -spread")
+		t.Skip("the measurement runs only with the flag -spread")
 	}
 	spec, s := restartDelayScenario(t)
 	var delays []eventloop.Micros
@@ -43,7 +44,7 @@
 	fmt.Printf("%d runs: minimum %.2f, median %.2f, 95th %.2f, maximum %.2f s, %d over the bound\n", len(delays), at(0), at(.5), at(.95), at(1), late)
 }
 
-// restartDelayScenario is the scenario that is measured, and its fleet.
+// restartDelayScenario returns the fleet and the scenario of the measurement.
 func restartDelayScenario(t *testing.T) (FleetSpec, Scenario) {
 	for _, spec := range FleetSpecs() {
 		for _, s := range ScenariosFor(spec) {
@@ -52,6 +53,6 @@
 			}
 		}
 	}
-	t.Fatalf("no fleet of the size %q", *restartDelaySize)
+	t.Fatalf("there is no fleet with the name %q", *restartDelaySize)
 	return FleetSpec{}, Scenario{}
 }
--- a/internal/sim/scenarios_disk.go
+++ b/internal/sim/scenarios_disk.go
@@ -118,7 +118,7 @@
 func (f *Fleet) verifyRefusing(h *Host) []string {
 	view := h.StateView()
 	if !h.IsUp {
-		return []string{"the process of " + h.Name + " has ended"}
+		return []string{h.Name + " is down, but a refused write must not end its process"}
 	}
 	if view == nil {
 		// The process has started without storage, so it has no state to check.
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -16,10 +16,11 @@
 var firstSeed = flag.Uint64("seed", 1, "the first seed")
 var onlyScenario = flag.String("scenario", "", "run only this scenario")
 
-// runSmall runs a scenario on the small fleet and reports what it breaks.
+// runSmall runs a scenario on the small fleet, and reports rule violations and problems as test
+// errors.
 func runSmall(t *testing.T, s Scenario, seed uint64) *Fleet { return runOn(t, s, SmallFleet, seed) }
 
-// runOn runs a scenario on a fleet and reports what it breaks.
+// runOn runs a scenario on a fleet, and reports rule violations and problems as test errors.
 func runOn(t *testing.T, s Scenario, spec FleetSpec, seed uint64) *Fleet {
 	f, violations, problems := RunScenario(s, spec, seed)
 	for _, violation := range violations[:min(len(violations), 12)] {
@@ -50,7 +51,7 @@
 						started++
 					}
 				}
-				// A run in which nothing happened proves nothing.
+				// A run in which hardly anything happened proves nothing.
 				if accepted < 50 || started < 100 {
 					t.Errorf("only %d jobs accepted and %d tasks started", accepted, started)
 				}
@@ -59,8 +60,8 @@
 	}
 }
 
-// TestDeployments: the deployments as they stand, with faults one by one and schedules of
-// several; more of these are run by hand.
+// TestDeployments runs the deployments with their real configurations, both with single faults
+// and with schedules of several faults. More of these schedules are run by hand.
 func TestDeployments(t *testing.T) {
 	for _, spec := range FleetSpecs()[1:] {
 		if spec.HasCalledWorkers() {
@@ -77,7 +78,7 @@
 		}
 		schedules := map[uint64]Schedule{1: RandomSchedule(1, spec), 2: RandomSchedule(2, spec)}
 		if spec.Name == "skema" {
-			// Broke rule 5: a failure that was reported late didn't count.
+			// This schedule once broke rule 5: a task failure that was reported late wasn't counted.
 			found, err := ParseSchedule("warn/server6:3s@2.5s,freeze/controller:3.5s@9.5s,flood/all:6s@12.5s,slow/server1:2.5s@13s,power/all:500ms@21s,rush/all:5s@27.5s,split/c1:5s@34s", spec)
 			if err != nil {
 				t.Fatal(err)
@@ -93,7 +94,7 @@
 	}
 }
 
-// TestDay is a day of short hours; sparnotch-bench simulate -day plays whole ones.
+// TestDay runs a day whose hours are shortened; sparnotch-bench simulate -day runs whole days.
 func TestDay(t *testing.T) {
 	t.Parallel()
 	_, samples, violations, problems := Day(SmallFleet, 1, 4, 5*60*eventloop.Second, 0.3)
@@ -104,12 +105,12 @@
 		t.Error(problem)
 	}
 	if len(samples) < 12 {
-		t.Errorf("only %d samples", len(samples))
+		t.Errorf("the day has only %d samples", len(samples))
 	}
 }
 
 func TestSchedules(t *testing.T) {
-	Convey("A schedule is read as it is written; an error names the field", t, func() {
+	Convey("A written schedule is parsed to the same schedule, and a parse error names the field", t, func() {
 		for seed := uint64(1); seed < 200; seed++ {
 			schedule := RandomSchedule(seed, SmallFleet)
 			retry, err := ParseSchedule(schedule.String(), SmallFleet)
@@ -132,8 +133,8 @@
 	})
 }
 
-// pinnedSeeds are seeds that once broke a rule; the commits that fixed that say what they
-// found.
+// pinnedSeeds lists by scenario the seeds that once broke a rule. The messages of the commits
+// that fixed the faults describe them.
 var pinnedSeeds = map[string][]uint64{
 	"all killed at once":                {105, 107, 116},
 	"side machines swapped out":         {1007},
@@ -157,7 +158,7 @@
 }
 
 func TestSameSeedSameHistory(t *testing.T) {
-	Convey("The same seed gives the same history, byte for byte, and another seed another one", t, func() {
+	Convey("The same seed yields the same history, byte for byte, and another seed yields another history", t, func() {
 		s := Scenarios[4]
 		one, _, _ := RunScenario(s, SmallFleet, 7)
 		two, _, _ := RunScenario(s, SmallFleet, 7)
--- a/internal/sim/sizes_test.go
+++ b/internal/sim/sizes_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Of the largest tenth of the jobs far fewer were served than of all.
+// TestLargestJobsAreServed guards against a scheduler that neglects large jobs: the largest tenth
+// of the jobs met their latency target far less often than all jobs together.
 func TestLargestJobsAreServed(t *testing.T) {
 	for _, s := range SizeScenarios {
 		for k := range *seeds {
--- a/internal/sim/tenant_changes_test.go
+++ b/internal/sim/tenant_changes_test.go
@@ -18,15 +18,16 @@
 	tenantChanges          = 12
 )
 
-// tenantOperator replaces the configuration of many tenants, and notes by when each process
-// holds what was acknowledged.
+// tenantOperator replaces a configuration with many tenants repeatedly, and checks that each
+// process holds every acknowledged revision in time.
 type tenantOperator struct {
 	*changeOperator
-	updateOf map[uint64]eventloop.Micros // when each revision was acknowledged
-	checks   map[string]int              // by role
+	updateOf map[uint64]eventloop.Micros // when each version was acknowledged
+	checks   map[string]int              // number of checks by role of the process
 }
 
-// configuration has many tenants, each with keys that no other version has.
+// configuration returns an update to a version with many tenants, whose keys no other version
+// has.
 func (o *tenantOperator) configuration(version uint64) *schema.ConfigurationUpdate {
 	update := &schema.ConfigurationUpdate{Version: version, BaseVersion: version - 1, Rows: o.ConfigurationRows(operatorUrgency)}
 	if version == 2 {
@@ -62,22 +63,24 @@
 	})
 }
 
-// checkHeld reports a process that doesn't hold in time what was acknowledged.
+// checkHeld reports a process that doesn't hold an acknowledged revision after
+// tenantApplyTimeout.
 func (o *tenantOperator) checkHeld(from *Host, request *schema.ClusterStateRequest) {
 	for version, at := range o.updateOf {
 		if o.Now-at < tenantApplyTimeout {
 			continue
 		}
 		o.checks[roleName(from)]++
-		// Each version is one revision, and the first is 2 since the fleet's own comes before.
+		// Each version is one revision. The first version is 2 because the fleet's own
+		// configuration is revision 1.
 		if request.HeldRevision < version {
 			o.report("%s holds revision %d, and %d was acknowledged %.1f s ago", from.Name, request.HeldRevision, version, float64(o.Now-at)/1e6)
 		}
 	}
 }
 
-// TestTenantsAreInForceInTimeOverSlowLinks guards against keys of an acknowledged configuration
-// that a gateway on a slow link doesn't know in time.
+// TestTenantsAreInForceInTimeOverSlowLinks guards against a gateway on a slow link that learns the
+// keys of an acknowledged configuration too late.
 func TestTenantsAreInForceInTimeOverSlowLinks(t *testing.T) {
 	spec := SmallFleet
 	spec.JobKinds, spec.Workers = nil, 2
@@ -98,8 +101,8 @@
 	for _, problem := range o.problems {
 		t.Error(problem)
 	}
-	t.Logf("%d acknowledged; checked: %v", len(o.updateOf), o.checks)
+	t.Logf("%d versions were acknowledged; checks by role: %v", len(o.updateOf), o.checks)
 	if len(o.updateOf) < tenantChanges || o.checks[roleGateway] < 100 || o.checks[roleAgent] < 50 {
-		t.Errorf("only %d acknowledged, and %v checks", len(o.updateOf), o.checks)
+		t.Errorf("only %d versions were acknowledged, with the checks %v by role", len(o.updateOf), o.checks)
 	}
 }
--- a/internal/sim/tenants_test.go
+++ b/internal/sim/tenants_test.go
@@ -10,14 +10,14 @@
 	"sparnotch/internal/deployments"
 )
 
-// runByHand are the scenarios that run only where -scenario names them or -seeds asks for
-// several seeds: each has a part in common with one that always runs.
+// runByHand lists the scenarios that run only if -scenario names them or -seeds is greater than 1.
+// Each of them overlaps with a scenario that always runs.
 var runByHand = map[string]bool{
 	"keys revoked while a gateway is cut off": true, "hot tenant": true, "a queue's leader cut off while a tenant is full": true,
 	"worker lost while its tenant is full": true, "orders carried out late while a tenant is full": true, "a slow node while a tenant is full": true,
 }
 
-// playScenarios runs scenarios on a fleet.
+// playScenarios runs the scenarios that the flags select on a fleet, each as a subtest.
 func playScenarios(t *testing.T, scenarios []Scenario, spec FleetSpec) {
 	for _, s := range scenarios {
 		if *onlyScenario != "" && s.Name != *onlyScenario || *onlyScenario == "" && *seeds == 1 && runByHand[s.Name] {
@@ -33,14 +33,15 @@
 	}
 }
 
-// Calls were served with keys that no configuration held, or that had been taken away, and
-// with those of other tenants.
+// TestCallsWithInvalidKeysAreServed guards against calls that are served with a key that no
+// configuration held, that had been revoked, or that belongs to another tenant.
 func TestCallsWithInvalidKeysAreServed(t *testing.T) { playScenarios(t, KeyScenarios, SmallKeyedFleet) }
 
-// A tenant ran more than its limit, at all times and near faults.
+// TestTenantRunsMoreThanItsQuota guards against a tenant whose tasks exceed its limit, both during
+// faults and without them.
 func TestTenantRunsMoreThanItsQuota(t *testing.T) { playScenarios(t, QuotaScenarios, SmallSharedFleet) }
 
-// TestSharedDeployments: a deployment as its users share it.
+// TestSharedDeployments runs the first deployment with the tenants that share it.
 func TestSharedDeployments(t *testing.T) {
 	for _, s := range Scenarios {
 		if s.Name == "leader killed" {
@@ -50,7 +51,7 @@
 }
 
 func TestSharedSameSeedSameHistory(t *testing.T) {
-	Convey("With tenants too, the same seed gives the same history", t, func() {
+	Convey("With tenants too, the same seed yields the same history", t, func() {
 		s := KeyScenarios[0]
 		one, _, _ := RunScenario(s, SmallKeyedFleet, 7)
 		two, _, _ := RunScenario(s, SmallKeyedFleet, 7)
--- a/internal/sim/transport_test.go
+++ b/internal/sim/transport_test.go
@@ -13,19 +13,22 @@
 	"sparnotch/internal/transport"
 )
 
-// testNetwork is a network between two ends, each a process.
+// testNetwork is a network between two ends, each of which is a process.
 type testNetwork interface {
-	// dial sends from one of two ends to an address.
+	// dial sends a message from an end to an address.
 	dial(from int, address string, body any)
-	// send sends to the process of an id that was last known at an address.
+	// send sends a message from an end to the process with the given id, whose last known
+	// address is given.
 	send(from int, id, address string, body any)
+	// address returns the address of an end.
 	address(end int) string
-	// next is what arrives at an end; false when nothing does any more.
+	// next returns the next message that arrives at an end; found is false if none arrives.
 	next(end int) (from string, body any, found bool)
-	setPartitioned(partitioned bool) // both ways
+	// setPartitioned blocks or unblocks messages between the ends in both directions.
+	setPartitioned(partitioned bool)
 }
 
-// transportContract is what every network keeps to.
+// transportContract checks the rules that every network must follow.
 func transportContract(t testNetwork) {
 	for number := uint64(1); number <= 50; number++ {
 		t.dial(0, t.address(1), &schema.TimeoutNow{Group: "g", Term: number})
@@ -42,16 +45,17 @@
 	So(found, ShouldBeTrue)
 	So(from, ShouldEqual, "end1")
 	So(body.(*schema.SubmitResponse).Results[0].View.Name, ShouldEqual, "j")
-	// A message to nowhere is dropped.
+	// A message to an empty address or to an address without a process is dropped.
 	t.dial(0, "", &schema.TimeoutNow{Group: "nowhere"})
 	t.dial(0, "127.0.0.1:1", &schema.TimeoutNow{Group: "nobody"})
-	// What is for a process that is gone goes to no other at its address.
+	// A message for a former process isn't delivered to another process at the same address.
 	t.send(0, "former", t.address(1), &schema.TimeoutNow{Group: "strayed"})
 	t.send(0, "end1", t.address(1), &schema.TimeoutNow{Group: "meant"})
 	_, body, found = t.next(1)
 	So(found, ShouldBeTrue)
 	So(body.(*schema.TimeoutNow).Group, ShouldEqual, "meant")
-	// What is sent while partitioned is lost, what is sent after the healing arrives.
+	// A message that is sent during a partition is lost; a message that is sent after the healing
+	// arrives.
 	t.setPartitioned(true)
 	t.dial(0, t.address(1), &schema.TimeoutNow{Group: "partitioned"})
 	t.setPartitioned(false)
@@ -95,8 +99,9 @@
 	}
 }
 func (r *realTransport) setPartitioned(partitioned bool) {
-	// Before the healing all that was given to the network must have left: by now two
-	// messages were dropped, one for nobody and one in the partition.
+	// Before the healing the transport must have handled all messages that it was given. By then it
+	// has dropped two: the one to an address without a process, and the one sent during the
+	// partition.
 	for !partitioned && r.ends[0].Counts().Lost < 2 {
 		runtime.Gosched()
 	}
--- a/internal/sim/zones_test.go
+++ b/internal/sim/zones_test.go
@@ -8,9 +8,9 @@
 	"sparnotch/internal/membership"
 )
 
-// TestZonesMayBeLost: with 3, 4 and 6 zones in 1, 2 and 3 regions each zone, or region where
-// that is asked for, is lost in turn, after a machine was replaced. The rest serves, or the
-// deployment has said that it can't tolerate that.
+// TestZonesMayBeLost replaces a machine and then loses each zone in turn, or each region where
+// losses of regions must be tolerated, with 3, 4 and 6 zones in 1, 2 and 3 regions. The remaining
+// machines must serve, unless the deployment has reported that it can't tolerate such a loss.
 func TestZonesMayBeLost(t *testing.T) {
 	for _, zones := range []int{3, 4, 6} {
 		for _, regions := range []int{1, 2, 3} {
@@ -31,7 +31,8 @@
 	}
 }
 
-// loseFailureDomains loses each zone or region in turn.
+// loseFailureDomains loses each zone in turn, or each region if losses of regions are to be
+// tolerated, and checks that the remaining machines serve.
 func loseFailureDomains(t *testing.T, seed uint64, zones []string, tolerance membership.FaultTolerance) {
 	c := newStorageFleet(seed, zones, tolerance.Machines, fastSync, false)
 	c.tolerance = tolerance
@@ -39,9 +40,10 @@
 	shortfall := c.voters()[0].StateView().FaultTolerance.Shortfall
 	isTolerable := tolerance.Regions == 0 || len(zones) >= 3 && tolerance.TopologyShortfall() == ""
 	if (shortfall == "") != isTolerable {
-		t.Fatalf("it says %q", shortfall)
+		t.Fatalf("the reported shortfall %q contradicts the zones and regions", shortfall)
 	}
-	// A machine is replaced in another zone first, so that the repair has to keep the spread.
+	// First a machine is replaced by one in another zone, so that the repair must keep the voters
+	// spread over the zones.
 	c.voters()[1].Wipe()
 	c.addStorageNode("late", zones[0], false).Start()
 	c.Run(c.Now + 12*eventloop.Second)
@@ -72,7 +74,7 @@
 			}
 		}
 		if took, served := c.timeUntilServed(8 * eventloop.Second); !served {
-			t.Errorf("without %s nothing is served for %.1f s: %s", domain(zone), float64(took)/1e6, c.why)
+			t.Errorf("without %s no configuration was accepted for %.1f s: %s", domain(zone), float64(took)/1e6, c.why)
 		}
 		for _, h := range lost {
 			h.Start()
