--- a/internal/sim/called_test.go
+++ b/internal/sim/called_test.go
@@ -52,7 +52,7 @@
 const maxSeeds = 4
 
 func TestCalledScenarios(t *testing.T) {
-	shows := map[string][]string{
+	expectedEvents := map[string][]string{
 		"calm": {"started again", "failed", "broken", "shown complete", "shown failed", "shown cancelled"},
 		"called workers crash, vanish, leave at once, fail, stand still": {"gone", "from a checkpoint", "failed", checker.WorkerDraining},
 		"orders are left unanswered and carried out late":                {"late"},
@@ -70,21 +70,21 @@
 				t.Parallel()
 				count := countEvents(runOn(t, s, SmallCalledFleet, seed))
 				// A run in which hardly anything happened proves nothing.
-				for _, what := range []string{"started", "done", checker.EndAcknowledged, checker.ConfigurationReply} {
-					if count[what] == 0 {
-						t.Errorf("the history has no event of the kind %q", what)
+				for _, kind := range []string{"started", "done", checker.EndAcknowledged, checker.ConfigurationReply} {
+					if count[kind] == 0 {
+						t.Errorf("the history has no event of the kind %q", kind)
 					}
 				}
 				// The events that a scenario should cause are checked with seed 1, which always
 				// runs. Any change to the messages between processes changes the random faults, so
 				// if an event is missing the next seeds are run as well until it occurs.
-				isMissing := func(what string) bool { return count[what] == 0 }
-				for next := seed + 1; seed == 1 && slices.ContainsFunc(shows[s.Name], isMissing); next++ {
+				isMissing := func(kind string) bool { return count[kind] == 0 }
+				for next := seed + 1; seed == 1 && slices.ContainsFunc(expectedEvents[s.Name], isMissing); next++ {
 					if next > maxSeeds {
-						t.Fatalf("not all of the events %v occurred with %d seeds: %v", shows[s.Name], maxSeeds, count)
+						t.Fatalf("not all of the events %v occurred with %d seeds: %v", expectedEvents[s.Name], maxSeeds, count)
 					}
-					for what, times := range countEvents(runOn(t, s, SmallCalledFleet, next)) {
-						count[what] += times
+					for kind, times := range countEvents(runOn(t, s, SmallCalledFleet, next)) {
+						count[kind] += times
 					}
 				}
 			})
--- a/internal/sim/configuration_changes_test.go
+++ b/internal/sim/configuration_changes_test.go
@@ -202,7 +202,7 @@
 
 // measureCatchUp measures how long a storage node takes after its start until it has all
 // committed entries and knows that it has them.
-func (o *changeOperator) measureCatchUp(what string, h *Host) {
+func (o *changeOperator) measureCatchUp(fault string, h *Host) {
 	began, run := o.Now, h.run
 	var watch func()
 	watch = func() {
@@ -210,7 +210,7 @@
 			return
 		}
 		if view := h.StateView(); view != nil && view.IsClusterStateFresh {
-			o.catchUpTimes[what] = append(o.catchUpTimes[what], o.Now-began)
+			o.catchUpTimes[fault] = append(o.catchUpTimes[fault], o.Now-began)
 			return
 		}
 		if o.Now-began > 30*eventloop.Second {
@@ -246,29 +246,29 @@
 		}
 	}
 	h := nodes[o.rng.IntN(len(nodes))]
-	away := 2*eventloop.Second + eventloop.Micros(o.rng.Int64N(int64(maxAbsence-2*eventloop.Second)))
-	what := []string{"wiped", "replaced", "killed", "killed"}[o.rng.IntN(4)]
-	o.RecordFault("%s %s", h.Name, what)
-	o.lastFaultAt = o.Now + away
+	downtime := 2*eventloop.Second + eventloop.Micros(o.rng.Int64N(int64(maxAbsence-2*eventloop.Second)))
+	fault := []string{"wiped", "replaced", "killed", "killed"}[o.rng.IntN(4)]
+	o.RecordFault("%s %s", h.Name, fault)
+	o.lastFaultAt = o.Now + downtime
 	h.Kill()
-	if what != "killed" {
+	if fault != "killed" {
 		h.Wipe()
 	}
-	o.After(away, func() {
-		if what == "replaced" {
+	o.After(downtime, func() {
+		if fault == "replaced" {
 			zone := h.Zone
 			h.Disk = nil
 			successor := o.AddHost(h.Name+"'", zone, h.Role, true)
 			successor.Uplink.BytesPerSecond = h.Uplink.BytesPerSecond
 			h = successor
 		}
-		if what != "killed" {
+		if fault != "killed" {
 			// A node with an empty disk needs seeds that are up. A node that was only down finds
 			// the peers that it knew before.
 			h.Seeds = o.liveStorageAddresses()
 		}
 		h.Start()
-		o.measureCatchUp(what, h)
+		o.measureCatchUp(fault, h)
 		o.After(14*eventloop.Second, func() { o.loseStorageNodes(maxAbsence) })
 	})
 }
@@ -305,9 +305,9 @@
 		}
 	}
 	t.Logf("%d configurations were accepted in %.0f s; disk at most %d bytes, the cluster state's log at most %d entries", len(o.acknowledgedAt), float64(o.Now-o.LoadStart)/1e6, o.peakDiskBytes, o.peakLogEntries)
-	for what, durations := range o.catchUpTimes {
+	for fault, durations := range o.catchUpTimes {
 		slices.Sort(durations)
-		t.Logf("%s: %d returns, caught up in %.2f s at the median, %.2f s at most", what, len(durations), float64(durations[len(durations)/2])/1e6, float64(durations[len(durations)-1])/1e6)
+		t.Logf("%s: %d returns, caught up in %.2f s at the median, %.2f s at most", fault, len(durations), float64(durations[len(durations)/2])/1e6, float64(durations[len(durations)-1])/1e6)
 	}
 	for role, kinds := range o.bytesReceived {
 		for kind, bytes := range kinds {
--- a/internal/sim/excess_losses_test.go
+++ b/internal/sim/excess_losses_test.go
@@ -52,9 +52,9 @@
 		overlapping := 0
 		for seed := uint64(1); seed <= 200; seed++ {
 			schedule := ExcessiveSchedule(seed, SmallCalledFleet)
-			again, err := ParseExcessiveSchedule(schedule.String(), SmallCalledFleet)
+			parsed, err := ParseExcessiveSchedule(schedule.String(), SmallCalledFleet)
 			So(err, ShouldBeNil)
-			So(again, ShouldResemble, schedule)
+			So(parsed, ShouldResemble, schedule)
 			if schedule.Check(SmallCalledFleet) != nil {
 				overlapping++
 			}
--- a/internal/sim/fairness_test.go
+++ b/internal/sim/fairness_test.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	shareWindow    = 5 * eventloop.Second
-	shareStep      = 500 * eventloop.Millisecond
-	sharesSettled  = 5 * eventloop.Second  // the measurement begins this long after the load's start
-	sharesMeasured = 25 * eventloop.Second // the measurement ends this long after the load's start
-	shareTolerance = 0.05                  // largest deviation from a tenant's share by weight, as a fraction of that share
-	minUtilization = 0.85                  // of the pool's cores; with less in use the shares are meaningless
-	backlogJobs    = 40                    // jobs of each tenant; one tenant's jobs alone can fill the pool during the whole run
-	backlogTasks   = 60                    // tasks of a job
+	shareWindow           = 5 * eventloop.Second
+	shareStep             = 500 * eventloop.Millisecond
+	shareMeasurementStart = 5 * eventloop.Second  // the measurement begins this long after the load's start
+	shareMeasurementEnd   = 25 * eventloop.Second // the measurement ends this long after the load's start
+	shareTolerance        = 0.05                  // largest deviation from a tenant's share by weight, as a fraction of that share
+	minUtilization        = 0.85                  // of the pool's cores; with less in use the shares are meaningless
+	backlogJobs           = 40                    // jobs of each tenant; one tenant's jobs alone can fill the pool during the whole run
+	backlogTasks          = 60                    // tasks of a job
 
 	mainPoolWorkers = 4
 	// shareWorkerCores is the size of a worker, in thousandths of a core. With it each tenant's
@@ -93,7 +93,7 @@
 	for _, tenant := range f.Spec.Tenants {
 		weights += float64(tenant.WeightMilli)
 	}
-	for from := f.LoadStart + sharesSettled; from+shareWindow <= f.LoadStart+sharesMeasured; from += shareStep {
+	for from := f.LoadStart + shareMeasurementStart; from+shareWindow <= f.LoadStart+shareMeasurementEnd; from += shareStep {
 		used := f.usedWithin(from, from+shareWindow)
 		utilization = min(utilization, used.sum()/float64(poolCores)/float64(shareWindow))
 		for _, tenant := range f.Spec.Tenants {
@@ -118,7 +118,7 @@
 		seed := *firstSeed + uint64(k)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			f := NewFleet(seed, spec, ReliableNetwork, fastSync, sharesMeasured)
+			f := NewFleet(seed, spec, ReliableNetwork, fastSync, shareMeasurementEnd)
 			f.atLoad(0, f.submitBacklogs)
 			f.Run(f.LoadEnd)
 			deviation, utilization := f.shareDeviation(mainPoolWorkers * shareWorkerCores)
--- a/internal/sim/linearizability_test.go
+++ b/internal/sim/linearizability_test.go
@@ -45,9 +45,9 @@
 	return shortest + eventloop.Micros(o.rng.Int64N(int64(longest-shortest)))
 }
 
-func (o *operators) kill(h *Host, back eventloop.Micros) {
+func (o *operators) kill(h *Host, downtime eventloop.Micros) {
 	h.Kill()
-	o.After(back, h.Start)
+	o.After(downtime, h.Start)
 }
 
 // operatorFault is a fault that is injected periodically while operators send updates.
@@ -88,15 +88,15 @@
 			return
 		}
 		leader.Drain(3 * eventloop.Second)
-		var back func()
-		back = func() {
+		var restartWhenDown func()
+		restartWhenDown = func() {
 			if leader.IsUp {
-				o.After(50*eventloop.Millisecond, back)
+				o.After(50*eventloop.Millisecond, restartWhenDown)
 				return
 			}
 			leader.Start()
 		}
-		o.After(300*eventloop.Millisecond, back)
+		o.After(300*eventloop.Millisecond, restartWhenDown)
 	}},
 	{"a disk is lost", 10 * eventloop.Second, ReliableNetwork, fastSync, func(o *operators) {
 		if !o.hasAllVoters() {
@@ -127,11 +127,11 @@
 
 // onAcknowledgement calls act at the next acknowledgement of an update.
 func (o *operators) onAcknowledgement(act func()) {
-	before := o.confirmed
+	before := o.confirmedVersion
 	var watch func()
 	watch = func() {
 		switch {
-		case o.confirmed > before:
+		case o.confirmedVersion > before:
 			act()
 		case o.Now < o.until:
 			o.After(100, watch)
@@ -177,7 +177,7 @@
 			o.fail("the configuration can't be read at the end")
 			return
 		}
-		o.lastRead = current.Version
+		o.lastReadVersion = current.Version
 	})
 	o.Run(o.Now + 6*eventloop.Second)
 	return o
@@ -235,7 +235,7 @@
 	o.Run(o.Now + 3*eventloop.Second)
 	o.until = o.Now + 60*eventloop.Second
 	for range 8 {
-		o.send(o.newUpdate(0, o.confirmed), func() {
+		o.send(o.newUpdate(0, o.confirmedVersion), func() {
 			o.kill(o.clusterStateLeader(), 2*eventloop.Second)
 			for k := range 300 {
 				o.After(eventloop.Micros(k)*5*eventloop.Millisecond, func() { o.read(1, func(*schema.Configuration) {}) })
@@ -246,8 +246,8 @@
 	for _, problem := range o.problems {
 		t.Error(problem)
 	}
-	if o.confirmed < 8 || len(o.history) < 1000 {
-		t.Errorf("only %d reads were answered, and the newest confirmed version is %d", len(o.history), o.confirmed)
+	if o.confirmedVersion < 8 || len(o.history) < 1000 {
+		t.Errorf("only %d reads were answered, and the newest confirmed version is %d", len(o.history), o.confirmedVersion)
 	}
 }
 
@@ -259,7 +259,7 @@
 	o.until = o.Now + 120*eventloop.Second
 	lost := 0
 	for round := range 8 {
-		leader, base := o.clusterStateLeader(), o.confirmed
+		leader, base := o.clusterStateLeader(), o.confirmedVersion
 		o.Isolate(leader, true)
 		for k := range 6 {
 			o.After(eventloop.Micros(k)*10*eventloop.Millisecond, func() {
@@ -267,11 +267,11 @@
 			})
 		}
 		for k := range 6 {
-			o.After(1500*eventloop.Millisecond+eventloop.Micros(k)*50*eventloop.Millisecond, func() { o.send(o.newUpdate(1, o.confirmed), func() {}) })
+			o.After(1500*eventloop.Millisecond+eventloop.Micros(k)*50*eventloop.Millisecond, func() { o.send(o.newUpdate(1, o.confirmedVersion), func() {}) })
 		}
 		o.After(eventloop.Micros(3000+37*round)*eventloop.Millisecond, func() { o.Isolate(leader, false) })
 		o.Run(o.Now + 8*eventloop.Second)
-		if o.confirmed == base {
+		if o.confirmedVersion == base {
 			t.Fatalf("round %d: no update was accepted", round)
 		}
 	}
--- a/internal/sim/operators_test.go
+++ b/internal/sim/operators_test.go
@@ -43,14 +43,14 @@
 			return state == registerState{answer.version, answer.document}, state
 		}
 		update := sent.content
-		isOnTop := update.BaseVersion == state.version
+		isBasedOnState := update.BaseVersion == state.version
 		after := registerState{update.Version, string(update.Document)}
 		switch {
 		case answer.code == 412:
 			// An update is refused only if its base was replaced by another update; a base
 			// that doesn't exist yet is no reason.
 			return update.BaseVersion < state.version, state
-		case isOnTop:
+		case isBasedOnState:
 			return true, after
 		}
 		return answer.code == 0, state
@@ -80,15 +80,15 @@
 // and who don't receive some of the answers.
 type operators struct {
 	*Simulation
-	rng             *rand.Rand
-	until           eventloop.Micros // time until which they send new updates
-	lossRate        float64          // share of the answers that are lost
-	updates         []*operatorUpdate
-	history         []porcupine.Operation
-	problems        []string
-	confirmed       uint64 // newest version of which an operator got the confirmation
-	lastRead        uint64 // version that was read at the end
-	repeatedAnswers int    // number of clear answers to updates that already had one
+	rng              *rand.Rand
+	until            eventloop.Micros // time until which they send new updates
+	lossRate         float64          // share of the answers that are lost
+	updates          []*operatorUpdate
+	history          []porcupine.Operation
+	problems         []string
+	confirmedVersion uint64 // newest version of which an operator got the confirmation
+	lastReadVersion  uint64 // version that was read at the end
+	repeatedAnswers  int    // number of clear answers to updates that already had one
 }
 
 func (o *operators) fail(format string, args ...any) {
@@ -117,7 +117,7 @@
 
 // read reads the configuration and calls back with it, or with nil if it couldn't be read.
 func (o *operators) read(operator int, back func(current *schema.Configuration)) {
-	sentAt, confirmed := o.Now, o.confirmed
+	sentAt, confirmed := o.Now, o.confirmedVersion
 	o.call(o.randomGateway(), eventloop.Second, configurationRequest(), func(response gateway.Response) {
 		current := &schema.Configuration{}
 		if response.Code != 200 || protojson.Unmarshal(response.Body, current) != nil {
@@ -221,7 +221,7 @@
 	case update.code == 0:
 		update.code, update.answeredAt = response.Code, o.Now
 		if response.Code == 200 {
-			o.confirmed = max(o.confirmed, update.content.Version)
+			o.confirmedVersion = max(o.confirmedVersion, update.content.Version)
 		}
 		// After an answer, further copies of the update may still arrive, or be sent.
 		if o.rng.IntN(3) == 0 {
@@ -245,7 +245,7 @@
 		if update.code == 0 {
 			operation.Return = int64(o.Now) + 1
 			// An update that is based on a refused update never gets a clear answer.
-			if !update.isAbandoned && update.content.BaseVersion <= o.lastRead {
+			if !update.isAbandoned && update.content.BaseVersion <= o.lastReadVersion {
 				o.fail("%s never got a clear answer", update.content.Document)
 			}
 		}
--- a/internal/sim/overlapping_faults_test.go
+++ b/internal/sim/overlapping_faults_test.go
@@ -35,9 +35,9 @@
 		drawn := map[string]bool{}
 		for seed := uint64(1); seed <= 300; seed++ {
 			schedule := OverlappingSchedule(seed, SmallCalledFleet)
-			retry, err := ParseSchedule(schedule.String(), SmallCalledFleet)
+			parsed, err := ParseSchedule(schedule.String(), SmallCalledFleet)
 			So(err, ShouldBeNil)
-			So(retry, ShouldResemble, schedule)
+			So(parsed, ShouldResemble, schedule)
 			So(schedule[len(schedule)-1].Kind, ShouldStartWith, "close")
 			for _, fault := range schedule {
 				drawn[fault.Kind] = true
--- a/internal/sim/partition_controller_test.go
+++ b/internal/sim/partition_controller_test.go
@@ -23,7 +23,7 @@
 	// The load is light, but has jobs for the workers of both pools.
 	kinds := spec.JobKinds
 	spec.JobKinds = slices.DeleteFunc(slices.Clone(kinds), func(k JobKind) bool {
-		at := slices.IndexFunc(kinds, func(each JobKind) bool { return each.Name == k.Name && each.Queue == k.Queue })
+		at := slices.IndexFunc(kinds, func(other JobKind) bool { return other.Name == k.Name && other.Queue == k.Queue })
 		return at >= 4 && k.Queue != "far"
 	})
 	f := NewFleet(seed, spec, ReliableNetwork, fastSync, 30*eventloop.Second)
@@ -36,7 +36,7 @@
 		r.host.Seeds = append(r.host.Seeds, h.Address)
 	}
 	worker := f.calledWorkers[r.host.machineName()]
-	old := r.host.ID
+	oldProcessID := r.host.ID
 	f.RecordFault("%s cut off, %s", r.host.Name, kind.name)
 	kind.apply(r, side, true)
 	if kind.restarts {
@@ -44,7 +44,7 @@
 		f.After(3500*eventloop.Millisecond, r.host.Start)
 	}
 	f.Run(f.Now + supersededTimeout)
-	if view := r.voter("leader").StateView(); view.Controller == old {
+	if view := r.voter("leader").StateView(); view.Controller == oldProcessID {
 		problems = append(problems, "the partitioned controller still has the controller lease")
 	}
 	f.Run(f.Now + partitionPeriod - supersededTimeout)
--- a/internal/sim/partition_probes_test.go
+++ b/internal/sim/partition_probes_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	inForceTimeout   = 2 * eventloop.Second         // time after which an acknowledged configuration is in force everywhere
-	maxDeliveryDelay = 10 * eventloop.Millisecond   // longest delay of any message
-	immediateAnswer  = 25 * eventloop.Millisecond   // longest time until an immediate answer; 6 ms of it are the client's network delay
-	maxYoungAnswer   = 1100 * eventloop.Millisecond // the same for a process that never had the cluster state
-	publishInterval  = 1500 * eventloop.Millisecond // time between two configurations
-	probeInterval    = 510 * eventloop.Millisecond  // time between two rounds of probes
-	announceTimeout  = 1200 * eventloop.Millisecond // timeout of a worker's heartbeat
-	callTimeout      = 3 * eventloop.Second         // timeout of a client's request
+	inForceTimeout          = 2 * eventloop.Second         // time after which an acknowledged configuration is in force everywhere
+	maxDeliveryDelay        = 10 * eventloop.Millisecond   // longest delay of any message
+	maxImmediateAnswerTime  = 25 * eventloop.Millisecond   // longest time until an immediate answer; 6 ms of it are the client's network delay
+	maxNewProcessAnswerTime = 1100 * eventloop.Millisecond // the same for a process that never had the cluster state
+	publishInterval         = 1500 * eventloop.Millisecond // time between two configurations
+	probeInterval           = 510 * eventloop.Millisecond  // time between two rounds of probes
+	announceTimeout         = 1200 * eventloop.Millisecond // timeout of a worker's heartbeat
+	callTimeout             = 3 * eventloop.Second         // timeout of a client's request
 )
 
 // partitionRun is a run of a fleet in which one host is partitioned. Meanwhile an operator keeps
@@ -97,9 +97,9 @@
 // newestAcknowledged returns the newest version that was acknowledged before the given time.
 func (r *partitionRun) newestAcknowledged(at eventloop.Micros) uint64 {
 	version := uint64(0)
-	for _, each := range r.acknowledged {
-		if each.acknowledgedAt < at {
-			version = max(version, each.version)
+	for _, acknowledged := range r.acknowledged {
+		if acknowledged.acknowledgedAt < at {
+			version = max(version, acknowledged.version)
 		}
 	}
 	return version
@@ -109,15 +109,15 @@
 	return r.Now - r.acknowledged[len(r.acknowledged)-1].acknowledgedAt
 }
 
-// isPublishing reports whether a version follows the newest acknowledged version and may already
+// mayBeInForce reports whether a version follows the newest acknowledged version and may already
 // be in force, since the operator sends it publishInterval after that acknowledgement.
-func (r *partitionRun) isPublishing(version uint64) bool {
+func (r *partitionRun) mayBeInForce(version uint64) bool {
 	return version == r.newestAcknowledged(r.Now)+1 && r.sinceAcknowledged() > publishInterval
 }
 
-func (r *partitionRun) fail(h *Host, what string, sentAt eventloop.Micros, response gateway.Response, why string) {
+func (r *partitionRun) fail(h *Host, requestKind string, sentAt eventloop.Micros, response gateway.Response, problem string) {
 	r.problems = append(r.problems, fmt.Sprintf("%s at %s, sent at %d, answered at %d (unreachable since %d, healed at %d): %d %s: %s",
-		what, h.Name, sentAt, r.Now, r.unreachableSince, r.healedAt, response.Code, response.Body, why))
+		requestKind, h.Name, sentAt, r.Now, r.unreachableSince, r.healedAt, response.Code, response.Body, problem))
 }
 
 // isUnreachable reports whether no message can have reached the partitioned host since the given
@@ -129,29 +129,29 @@
 // check checks the rules for every response of the partitioned host. A response may state
 // something that depends on state only if a majority can have confirmed it since the request was
 // sent. Otherwise the host must answer at once that it can't know, and when to retry.
-func (r *partitionRun) check(h *Host, what string, sentAt eventloop.Micros, response gateway.Response) {
-	if r.codes[what] == nil {
-		r.codes[what] = map[int32]int{}
+func (r *partitionRun) check(h *Host, requestKind string, sentAt eventloop.Micros, response gateway.Response) {
+	if r.codes[requestKind] == nil {
+		r.codes[requestKind] = map[int32]int{}
 	}
 	if h != r.host {
 		return
 	}
-	r.codes[what][response.Code]++
+	r.codes[requestKind][response.Code]++
 	took := r.Now - sentAt
 	isDown := r.downAt > 0 && sentAt <= r.downUntil+maxDeliveryDelay && r.Now >= r.downAt
 	switch {
 	case response.Code == 0 && !isDown:
-		r.fail(h, what, sentAt, response, "there is no answer")
+		r.fail(h, requestKind, sentAt, response, "there is no answer")
 	case response.Code != 0 && isUnclear(response) && response.RetryAfter == 0:
-		r.fail(h, what, sentAt, response, "the response doesn't say when to retry")
+		r.fail(h, requestKind, sentAt, response, "the response doesn't say when to retry")
 	case r.isUnreachable(sentAt) && !isUnclear(response):
-		r.fail(h, what, sentAt, response, "no majority can have confirmed the response")
-	case r.isUnreachable(sentAt) && !r.startedInside && sentAt > r.unreachableSince+inForceTimeout && took > immediateAnswer:
-		r.fail(h, what, sentAt, response, fmt.Sprintf("took %d us", took))
-	case r.isUnreachable(sentAt) && r.startedInside && sentAt > r.downUntil && took > maxYoungAnswer:
-		r.fail(h, what, sentAt, response, fmt.Sprintf("the answer took %d us in a process that never had the cluster state", took))
+		r.fail(h, requestKind, sentAt, response, "no majority can have confirmed the response")
+	case r.isUnreachable(sentAt) && !r.startedInside && sentAt > r.unreachableSince+inForceTimeout && took > maxImmediateAnswerTime:
+		r.fail(h, requestKind, sentAt, response, fmt.Sprintf("the answer took %d us instead of being immediate", took))
+	case r.isUnreachable(sentAt) && r.startedInside && sentAt > r.downUntil && took > maxNewProcessAnswerTime:
+		r.fail(h, requestKind, sentAt, response, fmt.Sprintf("the answer took %d us in a process that never had the cluster state", took))
 	case r.isUnreachable(sentAt) && took > inForceTimeout+200*eventloop.Millisecond:
-		r.fail(h, what, sentAt, response, fmt.Sprintf("took %d us", took))
+		r.fail(h, requestKind, sentAt, response, fmt.Sprintf("the answer took %d us", took))
 	}
 }
 
@@ -160,20 +160,20 @@
 
 // probeWith sends one request, and checks its response with the rules for all responses and with
 // the given check.
-func (r *partitionRun) probeWith(h *Host, what string, request newRequest, check responseCheck) {
+func (r *partitionRun) probeWith(h *Host, requestKind string, request newRequest, check responseCheck) {
 	r.call(h, request, func(sentAt eventloop.Micros, response gateway.Response) {
-		r.check(h, what, sentAt, response)
-		if why := check(response); why != "" {
-			r.fail(h, what, sentAt, response, why)
+		r.check(h, requestKind, sentAt, response)
+		if problem := check(response); problem != "" {
+			r.fail(h, requestKind, sentAt, response, problem)
 		}
 	})
 }
 
-// isNot returns a check that reports why as the problem if a response has the given status.
-func isNot(code int32, why string) responseCheck {
+// isNot returns a check that reports the given problem if a response has the given status.
+func isNot(code int32, problem string) responseCheck {
 	return func(response gateway.Response) string {
 		if response.Code == code {
-			return why
+			return problem
 		}
 		return ""
 	}
@@ -200,7 +200,7 @@
 	r.probeJobs(h)
 	r.probeSubmissions(h, newest)
 	r.probeHeartbeat(h)
-	r.probeReadinessOf(h)
+	r.probeReadiness(h)
 }
 
 // versionOf returns the current version that a refusal reports.
@@ -246,7 +246,7 @@
 	}
 	r.probeWith(h, "new queue", counts(partitionQueue(newest)), func(response gateway.Response) string {
 		// A queue that was dropped while the request was in flight may be unknown.
-		if response.Code == 404 && r.newestAcknowledged(r.Now) == newest && !r.isPublishing(newest+1) {
+		if response.Code == 404 && r.newestAcknowledged(r.Now) == newest && !r.mayBeInForce(newest+1) {
 			return "the queue exists"
 		}
 		return ""
@@ -267,9 +267,9 @@
 // and a job to the queue that was dropped last.
 func (r *partitionRun) probeSubmissions(h *Host, newest uint64) {
 	sentAt := r.Now
-	submit := func(what, queue, name, text string, check responseCheck) {
+	submit := func(requestKind, queue, name, text string, check responseCheck) {
 		job := newJob(text, &schema.Step{Name: "s", Tasks: 1, CoresMilli: 1})
-		r.probeWith(h, what, submitRequest(queue, "c", name, job), check)
+		r.probeWith(h, requestKind, submitRequest(queue, "c", name, job), check)
 	}
 	submit("submission", "quick", fmt.Sprint("j", sentAt), "a job", func(gateway.Response) string { return "" })
 	submit("known job", "quick", "known", "the known job", func(response gateway.Response) string {
@@ -288,9 +288,9 @@
 		return
 	}
 	droppedAt := eventloop.Micros(0)
-	for _, each := range r.acknowledged {
-		if each.version == newest {
-			droppedAt = each.acknowledgedAt
+	for _, acknowledged := range r.acknowledged {
+		if acknowledged.version == newest {
+			droppedAt = acknowledged.acknowledgedAt
 		}
 	}
 	submit("dropped queue", partitionQueue(newest-1), fmt.Sprint("j", sentAt), "a job", func(response gateway.Response) string {
@@ -316,9 +316,9 @@
 	})
 }
 
-// probeReadinessOf checks that the partitioned host isn't ready, and records when it becomes
+// probeReadiness checks that the partitioned host isn't ready, and records when it becomes
 // ready after the healing.
-func (r *partitionRun) probeReadinessOf(h *Host) {
+func (r *partitionRun) probeReadiness(h *Host) {
 	r.Request(h, callTimeout, func(id uint64, _ eventloop.Micros) any { return gateway.CheckReadiness{RequestID: id} }, func(answer any) {
 		response := responseOf(answer)
 		if response.Code != 200 || h != r.host {
--- a/internal/sim/replacement_test.go
+++ b/internal/sim/replacement_test.go
@@ -31,11 +31,11 @@
 // number of losses.
 type storageFleet struct {
 	*Fleet
-	losses          int                       // number of machine losses that it tolerates
-	tolerance       membership.FaultTolerance // losses of zones and regions that it tolerates in addition
-	intolerantAt    eventloop.Micros          // last sample in which a group couldn't tolerate the losses
-	why             string                    // reason at that sample, with the group's name
-	longestHandover eventloop.Micros          // longest time from a drain's start during which a handover was pending
+	losses            int                       // number of machine losses that it tolerates
+	tolerance         membership.FaultTolerance // losses of zones and regions that it tolerates in addition
+	intolerantAt      eventloop.Micros          // time of the last sample in which a group couldn't tolerate the losses
+	intoleranceReason string                    // reason at that sample, with the group's name
+	longestHandover   eventloop.Micros          // longest time from a drain's start during which a handover was pending
 }
 
 func newStorageFleet(seed uint64, zones []string, losses int, sync eventloop.Micros, hasLoad bool) *storageFleet {
@@ -153,7 +153,7 @@
 // margin returns how many more voters every group can lose, and a description of the group with
 // the smallest margin. The margin is -1 if a group has no leader.
 func (c *storageFleet) margin() (int, string) {
-	smallest, why := len(c.Hosts), ""
+	smallest, limitingGroup := len(c.Hosts), ""
 	for group, list := range c.hostedReplicas() {
 		leader := leaderOf(list)
 		if leader == nil {
@@ -168,10 +168,10 @@
 			}
 		}
 		if margin := live - (len(leader.Voters)/2 + 1); margin < smallest {
-			smallest, why = margin, fmt.Sprint(group, " has ", live, " live of ", leader.Voters)
+			smallest, limitingGroup = margin, fmt.Sprint(group, " has ", live, " live voters of ", leader.Voters)
 		}
 	}
-	return smallest, why
+	return smallest, limitingGroup
 }
 
 // runSampling runs the fleet for the given duration, and records when a group can't tolerate the
@@ -179,8 +179,8 @@
 func (c *storageFleet) runSampling(duration eventloop.Micros) {
 	for end := c.Now + duration; c.Now < end; {
 		c.Run(min(end, c.Now+sampleInterval))
-		if margin, why := c.margin(); margin < c.losses {
-			c.intolerantAt, c.why = c.Now, why
+		if margin, limitingGroup := c.margin(); margin < c.losses {
+			c.intolerantAt, c.intoleranceReason = c.Now, limitingGroup
 		}
 	}
 }
@@ -318,7 +318,7 @@
 	c.Run(c.LoadStart + 8*eventloop.Second)
 	c.runSampling(eventloop.Second)
 	if c.intolerantAt == c.Now {
-		t.Fatalf("seed %d: the fleet doesn't tolerate the losses after its start: %s", setup.seed, c.why)
+		t.Fatalf("seed %d: the fleet doesn't tolerate the losses after its start: %s", setup.seed, c.intoleranceReason)
 	}
 	worst := eventloop.Micros(0)
 	for turn := range 2 {
@@ -336,7 +336,7 @@
 		took := max(0, c.intolerantAt-from)
 		worst = max(worst, took)
 		if took > catchUp-2*sampleInterval {
-			t.Errorf("%s, turn %d, %+v: the losses weren't tolerated in time: %s", test.name, turn, setup, c.why)
+			t.Errorf("%s, turn %d, %+v: the losses weren't tolerated in time: %s", test.name, turn, setup, c.intoleranceReason)
 		}
 		if c.longestHandover >= drainPeriod-sampleInterval {
 			t.Errorf("%s, seed %d, turn %d: the handover took %.2f s", test.name, setup.seed, turn, float64(c.longestHandover)/1e6)
@@ -349,13 +349,13 @@
 
 // loseVoters kills the given number of voters, checks that the others serve, and restarts the
 // killed voters and every agent node that is down.
-func (c *storageFleet) loseVoters(t *testing.T, count int, what string) {
+func (c *storageFleet) loseVoters(t *testing.T, count int, testCase string) {
 	lost := c.voters()[:count]
 	for _, h := range lost {
 		h.Kill()
 	}
 	if took, served := c.timeUntilServed(6 * eventloop.Second); !served {
-		t.Errorf("%s: no configuration was accepted for %.2f s after the next loss", what, float64(took)/1e6)
+		t.Errorf("%s: no configuration was accepted for %.2f s after the next loss", testCase, float64(took)/1e6)
 	}
 	for _, h := range lost {
 		h.Start()
--- a/internal/sim/restart_delay_test.go
+++ b/internal/sim/restart_delay_test.go
@@ -39,9 +39,9 @@
 	}
 	running.Wait()
 	slices.Sort(delays)
-	at := func(q float64) float64 { return float64(delays[int(q*float64(len(delays)-1))]) / 1e6 }
+	quantile := func(q float64) float64 { return float64(delays[int(q*float64(len(delays)-1))]) / 1e6 }
 	late := len(slices.DeleteFunc(slices.Clone(delays), func(d eventloop.Micros) bool { return d <= checker.DefaultBounds.Recovery }))
-	fmt.Printf("%d runs: minimum %.2f, median %.2f, 95th %.2f, maximum %.2f s, %d over the bound\n", len(delays), at(0), at(.5), at(.95), at(1), late)
+	fmt.Printf("%d runs: minimum %.2f, median %.2f, 95th %.2f, maximum %.2f s, %d over the bound\n", len(delays), quantile(0), quantile(.5), quantile(.95), quantile(1), late)
 }
 
 // restartDelayScenario returns the fleet and the scenario of the measurement.
--- a/internal/sim/scenarios_keys.go
+++ b/internal/sim/scenarios_keys.go
@@ -20,8 +20,8 @@
 
 // keyChange records that the addition or revocation of a tenant's key was acknowledged.
 type keyChange struct {
-	tenant string
-	at     eventloop.Micros // when the change was acknowledged
+	tenant         string
+	acknowledgedAt eventloop.Micros // when the change was acknowledged
 }
 
 // SmallKeyedFleet is the small fleet with called workers, shared by tenants
@@ -118,14 +118,14 @@
 	probe()
 }
 
-// afterAcknowledgedChange calls strike right after the next change of the configuration is
+// afterAcknowledgedChange calls inject right after the next change of the configuration is
 // acknowledged.
-func (f *Fleet) afterAcknowledgedChange(strike func()) {
+func (f *Fleet) afterAcknowledgedChange(inject func()) {
 	f.observers = append(f.observers, func(e checker.Event) bool {
 		if e.Kind != checker.ConfigurationReply || e.Code != 200 {
 			return false
 		}
-		f.afterMoment(strike)
+		f.afterMoment(inject)
 		return true
 	})
 }
@@ -154,9 +154,9 @@
 		added, isAdded := f.addedKeys[e.KeyHash]
 		isOwnJob := f.submittedJobs[e.Name].tenant == added.tenant
 		switch {
-		case !isAdded || e.SentAt < added.at:
+		case !isAdded || e.SentAt < added.acknowledgedAt:
 		case e.Code == http.StatusUnauthorized || e.Code == http.StatusForbidden && isOwnJob:
-			problems = append(problems, fmt.Sprintf("%s: %s refused a key with status %d in a call that was sent %d us after the key was acknowledged", e.Name, e.Gateway, e.Code, e.SentAt-added.at))
+			problems = append(problems, fmt.Sprintf("%s: %s refused a key with status %d in a call that was sent %d us after the key was acknowledged", e.Name, e.Gateway, e.Code, e.SentAt-added.acknowledgedAt))
 		case e.Code > 0 && e.Code < 300:
 			served[e.KeyHash]++
 		}
--- a/internal/sim/scenarios_quota.go
+++ b/internal/sim/scenarios_quota.go
@@ -21,8 +21,8 @@
 	firstFillJobs   = 4
 	hotFactor       = 20
 
-	fullFrom       = 5 * eventloop.Second // time after the load's start at which the full tenant is at its limit and the fault is injected
-	fillUntilEnd   = 5 * eventloop.Second // the full tenant's additional load stops this long before the end of the fleet's load
+	quotaFaultAt   = 5 * eventloop.Second // time after the load's start at which the full tenant is at its limit and the fault is injected
+	fillEndMargin  = 5 * eventloop.Second // the full tenant's additional load stops this long before the end of the fleet's load
 	maxOthersDelay = 8 * eventloop.Second // limit from another tenant's submission to its first task start, beside a hot tenant
 )
 
@@ -45,8 +45,8 @@
 // QuotaScenarios lists scenarios for the small shared fleet in which a fault occurs while a
 // tenant is at its limit.
 var QuotaScenarios = []Scenario{
-	quotaScenario("hot tenant", 20*eventloop.Second, (*Fleet).heatTenant, verifyOthersStart),
-	quotaScenario("quota lowered and raised while full", 25*eventloop.Second, (*Fleet).moveQuota, verifyFullAgain),
+	quotaScenario("hot tenant", 20*eventloop.Second, (*Fleet).submitHotLoad, verifyOthersStart),
+	quotaScenario("quota lowered and raised while full", 25*eventloop.Second, (*Fleet).lowerAndRaiseQuota, verifyFullAgain),
 	quotaScenario("storage nodes killed while a tenant is full", 25*eventloop.Second, func(f *Fleet) { f.powerCycleStorageNodes(800 * eventloop.Millisecond) }, verifyFullAgain),
 	quotaScenario("a queue's leader cut off while a tenant is full", 30*eventloop.Second, func(f *Fleet) { f.isolate(f.leaderOf("slow"), 10*eventloop.Second) }, verifyFullAgain),
 	quotaScenario("leader frozen and thawed while a tenant is full", 30*eventloop.Second, func(f *Fleet) { f.freeze(f.leaderOrFirst(), 5*eventloop.Second) }, verifyFullAgain),
@@ -69,7 +69,7 @@
 			f.fillTenant()
 			f.intrudePeriodically(f.LoadEnd)
 		})
-		f.atLoad(fullFrom, func() {
+		f.atLoad(quotaFaultAt, func() {
 			f.faultAt = f.Now
 			fault(f)
 		})
@@ -86,11 +86,11 @@
 	for k := range firstFillJobs {
 		f.Submit(kind, fmt.Sprint("first-fill-", k))
 	}
-	f.GenerateLoad(kind, f.LoadEnd-fillUntilEnd)
+	f.GenerateLoad(kind, f.LoadEnd-fillEndMargin)
 }
 
-// heatTenant makes the hot tenant submit hotFactor times its usual load for 6 s.
-func (f *Fleet) heatTenant() {
+// submitHotLoad makes the hot tenant submit hotFactor times its usual load for 6 s.
+func (f *Fleet) submitHotLoad() {
 	sum := 0.0
 	for _, tenant := range f.tenants.configured {
 		sum += tenant.CallShare
@@ -106,9 +106,9 @@
 	}
 }
 
-// moveQuota lowers the full tenant's limit to a third, and 6 s later raises it to 4/3 of the
+// lowerAndRaiseQuota lowers the full tenant's limit to a third, and 6 s later raises it to 4/3 of the
 // original limit.
-func (f *Fleet) moveQuota() {
+func (f *Fleet) lowerAndRaiseQuota() {
 	set := func(cores int64) {
 		f.changeTenant(fullTenant, func(tenant *deployments.Tenant) { tenant.MaxCoresMilli = cores }, func() {})
 	}
@@ -150,7 +150,7 @@
 	gang.Gang = true
 	f.GenerateLoad(JobKind{
 		Name: "fill-gang", Queue: "group", Tenant: fullTenant, Interval: 2 * eventloop.Second, Attempts: 4, Job: newJob("gang", gang),
-	}, f.LoadEnd-fillUntilEnd)
+	}, f.LoadEnd-fillEndMargin)
 }
 
 // leaderOf returns the storage node that leads a queue, or the first storage node if none does.
@@ -180,9 +180,9 @@
 
 // --- verification ---
 
-// fillCores returns the largest number of cores, in thousandths of a core, that the full
+// peakFillCores returns the largest number of cores, in thousandths of a core, that the full
 // tenant's tasks used at once between two times.
-func (f *Fleet) fillCores(from, to eventloop.Micros) int64 {
+func (f *Fleet) peakFillCores(from, to eventloop.Micros) int64 {
 	type run struct {
 		worker, name string
 		task         uint32
@@ -214,7 +214,7 @@
 
 // verifyFull checks that the full tenant was at its limit when the fault was injected.
 func verifyFull(f *Fleet) []string {
-	if cores := f.fillCores(f.faultAt-eventloop.Second, f.faultAt); cores < fullTenantCores-fillTaskCores {
+	if cores := f.peakFillCores(f.faultAt-eventloop.Second, f.faultAt); cores < fullTenantCores-fillTaskCores {
 		return []string{fmt.Sprintf("the full tenant used only %d milli cores when the fault was injected", cores)}
 	}
 	return nil
@@ -224,7 +224,7 @@
 // is at its limit again after the recovery.
 func verifyFullAgain(f *Fleet) []string {
 	problems := verifyFull(f)
-	if cores := f.fillCores(f.faultAt+checker.DefaultBounds.Recovery, f.LoadEnd+drainAfterLoad); cores < fullTenantCores-fillTaskCores {
+	if cores := f.peakFillCores(f.faultAt+checker.DefaultBounds.Recovery, f.LoadEnd+drainAfterLoad); cores < fullTenantCores-fillTaskCores {
 		problems = append(problems, fmt.Sprintf("the full tenant used only %d milli cores after the recovery from the fault", cores))
 	}
 	return problems
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -113,11 +113,11 @@
 	Convey("A written schedule is parsed to the same schedule, and a parse error names the field", t, func() {
 		for seed := uint64(1); seed < 200; seed++ {
 			schedule := RandomSchedule(seed, SmallFleet)
-			retry, err := ParseSchedule(schedule.String(), SmallFleet)
+			parsed, err := ParseSchedule(schedule.String(), SmallFleet)
 			So(err, ShouldBeNil)
-			So(retry, ShouldResemble, schedule)
+			So(parsed, ShouldResemble, schedule)
 		}
-		for text, what := range map[string]string{
+		for text, wantError := range map[string]string{
 			"kill/leader:3s@5s,explode/server1:1s@9s": "faults[1]: there is no fault",
 			"kill/w1:3s@5s":  "faults[0]: kill can't strike",
 			"kill/leader:3s": "faults[0]",
@@ -128,7 +128,7 @@
 		} {
 			_, err := ParseSchedule(text, SmallFleet)
 			So(err, ShouldNotBeNil)
-			So(err.Error(), ShouldContainSubstring, what)
+			So(err.Error(), ShouldContainSubstring, wantError)
 		}
 	})
 }
--- a/internal/sim/tenant_changes_test.go
+++ b/internal/sim/tenant_changes_test.go
@@ -22,8 +22,8 @@
 // process holds every acknowledged revision in time.
 type tenantOperator struct {
 	*changeOperator
-	updateOf map[uint64]eventloop.Micros // when each version was acknowledged
-	checks   map[string]int              // number of checks by role of the process
+	acknowledgementTimes map[uint64]eventloop.Micros // when each version was acknowledged
+	checkCounts          map[string]int              // number of checks by role of the process
 }
 
 // configuration returns an update to a version with many tenants, whose keys no other version
@@ -58,7 +58,7 @@
 		return
 	}
 	o.send(o.configuration(version), func() {
-		o.updateOf[version] = o.Now
+		o.acknowledgementTimes[version] = o.Now
 		o.After(eventloop.Second, func() { o.publishNext(version + 1) })
 	})
 }
@@ -66,11 +66,11 @@
 // checkHeld reports a process that doesn't hold an acknowledged revision after
 // tenantApplyTimeout.
 func (o *tenantOperator) checkHeld(from *Host, request *schema.ClusterStateRequest) {
-	for version, at := range o.updateOf {
+	for version, at := range o.acknowledgementTimes {
 		if o.Now-at < tenantApplyTimeout {
 			continue
 		}
-		o.checks[roleName(from)]++
+		o.checkCounts[roleName(from)]++
 		// Each version is one revision. The first version is 2 because the fleet's own
 		// configuration is revision 1.
 		if request.HeldRevision < version {
@@ -101,8 +101,8 @@
 	for _, problem := range o.problems {
 		t.Error(problem)
 	}
-	t.Logf("%d versions were acknowledged; checks by role: %v", len(o.updateOf), o.checks)
-	if len(o.updateOf) < tenantChanges || o.checks[roleGateway] < 100 || o.checks[roleAgent] < 50 {
-		t.Errorf("only %d versions were acknowledged, with the checks %v by role", len(o.updateOf), o.checks)
+	t.Logf("%d versions were acknowledged; checks by role: %v", len(o.acknowledgementTimes), o.checkCounts)
+	if len(o.acknowledgementTimes) < tenantChanges || o.checkCounts[roleGateway] < 100 || o.checkCounts[roleAgent] < 50 {
+		t.Errorf("only %d versions were acknowledged, with the checks %v by role", len(o.acknowledgementTimes), o.checkCounts)
 	}
 }
--- a/internal/sim/zones_test.go
+++ b/internal/sim/zones_test.go
@@ -74,7 +74,7 @@
 			}
 		}
 		if took, served := c.timeUntilServed(8 * eventloop.Second); !served {
-			t.Errorf("without %s no configuration was accepted for %.1f s: %s", domain(zone), float64(took)/1e6, c.why)
+			t.Errorf("without %s no configuration was accepted for %.1f s: %s", domain(zone), float64(took)/1e6, c.intoleranceReason)
 		}
 		for _, h := range lost {
 			h.Start()
