--- a/internal/sim/called_test.go
+++ b/internal/sim/called_test.go
@@ -112,7 +112,8 @@
 	}
 }
 
-// TestCalledDeployments runs the users' deployments with called workers.
+// TestCalledDeployments runs the fleets of the package deployments with called workers and single
+// faults, and random schedules of several faults on the small fleet.
 func TestCalledDeployments(t *testing.T) {
 	for _, spec := range FleetSpecs() {
 		if !spec.HasCalledWorkers() || spec.Name == SmallCalledFleet.Name {
@@ -138,7 +139,7 @@
 }
 
 func TestCalledSameSeedSameHistory(t *testing.T) {
-	Convey("With called workers too, the same seed yields the same history", t, func() {
+	Convey("With called workers too, the same seed gives the same history", t, func() {
 		s := CalledScenarios[0]
 		one, _, _ := RunScenario(s, SmallCalledFleet, 7)
 		two, _, _ := RunScenario(s, SmallCalledFleet, 7)
@@ -148,7 +149,7 @@
 }
 
 func TestFailuresAllowedByQueue(t *testing.T) {
-	Convey("The failures that a queue's row allows apply to steps that set no limit themselves", t, func() {
+	Convey("What a queue's row allows stands where a step says nothing", t, func() {
 		kind := CalledJobKinds()[0]
 		So(kind.withAllowedFailures().Steps[0].AllowedFailures, ShouldEqual, 3)
 		So(kind.Job.Steps[0].AllowedFailures, ShouldEqual, 0)
--- a/internal/sim/excess_losses_test.go
+++ b/internal/sim/excess_losses_test.go
@@ -48,7 +48,7 @@
 }
 
 func TestExcessiveSchedules(t *testing.T) {
-	Convey("Losses overlap beyond the tolerated ones, no schedule loses two disks, and a written schedule is parsed to the same schedule", t, func() {
+	Convey("Losses overlap beyond what may be lost, no schedule loses two disks, and it is read again as it was drawn", t, func() {
 		overlapping := 0
 		for seed := uint64(1); seed <= 200; seed++ {
 			schedule := ExcessiveSchedule(seed, SmallCalledFleet)
@@ -61,7 +61,7 @@
 		}
 		So(overlapping, ShouldBeGreaterThan, 190)
 	})
-	Convey("Schedules with a second lost disk or an unknown fault are refused", t, func() {
+	Convey("A second lost disk, and a fault that isn't known, are refused", t, func() {
 		for _, text := range []string{"wipe/server1:1s@3s,replace/server2:1s@9s", "ackwipe/all:1s@3s,closewipe/all:1s@40s", "sneeze/all:1s@3s"} {
 			_, err := ParseExcessiveSchedule(text, SmallCalledFleet)
 			So(err, ShouldNotBeNil)
@@ -70,7 +70,7 @@
 }
 
 func TestUnavailableStorageNodes(t *testing.T) {
-	Convey("A storage node is unavailable unless it belongs to the largest set of nodes that are up, can write, and reach each other", t, func() {
+	Convey("A storage node is away while it isn't among the most that serve, write, and reach each other", t, func() {
 		f := NewFleet(1, SmallCalledFleet, ReliableNetwork, fastSync, eventloop.Second)
 		f.Run(f.LoadStart)
 		nodes := f.StorageNodes()
--- a/internal/sim/hollow_test.go
+++ b/internal/sim/hollow_test.go
@@ -34,7 +34,7 @@
 		So(valueOf(list, roleWhole, "first_ms"), ShouldBeBetween, 1, 9000)
 		So(RunHollow(setup), ShouldResemble, list)
 	})
-	Convey("Tasks that ran on a lost rack run again on other racks", t, func() {
+	Convey("What ran on a lost rack runs again elsewhere", t, func() {
 		// With this seed the rack runs tasks when it is lost.
 		setup.LossScope, setup.RunUs, setup.Seed = "rack", 3_000_000, 2
 		list := RunHollow(setup)
--- a/internal/sim/linearizability_test.go
+++ b/internal/sim/linearizability_test.go
@@ -228,8 +228,9 @@
 	}
 }
 
-// TestReadsOfNewLeader checks reads right after a change of leaders: the leader is killed when it
-// has answered an update, before the other nodes know that the update is committed.
+// TestReadsOfNewLeader checks reads during a change of leaders: the leader is killed when it has
+// answered an update, before the other nodes know that the update is committed. From then on a
+// read is sent every 5 ms.
 func TestReadsOfNewLeader(t *testing.T) {
 	o := newOperators(1, ReliableNetwork, 12*eventloop.Millisecond)
 	o.Run(o.Now + 3*eventloop.Second)
--- a/internal/sim/new_queues_test.go
+++ b/internal/sim/new_queues_test.go
@@ -63,7 +63,7 @@
 }
 
 func TestNewQueuesServeSoon(t *testing.T) {
-	Convey("Every gateway serves eight added queues well before an election would take place", t, func() {
+	Convey("Eight queues that a configuration adds serve at every gateway well before an election's time", t, func() {
 		worst, sum, count := eventloop.Micros(0), eventloop.Micros(0), 0
 		for seed := uint64(1); seed <= 8; seed++ {
 			for _, delay := range newQueueDelays(seed) {
--- a/internal/sim/overlapping_faults_test.go
+++ b/internal/sim/overlapping_faults_test.go
@@ -31,7 +31,7 @@
 }
 
 func TestOverlappingSchedules(t *testing.T) {
-	Convey("Every kind of fault is drawn, the drawn schedules can be survived, and the last fault follows an acknowledgement", t, func() {
+	Convey("Every kind is drawn, what is drawn can be survived, and the day ends right after an acknowledgement", t, func() {
 		drawn := map[string]bool{}
 		for seed := uint64(1); seed <= 300; seed++ {
 			schedule := OverlappingSchedule(seed, SmallCalledFleet)
@@ -81,7 +81,7 @@
 }
 
 func TestLostAnswers(t *testing.T) {
-	Convey("Requests whose acknowledgement is lost are sent again, and none of them is refused", t, func() {
+	Convey("What wasn't acknowledged is sent again and none of it is refused", t, func() {
 		schedule, err := ParseSchedule("ackloss/all:6s@3s,race/all:1s@3500ms,crowd/all:1s@5s", SmallCalledFleet)
 		So(err, ShouldBeNil)
 		f, violations, _ := RunScenario(schedule.Scenario(), SmallCalledFleet, 2)
--- a/internal/sim/partition_probes_test.go
+++ b/internal/sim/partition_probes_test.go
@@ -17,7 +17,7 @@
 	inForceTimeout          = 2 * eventloop.Second         // time after which an acknowledged configuration is in force everywhere
 	maxDeliveryDelay        = 10 * eventloop.Millisecond   // longest delay of any message
 	maxImmediateAnswerTime  = 25 * eventloop.Millisecond   // longest time until an immediate answer; 6 ms of it are the client's network delay
-	maxNewProcessAnswerTime = 1100 * eventloop.Millisecond // the same for a process that never had the cluster state
+	maxNewProcessAnswerTime = 1100 * eventloop.Millisecond // longest time until an answer of a process that never had the cluster state
 	publishInterval         = 1500 * eventloop.Millisecond // time between two configurations
 	probeInterval           = 510 * eventloop.Millisecond  // time between two rounds of probes
 	announceTimeout         = 1200 * eventloop.Millisecond // timeout of a worker's heartbeat
@@ -34,7 +34,7 @@
 	healedAt         eventloop.Micros // when the partition ended; 0: not yet
 	acknowledged     []acknowledgedVersion
 	heartbeats       uint64
-	startedInside    bool                     // the host's process was started inside the partition
+	startedInside    bool                     // whether the host's process was started inside the partition
 	downAt           eventloop.Micros         // when the host's process went down; 0: it didn't
 	downUntil        eventloop.Micros         // when the host's process was started again
 	readyAt          eventloop.Micros         // when the host was first ready after the healing; 0: not yet
--- a/internal/sim/replacement_test.go
+++ b/internal/sim/replacement_test.go
@@ -20,8 +20,8 @@
 
 var memberSeeds = flag.Int("member_seeds", 0, "number of seeds to run each replacement case with on each fleet size; 0: one seed on one size")
 
-// catchUp is the time after a loss within which the fleet must tolerate the next loss. It is the
-// same as in the deployments.
+// catchUp is the time after a lost machine's return, or the start of its successor, within which
+// the fleet must tolerate the next loss. It is the same as in the deployments.
 const catchUp = 4 * eventloop.Second
 
 // sampleInterval is the interval at which the groups' margins are sampled.
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestDeployments runs the deployments with their real configurations, both with single faults
-// and with schedules of several faults. More of these schedules are run by hand.
+// TestDeployments runs the fleets of the package deployments with polling workers, both with
+// single faults and with schedules of several faults. More of these schedules are run by hand.
 func TestDeployments(t *testing.T) {
 	for _, spec := range FleetSpecs()[1:] {
 		if spec.HasCalledWorkers() {
@@ -110,7 +110,7 @@
 }
 
 func TestSchedules(t *testing.T) {
-	Convey("A written schedule is parsed to the same schedule, and a parse error names the field", t, func() {
+	Convey("A schedule is read as it is written; an error names the field", t, func() {
 		for seed := uint64(1); seed < 200; seed++ {
 			schedule := RandomSchedule(seed, SmallFleet)
 			parsed, err := ParseSchedule(schedule.String(), SmallFleet)
@@ -158,7 +158,7 @@
 }
 
 func TestSameSeedSameHistory(t *testing.T) {
-	Convey("The same seed yields the same history, byte for byte, and another seed yields another history", t, func() {
+	Convey("The same seed gives the same history, byte for byte, and another seed another one", t, func() {
 		s := Scenarios[4]
 		one, _, _ := RunScenario(s, SmallFleet, 7)
 		two, _, _ := RunScenario(s, SmallFleet, 7)
--- a/internal/sim/tenants_test.go
+++ b/internal/sim/tenants_test.go
@@ -51,7 +51,7 @@
 }
 
 func TestSharedSameSeedSameHistory(t *testing.T) {
-	Convey("With tenants too, the same seed yields the same history", t, func() {
+	Convey("With tenants too, the same seed gives the same history", t, func() {
 		s := KeyScenarios[0]
 		one, _, _ := RunScenario(s, SmallKeyedFleet, 7)
 		two, _, _ := RunScenario(s, SmallKeyedFleet, 7)
