--- a/internal/sim/configuration_changes_test.go
+++ b/internal/sim/configuration_changes_test.go
@@ -86,15 +86,15 @@
 	})
 }
 
-// send sends an update repeatedly until it is accepted, and then calls back.
-func (o *changeOperator) send(update *schema.ConfigurationUpdate, back func()) {
+// send sends an update repeatedly until it is accepted, and then calls done.
+func (o *changeOperator) send(update *schema.ConfigurationUpdate, done func()) {
 	o.Request(o.anyGateway(), versionUpdateTimeout, leaderRequest(updateRequest(update)), func(answer any) {
 		response := responseOf(answer)
 		switch {
 		case response.Code == 200:
-			back()
+			done()
 		case isUnclear(response):
-			o.After(configurationRetryDelay, func() { o.send(update, back) })
+			o.After(configurationRetryDelay, func() { o.send(update, done) })
 		default:
 			o.report("version %d was refused: %d %s", update.Version, response.Code, response.Body)
 		}
--- a/internal/sim/linearizability_test.go
+++ b/internal/sim/linearizability_test.go
@@ -125,14 +125,14 @@
 	}},
 }
 
-// onAcknowledgement calls act at the next acknowledgement of an update.
-func (o *operators) onAcknowledgement(act func()) {
+// onAcknowledgement calls back at the next acknowledgement of an update.
+func (o *operators) onAcknowledgement(callback func()) {
 	before := o.confirmedVersion
 	var watch func()
 	watch = func() {
 		switch {
 		case o.confirmedVersion > before:
-			act()
+			callback()
 		case o.Now < o.until:
 			o.After(100, watch)
 		}
--- a/internal/sim/operators_test.go
+++ b/internal/sim/operators_test.go
@@ -104,19 +104,19 @@
 
 // call sends a request to a gateway and calls back with the response. It loses a share lossRate of
 // the responses, for which it calls back with an empty one.
-func (o *operators) call(node *Host, timeout eventloop.Micros, request gateway.LeaderRequest, back func(response gateway.Response)) {
+func (o *operators) call(node *Host, timeout eventloop.Micros, request gateway.LeaderRequest, callback func(response gateway.Response)) {
 	isLost := o.rng.Float64() < o.lossRate
 	o.Request(node, timeout, leaderRequest(request), func(answer any) {
 		response := responseOf(answer)
 		if isLost {
 			response = gateway.Response{}
 		}
-		back(response)
+		callback(response)
 	})
 }
 
 // read reads the configuration and calls back with it, or with nil if it couldn't be read.
-func (o *operators) read(operator int, back func(current *schema.Configuration)) {
+func (o *operators) read(operator int, callback func(current *schema.Configuration)) {
 	sentAt, confirmed := o.Now, o.confirmedVersion
 	o.call(o.randomGateway(), eventloop.Second, configurationRequest(), func(response gateway.Response) {
 		current := &schema.Configuration{}
@@ -124,7 +124,7 @@
 			if response.Code >= 400 && response.Code < 500 {
 				o.fail("a read was refused with status %d", response.Code)
 			}
-			back(nil)
+			callback(nil)
 			return
 		}
 		if current.Version < confirmed {
@@ -134,7 +134,7 @@
 			ClientId: operator, Input: registerInput{}, Call: int64(sentAt), Return: int64(o.Now),
 			Output: registerOutput{code: 200, version: current.Version, document: string(current.Document)},
 		})
-		back(current)
+		callback(current)
 	})
 }
 
--- a/internal/sim/partition_probes_test.go
+++ b/internal/sim/partition_probes_test.go
@@ -38,7 +38,7 @@
 	downAt           eventloop.Micros         // when the host's process went down; 0: it didn't
 	downUntil        eventloop.Micros         // when the host's process was started again
 	readyAt          eventloop.Micros         // when the host was first ready after the healing; 0: not yet
-	codes            map[string]map[int32]int // number of the host's answers by kind of request and status
+	statusCounts     map[string]map[int32]int // number of the host's answers by kind of request and status
 	problems         []string
 }
 
@@ -61,9 +61,9 @@
 
 // call sends a request to a gateway, and calls back with the time at which it was sent and the
 // response.
-func (r *partitionRun) call(h *Host, request newRequest, back func(sentAt eventloop.Micros, response gateway.Response)) {
+func (r *partitionRun) call(h *Host, request newRequest, callback func(sentAt eventloop.Micros, response gateway.Response)) {
 	sentAt := r.Now
-	r.Request(h, callTimeout, request, func(answer any) { back(sentAt, responseOf(answer)) })
+	r.Request(h, callTimeout, request, func(answer any) { callback(sentAt, responseOf(answer)) })
 }
 
 // publish makes the operator send a version of the configuration to the given host, or if that is
@@ -130,13 +130,13 @@
 // something that depends on state only if a majority can have confirmed it since the request was
 // sent. Otherwise the host must answer at once that it can't know, and when to retry.
 func (r *partitionRun) check(h *Host, requestKind string, sentAt eventloop.Micros, response gateway.Response) {
-	if r.codes[requestKind] == nil {
-		r.codes[requestKind] = map[int32]int{}
+	if r.statusCounts[requestKind] == nil {
+		r.statusCounts[requestKind] = map[int32]int{}
 	}
 	if h != r.host {
 		return
 	}
-	r.codes[requestKind][response.Code]++
+	r.statusCounts[requestKind][response.Code]++
 	took := r.Now - sentAt
 	isDown := r.downAt > 0 && sentAt <= r.downUntil+maxDeliveryDelay && r.Now >= r.downAt
 	switch {
--- a/internal/sim/partition_test.go
+++ b/internal/sim/partition_test.go
@@ -112,7 +112,7 @@
 // --- the run ---
 
 func newPartitionRun(seed uint64) *partitionRun {
-	r := &partitionRun{Simulation: NewSimulation(seed, ReliableNetwork, fastSync), codes: map[string]map[int32]int{}}
+	r := &partitionRun{Simulation: NewSimulation(seed, ReliableNetwork, fastSync), statusCounts: map[string]map[int32]int{}}
 	addTestHosts(r.Simulation, "keep", "heed", 3)
 	startWithin(r.Simulation, r.Rng.Int64N)
 	r.After(eventloop.Second, func() { r.publish(1, nil) })
@@ -188,7 +188,7 @@
 				if took := r.readyAt - r.healedAt; r.readyAt == 0 || took > readyTimeout {
 					t.Errorf("the host was ready %d us after the healing", took)
 				}
-				t.Logf("%d versions, ready %d us after the healing, answers %v", len(r.acknowledged), r.readyAt-r.healedAt, r.codes)
+				t.Logf("%d versions, ready %d us after the healing, answers %v", len(r.acknowledged), r.readyAt-r.healedAt, r.statusCounts)
 			})
 		}
 	}
