--- a/internal/sim/excess_losses_test.go
+++ b/internal/sim/excess_losses_test.go
@@ -10,8 +10,9 @@
 	"sparnotch/internal/eventloop"
 )
 
-// TestExcessiveLosses: more storage nodes are away at once than may be lost. With -seeds so
-// many schedules; sparnotch-bench simulate -excess plays any number.
+// TestExcessiveLosses runs schedules in which more storage nodes are unavailable at once than the
+// fleet tolerates. The flag -seeds sets how many schedules are run in addition to the first;
+// sparnotch-bench simulate -excess runs any number.
 func TestExcessiveLosses(t *testing.T) {
 	for seed := *firstSeed; seed <= *firstSeed+uint64(*seeds); seed++ {
 		schedule := ExcessiveSchedule(seed, SmallCalledFleet)
@@ -27,16 +28,16 @@
 					restored++
 				}
 			}
-			// The last fault takes everything, so there is one outage at least.
+			// The last fault stops every process, so there is at least one outage.
 			if lost == 0 || restored != lost {
-				t.Errorf("%d outages, %d of them over", lost, restored)
+				t.Errorf("of %d outages %d have ended; at least one was expected, and all must end", lost, restored)
 			}
 		})
 	}
 }
 
-// TestTwoHalves: the storage nodes are cut into two halves for some seconds, again and again,
-// while operators and clients reach both.
+// TestTwoHalves repeatedly partitions the storage nodes into two sides for some seconds, while
+// operators and clients reach both sides.
 func TestTwoHalves(t *testing.T) {
 	schedule, err := ParseExcessiveSchedule(
 		"corecut/leader:6s@3s,corecut/server1:5s@11s,corecut/server2:5s@11s,race/all:1s@13s,corecut/server3:7s@19s,coremute/server1:7s@20s,crowd/all:1s@22s,table/all:1s@24s", SmallCalledFleet)
@@ -51,9 +52,9 @@
 		overlapping := 0
 		for seed := uint64(1); seed <= 200; seed++ {
 			schedule := ExcessiveSchedule(seed, SmallCalledFleet)
-			again, err := ParseExcessiveSchedule(schedule.String(), SmallCalledFleet)
+			parsed, err := ParseExcessiveSchedule(schedule.String(), SmallCalledFleet)
 			So(err, ShouldBeNil)
-			So(again, ShouldResemble, schedule)
+			So(parsed, ShouldResemble, schedule)
 			if schedule.Check(SmallCalledFleet) != nil {
 				overlapping++
 			}
--- a/internal/sim/new_queues_test.go
+++ b/internal/sim/new_queues_test.go
@@ -14,8 +14,8 @@
 
 const newQueues = 8
 
-// newQueueDelays adds queues to the configuration, and gives how long after the answer each
-// gateway could first list each of them.
+// newQueueDelays adds queues to the configuration. It returns for each gateway and queue how long
+// after the configuration's acknowledgement the gateway could first list the queue's jobs.
 func newQueueDelays(seed uint64) (delays []eventloop.Micros) {
 	f := NewFleet(seed, SmallFleet, ReliableNetwork, fastSync, 3*eventloop.Second)
 	f.Run(f.LoadStart + eventloop.Second)
--- a/internal/sim/overlapping_faults_test.go
+++ b/internal/sim/overlapping_faults_test.go
@@ -11,9 +11,10 @@
 	"sparnotch/internal/eventloop"
 )
 
-// TestOverlappingFaults: any three kinds of faults at once, twice, and one that
-// closes the day right after an acknowledgement. With -seeds so many of them,
-// also on whole deployments; sparnotch-bench simulate -overlap plays any number.
+// TestOverlappingFaults runs schedules in which three random kinds of faults occur at once, twice,
+// and which end with a fault right after an acknowledgement. The flag -seeds sets how many
+// schedules are run in addition to the first, then also on whole deployments; sparnotch-bench
+// simulate -overlap runs any number.
 func TestOverlappingFaults(t *testing.T) {
 	for _, spec := range FleetSpecs() {
 		if !spec.HasCalledWorkers() || spec.Name != SmallCalledFleet.Name && *seeds == 1 {
@@ -34,9 +35,9 @@
 		drawn := map[string]bool{}
 		for seed := uint64(1); seed <= 300; seed++ {
 			schedule := OverlappingSchedule(seed, SmallCalledFleet)
-			retry, err := ParseSchedule(schedule.String(), SmallCalledFleet)
+			parsed, err := ParseSchedule(schedule.String(), SmallCalledFleet)
 			So(err, ShouldBeNil)
-			So(retry, ShouldResemble, schedule)
+			So(parsed, ShouldResemble, schedule)
 			So(schedule[len(schedule)-1].Kind, ShouldStartWith, "close")
 			for _, fault := range schedule {
 				drawn[fault.Kind] = true
@@ -48,8 +49,8 @@
 	})
 }
 
-// faultsAndAcknowledgements finds the faults of a run and how long before each
-// the last acknowledgement was.
+// faultsAndAcknowledgements returns the faults of a run, and for each of them the time since the
+// last acknowledgement before it.
 func faultsAndAcknowledgements(f *Fleet) (faults []string, waits []eventloop.Micros) {
 	last := eventloop.Micros(0)
 	for _, e := range f.History {
