--- a/internal/queue/machine.go
+++ b/internal/queue/machine.go
@@ -46,7 +46,7 @@
 
 const (
 	maxCachedSnapshots        = 16
-	maxCheckpointBytes        = 256                   // a longer checkpoint isn't from a worker and is ignored
+	maxCheckpointBytes        = 256                   // longer checkpoints are ignored, because no worker reports them
 	expiredGatewayRetentionUs = 24 * 3600 * 1_000_000 // time for which an expired gateway is remembered, µs
 	treeDegree                = 16                    // degree of the B-trees
 )
--- a/internal/queue/snapshot.go
+++ b/internal/queue/snapshot.go
@@ -36,8 +36,9 @@
 }
 
 // isSnapshotDue reports whether the next snapshot is due: after SnapshotInterval enqueues, or
-// after entriesPerEnqueue times as many log entries of any kind. If no snapshot is cached to
-// count the entries from, a snapshot is due at multiples of that number.
+// after entriesPerEnqueue times as many log entries of any kind. If no snapshot is cached,
+// from whose index the entries could be counted, a snapshot is due when the log index is a
+// multiple of this number of entries.
 func (m *Machine) isSnapshotDue(index uint64) bool {
 	interval := uint64(m.settings.SnapshotInterval)
 	if interval == 0 {
--- a/internal/raft/chunks.go
+++ b/internal/raft/chunks.go
@@ -58,7 +58,7 @@
 }
 
 // handleTransferChunkResponse sends the next chunk if the response acknowledges more bytes
-// than the ones before. A duplicate of a response is ignored; otherwise every following
+// than all earlier responses. A duplicate of a response is ignored; otherwise every following
 // chunk would be sent twice.
 func (g *Group) handleTransferChunkResponse(now eventloop.Micros, from string, m *schema.TransferChunkResponse) {
 	p := g.acceptResponse(now, from, m.Term)
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -137,7 +137,7 @@
 	preVoteCount        int
 	votes               map[string]bool  // votes or pre-votes granted to this replica
 	justRestarted       bool             // no leader has been known since this replica started
-	formerLeaseExpiry   eventloop.Micros // until then a leader that was acknowledged before this start may hold its lease
+	formerLeaseExpiry   eventloop.Micros // time until which a leader that this replica acknowledged before its restart may hold its lease
 	bootstrapRoundsLeft int              // rounds of vote requests that may still be sent in the first term
 	nextBootstrapRound  eventloop.Micros
 
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -37,7 +37,7 @@
 
 	transferredAt       eventloop.Micros // when this node last handed over or took over the leadership
 	preferredAtTransfer string           // the preferred leader at that time
-	failedTransfers     int              // consecutive handovers after which this node led all the same; the latest may still succeed
+	failedTransfers     int              // consecutive handovers that left this node the leader; the latest attempt may still succeed
 
 	leadingTerm   uint64           // term in which observeLeadership last saw this node lead; 0: another node has led since
 	leadingSince  eventloop.Micros // when observeLeadership first saw this node lead in leadingTerm
--- a/internal/replica/leadership.go
+++ b/internal/replica/leadership.go
@@ -103,7 +103,7 @@
 
 // transferInterval returns how long this node waits before it hands over the group again to
 // the same preferred leader. A node that was handed the group keeps it for transferCooldown.
-// A node that has handed the group over and leads it all the same retries after
+// A node that still leads the group after it tried to hand it over retries after
 // minTransferInterval. Each failure doubles the interval up to transferCooldown, because
 // nothing is proposed during an attempt.
 func (r *replica) transferInterval() eventloop.Micros {
--- a/internal/replica/read_only.go
+++ b/internal/replica/read_only.go
@@ -89,9 +89,9 @@
 	return h.membership == nil || h.membership.HasWritableQuorum(now, r.group.MemberSet().Voters, h.isNodeReadOnly)
 }
 
-// canElectAnother reports whether the other voters that can take over and take writes are a
-// majority without this node, whose own vote can't become durable. Otherwise a handover would
-// leave the group without a leader, and so without reads.
+// canElectAnother reports whether a majority of the group's voters can take over and accept
+// writes, without counting this node, whose own vote can't become durable. If there is no such
+// majority, a handover would leave the group without a leader, and so without reads.
 func (h *Host) canElectAnother(now eventloop.Micros, r *replica) bool {
 	voters, eligible := r.group.MemberSet().Voters, 0
 	for _, id := range voters {
--- a/internal/scheduler/candidate.go
+++ b/internal/scheduler/candidate.go
@@ -10,10 +10,10 @@
 // candidate is a worker that a pass may place tasks on, with its remaining capacity.
 type candidate struct {
 	worker                  *worker
-	free                    resources // now
-	freeAfterStops          resources // once all stops in progress are done, minus what tasks have reserved of it
+	free                    resources // free capacity now
+	freeAfterStops          resources // free capacity once all stops in progress are done, minus the part that tasks have reserved
 	remainingProbationTasks int       // on probation: tasks that it may still get from steps that haven't waited long
-	rackWeight              int64     // in percent
+	rackWeight              int64     // weight of the worker's rack, in percent
 	penalty                 float64   // see Scheduler.penalty
 	isEjected               bool      // gets only steps that have waited long
 	isClaimed               bool      // kept free for a wide step
--- a/internal/scheduler/claim.go
+++ b/internal/scheduler/claim.go
@@ -13,7 +13,7 @@
 	type offer struct {
 		candidate *candidate
 		freeShare float64
-		tasks     int64 // of the step, that the candidate can run once it is free
+		tasks     int64 // number of tasks of the step that the candidate can run once it is free
 	}
 	var offers []offer
 	for _, c := range candidates {
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -196,7 +196,7 @@
 	}
 }
 
-// removeName removes a task from the index by name.
+// removeName removes a task from tasksByName.
 func (s *Scheduler) removeName(t *task) {
 	others := slices.DeleteFunc(s.tasksByName[t.name()], func(other *task) bool { return other == t })
 	if len(others) == 0 {
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -64,7 +64,8 @@
 	return s.runtimeModels[runtimeKey{queueName, ""}].estimateStep(pathStep, 0)
 }
 
-// ownDuration returns how long a task itself should run; 0: it has no estimate.
+// ownDuration returns the estimated run time of a task alone, without the steps that follow it. It
+// returns 0 if the task has no estimate.
 func (s *Scheduler) ownDuration(q *queueView, t *task) eventloop.Micros {
 	if len(t.remainingPath) == 0 {
 		return 0
@@ -128,7 +129,7 @@
 }
 
 // allowedDuration returns how long, in µs, the round of a task's job may take to meet the latency
-// target, multiplied by estimateTolerance; 0: the round has no estimates.
+// target, multiplied by estimateTolerance. It returns 0 if the round has no estimates.
 func (s *Scheduler) allowedDuration(q *queueView, t *task) float64 {
 	duration := s.estimateDuration(q.name, t.roundPath, s.candidateCores/waveFraction)
 	if duration == 0 {
--- a/internal/scheduler/inspection_pause.go
+++ b/internal/scheduler/inspection_pause.go
@@ -13,7 +13,8 @@
 	maxInspectionPause = 400 * eventloop.Millisecond // upper limit of every pause
 )
 
-// inspectionPause returns how long a worker need not be inspected after ends were seen.
+// inspectionPause returns how long the agent may wait, after an inspection that listed newly ended tasks,
+// before it inspects the worker again.
 func (s *Scheduler) inspectionPause(w *worker) eventloop.Micros {
 	if s.starvedPools[w.pool] {
 		return 0
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -215,7 +215,8 @@
 	if !free.covers(req.need) {
 		return nil, 0
 	}
-	// Drop victims that later ones have made unnecessary, those that lose most work first.
+	// Drop the victims that aren't needed any more because of victims that were added later. Those
+	// that would lose most work are dropped first.
 	for k := len(victims) - 1; k >= 0; k-- {
 		without := free
 		if without.sub(victims[k].resourcesOn(id)); without.covers(req.need) {
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -39,7 +39,7 @@
 		running      map[string][]*schema.TaskStatus
 		urgent       []*queue.TaskEvent
 		want         map[uint64]int
-		lowerUrgency int64 // of the queue with the tasks lessUrgent; 10 unless it is higher
+		lowerUrgency int64 // urgency of the queue that has the tasks lessUrgent; values below 10 mean 10
 	}{
 		{what: "what has run least", lessUrgent: []*queue.TaskEvent{newEvent(1, 1, 0, queue.CheckedOut, "v", mid), newEvent(1, 2, 0, queue.CheckedOut, "v", mid), newEvent(1, 3, 0, queue.CheckedOut, "w", mid), newEvent(1, 4, 0, queue.CheckedOut, "w", mid)},
 			running: map[string][]*schema.TaskStatus{"v": {run(1, 0, 9*eventloop.Second), run(2, 0, 9*eventloop.Second)}, "w": {run(3, 0, 8*eventloop.Second), run(4, 0, 9*eventloop.Second)}},
--- a/internal/scheduler/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -70,11 +70,12 @@
 	})
 }
 
-// Guards against sound workers being ejected as slow, and their tasks stopped, because a few tasks are long.
+// Guards against ejecting sound workers as slow, and stopping their tasks, because a few tasks are long.
 func TestSoundWorkersWithLongTasksAreNotSlow(t *testing.T) {
 	const estimate = eventloop.Second
 	step := &schema.Step{Name: "s", Tasks: 16, CoresMilli: 10, EstimatedRunUs: int64(estimate)}
-	// simulate runs tasks on worker a at a speed relative to a sound worker, where they take runs times the estimate.
+	// simulate runs tasks on worker a. The speed is relative to a sound worker, on which each task takes the estimate
+	// multiplied by one of the factors in runs.
 	simulate := func(span eventloop.Micros, speed float64, runs ...float64) *harness {
 		h := newQualityHarness(0, step)
 		h.finishUnevenSteps("b", 15, estimate)
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -52,15 +52,15 @@
 // SizeReport describes the ended steps of jobs of about the same size. A step whose job was
 // cancelled or has failed counts as ended.
 type SizeReport struct {
-	// CoreSeconds is an upper bound of the work in a round of each of these jobs. The work is at least half of it.
+	// CoreSeconds is an upper bound of the work in one round of such a job. The work is at least half of this bound.
 	CoreSeconds float64
 	Steps       int
 	// RoundsOnTime, RoundsLate and RoundsMissed count the rounds that ended within the latency
 	// target, within lateFactor times the target, and later than that.
 	RoundsOnTime, RoundsLate, RoundsMissed int
-	// FirstPlaced, LastPlaced, MostEnded and Ended are mean times in µs, counted from when the
-	// first task of a step became ready. They last until the first and the last placement, the
-	// end of most tasks (mostEndedRatio) and the last end.
+	// FirstPlaced, LastPlaced, MostEnded and Ended are mean durations in µs from when the first
+	// task of a step became ready until its first task was placed, its last task was placed,
+	// most of its tasks had ended (mostEndedRatio) and all of them had ended.
 	FirstPlaced, LastPlaced, MostEnded, Ended eventloop.Micros
 	Reruns                                    rerunCounts
 }
--- a/internal/scheduler/request.go
+++ b/internal/scheduler/request.go
@@ -19,10 +19,10 @@
 type placementRequest struct {
 	step           stepKey
 	spec           *schema.Step
-	need           resources      // of one task
+	need           resources      // resources that one task needs
 	tasksPerWorker map[string]int // the step's tasks, by worker id
 	tasksPerRack   map[string]int // the step's tasks, by rack
-	preferredRack  string         // for a step that keeps to one rack
+	preferredRack  string         // rack for the tasks of a step that keeps to one rack
 	feasibility    deadlineFeasibility
 	maxLoss        float64 // core-microseconds of work that a preemption for one task may lose
 	isRecent       bool    // the step has waited for at most ejectedFallbackDelay
@@ -60,8 +60,8 @@
 	})
 }
 
-// choosePreferredRack returns the rack with the most tasks of the step; among equals, the one with
-// the most free capacity for it.
+// choosePreferredRack returns the rack with the most tasks of the step. If several racks have the
+// same number of tasks, it returns the rack with the most free capacity for the step.
 func (req *placementRequest) choosePreferredRack(candidates []*candidate) string {
 	weights := map[string]int64{}
 	for rack, count := range req.tasksPerRack {
--- a/internal/scheduler/runtime.go
+++ b/internal/scheduler/runtime.go
@@ -24,8 +24,9 @@
 	defaultEstimate     = eventloop.Second            // run time assumed for steps without an estimate
 )
 
-// runtimeKey identifies tasks whose run times are comparable: all tasks of a queue that
-// have estimates, for which step is empty, and other tasks of a queue by the name of their step.
+// runtimeKey identifies tasks whose run times are comparable. All tasks of a queue that have
+// estimates share one key, in which step is empty. Tasks without estimates share a key if the
+// queue and the name of the step are the same.
 type runtimeKey struct {
 	queue, step string
 }
@@ -190,7 +191,7 @@
 	model.recordFinish(w.id, now)
 }
 
-// expectedRuntime returns how long a task is expected to run on a worker; 0: unknown.
+// expectedRuntime returns how long a task is expected to run on a worker, or 0 if that is unknown.
 func (s *Scheduler) expectedRuntime(w *worker, t *task) eventloop.Micros {
 	key, estimate := runtimeKeyOf(t)
 	duration := estimate
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -53,7 +53,7 @@
 	tenantUse         tenantUse                   // resources that tenants use, summed over the workers
 	poolUse           map[string]*tenantUse       // the same sums by pool
 	addedQueues       map[string]uint64           // generations of queues added while this node led all others; see knowsAllRuns
-	knowsAllRunsSince eventloop.Micros            // since when knowsAllRuns has held without a break; 0: it doesn't hold
+	knowsAllRunsSince eventloop.Micros            // start of the current period in which knowsAllRuns returns true; 0 while it returns false
 	deadWorkers       map[string]eventloop.Micros // time of the last report of each worker's death
 	runtimeModels     map[runtimeKey]*runtimeModel
 
@@ -227,5 +227,6 @@
 // fleetSetting returns a setting that applies to the whole fleet.
 func (s *Scheduler) fleetSetting(key string) int64 { return s.config.Fleet(key) }
 
-// poolOf returns the worker pool in which a queue's tasks run; empty: workers without a pool.
+// poolOf returns the worker pool in which a queue's tasks run. An empty string means that they run on
+// workers without a pool.
 func (s *Scheduler) poolOf(q *queueView) string { return q.pool }
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -28,7 +28,7 @@
 // starvingStep is a step that would starve unless it is boosted.
 type starvingStep struct {
 	*stepQueue
-	budget *boostBudget     // of its pool
+	budget *boostBudget     // budget of the step's pool
 	dueAt  eventloop.Micros // when its job's round was due to begin
 }
 
--- a/internal/scheduler/tenant_contention_test.go
+++ b/internal/scheduler/tenant_contention_test.go
@@ -174,7 +174,7 @@
 	}
 }
 
-// Guards against a tenant whose long backlog comes first getting all workers, whatever the weights.
+// Guards against giving all workers, regardless of the weights, to the tenant whose long backlog is placed first.
 func TestTenantsShareAFullPoolByWeight(t *testing.T) {
 	for _, tasks := range []uint32{1, 20} {
 		Convey(fmt.Sprintf("Tenants with weights 1 and 3 have 2 and 6 of 8 cores, with jobs of %d tasks", tasks), t, func() {
--- a/internal/scheduler/tenant_history_test.go
+++ b/internal/scheduler/tenant_history_test.go
@@ -402,8 +402,9 @@
 	return step
 }
 
-// Guards against a scheduler placing more than a tenant's limit after checkouts that are committed
-// late, attempts that run on, lost leaderships and changed limits.
+// Guards against exceeding a tenant's limit after checkouts that are committed late, attempts that
+// workers still run although they are no longer checked out, losses of leadership and changes of
+// the limit.
 func TestNoHistoryExceedsATenantsLimit(t *testing.T) {
 	const maxSteps = 60
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/scheduler/tenant_quota_test.go
+++ b/internal/scheduler/tenant_quota_test.go
@@ -101,7 +101,7 @@
 	})
 }
 
-// Guards against a third task being placed beside a checkout that was given up and is committed later.
+// Guards against placing one task too many because a checkout that was given up, but may still be committed, isn't counted.
 func TestCheckoutThatWasGivenUpCounts(t *testing.T) {
 	forEachKind(t, "A checkout that may yet be committed counts", func(kind quotaKind) {
 		h := newHarness("v", "w")
@@ -146,7 +146,8 @@
 	})
 }
 
-// Guards against ignoring a queue that the configuration has removed: its jobs go on, led by another node.
+// Guards against ignoring the tasks of a queue that was removed from the configuration. Its jobs continue, and another
+// node leads it.
 func TestRemovedQueueCountsWhileItsJobsGoOn(t *testing.T) {
 	forEachKind(t, "While another node leads a queue that was removed", func(kind quotaKind) {
 		h := newHarness("w")
--- a/internal/scheduler/tenant_review_test.go
+++ b/internal/scheduler/tenant_review_test.go
@@ -59,7 +59,8 @@
 	})
 }
 
-// Guards against placing tasks whose checkout was lost again although their tenant's limit was lowered since.
+// Guards against placing tasks a second time after their checkout was lost, although their tenant's limit has been
+// lowered in the meantime.
 func TestLostCheckoutsKeepToALoweredLimit(t *testing.T) {
 	forEachKind(t, "What isn't checked out is placed within the limit of now", func(kind quotaKind) {
 		h := newHarness("w")
--- a/internal/scheduler/tenant_shares.go
+++ b/internal/scheduler/tenant_shares.go
@@ -11,7 +11,7 @@
 // tenantShare holds a tenant's use of a pool during a pass, and its fair share of the pool.
 type tenantShare struct {
 	used resources
-	fair resources // share by its weight among the tenants that use or want something in the pool; 0: none
+	fair resources // share by its weight among the tenants that use the pool or have ready tasks for it; 0: no share
 }
 
 // rank returns how far the tenant's use is beyond its fair share: 0 is below the share, and each
@@ -36,7 +36,7 @@
 type poolShares struct {
 	pool         string
 	total        resources // resources of its candidate workers
-	activeWeight float64   // sum of the weights of the tenants that use or want something, in thousandths
+	activeWeight float64   // see Scheduler.activeWeight
 	byTenant     map[string]*tenantShare
 }
 
--- a/internal/scheduler/tenant_use.go
+++ b/internal/scheduler/tenant_use.go
@@ -36,8 +36,8 @@
 	u.add(tenant, size)
 }
 
-// tenantOfRun returns the tenant of a run, as reported by the worker or else as known from another
-// attempt at the same task; empty: unknown.
+// tenantOfRun returns the tenant of a run, as the worker reported it or, failing that, as it is known
+// from another attempt at the same task. It returns an empty string if the tenant is unknown.
 func (s *Scheduler) tenantOfRun(key attemptKey, status *schema.TaskStatus) string {
 	if status.Tenant != "" {
 		return status.Tenant
--- a/internal/scheduler/tenants.go
+++ b/internal/scheduler/tenants.go
@@ -33,7 +33,7 @@
 	isUncertain bool // more may be in use than this scheduler knows
 
 	claim            *limitClaim // claim on the limit by a wide step; nil: none
-	hasOpenCheckouts bool        // queueView.openCheckouts isn't empty for some queue, whichever tenant its tasks belong to
+	hasOpenCheckouts bool        // whether queueView.openCheckouts contains tasks of any tenant in any queue
 }
 
 // hasLimit reports whether any kind of resource is limited for the tenant.
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -81,8 +81,8 @@
 	lastCommitFailed bool
 }
 
-// defaultLogLimit is the limit of the log's size, in bytes, as long as the current slot is
-// smaller than this.
+// defaultLogLimit is the default of Store.minLogLimit, in bytes. If the current slot is larger,
+// the size of the slot is the log's limit instead.
 const defaultLogLimit = 4 << 20
 
 // Open reads the store on a disk, or creates an empty one. It truncates a torn tail, which is
