--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -13,7 +13,7 @@
 type formerIncarnation struct {
 	worker        string
 	lastHeartbeat uint64 // number of its last heartbeat
-	isConfirmed   bool   // the incarnation itself or its successor's reply has shown its end; if false, only a heartbeat of a successor has
+	isConfirmed   bool   // its end is certain: it departed, or its successor replied to a call; false if only a heartbeat of the successor has shown the end
 }
 
 // handleHeartbeat updates the worker's state from its heartbeat.
--- a/internal/checker/job_rules.go
+++ b/internal/checker/job_rules.go
@@ -86,7 +86,7 @@
 }
 
 // checkTerminalStatusStays checks that a job that was reported as ended never changes its
-// state again, and returns whether that is so.
+// state again. It returns false if it has reported a violation.
 func (a *analysis) checkTerminalStatusStays(job *jobRecord) bool {
 	for _, status := range job.statuses {
 		if status.Code >= 300 || !isTerminal(status.State) {
--- a/internal/checker/recovery_rules.go
+++ b/internal/checker/recovery_rules.go
@@ -140,8 +140,8 @@
 	return changes
 }
 
-// canServe reports whether the gateway was available during the whole interval, and at least
-// for the time ready before it.
+// canServe reports whether the gateway was available without a break during the whole interval
+// and, before it, for at least the time that a gateway needs to become ready.
 func (v availability) canServe(gateway string, from, to, ready eventloop.Micros) bool {
 	canServe := false
 	for _, change := range v[gateway] {
--- a/internal/checker/size_rules.go
+++ b/internal/checker/size_rules.go
@@ -62,7 +62,8 @@
 	return classes, violations
 }
 
-// finishedBySize returns the queue's accepted jobs that count for the rule, the smallest first.
+// finishedBySize returns the queue's accepted jobs that were submitted before until and neither
+// cancelled nor reported as failed, ordered by their work.
 func (a *analysis) finishedBySize(queue string, until eventloop.Micros) []*jobRecord {
 	var jobs []*jobRecord
 	for _, job := range a.sortedJobs {
--- a/internal/clusterstate/replace.go
+++ b/internal/clusterstate/replace.go
@@ -73,8 +73,8 @@
 	if rejection != nil {
 		return rejection
 	}
-	// The edit is made on top of the current version, which stays; so does the document, unless
-	// the edit has its own.
+	// An edit changes the revision but not the version. The document stays too, unless the edit
+	// has a document of its own.
 	document := complete.Document
 	if len(document) == 0 {
 		document = current.Document
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -71,7 +71,8 @@
 func Serve(name string, settings *schema.Settings, role schema.Role, newServer ServerFactory, workerClients ...agent.WorkerClient) subcommands.ExitStatus {
 	signals := make(chan os.Signal, signalBuffer)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
-	// Whoever reads our output may end before this process does.
+	// Without this, a write to standard output or standard error would end this process if the
+	// program that reads its output has ended.
 	signal.Ignore(syscall.SIGPIPE)
 	log, ring := logring.New(settings.TraceFile)
 	// A logged error writes the ring out, so a crash is logged before the process ends.
--- a/internal/fakeworker/called_config.go
+++ b/internal/fakeworker/called_config.go
@@ -47,7 +47,7 @@
 	WarmUp           eventloop.Micros // how long it is warming up after its start
 	FaultDelay       eventloop.Micros // delay of calls with FaultDelayed; 0 means 2 s
 
-	// ParseTask parses the text of a task; nil: fields such as run_us=30000 are parsed.
+	// ParseTask parses the text of a task. If it is nil, fields such as run_us=30000 are parsed.
 	ParseTask func(task agent.TaskName, text string) Requirements
 	// Fails reports whether a run should fail, which it does halfway through its work.
 	Fails func(task agent.TaskName, attempt uint32) bool
@@ -55,7 +55,8 @@
 	Slowdown func(now eventloop.Micros) float64
 	// Fault returns the fault to simulate for a call.
 	Fault func(now eventloop.Micros, call agent.Call) Fault
-	// StopDuration returns how long a run takes to stop; nil: a quarter of StopTimeoutUs.
+	// StopDuration returns how long a run takes to stop. If it is nil, that is a quarter of
+	// StopTimeoutUs.
 	StopDuration func(task agent.TaskName, attempt uint32) eventloop.Micros
 	// OnEvent is called when a run begins (EventBegin) or ends (EventEnd). state is the state
 	// in which it ended.
--- a/internal/gateway/backpressure.go
+++ b/internal/gateway/backpressure.go
@@ -60,7 +60,7 @@
 // throughput measures the rate of confirmed submissions or ended jobs, and schedules the
 // retries of rejected clients at this rate.
 type throughput struct {
-	done         uint64           // total count
+	done         uint64           // number of confirmed submissions or ended jobs so far
 	previousDone uint64           // value of done when the rate was last measured
 	measuredAt   eventloop.Micros // when the rate was last measured
 	rate         float64          // per second, exponentially smoothed
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -45,13 +45,13 @@
 	// Sessions.
 	sessionIdleTimeout      = 30 * eventloop.Second
 	endedSessionInterval    = 10 * eventloop.Second // between two reports of ended sessions to a queue
-	maxEndedSessions        = 64                    // of one queue; this many are reported without waiting for the interval
+	maxEndedSessions        = 64                    // ended sessions of a queue that are reported without waiting for endedSessionInterval
 	maxTickGap              = 20 * eventloop.Second // a longer gap between two ticks restarts all sessions
 	incarnationRestartShift = 32                    // the upper 32 bits of the incarnation count the restarts of all sessions
 
 	// Limits and timeouts of pending work.
-	maxPending              = 4096                        // limit each on submissions, on other requests and on heartbeats
-	listedGatewayTimeout    = 5 * eventloop.Second        // gateways without gossip for longer aren't listed
+	maxPending              = 4096                        // limit of pending submissions, and likewise of other requests and of heartbeats
+	listedGatewayTimeout    = 5 * eventloop.Second        // ListGateways omits gateways that sent no gossip for this long
 	bootstrapRequestTimeout = 900 * eventloop.Millisecond // less than the second that clients wait
 	registrationInterval    = eventloop.Second            // between two registrations of one worker
 	registrationMemory      = 10 * eventloop.Second       // after which the registration of a worker is forgotten
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -52,7 +52,7 @@
 	Host      string
 	Path      string
 	Name      string // name of a job
-	KeyHash   string // as in SubmitJob; for requests of clients
+	KeyHash   string // as in SubmitJob; set only in requests of clients
 	After     string // name of the last job on the previous page; for KindList
 	Limit     uint32 // maximum number of jobs on a page; for KindList
 	Body      []byte // marshalled command; for KindProposeClusterState
--- a/internal/membership/gossip_message.go
+++ b/internal/membership/gossip_message.go
@@ -23,7 +23,7 @@
 type gossipDetail int
 
 const (
-	selfOnly       gossipDetail = iota // nothing about them
+	selfOnly       gossipDetail = iota // no other members
 	heartbeatsOnly                     // fields that change during an incarnation; a receiver that lacks the rest requests it
 	fullMembers                        // all fields
 )
@@ -49,7 +49,8 @@
 	return gossip
 }
 
-// gossipEntry returns a member with the fields that a message of this detail contains.
+// gossipEntry returns a member as a message contains it: with all fields if detail is fullMembers,
+// and otherwise only with its id and the fields that change often.
 func gossipEntry(member *schema.Member, detail gossipDetail) *schema.Member {
 	if detail == fullMembers {
 		return member
--- a/internal/process/components.go
+++ b/internal/process/components.go
@@ -9,7 +9,7 @@
 //
 // Node runs the components in a real process. It owns the process's transport, its store
 // and the goroutines; each component owns its own state and is driven by
-// eventloop.Process.
+// eventloop.Loop.
 package process
 
 import (
