--- a/cmd/sparnotchctl/datadir.go
+++ b/cmd/sparnotchctl/datadir.go
@@ -82,7 +82,7 @@
 	index, term := groupContent.Snapshot.GetIndex(), groupContent.Snapshot.GetTerm()
 	for _, entry := range groupContent.Entries {
 		if entry.Index != index+1 {
-			return fmt.Errorf("entry %d follows entry %d", entry.Index, index)
+			return fmt.Errorf("entry %d follows entry %d, but indexes must be consecutive", entry.Index, index)
 		}
 		if entry.Term < term {
 			return fmt.Errorf("entry %d has term %d, but the entry before it has term %d", entry.Index, entry.Term, term)
