--- a/internal/gateway/confirmation.go
+++ b/internal/gateway/confirmation.go
@@ -18,7 +18,7 @@
 	confirmationTimeout     = 500 * eventloop.Millisecond
 	maxAwaitingConfirmation = 256
 	maxAwaitingForKey       = maxAwaitingConfirmation / 2 // the other half is reserved for calls to new queues
-	// The gateway sends confirmations on its own account. Their request IDs are above
+	// The gateway itself, not a client, requests confirmations. Their request IDs are above
 	// those that the process assigns to calls.
 	firstConfirmationID = 1 << 63
 )
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -20,7 +20,7 @@
 type passState struct {
 	allCandidates         []*candidate
 	byPool                map[string][]*candidate
-	maxUnplaced           int                 // maxUnplaced, or no limit in a full pass
+	maxUnplaced           int                 // the constant maxUnplaced, or a number that is never reached in a full pass
 	minRunningUrgency     int64               // lowest urgency of the queues that have tasks checked out
 	claimedPools          map[string]bool     // pools in which workers are kept free for a wide step
 	gangVictims           map[stepKey]*victim // one victim per gang, which can be preempted only as a whole
--- a/internal/scheduler/quality.go
+++ b/internal/scheduler/quality.go
@@ -29,7 +29,7 @@
 	minFailureRatio       = 0.01 // minimum fraction of a queue's runs that are assumed to fail on sound workers
 	failureRatioPriorRuns = 20   // number of runs for which minFailureRatio counts as a prior
 	ejectionSuspicion     = 7.5  // CUSUM sum at which a worker is ejected
-	probationSuspicion    = 3.5  // the same for a worker on probation
+	probationSuspicion    = 3.5  // like ejectionSuspicion, for a worker on probation
 )
 
 // quality holds what a worker's runs so far show about its reliability and speed.
