--- a/internal/gateway/validate.go
+++ b/internal/gateway/validate.go
@@ -46,7 +46,7 @@
 	taskCount := uint64(0)
 	for index, step := range job.Steps {
 		if step == nil {
-			return badJob(fmt.Sprintf("steps[%d]", index), "must not be null")
+			return badJob(fmt.Sprintf("steps[%d]", index), "the value must not be null")
 		}
 		if taskCount += uint64(step.Tasks) * uint64(max(job.Rounds, 1)); taskCount > MaxTasks {
 			return badJob(stepField(index, "tasks"), "a job must have at most %d tasks in all its rounds together", MaxTasks)
@@ -71,7 +71,7 @@
 func stepField(index int, name string) string { return fmt.Sprintf("steps[%d].%s", index, name) }
 
 func outOfRange(field string, minimum, maximum int64) *schema.Error {
-	return badJob(field, "must lie between %d and %d", minimum, maximum)
+	return badJob(field, "the value must lie between %d and %d", minimum, maximum)
 }
 
 func badName(field, name string) *schema.Error {
@@ -82,17 +82,17 @@
 func validateSchedule(job *schema.Job) *schema.Error {
 	switch {
 	case len(job.Text) > MaxText:
-		return badJob("text", "must have at most %d bytes", MaxText)
+		return badJob("text", "the value must have at most %d bytes", MaxText)
 	case !utf8.ValidString(job.Text):
-		return badJob("text", "must be valid UTF-8")
+		return badJob("text", "the value must be valid UTF-8")
 	case job.DelayUs < 0 || job.DelayUs > MaxDelayUs:
 		return outOfRange("delay_us", 0, MaxDelayUs)
 	case job.StartUnixUs != 0 && job.DelayUs != 0:
 		return badJob("start_wall_us", "a job must not have both a delay and a start time")
 	case job.StartUnixUs != 0 && job.StartUnixUs < minUnixUs:
-		return badJob("start_wall_us", "must be a time in microseconds since 1970, not before September 2001")
+		return badJob("start_wall_us", "the value must be a time in microseconds since 1970, not before September 2001")
 	case job.Rounds > MaxRounds:
-		return badJob("rounds", "must be at most %d", MaxRounds)
+		return badJob("rounds", "the value must be at most %d", MaxRounds)
 	case job.PeriodUs < 0 || job.PeriodUs > maxDurationUs:
 		return outOfRange("every_us", 0, maxDurationUs)
 	}
@@ -111,7 +111,7 @@
 	case step.MemoryMb < 0 || step.MemoryMb > maxAmount:
 		return outOfRange(field("memory_mb"), 0, maxAmount)
 	case step.AllowedFailures > maxFailures:
-		return badJob(field("allowed_failures"), "must be at most %d", maxFailures)
+		return badJob(field("allowed_failures"), "the value must be at most %d", maxFailures)
 	case step.TimeLimitUs < 0 || step.TimeLimitUs > maxDurationUs:
 		return outOfRange(field("time_limit_us"), 0, maxDurationUs)
 	case step.StallTimeoutUs < 0 || step.StallTimeoutUs > maxDurationUs:
@@ -123,7 +123,7 @@
 	case step.DataRack != "" && !IsValidName(step.DataRack):
 		return badName(field("data_rack"), step.DataRack)
 	case step.MaxPerWorker > maxAmount:
-		return badJob(field("per_worker"), "must be at most %d", maxAmount)
+		return badJob(field("per_worker"), "the value must be at most %d", maxAmount)
 	case step.EstimatedRunUs < 0 || step.EstimatedRunUs > maxDurationUs:
 		return outOfRange(field("estimate_us"), 0, maxDurationUs)
 	}
--- a/internal/httpapi/handlers.go
+++ b/internal/httpapi/handlers.go
@@ -140,7 +140,7 @@
 	if limitParam := ctx.URLParam("most"); limitParam != "" {
 		number, err := strconv.Atoi(limitParam)
 		if err != nil || number < 1 || number > maxPageSize {
-			writeError(ctx, http.StatusBadRequest, "bad_value", "must lie between 1 and "+strconv.Itoa(maxPageSize), "most")
+			writeError(ctx, http.StatusBadRequest, "bad_value", "the value must lie between 1 and "+strconv.Itoa(maxPageSize), "most")
 			return
 		}
 		limit = number
@@ -228,13 +228,13 @@
 	}
 	switch {
 	case heartbeat.Incarnation == 0:
-		return badValue("incarnation", "must be at least 1 and increase with each start of the worker")
+		return badValue("incarnation", "the value must be at least 1 and increase with each start of the worker")
 	case heartbeat.Seq == 0:
-		return badValue("seq", "must be at least 1 and increase with each heartbeat")
+		return badValue("seq", "the value must be at least 1 and increase with each heartbeat")
 	case heartbeat.CoresMilli < 0:
-		return badValue("cores_milli", "must not be negative")
+		return badValue("cores_milli", "the value must not be negative")
 	case heartbeat.MemoryMb < 0:
-		return badValue("memory_mb", "must not be negative")
+		return badValue("memory_mb", "the value must not be negative")
 	case heartbeat.Rack != "" && !clusterstate.IsValidName(heartbeat.Rack):
 		return &schema.Error{Code: "bad_name", Message: workerNameRule, Field: "rack"}
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -64,9 +64,9 @@
 	return reserved
 }
 
-// reserveFromStops reserves capacity that stops free, if need be by preempting. Tasks get their
-// reservations one by one, but a gang gets them for all its members or for none. It returns the
-// number of tasks that got one.
+// reserveFromStops reserves capacity that stops in progress will free. If that isn't enough and
+// mayPreempt is set, it preempts tasks. Tasks get their reservations one by one, but a gang gets
+// them for all its members or for none. It returns the number of tasks that got a reservation.
 func (p *queuePass) reserveFromStops(step *stepQueue, req *placementRequest, mayPreempt bool) (reserved int) {
 	account := p.accountOf(p.scheduler, step.first().tenant)
 	count := min(step.ready.Len(), p.slots, maxFutureReservations, int(account.room(req.need)))
