--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -64,9 +64,9 @@
 	return reserved
 }
 
-// reserveFromStops reserves capacity that stops free, if need be by preempting. Tasks get their
-// reservations one by one, but a gang gets them for all its members or for none. It returns the
-// number of tasks that got one.
+// reserveFromStops reserves capacity that stops in progress will free. If that isn't enough and
+// mayPreempt is set, it preempts tasks. Tasks get their reservations one by one, but a gang gets
+// them for all its members or for none. It returns the number of tasks that got a reservation.
 func (p *queuePass) reserveFromStops(step *stepQueue, req *placementRequest, mayPreempt bool) (reserved int) {
 	account := p.accountOf(p.scheduler, step.first().tenant)
 	count := min(step.ready.Len(), p.slots, maxFutureReservations, int(account.room(req.need)))
@@ -215,7 +215,8 @@
 	if !free.covers(req.need) {
 		return nil, 0
 	}
-	// Drop victims that later ones have made unnecessary, those that lose most work first.
+	// Drop the victims that aren't needed any more because of victims that were added later. Those
+	// that would lose most work are dropped first.
 	for k := len(victims) - 1; k >= 0; k-- {
 		without := free
 		if without.sub(victims[k].resourcesOn(id)); without.covers(req.need) {
