--- a/internal/mutation/mutants.go
+++ b/internal/mutation/mutants.go
@@ -5,7 +5,7 @@
 	{Guard: "confirm after apply", Rule: 1, Test: "internal/replica TestConfirmAfterApply", Edits: []Edit{{"internal/replica",
 		"		h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Enqueue{Enqueue: stamped}})\n",
 		"		h.proposeQueue(now, r, &schema.QueueCommand{Body: &schema.QueueCommand_Enqueue{Enqueue: stamped}})\n" +
-			"		effects.Send(from, &schema.SubmitResponse{Queue: m.Queue, Leader: h.id, Results: []*schema.SubmitResult{{Session: e.Session, Number: e.Number, Code: 201, View: &schema.JobView{Name: e.Name, State: \"running\"}}}})\n"}}},
+			"		effects.Send(from, &schema.SubmitResponse{Queue: m.Queue, Leader: h.id, Results: []*schema.SubmitResult{{Session: submitted.Session, Number: submitted.Number, Code: 201, View: &schema.JobView{Name: submitted.Name, State: \"running\"}}}})\n"}}},
 	{Guard: "entries are synced before they are acknowledged", Rule: 1, Test: "internal/raft TestSyncBeforeAcknowledge", Edits: []Edit{
 		{"internal/raft", "&schema.AppendResponse{Group: g.name, Term: g.term, Match: min(g.matchIndex, g.stable)}", "&schema.AppendResponse{Group: g.name, Term: g.term, Match: g.matchIndex}"},
 		{"internal/raft", "Round: m.Round, Match: min(g.matchIndex, g.stable)}", "Round: m.Round, Match: g.matchIndex}"},
--- a/internal/sim/scenario.go
+++ b/internal/sim/scenario.go
@@ -35,7 +35,7 @@
 // front is a gateway, and a disk machine is a storage node.
 const everyAgentNodeGone = "every side machine gone"
 
-// ScenariosFor returns the scenarios that can run on a fleet with this specification.
+// ScenariosFor returns the scenarios that can run on a fleet with this spec.
 func ScenariosFor(spec FleetSpec) []Scenario {
 	if !spec.HasCalledWorkers() {
 		return slices.Concat(Scenarios, DiskScenarios)
--- a/internal/sim/scenarios_quota.go
+++ b/internal/sim/scenarios_quota.go
@@ -36,7 +36,7 @@
 	{Name: fullTenant, WeightMilli: 1000, MaxCoresMilli: fullTenantCores, Keys: deployments.NewKeys(fullTenant, 2)},
 })
 
-// sharedFleet returns the specification of a fleet that the given tenants share.
+// sharedFleet returns the spec of a fleet that the given tenants share.
 func sharedFleet(spec FleetSpec, tenants []deployments.Tenant) FleetSpec {
 	spec.Name, spec.Tenants = spec.Name+"-shared", tenants
 	return spec
